--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,8 +2,8 @@
 
 use anyhow::Context;
 use clap::Args;
-use doorcourse_net::Clock;
-use doorcourse_standins::{Crowd, Load as Rate};
+use doorcourse_emulators::{Crowd, Load as Rate};
+use doorcourse_event_loop::Clock;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,7 +1,7 @@
 //! `platform`.
 
 use clap::Args;
-use doorcourse_platform::{Config, Platform as Running, Signals};
+use doorcourse_resp_gateway::{Config, Platform as Running, Signals};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use doorcourse_config::{Config, Fault};
-use doorcourse_gateway::{Gateway, Start};
+use doorcourse_http_gateway::{Gateway, Start};
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,8 +1,8 @@
 //! `standin`: a stand-in node or counter by itself, for a tour and for trials.
 
 use clap::Subcommand;
-use doorcourse_net::Clock;
-use doorcourse_standins::{CATALOGUE, NodeSpec, Recorder, World, WorldSpec};
+use doorcourse_emulators::{CATALOGUE, NodeSpec, Recorder, World, WorldSpec};
+use doorcourse_event_loop::Clock;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,6 +1,6 @@
 //! Processes that are short of descriptors, and such that start while nothing around them answers.
 
-#[path = "../../platform/tests/rig/mod.rs"]
+#[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
 mod running;
 
--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Tasks of one holder at a time, with processes of the program: by hand, at a drain, at a takeover, with secrets changed.
 
-use doorcourse_standins::{Relay, Witness};
-use doorcourse_verdict::acts;
+use doorcourse_conformance::acts;
+use doorcourse_emulators::{Relay, Witness};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The built binary as the platform starts it: `RELAY_*` set, in the foreground, between stand-ins on loopback.
 
-#[path = "../../platform/tests/rig/mod.rs"]
+#[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
 mod running;
 
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -5,11 +5,11 @@
 //! The terms are counted in tenths of a second, and a busy machine is not that punctual: what is judged here is later, and
 //! what each mutant does is later than that.
 
-#[path = "../../platform/tests/rig/mod.rs"]
+#[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
 mod running;
 
-use doorcourse_exchange::Shares;
+use doorcourse_connection_limits::Shares;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rig::{
--- a/crates/cli/tests/rolling.rs
+++ b/crates/cli/tests/rolling.rs
@@ -2,7 +2,7 @@
 //! backend that hangs. Judged from the records of clients and backends: what was taken has its whole answer, and every
 //! process ends by itself before it may be killed. `DOORCOURSE_SEEDS=20` plays so many seeds instead of one.
 
-#[path = "../../platform/tests/rig/mod.rs"]
+#[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
 mod running;
 
--- a/crates/verdict/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -1,6 +1,6 @@
 //! A good record passes; for each rule a spoiled one is refused.
 
-use doorcourse_verdict::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule, judge, read, summary};
+use doorcourse_conformance::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule, judge, read, summary};
 use std::collections::BTreeMap;
 
 fn at(t: f64, event: Event) -> Record {
--- a/crates/exchange/src/follow.rs
+++ b/crates/discovery/src/follow.rs
@@ -1,8 +1,8 @@
 //! Following the list of nodes over a watch that may fall silent, break off or say what cannot be followed: when a
 //! connection to the list's source is dead, when the next one is made, and from which version on it asks.
 
-use crate::mutant::mutant;
 use doorcourse::Millis;
+use doorcourse_fail_points::mutant;
 
 /// A watch without a whole line for this long is dead: an empty one comes every 2 s. It counts from the asking on, so
 /// that neither a head without a body nor a line that drips in adds to it.
--- /dev/null
+++ b/crates/discovery/src/lib.rs
@@ -0,0 +1,8 @@
+//! The watch of the endpoint list: when it is connected, considered dead and connected anew, without I/O.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod follow;
+
+pub use follow::{Due, Follow, Start};
--- a/crates/exchange/tests/follow.rs
+++ b/crates/discovery/tests/follow.rs
@@ -1,6 +1,6 @@
 //! When discovery is asked, given up and asked again; and that no order of failures makes a change late.
 
-use doorcourse_exchange::{Due, Follow, Start};
+use doorcourse_discovery::{Due, Follow, Start};
 use proptest::prelude::*;
 
 const GRACE: f64 = 200.0;
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -1,8 +1,8 @@
 //! The clients of a drill: customers on plans, a mix of operations, retries, and manners that the script changes.
 
+use doorcourse_conformance::{Anew, Event, Kind, PlanBounds};
+use doorcourse_emulators::{CATALOGUE, End, Operation, Shot, Source, operations};
 use doorcourse_graphql::{Limits, Prepared, Schema};
-use doorcourse_standins::{CATALOGUE, End, Operation, Shot, Source, operations};
-use doorcourse_verdict::{Anew, Event, Kind, PlanBounds};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -2,8 +2,8 @@
 //! system calls, and what idle connections cost in memory. Figures are of this machine; ratios travel better.
 
 use anyhow::{Context, bail};
-use doorcourse_net::Clock;
-use doorcourse_standins::{CATALOGUE, Crowd, Load, NodeSpec, Recorder, World, WorldSpec, operations};
+use doorcourse_emulators::{CATALOGUE, Crowd, Load, NodeSpec, Recorder, World, WorldSpec, operations};
+use doorcourse_event_loop::Clock;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -3,12 +3,12 @@
 use crate::clients::{CLASSES, PLANS};
 use crate::script::StateWhat;
 use anyhow::{Context, bail};
-use doorcourse_net::Clock;
-use doorcourse_standins::{
+use doorcourse_conformance::Event;
+use doorcourse_emulators::{
     CATALOGUE, Command as Order, ListSource, ListedNode, NodeFault, NodeSpec, Recorder, Relay, World,
     WorldSpec,
 };
-use doorcourse_verdict::Event;
+use doorcourse_event_loop::Clock;
 use rustix::process::{Pid, Signal, kill_process};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -3,9 +3,9 @@
 
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
-use doorcourse_net::Clock;
-use doorcourse_standins::{CATALOGUE, Recorder, Relay, Way, Witness, World, WorldSpec};
-use doorcourse_verdict::{Act, acts};
+use doorcourse_conformance::{Act, acts};
+use doorcourse_emulators::{CATALOGUE, Recorder, Relay, Way, Witness, World, WorldSpec};
+use doorcourse_event_loop::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::process::{Pid, Signal, kill_process};
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -7,8 +7,8 @@
 use crate::script::read_act;
 use crate::show::show;
 use anyhow::Context;
-use doorcourse_standins::Crowd;
-use doorcourse_verdict::summary;
+use doorcourse_conformance::summary;
+use doorcourse_emulators::Crowd;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -146,7 +146,7 @@
             fleet.call(at, "status").map_or(json!("does not answer"), |v| v["result"]["state"].clone());
         json!({"gateway": at, "address": address.to_string(), "process": fleet.process(at), "state": state})
     };
-    let node = |n: &doorcourse_standins::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.present, "drains": n.draining});
+    let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.present, "drains": n.draining});
     json!({
         "gateways": addresses.iter().enumerate().map(gateway).collect::<Vec<_>>(),
         "nodes": fleet.list.nodes.iter().map(node).collect::<Vec<_>>(),
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -4,8 +4,8 @@
 use crate::clients::{Clients, Manner, customers, plan_bounds};
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
-use doorcourse_standins::{Command, CounterFault, Crowd, NodeFault};
-use doorcourse_verdict::{Answers, Bounds, Event, Kind, Record, Recovery, Report, recoveries, summary};
+use doorcourse_conformance::{Answers, Bounds, Event, Kind, Record, Recovery, Report, recoveries, summary};
+use doorcourse_emulators::{Command, CounterFault, Crowd, NodeFault};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
--- a/crates/drill/src/show.rs
+++ b/crates/drill/src/show.rs
@@ -1,6 +1,6 @@
 //! A report as text.
 
-use doorcourse_verdict::{Recovery, Report, Rule};
+use doorcourse_conformance::{Recovery, Report, Rule};
 use std::fmt::Write;
 
 fn rule(rule: Rule) -> &'static str {
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -1,7 +1,7 @@
 //! A drill on a terminal while it runs: the script's phase, the fleet, answers by phase, each rule's verdict so far.
 
 use crate::fleet::Fleet;
-use doorcourse_verdict::summary;
+use doorcourse_conformance::summary;
 use ratatui::DefaultTerminal;
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize};
@@ -47,7 +47,7 @@
                 Paragraph::new(Line::from(spans)).block(Block::bordered().title(about)),
                 gateways,
             );
-            let row = |(name, a): &(String, doorcourse_verdict::Answers)| {
+            let row = |(name, a): &(String, doorcourse_conformance::Answers)| {
                 let figures = [a.asked, a.served, a.late, a.refused, a.failed + a.cut, a.lost];
                 let cells = figures.iter().map(ToString::to_string).chain([format!("{:.0}", a.latency.1)]);
                 Row::new([name.clone()].into_iter().chain(cells).map(Cell::from))
@@ -58,7 +58,7 @@
             let table = Table::new(rows, widths).header(Row::new(titles).style(Style::new().bold()));
             frame.render_widget(table.block(Block::bordered().title(" answers ")), answers);
             let verdict =
-                |(rule, breaches): (&doorcourse_verdict::Rule, &Vec<doorcourse_verdict::Breach>)| {
+                |(rule, breaches): (&doorcourse_conformance::Rule, &Vec<doorcourse_conformance::Breach>)| {
                     match breaches.first() {
                         None => Line::from(format!("{rule:?}: kept so far").green()),
                         Some(first) => Line::from(format!("{rule:?}: broken: {}", first.what).red()),
--- a/crates/standins/src/crowd.rs
+++ b/crates/emulators/src/crowd.rs
@@ -2,9 +2,9 @@
 //! others, and followed to its end.
 
 use crate::record::Recorder;
+use doorcourse_conformance::{Event, Kind};
+use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, connect};
 use doorcourse_http::{Decoder, Limits as HttpLimits, Part, Role, request};
-use doorcourse_net::{Clock, Flow, Interest, Poller, Socket, Timers, connect};
-use doorcourse_verdict::{Event, Kind};
 use slab::Slab;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/standins/src/list.rs
+++ b/crates/emulators/src/list.rs
@@ -1,7 +1,7 @@
 //! The list source: a file of nodes that the gateways read again when it changes, written whole or not at all.
 
 use crate::record::Recorder;
-use doorcourse_verdict::Event;
+use doorcourse_conformance::Event;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/standins/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -2,7 +2,7 @@
 //! gateway that stalls is charged for all that should have been sent meanwhile (no coordinated omission).
 
 use crate::crowd::{End, Shot, Source};
-use doorcourse_verdict::Kind;
+use doorcourse_conformance::Kind;
 use hdrhistogram::Histogram;
 
 /// What to send.
--- a/crates/standins/src/record.rs
+++ b/crates/emulators/src/record.rs
@@ -1,7 +1,7 @@
 //! The traffic record: what each stand-in saw, on one clock.
 
-use doorcourse_net::Clock;
-use doorcourse_verdict::{Event, Record};
+use doorcourse_conformance::{Event, Record};
+use doorcourse_event_loop::Clock;
 use std::io::Write;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
--- a/crates/standins/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay for datagrams between gateways: each ordered pair has a socket of its own, so that one way can be cut, lossy,
 //! slow or doubled without the other. It looks into none of them.
 
-use doorcourse_net::{Clock, Interest, Poller, Timers};
+use doorcourse_event_loop::{Clock, Interest, Poller, Timers};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/standins/src/witness.rs
+++ b/crates/emulators/src/witness.rs
@@ -1,8 +1,8 @@
 //! A witness: what tasks call, with a record of each act's begin and end. One kind refuses tokens below the highest it has
 //! seen and ends what goes on under a lower one; the other knows no tokens and goes by the deadline sent along: an act that could not be over by then is refused.
 
+use doorcourse_conformance::Act;
 use doorcourse_http::{Decoder, Limits, Part, Role};
-use doorcourse_verdict::Act;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
--- a/crates/standins/src/world.rs
+++ b/crates/emulators/src/world.rs
@@ -4,13 +4,13 @@
 use crate::counter::{Counter, CounterFault, Session};
 use crate::node::{Job, Manner, Memory, Node, NodeAction, NodeFault, NodeSpec};
 use crate::record::Recorder;
+use doorcourse_conformance::Event;
+use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
 use doorcourse_graphql::{Limits, Prepared, Schema, Shape};
 use doorcourse_http::{
     Decoder, Framing, Head, Limits as HttpLimits, Part, Role, chunk, chunk_end, response_head,
 };
-use doorcourse_net::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
 use doorcourse_resp::{decode, encode};
-use doorcourse_verdict::Event;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use slab::Slab;
--- a/crates/exchange/src/leave.rs
+++ b/crates/graceful-shutdown/src/leave.rs
@@ -16,9 +16,9 @@
 //! A connection that merely had a request open when the doors closed is no exception: clients go on sending on whatever
 //! stays open, up to the moment at which the process is killed, so every connection is closed as it falls idle.
 
-use crate::mutant::mutant;
-use crate::table::Held;
 use doorcourse::Millis;
+use doorcourse_connection_limits::HeldOpen as Held;
+use doorcourse_fail_points::mutant;
 
 /// How long requests may still come after the word to leave: those on their way, and those of a front that has not
 /// heard yet.
--- a/crates/gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -4,7 +4,7 @@
 use crate::io::{Io, Token};
 use anyhow::Context;
 use doorcourse_config::Change;
-use doorcourse_net::Interest;
+use doorcourse_event_loop::Interest;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
--- a/crates/gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -5,7 +5,7 @@
 use doorcourse::{CountOutcome, Event};
 use doorcourse_config::Counter as Settings;
 use doorcourse_counter::{Call, Ended, Link, LinkAction, LinkSettings, RespCodec};
-use doorcourse_net::{Flow, Interest, Ready, Socket, connect};
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
 
 use std::collections::HashMap;
 
--- a/crates/gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/exchanges.rs
@@ -6,9 +6,9 @@
 use crate::nodes::{Heard, Wire};
 use doorcourse::{Arrival, AttemptEnd, Effect, Event, Name, RequestId};
 use doorcourse_config::Config;
-use doorcourse_exchange::{Exchange, Final, Input, Output};
 use doorcourse_graphql::Scan;
 use doorcourse_http::Framing;
+use doorcourse_request_lifecycle::{Exchange, Final, Input, Output};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// The head of a node's answer, as far as it is passed on.
--- a/crates/gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -3,14 +3,14 @@
 
 use crate::io::{Io, Token};
 use doorcourse_config::{Config, FleetLeases, FleetLink, FleetSuspects, FleetTask, Node, SUSPECTS};
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{
     CallSettings, Calls, Input, Leases, Loss, Message, Needs, Output, Refusal, Settings as LeaseSettings,
     Stage, Task, Time, View, decode, encode, task_of,
 };
-use doorcourse_net::{Flow, Interest, Ready, Socket, awake_or_not, connect};
+use doorcourse_outlier_gossip::{Seen as SeenNode, Suspects, Word};
 use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
-use doorcourse_suspects::{Seen as SeenNode, Suspects, Word};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::UdpSocket;
@@ -132,7 +132,7 @@
         let number = self.number;
         self.suspects = leases.suspects.map(|s| {
             let FleetSuspects { every, share, keep, .. } = s;
-            let settings = doorcourse_suspects::Settings { number, every, share, keep };
+            let settings = doorcourse_outlier_gossip::Settings { number, every, share, keep };
             let mut suspects = self.suspects.take().map_or_else(|| Suspects::new(settings), |(old, _)| old);
             suspects.configure(settings);
             (suspects, s)
@@ -273,11 +273,15 @@
             let Some(heard) = heard else { continue };
             if heard.channel == SUSPECT {
                 if let (Some(message), Some((suspects, _))) =
-                    (doorcourse_suspects::decode(&heard.payload), &mut self.suspects)
+                    (doorcourse_outlier_gossip::decode(&heard.payload), &mut self.suspects)
                 {
                     let mut outputs = Vec::new();
                     let from = heard.from;
-                    suspects.handle(now, doorcourse_suspects::Input::Heard { from, message }, &mut outputs);
+                    suspects.handle(
+                        now,
+                        doorcourse_outlier_gossip::Input::Heard { from, message },
+                        &mut outputs,
+                    );
                     self.suspected(io, now, outputs, &[]);
                 }
             } else if heard.channel == LEASES {
@@ -387,7 +391,7 @@
             if over {
                 let good = match what {
                     What::Task(_) => (200..300).contains(&status),
-                    What::Trial(..) => doorcourse_suspects::is_well(status),
+                    What::Trial(..) => doorcourse_outlier_gossip::is_well(status),
                 };
                 return self.over(now, &what, if good { "" } else { "answered otherwise" });
             }
@@ -419,23 +423,23 @@
         let needs = Needs { time: settings.timeout };
         let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(SUSPECTS), needs).ok());
         let (mut outputs, held) = (Vec::new(), held.map(|p| p.token));
-        suspects.handle(now, doorcourse_suspects::Input::Tick { seen, held }, &mut outputs);
+        suspects.handle(now, doorcourse_outlier_gossip::Input::Tick { seen, held }, &mut outputs);
         self.suspected(io, now, outputs, nodes);
     }
 
     fn suspected(
-        &mut self, io: &mut Io, now: Time, outputs: Vec<doorcourse_suspects::Output>, nodes: &[Node],
+        &mut self, io: &mut Io, now: Time, outputs: Vec<doorcourse_outlier_gossip::Output>, nodes: &[Node],
     ) {
         for output in outputs {
             match output {
-                doorcourse_suspects::Output::Tell(message) => {
-                    let payload = doorcourse_suspects::encode(&message);
+                doorcourse_outlier_gossip::Output::Tell(message) => {
+                    let payload = doorcourse_outlier_gossip::encode(&message);
                     for to in self.link.numbers() {
                         let out = self.link.send(now, io.now() as u64, to, SUSPECT, payload.clone());
                         out.into_iter().for_each(|out| self.put(&out));
                     }
                 }
-                doorcourse_suspects::Output::Try(node) => {
+                doorcourse_outlier_gossip::Output::Try(node) => {
                     let address = nodes.iter().find(|n| *n.entry.name == *node).map(|n| n.address);
                     let until = now + self.suspects.as_ref().map_or(0, |(_, s)| s.timeout);
                     let made =
@@ -444,7 +448,7 @@
                         self.tried(now, &node, "no connection");
                     }
                 }
-                doorcourse_suspects::Output::Hint(word) => {
+                doorcourse_outlier_gossip::Output::Hint(word) => {
                     let Word { node, bad, age, gateways, .. } = &word;
                     tracing::info!(target: "doorcourse::fleet", node, bad, age, gateways, "word on a node");
                     if self.suspects.as_ref().is_some_and(|(_, s)| s.apply) {
@@ -480,7 +484,7 @@
         let good = why.is_empty();
         tracing::info!(target: "doorcourse::fleet", node, good, why, "suspect node tried");
         if let Some((suspects, _)) = &mut self.suspects {
-            let tried = doorcourse_suspects::Input::Tried { node: node.to_owned(), good };
+            let tried = doorcourse_outlier_gossip::Input::Tried { node: node.to_owned(), good };
             suspects.handle(now, tried, &mut Vec::new());
         }
         // What was found is told at the next look, which comes at once.
--- a/crates/gateway/src/front.rs
+++ b/crates/http-gateway/src/front.rs
@@ -3,11 +3,11 @@
 
 use doorcourse::{Name, Refusal};
 use doorcourse_config::{Config, Customer};
-use doorcourse_exchange::{
-    Failure, Final, Never, class_of, cookie, fits, parameter, patience, route_of, split_path,
-};
 use doorcourse_graphql::{Error as QueryError, OperationKind, Prepared};
 use doorcourse_http::{Framing, Head, response_head};
+use doorcourse_request_lifecycle::{
+    Failure, Final, Never, class_of, cookie, fits, parameter, patience, route_of, split_path,
+};
 use serde_json::{Map, Value, json};
 use std::sync::Arc;
 
--- a/crates/gateway/src/health.rs
+++ b/crates/http-gateway/src/health.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::Seen;
 use crate::io::{Io, Token};
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket};
 use doorcourse_http::{Decoder, Framing, Limits, Part, Role, response_head};
-use doorcourse_net::{Flow, Interest, Ready, Socket};
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram};
 use prometheus_client::registry::Registry;
--- a/crates/gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -1,7 +1,7 @@
 //! What every room of the gateway needs to wait for something: readiness, timers, the clock. It holds no connection.
 
 use doorcourse::{Event, RequestId};
-use doorcourse_net::{Clock, Poller, Timers};
+use doorcourse_event_loop::{Clock, Poller, Timers};
 use std::collections::VecDeque;
 
 /// What a registration belongs to.
--- a/crates/gateway/src/nodes.rs
+++ b/crates/http-gateway/src/nodes.rs
@@ -4,9 +4,9 @@
 use crate::io::{Alarm, Io, Token};
 use doorcourse::{Name, RequestId};
 use doorcourse_config::{Limits, Node};
-use doorcourse_exchange::mutant;
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
+use doorcourse_fail_points::mutant;
 use doorcourse_http::{Decoder, Head, Limits as HttpLimits, Part, Role, request};
-use doorcourse_net::{Flow, Interest, Ready, Socket, connect};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -17,9 +17,11 @@
 use doorcourse::{Action, BackendState, Event, Name, RequestId};
 use doorcourse_config::{Change, Config, Node};
 use doorcourse_counter::Call;
-use doorcourse_exchange::{HandDrains, Input as Tell, LastRounds, Round, looks_again, mutant};
+use doorcourse_event_loop::{Interest, Ready, listen};
+use doorcourse_fail_points::mutant;
+use doorcourse_graceful_shutdown::{HandDrains, LastRounds, Round, looks_again};
 use doorcourse_lifecycle::{Input, Life, Out, Output};
-use doorcourse_net::{Interest, Ready, listen};
+use doorcourse_request_lifecycle::Input as Tell;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -251,7 +253,7 @@
             self.pump();
             if self.ended {
                 self.save_state();
-                let c = doorcourse_net::counts();
+                let c = doorcourse_event_loop::counts();
                 let (reads, writes, waits, changes, connects) =
                     (c.reads, c.writes, c.waits, c.changes, c.connects);
                 let requests = self.exchanges.so_far;
@@ -708,7 +710,7 @@
     fn suspects(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         if fleet.wants_view() {
-            let one = |b: doorcourse::BackendView| doorcourse_suspects::Seen {
+            let one = |b: doorcourse::BackendView| doorcourse_outlier_gossip::Seen {
                 node: b.name.to_string(),
                 started: b.started.unwrap_or_default() as u64,
                 failures: b.failures,
@@ -720,7 +722,7 @@
         while let Some(word) = fleet.hints.pop_front() {
             let Some(view) = self.decision.backends().find(|b| *b.name == *word.node) else { continue };
             let keep = self.config.leases.as_ref().and_then(|l| l.suspects).map_or(0, |s| s.keep);
-            let (failures, left) = doorcourse_suspects::remembered(&word, keep, view.failures);
+            let (failures, left) = doorcourse_outlier_gossip::remembered(&word, keep, view.failures);
             views.push(doorcourse::BackendView { failures, eject_until: now + left as f64, ..view });
         }
         if !views.is_empty() {
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -1,8 +1,8 @@
 //! A gateway in a thread, nodes that follow a script byte by byte, and a plain client.
 #![allow(dead_code)]
 
-use doorcourse_gateway::{Gateway, Reread, Start, Stopper};
-use doorcourse_standins::CATALOGUE;
+use doorcourse_emulators::CATALOGUE;
+use doorcourse_http_gateway::{Gateway, Reread, Start, Stopper};
 use sha2::{Digest, Sha256};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -2,9 +2,9 @@
 
 mod helper;
 
-use doorcourse_net::Clock;
-use doorcourse_standins::{Command, NodeFault, NodeSpec, Recorder, World, WorldSpec};
-use doorcourse_verdict::Event;
+use doorcourse_conformance::Event;
+use doorcourse_emulators::{Command, NodeFault, NodeSpec, Recorder, World, WorldSpec};
+use doorcourse_event_loop::Clock;
 use helper::*;
 use std::io::{Read, Write};
 use std::sync::mpsc;
--- a/crates/peers/fuzz/fuzz_targets/datagram.rs
+++ b/crates/peers/fuzz/fuzz_targets/datagram.rs
@@ -13,5 +13,5 @@
     if let Ok(message) = doorcourse_lease::decode(data) {
         assert_eq!(doorcourse_lease::decode(&doorcourse_lease::encode(&message)), Ok(message));
     }
-    let _ = doorcourse_suspects::decode(data);
+    let _ = doorcourse_outlier_gossip::decode(data);
 });
--- a/crates/exchange/tests/lives.rs
+++ b/crates/request-lifecycle/tests/lives.rs
@@ -1,7 +1,7 @@
 //! One request in each state, and every order of events by chance against the rules.
 
 use doorcourse::{Outcome, Refusal};
-use doorcourse_exchange::{Exchange, Failure, Final, Input, Output};
+use doorcourse_request_lifecycle::{Exchange, Failure, Final, Input, Output};
 
 fn run(inputs: &[Input]) -> (Exchange, Vec<Output>) {
     let (mut exchange, mut out) = (Exchange::new(100), Vec::new());
--- a/crates/platform/src/ask.rs
+++ b/crates/resp-gateway/src/ask.rs
@@ -2,7 +2,7 @@
 //! to a backend.
 
 use doorcourse::{Effect, Millis, Name};
-use doorcourse_site::Site;
+use doorcourse_deployment::Site;
 use std::io::Write;
 use std::ops::Range;
 
--- a/crates/platform/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -6,8 +6,10 @@
 use crate::io::{Io, Kind, Token, Watched};
 use crate::members::Members;
 use doorcourse::{BackendState, LoadReport, Name, RequestId};
-use doorcourse_exchange::{Pool, Reply, kept, mutant};
-use doorcourse_net::{Flow, Interest, Ready, connect};
+use doorcourse_connection_limits::{Pool, kept};
+use doorcourse_event_loop::{Flow, Interest, Ready, connect};
+use doorcourse_fail_points::mutant;
+use doorcourse_request_lifecycle::Reply;
 use doorcourse_resp::{Answer, Answers};
 use slab::Slab;
 use std::collections::HashMap;
@@ -493,7 +495,7 @@
 
 /// What an answer says; `None` for one that does not belong to what was asked.
 fn heard(answer: Answer, input: &[u8], probe: bool) -> Option<Heard> {
-    let load = |text: Option<String>| text.and_then(|t| doorcourse_site::report(&t, '=').ok());
+    let load = |text: Option<String>| text.and_then(|t| doorcourse_deployment::report(&t, '=').ok());
     Some(match answer {
         Answer::Served { .. } if probe => return None,
         Answer::Served { value, used, report } => {
@@ -532,7 +534,7 @@
     fn passed() -> Arc<Passed> {
         let settings =
             r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
-        let site = doorcourse_site::parse(settings).unwrap();
+        let site = doorcourse_deployment::parse(settings).unwrap();
         let words =
             ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
         let (mut input, mut places) = (Vec::new(), Vec::new());
--- a/crates/platform/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -1,13 +1,15 @@
 //! The room of the clients: connections, their commands, and answers in the order of the commands. Who is let in and who
-//! has to go is decided by `doorcourse_exchange`'s table.
+//! has to go is decided by `doorcourse_connection_limits`.
 
 use crate::ask::{self, Ask, Wrong};
 use crate::io::{Io, Kind, Token, Watched};
 use doorcourse::RequestId;
-use doorcourse_exchange::{Ages, HeldOpen, Leave, mutant, pause};
-use doorcourse_net::{Flow, Interest, Ready, Socket, is_out_of_descriptors};
+use doorcourse_connection_limits::{Ages, HeldOpen, pause};
+use doorcourse_deployment::Site;
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, is_out_of_descriptors};
+use doorcourse_fail_points::mutant;
+use doorcourse_graceful_shutdown::Leave;
 use doorcourse_resp::{CommandLimits, Commands, Fault};
-use doorcourse_site::Site;
 use slab::Slab;
 use std::collections::VecDeque;
 use std::io::Write;
@@ -520,8 +522,8 @@
 
     /// A room with one client that has asked, and the place of its request.
     fn asked(most: usize) -> (Io, Site, Clients, Place, TcpStream) {
-        let (mut io, site) = (Io::new().unwrap(), doorcourse_site::parse(SETTINGS).unwrap());
-        let listener = doorcourse_net::listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let (mut io, site) = (Io::new().unwrap(), doorcourse_deployment::parse(SETTINGS).unwrap());
+        let listener = doorcourse_event_loop::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let words =
             ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
--- a/crates/platform/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::members::Members;
 use anyhow::Context;
-use doorcourse_site::Site;
+use doorcourse_deployment::Site;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -79,7 +79,7 @@
             None | Some(Value::Null) => None,
             Some(known) => Some(Members::from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
         };
-        let site = doorcourse_site::read(root.get("settings").ok_or("settings: missing")?)?;
+        let site = doorcourse_deployment::read(root.get("settings").ok_or("settings: missing")?)?;
         let counter = if site.settings.counter { Some(address("counter")?) } else { None };
         Ok(Self {
             name: text("name")?.to_owned(),
--- a/crates/platform/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -4,7 +4,7 @@
 use crate::io::{Io, Kind, Token, Watched};
 use doorcourse::{CountOutcome, Event};
 use doorcourse_counter::{Call, HttpCodec, Link, LinkAction, LinkSettings};
-use doorcourse_net::{Flow, Interest, Ready, connect};
+use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use slab::Slab;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -3,9 +3,10 @@
 
 use crate::io::{Io, Kind, Token, Watched};
 use crate::members::Members;
-use doorcourse_exchange::{Due, Follow, mutant};
+use doorcourse_discovery::{Due, Follow};
+use doorcourse_event_loop::{Flow, Interest, Ready, connect};
+use doorcourse_fail_points::mutant;
 use doorcourse_http::{Decoder, Limits, Part, Role};
-use doorcourse_net::{Flow, Interest, Ready, connect};
 use std::io::Write;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/exchanges.rs
+++ b/crates/resp-gateway/src/exchanges.rs
@@ -1,12 +1,13 @@
 //! The room of the open requests: between the decisions and the sockets, one exchange each. What becomes of a request is
-//! decided by `doorcourse_exchange`; this room keeps what belongs to it and says what is to be done.
+//! decided by `doorcourse_request_lifecycle`; this room keeps what belongs to it and says what is to be done.
 
 use crate::ask::{Ask, Passed};
 use crate::backends::Heard;
 use crate::clients::{Given, Place};
 use doorcourse::{Arrival, AttemptEnd, Event, LoadReport, Name, RequestId};
-use doorcourse_exchange::{Exchange, Failure, Final, Input, Leave, Output, Take, patience};
-use doorcourse_site::Site;
+use doorcourse_deployment::Site;
+use doorcourse_graceful_shutdown::{Leave, Take};
+use doorcourse_request_lifecycle::{Exchange, Failure, Final, Input, Output, patience};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/platform/src/io.rs
+++ b/crates/resp-gateway/src/io.rs
@@ -1,6 +1,6 @@
 //! What the rooms need of the loop: the poller, the time of this turn, and the names of descriptors.
 
-use doorcourse_net::{Clock, Interest, Poller, Socket, Timers};
+use doorcourse_event_loop::{Clock, Interest, Poller, Socket, Timers};
 
 /// Whose a descriptor is. The order is that of a turn: what was told is taken in before anything new is begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/platform/src/run.rs
+++ b/crates/resp-gateway/src/run.rs
@@ -11,12 +11,13 @@
 use crate::members::Members;
 use crate::watch::Watch;
 use doorcourse::{Action, Event, Gateway, LoadReport, Name, Outcome, RequestId};
+use doorcourse_connection_limits::Shares;
 use doorcourse_counter::Call;
-use doorcourse_exchange::{
-    Input, LastRounds, Leave, Phase, Reply, Round, Shares, Start, dial_time, looks_again,
-};
-use doorcourse_net::{Interest, Ready, listen, most_descriptors};
-use doorcourse_site::Site;
+use doorcourse_deployment::Site;
+use doorcourse_discovery::Start;
+use doorcourse_event_loop::{Interest, Ready, listen, most_descriptors};
+use doorcourse_graceful_shutdown::{LastRounds, Leave, Phase, Round, looks_again};
+use doorcourse_request_lifecycle::{Input, Reply, dial_time};
 use std::collections::{HashMap, VecDeque};
 use std::fs::File;
 use std::net::SocketAddr;
--- a/crates/platform/src/watch.rs
+++ b/crates/resp-gateway/src/watch.rs
@@ -129,7 +129,7 @@
             return;
         }
         self.at = io.now;
-        let (open, counts) = (exchanges.len(), doorcourse_net::counts());
+        let (open, counts) = (exchanges.len(), doorcourse_event_loop::counts());
         let (told, refused) = (std::mem::take(&mut self.calls), std::mem::take(&mut self.refused));
         tracing::debug!(
             target: "doorcourse::watch",
--- a/crates/platform/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use doorcourse_http::{Decoder, Limits, Part, Role};
-use doorcourse_platform::{Config, Platform, Stopper};
 use doorcourse_resp::{CommandLimits, Commands, Value, decode};
+use doorcourse_resp_gateway::{Config, Platform, Stopper};
 use serde_json::{Value as Json, json};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -396,8 +396,8 @@
             "known": {"seq": 0, "whole": true, "hosts": []}, "settings": settings
         });
         let number = RIGS.fetch_add(1, Ordering::SeqCst);
-        let path =
-            std::env::temp_dir().join(format!("doorcourse-platform-{}-{number}.json", std::process::id()));
+        let path = std::env::temp_dir()
+            .join(format!("doorcourse-resp-gateway-{}-{number}.json", std::process::id()));
         std::fs::write(&path, file.to_string()).unwrap();
         let mut platform = Platform::new(path.clone(), Config::open(&path).unwrap()).unwrap();
         let (address, stopper) = (platform.address(), platform.stopper().unwrap());
--- a/simhost/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -100,7 +100,7 @@
 }
 
 fn load(text: &str) -> Result<Option<LoadReport>, String> {
-    if text == "-" || text.is_empty() { Ok(None) } else { doorcourse_site::report(text, ':').map(Some) }
+    if text == "-" || text.is_empty() { Ok(None) } else { doorcourse_deployment::report(text, ':').map(Some) }
 }
 
 fn entry(line: &str) -> Result<BackendEntry, String> {
@@ -190,7 +190,7 @@
             "START" => {
                 let instance = fields.number("i")?;
                 let seed = fields.number("init-seed")?;
-                let settings = doorcourse_site::parse(&fields.rest())?.settings;
+                let settings = doorcourse_deployment::parse(&fields.rest())?.settings;
                 let gateway = Gateway::new(settings, seed).map_err(|e| e.to_string())?;
                 self.gateways.insert(instance, gateway);
             }
--- a/simhost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -6,7 +6,7 @@
 
 fn main() -> ExitCode {
     let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match doorcourse_simhost::Host::default().run(&mut input, &mut output) {
+    match doorcourse_simulator_adapter::Host::default().run(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("doorcourse-simhost: {error}");
--- a/simhost/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -2,7 +2,7 @@
 //! recorded one. `DOORCOURSE_RECORD=FILE` writes the transcript instead; a record is made anew only with a change that
 //! is meant to decide otherwise.
 
-use doorcourse_simhost::Host;
+use doorcourse_simulator_adapter::Host;
 use std::collections::{BTreeMap, HashMap};
 
 const RECORD: &str = include_str!("recorded/fleet.txt");
--- a/simhost/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Wire transcripts: what a host answers, and what it says of input that it cannot read.
 
-use doorcourse_simhost::{Host, HostError};
+use doorcourse_simulator_adapter::{Host, HostError};
 
 const SETTINGS: &str = r#"{"classes":[{"name":"look","effect":"idempotent","goal-time-ms":500.0,"hard-limit-ms":2000.0,
 "worth":1.0}],"plans":[{"name":"p","refill":5.0,"burst":10.0,"worth-factor":1.0}],"fleet-size":2,"my-number":0,
