--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -3,19 +3,19 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, Effect, Event, Gateway, Group, Name,
-    Outcome, Place, Plan, Role, Settings,
+    Action, AttemptEnd, AttemptOutcome, BackendEntry, BackendRole, BackendState, DeduplicationScope, Event,
+    Gateway, Idempotency, IncomingRequest, Name, Placement, Plan, RequestClass, Settings,
 };
 use std::hint::black_box;
 
 const NODES: usize = 100;
 
 fn settings(gateways: u32) -> Settings {
-    let class = Class {
+    let class = RequestClass {
         name: "c".into(),
         aim: 500.0,
-        effect: Effect::Safe,
-        group: Group::All,
+        effect: Idempotency::Safe,
+        group: DeduplicationScope::All,
         memory: 0.0,
         worth: 1.0,
         late_worth: 0.0,
@@ -54,7 +54,7 @@
 }
 
 impl Host {
-    fn new(gateways: u32, place: impl Fn(usize) -> Place) -> Self {
+    fn new(gateways: u32, place: impl Fn(usize) -> Placement) -> Self {
         let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
         let entry = |n: usize| BackendEntry {
             name: format!("node-{n:03}").as_str().into(),
@@ -74,8 +74,18 @@
         (self.id, self.now) = (self.id + 1, self.now + 0.1);
         let (id, customer, plan, class) = (self.id, Name::from("x"), Name::from("p"), Name::from("c"));
         let (units, patience, bound) = (1.0, 900.0, bound.clone());
-        let arrival =
-            Arrival { id, customer, plan, class, units, repeat: false, patience, first: 0, spread: 1, bound };
+        let arrival = IncomingRequest {
+            id,
+            customer,
+            plan,
+            class,
+            units,
+            repeat: false,
+            patience,
+            first: 0,
+            spread: 1,
+            bound,
+        };
         self.actions.clear();
         self.gateway.handle(self.now, Event::Request(arrival), &mut self.actions);
         let sent = self.actions.iter().find_map(|a| match a {
@@ -83,7 +93,7 @@
             _ => None,
         });
         let Some(backend) = sent else { return };
-        let (outcome, latency) = (Outcome::Served, 5.0);
+        let (outcome, latency) = (AttemptOutcome::Served, 5.0);
         let end = AttemptEnd {
             id,
             attempt: 0,
@@ -99,25 +109,25 @@
     }
 }
 
-fn tiers(n: usize) -> Place {
+fn tiers(n: usize) -> Placement {
     let role = match n % 10 {
-        8 => Role::Spare,
-        9 => Role::Standby,
-        _ => Role::Active,
+        8 => BackendRole::Spare,
+        9 => BackendRole::Standby,
+        _ => BackendRole::Active,
     };
     let route = format!("r{n}").as_str().into();
-    Place { weight: (n % 5 + 1) as f64, tier: (n / 50) as u32, role, route, ..Place::default() }
+    Placement { weight: (n % 5 + 1) as f64, tier: (n / 50) as u32, role, route, ..Placement::default() }
 }
 
 fn measure(c: &mut Criterion) {
     let mut group = c.benchmark_group("choice among 100 nodes");
-    let weighted = |n: usize| Place { weight: (n % 5 + 1) as f64, ..Place::default() };
+    let weighted = |n: usize| Placement { weight: (n % 5 + 1) as f64, ..Placement::default() };
     let (free, home) = (Name::default(), Name::from("r3"));
     for gateways in [3, 200] {
         let mut run = |what: &str, mut host: Host, bound: &Name| {
             group.bench_function(format!("{what}, {gateways} gateways"), |b| b.iter(|| host.request(bound)));
         };
-        run("plain", Host::new(gateways, |_| Place::default()), &free);
+        run("plain", Host::new(gateways, |_| Placement::default()), &free);
         run("weights", Host::new(gateways, weighted), &free);
         run("tiers", Host::new(gateways, tiers), &free);
         run("bound", Host::new(gateways, tiers), &home);
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -4,7 +4,10 @@
 use crate::locate::Places;
 use crate::raw::{self, class, node, routing};
 use crate::{Config, Counter, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFile};
-use doorcourse::{BackendEntry, BackendState, Balance, Class, Effect, Group, Name, Place, Plan, Role};
+use doorcourse::{
+    BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
+    Plan, RequestClass,
+};
 use doorcourse_graphql::{DEPTH_MOST, Limits as QueryLimits, OperationKind, Schema};
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -140,14 +143,14 @@
         check.fault("routing.sticky", "a cookie or a parameter is needed");
     }
     let balance = match raw.balance() {
-        routing::Balance::Outstanding => Balance::Outstanding,
-        routing::Balance::Requests => Balance::Requests,
-        routing::Balance::Busyness => Balance::Busyness,
+        routing::Balance::Outstanding => LoadBalancing::Outstanding,
+        routing::Balance::Requests => LoadBalancing::Requests,
+        routing::Balance::Busyness => LoadBalancing::Busyness,
     };
     Routing { balance, strict: sticky.strict, cookie: sticky.cookie, parameter: sticky.parameter }
 }
 
-fn place(raw: &raw::Node, at: usize, check: &mut Check) -> Place {
+fn place(raw: &raw::Node, at: usize, check: &mut Check) -> Placement {
     let path = |field: &str| format!("nodes[{at}].{field}");
     for (field, text) in [("route", &raw.route), ("redirect", &raw.redirect), ("group", &raw.group)] {
         if text.chars().any(|c| c.is_whitespace() || c.is_control()) {
@@ -155,12 +158,12 @@
         }
     }
     let role = match raw.role() {
-        node::Role::Active => Role::Active,
-        node::Role::Standby => Role::Standby,
-        node::Role::Spare => Role::Spare,
-        node::Role::Bound => Role::Bound,
+        node::Role::Active => BackendRole::Active,
+        node::Role::Standby => BackendRole::Standby,
+        node::Role::Spare => BackendRole::Spare,
+        node::Role::Bound => BackendRole::Bound,
     };
-    Place {
+    Placement {
         weight: check.figure(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
         tier: check.whole(&path("tier"), raw.tier.into(), 0..=1000) as u32,
         role,
@@ -383,7 +386,7 @@
     }
 }
 
-fn classes(raw: &[raw::Class], check: &mut Check) -> (Vec<Class>, Vec<f64>) {
+fn classes(raw: &[raw::Class], check: &mut Check) -> (Vec<RequestClass>, Vec<f64>) {
     if raw.is_empty() {
         check.fault("classes", "at least one class is needed");
     }
@@ -397,24 +400,24 @@
         let effect = match raw.effect() {
             class::Effect::Unstated => {
                 check.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
-                Effect::Unsafe
+                Idempotency::Unsafe
             }
-            class::Effect::Safe => Effect::Safe,
-            class::Effect::Keyed => Effect::Keyed,
-            class::Effect::Unsafe => Effect::Unsafe,
+            class::Effect::Safe => Idempotency::Safe,
+            class::Effect::Keyed => Idempotency::Keyed,
+            class::Effect::Unsafe => Idempotency::Unsafe,
         };
         let group = match raw.group() {
-            class::Group::All => Group::All,
-            class::Group::Zone => Group::Zone,
-            class::Group::Cell => Group::Cell,
+            class::Group::All => DeduplicationScope::All,
+            class::Group::Zone => DeduplicationScope::Zone,
+            class::Group::Cell => DeduplicationScope::Cell,
         };
         let memory = check.figure(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
-        if effect == Effect::Keyed && memory == 0.0 {
+        if effect == Idempotency::Keyed && memory == 0.0 {
             check.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
         }
         let worth = check.figure(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
         let late_worth = check.figure(&path("late_worth"), raw.late_worth, 0.0..=1.0);
-        classes.push(Class { name, aim, effect, group, memory, worth, late_worth });
+        classes.push(RequestClass { name, aim, effect, group, memory, worth, late_worth });
     }
     (classes, give_up)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,7 +17,7 @@
 pub use locate::Places;
 
 use doorcourse::{BackendEntry, Name};
-pub use doorcourse::{BackendState, Role};
+pub use doorcourse::{BackendRole, BackendState};
 use doorcourse_graphql::{Limits as QueryLimits, OperationKind, Schema};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
     /// For the decisions.
-    pub balance: doorcourse::Balance,
+    pub balance: doorcourse::LoadBalancing,
     /// For the decisions.
     pub strict: bool,
     /// The cookie with a session's id; empty for none.
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -114,10 +114,12 @@
         group: 'g' }\nrouting { balance: BUSYNESS sticky { cookie: 'SID' strict: true } }";
     let file = read_nodes("n", text).unwrap();
     let place = &file.nodes[0].entry.place;
-    assert_eq!((place.weight, place.tier, place.role), (2.5, 3, doorcourse::Role::Spare));
+    assert_eq!((place.weight, place.tier, place.role), (2.5, 3, doorcourse::BackendRole::Spare));
     assert_eq!((&*place.route, &*place.redirect, &*place.group), ("r", "s", "g"));
     let routing = file.routing.unwrap();
-    assert!(routing.balance == doorcourse::Balance::Busyness && routing.strict && routing.cookie == "SID");
+    assert!(
+        routing.balance == doorcourse::LoadBalancing::Busyness && routing.strict && routing.cookie == "SID"
+    );
     assert!(is_node_list("n", text) && !is_node_list("n", "listen: 'x'") && !is_node_list("n", ""));
     let bad = "nodes { name: 'a' address: '127.0.0.1:1' weight: 0 tier: 9999 route: 'a b' }
 routing { sticky { cookie: 'a;b' } }";
--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -1,7 +1,7 @@
 //! The counter link as a state machine: calls in, bytes out; bytes in, ends out. It decides when a call is given
 //! up, when a connection is not worth keeping and how long to wait before the next one. It reads no clock.
 
-use doorcourse::CountOutcome;
+use doorcourse::CounterOutcome;
 use std::collections::VecDeque;
 
 /// How the link behaves. Times in ms.
@@ -52,7 +52,7 @@
     },
 }
 
-impl From<Ended> for CountOutcome {
+impl From<Ended> for CounterOutcome {
     /// What the decisions hear. A call that was added without a total is unknown to them; a `Late` follows.
     fn from(ended: Ended) -> Self {
         match ended {
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,6 +1,8 @@
 //! Reads the settings object.
 
-use doorcourse::{Class, Effect, Group, Millis, Name, Plan, Reports, Routing, Settings};
+use doorcourse::{
+    DeduplicationScope, Idempotency, LoadReportSource, Millis, Name, Plan, RequestClass, Routing, Settings,
+};
 use serde_json::Value;
 
 /// One object of the settings; a missing key reads as its zero, a value of the wrong type is a fault.
@@ -97,9 +99,9 @@
     let rules = Object::of(root, "rules")?;
     let prices = Object::of(root, "prices")?;
     let reports = match Object::of(root, "load-info")?.text("source")? {
-        "inline" => Reports::Answers,
-        "on_probe" => Reports::Probes,
-        "off" | "" => Reports::None,
+        "inline" => LoadReportSource::Answers,
+        "on_probe" => LoadReportSource::Probes,
+        "off" | "" => LoadReportSource::None,
         other => return Err(format!("settings: unknown load source {other}")),
     };
     let classes = top.list("classes")?;
@@ -141,21 +143,21 @@
     Ok(Site { settings, host })
 }
 
-fn class(value: &Value) -> Result<Class, String> {
+fn class(value: &Value) -> Result<RequestClass, String> {
     let class = Object(value);
-    Ok(Class {
+    Ok(RequestClass {
         name: Name::from(class.text("name")?),
         aim: class.number("goal-time-ms")?,
         effect: match class.text("effect")? {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+            "idempotent" => Idempotency::Safe,
+            "deduplicated" => Idempotency::Keyed,
+            "at_most_once" => Idempotency::Unsafe,
             other => return Err(format!("settings: unknown effect {other}")),
         },
         group: match class.text("dedup-scope")? {
-            "all" | "" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+            "all" | "" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
             other => return Err(format!("settings: unknown dedup-scope {other}")),
         },
         memory: class.number("window-ms")?,
--- a/crates/graceful-shutdown/src/stop.rs
+++ b/crates/graceful-shutdown/src/stop.rs
@@ -75,7 +75,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use doorcourse::Place;
+    use doorcourse::Placement;
 
     #[test]
     fn a_hand_s_word_outlives_the_list() {
@@ -85,7 +85,7 @@
             cell: 0,
             state,
             started: None,
-            place: Place::default(),
+            place: Placement::default(),
         };
         let mut drains = HandDrains::default();
         let state = |d: &HandDrains, s| d.apply([entry(s)])[0].state;
--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -2,7 +2,7 @@
 //! decisions.
 
 use crate::io::{Io, Token};
-use doorcourse::{CountOutcome, Event};
+use doorcourse::{CounterOutcome, Event};
 use doorcourse_config::Counter as Settings;
 use doorcourse_counter::{Call, Ended, Link, LinkAction, LinkSettings, RespCodec};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
@@ -77,7 +77,7 @@
         self.out += 1;
         match &mut self.side {
             Side::Own(own) => {
-                let (name, outcome) = (call.name, CountOutcome::Total(own.add(now, call)));
+                let (name, outcome) = (call.name, CounterOutcome::Total(own.add(now, call)));
                 self.end(io, Event::Counted { name, outcome, latency: 0.0 });
             }
             Side::Shared { link, .. } => {
--- a/crates/http-gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/exchanges.rs
@@ -4,7 +4,7 @@
 use crate::clients::PassedHead;
 use crate::front::{Ask, Media, REQUEST_ID_FIELD, code_of};
 use crate::nodes::{Heard, Wire};
-use doorcourse::{Arrival, AttemptEnd, Effect, Event, Name, RequestId};
+use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_graphql::Scan;
 use doorcourse_http::Framing;
@@ -98,7 +98,7 @@
     /// Takes a request on: its number, what the decisions are told, and how many bytes it holds.
     pub fn begin(
         &mut self, now: f64, config: &Config, client: usize, process: &str, ask: Ask,
-    ) -> (Arrival, u64) {
+    ) -> (IncomingRequest, u64) {
         let Ask { customer, media, class, units, patience, body, pass, prepared, bound } = ask;
         self.so_far += 1;
         let id = self.so_far;
@@ -106,7 +106,7 @@
         let name = told.map_or_else(|| format!("{process}-{id}").into(), Name::from);
         let decisions = &config.decisions;
         let (class, plan) = (&decisions.classes[class], decisions.plans[customer.plan].name.clone());
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             customer: customer.name.clone(),
             plan,
@@ -129,7 +129,7 @@
             media,
             body,
             pass,
-            keyed: class.effect == Effect::Keyed,
+            keyed: class.effect == Idempotency::Keyed,
             units,
             scan: prepared.scan(config.answer_depth),
             node: None,
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -710,7 +710,7 @@
     fn suspects(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         if fleet.wants_view() {
-            let one = |b: doorcourse::BackendView| doorcourse_outlier_gossip::Seen {
+            let one = |b: doorcourse::BackendStatus| doorcourse_outlier_gossip::Seen {
                 node: b.name.to_string(),
                 started: b.started.unwrap_or_default() as u64,
                 failures: b.failures,
@@ -723,7 +723,7 @@
             let Some(view) = self.decision.backends().find(|b| *b.name == *word.node) else { continue };
             let keep = self.config.leases.as_ref().and_then(|l| l.suspects).map_or(0, |s| s.keep);
             let (failures, left) = doorcourse_outlier_gossip::remembered(&word, keep, view.failures);
-            views.push(doorcourse::BackendView { failures, eject_until: now + left as f64, ..view });
+            views.push(doorcourse::BackendStatus { failures, eject_until: now + left as f64, ..view });
         }
         if !views.is_empty() {
             self.io.events.push_back(Event::Remembered(views));
@@ -796,7 +796,7 @@
         for customer in self.decision.customers() {
             *leases.entry(customer.plan.to_string()).or_default() += customer.lease;
         }
-        let node = |b: doorcourse::BackendView| {
+        let node = |b: doorcourse::BackendStatus| {
             (b.name.to_string(), b.room, b.out, b.ready && b.eject_until <= time)
         };
         Now {
@@ -830,7 +830,7 @@
 
     fn node_views(&self) -> Value {
         let now = self.io.now();
-        let one = |b: doorcourse::BackendView| {
+        let one = |b: doorcourse::BackendStatus| {
             json!({"name": &*b.name, "ready": b.ready, "drained_here": self.drained.has(&b.name), "out": b.out,
                 "room": b.room, "failures": b.failures, "ejected_for_ms": (b.eject_until - now).max(0.0),
                 "started_ms": b.started})
@@ -839,7 +839,7 @@
     }
 
     fn customer_views(&self) -> Value {
-        let one = |c: doorcourse::CustomerView| {
+        let one = |c: doorcourse::CustomerStatus| {
             json!({"name": &*c.name, "plan": &*c.plan, "lease": c.lease, "store": c.store, "owed": c.owed,
                 "waiting": c.waiting, "open": c.open})
         };
--- a/crates/http-gateway/src/state.rs
+++ b/crates/http-gateway/src/state.rs
@@ -1,7 +1,7 @@
 //! The state file: what was learnt of the nodes, kept over a kill. Two lines: a head with version, gateway, time and
 //! checksum, and JSON. Written beside its place and moved there, so that a reader finds an old one or a new one.
 
-use doorcourse::{BackendView, Name};
+use doorcourse::{BackendStatus, Name};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use std::io::Write;
@@ -34,8 +34,8 @@
 
 impl StateFile {
     /// Writes what is known now.
-    pub fn write(&self, now: f64, nodes: impl Iterator<Item = BackendView>) -> std::io::Result<()> {
-        let node = |b: BackendView| {
+    pub fn write(&self, now: f64, nodes: impl Iterator<Item = BackendStatus>) -> std::io::Result<()> {
+        let node = |b: BackendStatus| {
             json!({"name": &*b.name, "room": b.room, "failures": b.failures, "eject_until": b.eject_until,
                 "started": b.started})
         };
@@ -50,7 +50,7 @@
     }
 
     /// Reads what an earlier process knew: `Ok(None)` where there is no file, an error says why it is left aside.
-    pub fn read(&self, now: f64) -> Result<Option<Vec<BackendView>>, String> {
+    pub fn read(&self, now: f64) -> Result<Option<Vec<BackendStatus>>, String> {
         let size = match std::fs::metadata(&self.path) {
             Ok(found) => found.len(),
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -83,7 +83,7 @@
         }
         let body: Value = serde_json::from_str(body).map_err(|e| e.to_string())?;
         let node = |v: &Value| {
-            Some(BackendView {
+            Some(BackendStatus {
                 name: Name::from(v["name"].as_str()?),
                 ready: true,
                 out: 0,
@@ -107,9 +107,9 @@
 mod tests {
     use super::*;
 
-    fn view(name: &str) -> BackendView {
+    fn view(name: &str) -> BackendStatus {
         let (name, started) = (Name::from(name), Some(5.0));
-        BackendView { name, ready: true, out: 0, room: 2.5, started, failures: 3, eject_until: 99.0 }
+        BackendStatus { name, ready: true, out: 0, room: 2.5, started, failures: 3, eject_until: 99.0 }
     }
 
     fn file(name: &str) -> StateFile {
@@ -178,9 +178,9 @@
         let (file, recorded) = (file("recorded"), include_str!("../tests/recorded/state-file-1.txt"));
         std::fs::write(&file.path, recorded).expect("write");
         let nodes = file.read(6000.0).expect("usable").expect("there");
-        let first = BackendView { name: "node-1".into(), ..view("node-1") };
+        let first = BackendStatus { name: "node-1".into(), ..view("node-1") };
         let (room, failures, eject_until, started) = (1.75, 0, 0.0, None);
-        let second = BackendView { room, failures, eject_until, started, ..view("node-2") };
+        let second = BackendStatus { room, failures, eject_until, started, ..view("node-2") };
         assert_eq!(nodes, [first, second]);
         file.write(5000.5, nodes.into_iter()).expect("written");
         assert_eq!(std::fs::read_to_string(&file.path).expect("read"), recorded);
--- a/crates/request-lifecycle/src/admission.rs
+++ b/crates/request-lifecycle/src/admission.rs
@@ -1,6 +1,6 @@
 //! What is settled before the decision library hears of a request.
 
-use doorcourse::{Class, Effect, Millis, Plan};
+use doorcourse::{Idempotency, Millis, Plan, RequestClass};
 
 /// What a request asks for, as far as admission goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,19 +15,19 @@
 /// operation is sent and repeated as one; of equals the most urgent aim, since its answer comes as one. An
 /// operation of meta fields alone (introspection) is the most patient of the safe classes.
 #[must_use]
-pub fn class_of(classes: &[Class], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
-    let strictness = |effect: Effect| match effect {
-        Effect::Safe => 0,
-        Effect::Keyed => 1,
-        Effect::Unsafe => 2,
+pub fn class_of(classes: &[RequestClass], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
+    let strictness = |effect: Idempotency| match effect {
+        Idempotency::Safe => 0,
+        Idempotency::Keyed => 1,
+        Idempotency::Unsafe => 2,
     };
     let known = fields.into_iter().filter_map(|at| Some((at, classes.get(at)?)));
-    let order = |(_, a): &(usize, &Class), (_, b): &(usize, &Class)| {
+    let order = |(_, a): &(usize, &RequestClass), (_, b): &(usize, &RequestClass)| {
         strictness(a.effect).cmp(&strictness(b.effect)).then(b.aim.total_cmp(&a.aim))
     };
     let of_fields = known.max_by(order).map(|(at, _)| at);
     of_fields.or_else(|| {
-        let safe = classes.iter().enumerate().filter(|(_, c)| c.effect == Effect::Safe);
+        let safe = classes.iter().enumerate().filter(|(_, c)| c.effect == Idempotency::Safe);
         safe.max_by(|a, b| a.1.aim.total_cmp(&b.1.aim)).map(|(at, _)| at)
     })
 }
@@ -75,21 +75,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use doorcourse::Group;
+    use doorcourse::DeduplicationScope;
 
-    fn class(effect: Effect, aim: Millis) -> Class {
-        let (name, group) = ("c".into(), Group::All);
-        Class { name, aim, effect, group, memory: 0.0, worth: 1.0, late_worth: 0.0 }
+    fn class(effect: Idempotency, aim: Millis) -> RequestClass {
+        let (name, group) = ("c".into(), DeduplicationScope::All);
+        RequestClass { name, aim, effect, group, memory: 0.0, worth: 1.0, late_worth: 0.0 }
     }
 
     #[test]
     fn the_strictest_effect_and_of_equals_the_most_urgent() {
         let classes = [
-            class(Effect::Safe, 100.0),
-            class(Effect::Keyed, 900.0),
-            class(Effect::Unsafe, 500.0),
-            class(Effect::Unsafe, 300.0),
-            class(Effect::Safe, 2000.0),
+            class(Idempotency::Safe, 100.0),
+            class(Idempotency::Keyed, 900.0),
+            class(Idempotency::Unsafe, 500.0),
+            class(Idempotency::Unsafe, 300.0),
+            class(Idempotency::Safe, 2000.0),
         ];
         assert_eq!(class_of(&classes, [0, 1]), Some(1));
         assert_eq!(class_of(&classes, [0, 2, 1, 3]), Some(3));
--- a/crates/request-lifecycle/src/exchange.rs
+++ b/crates/request-lifecycle/src/exchange.rs
@@ -1,6 +1,6 @@
 //! The state of one request. Every input is allowed in every state: what cannot matter any more changes nothing.
 
-use doorcourse::{Outcome, Refusal};
+use doorcourse::{AttemptOutcome, RejectReason};
 
 /// Where an attempt is on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
         /// The advice, in ms.
         retry_after: f64,
         /// Why.
-        why: Refusal,
+        why: RejectReason,
     },
     /// The decisions fail the request.
     Failed,
@@ -102,7 +102,7 @@
         /// The advice, in ms.
         retry_after: f64,
         /// Why.
-        why: Refusal,
+        why: RejectReason,
     },
     /// Failed, with no promise.
     Failed(Failure),
@@ -114,7 +114,7 @@
     /// Tell the decisions how the attempt ended.
     Ended {
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// The true units, where the answer told them.
         true_units: Option<f64>,
         /// Whether the request has had its final answer.
@@ -162,7 +162,7 @@
     attempt: Option<Attempt>,
     attempts: u32,
     /// What the last attempt ended by, to tell a client why its request failed.
-    last: Option<Outcome>,
+    last: Option<AttemptOutcome>,
     hold: usize,
     over: bool,
 }
@@ -215,9 +215,9 @@
             Input::End { whole, units } => {
                 let outcome = match self.attempt.map(|a| a.status) {
                     // Turned away unseen: RFC 6585 section 4, before any work. 503 says less: it may come after work.
-                    Some(429) => Outcome::Full,
-                    Some(status) if Self::is_answer(status) && whole => Outcome::Served,
-                    _ => Outcome::Error,
+                    Some(429) => AttemptOutcome::Full,
+                    Some(status) if Self::is_answer(status) && whole => AttemptOutcome::Served,
+                    _ => AttemptOutcome::Error,
                 };
                 self.end(outcome, Some(units), out);
             }
@@ -227,29 +227,32 @@
                     return self.handle(Input::Broken, out);
                 }
                 let outcome = match reply {
-                    Reply::Value => Outcome::Served,
-                    Reply::Failed => Outcome::Error,
-                    Reply::TurnedAway => Outcome::Full,
+                    Reply::Value => AttemptOutcome::Served,
+                    Reply::Failed => AttemptOutcome::Error,
+                    Reply::TurnedAway => AttemptOutcome::Full,
                 };
                 self.end(outcome, units, out);
             }
             Input::Withdrawn => {
                 if self.is_unsent() {
                     out.push(Output::Abandon);
-                    self.break_off(Outcome::NeverSent, out);
+                    self.break_off(AttemptOutcome::NeverSent, out);
                 }
             }
             Input::Lost => self.lost(out),
             Input::Broken if self.attempt.is_some() => {
                 out.push(Output::Abandon);
-                self.break_off(Outcome::Error, out);
+                self.break_off(AttemptOutcome::Error, out);
             }
             Input::Broken => {}
             Input::CalledOff => {
                 if let Some(attempt) = self.attempt {
                     out.push(Output::Abandon);
                     let sent = matches!(attempt.wire, Wire::Sent | Wire::Answering);
-                    self.break_off(if sent { Outcome::CalledOff } else { Outcome::NeverSent }, out);
+                    self.break_off(
+                        if sent { AttemptOutcome::CalledOff } else { AttemptOutcome::NeverSent },
+                        out,
+                    );
                 }
             }
             Input::TimeUp => self.time_up(out),
@@ -258,8 +261,10 @@
             Input::Failed => {
                 let failure = match self.last {
                     // What was never sent is refused while there is time: without an attempt its time was over.
-                    None | Some(Outcome::TimedOut) => Failure::Time,
-                    Some(Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Full) => Failure::NoNode,
+                    None | Some(AttemptOutcome::TimedOut) => Failure::Time,
+                    Some(
+                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Full,
+                    ) => Failure::NoNode,
                     Some(_) => Failure::Node,
                 };
                 self.finish(Final::Failed(failure), out);
@@ -273,8 +278,9 @@
         let waited = std::mem::replace(&mut self.client, Client::Done) != Client::Done;
         if self.is_unsent() {
             self.attempt = None;
-            self.last = Some(Outcome::NeverSent);
-            let ended = Output::Ended { outcome: Outcome::NeverSent, true_units: None, finished: true };
+            self.last = Some(AttemptOutcome::NeverSent);
+            let ended =
+                Output::Ended { outcome: AttemptOutcome::NeverSent, true_units: None, finished: true };
             out.extend([Output::Abandon, Output::Forget, ended]);
         }
         if waited {
@@ -332,11 +338,11 @@
         }
     }
 
-    fn end(&mut self, outcome: Outcome, units: Option<f64>, out: &mut Vec<Output>) {
+    fn end(&mut self, outcome: AttemptOutcome, units: Option<f64>, out: &mut Vec<Output>) {
         if self.attempt.take().is_none() {
             return;
         }
-        let served = outcome == Outcome::Served;
+        let served = outcome == AttemptOutcome::Served;
         let true_units = units.filter(|_| served);
         match self.client {
             Client::Waits if served => out.extend([Output::Pass, Output::PassEnd]),
@@ -357,14 +363,14 @@
     fn lost(&mut self, out: &mut Vec<Output>) {
         let Some(attempt) = self.attempt else { return };
         let outcome = match attempt.wire {
-            Wire::Connecting => Outcome::ConnectFailed,
-            Wire::Unsent => Outcome::NeverSent,
-            Wire::Sent | Wire::Answering => Outcome::Broken,
+            Wire::Connecting => AttemptOutcome::ConnectFailed,
+            Wire::Unsent => AttemptOutcome::NeverSent,
+            Wire::Sent | Wire::Answering => AttemptOutcome::Broken,
         };
         self.break_off(outcome, out);
     }
 
-    fn break_off(&mut self, outcome: Outcome, out: &mut Vec<Output>) {
+    fn break_off(&mut self, outcome: AttemptOutcome, out: &mut Vec<Output>) {
         if self.attempt.take().is_none() {
             return;
         }
@@ -384,9 +390,12 @@
         if self.attempt.is_some() {
             out.push(Output::Abandon);
             // Nothing was written: it never ran, also when time ran out over it.
-            self.break_off(if self.is_unsent() { Outcome::ConnectFailed } else { Outcome::TimedOut }, out);
+            self.break_off(
+                if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut },
+                out,
+            );
             // Whatever the decisions make of it, the client is told of its time and not of a node.
-            self.last = Some(Outcome::TimedOut);
+            self.last = Some(AttemptOutcome::TimedOut);
             return;
         }
         if self.client == Client::Waits {
--- a/crates/request-lifecycle/tests/lives.rs
+++ b/crates/request-lifecycle/tests/lives.rs
@@ -1,6 +1,6 @@
 //! One request in each state, and every order of events by chance against the rules.
 
-use doorcourse::{Outcome, Refusal};
+use doorcourse::{AttemptOutcome, RejectReason};
 use doorcourse_request_lifecycle::{Exchange, Failure, Final, Input, Output};
 
 fn run(inputs: &[Input]) -> (Exchange, Vec<Output>) {
@@ -11,7 +11,7 @@
     (exchange, out)
 }
 
-fn ended(outcome: Outcome, true_units: Option<f64>, finished: bool) -> Output {
+fn ended(outcome: AttemptOutcome, true_units: Option<f64>, finished: bool) -> Output {
     Output::Ended { outcome, true_units, finished }
 }
 
@@ -26,17 +26,21 @@
 fn a_small_answer_is_held_until_it_is_whole() {
     let data = Input::Data { bytes: 60 };
     let whole = after(&[OK, data, Input::End { whole: true, units: 2.0 }]);
-    assert_eq!(whole, [Output::Pass, Output::PassEnd, ended(Outcome::Served, Some(2.0), true), Output::Over]);
+    assert_eq!(
+        whole,
+        [Output::Pass, Output::PassEnd, ended(AttemptOutcome::Served, Some(2.0), true), Output::Over]
+    );
     // A node that breaks midway can still be made good: the client has seen nothing.
-    assert_eq!(after(&[OK, data, Input::Lost]), [Output::Forget, ended(Outcome::Broken, None, false)]);
+    assert_eq!(after(&[OK, data, Input::Lost]), [Output::Forget, ended(AttemptOutcome::Broken, None, false)]);
     let bad = after(&[OK, data, Input::End { whole: false, units: 2.0 }]);
-    assert_eq!(bad, [Output::Forget, ended(Outcome::Error, None, false)]);
+    assert_eq!(bad, [Output::Forget, ended(AttemptOutcome::Error, None, false)]);
 }
 
 #[test]
 fn a_large_answer_can_only_be_finished_or_cut() {
     let data = Input::Data { bytes: 101 };
-    for (last, outcome) in [(Input::Lost, Outcome::Broken), (Input::TimeUp, Outcome::TimedOut)] {
+    for (last, outcome) in [(Input::Lost, AttemptOutcome::Broken), (Input::TimeUp, AttemptOutcome::TimedOut)]
+    {
         let out = after(&[OK, data, last]);
         assert_eq!(out[0], Output::Pass);
         assert!(out.contains(&Output::Cut) && out.contains(&ended(outcome, None, true)), "{out:?}");
@@ -47,12 +51,12 @@
 #[test]
 fn only_what_was_never_written_never_ran() {
     let lost = |inputs: &[Input]| run(&[inputs, &[Input::Lost]].concat()).1[1];
-    assert_eq!(lost(&SENT[..1]), ended(Outcome::ConnectFailed, None, false));
-    assert_eq!(lost(&SENT[..2]), ended(Outcome::NeverSent, None, false));
-    assert_eq!(lost(&SENT), ended(Outcome::Broken, None, false));
+    assert_eq!(lost(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
+    assert_eq!(lost(&SENT[..2]), ended(AttemptOutcome::NeverSent, None, false));
+    assert_eq!(lost(&SENT), ended(AttemptOutcome::Broken, None, false));
     let time = |inputs: &[Input]| run(&[inputs, &[Input::TimeUp]].concat()).1[2];
-    assert_eq!(time(&SENT[..1]), ended(Outcome::ConnectFailed, None, false));
-    assert_eq!(time(&SENT), ended(Outcome::TimedOut, None, false));
+    assert_eq!(time(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
+    assert_eq!(time(&SENT), ended(AttemptOutcome::TimedOut, None, false));
     // Time that runs out over a connection not made yet is time all the same to the client.
     let out = run(&[Input::Sent, Input::TimeUp, Input::Failed]).1;
     assert!(out.contains(&Output::Answer(Final::Failed(Failure::Time))), "{out:?}");
@@ -64,9 +68,12 @@
 
 #[test]
 fn statuses_of_a_node() {
-    for (status, outcome) in
-        [(429, Outcome::Full), (503, Outcome::Error), (500, Outcome::Error), (404, Outcome::Error)]
-    {
+    for (status, outcome) in [
+        (429, AttemptOutcome::Full),
+        (503, AttemptOutcome::Error),
+        (500, AttemptOutcome::Error),
+        (404, AttemptOutcome::Error),
+    ] {
         let out = after(&[
             Input::Head { status },
             Input::Data { bytes: 500 },
@@ -77,7 +84,7 @@
     }
     // The service's own word on the operation is an answer.
     let out = after(&[Input::Head { status: 400 }, Input::End { whole: true, units: 0.0 }]);
-    assert!(out.contains(&ended(Outcome::Served, Some(0.0), true)));
+    assert!(out.contains(&ended(AttemptOutcome::Served, Some(0.0), true)));
 }
 
 #[test]
@@ -89,14 +96,14 @@
     exchange.handle(Input::End { whole: true, units: 3.0 }, &mut out);
     assert!(!out.contains(&Output::Pass));
     assert_eq!(out.last(), Some(&Output::Over));
-    assert!(out.contains(&ended(Outcome::Served, Some(3.0), true)));
+    assert!(out.contains(&ended(AttemptOutcome::Served, Some(3.0), true)));
 }
 
 #[test]
 fn an_attempt_that_is_not_written_is_withdrawn_with_its_client() {
     for upto in [&SENT[..1], &SENT[..2]] {
         let (mut exchange, out) = run(&[upto, &[Input::ClientGone]].concat());
-        let never = ended(Outcome::NeverSent, None, true);
+        let never = ended(AttemptOutcome::NeverSent, None, true);
         assert_eq!(out, [Output::Abandon, Output::Forget, never, Output::Left, Output::Over]);
         let mut more = Vec::new();
         [Input::Connected, Input::Written, Input::Lost].iter().for_each(|i| exchange.handle(*i, &mut more));
@@ -135,7 +142,7 @@
                 7 => Input::Lost,
                 8 => Input::TimeUp,
                 9 => Input::ClientGone,
-                10 if open => Input::Refused { retry_after: 1.0, why: Refusal::Quota },
+                10 if open => Input::Refused { retry_after: 1.0, why: RejectReason::Quota },
                 11 if open => Input::Failed,
                 _ => Input::Broken,
             };
--- a/crates/resp-gateway/src/ask.rs
+++ b/crates/resp-gateway/src/ask.rs
@@ -1,7 +1,7 @@
 //! What a client asks: a command's words checked against the settings and the protocol, and the same command as it goes
 //! to a backend.
 
-use doorcourse::{Effect, Millis, Name};
+use doorcourse::{Idempotency, Millis, Name};
 use doorcourse_deployment::Site;
 use std::io::Write;
 use std::ops::Range;
@@ -143,7 +143,7 @@
     let settings = &site.settings;
     let class = settings.classes.iter().position(|c| Some(&*c.name) == fields.class).ok_or(Wrong::Class)?;
     let effect = settings.classes[class].effect;
-    if (effect == Effect::Safe) != safe {
+    if (effect == Idempotency::Safe) != safe {
         return Err(Wrong::Class);
     }
     let plan = settings.plans.iter().position(|p| Some(&*p.name) == fields.plan).ok_or(Wrong::Plan)?;
@@ -155,10 +155,10 @@
     let first = whole(fields.first).filter(|f| *f < settings.gateways).ok_or(Wrong::Set)?;
     let deadline = fields.deadline.and_then(decimal).filter(|d| *d > 0.0).ok_or(Wrong::Deadline)?;
     let key_is_good = match fields.key {
-        None => effect != Effect::Keyed,
+        None => effect != Idempotency::Keyed,
         Some(key) => {
             let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-            effect == Effect::Keyed && !key.is_empty() && key.len() <= KEY && key.bytes().all(plain)
+            effect == Idempotency::Keyed && !key.is_empty() && key.len() <= KEY && key.bytes().all(plain)
         }
     };
     if !key_is_good {
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -2,7 +2,7 @@
 //! whichever connection has the fewest takes the next.
 
 use crate::io::{Io, Kind, Token, Watched};
-use doorcourse::{CountOutcome, Event};
+use doorcourse::{CounterOutcome, Event};
 use doorcourse_counter::{Call, HttpCodec, Link, LinkAction, LinkSettings};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use slab::Slab;
@@ -81,7 +81,7 @@
         let order = |side: &Side| (side.until.is_some(), side.link.load());
         let ready = self.sides.iter().filter(|(_, side)| side.link.is_ready());
         let Some((at, _)) = ready.min_by_key(|(_, side)| order(side)) else {
-            let (name, outcome) = (call.name, CountOutcome::NotAdded);
+            let (name, outcome) = (call.name, CounterOutcome::NotAdded);
             return events.push(Event::Counted { name, outcome, latency: 0.0 });
         };
         let (side, mut actions) = (&mut self.sides[at], Vec::new());
--- a/crates/resp-gateway/src/exchanges.rs
+++ b/crates/resp-gateway/src/exchanges.rs
@@ -4,7 +4,7 @@
 use crate::ask::{Ask, Passed};
 use crate::backends::Heard;
 use crate::clients::{Given, Place};
-use doorcourse::{Arrival, AttemptEnd, Event, LoadReport, Name, RequestId};
+use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
 use doorcourse_deployment::Site;
 use doorcourse_graceful_shutdown::{Leave, Take};
 use doorcourse_request_lifecycle::{Exchange, Failure, Final, Input, Output, patience};
@@ -88,7 +88,7 @@
         self.last += 1;
         let id = self.last;
         tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), number = id, patience, "taken on");
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             customer: ask.customer,
             plan: site.settings.plans[ask.plan].name.clone(),
--- a/crates/resp-gateway/src/members.rs
+++ b/crates/resp-gateway/src/members.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists of backends, whole or changes, as JSON objects.
 
-use doorcourse::{BackendEntry, BackendState, Name, Place};
+use doorcourse::{BackendEntry, BackendState, Name, Placement};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -97,7 +97,7 @@
     };
     let started = Some(host.born_ms).filter(|at| at.is_finite() && *at > 0.0);
     let (name, zone) = (Name::from(host.host), Name::from(host.site));
-    let entry = BackendEntry { name, zone, cell: host.block, state, started, place: Place::default() };
+    let entry = BackendEntry { name, zone, cell: host.block, state, started, place: Placement::default() };
     Ok(Member { entry, dial })
 }
 
--- a/crates/resp-gateway/src/run.rs
+++ b/crates/resp-gateway/src/run.rs
@@ -10,7 +10,7 @@
 use crate::io::{Alarm, Io, Kind, Token};
 use crate::members::Members;
 use crate::watch::Watch;
-use doorcourse::{Action, Event, Gateway, LoadReport, Name, Outcome, RequestId};
+use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::Shares;
 use doorcourse_counter::Call;
 use doorcourse_deployment::Site;
@@ -289,7 +289,7 @@
                 Alarm::TimeUp(id) => self.input(id, Input::TimeUp),
                 Alarm::Probe(id) => {
                     self.backends.abandon(id);
-                    self.probed(id, Outcome::TimedOut, None);
+                    self.probed(id, AttemptOutcome::TimedOut, None);
                 }
                 Alarm::Dial(id, attempt) => {
                     if self.exchanges.is_out(id, attempt) && self.backends.dial_is_due(id) {
@@ -363,20 +363,20 @@
     fn heard_of_probe(&mut self, id: RequestId, heard: Heard) {
         let (outcome, load) = match heard {
             Heard::Connected | Heard::Written => return,
-            Heard::Answered { reply: Reply::Value, load, .. } => (Outcome::Served, load),
-            Heard::Answered { reply: Reply::TurnedAway, load, .. } => (Outcome::Full, load),
-            Heard::Answered { reply: Reply::Failed, load, .. } => (Outcome::Error, load),
-            Heard::Broken => (Outcome::Error, None),
-            Heard::Lost => (Outcome::ConnectFailed, None),
+            Heard::Answered { reply: Reply::Value, load, .. } => (AttemptOutcome::Served, load),
+            Heard::Answered { reply: Reply::TurnedAway, load, .. } => (AttemptOutcome::Full, load),
+            Heard::Answered { reply: Reply::Failed, load, .. } => (AttemptOutcome::Error, load),
+            Heard::Broken => (AttemptOutcome::Error, None),
+            Heard::Lost => (AttemptOutcome::ConnectFailed, None),
             Heard::Withdrawn => {
                 self.backends.abandon(id);
-                (Outcome::NeverSent, None)
+                (AttemptOutcome::NeverSent, None)
             }
         };
         self.probed(id, outcome, load);
     }
 
-    fn probed(&mut self, id: RequestId, outcome: Outcome, load: Option<LoadReport>) {
+    fn probed(&mut self, id: RequestId, outcome: AttemptOutcome, load: Option<LoadReport>) {
         let Some((backend, since)) = self.probes.remove(&id) else { return };
         let latency = self.io.now - since;
         self.events.push_back(Event::ProbeEnded { backend, outcome, latency, load });
--- a/crates/resp-gateway/src/watch.rs
+++ b/crates/resp-gateway/src/watch.rs
@@ -6,7 +6,7 @@
 use crate::counter::Counter;
 use crate::exchanges::Exchanges;
 use crate::io::Io;
-use doorcourse::{Action, CountOutcome, Event, Gateway, Name, Outcome, RequestId};
+use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
 /// How often it tells, in ms.
@@ -66,13 +66,13 @@
             Event::ClientLeft { id } => return drop(self.asked.remove(id)),
             Event::Counted { outcome, latency, .. } => {
                 match outcome {
-                    CountOutcome::Total(_) => {
+                    CounterOutcome::Total(_) => {
                         self.calls.totals += 1;
                         self.calls.sum += latency;
                     }
-                    CountOutcome::NotAdded => self.calls.not_added += 1,
-                    CountOutcome::Unknown => self.calls.unknown += 1,
-                    CountOutcome::Late { .. } => self.calls.late += 1,
+                    CounterOutcome::NotAdded => self.calls.not_added += 1,
+                    CounterOutcome::Unknown => self.calls.unknown += 1,
+                    CounterOutcome::Late { .. } => self.calls.late += 1,
                 }
                 return;
             }
@@ -83,13 +83,13 @@
         }
         let tally = self.seen.entry(end.backend.clone()).or_default();
         match end.outcome {
-            Outcome::Served => {
+            AttemptOutcome::Served => {
                 tally.served += 1;
                 tally.sum += end.latency;
                 tally.late = tally.late.max(end.latency);
             }
-            Outcome::Full => tally.full += 1,
-            Outcome::ConnectFailed | Outcome::NeverSent => tally.never += 1,
+            AttemptOutcome::Full => tally.full += 1,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => tally.never += 1,
             _ => tally.failed += 1,
         }
     }
--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -2,8 +2,8 @@
 //! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, Effect, Event, Gateway,
-    Group, Millis, Name, Outcome, Place, Plan, Settings,
+    Action, AttemptEnd, AttemptOutcome, BackendEntry, BackendState, CounterOutcome, DeduplicationScope,
+    Event, Gateway, Idempotency, IncomingRequest, Millis, Name, Placement, Plan, RequestClass, Settings,
 };
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 type Agenda = BTreeMap<(u64, u64), Event>;
 
 fn settings() -> Settings {
-    let class = Class {
+    let class = RequestClass {
         name: "read".into(),
         aim: 500.0,
-        effect: Effect::Safe,
-        group: Group::All,
+        effect: Idempotency::Safe,
+        group: DeduplicationScope::All,
         memory: 0.0,
         worth: 1.0,
         late_worth: 0.0,
@@ -56,7 +56,7 @@
         agenda.insert((at.ceil() as u64, order), event);
     };
     let backend = BackendEntry {
-        place: Place::default(),
+        place: Placement::default(),
         name: "b1".into(),
         zone: "a".into(),
         cell: 0,
@@ -66,7 +66,7 @@
     plan(&mut agenda, 0.0, Event::BackendList(vec![backend.clone()]));
     for id in 1..=8 {
         let (customer, name, class) = ("customer".into(), "basic".into(), "read".into());
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             customer,
             plan: name,
@@ -102,13 +102,13 @@
                 Action::Count { name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
-                    let outcome = CountOutcome::Total(*total);
+                    let outcome = CounterOutcome::Total(*total);
                     plan(&mut agenda, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
                 }
                 Action::Send { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
                     let attempt = *attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
-                    let (outcome, latency, finished) = (Outcome::Served, 40.0, true);
+                    let (outcome, latency, finished) = (AttemptOutcome::Served, 40.0, true);
                     let end = AttemptEnd {
                         id,
                         attempt,
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -6,8 +6,8 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, CountOutcome, Event, Gateway, LoadReport,
-    Millis, Name, Outcome, Place,
+    Action, AttemptEnd, AttemptOutcome, BackendEntry, BackendState, CounterOutcome, Event, Gateway,
+    IncomingRequest, LoadReport, Millis, Name, Placement,
 };
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -85,16 +85,16 @@
     }
 }
 
-fn outcome(text: &str) -> Result<Outcome, String> {
+fn outcome(text: &str) -> Result<AttemptOutcome, String> {
     Ok(match text {
-        "delivered" => Outcome::Served,
-        "app_error" => Outcome::Error,
-        "shed" => Outcome::Full,
-        "expired" => Outcome::TimedOut,
-        "dial_failed" => Outcome::ConnectFailed,
-        "dropped" => Outcome::Broken,
-        "revoked" => Outcome::CalledOff,
-        "unused" => Outcome::NeverSent,
+        "delivered" => AttemptOutcome::Served,
+        "app_error" => AttemptOutcome::Error,
+        "shed" => AttemptOutcome::Full,
+        "expired" => AttemptOutcome::TimedOut,
+        "dial_failed" => AttemptOutcome::ConnectFailed,
+        "dropped" => AttemptOutcome::Broken,
+        "revoked" => AttemptOutcome::CalledOff,
+        "unused" => AttemptOutcome::NeverSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -120,7 +120,7 @@
     };
     fields.optional::<f64>("rating")?;
     let started = fields.optional::<f64>("born-ms")?.filter(|at| *at > 0.0);
-    Ok(BackendEntry { name, zone, cell, state, started, place: Place::default() })
+    Ok(BackendEntry { name, zone, cell, state, started, place: Placement::default() })
 }
 
 /// All gateways that one process hosts.
@@ -242,7 +242,7 @@
                 let units = fields.optional("units")?.unwrap_or(1.0);
                 let plan = fields.name("package")?;
                 let bound = Name::default();
-                Event::Request(Arrival {
+                Event::Request(IncomingRequest {
                     id,
                     customer,
                     plan,
@@ -297,10 +297,10 @@
                 let latency = fields.millis("latency-ms")?;
                 let total = fields.optional::<f64>("result-value")?;
                 let outcome = match (code, total) {
-                    ("delivered", Some(total)) => CountOutcome::Total(total),
+                    ("delivered", Some(total)) => CounterOutcome::Total(total),
                     ("delivered", None) => return Err("result-value is missing".into()),
-                    ("shed" | "dial_failed", _) => CountOutcome::NotAdded,
-                    ("expired", _) => CountOutcome::Unknown,
+                    ("shed" | "dial_failed", _) => CounterOutcome::NotAdded,
+                    ("expired", _) => CounterOutcome::Unknown,
                     (other, _) => return Err(format!("unknown outcome {other}")),
                 };
                 Event::Counted { name, outcome, latency }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -11,7 +11,7 @@
 
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat at any time.
     Safe,
     /// Carries a key: backends of one group drop a repeat for a stated time.
@@ -22,7 +22,7 @@
 
 /// The backends that share the memory of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All backends.
     All,
     /// The backends of one zone.
@@ -33,15 +33,15 @@
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// The class's name.
     pub name: Name,
     /// An answer within this time has its full worth.
     pub aim: Millis,
     /// What repeating it may do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Who drops a keyed repeat.
-    pub group: Group,
+    pub group: DeduplicationScope,
     /// For how long a keyed repeat is dropped, from the first send that may have run.
     pub memory: Millis,
     /// What an answer is worth.
@@ -77,7 +77,7 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// There are none.
     #[default]
     None,
@@ -99,7 +99,7 @@
     /// The shortest time between two calls of `handle`.
     pub tick: Millis,
     /// The request classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The plans.
     pub plans: Vec<Plan>,
     /// Whether there is a shared counter.
@@ -111,7 +111,7 @@
     /// The most units of one request.
     pub most_units: f64,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub reports: LoadReportSource,
     /// Whether probes are allowed.
     pub probes: bool,
     /// Whether gateways may send each other messages.
@@ -174,7 +174,7 @@
 
 /// What a backend is there for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Role {
+pub enum BackendRole {
     /// It takes its part.
     #[default]
     Active,
@@ -188,13 +188,13 @@
 
 /// A backend's place among the others. The default is that of a list which says nothing of places.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Placement {
     /// Its part of the requests beside the others of its tier; above 0.
     pub weight: f64,
     /// Tiers are tried in order from 0.
     pub tier: u32,
     /// What it is there for.
-    pub role: Role,
+    pub role: BackendRole,
     /// The name that requests are bound to it by; empty for none.
     pub route: Name,
     /// The route that takes its bound requests when it is out of service; empty for none.
@@ -203,16 +203,16 @@
     pub group: Name,
 }
 
-impl Default for Place {
+impl Default for Placement {
     fn default() -> Self {
         let (route, redirect, group) = (Name::default(), Name::default(), Name::default());
-        Self { weight: 1.0, tier: 0, role: Role::Active, route, redirect, group }
+        Self { weight: 1.0, tier: 0, role: BackendRole::Active, route, redirect, group }
     }
 }
 
 /// How requests are spread over the backends of a tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Balance {
+pub enum LoadBalancing {
     /// To the one with the fewest of this gateway's attempts out; by weight where weights differ.
     #[default]
     Outstanding,
@@ -226,7 +226,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Routing {
     /// How requests are spread.
-    pub balance: Balance,
+    pub balance: LoadBalancing,
     /// A bound request waits and is refused rather than served elsewhere.
     pub strict: bool,
     /// A backend whose start is not known and that refused a connection counts as started when it is tried again.
@@ -247,7 +247,7 @@
     /// When it last started, where that is known.
     pub started: Option<Millis>,
     /// Its place among the others.
-    pub place: Place,
+    pub place: Placement,
 }
 
 /// A backend's report of its own load; each value only where the site has it.
@@ -263,7 +263,7 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// It was served.
     Served,
     /// The backend answered with an error; it may have run.
@@ -284,7 +284,7 @@
 
 /// How a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CountOutcome {
+pub enum CounterOutcome {
     /// The total after the add.
     Total(f64),
     /// Nothing was added.
@@ -302,7 +302,7 @@
 
 /// A request that came in.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Its number.
     pub id: RequestId,
     /// Whose it is.
@@ -335,7 +335,7 @@
     /// Where it was sent.
     pub backend: Name,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// How long it was out.
     pub latency: Millis,
     /// The true units, where they come with the answer.
@@ -348,7 +348,7 @@
 
 /// What a gateway holds of one customer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CustomerView {
+pub struct CustomerStatus {
     /// Which customer.
     pub name: Name,
     /// Its plan.
@@ -367,7 +367,7 @@
 
 /// What a gateway knows of one backend.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BackendView {
+pub struct BackendStatus {
     /// Which backend.
     pub name: Name,
     /// Whether the list lets it be used.
@@ -390,7 +390,7 @@
     /// The settings changed. Its own number stays; what is out goes on under the class and plan it came with.
     Settings(Box<Settings>),
     /// What an earlier process of this gateway had learnt of the backends; heard once, behind the first list.
-    Remembered(Vec<BackendView>),
+    Remembered(Vec<BackendStatus>),
     /// This gateway will end: it holds no more in hand than it needs, and what it holds goes back.
     Leaving,
     /// The whole list of backends; one that is missing is gone.
@@ -400,7 +400,7 @@
     /// A call for the list failed.
     BackendListFailed,
     /// A request came in.
-    Request(Arrival),
+    Request(IncomingRequest),
     /// A stream began on an attempt; it belongs to the client from now on.
     StreamStarted {
         /// The request.
@@ -413,7 +413,7 @@
         /// The backend.
         backend: Name,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// How long it took.
         latency: Millis,
         /// A load report, where one came along.
@@ -434,7 +434,7 @@
         /// The count's name.
         name: u64,
         /// How it ended.
-        outcome: CountOutcome,
+        outcome: CounterOutcome,
         /// How long it took.
         latency: Millis,
     },
@@ -449,7 +449,7 @@
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Its customer is beyond the quota.
     Quota,
     /// What serves is full, or the gateway sheds.
@@ -478,7 +478,7 @@
         /// How long the client ought to wait.
         retry_after: Millis,
         /// Why.
-        why: Refusal,
+        why: RejectReason,
     },
     /// Final answer: failed, with no promise.
     Fail {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,8 @@
 //! and when, and carries out the actions it gives back.
 //!
 //! ```
-//! use doorcourse::{Action, Arrival, BackendEntry, BackendState, Class, Effect, Event, Gateway, Group, Name, Place, Plan};
+//! use doorcourse::{Action, BackendEntry, BackendState, DeduplicationScope, Event, Gateway, Idempotency, IncomingRequest, Name, Placement, Plan,
+//!     RequestClass};
 //!
 //! let settings = doorcourse::Settings {
 //!     gateways: 1, number: 0, zone: "a".into(), tick: 1.0,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -363,12 +363,12 @@
 
     // ---- Requests ----
 
-    fn on_request(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
-        let Arrival { id, customer: name, .. } = arrival;
+    fn on_request(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
+        let IncomingRequest { id, customer: name, .. } = arrival;
         let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
         let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            return out.push(Action::Refuse { id, retry_after: 0.0, why: Refusal::Busy });
+            return out.push(Action::Refuse { id, retry_after: 0.0, why: RejectReason::Busy });
         };
         let now = self.now;
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
@@ -534,7 +534,7 @@
 
     fn over_quota(&mut self, id: RequestId, short: f64, rate: f64, out: &mut Vec<Action>) {
         let wait = short / rate.max(1e-9) * 1000.0 * (1.0 + 0.5 * self.chance());
-        self.refuse(id, wait, Refusal::Quota, out);
+        self.refuse(id, wait, RejectReason::Quota, out);
     }
 
     fn hold(&mut self, id: RequestId, stage: Stage, until: Millis, out: &mut Vec<Action>) {
@@ -594,18 +594,18 @@
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class];
         let harmless = request.may_have_run.is_none()
-            || class.effect == Effect::Safe
-            || (class.effect == Effect::Keyed && class.group == Group::All);
+            || class.effect == Idempotency::Safe
+            || (class.effect == Idempotency::Keyed && class.group == DeduplicationScope::All);
         if harmless && self.now < request.deadline {
             let wait = self.settings.longest_advice * (0.3 + 0.4 * self.chance());
-            self.refuse(id, wait, Refusal::Busy, out);
+            self.refuse(id, wait, RejectReason::Busy, out);
         } else {
             self.forget(id);
             out.push(Action::Fail { id });
         }
     }
 
-    fn refuse(&mut self, id: RequestId, wait: Millis, why: Refusal, out: &mut Vec<Action>) {
+    fn refuse(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
         self.forget(id);
         out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.longest_advice), why });
     }
@@ -635,7 +635,7 @@
             customer.open += 1;
         }
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
-        let keyed = self.settings.classes[request.class].effect == Effect::Keyed;
+        let keyed = self.settings.classes[request.class].effect == Idempotency::Keyed;
         let window = (keyed && request.may_have_run.is_some()).then_some(left);
         out.push(Action::Send { id, backend: name, timeout: None, window });
         true
@@ -658,7 +658,7 @@
     fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
+        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Idempotency::Keyed);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
         let out: f64 = self.backends.values().map(|b| f64::from(b.out)).sum();
         if out >= self.room().max(1.0) {
@@ -669,7 +669,9 @@
         let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
         for backend in self.backends.values() {
             let (group, zone, cell, seat) = (class.group, &backend.zone, backend.cell, backend.seat);
-            let same = |h: &Backend| if group == Group::Zone { h.zone == *zone } else { h.cell == cell };
+            let same = |h: &Backend| {
+                if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
+            };
             let luck = unit(salt ^ self.routes.hash_of(seat));
             let warmth = backend.warmth(self.now, &self.settings);
             // The cold budget: by chance its share of its part of the sends, from the first ms. Guards cold
@@ -677,7 +679,7 @@
             let cold = warmth < 1.0 && luck * self.routes.parts(seat) >= warmth * cold_share;
             let fit = match () {
                 () if !backend.ready || self.now < backend.eject_until => Fit::Down,
-                () if group != Group::All && !home.is_none_or(same) => Fit::Barred,
+                () if group != DeduplicationScope::All && !home.is_none_or(same) => Fit::Barred,
                 () if f64::from(backend.out) >= backend.room.ceil() => Fit::Full,
                 () if cold => Fit::Cold,
                 () => Fit::Free,
@@ -700,7 +702,7 @@
         let class = self.requests.get(&end.id).map_or(0, |r| r.class);
         let usual = &mut self.class_latency[class];
         let late = match end.outcome {
-            Outcome::Served => {
+            AttemptOutcome::Served => {
                 if backend.failures >= EJECT_TOLD {
                     out.push(Action::Log(format!("backend {name} back: it answers again")));
                 }
@@ -708,21 +710,21 @@
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
                 latency > self.settings.classes[class].aim * ROOM_SHARE
             }
-            Outcome::NeverSent => return,
+            AttemptOutcome::NeverSent => return,
             // Guards against one that fails at once and so draws more. One class alone may fail anywhere.
-            Outcome::Error if backend.error.replace(class).is_none_or(|c| c == class) => return,
-            Outcome::Error => false,
-            Outcome::Full => true,
+            AttemptOutcome::Error if backend.error.replace(class).is_none_or(|c| c == class) => return,
+            AttemptOutcome::Error => false,
+            AttemptOutcome::Full => true,
             // A client with little time left proves nothing of the fleet.
             _ => latency > *usual * LATE_LATENCIES,
         };
         backend.note_latency(late);
         self.late += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late);
-        let (lost, broke) = (end.outcome != Outcome::Served, end.outcome == Outcome::Broken);
+        let (lost, broke) = (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::Broken);
         if lost && backend.failed(now, latency, broke, &self.settings) {
             out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
         }
-        if end.outcome == Outcome::ConnectFailed && self.settings.routing.assume_restart {
+        if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
             backend.refused = Some(backend.eject_until);
         }
     }
@@ -731,7 +733,7 @@
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        if let Some(true_units) = end.true_units.filter(|_| outcome == Outcome::Served) {
+        if let Some(true_units) = end.true_units.filter(|_| outcome == AttemptOutcome::Served) {
             // A ceiling goes by the guess: under one, nothing comes back that could be sent on above it.
             let least =
                 if self.settings.plans[request.plan].ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
@@ -745,12 +747,15 @@
         }
         customer.open = customer.open.saturating_sub(1);
         request.stage = Stage::Queue;
-        if end.finished || outcome == Outcome::Served {
+        if end.finished || outcome == AttemptOutcome::Served {
             // Nothing was written before its client had gone: what no backend heard of is not used.
-            request.attempts -= u32::from(outcome == Outcome::NeverSent);
+            request.attempts -= u32::from(outcome == AttemptOutcome::NeverSent);
             return self.forget(id);
         }
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
+        let never_ran = matches!(
+            outcome,
+            AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
+        );
         if !never_ran && request.may_have_run.is_none() {
             request.may_have_run = Some((request.sent_at, end.backend));
         }
@@ -760,9 +765,9 @@
     fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let allowed = match (&request.may_have_run, self.settings.classes[request.class].effect) {
-            (None, _) | (_, Effect::Keyed) => true,
-            (_, Effect::Safe) => request.attempts < REPEAT_MOST,
-            (Some(_), Effect::Unsafe) => false,
+            (None, _) | (_, Idempotency::Keyed) => true,
+            (_, Idempotency::Safe) => request.attempts < REPEAT_MOST,
+            (Some(_), Idempotency::Unsafe) => false,
         };
         allowed && self.now < self.send_by(request) && request.attempts < self.settings.most_attempts
     }
@@ -771,7 +776,7 @@
     /// such. Guards repeats that waited in line past their window.
     fn send_by(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class];
-        let first = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
+        let first = request.may_have_run.as_ref().filter(|_| class.effect == Idempotency::Keyed);
         let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.memory);
         request.deadline.min(dropped) - LAST_TICKS * self.settings.tick
     }
@@ -804,17 +809,17 @@
         out.push(Action::Count { name: count, amount: block + owed, keep });
     }
 
-    fn on_counted(&mut self, count: u64, outcome: CountOutcome, latency: Millis, out: &mut Vec<Action>) {
-        if let CountOutcome::Late { added, total } = outcome {
+    fn on_counted(&mut self, count: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>) {
+        if let CounterOutcome::Late { added, total } = outcome {
             return self.on_late(count, added, total, out);
         }
         let Some(name) = self.calls.remove(&count) else { return };
         let quick = self.settings.counter_timeout * EASE_SHARE;
-        let slow = if matches!(outcome, CountOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
+        let slow = if matches!(outcome, CounterOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
         let step = EASE_STEP * (1.0 - slow).max(-2.0);
         self.ease = (self.ease * (1.0 + step)).clamp(EASE_LEAST, EASE_MOST);
-        let CountOutcome::Total(total) = outcome else {
-            return self.silent(count, &name, outcome == CountOutcome::Unknown, out);
+        let CounterOutcome::Total(total) = outcome else {
+            return self.silent(count, &name, outcome == CounterOutcome::Unknown, out);
         };
         self.counter_speaks(out);
         let call = self.customers.get_mut(&name).and_then(|c| c.call.take());
@@ -987,7 +992,7 @@
 
     /// What was learnt of a backend holds while it is the same start of it, and no longer than it could have
     /// been left alone. Guards the first second after a restart against nodes that were known to be dead.
-    fn on_remembered(&mut self, views: Vec<BackendView>) {
+    fn on_remembered(&mut self, views: Vec<BackendStatus>) {
         for view in views {
             let Some(backend) = self.backends.get_mut(&view.name) else { continue };
             if backend.started == view.started && view.room.is_finite() {
@@ -1014,19 +1019,27 @@
     }
 
     /// What is held of each customer, for people.
-    pub fn customers(&self) -> impl Iterator<Item = CustomerView> {
+    pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
         self.customers.iter().map(|(name, c)| {
             let (name, plan) = (name.clone(), self.settings.plans[c.plan].name.clone());
             let (lease, store, owed, waiting) = (c.lease, c.store, c.owed, c.waiting.len());
-            CustomerView { name, plan, lease, store, owed, waiting, open: c.open }
+            CustomerStatus { name, plan, lease, store, owed, waiting, open: c.open }
         })
     }
 
     /// What is known of each backend, for people and for a file that outlives the process.
-    pub fn backends(&self) -> impl Iterator<Item = BackendView> {
+    pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
         self.backends.iter().map(|(name, b)| {
             let (name, ready, out, room, started) = (name.clone(), b.ready, b.out, b.room, b.started);
-            BackendView { name, ready, out, room, started, failures: b.failures, eject_until: b.eject_until }
+            BackendStatus {
+                name,
+                ready,
+                out,
+                room,
+                started,
+                failures: b.failures,
+                eject_until: b.eject_until,
+            }
         })
     }
 
--- a/src/routes.rs
+++ b/src/routes.rs
@@ -43,7 +43,7 @@
 struct Seat {
     name: Name,
     hash: u64,
-    place: Place,
+    place: Placement,
     listed: bool,
     ready: bool,
     /// The level it is chosen in; none where it takes bound requests alone.
@@ -100,7 +100,7 @@
     pub(crate) fn seat(&mut self, known: Option<usize>, entry: &BackendEntry) -> usize {
         let at = known.or_else(|| self.free.pop()).unwrap_or(self.seats.len());
         if known.is_none() {
-            let (hash, place, offer) = (hash(&entry.name), Place::default(), Offer::default());
+            let (hash, place, offer) = (hash(&entry.name), Placement::default(), Offer::default());
             let (level, listed, ready, own) = (None, false, false, false);
             let (name, parts, relative, pull, turn) = (entry.name.clone(), 1.0, 1.0, 1.0, f64::NAN);
             let new =
@@ -118,15 +118,15 @@
 
     /// After a list: works out what does not change until the next one.
     pub(crate) fn arrange(&mut self) {
-        let usual = Place::default();
+        let usual = Placement::default();
         let listed = || self.seats.iter().filter(|s| s.listed);
         self.plain = self.routing == Routing::default() && listed().all(|s| s.place == usual);
         let mut weights = listed().map(|s| s.place.weight);
         let first = weights.next().unwrap_or(1.0);
         self.weighted =
-            self.routing.balance != Balance::Outstanding || weights.any(|w| (w - first).abs() > 1e-9);
-        let of = |seat: &Seat| (seat.place.tier, seat.place.role == Role::Standby);
-        let chosen = |seat: &&Seat| seat.listed && (self.plain || seat.place.role != Role::Bound);
+            self.routing.balance != LoadBalancing::Outstanding || weights.any(|w| (w - first).abs() > 1e-9);
+        let of = |seat: &Seat| (seat.place.tier, seat.place.role == BackendRole::Standby);
+        let chosen = |seat: &&Seat| seat.listed && (self.plain || seat.place.role != BackendRole::Bound);
         let mut keys: Vec<(u32, bool)> = self.seats.iter().filter(chosen).map(of).collect();
         keys.sort_unstable();
         keys.dedup();
@@ -134,7 +134,7 @@
         let time = |key: (u32, bool)| was.iter().find(|l| (l.0, l.1) == key).map_or(0.0, |l| l.2);
         self.levels = keys.iter().map(|k| (k.0, k.1, time(*k))).collect();
         for seat in &mut self.seats {
-            let bound = seat.place.role == Role::Bound || !seat.listed;
+            let bound = seat.place.role == BackendRole::Bound || !seat.listed;
             seat.level = if bound { None } else { keys.iter().position(|k| *k == of(seat)) };
         }
         let salt = mix(u64::from(self.number) + 1);
@@ -208,7 +208,7 @@
             }
             return;
         }
-        let (many, busyness) = (self.many, self.routing.balance == Balance::Busyness);
+        let (many, busyness) = (self.many, self.routing.balance == LoadBalancing::Busyness);
         let seat = &mut self.seats[at];
         let time = seat.level.map_or(0.0, |l| self.levels[l].2);
         let turn = seat.turn.max(time);
@@ -270,15 +270,15 @@
         let tier_of = |s: &&Seat| s.listed && s.place.tier == tier;
         // A spare stands in for each that is out of service or not warm yet, in the order of the list.
         let away = |s: &&Seat| {
-            matches!(s.place.role, Role::Active | Role::Bound)
-                && (s.place.role == Role::Bound || s.offer.fit == Fit::Down || !s.offer.warm)
+            matches!(s.place.role, BackendRole::Active | BackendRole::Bound)
+                && (s.place.role == BackendRole::Bound || s.offer.fit == Fit::Down || !s.offer.warm)
         };
         let mut spares = if standby { 0 } else { self.seats.iter().filter(tier_of).filter(away).count() };
         let mut members: Vec<(usize, &Seat)> = Vec::new();
         let mut short = false;
         for (at, seat) in self.seats.iter().enumerate().filter(|(_, s)| s.level == Some(level)) {
             let down = seat.offer.fit == Fit::Down;
-            if seat.place.role == Role::Spare {
+            if seat.place.role == BackendRole::Spare {
                 if spares == 0 || down {
                     continue;
                 }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -11,7 +11,7 @@
         door.tell(Event::BackendChanges(vec![backend("a1", state, None)]));
         for id in 1..=4 {
             assert_eq!(&*door.served(id, "c", "plain", "safe"), "a2");
-            door.end(id, 0, &"a2".into(), Outcome::Served);
+            door.end(id, 0, &"a2".into(), AttemptOutcome::Served);
         }
     }
     let mut door = Door::new(settings(), &["a1", "a2"]);
@@ -29,7 +29,7 @@
         let at = door.served(id, &format!("c{id}"), "plain", "safe");
         to_cold += usize::from(&*at == "a3");
         door.now += 5.0;
-        door.end(id, 0, &at, Outcome::Served);
+        door.end(id, 0, &at, AttemptOutcome::Served);
     }
     // Two warm ones share the rest: a tenth of it is a fifth of what one of them gets.
     assert!((1..=10).contains(&to_cold), "{to_cold}");
@@ -43,13 +43,13 @@
     while broken < 2 {
         id += 1;
         let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
-        let outcome = if &*at == "a1" { Outcome::Broken } else { Outcome::Served };
+        let outcome = if &*at == "a1" { AttemptOutcome::Broken } else { AttemptOutcome::Served };
         broken += usize::from(&*at == "a1");
         logs = door.end(id, 0, &at, outcome);
-        if outcome == Outcome::Broken && broken == 1 {
+        if outcome == AttemptOutcome::Broken && broken == 1 {
             let next = door.served(1000, "other", "plain", "unsafe");
             assert_eq!(&*next, "a2", "after one failure it is left alone for as long as that took");
-            door.end(1000, 0, &next, Outcome::Served);
+            door.end(1000, 0, &next, AttemptOutcome::Served);
         }
         door.now += 150.0;
         assert!(id < 50);
@@ -57,12 +57,12 @@
     assert!(logs.iter().any(|a| matches!(a, Action::Log(line) if line.contains("a1 ejected"))));
     for id in 101..=105 {
         assert_eq!(&*door.served(id, &format!("c{id}"), "plain", "safe"), "a2");
-        door.end(id, 0, &"a2".into(), Outcome::Served);
+        door.end(id, 0, &"a2".into(), AttemptOutcome::Served);
     }
     door.now += 1000.0;
     let tried = (201..=210).any(|id| {
         let at = door.served(id, &format!("c{id}"), "plain", "safe");
-        door.end(id, 0, &at, Outcome::Served);
+        door.end(id, 0, &at, AttemptOutcome::Served);
         &*at == "a1"
     });
     assert!(tried, "it is tried again after a while");
@@ -88,25 +88,25 @@
     let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
     let at = door.served(1, "c", "capped", "safe");
     assert_eq!(sends(&door.ask(2, "c", "capped", "safe")), 0, "two at once for two gateways: one each");
-    assert_eq!(sent(&door.end(1, 0, &at, Outcome::Served)).map(|(id, _)| id), Some(2));
+    assert_eq!(sent(&door.end(1, 0, &at, AttemptOutcome::Served)).map(|(id, _)| id), Some(2));
 }
 
 #[test]
 fn a_connection_that_breaks_alone_ejects_nobody_and_the_second_in_a_row_does() {
     let mut door = Door::new(settings(), &["a1"]);
     let at = door.served(1, "c1", "plain", "unsafe");
-    door.end_after(10.0, 1, 0, &at, Outcome::Broken);
+    door.end_after(10.0, 1, 0, &at, AttemptOutcome::Broken);
     let ejected = |door: &Door| door.gateway.backends().next().unwrap().eject_until > door.now;
     assert!(!ejected(&door));
     let at = door.served(2, "c2", "plain", "unsafe");
-    door.end(2, 0, &at, Outcome::Served);
+    door.end(2, 0, &at, AttemptOutcome::Served);
     let at = door.served(3, "c3", "plain", "unsafe");
-    door.end_after(10.0, 3, 0, &at, Outcome::Broken);
+    door.end_after(10.0, 3, 0, &at, AttemptOutcome::Broken);
     assert!(!ejected(&door), "an answer between them takes the first back");
     let at = door.served(4, "c4", "plain", "unsafe");
-    door.end_after(10.0, 4, 0, &at, Outcome::Broken);
+    door.end_after(10.0, 4, 0, &at, AttemptOutcome::Broken);
     assert!(ejected(&door));
-    for outcome in [Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Full] {
+    for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, AttemptOutcome::Full] {
         let mut door = Door::new(settings(), &["a1"]);
         let at = door.served(1, "c1", "plain", "unsafe");
         door.end_after(10.0, 1, 0, &at, outcome);
@@ -120,7 +120,7 @@
     let mut door = Door::new(settings(), &["a1"]);
     let fail = |door: &mut Door, id, class: &str| {
         let at = door.served(id, &format!("c{id}"), "plain", class);
-        door.end_after(5.0, id, 0, &at, Outcome::Error);
+        door.end_after(5.0, id, 0, &at, AttemptOutcome::Error);
         door.tell(Event::ClientLeft { id });
     };
     for id in 1..=4 {
@@ -132,7 +132,7 @@
     let mut door = Door::new(settings(), &["a1"]);
     fail(&mut door, 1, "unsafe");
     let at = door.served(2, "c2", "plain", "keyed");
-    door.end(2, 0, &at, Outcome::Served);
+    door.end(2, 0, &at, AttemptOutcome::Served);
     fail(&mut door, 3, "keyed");
     assert!(!ejected(&door), "an answer between them takes the first back");
 }
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -160,7 +160,7 @@
     assert!(refused(&door.ask(3, "c", "plain", "safe"), 3), "the plan is gone for what comes");
     assert!(refused(&door.ask(4, "d", "capped", "unsafe"), 4), "and so is the class");
     // It may have run: never again, and no refusal.
-    assert!(failed(&door.end(1, 0, &backend, Outcome::Broken), 1));
+    assert!(failed(&door.end(1, 0, &backend, AttemptOutcome::Broken), 1));
     door.answer(2, &backend_2, 1.0);
     assert_eq!(
         door.gateway.customers().find(|c| &*c.name == "d").map(|c| c.plan.to_string()).as_deref(),
@@ -204,8 +204,11 @@
                 let did = door.ask_of(*id, "c", "plain", "safe", false, spread);
                 let did = match count(&did) {
                     Some((name, _)) => {
-                        let mut did =
-                            door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 });
+                        let mut did = door.tell(Event::Counted {
+                            name,
+                            outcome: CounterOutcome::Unknown,
+                            latency: 50.0,
+                        });
                         door.now += 51.0;
                         did.extend(door.tell(Event::Timer { token: 1 }));
                         did
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -160,7 +160,7 @@
         let work = self.chance.exp(SLOTS as f64 / RATE * 1000.0);
         let machine = self.machines.get_mut(&backend).expect("a listed one");
         let (outcome, latency) = if !machine.up {
-            (Outcome::ConnectFailed, 1.0)
+            (AttemptOutcome::ConnectFailed, 1.0)
         } else {
             machine.arrived.push(self.now);
             let now = self.now;
@@ -168,16 +168,20 @@
             let begins = slot.max(now);
             let waits = ((begins - now) * RATE / 1000.0) as usize;
             if breaks {
-                (Outcome::Broken, 2.0)
+                (AttemptOutcome::Broken, 2.0)
             } else if waits > QUEUE {
-                (Outcome::Full, 1.0)
+                (AttemptOutcome::Full, 1.0)
             } else {
                 let ends = begins + work / warmth_of(machine.started, &self.settings, now);
                 *machine.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots") = ends;
-                if ends > until { (Outcome::TimedOut, until - now) } else { (Outcome::Served, ends - now) }
+                if ends > until {
+                    (AttemptOutcome::TimedOut, until - now)
+                } else {
+                    (AttemptOutcome::Served, ends - now)
+                }
             }
         };
-        let (finished, load) = (outcome == Outcome::Served, None);
+        let (finished, load) = (outcome == AttemptOutcome::Served, None);
         let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units: None, finished, load };
         self.later(latency.max(0.1), at, Due::Ends(end));
     }
@@ -223,7 +227,7 @@
                     let (class, bound) = ("safe".into(), Name::default());
                     self.tell(
                         gateway,
-                        Event::Request(Arrival {
+                        Event::Request(IncomingRequest {
                             id,
                             customer,
                             plan,
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -6,7 +6,7 @@
 
 fn silence(door: &mut Door, name: u64) -> Vec<Action> {
     door.now += 50.0;
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 })
+    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 })
 }
 
 /// Offers a request every 20 ms while the counter says nothing; gives how many went on.
@@ -20,7 +20,7 @@
         }
         if let Some((id, at)) = sent(&did) {
             gone_on += 1;
-            door.end(id, 0, &at, Outcome::Served);
+            door.end(id, 0, &at, AttemptOutcome::Served);
         }
         door.now += 20.0;
     }
@@ -38,7 +38,7 @@
         did = door.total(name, *total);
     }
     for (id, at) in &gone_on {
-        door.end(*id, 0, at, Outcome::Served);
+        door.end(*id, 0, at, AttemptOutcome::Served);
     }
     gone_on.len()
 }
@@ -103,7 +103,7 @@
         }
         lines += did.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
         if let Some((id, at)) = sent(&did) {
-            door.end(id, 0, &at, Outcome::Served);
+            door.end(id, 0, &at, AttemptOutcome::Served);
         }
         door.now += 10.0;
     }
@@ -127,7 +127,7 @@
 fn after_a_silence_an_idle_gateway_does_not_take_a_ceiling_s_store_for_full() {
     let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
     let at = door.served(1, "c", "ceiling", "safe");
-    door.end(1, 0, &at, Outcome::Served);
+    door.end(1, 0, &at, AttemptOutcome::Served);
     door.now += 100.0;
     for id in 2..=3 {
         let (name, _) = count(&door.ask(id, &format!("other{id}"), "plain", "safe")).expect("call");
@@ -176,11 +176,11 @@
 }
 
 fn late(door: &mut Door, name: u64, total: Option<f64>) -> Vec<Action> {
-    let outcome = CountOutcome::Late { added: true, total };
+    let outcome = CounterOutcome::Late { added: true, total };
     door.tell(Event::Counted { name, outcome, latency: 90.0 })
 }
 
-fn one(door: &Door) -> CustomerView {
+fn one(door: &Door) -> CustomerStatus {
     door.gateway.customers().next().expect("the customer")
 }
 
@@ -189,7 +189,7 @@
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
     assert_eq!(block, 5.0, "the burst over the gateways");
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     // One was spent from the slice in the meantime: it is told with the next call.
     assert_eq!((one(&door).lease, one(&door).owed), (0.0, 1.0));
     late(&mut door, name, Some(block));
@@ -205,7 +205,7 @@
 fn what_was_added_without_a_total_goes_back() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     late(&mut door, name, None);
     let owed = 1.0 - block;
     assert_eq!((one(&door).lease, one(&door).owed), (0.0, owed));
@@ -217,9 +217,9 @@
 fn a_call_that_was_turned_away_late_was_never_made() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, _) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     let before = one(&door);
-    let outcome = CountOutcome::Late { added: false, total: None };
+    let outcome = CounterOutcome::Late { added: false, total: None };
     door.tell(Event::Counted { name, outcome, latency: 90.0 });
     assert_eq!(one(&door), before);
 }
@@ -240,10 +240,10 @@
             *total += amount;
             waiting.push((name, *total));
             did.retain(|a| !matches!(a, Action::Count { .. }));
-            did.extend(door.tell(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 }));
+            did.extend(door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 }));
         }
         for (id, at) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
-            door.end(id, 0, &at, Outcome::Served);
+            door.end(id, 0, &at, AttemptOutcome::Served);
             served += 1;
         }
     }
@@ -263,10 +263,10 @@
         let mut did = door.ask(id, "c", "plain", "safe");
         did.extend(door.pass(100.0, &[id]));
         while let Some((name, _)) = count(&did) {
-            did = door.tell(Event::Counted { name, outcome: CountOutcome::NotAdded, latency: 1.0 });
+            did = door.tell(Event::Counted { name, outcome: CounterOutcome::NotAdded, latency: 1.0 });
         }
         for at in ["a1", "a2"] {
-            door.end(id, 0, &at.into(), Outcome::Served);
+            door.end(id, 0, &at.into(), AttemptOutcome::Served);
         }
     }
     assert!(door.gateway.is_counter_silent());
@@ -289,8 +289,8 @@
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
     door.total(name, block);
-    door.end(1, 0, &"a1".into(), Outcome::Served);
-    door.end(1, 0, &"a2".into(), Outcome::Served);
+    door.end(1, 0, &"a1".into(), AttemptOutcome::Served);
+    door.end(1, 0, &"a2".into(), AttemptOutcome::Served);
     door.pass(1500.0, &[]);
     let mut did = door.pass(25.0, &[]);
     let mut id = 1;
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -105,15 +105,15 @@
                 known.attempt += 1;
                 let until = known.until;
                 let (outcome, latency) = match self.random.below(20) {
-                    0 => (Outcome::Error, 30.0),
-                    1 => (Outcome::Full, 3.0),
-                    2 => (Outcome::ConnectFailed, 2.0),
-                    3 => (Outcome::Broken, 80.0),
-                    4 => (Outcome::TimedOut, (until - self.now).max(1.0)),
-                    _ => (Outcome::Served, 20.0 + self.random.below(700) as f64),
+                    0 => (AttemptOutcome::Error, 30.0),
+                    1 => (AttemptOutcome::Full, 3.0),
+                    2 => (AttemptOutcome::ConnectFailed, 2.0),
+                    3 => (AttemptOutcome::Broken, 80.0),
+                    4 => (AttemptOutcome::TimedOut, (until - self.now).max(1.0)),
+                    _ => (AttemptOutcome::Served, 20.0 + self.random.below(700) as f64),
                 };
-                let true_units = (outcome == Outcome::Served).then(|| self.random.below(4) as f64);
-                let finished = outcome == Outcome::Served;
+                let true_units = (outcome == AttemptOutcome::Served).then(|| self.random.below(4) as f64);
+                let finished = outcome == AttemptOutcome::Served;
                 let load = None;
                 let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units, finished, load };
                 self.later(latency, gateway, Event::AttemptEnded(end));
@@ -127,12 +127,12 @@
                     return self.later(
                         50.0,
                         gateway,
-                        Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 },
+                        Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 },
                     );
                 }
                 let total = self.counts.entry(name).or_default();
                 *total += amount;
-                let (outcome, latency) = (CountOutcome::Total(*total), 1.0 + self.random.below(30) as f64);
+                let (outcome, latency) = (CounterOutcome::Total(*total), 1.0 + self.random.below(30) as f64);
                 self.later(latency, gateway, Event::Counted { name, outcome, latency });
             }
             Action::Tell { bytes } => {
@@ -183,7 +183,7 @@
                 }
             }
             5 => {
-                let views: Vec<BackendView> = self.gateways[gateway].backends().collect();
+                let views: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
                 self.tell(gateway, Event::Remembered(views));
             }
             6 if self.next > 3000 => self.tell(gateway, Event::Leaving),
@@ -207,7 +207,7 @@
             (self.random.below(self.gateways.len() as u64 + 1) as u32, self.random.below(5) == 0);
         let (units, class) = (1.0 + self.random.below(3) as f64, self.random.below(3) as usize);
         self.out.insert(id, Out { gateway, until: self.now + patience, ..Out::default() });
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             customer: format!("{plan}-{customer}").as_str().into(),
             plan: plan.into(),
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -72,7 +72,7 @@
                 match action {
                     Action::Send { id, backend, .. } => {
                         self.sent.push(self.doors[at].now);
-                        next.extend(self.doors[at].end(id, 0, &backend, Outcome::Served));
+                        next.extend(self.doors[at].end(id, 0, &backend, AttemptOutcome::Served));
                     }
                     Action::Count { name, amount, keep } => next.extend(self.count(at, name, amount, keep)),
                     _ => {}
@@ -86,13 +86,13 @@
         let now = self.doors[at].now;
         let (from, back) = self.trouble.silent;
         let (outcome, latency) = if now >= self.start + from && now < self.start + back {
-            (CountOutcome::NotAdded, 0.0)
+            (CounterOutcome::NotAdded, 0.0)
         } else {
             let kept = self.counts.get(&name).filter(|(_, until)| now < *until);
             let (total, until) = kept.map_or((amount, now + keep), |(total, until)| (total + amount, *until));
             self.counts.insert(name, (total, until));
             let lost = self.chance.next() < self.trouble.lost;
-            if lost { (CountOutcome::Unknown, 50.0) } else { (CountOutcome::Total(total), 2.0) }
+            if lost { (CounterOutcome::Unknown, 50.0) } else { (CounterOutcome::Total(total), 2.0) }
         };
         self.doors[at].tell(Event::Counted { name, outcome, latency })
     }
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -22,7 +22,7 @@
                 did = door.total(name, amount);
             }
             if let Some((id, at)) = sent(&did) {
-                door.end(id, 0, &at, Outcome::Served);
+                door.end(id, 0, &at, AttemptOutcome::Served);
             } else {
                 door.tell(Event::ClientLeft { id });
             }
@@ -45,7 +45,7 @@
     door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
     door.pass(1500.0, &[]);
     // Its key is remembered in the cell of a1 alone: b1 must not have it.
-    let did = door.end(1, 0, &at, Outcome::Broken);
+    let did = door.end(1, 0, &at, AttemptOutcome::Broken);
     assert_eq!(sends(&did), 0);
     assert!(!refused(&did, 1));
 }
@@ -60,7 +60,7 @@
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..=8 {
         let at = door.served(id, &format!("c{id}"), "plain", "safe");
-        door.end(id, 0, &at, Outcome::Served);
+        door.end(id, 0, &at, AttemptOutcome::Served);
         seen.insert(at);
     }
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), ["a2".into(), Name::from("a3")]);
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -5,7 +5,7 @@
 
 /// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, group| Class {
+    let class = |name: &str, effect, group| RequestClass {
         name: name.into(),
         aim: 800.0,
         effect,
@@ -31,9 +31,9 @@
         zone: "z1".into(),
         tick: 4.0,
         classes: vec![
-            class("safe", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Cell),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("safe", Idempotency::Safe, DeduplicationScope::All),
+            class("keyed", Idempotency::Keyed, DeduplicationScope::Cell),
+            class("unsafe", Idempotency::Unsafe, DeduplicationScope::All),
         ],
         plans: vec![plan("plain", 0, 0.0), plan("ceiling", 0, 1.6), plan("capped", 2, 0.0)],
         counter: true,
@@ -54,7 +54,7 @@
 /// A list line; backends named `a…` are in cell 0, all others in cell 1.
 pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
-    BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started, place: Place::default() }
+    BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started, place: Placement::default() }
 }
 
 /// A gateway, its clock and what it did at the last event.
@@ -101,7 +101,7 @@
     pub fn ask_of(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
     ) -> Vec<Action> {
-        self.tell(Event::Request(Arrival {
+        self.tell(Event::Request(IncomingRequest {
             id,
             customer: customer.into(),
             plan: plan.into(),
@@ -115,12 +115,14 @@
         }))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome) -> Vec<Action> {
+    pub fn end(
+        &mut self, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
+    ) -> Vec<Action> {
         self.end_after(100.0, id, attempt, backend, outcome)
     }
 
     pub fn end_after(
-        &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
+        &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
     ) -> Vec<Action> {
         self.tell(Event::AttemptEnded(AttemptEnd {
             id,
@@ -129,7 +131,7 @@
             outcome,
             latency,
             true_units: None,
-            finished: outcome == Outcome::Served,
+            finished: outcome == AttemptOutcome::Served,
             load: None,
         }))
     }
@@ -137,14 +139,14 @@
     /// A first attempt is served, and tells its true units.
     pub fn answer(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
         let (attempt, backend, true_units) = (0, backend.clone(), Some(units));
-        let (outcome, latency, finished, load) = (Outcome::Served, 100.0, true, None);
+        let (outcome, latency, finished, load) = (AttemptOutcome::Served, 100.0, true, None);
         let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units, finished, load };
         self.tell(Event::AttemptEnded(end))
     }
 
     /// Answers a counter call with a total.
     pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
+        self.tell(Event::Counted { name, outcome: CounterOutcome::Total(total), latency: 2.0 })
     }
 
     /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
@@ -196,8 +198,8 @@
         }
         Action::Refuse { id, retry_after, why } => {
             let why = match why {
-                Refusal::Quota => "Quota",
-                Refusal::Busy => "Busy",
+                RejectReason::Quota => "Quota",
+                RejectReason::Busy => "Busy",
             };
             format!("Refuse {{ id: {id}, retry_after: {retry_after:?}, why: {why} }}")
         }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -69,7 +69,7 @@
     for id in 2..=3 {
         let did = door.ask(id, "c", "plain", "safe");
         assert!(count(&did).is_none(), "the block still holds all five units");
-        door.end(id, 0, &"a1".into(), Outcome::Served);
+        door.end(id, 0, &"a1".into(), AttemptOutcome::Served);
     }
 }
 
@@ -83,7 +83,7 @@
         id: 1,
         attempt: 0,
         backend,
-        outcome: Outcome::Served,
+        outcome: AttemptOutcome::Served,
         latency: 90.0,
         true_units: Some(4.0),
         finished: true,
@@ -98,7 +98,7 @@
 fn idle_customers_are_forgotten() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let at = door.served(1, "c", "plain", "safe");
-    door.end(1, 0, &at, Outcome::Served);
+    door.end(1, 0, &at, AttemptOutcome::Served);
     door.pass(60_000.0, &[]);
     let did = door.ask(2, "c", "plain", "safe");
     assert_eq!(count(&did).expect("call").1, 5.0, "a forgotten customer starts with a first block again");
@@ -113,7 +113,7 @@
 
 #[test]
 fn units_of_a_request_whose_client_went_before_anything_was_written_go_back() {
-    for (outcome, paid) in [(Outcome::NeverSent, true), (Outcome::Broken, false)] {
+    for (outcome, paid) in [(AttemptOutcome::NeverSent, true), (AttemptOutcome::Broken, false)] {
         let mut door = Door::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
         let (name, _) = count(&door.ask(1, "c", "plain", "safe")).expect("a block is asked for");
         let (_, backend) = sent(&door.total(name, 5.0)).expect("sent on");
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -60,7 +60,7 @@
         let mut own = BTreeSet::new();
         for id in 1..=20 {
             let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
-            door.end(id, 0, &at, Outcome::Served);
+            door.end(id, 0, &at, AttemptOutcome::Served);
             *per_backend.entry(at.clone()).or_default() += 1;
             own.insert(at);
         }
@@ -82,7 +82,7 @@
             for door in &mut doors {
                 let at = door.served(id, &format!("c{id}"), "plain", "safe");
                 to_cold += u32::from(&*at == "a9");
-                door.end(id, 0, &at, Outcome::Served);
+                door.end(id, 0, &at, AttemptOutcome::Served);
             }
         }
         // An even part is 500 of 5000; at 0.2 of its capacity a fifth of that, less the part kept back.
@@ -121,7 +121,7 @@
     for id in 1..=40 {
         let mut did = spread(&mut doors[1], id, "c", false);
         if let Some((name, _)) = count(&did) {
-            let (outcome, latency) = (CountOutcome::NotAdded, 1.0);
+            let (outcome, latency) = (CounterOutcome::NotAdded, 1.0);
             did.extend(doors[1].tell(Event::Counted { name, outcome, latency }));
         }
         gone_on += sends(&did);
@@ -159,7 +159,7 @@
             }
             for (id, backend) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
                 gone_on += 1;
-                door.end_after(latency, id, 0, &backend, Outcome::Served);
+                door.end_after(latency, id, 0, &backend, AttemptOutcome::Served);
             }
         }
         gone_on
@@ -194,7 +194,7 @@
             };
             // Seven answers of a hundred come after 0.6 of the aim.
             let latency = if dice % 100 < 7 { 600.0 } else { 100.0 };
-            door.end_after(latency, id, 0, &at, Outcome::Served);
+            door.end_after(latency, id, 0, &at, AttemptOutcome::Served);
         }
     }
     assert!(shed < 20, "{shed} of 2000 shed");
@@ -213,11 +213,11 @@
         if let Some((name, amount)) = count(&did) {
             *asked.entry(class).or_default() += 1;
             // Its answer is slow each time, so that calls stay scarce.
-            let outcome = CountOutcome::Total(amount);
+            let outcome = CounterOutcome::Total(amount);
             did.extend(door.tell(Event::Counted { name, outcome, latency: 45.0 }));
         }
         for (id, at) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
-            door.end(id, 0, &at, Outcome::Served);
+            door.end(id, 0, &at, AttemptOutcome::Served);
         }
     }
     let (cheap, dear) = (asked["safe"], asked["unsafe"]);
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -5,13 +5,13 @@
 use helper::*;
 use std::collections::BTreeMap;
 
-fn place(name: &str, state: BackendState, started: Option<Millis>, place: Place) -> BackendEntry {
+fn place(name: &str, state: BackendState, started: Option<Millis>, place: Placement) -> BackendEntry {
     BackendEntry { place, ..backend(name, state, started) }
 }
 
-fn ready(name: &str, tier: u32, role: Role, weight: f64) -> BackendEntry {
+fn ready(name: &str, tier: u32, role: BackendRole, weight: f64) -> BackendEntry {
     let (route, state) = (format!("r-{name}").as_str().into(), BackendState::Ready);
-    place(name, state, None, Place { tier, role, weight, route, ..Place::default() })
+    place(name, state, None, Placement { tier, role, weight, route, ..Placement::default() })
 }
 
 fn open_settings(gateways: u32, number: u32) -> Settings {
@@ -40,7 +40,7 @@
     /// One request; where it went, and its number.
     fn ask(&mut self, bound: &str) -> (Option<Name>, RequestId) {
         self.id += 1;
-        let did = self.door.tell(Event::Request(Arrival {
+        let did = self.door.tell(Event::Request(IncomingRequest {
             id: self.id,
             customer: "c".into(),
             plan: "plain".into(),
@@ -64,7 +64,7 @@
             match to {
                 Some(to) => {
                     *went.entry(to.to_string()).or_default() += 1;
-                    self.door.end_after(5.0, id, 0, &to, Outcome::Served);
+                    self.door.end_after(5.0, id, 0, &to, AttemptOutcome::Served);
                 }
                 None => {
                     *went.entry("-".into()).or_default() += 1;
@@ -81,10 +81,10 @@
             let (to, id) = self.ask("");
             let Some(to) = to else { break };
             let failing = &*to == name;
-            let outcome = if failing { Outcome::ConnectFailed } else { Outcome::Served };
+            let outcome = if failing { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Served };
             let mut did = self.door.end_after(1.0, id, 0, &to, outcome);
             while let Some((_, next)) = sent(&did) {
-                did = self.door.end_after(1.0, id, 1, &next, Outcome::Served);
+                did = self.door.end_after(1.0, id, 1, &next, AttemptOutcome::Served);
             }
             if failing {
                 break;
@@ -92,7 +92,7 @@
         }
     }
 
-    fn state(&mut self, name: &str, state: BackendState, started: Option<Millis>, like: &Place) {
+    fn state(&mut self, name: &str, state: BackendState, started: Option<Millis>, like: &Placement) {
         self.door.tell(Event::BackendChanges(vec![place(name, state, started, like.clone())]));
     }
 }
@@ -104,9 +104,9 @@
 #[test]
 fn a_tier_serves_while_it_has_a_usable_backend_and_the_next_only_then() {
     let list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("a2", 0, Role::Active, 1.0),
-        ready("b1", 1, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("a2", 0, BackendRole::Active, 1.0),
+        ready("b1", 1, BackendRole::Active, 1.0),
     ];
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(40, "")), ["a1", "a2"]);
@@ -123,9 +123,9 @@
 #[test]
 fn a_set_with_all_members_stopped_is_passed_over() {
     let mut list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("a2", 0, Role::Active, 1.0),
-        ready("b1", 1, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("a2", 0, BackendRole::Active, 1.0),
+        ready("b1", 1, BackendRole::Active, 1.0),
     ];
     list[0].state = BackendState::Draining;
     list[1].state = BackendState::Draining;
@@ -135,10 +135,10 @@
 #[test]
 fn a_standby_serves_once_every_primary_of_its_tier_is_down() {
     let list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("a2", 0, Role::Active, 1.0),
-        ready("h1", 0, Role::Standby, 1.0),
-        ready("b1", 1, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("a2", 0, BackendRole::Active, 1.0),
+        ready("h1", 0, BackendRole::Standby, 1.0),
+        ready("b1", 1, BackendRole::Active, 1.0),
     ];
     let mut fleet = Fleet::new(list.clone());
     fleet.fail("a1");
@@ -161,8 +161,8 @@
 fn two_spares_stand_in_for_three_failures_and_go_when_these_are_back() {
     let list: Vec<_> = ["a1", "a2", "a3", "a4"]
         .iter()
-        .map(|n| ready(n, 0, Role::Active, 1.0))
-        .chain(["s1", "s2"].iter().map(|n| ready(n, 0, Role::Spare, 1.0)))
+        .map(|n| ready(n, 0, BackendRole::Active, 1.0))
+        .chain(["s1", "s2"].iter().map(|n| ready(n, 0, BackendRole::Spare, 1.0)))
         .collect();
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(100, "")), ["a1", "a2", "a3", "a4"]);
@@ -184,8 +184,8 @@
 
 #[test]
 fn a_returning_tier_is_not_pushed_over_while_cold() {
-    let mut list: Vec<_> = (1..=4).map(|n| ready(&format!("a{n}"), 0, Role::Active, 1.0)).collect();
-    list.extend((1..=4).map(|n| ready(&format!("b{n}"), 1, Role::Active, 1.0)));
+    let mut list: Vec<_> = (1..=4).map(|n| ready(&format!("a{n}"), 0, BackendRole::Active, 1.0)).collect();
+    list.extend((1..=4).map(|n| ready(&format!("b{n}"), 1, BackendRole::Active, 1.0)));
     let mut fleet = Fleet::new(list.clone());
     let born = Some(fleet.door.now);
     for entry in &list[..4] {
@@ -203,10 +203,10 @@
 
 #[test]
 fn a_light_cold_backend_gets_no_more_than_its_weight_beside_its_warmth() {
-    let light = Place { weight: 0.1, ..Place::default() };
+    let light = Placement { weight: 0.1, ..Placement::default() };
     let list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("a2", 0, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("a2", 0, BackendRole::Active, 1.0),
         place("l", BackendState::Ready, Some(1000.0), light),
     ];
     let went = Fleet::new(list).served(4000, "");
@@ -218,9 +218,9 @@
 #[test]
 fn a_short_tier_passes_on_what_it_has_no_room_for_and_a_whole_one_keeps_it() {
     let list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("a2", 0, Role::Active, 1.0),
-        ready("b1", 1, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("a2", 0, BackendRole::Active, 1.0),
+        ready("b1", 1, BackendRole::Active, 1.0),
     ];
     let mut fleet = Fleet::new(list.clone());
     let fill = |fleet: &mut Fleet| (0..40).filter_map(|_| fleet.ask("").0).collect::<Vec<_>>();
@@ -235,9 +235,9 @@
 #[test]
 fn a_disabled_backend_serves_only_what_is_bound_to_it() {
     let list = vec![
-        ready("a1", 0, Role::Active, 1.0),
-        ready("d1", 0, Role::Bound, 1.0),
-        ready("b1", 1, Role::Active, 1.0),
+        ready("a1", 0, BackendRole::Active, 1.0),
+        ready("d1", 0, BackendRole::Bound, 1.0),
+        ready("b1", 1, BackendRole::Active, 1.0),
     ];
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(50, "")), ["a1"]);
@@ -245,7 +245,7 @@
     fleet.state("a1", BackendState::Draining, None, &list[0].place);
     assert_eq!(keys(&fleet.served(10, "")), ["b1"], "not even when its tier has nothing else");
     // Enabled again by a later list.
-    fleet.state("d1", BackendState::Ready, None, &ready("d1", 0, Role::Active, 1.0).place);
+    fleet.state("d1", BackendState::Ready, None, &ready("d1", 0, BackendRole::Active, 1.0).place);
     assert_eq!(keys(&fleet.served(10, "")), ["d1"]);
 }
 
@@ -257,10 +257,10 @@
         entry
     };
     let list = vec![
-        with("a1", Role::Active, "r-x", "east"),
-        with("a2", Role::Active, "", "east"),
-        with("a3", Role::Active, "", "west"),
-        with("x", Role::Bound, "", ""),
+        with("a1", BackendRole::Active, "r-x", "east"),
+        with("a2", BackendRole::Active, "", "east"),
+        with("a3", BackendRole::Active, "", "west"),
+        with("x", BackendRole::Bound, "", ""),
     ];
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(10, "r-a1")), ["a1"]);
@@ -281,7 +281,7 @@
 fn a_strict_binding_is_refused_rather_than_broken() {
     let mut settings = open_settings(2, 0);
     settings.routing.strict = true;
-    let list = vec![ready("a1", 0, Role::Active, 1.0), ready("a2", 0, Role::Active, 1.0)];
+    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list.clone());
     fleet.state("a1", BackendState::Draining, None, &list[0].place);
     let (to, id) = fleet.ask("r-a1");
@@ -295,7 +295,7 @@
 fn a_backend_whose_start_nobody_tells_counts_as_cold_after_it_refused_connections() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
-    let list = vec![ready("a1", 0, Role::Active, 1.0), ready("a2", 0, Role::Active, 1.0)];
+    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list);
     fleet.fail("a1");
     fleet.door.now += 1000.0;
@@ -311,7 +311,7 @@
 fn a_backend_that_was_away_for_long_is_as_cold_as_one_that_was_away_for_a_moment() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
-    let list = vec![ready("a1", 0, Role::Active, 1.0), ready("a2", 0, Role::Active, 1.0)];
+    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list);
     // Each refusal has it left alone for longer, in the end for longer than a cold backend takes to warm.
     for _ in 0..60 {
@@ -324,9 +324,12 @@
 }
 
 /// The largest difference between a backend's share and its weight's, as a part of the latter.
-fn spread_error(gateways: u32, each: usize, balance: Balance, weights: &[f64]) -> f64 {
-    let list: Vec<_> =
-        weights.iter().enumerate().map(|(at, w)| ready(&format!("n{at:02}"), 0, Role::Active, *w)).collect();
+fn spread_error(gateways: u32, each: usize, balance: LoadBalancing, weights: &[f64]) -> f64 {
+    let list: Vec<_> = weights
+        .iter()
+        .enumerate()
+        .map(|(at, w)| ready(&format!("n{at:02}"), 0, BackendRole::Active, *w))
+        .collect();
     let mut went: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..gateways {
         let mut settings = open_settings(gateways, number);
@@ -348,21 +351,21 @@
     let heavy = [1.0, 1.0, 1.0, 1.0, 30.0, 1.0, 1.0, 1.0];
     for (gateways, each, most) in [(2, 2000, 0.03), (20, 4000, 0.10), (500, 200, 0.10)] {
         for (name, weights) in [("even steps", &weights[..]), ("one heavy", &heavy[..])] {
-            for balance in [Balance::Outstanding, Balance::Requests] {
+            for balance in [LoadBalancing::Outstanding, LoadBalancing::Requests] {
                 let error = spread_error(gateways, each, balance, weights);
                 println!("{gateways} gateways, {name}, {balance:?}: {:.2}%", error * 100.0);
                 assert!(error < most, "{gateways} gateways, {name}, {balance:?}: {error}");
             }
         }
     }
-    assert!(spread_error(2, 2000, Balance::Busyness, &weights) < 0.03);
+    assert!(spread_error(2, 2000, LoadBalancing::Busyness, &weights) < 0.03);
 }
 
 #[test]
 fn busyness_counts_what_is_out_beside_the_weight() {
     let mut settings = open_settings(1, 0);
-    settings.routing.balance = Balance::Busyness;
-    let list = vec![ready("a1", 0, Role::Active, 2.0), ready("a2", 0, Role::Active, 1.0)];
+    settings.routing.balance = LoadBalancing::Busyness;
+    let list = vec![ready("a1", 0, BackendRole::Active, 2.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list);
     let mut went: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..6 {
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -99,7 +99,7 @@
 fn arrival(random: &mut Random, id: RequestId, patience: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let customer = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
-    Event::Request(Arrival {
+    Event::Request(IncomingRequest {
         id,
         customer: format!("{plan}-{customer}").as_str().into(),
         plan: plan.into(),
@@ -156,9 +156,9 @@
                 let at = random.below(checker.calls.len() as u64) as usize;
                 let name = checker.calls.remove(at);
                 let outcome = match random.below(6) {
-                    0 => CountOutcome::Unknown,
-                    1 => CountOutcome::NotAdded,
-                    _ => CountOutcome::Total(random.below(25) as f64),
+                    0 => CounterOutcome::Unknown,
+                    1 => CounterOutcome::NotAdded,
+                    _ => CounterOutcome::Total(random.below(25) as f64),
                 };
                 Event::Counted { name, outcome, latency: 5.0 }
             }
@@ -195,18 +195,23 @@
             continue;
         }
         let outcome = if overdue {
-            Outcome::TimedOut
+            AttemptOutcome::TimedOut
         } else {
-            let all =
-                [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Broken];
+            let all = [
+                AttemptOutcome::Served,
+                AttemptOutcome::Error,
+                AttemptOutcome::Full,
+                AttemptOutcome::ConnectFailed,
+                AttemptOutcome::Broken,
+            ];
             all[random.below(5) as usize]
         };
         known.out = None;
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+        let never_ran = matches!(outcome, AttemptOutcome::Full | AttemptOutcome::ConnectFailed);
         if !never_ran && known.may_have_run.is_none() {
             known.may_have_run = Some((backend.clone(), sent_at));
         }
-        let finished = outcome == Outcome::Served || known.answered;
+        let finished = outcome == AttemptOutcome::Served || known.answered;
         let (attempt, latency) = (known.attempts - 1, now - sent_at);
         let end = AttemptEnd {
             id: *id,
