--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -13,34 +13,34 @@
 fn settings(gateways: u32) -> Settings {
     let class = RequestClass {
         name: "c".into(),
-        aim: 500.0,
-        effect: Idempotency::Safe,
-        group: DeduplicationScope::All,
-        memory: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        latency_objective: 500.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
+        priority_weight: 1.0,
+        late_response_value: 0.0,
     };
     let plan = Plan {
         name: "p".into(),
         rate: 0.0,
         burst: 0.0,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.0,
+        priority_factor: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 0.0,
     };
     let (classes, plans, counter) = (vec![class], vec![plan], true);
     Settings {
-        gateways,
+        gateway_count: gateways,
         classes,
         plans,
-        counter,
+        has_counter: counter,
         counter_timeout: 50.0,
-        most_attempts: 3,
-        cold_time: 1000.0,
+        max_attempts: 3,
+        slow_start_duration: 1000.0,
         tick: 1.0,
         ..Settings::default()
     }
@@ -62,7 +62,7 @@
             cell: 0,
             state: BackendState::Ready,
             started: None,
-            place: place(n),
+            placement: place(n),
         };
         let mut actions = Vec::new();
         gateway.handle(0.0, Event::BackendList((0..NODES).map(entry).collect()), &mut actions);
@@ -80,16 +80,16 @@
             plan,
             class,
             units,
-            repeat: false,
-            patience,
-            first: 0,
-            spread: 1,
-            bound,
+            client_retry: false,
+            timeout: patience,
+            first_gateway: 0,
+            gateway_count: 1,
+            sticky_route: bound,
         };
         self.actions.clear();
-        self.gateway.handle(self.now, Event::Request(arrival), &mut self.actions);
+        self.gateway.handle(self.now, Event::RequestReceived(arrival), &mut self.actions);
         let sent = self.actions.iter().find_map(|a| match a {
-            Action::Send { backend, .. } => Some(backend.clone()),
+            Action::SendAttempt { backend, .. } => Some(backend.clone()),
             _ => None,
         });
         let Some(backend) = sent else { return };
@@ -101,8 +101,8 @@
             outcome,
             latency,
             true_units: None,
-            finished: true,
-            load: None,
+            final_response_sent: true,
+            load_report: None,
         };
         self.gateway.handle(self.now, Event::AttemptEnded(end), &mut self.actions);
         black_box(&self.actions);
@@ -116,7 +116,13 @@
         _ => BackendRole::Active,
     };
     let route = format!("r{n}").as_str().into();
-    Placement { weight: (n % 5 + 1) as f64, tier: (n / 50) as u32, role, route, ..Placement::default() }
+    Placement {
+        weight: (n % 5 + 1) as f64,
+        priority_level: (n / 50) as u32,
+        role,
+        sticky_route: route,
+        ..Placement::default()
+    }
 }
 
 fn measure(c: &mut Criterion) {
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -236,23 +236,23 @@
 }
 
 fn node(node: &doorcourse_config::Node) -> Node {
-    let place = &node.entry.place;
+    let place = &node.entry.placement;
     Node {
         name: node.entry.name.to_string(),
         address: node.address.to_string(),
         resolved: true,
         weight: place.weight,
-        tier: place.tier,
+        tier: place.priority_level,
         role: match place.role {
             doorcourse_config::BackendRole::Active => Role::Active,
             doorcourse_config::BackendRole::Standby => Role::Standby,
             doorcourse_config::BackendRole::Spare => Role::Spare,
-            doorcourse_config::BackendRole::Bound => Role::Bound,
+            doorcourse_config::BackendRole::StickyOnly => Role::Bound,
         },
         draining: node.entry.state != doorcourse_config::BackendState::Ready,
-        route: place.route.to_string(),
-        redirect: place.redirect.to_string(),
-        group: place.group.to_string(),
+        route: place.sticky_route.to_string(),
+        redirect: place.failover_route.to_string(),
+        group: place.failover_group.to_string(),
         place: doorcourse_import::Place::default(),
     }
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -23,7 +23,7 @@
     };
     fixed(
         "fleet.number",
-        old.decisions.number == new.decisions.number,
+        old.decisions.gateway_index == new.decisions.gateway_index,
         "the counter and the other gateways know it",
     );
     fixed("fleet.zone", old.decisions.zone == new.decisions.zone, "a gateway does not move");
@@ -53,7 +53,11 @@
             lines.push(format!("{what}: {old} -> {new}"));
         }
     };
-    figure("fleet.gateways", old.decisions.gateways.to_string(), new.decisions.gateways.to_string());
+    figure(
+        "fleet.gateways",
+        old.decisions.gateway_count.to_string(),
+        new.decisions.gateway_count.to_string(),
+    );
     figure("limits", format!("{:?}", old.limits), format!("{:?}", new.limits));
     figure("graphql limits", format!("{:?}", old.query_limits), format!("{:?}", new.query_limits));
     figure("life", format!("{:?}", old.life), format!("{:?}", new.life));
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -143,9 +143,9 @@
         check.fault("routing.sticky", "a cookie or a parameter is needed");
     }
     let balance = match raw.balance() {
-        routing::Balance::Outstanding => LoadBalancing::Outstanding,
-        routing::Balance::Requests => LoadBalancing::Requests,
-        routing::Balance::Busyness => LoadBalancing::Busyness,
+        routing::Balance::Outstanding => LoadBalancing::LeastInFlight,
+        routing::Balance::Requests => LoadBalancing::WeightedRoundRobin,
+        routing::Balance::Busyness => LoadBalancing::WeightedLeastInFlight,
     };
     Routing { balance, strict: sticky.strict, cookie: sticky.cookie, parameter: sticky.parameter }
 }
@@ -161,15 +161,15 @@
         node::Role::Active => BackendRole::Active,
         node::Role::Standby => BackendRole::Standby,
         node::Role::Spare => BackendRole::Spare,
-        node::Role::Bound => BackendRole::Bound,
+        node::Role::Bound => BackendRole::StickyOnly,
     };
     Placement {
         weight: check.figure(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
-        tier: check.whole(&path("tier"), raw.tier.into(), 0..=1000) as u32,
+        priority_level: check.whole(&path("tier"), raw.tier.into(), 0..=1000) as u32,
         role,
-        route: raw.route.as_str().into(),
-        redirect: raw.redirect.as_str().into(),
-        group: raw.group.as_str().into(),
+        sticky_route: raw.route.as_str().into(),
+        failover_route: raw.redirect.as_str().into(),
+        failover_group: raw.group.as_str().into(),
     }
 }
 
@@ -185,7 +185,7 @@
             node::State::Draining => BackendState::Draining,
         };
         let (zone, cell, place) = (raw.zone.as_str().into(), raw.cell, place(raw, at, check));
-        let entry = BackendEntry { name, zone, cell, state, started, place };
+        let entry = BackendEntry { name, zone, cell, state, started, placement: place };
         Node { entry, address }
     };
     raw.iter().enumerate().map(one).collect()
@@ -241,34 +241,38 @@
     let attempts = raw.attempts.unwrap_or_default();
     let most_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
     let decisions = doorcourse::Settings {
-        gateways,
-        number,
+        gateway_count: gateways,
+        gateway_index: number,
         zone: fleet.zone.clone().unwrap_or_default().into(),
         tick: 1.0,
         classes,
         plans,
-        counter: true,
+        has_counter: true,
         counter_timeout: counter.as_ref().map_or(50.0, |c| c.timeout),
-        settles: true,
-        most_units,
-        most_attempts: check.whole("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
-        longest_advice: check.figure(
+        responses_report_units: true,
+        max_request_units: most_units,
+        max_attempts: check.whole("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
+        max_retry_after: check.figure(
             "attempts.longest_advice_ms",
             attempts.longest_advice_ms.unwrap_or(10_000.0),
             0.0..=3.6e6,
         ),
-        cold_share: check.figure("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
-        cold_time: check.figure("cold_nodes.warm_ms", cold.warm_ms.unwrap_or(20_000.0), 0.0..=3.6e6),
-        fall_multiple: check.figure(
+        slow_start_share: check.figure("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
+        slow_start_duration: check.figure(
+            "cold_nodes.warm_ms",
+            cold.warm_ms.unwrap_or(20_000.0),
+            0.0..=3.6e6,
+        ),
+        overload_multiple: check.figure(
             "cold_nodes.fall_multiple",
             cold.fall_multiple.unwrap_or(2.0),
             1.0..=100.0,
         ),
-        fall_time: check.figure("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
-        price_cross_zone,
+        overload_window: check.figure("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
+        cross_zone_price: price_cross_zone,
         routing: doorcourse::Routing {
-            balance: routing.balance,
-            strict: routing.strict,
+            load_balancing: routing.balance,
+            strict_affinity: routing.strict,
             assume_restart: cold.assume_restart.unwrap_or(true),
         },
         ..doorcourse::Settings::default()
@@ -400,11 +404,11 @@
         let effect = match raw.effect() {
             class::Effect::Unstated => {
                 check.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
-                Idempotency::Unsafe
+                Idempotency::NonIdempotent
             }
-            class::Effect::Safe => Idempotency::Safe,
-            class::Effect::Keyed => Idempotency::Keyed,
-            class::Effect::Unsafe => Idempotency::Unsafe,
+            class::Effect::Safe => Idempotency::Idempotent,
+            class::Effect::Keyed => Idempotency::WithKey,
+            class::Effect::Unsafe => Idempotency::NonIdempotent,
         };
         let group = match raw.group() {
             class::Group::All => DeduplicationScope::All,
@@ -412,12 +416,20 @@
             class::Group::Cell => DeduplicationScope::Cell,
         };
         let memory = check.figure(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
-        if effect == Idempotency::Keyed && memory == 0.0 {
+        if effect == Idempotency::WithKey && memory == 0.0 {
             check.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
         }
         let worth = check.figure(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
         let late_worth = check.figure(&path("late_worth"), raw.late_worth, 0.0..=1.0);
-        classes.push(RequestClass { name, aim, effect, group, memory, worth, late_worth });
+        classes.push(RequestClass {
+            name,
+            latency_objective: aim,
+            idempotency: effect,
+            deduplication_scope: group,
+            deduplication_window: memory,
+            priority_weight: worth,
+            late_response_value: late_worth,
+        });
     }
     (classes, give_up)
 }
@@ -462,11 +474,11 @@
             burst,
             ceiling_rate,
             ceiling_burst,
-            open: check.whole(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
+            max_in_flight: check.whole(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
             ceiling_slack: check.figure(&path("ceiling_slack"), raw.ceiling_slack, 0.0..=1e9),
-            price: check.figure(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
-            over_worth: check.figure(&path("over_worth"), raw.over_worth, 0.0..=1.0),
-            over_cost: check.figure(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
+            priority_factor: check.figure(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
+            over_quota_value: check.figure(&path("over_worth"), raw.over_worth, 0.0..=1.0),
+            over_quota_cost: check.figure(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
         });
     }
     plans
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -198,7 +198,8 @@
 impl Config {
     /// Takes over the routing of a node list file, which goes before that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
-        (self.decisions.routing.balance, self.decisions.routing.strict) = (routing.balance, routing.strict);
+        (self.decisions.routing.load_balancing, self.decisions.routing.strict_affinity) =
+            (routing.balance, routing.strict);
         self.routing = routing;
     }
 
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -24,7 +24,7 @@
 #[test]
 fn good_settings_pass() {
     let config = check(GOOD).unwrap();
-    assert_eq!((config.decisions.gateways, config.decisions.number), (2, 1));
+    assert_eq!((config.decisions.gateway_count, config.decisions.gateway_index), (2, 1));
     assert_eq!(config.customer(b"key").map(|c| c.spread), Some(2));
     assert!(config.customer(b"other").is_none());
     assert_eq!(config.query_classes["search"], 0);
@@ -113,12 +113,14 @@
         "nodes { name: 'a' address: '127.0.0.1:1' weight: 2.5 tier: 3 role: SPARE route: 'r' redirect: 's'
         group: 'g' }\nrouting { balance: BUSYNESS sticky { cookie: 'SID' strict: true } }";
     let file = read_nodes("n", text).unwrap();
-    let place = &file.nodes[0].entry.place;
-    assert_eq!((place.weight, place.tier, place.role), (2.5, 3, doorcourse::BackendRole::Spare));
-    assert_eq!((&*place.route, &*place.redirect, &*place.group), ("r", "s", "g"));
+    let place = &file.nodes[0].entry.placement;
+    assert_eq!((place.weight, place.priority_level, place.role), (2.5, 3, doorcourse::BackendRole::Spare));
+    assert_eq!((&*place.sticky_route, &*place.failover_route, &*place.failover_group), ("r", "s", "g"));
     let routing = file.routing.unwrap();
     assert!(
-        routing.balance == doorcourse::LoadBalancing::Busyness && routing.strict && routing.cookie == "SID"
+        routing.balance == doorcourse::LoadBalancing::WeightedLeastInFlight
+            && routing.strict
+            && routing.cookie == "SID"
     );
     assert!(is_node_list("n", text) && !is_node_list("n", "listen: 'x'") && !is_node_list("n", ""));
     let bad = "nodes { name: 'a' address: '127.0.0.1:1' weight: 0 tier: 9999 route: 'a b' }
--- a/crates/deployment/src/load.rs
+++ b/crates/deployment/src/load.rs
@@ -15,9 +15,9 @@
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
         let value = value.ok_or_else(|| format!("load value is not a number: {pair}"))?;
         match key {
-            "outstanding" | "inflight" => report.inflight = Some(value),
-            "backlog" | "queue" => report.queue = Some(value),
-            "recent_ms" | "latency_ms" => report.service = Some(value),
+            "outstanding" | "inflight" => report.in_flight = Some(value),
+            "backlog" | "queue" => report.queued = Some(value),
+            "recent_ms" | "latency_ms" => report.service_time = Some(value),
             _ => {}
         }
     }
@@ -30,7 +30,7 @@
 
     #[test]
     fn reports_of_both_wires() {
-        let wanted = LoadReport { inflight: Some(7.0), queue: Some(2.0), service: None };
+        let wanted = LoadReport { in_flight: Some(7.0), queued: Some(2.0), service_time: None };
         assert_eq!(report("inflight=7,queue=2,util=0.61", '='), Ok(wanted));
         assert_eq!(report("outstanding:7,backlog:2,utilization:0.61", ':'), Ok(wanted));
         for bad in ["", "queue", "queue=", "queue=x", "queue=inf", "queue=1,,"] {
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -99,35 +99,35 @@
     let rules = Object::of(root, "rules")?;
     let prices = Object::of(root, "prices")?;
     let reports = match Object::of(root, "load-info")?.text("source")? {
-        "inline" => LoadReportSource::Answers,
-        "on_probe" => LoadReportSource::Probes,
+        "inline" => LoadReportSource::Responses,
+        "on_probe" => LoadReportSource::HealthChecks,
         "off" | "" => LoadReportSource::None,
         other => return Err(format!("settings: unknown load source {other}")),
     };
     let classes = top.list("classes")?;
     let settings = Settings {
-        gateways: top.count("fleet-size")?,
-        number: top.count("my-number")?,
+        gateway_count: top.count("fleet-size")?,
+        gateway_index: top.count("my-number")?,
         zone: Name::from(top.text("locality")?),
         tick: top.number("period-ms")?,
         classes: classes.iter().map(class).collect::<Result<_, _>>()?,
         plans: top.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
-        counter: extra.flag("has-counter")?,
+        has_counter: extra.flag("has-counter")?,
         counter_timeout: extra.number("count-limit-ms")?,
-        settles: extra.flag("trued-up")?,
-        most_units: extra.number("units-top")?,
-        reports,
-        probes: permissions.flag("probes")?,
-        peers: permissions.flag("peers")?,
-        cancel: permissions.flag("may-cancel")?,
-        list_on_request: top.text("discovery")? == "on_request",
-        most_attempts: permissions.count("most-tries")?,
-        longest_advice: permissions.number("max-retry-after-ms")?,
-        cold_share: rules.number("cold-from")?,
-        cold_time: rules.number("cold-ms")?,
-        fall_multiple: rules.number("overload-factor")?,
-        fall_time: rules.number("fall-ms")?,
-        price_cross_zone: prices.number("cross-zone")?,
+        responses_report_units: extra.flag("trued-up")?,
+        max_request_units: extra.number("units-top")?,
+        load_reports: reports,
+        health_checks_allowed: permissions.flag("probes")?,
+        gossip_allowed: permissions.flag("peers")?,
+        cancellation_allowed: permissions.flag("may-cancel")?,
+        watch_on_request: top.text("discovery")? == "on_request",
+        max_attempts: permissions.count("most-tries")?,
+        max_retry_after: permissions.number("max-retry-after-ms")?,
+        slow_start_share: rules.number("cold-from")?,
+        slow_start_duration: rules.number("cold-ms")?,
+        overload_multiple: rules.number("overload-factor")?,
+        overload_window: rules.number("fall-ms")?,
+        cross_zone_price: prices.number("cross-zone")?,
         routing: Routing::default(),
     };
     let host = Host {
@@ -147,22 +147,22 @@
     let class = Object(value);
     Ok(RequestClass {
         name: Name::from(class.text("name")?),
-        aim: class.number("goal-time-ms")?,
-        effect: match class.text("effect")? {
-            "idempotent" => Idempotency::Safe,
-            "deduplicated" => Idempotency::Keyed,
-            "at_most_once" => Idempotency::Unsafe,
+        latency_objective: class.number("goal-time-ms")?,
+        idempotency: match class.text("effect")? {
+            "idempotent" => Idempotency::Idempotent,
+            "deduplicated" => Idempotency::WithKey,
+            "at_most_once" => Idempotency::NonIdempotent,
             other => return Err(format!("settings: unknown effect {other}")),
         },
-        group: match class.text("dedup-scope")? {
+        deduplication_scope: match class.text("dedup-scope")? {
             "all" | "" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
             other => return Err(format!("settings: unknown dedup-scope {other}")),
         },
-        memory: class.number("window-ms")?,
-        worth: class.number("worth")?,
-        late_worth: class.number("late-value")?,
+        deduplication_window: class.number("window-ms")?,
+        priority_weight: class.number("worth")?,
+        late_response_value: class.number("late-value")?,
     })
 }
 
@@ -172,12 +172,12 @@
         name: Name::from(plan.text("name")?),
         rate: plan.number("refill")?,
         burst: plan.number("burst")?,
-        open: plan.count("parallel")?,
+        max_in_flight: plan.count("parallel")?,
         ceiling_rate: plan.number("cap-rate")?,
         ceiling_burst: plan.number("ceiling-burst")?,
         ceiling_slack: plan.number("ceiling-slack")?,
-        price: plan.number("worth-factor")?,
-        over_worth: plan.number("over-worth")?,
-        over_cost: plan.number("overrun-cost")?,
+        priority_factor: plan.number("worth-factor")?,
+        over_quota_value: plan.number("over-worth")?,
+        over_quota_cost: plan.number("overrun-cost")?,
     })
 }
--- a/crates/graceful-shutdown/src/stop.rs
+++ b/crates/graceful-shutdown/src/stop.rs
@@ -85,14 +85,14 @@
             cell: 0,
             state,
             started: None,
-            place: Placement::default(),
+            placement: Placement::default(),
         };
         let mut drains = HandDrains::default();
         let state = |d: &HandDrains, s| d.apply([entry(s)])[0].state;
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Ready);
         assert!(drains.drain(&"a".into(), true) && !drains.drain(&"a".into(), true));
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Draining);
-        assert_eq!(state(&drains, BackendState::Gone), BackendState::Gone);
+        assert_eq!(state(&drains, BackendState::Removed), BackendState::Removed);
         assert!(drains.apply([]).is_empty() && drains.has(&"a".into()));
         assert!(drains.drain(&"a".into(), false) && !drains.drain(&"a".into(), false));
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Ready);
--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -78,7 +78,7 @@
         match &mut self.side {
             Side::Own(own) => {
                 let (name, outcome) = (call.name, CounterOutcome::Total(own.add(now, call)));
-                self.end(io, Event::Counted { name, outcome, latency: 0.0 });
+                self.end(io, Event::CounterCallEnded { counter: name, outcome, latency: 0.0 });
             }
             Side::Shared { link, .. } => {
                 let mut actions = Vec::new();
@@ -147,7 +147,7 @@
                 LinkAction::Log(line) => tracing::info!(target: "doorcourse::counter", "{line}"),
                 LinkAction::End { name, ended, latency } => {
                     let outcome = ended.into();
-                    let event = Event::Counted { name, outcome, latency };
+                    let event = Event::CounterCallEnded { counter: name, outcome, latency };
                     // What is told late belongs to a call that has ended.
                     if matches!(ended, Ended::Late { .. }) {
                         io.events.push_back(event)
--- a/crates/http-gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/exchanges.rs
@@ -112,11 +112,11 @@
             plan,
             class: class.name.clone(),
             units,
-            repeat: false,
-            patience,
-            first: customer.first,
-            spread: customer.spread,
-            bound,
+            client_retry: false,
+            timeout: patience,
+            first_gateway: customer.first,
+            gateway_count: customer.spread,
+            sticky_route: bound,
         };
         let bytes = body.len() as u64;
         let request = Request {
@@ -129,7 +129,7 @@
             media,
             body,
             pass,
-            keyed: class.effect == Idempotency::Keyed,
+            keyed: class.idempotency == Idempotency::WithKey,
             units,
             scan: prepared.scan(config.answer_depth),
             node: None,
@@ -290,13 +290,13 @@
                     outcome,
                     latency: now - request.sent_at,
                     true_units,
-                    finished,
-                    load: None,
+                    final_response_sent: finished,
+                    load_report: None,
                 })));
             }
             Output::Left => {
                 self.todo.push_back(request.done(now, "CLIENT_LEFT"));
-                self.todo.push_back(Do::Tell(Event::ClientLeft { id }));
+                self.todo.push_back(Do::Tell(Event::ClientDisconnected { id }));
             }
             Output::Answer(answer) => {
                 let (media, name) = (request.media, request.name.clone());
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -82,7 +82,7 @@
     /// When the address cannot be had or the settings cannot be used.
     pub fn new(io: &Io, config: &Config, seed: u64, waits: bool) -> anyhow::Result<Option<Self>> {
         let Some(settings) = config.link.clone() else { return Ok(None) };
-        let (now, number) = (awake_or_not(), config.decisions.number);
+        let (now, number) = (awake_or_not(), config.decisions.gateway_index);
         let incarnation = seed | 1;
         let link = Link::new(now, link_settings(&settings, number, incarnation))?;
         let mut new = Self {
--- a/crates/http-gateway/src/front.rs
+++ b/crates/http-gateway/src/front.rs
@@ -333,8 +333,8 @@
 /// The stable code of a final answer of the gateway's own.
 pub(crate) fn code_of(answer: Final) -> &'static str {
     match answer {
-        Final::Refused { why: RejectReason::Quota, .. } => "QUOTA_EXCEEDED",
-        Final::Refused { why: RejectReason::Busy, .. } => "BUSY",
+        Final::Refused { why: RejectReason::QuotaExceeded, .. } => "QUOTA_EXCEEDED",
+        Final::Refused { why: RejectReason::Overloaded, .. } => "BUSY",
         Final::Failed(Failure::Time) => "DEADLINE_EXCEEDED",
         Final::Failed(Failure::Node) => "NODE_FAILED",
         Final::Failed(Failure::NoNode) => "NO_NODE",
@@ -347,8 +347,8 @@
     match answer {
         Final::Refused { retry_after, why } => {
             let (status, text) = match why {
-                RejectReason::Quota => (429, "the quota is used up; to try again is harmless"),
-                RejectReason::Busy => (503, "no node has room; to try again is harmless"),
+                RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
+                RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
             };
             let mut reply = error(media, status, code, text);
             // Whole seconds, rounded up: an earlier return would be refused again (RFC 9110 section 10.2.3).
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -144,7 +144,7 @@
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
         io.poller.add(&signal, Token::Signal.pack(), Interest::READ)?;
-        let number = config.decisions.number;
+        let number = config.decisions.gateway_index;
         let state_file = config.state.as_ref().map(|s| {
             let (path, longest_age) = (folder.join(&s.file), s.longest_age);
             (StateFile { path, longest_age, number }, s.every)
@@ -373,7 +373,7 @@
 
     fn alarm(&mut self, alarm: Alarm) {
         match alarm {
-            Alarm::Decision(token) => self.io.events.push_back(Event::Timer { token }),
+            Alarm::Decision(token) => self.io.events.push_back(Event::TimerExpired { token }),
             Alarm::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::TimeUp),
             Alarm::Window(id, attempt) => self.exchanges.window_over(self.io.now(), id, attempt),
             Alarm::Client(slot, generation) => {
@@ -430,18 +430,23 @@
     fn act(&mut self, action: Action) {
         let now = self.io.now();
         match action {
-            Action::Send { id, backend, timeout: _, window } => self.send(id, &backend, window),
-            Action::Refuse { id, retry_after, why } => {
+            Action::SendAttempt { id, backend, timeout: _, must_be_written_within: window } => {
+                self.send(id, &backend, window)
+            }
+            Action::Reject { id, retry_after, reason: why } => {
                 self.exchanges.tell(now, id, Tell::Refused { retry_after, why });
             }
             Action::Fail { id } => self.exchanges.tell(now, id, Tell::Failed),
             Action::SetTimer { after, token } => self.io.timers.set(now + after, Alarm::Decision(token)),
-            Action::Count { name, amount, keep } => {
+            Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
                 self.counter.call(&mut self.io, Call { name, amount, keep });
             }
             Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
             // The settings allow none of these: no peers, no probes, no calling off, a list that is pushed.
-            Action::CallOff { .. } | Action::Probe { .. } | Action::Tell { .. } | Action::WatchBackends => {}
+            Action::CancelAttempt { .. }
+            | Action::CheckHealth { .. }
+            | Action::Gossip { .. }
+            | Action::WatchBackends => {}
         }
     }
 
@@ -517,8 +522,8 @@
                         let (arrival, bytes) = self.exchanges.begin(io.now(), config, slot, &self.name, ask);
                         self.clients.accounts.add(bytes);
                         self.clients.answering(slot, arrival.id);
-                        io.timers.set(io.clock.now() + arrival.patience, Alarm::TimeUp(arrival.id));
-                        io.events.push_back(Event::Request(arrival));
+                        io.timers.set(io.clock.now() + arrival.timeout, Alarm::TimeUp(arrival.id));
+                        io.events.push_back(Event::RequestReceived(arrival));
                     }
                     Err(reply) => {
                         self.clients.reply(io, config, slot, &reply, None);
@@ -566,7 +571,7 @@
                         admin.drop_peer(peer);
                     }
                 }
-                Output::Leave => self.io.events.push_back(Event::Leaving),
+                Output::Leave => self.io.events.push_back(Event::ShutdownStarted),
                 Output::AnswerAll => self.answer_all(),
                 Output::End => self.ended = true,
                 Output::Changed(state) => tracing::info!(
@@ -582,7 +587,7 @@
     /// Ends what is left by the rules: an attempt that is out ends by its time, and the decisions give the final answer.
     fn answer_all(&mut self) {
         self.clients.close_listeners();
-        let mut rounds = LastRounds::new(self.config.decisions.most_attempts);
+        let mut rounds = LastRounds::new(self.config.decisions.max_attempts);
         loop {
             match rounds.next(self.exchanges.open()) {
                 Round::TimeUp(open) => {
@@ -604,7 +609,7 @@
         if let Some(routing) = self.list.as_ref().and_then(|l| l.routing.clone()) {
             config.set_routing(routing);
         }
-        self.io.events.push_back(Event::Settings(Box::new(config.decisions.clone())));
+        self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
         self.life.change(times(&config));
         if let (Some(list), Some((_, poll))) = (&mut self.list, &config.node_list) {
             list.poll = *poll;
@@ -633,7 +638,7 @@
         match file.read(now) {
             Ok(Some(nodes)) => {
                 tracing::info!(nodes = nodes.len(), "state file taken");
-                self.io.events.push_back(Event::Remembered(nodes));
+                self.io.events.push_back(Event::StateRestored(nodes));
             }
             Ok(None) => {}
             Err(why) => tracing::warn!(file = %file.path.display(), why, "state file left aside"),
@@ -668,7 +673,7 @@
         if let Some(routing) = file.routing.filter(|r| *r != self.config.routing) {
             let mut config = Config::clone(&self.config);
             config.set_routing(routing);
-            self.io.events.push_back(Event::Settings(Box::new(config.decisions.clone())));
+            self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
             self.config = Arc::new(config);
         }
         self.take_list(&file.nodes);
@@ -713,7 +718,7 @@
             let one = |b: doorcourse::BackendStatus| doorcourse_outlier_gossip::Seen {
                 node: b.name.to_string(),
                 started: b.started.unwrap_or_default() as u64,
-                failures: b.failures,
+                failures: b.consecutive_failures,
                 ready: b.ready,
             };
             fleet.view(&mut self.io, self.decision.backends().map(one).collect(), &self.listed);
@@ -722,11 +727,16 @@
         while let Some(word) = fleet.hints.pop_front() {
             let Some(view) = self.decision.backends().find(|b| *b.name == *word.node) else { continue };
             let keep = self.config.leases.as_ref().and_then(|l| l.suspects).map_or(0, |s| s.keep);
-            let (failures, left) = doorcourse_outlier_gossip::remembered(&word, keep, view.failures);
-            views.push(doorcourse::BackendStatus { failures, eject_until: now + left as f64, ..view });
+            let (failures, left) =
+                doorcourse_outlier_gossip::remembered(&word, keep, view.consecutive_failures);
+            views.push(doorcourse::BackendStatus {
+                consecutive_failures: failures,
+                ejected_until: now + left as f64,
+                ..view
+            });
         }
         if !views.is_empty() {
-            self.io.events.push_back(Event::Remembered(views));
+            self.io.events.push_back(Event::StateRestored(views));
             self.pump();
         }
     }
@@ -794,10 +804,10 @@
         let time = self.io.now();
         let mut leases = std::collections::BTreeMap::<String, f64>::new();
         for customer in self.decision.customers() {
-            *leases.entry(customer.plan.to_string()).or_default() += customer.lease;
+            *leases.entry(customer.plan.to_string()).or_default() += customer.leased_units;
         }
         let node = |b: doorcourse::BackendStatus| {
-            (b.name.to_string(), b.room, b.out, b.ready && b.eject_until <= time)
+            (b.name.to_string(), b.concurrency_limit, b.in_flight, b.ready && b.ejected_until <= time)
         };
         Now {
             ready: self.life.wants_clients(),
@@ -816,8 +826,8 @@
             "state": self.life.state().name(),
             "ready": self.life.wants_clients(),
             "name": self.name,
-            "number": self.config.decisions.number,
-            "gateways": self.config.decisions.gateways,
+            "number": self.config.decisions.gateway_index,
+            "gateways": self.config.decisions.gateway_count,
             "listeners": self.addresses().unwrap_or_default().iter().map(ToString::to_string).collect::<Vec<_>>(),
             "requests": self.exchanges.count(),
             "clients": self.clients.count(),
@@ -831,8 +841,8 @@
     fn node_views(&self) -> Value {
         let now = self.io.now();
         let one = |b: doorcourse::BackendStatus| {
-            json!({"name": &*b.name, "ready": b.ready, "drained_here": self.drained.has(&b.name), "out": b.out,
-                "room": b.room, "failures": b.failures, "ejected_for_ms": (b.eject_until - now).max(0.0),
+            json!({"name": &*b.name, "ready": b.ready, "drained_here": self.drained.has(&b.name), "out": b.in_flight,
+                "room": b.concurrency_limit, "failures": b.consecutive_failures, "ejected_for_ms": (b.ejected_until - now).max(0.0),
                 "started_ms": b.started})
         };
         self.decision.backends().map(one).collect()
@@ -840,8 +850,8 @@
 
     fn customer_views(&self) -> Value {
         let one = |c: doorcourse::CustomerStatus| {
-            json!({"name": &*c.name, "plan": &*c.plan, "lease": c.lease, "store": c.store, "owed": c.owed,
-                "waiting": c.waiting, "open": c.open})
+            json!({"name": &*c.name, "plan": &*c.plan, "lease": c.leased_units, "store": c.available_units, "owed": c.unreported_units,
+                "waiting": c.waiting, "open": c.in_flight})
         };
         self.decision.customers().map(one).collect()
     }
--- a/crates/http-gateway/src/state.rs
+++ b/crates/http-gateway/src/state.rs
@@ -36,7 +36,7 @@
     /// Writes what is known now.
     pub fn write(&self, now: f64, nodes: impl Iterator<Item = BackendStatus>) -> std::io::Result<()> {
         let node = |b: BackendStatus| {
-            json!({"name": &*b.name, "room": b.room, "failures": b.failures, "eject_until": b.eject_until,
+            json!({"name": &*b.name, "room": b.concurrency_limit, "failures": b.consecutive_failures, "eject_until": b.ejected_until,
                 "started": b.started})
         };
         let body = json!({"nodes": nodes.map(node).collect::<Vec<_>>()}).to_string();
@@ -86,11 +86,11 @@
             Some(BackendStatus {
                 name: Name::from(v["name"].as_str()?),
                 ready: true,
-                out: 0,
-                room: v["room"].as_f64()?,
+                in_flight: 0,
+                concurrency_limit: v["room"].as_f64()?,
                 started: v["started"].as_f64(),
-                failures: u32::try_from(v["failures"].as_u64()?).ok()?,
-                eject_until: v["eject_until"].as_f64()?,
+                consecutive_failures: u32::try_from(v["failures"].as_u64()?).ok()?,
+                ejected_until: v["eject_until"].as_f64()?,
             })
         };
         let nodes = body["nodes"].as_array().ok_or("it holds no nodes")?;
@@ -109,7 +109,15 @@
 
     fn view(name: &str) -> BackendStatus {
         let (name, started) = (Name::from(name), Some(5.0));
-        BackendStatus { name, ready: true, out: 0, room: 2.5, started, failures: 3, eject_until: 99.0 }
+        BackendStatus {
+            name,
+            ready: true,
+            in_flight: 0,
+            concurrency_limit: 2.5,
+            started,
+            consecutive_failures: 3,
+            ejected_until: 99.0,
+        }
     }
 
     fn file(name: &str) -> StateFile {
@@ -180,7 +188,13 @@
         let nodes = file.read(6000.0).expect("usable").expect("there");
         let first = BackendStatus { name: "node-1".into(), ..view("node-1") };
         let (room, failures, eject_until, started) = (1.75, 0, 0.0, None);
-        let second = BackendStatus { room, failures, eject_until, started, ..view("node-2") };
+        let second = BackendStatus {
+            concurrency_limit: room,
+            consecutive_failures: failures,
+            ejected_until: eject_until,
+            started,
+            ..view("node-2")
+        };
         assert_eq!(nodes, [first, second]);
         file.write(5000.5, nodes.into_iter()).expect("written");
         assert_eq!(std::fs::read_to_string(&file.path).expect("read"), recorded);
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -155,10 +155,10 @@
         let read = doorcourse_config::read_nodes("list", &carried.print()).expect("a list that is taken");
         prop_assert_eq!(read.nodes.len(), carried.nodes.len());
         for (read, carried) in read.nodes.iter().zip(&carried.nodes) {
-            let place = &read.entry.place;
+            let place = &read.entry.placement;
             prop_assert_eq!(&*read.entry.name, carried.name.as_str());
             prop_assert_eq!(read.address.to_string(), carried.address.clone());
-            prop_assert_eq!((place.weight, place.tier, &*place.route), (carried.weight, carried.tier, &*carried.route));
+            prop_assert_eq!((place.weight, place.priority_level, &*place.sticky_route), (carried.weight, carried.tier, &*carried.route));
             prop_assert_eq!(format!("{:?}", place.role).to_uppercase(), carried.role.name());
             prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, carried.draining);
         }
--- a/crates/request-lifecycle/src/admission.rs
+++ b/crates/request-lifecycle/src/admission.rs
@@ -17,18 +17,20 @@
 #[must_use]
 pub fn class_of(classes: &[RequestClass], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
     let strictness = |effect: Idempotency| match effect {
-        Idempotency::Safe => 0,
-        Idempotency::Keyed => 1,
-        Idempotency::Unsafe => 2,
+        Idempotency::Idempotent => 0,
+        Idempotency::WithKey => 1,
+        Idempotency::NonIdempotent => 2,
     };
     let known = fields.into_iter().filter_map(|at| Some((at, classes.get(at)?)));
     let order = |(_, a): &(usize, &RequestClass), (_, b): &(usize, &RequestClass)| {
-        strictness(a.effect).cmp(&strictness(b.effect)).then(b.aim.total_cmp(&a.aim))
+        strictness(a.idempotency)
+            .cmp(&strictness(b.idempotency))
+            .then(b.latency_objective.total_cmp(&a.latency_objective))
     };
     let of_fields = known.max_by(order).map(|(at, _)| at);
     of_fields.or_else(|| {
-        let safe = classes.iter().enumerate().filter(|(_, c)| c.effect == Idempotency::Safe);
-        safe.max_by(|a, b| a.1.aim.total_cmp(&b.1.aim)).map(|(at, _)| at)
+        let safe = classes.iter().enumerate().filter(|(_, c)| c.idempotency == Idempotency::Idempotent);
+        safe.max_by(|a, b| a.1.latency_objective.total_cmp(&b.1.latency_objective)).map(|(at, _)| at)
     })
 }
 
@@ -79,17 +81,25 @@
 
     fn class(effect: Idempotency, aim: Millis) -> RequestClass {
         let (name, group) = ("c".into(), DeduplicationScope::All);
-        RequestClass { name, aim, effect, group, memory: 0.0, worth: 1.0, late_worth: 0.0 }
+        RequestClass {
+            name,
+            latency_objective: aim,
+            idempotency: effect,
+            deduplication_scope: group,
+            deduplication_window: 0.0,
+            priority_weight: 1.0,
+            late_response_value: 0.0,
+        }
     }
 
     #[test]
     fn the_strictest_effect_and_of_equals_the_most_urgent() {
         let classes = [
-            class(Idempotency::Safe, 100.0),
-            class(Idempotency::Keyed, 900.0),
-            class(Idempotency::Unsafe, 500.0),
-            class(Idempotency::Unsafe, 300.0),
-            class(Idempotency::Safe, 2000.0),
+            class(Idempotency::Idempotent, 100.0),
+            class(Idempotency::WithKey, 900.0),
+            class(Idempotency::NonIdempotent, 500.0),
+            class(Idempotency::NonIdempotent, 300.0),
+            class(Idempotency::Idempotent, 2000.0),
         ];
         assert_eq!(class_of(&classes, [0, 1]), Some(1));
         assert_eq!(class_of(&classes, [0, 2, 1, 3]), Some(3));
@@ -103,13 +113,13 @@
             name: "p".into(),
             rate,
             burst,
-            open: 0,
+            max_in_flight: 0,
             ceiling_rate: if ceiling > 0.0 { rate * 2.0 } else { 0.0 },
             ceiling_burst: ceiling,
             ceiling_slack: 1.0,
-            price: 1.0,
-            over_worth: 0.0,
-            over_cost: 1.0,
+            priority_factor: 1.0,
+            over_quota_value: 0.0,
+            over_quota_cost: 1.0,
         }
     }
 
--- a/crates/request-lifecycle/src/exchange.rs
+++ b/crates/request-lifecycle/src/exchange.rs
@@ -215,7 +215,7 @@
             Input::End { whole, units } => {
                 let outcome = match self.attempt.map(|a| a.status) {
                     // Turned away unseen: RFC 6585 section 4, before any work. 503 says less: it may come after work.
-                    Some(429) => AttemptOutcome::Full,
+                    Some(429) => AttemptOutcome::Rejected,
                     Some(status) if Self::is_answer(status) && whole => AttemptOutcome::Served,
                     _ => AttemptOutcome::Error,
                 };
@@ -229,7 +229,7 @@
                 let outcome = match reply {
                     Reply::Value => AttemptOutcome::Served,
                     Reply::Failed => AttemptOutcome::Error,
-                    Reply::TurnedAway => AttemptOutcome::Full,
+                    Reply::TurnedAway => AttemptOutcome::Rejected,
                 };
                 self.end(outcome, units, out);
             }
@@ -250,7 +250,7 @@
                     out.push(Output::Abandon);
                     let sent = matches!(attempt.wire, Wire::Sent | Wire::Answering);
                     self.break_off(
-                        if sent { AttemptOutcome::CalledOff } else { AttemptOutcome::NeverSent },
+                        if sent { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverSent },
                         out,
                     );
                 }
@@ -263,7 +263,7 @@
                     // What was never sent is refused while there is time: without an attempt its time was over.
                     None | Some(AttemptOutcome::TimedOut) => Failure::Time,
                     Some(
-                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Full,
+                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Rejected,
                     ) => Failure::NoNode,
                     Some(_) => Failure::Node,
                 };
@@ -365,7 +365,7 @@
         let outcome = match attempt.wire {
             Wire::Connecting => AttemptOutcome::ConnectFailed,
             Wire::Unsent => AttemptOutcome::NeverSent,
-            Wire::Sent | Wire::Answering => AttemptOutcome::Broken,
+            Wire::Sent | Wire::Answering => AttemptOutcome::ConnectionLost,
         };
         self.break_off(outcome, out);
     }
--- a/crates/request-lifecycle/tests/lives.rs
+++ b/crates/request-lifecycle/tests/lives.rs
@@ -31,7 +31,10 @@
         [Output::Pass, Output::PassEnd, ended(AttemptOutcome::Served, Some(2.0), true), Output::Over]
     );
     // A node that breaks midway can still be made good: the client has seen nothing.
-    assert_eq!(after(&[OK, data, Input::Lost]), [Output::Forget, ended(AttemptOutcome::Broken, None, false)]);
+    assert_eq!(
+        after(&[OK, data, Input::Lost]),
+        [Output::Forget, ended(AttemptOutcome::ConnectionLost, None, false)]
+    );
     let bad = after(&[OK, data, Input::End { whole: false, units: 2.0 }]);
     assert_eq!(bad, [Output::Forget, ended(AttemptOutcome::Error, None, false)]);
 }
@@ -39,7 +42,8 @@
 #[test]
 fn a_large_answer_can_only_be_finished_or_cut() {
     let data = Input::Data { bytes: 101 };
-    for (last, outcome) in [(Input::Lost, AttemptOutcome::Broken), (Input::TimeUp, AttemptOutcome::TimedOut)]
+    for (last, outcome) in
+        [(Input::Lost, AttemptOutcome::ConnectionLost), (Input::TimeUp, AttemptOutcome::TimedOut)]
     {
         let out = after(&[OK, data, last]);
         assert_eq!(out[0], Output::Pass);
@@ -53,7 +57,7 @@
     let lost = |inputs: &[Input]| run(&[inputs, &[Input::Lost]].concat()).1[1];
     assert_eq!(lost(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
     assert_eq!(lost(&SENT[..2]), ended(AttemptOutcome::NeverSent, None, false));
-    assert_eq!(lost(&SENT), ended(AttemptOutcome::Broken, None, false));
+    assert_eq!(lost(&SENT), ended(AttemptOutcome::ConnectionLost, None, false));
     let time = |inputs: &[Input]| run(&[inputs, &[Input::TimeUp]].concat()).1[2];
     assert_eq!(time(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
     assert_eq!(time(&SENT), ended(AttemptOutcome::TimedOut, None, false));
@@ -69,7 +73,7 @@
 #[test]
 fn statuses_of_a_node() {
     for (status, outcome) in [
-        (429, AttemptOutcome::Full),
+        (429, AttemptOutcome::Rejected),
         (503, AttemptOutcome::Error),
         (500, AttemptOutcome::Error),
         (404, AttemptOutcome::Error),
@@ -142,7 +146,7 @@
                 7 => Input::Lost,
                 8 => Input::TimeUp,
                 9 => Input::ClientGone,
-                10 if open => Input::Refused { retry_after: 1.0, why: RejectReason::Quota },
+                10 if open => Input::Refused { retry_after: 1.0, why: RejectReason::QuotaExceeded },
                 11 if open => Input::Failed,
                 _ => Input::Broken,
             };
--- a/crates/resp-gateway/src/ask.rs
+++ b/crates/resp-gateway/src/ask.rs
@@ -142,23 +142,24 @@
     let fields = Fields::read(list)?;
     let settings = &site.settings;
     let class = settings.classes.iter().position(|c| Some(&*c.name) == fields.class).ok_or(Wrong::Class)?;
-    let effect = settings.classes[class].effect;
-    if (effect == Idempotency::Safe) != safe {
+    let effect = settings.classes[class].idempotency;
+    if (effect == Idempotency::Idempotent) != safe {
         return Err(Wrong::Class);
     }
     let plan = settings.plans.iter().position(|p| Some(&*p.name) == fields.plan).ok_or(Wrong::Plan)?;
-    let most = if settings.most_units > 0.0 { settings.most_units } else { f64::MAX };
+    let most = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
     let units = fields.units.and_then(decimal).filter(|u| *u > 0.0 && *u <= most).ok_or(Wrong::Units)?;
     let whole =
         |text: Option<&str>| text.filter(|t| t.len() < 10).and_then(|t| digits(t).then(|| t.parse().ok())?);
-    let spread = whole(fields.spread).filter(|s| (1..=settings.gateways).contains(s)).ok_or(Wrong::Set)?;
-    let first = whole(fields.first).filter(|f| *f < settings.gateways).ok_or(Wrong::Set)?;
+    let spread =
+        whole(fields.spread).filter(|s| (1..=settings.gateway_count).contains(s)).ok_or(Wrong::Set)?;
+    let first = whole(fields.first).filter(|f| *f < settings.gateway_count).ok_or(Wrong::Set)?;
     let deadline = fields.deadline.and_then(decimal).filter(|d| *d > 0.0).ok_or(Wrong::Deadline)?;
     let key_is_good = match fields.key {
-        None => effect != Idempotency::Keyed,
+        None => effect != Idempotency::WithKey,
         Some(key) => {
             let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-            effect == Idempotency::Keyed && !key.is_empty() && key.len() <= KEY && key.bytes().all(plain)
+            effect == Idempotency::WithKey && !key.is_empty() && key.len() <= KEY && key.bytes().all(plain)
         }
     };
     if !key_is_good {
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -125,7 +125,7 @@
         for member in &list.members {
             let entry = &member.entry;
             let ready = entry.state == BackendState::Ready;
-            let listed = entry.state != BackendState::Gone;
+            let listed = entry.state != BackendState::Removed;
             match (self.peers.get_mut(&entry.name), member.dial) {
                 (Some(peer), dial) => {
                     let moved = dial.is_some_and(|d| d != peer.address) || peer.started != entry.started;
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -80,7 +80,7 @@
             Some(known) => Some(Members::from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
         };
         let site = doorcourse_deployment::read(root.get("settings").ok_or("settings: missing")?)?;
-        let counter = if site.settings.counter { Some(address("counter")?) } else { None };
+        let counter = if site.settings.has_counter { Some(address("counter")?) } else { None };
         Ok(Self {
             name: text("name")?.to_owned(),
             listen: address("listen")?,
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -82,7 +82,7 @@
         let ready = self.sides.iter().filter(|(_, side)| side.link.is_ready());
         let Some((at, _)) = ready.min_by_key(|(_, side)| order(side)) else {
             let (name, outcome) = (call.name, CounterOutcome::NotAdded);
-            return events.push(Event::Counted { name, outcome, latency: 0.0 });
+            return events.push(Event::CounterCallEnded { counter: name, outcome, latency: 0.0 });
         };
         let (side, mut actions) = (&mut self.sides[at], Vec::new());
         side.link.call(io.now, call, &mut actions);
@@ -152,7 +152,7 @@
                 LinkAction::Log(line) => tracing::info!(target: "doorcourse::counter", "{line}"),
                 LinkAction::End { name, ended, latency } => {
                     let outcome = ended.into();
-                    events.push(Event::Counted { name, outcome, latency });
+                    events.push(Event::CounterCallEnded { counter: name, outcome, latency });
                 }
             }
         }
--- a/crates/resp-gateway/src/exchanges.rs
+++ b/crates/resp-gateway/src/exchanges.rs
@@ -81,7 +81,9 @@
             tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "no time is left");
             return Begun::NoTime;
         };
-        let Take::On(patience) = leave.take(now, patience, site.settings.classes[ask.class].aim) else {
+        let Take::On(patience) =
+            leave.take(now, patience, site.settings.classes[ask.class].latency_objective)
+        else {
             tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "refused: leaving");
             return Begun::Leaving;
         };
@@ -94,11 +96,11 @@
             plan: site.settings.plans[ask.plan].name.clone(),
             class: site.settings.classes[ask.class].name.clone(),
             units: ask.units,
-            repeat: ask.repeat,
-            patience,
-            first: ask.first,
-            spread: ask.spread,
-            bound: Name::default(),
+            client_retry: ask.repeat,
+            timeout: patience,
+            first_gateway: ask.first,
+            gateway_count: ask.spread,
+            sticky_route: Name::default(),
         };
         let (until, passed) = (now + patience, Arc::new(ask.passed));
         let exchange = Exchange::new(usize::MAX);
@@ -108,7 +110,7 @@
             Open { exchange, id: ask.id, place, passed, began, until, backend, sent: now, value, load: None };
         self.ids.insert(ask.id, id);
         self.open.insert(id, open);
-        Begun::Taken { id, until, event: Event::Request(arrival) }
+        Begun::Taken { id, until, event: Event::RequestReceived(arrival) }
     }
 
     /// The decisions send a request to a backend; `None` for one that is over.
@@ -173,11 +175,11 @@
                         outcome,
                         latency,
                         true_units,
-                        finished,
-                        load,
+                        final_response_sent: finished,
+                        load_report: load,
                     })));
                 }
-                Output::Left => out.push(Do::Tell(Event::ClientLeft { id })),
+                Output::Left => out.push(Do::Tell(Event::ClientDisconnected { id })),
                 Output::Answer(answer) => out.push(Do::Give(open.place, given(answer, advice))),
                 Output::Pass => out.push(Do::Give(open.place, Given::Value(std::mem::take(&mut open.value)))),
                 Output::Forget => open.value = Vec::new(),
--- a/crates/resp-gateway/src/members.rs
+++ b/crates/resp-gateway/src/members.rs
@@ -87,17 +87,18 @@
     let state = match host.health.as_str() {
         "active" => BackendState::Ready,
         "leaving" => BackendState::Draining,
-        "left" => BackendState::Gone,
+        "left" => BackendState::Removed,
         other => return Err(format!("hosts: {}: unknown health {other:?}", host.host)),
     };
     let dial = match host.dial.parse() {
         Ok(dial) => Some(dial),
-        Err(_) if state == BackendState::Gone => None,
+        Err(_) if state == BackendState::Removed => None,
         Err(_) => return Err(format!("hosts: {}: dial is no address: {:?}", host.host, host.dial)),
     };
     let started = Some(host.born_ms).filter(|at| at.is_finite() && *at > 0.0);
     let (name, zone) = (Name::from(host.host), Name::from(host.site));
-    let entry = BackendEntry { name, zone, cell: host.block, state, started, place: Placement::default() };
+    let entry =
+        BackendEntry { name, zone, cell: host.block, state, started, placement: Placement::default() };
     Ok(Member { entry, dial })
 }
 
--- a/crates/resp-gateway/src/run.rs
+++ b/crates/resp-gateway/src/run.rs
@@ -285,7 +285,7 @@
         self.settle();
         while let Some(alarm) = self.io.timers.due(self.io.now) {
             match alarm {
-                Alarm::Decision(token) => self.events.push_back(Event::Timer { token }),
+                Alarm::Decision(token) => self.events.push_back(Event::TimerExpired { token }),
                 Alarm::TimeUp(id) => self.input(id, Input::TimeUp),
                 Alarm::Probe(id) => {
                     self.backends.abandon(id);
@@ -343,7 +343,7 @@
     /// Answers all that is open, by the rules: attempts that are out end by their time, and the decisions give the final
     /// answer. What they send anew goes no further than a buffer, since nothing is written before the last round.
     fn answer_all(&mut self) {
-        let mut rounds = LastRounds::new(self.site.settings.most_attempts);
+        let mut rounds = LastRounds::new(self.site.settings.max_attempts);
         loop {
             let (open, input) = match rounds.next(self.exchanges.waiting()) {
                 Round::TimeUp(open) => (open, Input::TimeUp),
@@ -364,7 +364,7 @@
         let (outcome, load) = match heard {
             Heard::Connected | Heard::Written => return,
             Heard::Answered { reply: Reply::Value, load, .. } => (AttemptOutcome::Served, load),
-            Heard::Answered { reply: Reply::TurnedAway, load, .. } => (AttemptOutcome::Full, load),
+            Heard::Answered { reply: Reply::TurnedAway, load, .. } => (AttemptOutcome::Rejected, load),
             Heard::Answered { reply: Reply::Failed, load, .. } => (AttemptOutcome::Error, load),
             Heard::Broken => (AttemptOutcome::Error, None),
             Heard::Lost => (AttemptOutcome::ConnectFailed, None),
@@ -379,7 +379,7 @@
     fn probed(&mut self, id: RequestId, outcome: AttemptOutcome, load: Option<LoadReport>) {
         let Some((backend, since)) = self.probes.remove(&id) else { return };
         let latency = self.io.now - since;
-        self.events.push_back(Event::ProbeEnded { backend, outcome, latency, load });
+        self.events.push_back(Event::HealthCheckEnded { backend, outcome, latency, load_report: load });
     }
 
     fn input(&mut self, id: RequestId, input: Input) {
@@ -428,7 +428,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, window } => {
+            Action::SendAttempt { id, backend, timeout, must_be_written_within: window } => {
                 let Some(out) = self.exchanges.send(self.io.now, id, &backend) else { return };
                 if let Some(timeout) = timeout {
                     self.io.timers.set(self.io.now + timeout, Alarm::TimeUp(id));
@@ -443,23 +443,25 @@
                     self.io.timers.set(self.io.now + window, Alarm::Window(id, out.attempt));
                 }
             }
-            Action::Refuse { id, retry_after, why } => self.input(id, Input::Refused { retry_after, why }),
+            Action::Reject { id, retry_after, reason: why } => {
+                self.input(id, Input::Refused { retry_after, why })
+            }
             Action::Fail { id } => self.input(id, Input::Failed),
-            Action::CallOff { id, .. } => self.input(id, Input::CalledOff),
+            Action::CancelAttempt { id, .. } => self.input(id, Input::CalledOff),
             Action::SetTimer { after, token } => {
                 self.io.timers.set(self.io.now + after, Alarm::Decision(token));
             }
-            Action::Probe { backend } => {
+            Action::CheckHealth { backend } => {
                 let id = self.backends.probe(&mut self.io, &backend, &mut self.said);
                 self.probes.insert(id, (backend, self.io.now));
                 let wait = self.site.host.dial_timeout.max(self.site.settings.tick);
                 self.io.timers.set(self.io.now + wait, Alarm::Probe(id));
             }
-            Action::Count { name, amount, keep } => {
+            Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
                 self.counter.call(&mut self.io, Call { name, amount, keep }, &mut self.counted);
             }
             // Gateways have no way to each other here, and the watch is always on.
-            Action::Tell { .. } | Action::WatchBackends => {}
+            Action::Gossip { .. } | Action::WatchBackends => {}
             Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
         }
     }
@@ -504,7 +506,7 @@
                     let longest = self.site.host.patience.iter().copied().fold(0.0, f64::max);
                     if self.leave.tell(self.io.now, longest) {
                         tracing::info!(open = self.exchanges.len(), "leaving");
-                        self.events.push_back(Event::Leaving);
+                        self.events.push_back(Event::ShutdownStarted);
                     }
                 }
                 RELOAD => self.reload(),
@@ -529,7 +531,7 @@
         self.counter.move_to(&self.io, counter, site.settings.counter_timeout);
         self.backends.configure(site.host.dial_timeout, site.host.keepalive);
         if site.settings != self.site.settings {
-            self.events.push_back(Event::Settings(Box::new(site.settings.clone())));
+            self.events.push_back(Event::SettingsChanged(Box::new(site.settings.clone())));
         }
         self.site = site;
     }
--- a/crates/resp-gateway/src/watch.rs
+++ b/crates/resp-gateway/src/watch.rs
@@ -59,12 +59,12 @@
         }
         let end = match event {
             Event::AttemptEnded(end) => end,
-            Event::Request(a) => {
+            Event::RequestReceived(a) => {
                 self.asked.insert(a.id, (a.customer.clone(), a.plan.clone(), now));
                 return;
             }
-            Event::ClientLeft { id } => return drop(self.asked.remove(id)),
-            Event::Counted { outcome, latency, .. } => {
+            Event::ClientDisconnected { id } => return drop(self.asked.remove(id)),
+            Event::CounterCallEnded { outcome, latency, .. } => {
                 match outcome {
                     CounterOutcome::Total(_) => {
                         self.calls.totals += 1;
@@ -78,7 +78,7 @@
             }
             _ => return,
         };
-        if end.finished {
+        if end.final_response_sent {
             self.asked.remove(&end.id);
         }
         let tally = self.seen.entry(end.backend.clone()).or_default();
@@ -88,7 +88,7 @@
                 tally.sum += end.latency;
                 tally.late = tally.late.max(end.latency);
             }
-            AttemptOutcome::Full => tally.full += 1,
+            AttemptOutcome::Rejected => tally.full += 1,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => tally.never += 1,
             _ => tally.failed += 1,
         }
@@ -100,7 +100,7 @@
             return;
         }
         match action {
-            Action::Refuse { id, why, .. } => {
+            Action::Reject { id, reason: why, .. } => {
                 let Some((customer, plan, since)) = self.asked.remove(id) else { return };
                 *self.refused.entry((format!("{why:?}"), plan.clone())).or_default() += 1;
                 if self.each {
@@ -109,7 +109,7 @@
                     tracing::trace!(target: "doorcourse::watch", ?why, held, ?view, "refused");
                 }
             }
-            Action::Send { id, .. } if self.each => {
+            Action::SendAttempt { id, .. } if self.each => {
                 let first = self.asked.get_mut(id).filter(|a| a.2 >= 0.0);
                 if let Some((customer, plan, since)) = first {
                     tracing::trace!(target: "doorcourse::watch", %customer, %plan, held = now - *since, "sent on");
@@ -157,21 +157,21 @@
         for view in gateway.backends() {
             let (on, none) = (backends.seen(&view.name), Tally::default());
             let tally = seen.get(&view.name).unwrap_or(&none);
-            if !view.ready && on.busy + on.idle + on.waiting == 0 && view.out == 0 {
+            if !view.ready && on.busy + on.idle + on.waiting == 0 && view.in_flight == 0 {
                 continue;
             }
             tracing::debug!(
                 target: "doorcourse::watch",
                 backend = &*view.name,
                 ready = view.ready,
-                believed_out = view.out,
+                believed_out = view.in_flight,
                 busy = on.busy,
                 waiting = on.waiting,
                 dialing = on.dialing,
                 idle = on.idle,
-                room = (view.room * 10.0).round() / 10.0,
-                failures = view.failures,
-                ejected_for = (view.eject_until - io.now).max(0.0).round(),
+                room = (view.concurrency_limit * 10.0).round() / 10.0,
+                failures = view.consecutive_failures,
+                ejected_for = (view.ejected_until - io.now).max(0.0).round(),
                 served = tally.served,
                 mean = (tally.sum / f64::from(tally.served.max(1))).round(),
                 longest = tally.late.round(),
--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -13,37 +13,37 @@
 fn settings() -> Settings {
     let class = RequestClass {
         name: "read".into(),
-        aim: 500.0,
-        effect: Idempotency::Safe,
-        group: DeduplicationScope::All,
-        memory: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        latency_objective: 500.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
+        priority_weight: 1.0,
+        late_response_value: 0.0,
     };
     let plan = Plan {
         name: "basic".into(),
         rate: 5.0,
         burst: 4.0,
-        open: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        priority_factor: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 1.0,
     };
     Settings {
-        gateways: 1,
+        gateway_count: 1,
         zone: "a".into(),
         tick: 1.0,
         classes: vec![class],
         plans: vec![plan],
-        counter: true,
+        has_counter: true,
         counter_timeout: 50.0,
-        most_attempts: 3,
-        longest_advice: 1000.0,
-        cold_share: 0.2,
-        cold_time: 10_000.0,
+        max_attempts: 3,
+        max_retry_after: 1000.0,
+        slow_start_share: 0.2,
+        slow_start_duration: 10_000.0,
         ..Settings::default()
     }
 }
@@ -56,7 +56,7 @@
         agenda.insert((at.ceil() as u64, order), event);
     };
     let backend = BackendEntry {
-        place: Placement::default(),
+        placement: Placement::default(),
         name: "b1".into(),
         zone: "a".into(),
         cell: 0,
@@ -72,13 +72,13 @@
             plan: name,
             class,
             units: 1.0,
-            repeat: false,
-            patience: 900.0,
-            first: 0,
-            spread: 1,
-            bound: Name::default(),
+            client_retry: false,
+            timeout: 900.0,
+            first_gateway: 0,
+            gateway_count: 1,
+            sticky_route: Name::default(),
         };
-        plan(&mut agenda, id as Millis * 10.0, Event::Request(arrival));
+        plan(&mut agenda, id as Millis * 10.0, Event::RequestReceived(arrival));
     }
     let (mut counts, mut attempts) = (BTreeMap::<u64, f64>::new(), BTreeMap::<u64, u32>::new());
     let mut restarted = false;
@@ -91,21 +91,27 @@
             // A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
             restarted = true;
             gateway = Gateway::new(settings(), 43)?;
-            agenda.retain(|_, event| matches!(event, Event::Request(_)));
+            agenda.retain(|_, event| matches!(event, Event::RequestReceived(_)));
             plan(&mut agenda, now, Event::BackendList(vec![backend.clone()]));
         }
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
-                Action::Count { name, amount, .. } => {
+                Action::SetTimer { after, token } => {
+                    plan(&mut agenda, now + after, Event::TimerExpired { token })
+                }
+                Action::AddToCounter { counter: name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
                     let outcome = CounterOutcome::Total(*total);
-                    plan(&mut agenda, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
+                    plan(
+                        &mut agenda,
+                        now + 2.0,
+                        Event::CounterCallEnded { counter: name, outcome, latency: 2.0 },
+                    );
                 }
-                Action::Send { id, backend, .. } => {
+                Action::SendAttempt { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
                     let attempt = *attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
                     let (outcome, latency, finished) = (AttemptOutcome::Served, 40.0, true);
@@ -116,19 +122,19 @@
                         outcome,
                         latency,
                         true_units: None,
-                        finished,
-                        load: None,
+                        final_response_sent: finished,
+                        load_report: None,
                     };
                     plan(&mut agenda, now + latency, Event::AttemptEnded(end));
                 }
-                Action::Refuse { id, retry_after, .. } => {
+                Action::Reject { id, retry_after, .. } => {
                     println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
                 }
                 Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
                 Action::Log(line) => println!("{now:>5} ms  log: {line}"),
-                Action::CallOff { .. }
-                | Action::Probe { .. }
-                | Action::Tell { .. }
+                Action::CancelAttempt { .. }
+                | Action::CheckHealth { .. }
+                | Action::Gossip { .. }
                 | Action::WatchBackends => {}
             }
         }
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -89,11 +89,11 @@
     Ok(match text {
         "delivered" => AttemptOutcome::Served,
         "app_error" => AttemptOutcome::Error,
-        "shed" => AttemptOutcome::Full,
+        "shed" => AttemptOutcome::Rejected,
         "expired" => AttemptOutcome::TimedOut,
         "dial_failed" => AttemptOutcome::ConnectFailed,
-        "dropped" => AttemptOutcome::Broken,
-        "revoked" => AttemptOutcome::CalledOff,
+        "dropped" => AttemptOutcome::ConnectionLost,
+        "revoked" => AttemptOutcome::Cancelled,
         "unused" => AttemptOutcome::NeverSent,
         other => return Err(format!("unknown outcome {other}")),
     })
@@ -115,12 +115,12 @@
     let state = match fields.text("readiness")? {
         "IN" => BackendState::Ready,
         "LAME" => BackendState::Draining,
-        "OUT" => BackendState::Gone,
+        "OUT" => BackendState::Removed,
         other => return Err(format!("unknown readiness {other}")),
     };
     fields.optional::<f64>("rating")?;
     let started = fields.optional::<f64>("born-ms")?.filter(|at| *at > 0.0);
-    Ok(BackendEntry { name, zone, cell, state, started, place: Placement::default() })
+    Ok(BackendEntry { name, zone, cell, state, started, placement: Placement::default() })
 }
 
 /// All gateways that one process hosts.
@@ -242,17 +242,17 @@
                 let units = fields.optional("units")?.unwrap_or(1.0);
                 let plan = fields.name("package")?;
                 let bound = Name::default();
-                Event::Request(IncomingRequest {
+                Event::RequestReceived(IncomingRequest {
                     id,
                     customer,
                     plan,
                     class,
                     units,
-                    repeat,
-                    patience,
-                    first,
-                    spread,
-                    bound,
+                    client_retry: repeat,
+                    timeout: patience,
+                    first_gateway: first,
+                    gateway_count: spread,
+                    sticky_route: bound,
                 })
             }
             "UNDER_WAY" => Event::StreamStarted { id: fields.number("id")? },
@@ -273,23 +273,23 @@
                     outcome,
                     latency,
                     true_units,
-                    finished,
-                    load,
+                    final_response_sent: finished,
+                    load_report: load,
                 })
             }
-            "GONE" => Event::ClientLeft { id: fields.number("id")? },
-            "DUE" => Event::Timer { token: fields.number("tag")? },
+            "GONE" => Event::ClientDisconnected { id: fields.number("id")? },
+            "DUE" => Event::TimerExpired { token: fields.number("tag")? },
             "SAMPLED" => {
                 let latency = fields.millis("latency-ms")?;
                 let backend = fields.name("backend")?;
                 let outcome = outcome(fields.text("rc")?)?;
                 let load = load(fields.text("metrics")?)?;
-                Event::ProbeEnded { backend, outcome, latency, load }
+                Event::HealthCheckEnded { backend, outcome, latency, load_report: load }
             }
             "INBOX" => {
                 let from = fields.number("neighbour")?;
                 let bytes = from_base64(fields.text("msg")?)?;
-                Event::PeerMessage { from, bytes }
+                Event::GossipReceived { from, bytes }
             }
             "TOTAL" => {
                 let code = fields.text("rc")?;
@@ -303,7 +303,7 @@
                     ("expired", _) => CounterOutcome::Unknown,
                     (other, _) => return Err(format!("unknown outcome {other}")),
                 };
-                Event::Counted { name, outcome, latency }
+                Event::CounterCallEnded { counter: name, outcome, latency }
             }
             other => return Err(format!("unknown message {other}")),
         })
@@ -312,18 +312,18 @@
 
 fn write_action(reply: &mut String, i: u64, action: &Action) -> fmt::Result {
     match action {
-        Action::Send { id, backend, timeout, .. } => {
+        Action::SendAttempt { id, backend, timeout, .. } => {
             writeln!(reply, "HAND_OFF\t{i}\t{id}\t{backend}\t{:.3}", timeout.unwrap_or(0.0))
         }
-        Action::Refuse { id, retry_after, .. } => writeln!(reply, "SHED\t{i}\t{id}\t{retry_after:.3}"),
+        Action::Reject { id, retry_after, .. } => writeln!(reply, "SHED\t{i}\t{id}\t{retry_after:.3}"),
         Action::Fail { id } => writeln!(reply, "DROP_REQUEST\t{i}\t{id}"),
-        Action::CallOff { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
+        Action::CancelAttempt { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
         Action::SetTimer { after, token } => writeln!(reply, "NOTIFY_ME\t{i}\t{after:.3}\t{token}"),
-        Action::Probe { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
-        Action::Count { name, amount, keep } => {
+        Action::CheckHealth { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
+        Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
             writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{keep:.3}")
         }
-        Action::Tell { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
+        Action::Gossip { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
         Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
         Action::Log(text) => writeln!(reply, "SAY_LOG\t{i}\t{}", text.replace(['\n', '\t'], " ")),
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Safe to repeat at any time.
-    Safe,
+    Idempotent,
     /// Carries a key: backends of one group drop a repeat for a stated time.
-    Keyed,
+    WithKey,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The backends that share the memory of a keyed request.
@@ -37,17 +37,17 @@
     /// The class's name.
     pub name: Name,
     /// An answer within this time has its full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// What repeating it may do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Who drops a keyed repeat.
-    pub group: DeduplicationScope,
+    pub deduplication_scope: DeduplicationScope,
     /// For how long a keyed repeat is dropped, from the first send that may have run.
-    pub memory: Millis,
+    pub deduplication_window: Millis,
     /// What an answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that an answer after the aim still has.
-    pub late_worth: f64,
+    pub late_response_value: f64,
 }
 
 /// One plan: the quota each of its customers holds over all gateways together.
@@ -60,7 +60,7 @@
     /// The most units that may be used at once.
     pub burst: f64,
     /// The most attempts out at once; 0 means no such quota.
-    pub open: u32,
+    pub max_in_flight: u32,
     /// Units a second that the hard ceiling fills by; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// The most units that the ceiling holds.
@@ -68,11 +68,11 @@
     /// What the ceiling may be passed by.
     pub ceiling_slack: f64,
     /// A factor on the worth of a request.
-    pub price: f64,
+    pub priority_factor: f64,
     /// The share of its worth that a request beyond the quota earns.
-    pub over_worth: f64,
+    pub over_quota_value: f64,
     /// The share of its worth that a request beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
 }
 
 /// Where load reports come from.
@@ -82,18 +82,18 @@
     #[default]
     None,
     /// With the answers.
-    Answers,
+    Responses,
     /// With the answers to probes only.
-    Probes,
+    HealthChecks,
 }
 
 /// All that a gateway is told at its start. The default is all zeros and no classes: a start to fill in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many gateways there are.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// This gateway's number, from 0.
-    pub number: u32,
+    pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
     /// The shortest time between two calls of `handle`.
@@ -103,37 +103,37 @@
     /// The plans.
     pub plans: Vec<Plan>,
     /// Whether there is a shared counter.
-    pub counter: bool,
+    pub has_counter: bool,
     /// A counter call without an answer for this long is given up.
     pub counter_timeout: Millis,
     /// Whether the true units come with the answer.
-    pub settles: bool,
+    pub responses_report_units: bool,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// Where load reports come from.
-    pub reports: LoadReportSource,
+    pub load_reports: LoadReportSource,
     /// Whether probes are allowed.
-    pub probes: bool,
+    pub health_checks_allowed: bool,
     /// Whether gateways may send each other messages.
-    pub peers: bool,
+    pub gossip_allowed: bool,
     /// Whether attempts may be called off.
-    pub cancel: bool,
+    pub cancellation_allowed: bool,
     /// Whether the list must be asked for.
-    pub list_on_request: bool,
+    pub watch_on_request: bool,
     /// The most attempts of one request.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The longest advice that a client follows.
-    pub longest_advice: Millis,
+    pub max_retry_after: Millis,
     /// A backend starts with this share of its capacity or more.
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// A backend is warm after this time at most.
-    pub cold_time: Millis,
+    pub slow_start_duration: Millis,
     /// A cold backend falls over when sent more than this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The time over which that is judged.
-    pub fall_time: Millis,
+    pub overload_window: Millis,
     /// The points taken off for one crossing of zones a request.
-    pub price_cross_zone: f64,
+    pub cross_zone_price: f64,
     /// How backends with stated places are chosen.
     pub routing: Routing,
 }
@@ -144,17 +144,19 @@
     /// There are no classes.
     NoClasses,
     /// A figure is negative, not finite, or zero where it may not be.
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
     /// The gateway's own number is not below the number of gateways.
-    NumberTooHigh,
+    GatewayIndexOutOfRange,
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NoClasses => write!(f, "settings name no request class"),
-            Self::BadFigure(what) => write!(f, "settings hold an unusable figure: {what}"),
-            Self::NumberTooHigh => write!(f, "the gateway's number is not below the number of gateways"),
+            Self::InvalidValue(what) => write!(f, "settings hold an unusable figure: {what}"),
+            Self::GatewayIndexOutOfRange => {
+                write!(f, "the gateway's number is not below the number of gateways")
+            }
         }
     }
 }
@@ -169,7 +171,7 @@
     /// It finishes its work and must be sent nothing new.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// What a backend is there for.
@@ -183,7 +185,7 @@
     /// It stands in for one active backend of its tier that is out of service, until that one is warm again.
     Spare,
     /// It takes only requests that are bound to it.
-    Bound,
+    StickyOnly,
 }
 
 /// A backend's place among the others. The default is that of a list which says nothing of places.
@@ -192,21 +194,28 @@
     /// Its part of the requests beside the others of its tier; above 0.
     pub weight: f64,
     /// Tiers are tried in order from 0.
-    pub tier: u32,
+    pub priority_level: u32,
     /// What it is there for.
     pub role: BackendRole,
     /// The name that requests are bound to it by; empty for none.
-    pub route: Name,
+    pub sticky_route: Name,
     /// The route that takes its bound requests when it is out of service; empty for none.
-    pub redirect: Name,
+    pub failover_route: Name,
     /// Backends of one group stand in for each other for bound requests; empty for none.
-    pub group: Name,
+    pub failover_group: Name,
 }
 
 impl Default for Placement {
     fn default() -> Self {
         let (route, redirect, group) = (Name::default(), Name::default(), Name::default());
-        Self { weight: 1.0, tier: 0, role: BackendRole::Active, route, redirect, group }
+        Self {
+            weight: 1.0,
+            priority_level: 0,
+            role: BackendRole::Active,
+            sticky_route: route,
+            failover_route: redirect,
+            failover_group: group,
+        }
     }
 }
 
@@ -215,20 +224,20 @@
 pub enum LoadBalancing {
     /// To the one with the fewest of this gateway's attempts out; by weight where weights differ.
     #[default]
-    Outstanding,
+    LeastInFlight,
     /// By weight alone.
-    Requests,
+    WeightedRoundRobin,
     /// To the one with the fewest attempts out beside its weight, of equals by weight.
-    Busyness,
+    WeightedLeastInFlight,
 }
 
 /// Rules for the choice among backends that the list states places for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Routing {
     /// How requests are spread.
-    pub balance: LoadBalancing,
+    pub load_balancing: LoadBalancing,
     /// A bound request waits and is refused rather than served elsewhere.
-    pub strict: bool,
+    pub strict_affinity: bool,
     /// A backend whose start is not known and that refused a connection counts as started when it is tried again.
     pub assume_restart: bool,
 }
@@ -247,18 +256,18 @@
     /// When it last started, where that is known.
     pub started: Option<Millis>,
     /// Its place among the others.
-    pub place: Placement,
+    pub placement: Placement,
 }
 
 /// A backend's report of its own load; each value only where the site has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that it holds.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests that wait there.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Its recent service time, without waiting.
-    pub service: Option<Millis>,
+    pub service_time: Option<Millis>,
 }
 
 /// How an attempt or a probe ended.
@@ -269,15 +278,15 @@
     /// The backend answered with an error; it may have run.
     Error,
     /// The backend turned it away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or may still run.
     TimedOut,
     /// No connection was made; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// It was called off; it may have run.
-    CalledOff,
+    Cancelled,
     /// It was never sent.
     NeverSent,
 }
@@ -314,15 +323,15 @@
     /// The units it draws, or a guess of them.
     pub units: f64,
     /// Whether the client marks it as a repeat of an earlier try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// How long until the client gives up.
-    pub patience: Millis,
+    pub timeout: Millis,
     /// The number of the first gateway of the customer's set; the others follow in a row, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
     /// How many gateways the customer's requests come in through.
-    pub spread: u32,
+    pub gateway_count: u32,
     /// The route that the request is bound to; empty for none.
-    pub bound: Name,
+    pub sticky_route: Name,
 }
 
 /// The end of an attempt.
@@ -341,9 +350,9 @@
     /// The true units, where they come with the answer.
     pub true_units: Option<f64>,
     /// Whether the request has had its final answer.
-    pub finished: bool,
+    pub final_response_sent: bool,
     /// A load report, where one came along.
-    pub load: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// What a gateway holds of one customer.
@@ -354,15 +363,15 @@
     /// Its plan.
     pub plan: Name,
     /// Units of the block in hand.
-    pub lease: f64,
+    pub leased_units: f64,
     /// What its store holds, by all totals heard.
-    pub store: f64,
+    pub available_units: f64,
     /// Used and not yet added to the count, or to be given back (negative).
-    pub owed: f64,
+    pub unreported_units: f64,
     /// Requests that wait for a block.
     pub waiting: usize,
     /// Attempts out.
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 /// What a gateway knows of one backend.
@@ -373,26 +382,26 @@
     /// Whether the list lets it be used.
     pub ready: bool,
     /// Attempts out.
-    pub out: u32,
+    pub in_flight: u32,
     /// How many attempts this gateway keeps out there at most.
-    pub room: f64,
+    pub concurrency_limit: f64,
     /// When it last started, where that is known.
     pub started: Option<Millis>,
     /// Failures in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// Left alone until then.
-    pub eject_until: Millis,
+    pub ejected_until: Millis,
 }
 
 /// Something that a gateway is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The settings changed. Its own number stays; what is out goes on under the class and plan it came with.
-    Settings(Box<Settings>),
+    SettingsChanged(Box<Settings>),
     /// What an earlier process of this gateway had learnt of the backends; heard once, behind the first list.
-    Remembered(Vec<BackendStatus>),
+    StateRestored(Vec<BackendStatus>),
     /// This gateway will end: it holds no more in hand than it needs, and what it holds goes back.
-    Leaving,
+    ShutdownStarted,
     /// The whole list of backends; one that is missing is gone.
     BackendList(Vec<BackendEntry>),
     /// Changes to the list.
@@ -400,7 +409,7 @@
     /// A call for the list failed.
     BackendListFailed,
     /// A request came in.
-    Request(IncomingRequest),
+    RequestReceived(IncomingRequest),
     /// A stream began on an attempt; it belongs to the client from now on.
     StreamStarted {
         /// The request.
@@ -409,7 +418,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// A probe ended.
-    ProbeEnded {
+    HealthCheckEnded {
         /// The backend.
         backend: Name,
         /// How it ended.
@@ -417,29 +426,29 @@
         /// How long it took.
         latency: Millis,
         /// A load report, where one came along.
-        load: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     },
     /// The client left; the request is over.
-    ClientLeft {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
     /// A timer ran out.
-    Timer {
+    TimerExpired {
         /// The token given when it was set.
         token: u64,
     },
     /// A counter call ended.
-    Counted {
+    CounterCallEnded {
         /// The count's name.
-        name: u64,
+        counter: u64,
         /// How it ended.
         outcome: CounterOutcome,
         /// How long it took.
         latency: Millis,
     },
     /// A message from another gateway.
-    PeerMessage {
+    GossipReceived {
         /// The sender's number.
         from: u32,
         /// What it says.
@@ -451,16 +460,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// Its customer is beyond the quota.
-    Quota,
+    QuotaExceeded,
     /// What serves is full, or the gateway sheds.
-    Busy,
+    Overloaded,
 }
 
 /// Something that the host is to do at once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a backend.
-    Send {
+    SendAttempt {
         /// The request.
         id: RequestId,
         /// Where to.
@@ -469,16 +478,16 @@
         timeout: Option<Millis>,
         /// For a repeat that is dropped as such for a time only: what is left of that time. The attempt is withdrawn
         /// unless it is written whole by then.
-        window: Option<Millis>,
+        must_be_written_within: Option<Millis>,
     },
     /// Final answer: refused, harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client ought to wait.
         retry_after: Millis,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -486,7 +495,7 @@
         id: RequestId,
     },
     /// Stop waiting for an attempt.
-    CallOff {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt's number.
@@ -500,21 +509,21 @@
         token: u64,
     },
     /// Probe a backend.
-    Probe {
+    CheckHealth {
         /// Which one.
         backend: Name,
     },
     /// Add to a shared count and hear its total.
-    Count {
+    AddToCounter {
         /// The count's name, below 2^63.
-        name: u64,
+        counter: u64,
         /// What to add.
         amount: f64,
         /// How long a new name is kept.
-        keep: Millis,
+        time_to_live: Millis,
     },
     /// Send a message to all other gateways.
-    Tell {
+    Gossip {
         /// What it says.
         bytes: Vec<u8>,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,42 +1,84 @@
-//! doorcourse makes the decisions of a front door: a set of gateways that meter many customers' use of one
-//! shared service. It does no input or output and reads no clock: the host tells a [`Gateway`] what happened
-//! and when, and carries out the actions it gives back.
+//! The decisions of an API gateway: a set of gateways that hold many customers to their quotas over one shared service.
+//! It does no I/O and reads no clock: the host tells a [`Gateway`] what happened and when, and carries out the actions
+//! it returns.
 //!
 //! ```
-//! use doorcourse::{Action, BackendEntry, BackendState, DeduplicationScope, Event, Gateway, Idempotency, IncomingRequest, Name, Placement, Plan,
-//!     RequestClass};
+//! use doorcourse::{
+//!     Action, BackendEntry, BackendState, DeduplicationScope, Event, Gateway, Idempotency, IncomingRequest, Name,
+//!     Placement, Plan, RequestClass, Settings,
+//! };
 //!
-//! let settings = doorcourse::Settings {
-//!     gateways: 1, number: 0, zone: "a".into(), tick: 1.0,
-//!     classes: vec![Class { name: "read".into(), aim: 500.0, effect: Effect::Safe, group: Group::All,
-//!         memory: 0.0, worth: 1.0, late_worth: 0.0 }],
-//!     plans: vec![Plan { name: "basic".into(), rate: 5.0, burst: 10.0, open: 0, ceiling_rate: 0.0,
-//!         ceiling_burst: 0.0, ceiling_slack: 0.0, price: 1.0, over_worth: 0.0, over_cost: 1.0 }],
-//!     most_attempts: 3, longest_advice: 1000.0, ..Default::default()
+//! let read = RequestClass {
+//!     name: "read".into(),
+//!     latency_objective: 500.0,
+//!     idempotency: Idempotency::Idempotent,
+//!     deduplication_scope: DeduplicationScope::All,
+//!     deduplication_window: 0.0,
+//!     priority_weight: 1.0,
+//!     late_response_value: 0.0,
+//! };
+//! let basic = Plan {
+//!     name: "basic".into(),
+//!     rate: 5.0,
+//!     burst: 10.0,
+//!     max_in_flight: 0,
+//!     ceiling_rate: 0.0,
+//!     ceiling_burst: 0.0,
+//!     ceiling_slack: 0.0,
+//!     priority_factor: 1.0,
+//!     over_quota_value: 0.0,
+//!     over_quota_cost: 1.0,
+//! };
+//! let settings = Settings {
+//!     gateway_count: 1,
+//!     gateway_index: 0,
+//!     zone: "a".into(),
+//!     tick: 1.0,
+//!     classes: vec![read],
+//!     plans: vec![basic],
+//!     max_attempts: 3,
+//!     max_retry_after: 1000.0,
+//!     ..Settings::default()
 //! };
 //! let mut gateway = Gateway::new(settings, 7)?;
 //! let mut actions = Vec::new();
-//! let backend = BackendEntry { name: "b1".into(), zone: "a".into(), cell: 0, state: BackendState::Ready,
-//!     started: None, place: Place::default() };
+//! let backend = BackendEntry {
+//!     name: "b1".into(),
+//!     zone: "a".into(),
+//!     cell: 0,
+//!     state: BackendState::Ready,
+//!     started: None,
+//!     placement: Placement::default(),
+//! };
 //! gateway.handle(0.0, Event::BackendList(vec![backend]), &mut actions);
-//! gateway.handle(1.0, Event::Request(Arrival { id: 1, customer: "c".into(), plan: "basic".into(),
-//!     class: "read".into(), units: 1.0, repeat: false, patience: 900.0, first: 0, spread: 1,
-//!     bound: Name::default() }), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
+//! let request = IncomingRequest {
+//!     id: 1,
+//!     customer: "c".into(),
+//!     plan: "basic".into(),
+//!     class: "read".into(),
+//!     units: 1.0,
+//!     client_retry: false,
+//!     timeout: 900.0,
+//!     first_gateway: 0,
+//!     gateway_count: 1,
+//!     sticky_route: Name::default(),
+//! };
+//! gateway.handle(1.0, Event::RequestReceived(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::SendAttempt { id: 1, .. })));
 //! # Ok::<(), doorcourse::SettingsError>(())
 //! ```
 //!
 //! # What the host must provide
 //!
-//! - One gateway object in a process of its own; after a restart a new one, with a fresh seed and the last list.
-//!   No two share a seed: chance would choose alike.
-//! - Clocks that agree among gateways to well within the shortest window of any plan: count names are made of the
+//! - One gateway object in a process of its own; after a restart a new one, with a fresh seed and the last endpoint
+//!   list. No two gateways share a seed: their random choices would be the same.
+//! - Clocks that agree among gateways to well within the shortest window of any plan: counter names are made of the
 //!   window's number. Gateways whose clocks differ by a window count apart, and each grants the quota again.
-//! - A counter that adds an amount to a number by name and answers the total. A call without an answer in time is
-//!   reported as [`CountOutcome::Unknown`]. One answer for each call, in the order of the calls of a name; what is
-//!   learnt later of one that was reported so may be told as [`CountOutcome::Late`].
-//! - Every timer asked for, once, at or after its time.
-//! - For every [`Action::Send`] exactly one [`Event::AttemptEnded`], by the client's patience at the latest.
+//! - A counter that adds an amount to a number by name and returns the total. A call without a response in time is
+//!   reported as [`CounterOutcome::Unknown`]. One response for each call, in the order of the calls of a name; what is
+//!   learnt later of a call that was reported so may follow as [`CounterOutcome::Late`].
+//! - Every timer that is set, once, at or after its time.
+//! - For every [`Action::SendAttempt`] exactly one [`Event::AttemptEnded`], by the client's timeout at the latest.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -119,8 +119,8 @@
     /// The share of its capacity that a backend surely has by now: it rises at least evenly.
     fn warmth(&self, now: Millis, settings: &Settings) -> f64 {
         let Some(started) = self.started.or(self.refused) else { return 1.0 };
-        let age = ((now - started) / settings.cold_time.max(1.0)).clamp(0.0, 1.0);
-        settings.cold_share + (1.0 - settings.cold_share) * age
+        let age = ((now - started) / settings.slow_start_duration.max(1.0)).clamp(0.0, 1.0);
+        settings.slow_start_share + (1.0 - settings.slow_start_share) * age
     }
 
     /// Guards against dead and stalled backends, which show in outcomes long before the list does: nothing
@@ -131,7 +131,7 @@
         self.failures += 1;
         let share = EJECT_SHARE * f64::from(self.failures);
         if !broke || self.failures >= EJECT_TOLD {
-            self.eject_until = now + latency.max(settings.cold_time * share);
+            self.eject_until = now + latency.max(settings.slow_start_duration * share);
         }
         self.failures == EJECT_TOLD
     }
@@ -278,36 +278,38 @@
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.sweeping, true) {
             out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
-            if self.settings.list_on_request {
+            if self.settings.watch_on_request {
                 out.push(Action::WatchBackends);
             }
         }
         match event {
-            Event::Settings(settings) => self.on_settings(*settings, out),
-            Event::Remembered(views) => self.on_remembered(views),
-            Event::Leaving => self.on_leaving(out),
+            Event::SettingsChanged(settings) => self.on_settings(*settings, out),
+            Event::StateRestored(views) => self.on_remembered(views),
+            Event::ShutdownStarted => self.on_leaving(out),
             Event::BackendList(list) => self.on_list(list, true, out),
             Event::BackendChanges(list) => self.on_list(list, false, out),
             Event::BackendListFailed => out.push(Action::WatchBackends),
-            Event::Request(arrival) => self.on_request(arrival, out),
+            Event::RequestReceived(arrival) => self.on_request(arrival, out),
             Event::AttemptEnded(end) => {
                 self.on_backend(&end, out);
                 self.on_attempt(end, out);
                 self.drain_queue(out);
             }
-            Event::ClientLeft { id } => self.forget(id),
-            Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
-            Event::Timer { token } => self.on_hold_over(token / 2, out),
-            Event::Counted { name, outcome, latency } => self.on_counted(name, outcome, latency, out),
-            Event::PeerMessage { bytes, .. } => self.on_told(&bytes),
-            Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
+            Event::ClientDisconnected { id } => self.forget(id),
+            Event::TimerExpired { token: SWEEP_TOKEN } => self.on_sweep(out),
+            Event::TimerExpired { token } => self.on_hold_over(token / 2, out),
+            Event::CounterCallEnded { counter: name, outcome, latency } => {
+                self.on_counted(name, outcome, latency, out)
+            }
+            Event::GossipReceived { bytes, .. } => self.on_told(&bytes),
+            Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
         }
     }
 
     /// Whether each gateway sees too little of a backend: choice goes by chance then, and the fleet's state
     /// shows in all answers together.
     fn many(&self) -> bool {
-        ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateways)
+        ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateway_count)
     }
 
     /// Guards a large fleet against overload of any cause: the more answers are late, the fewer fresh
@@ -326,8 +328,8 @@
     /// What a class is worth beside the mean of all.
     fn worth(&self, class: usize) -> f64 {
         let classes = &self.settings.classes;
-        let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len() as f64;
-        classes[class].worth.max(1e-9) / mean.max(1e-9)
+        let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
+        classes[class].priority_weight.max(1e-9) / mean.max(1e-9)
     }
 
     fn chance(&mut self) -> f64 {
@@ -346,13 +348,13 @@
         for entry in list {
             let (ready, known) = (entry.state == BackendState::Ready, self.backends.get_mut(&entry.name));
             let out = known.as_ref().map_or(0, |b| b.out);
-            let gone = (entry.state == BackendState::Gone).then_some(self.now);
+            let gone = (entry.state == BackendState::Removed).then_some(self.now);
             let seat = self.routes.seat(known.as_ref().map(|b| b.seat), &entry);
             if let Some(known) = known.filter(|b| b.started == entry.started) {
                 (known.ready, known.gone) = (ready, gone);
                 continue;
             }
-            let room = ROOM_FIRST / f64::from(self.settings.gateways);
+            let room = ROOM_FIRST / f64::from(self.settings.gateway_count);
             let BackendEntry { name, zone, cell, started, .. } = entry;
             let rest = Backend { seat, started, out, room, ..Default::default() };
             self.backends.insert(name, Backend { zone, cell, ready, gone, ..rest });
@@ -368,12 +370,12 @@
         let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
         let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            return out.push(Action::Refuse { id, retry_after: 0.0, why: RejectReason::Busy });
+            return out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
         };
         let now = self.now;
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
-        let (arrived, deadline) = (now, now + arrival.patience);
-        let (customer, repeat, bound) = (name.clone(), arrival.repeat, arrival.bound);
+        let (arrived, deadline) = (now, now + arrival.timeout);
+        let (customer, repeat, bound) = (name.clone(), arrival.client_retry, arrival.sticky_route);
         let rest = Request { arrived, deadline, bound, ..Request::default() };
         self.requests.insert(id, Request { customer, plan, class, units, repeat, ..rest });
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
@@ -384,13 +386,14 @@
             customer.replan(now, &self.settings.plans[customer.plan], &self.settings.plans[plan]);
             customer.plan = plan;
         }
-        let gateways = self.settings.gateways;
-        let spread = f64::from(arrival.spread.clamp(1, gateways));
+        let gateways = self.settings.gateway_count;
+        let spread = f64::from(arrival.gateway_count.clamp(1, gateways));
         // More gateways share what is left of the slice; fewer let it grow by the rate alone.
         let share = if customer.spread > 0.0 { (customer.spread / spread).min(1.0) } else { 1.0 };
         customer.slice = customer.slice.map(|(held, at)| (held * share, at));
         customer.spread = spread;
-        customer.place = (self.settings.number + gateways - arrival.first % gateways) % gateways;
+        customer.place =
+            (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
         let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
@@ -402,7 +405,7 @@
     /// Whether the counter counts as silent.
     pub fn is_counter_silent(&self) -> bool {
         let gap = self.now - self.counter_heard;
-        !self.settings.counter || self.silences > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
+        !self.settings.has_counter || self.silences > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
     }
 
     /// The quota's gate: the block in hand, else the silence rule, else refusal once block and count are
@@ -443,7 +446,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].aim * BLOCK_WAIT;
+        let until = request.arrived + self.settings.classes[request.class].latency_objective * BLOCK_WAIT;
         self.hold(id, Stage::Block, until, out);
         true
     }
@@ -454,7 +457,7 @@
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return false };
         let (asked, repeat) = (self.asked(request), f64::from(request.repeat));
-        let calls = self.settings.counter && chance < asked - repeat;
+        let calls = self.settings.has_counter && chance < asked - repeat;
         let weight = (1.0 - repeat) * request.units / asked.min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         if calls && customer.call.is_none() {
@@ -468,7 +471,7 @@
     /// How likely a thin customer's first try is asked about: while calls are scarce, less likely where a
     /// wrong guess costs less.
     fn asked(&self, request: &Request) -> f64 {
-        let loss = |p: &Plan| p.price * (p.over_cost - p.over_worth).clamp(0.0, 1.0);
+        let loss = |p: &Plan| p.priority_factor * (p.over_quota_cost - p.over_quota_value).clamp(0.0, 1.0);
         let plans = &self.settings.plans;
         let mean = plans.iter().map(loss).sum::<f64>() / plans.len() as f64;
         let plan = loss(&plans[request.plan]) / mean.max(1e-9);
@@ -483,7 +486,7 @@
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan];
         let usual = self.plan_odds[customer.plan][usize::from(request.repeat)];
-        let pays = usual > (1.0 - usual) * (plan.over_cost - plan.over_worth);
+        let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_value);
         let usual = f64::from(pays);
         let (odds, at) = self.told.get(&customer.salt).copied().unwrap_or_default();
         let age = (self.now - at) / Customer::turn(plan);
@@ -508,10 +511,10 @@
         let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
         let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
         let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
-        if self.settings.peers && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
+        if self.settings.gossip_allowed && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
             let mut bytes = customer.salt.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
-            out.push(Action::Tell { bytes: bytes.to_vec() });
+            out.push(Action::Gossip { bytes: bytes.to_vec() });
         }
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.known, true) {
@@ -534,7 +537,7 @@
 
     fn over_quota(&mut self, id: RequestId, short: f64, rate: f64, out: &mut Vec<Action>) {
         let wait = short / rate.max(1e-9) * 1000.0 * (1.0 + 0.5 * self.chance());
-        self.refuse(id, wait, RejectReason::Quota, out);
+        self.refuse(id, wait, RejectReason::QuotaExceeded, out);
     }
 
     fn hold(&mut self, id: RequestId, stage: Stage, until: Millis, out: &mut Vec<Action>) {
@@ -559,12 +562,12 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let hold = self.settings.classes[request.class].aim * HOLD_SHARE;
+        let hold = self.settings.classes[request.class].latency_objective * HOLD_SHARE;
         let until = if fresh { request.arrived } else { self.now } + hold;
         if until <= self.now || fresh && self.queue.len() as f64 >= self.room().max(1.0) {
             return self.give_up(id, out);
         }
-        let worth = |r: &Request| self.settings.classes[r.class].worth;
+        let worth = |r: &Request| self.settings.classes[r.class].priority_weight;
         let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
         let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
         self.queue.insert(at, id);
@@ -594,11 +597,12 @@
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class];
         let harmless = request.may_have_run.is_none()
-            || class.effect == Idempotency::Safe
-            || (class.effect == Idempotency::Keyed && class.group == DeduplicationScope::All);
+            || class.idempotency == Idempotency::Idempotent
+            || (class.idempotency == Idempotency::WithKey
+                && class.deduplication_scope == DeduplicationScope::All);
         if harmless && self.now < request.deadline {
-            let wait = self.settings.longest_advice * (0.3 + 0.4 * self.chance());
-            self.refuse(id, wait, RejectReason::Busy, out);
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
+            self.refuse(id, wait, RejectReason::Overloaded, out);
         } else {
             self.forget(id);
             out.push(Action::Fail { id });
@@ -607,7 +611,11 @@
 
     fn refuse(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
         self.forget(id);
-        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.longest_advice), why });
+        out.push(Action::Reject {
+            id,
+            retry_after: wait.clamp(0.0, self.settings.max_retry_after),
+            reason: why,
+        });
     }
 
     /// Units of a request that was never sent go back to its customer's block.
@@ -635,9 +643,9 @@
             customer.open += 1;
         }
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
-        let keyed = self.settings.classes[request.class].effect == Idempotency::Keyed;
+        let keyed = self.settings.classes[request.class].idempotency == Idempotency::WithKey;
         let window = (keyed && request.may_have_run.is_some()).then_some(left);
-        out.push(Action::Send { id, backend: name, timeout: None, window });
+        out.push(Action::SendAttempt { id, backend: name, timeout: None, must_be_written_within: window });
         true
     }
 
@@ -645,7 +653,7 @@
     fn open_allowed(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
-        let cap = self.settings.plans[request.plan].open;
+        let cap = self.settings.plans[request.plan].max_in_flight;
         let (spread, place) = (customer.spread as u32, customer.place);
         cap == 0 || customer.open < (cap / spread + u32::from(place < cap % spread)).max(1)
     }
@@ -658,17 +666,18 @@
     fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Idempotency::Keyed);
+        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
         let out: f64 = self.backends.values().map(|b| f64::from(b.out)).sum();
         if out >= self.room().max(1.0) {
             return None;
         }
         let salt = self.random;
-        let far = 1.0 + self.settings.price_cross_zone * ZONE_BIAS;
+        let far = 1.0 + self.settings.cross_zone_price * ZONE_BIAS;
         let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
         for backend in self.backends.values() {
-            let (group, zone, cell, seat) = (class.group, &backend.zone, backend.cell, backend.seat);
+            let (group, zone, cell, seat) =
+                (class.deduplication_scope, &backend.zone, backend.cell, backend.seat);
             let same = |h: &Backend| {
                 if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
             };
@@ -708,19 +717,20 @@
                 }
                 (backend.failures, backend.error) = (0, None);
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
-                latency > self.settings.classes[class].aim * ROOM_SHARE
+                latency > self.settings.classes[class].latency_objective * ROOM_SHARE
             }
             AttemptOutcome::NeverSent => return,
             // Guards against one that fails at once and so draws more. One class alone may fail anywhere.
             AttemptOutcome::Error if backend.error.replace(class).is_none_or(|c| c == class) => return,
             AttemptOutcome::Error => false,
-            AttemptOutcome::Full => true,
+            AttemptOutcome::Rejected => true,
             // A client with little time left proves nothing of the fleet.
             _ => latency > *usual * LATE_LATENCIES,
         };
         backend.note_latency(late);
         self.late += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late);
-        let (lost, broke) = (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::Broken);
+        let (lost, broke) =
+            (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::ConnectionLost);
         if lost && backend.failed(now, latency, broke, &self.settings) {
             out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
         }
@@ -747,14 +757,14 @@
         }
         customer.open = customer.open.saturating_sub(1);
         request.stage = Stage::Queue;
-        if end.finished || outcome == AttemptOutcome::Served {
+        if end.final_response_sent || outcome == AttemptOutcome::Served {
             // Nothing was written before its client had gone: what no backend heard of is not used.
             request.attempts -= u32::from(outcome == AttemptOutcome::NeverSent);
             return self.forget(id);
         }
         let never_ran = matches!(
             outcome,
-            AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
         if !never_ran && request.may_have_run.is_none() {
             request.may_have_run = Some((request.sent_at, end.backend));
@@ -764,20 +774,20 @@
 
     fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let allowed = match (&request.may_have_run, self.settings.classes[request.class].effect) {
-            (None, _) | (_, Idempotency::Keyed) => true,
-            (_, Idempotency::Safe) => request.attempts < REPEAT_MOST,
-            (Some(_), Idempotency::Unsafe) => false,
+        let allowed = match (&request.may_have_run, self.settings.classes[request.class].idempotency) {
+            (None, _) | (_, Idempotency::WithKey) => true,
+            (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
+            (Some(_), Idempotency::NonIdempotent) => false,
         };
-        allowed && self.now < self.send_by(request) && request.attempts < self.settings.most_attempts
+        allowed && self.now < self.send_by(request) && request.attempts < self.settings.max_attempts
     }
 
     /// Until when an attempt may begin: while an answer can come, and a keyed repeat while it is dropped as
     /// such. Guards repeats that waited in line past their window.
     fn send_by(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class];
-        let first = request.may_have_run.as_ref().filter(|_| class.effect == Idempotency::Keyed);
-        let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.memory);
+        let first = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
+        let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.deduplication_window);
         request.deadline.min(dropped) - LAST_TICKS * self.settings.tick
     }
 
@@ -787,7 +797,7 @@
     fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let full = self.calls.len() as f64 >= (CALLS_MOST * self.ease.min(1.0)).max(1.0) && !self.leaving;
-        if customer.call.is_some() || !self.settings.counter || full {
+        if customer.call.is_some() || !self.settings.has_counter || full {
             return;
         }
         let plan = &self.settings.plans[customer.plan];
@@ -806,7 +816,7 @@
         customer.call = Some((customer.window, block, owed));
         self.calls.insert(count, name.clone());
         let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
-        out.push(Action::Count { name: count, amount: block + owed, keep });
+        out.push(Action::AddToCounter { counter: count, amount: block + owed, time_to_live: keep });
     }
 
     fn on_counted(&mut self, count: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>) {
@@ -957,7 +967,7 @@
     /// What is out goes on under the class and plan it came with: those that the new settings lack stay
     /// behind them, without a name to be asked for, as long as something is of them.
     fn on_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
-        if check(&settings).is_err() || settings.number != self.settings.number {
+        if check(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
             return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
         }
         let old = std::mem::replace(&mut self.settings, settings);
@@ -995,10 +1005,10 @@
     fn on_remembered(&mut self, views: Vec<BackendStatus>) {
         for view in views {
             let Some(backend) = self.backends.get_mut(&view.name) else { continue };
-            if backend.started == view.started && view.room.is_finite() {
-                backend.room = view.room.clamp(ROOM_LEAST, ROOM_FIRST.max(backend.room));
-                (backend.failures, backend.eject_until) = (view.failures, view.eject_until);
-                backend.eject_until = backend.eject_until.min(self.now + self.settings.cold_time);
+            if backend.started == view.started && view.concurrency_limit.is_finite() {
+                backend.room = view.concurrency_limit.clamp(ROOM_LEAST, ROOM_FIRST.max(backend.room));
+                (backend.failures, backend.eject_until) = (view.consecutive_failures, view.ejected_until);
+                backend.eject_until = backend.eject_until.min(self.now + self.settings.slow_start_duration);
             }
         }
     }
@@ -1023,7 +1033,15 @@
         self.customers.iter().map(|(name, c)| {
             let (name, plan) = (name.clone(), self.settings.plans[c.plan].name.clone());
             let (lease, store, owed, waiting) = (c.lease, c.store, c.owed, c.waiting.len());
-            CustomerStatus { name, plan, lease, store, owed, waiting, open: c.open }
+            CustomerStatus {
+                name,
+                plan,
+                leased_units: lease,
+                available_units: store,
+                unreported_units: owed,
+                waiting,
+                in_flight: c.open,
+            }
         })
     }
 
@@ -1034,11 +1052,11 @@
             BackendStatus {
                 name,
                 ready,
-                out,
-                room,
+                in_flight: out,
+                concurrency_limit: room,
                 started,
-                failures: b.failures,
-                eject_until: b.eject_until,
+                consecutive_failures: b.failures,
+                ejected_until: b.eject_until,
             }
         })
     }
--- a/src/routes.rs
+++ b/src/routes.rs
@@ -80,7 +80,8 @@
 
 impl Routes {
     pub(crate) fn configure(&mut self, settings: &Settings, many: bool, seed: u64) {
-        (self.routing, self.number, self.gateways) = (settings.routing, settings.number, settings.gateways);
+        (self.routing, self.number, self.gateways) =
+            (settings.routing, settings.gateway_index, settings.gateway_count);
         (self.many, self.seed) = (many, seed);
         self.arrange();
     }
@@ -111,8 +112,9 @@
             }
         }
         let seat = &mut self.seats[at];
-        seat.place = entry.place.clone();
-        (seat.listed, seat.ready) = (entry.state != BackendState::Gone, entry.state == BackendState::Ready);
+        seat.place = entry.placement.clone();
+        (seat.listed, seat.ready) =
+            (entry.state != BackendState::Removed, entry.state == BackendState::Ready);
         at
     }
 
@@ -123,10 +125,10 @@
         self.plain = self.routing == Routing::default() && listed().all(|s| s.place == usual);
         let mut weights = listed().map(|s| s.place.weight);
         let first = weights.next().unwrap_or(1.0);
-        self.weighted =
-            self.routing.balance != LoadBalancing::Outstanding || weights.any(|w| (w - first).abs() > 1e-9);
-        let of = |seat: &Seat| (seat.place.tier, seat.place.role == BackendRole::Standby);
-        let chosen = |seat: &&Seat| seat.listed && (self.plain || seat.place.role != BackendRole::Bound);
+        self.weighted = self.routing.load_balancing != LoadBalancing::LeastInFlight
+            || weights.any(|w| (w - first).abs() > 1e-9);
+        let of = |seat: &Seat| (seat.place.priority_level, seat.place.role == BackendRole::Standby);
+        let chosen = |seat: &&Seat| seat.listed && (self.plain || seat.place.role != BackendRole::StickyOnly);
         let mut keys: Vec<(u32, bool)> = self.seats.iter().filter(chosen).map(of).collect();
         keys.sort_unstable();
         keys.dedup();
@@ -134,7 +136,7 @@
         let time = |key: (u32, bool)| was.iter().find(|l| (l.0, l.1) == key).map_or(0.0, |l| l.2);
         self.levels = keys.iter().map(|k| (k.0, k.1, time(*k))).collect();
         for seat in &mut self.seats {
-            let bound = seat.place.role == BackendRole::Bound || !seat.listed;
+            let bound = seat.place.role == BackendRole::StickyOnly || !seat.listed;
             seat.level = if bound { None } else { keys.iter().position(|k| *k == of(seat)) };
         }
         let salt = mix(u64::from(self.number) + 1);
@@ -208,7 +210,8 @@
             }
             return;
         }
-        let (many, busyness) = (self.many, self.routing.balance == LoadBalancing::Busyness);
+        let (many, busyness) =
+            (self.many, self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight);
         let seat = &mut self.seats[at];
         let time = seat.level.map_or(0.0, |l| self.levels[l].2);
         let turn = seat.turn.max(time);
@@ -267,11 +270,11 @@
     /// on what it has no room for: what is left of it is not pushed over, nor is what comes back cold.
     fn in_level(&self, level: usize) -> Option<Option<usize>> {
         let (tier, standby, _) = self.levels[level];
-        let tier_of = |s: &&Seat| s.listed && s.place.tier == tier;
+        let tier_of = |s: &&Seat| s.listed && s.place.priority_level == tier;
         // A spare stands in for each that is out of service or not warm yet, in the order of the list.
         let away = |s: &&Seat| {
-            matches!(s.place.role, BackendRole::Active | BackendRole::Bound)
-                && (s.place.role == BackendRole::Bound || s.offer.fit == Fit::Down || !s.offer.warm)
+            matches!(s.place.role, BackendRole::Active | BackendRole::StickyOnly)
+                && (s.place.role == BackendRole::StickyOnly || s.offer.fit == Fit::Down || !s.offer.warm)
         };
         let mut spares = if standby { 0 } else { self.seats.iter().filter(tier_of).filter(away).count() };
         let mut members: Vec<(usize, &Seat)> = Vec::new();
@@ -306,7 +309,7 @@
         }
         let of = |route: &str| -> Vec<(usize, &Seat)> {
             let all = self.seats.iter().enumerate().filter(|(_, s)| s.listed);
-            all.filter(|(_, s)| *s.place.route == *route).collect()
+            all.filter(|(_, s)| *s.place.sticky_route == *route).collect()
         };
         let home = of(route);
         let waits = |seats: &[(usize, &Seat)]| seats.iter().any(|(_, s)| s.offer.fit == Fit::Full);
@@ -317,18 +320,18 @@
         if let Some(done) = try_seats(&home) {
             return Some(done);
         }
-        let successor = home.iter().map(|(_, s)| &s.place.redirect).find(|r| !r.is_empty());
+        let successor = home.iter().map(|(_, s)| &s.place.failover_route).find(|r| !r.is_empty());
         if let Some(done) = successor.and_then(|r| try_seats(&of(r))) {
             return Some(done);
         }
-        if let Some(group) = home.iter().map(|(_, s)| &s.place.group).find(|g| !g.is_empty()) {
+        if let Some(group) = home.iter().map(|(_, s)| &s.place.failover_group).find(|g| !g.is_empty()) {
             let all = self.seats.iter().enumerate();
             let group: Vec<(usize, &Seat)> =
-                all.filter(|(_, s)| s.level.is_some() && s.place.group == *group).collect();
+                all.filter(|(_, s)| s.level.is_some() && s.place.failover_group == *group).collect();
             if let Some(done) = try_seats(&group) {
                 return Some(done);
             }
         }
-        (self.routing.strict && !home.is_empty()).then_some(None)
+        (self.routing.strict_affinity && !home.is_empty()).then_some(None)
     }
 }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_drained_or_gone_backend_gets_nothing_new() {
-    for state in [BackendState::Draining, BackendState::Gone] {
+    for state in [BackendState::Draining, BackendState::Removed] {
         let mut door = Door::new(settings(), &["a1", "a2"]);
         door.tell(Event::BackendChanges(vec![backend("a1", state, None)]));
         for id in 1..=4 {
@@ -43,10 +43,10 @@
     while broken < 2 {
         id += 1;
         let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
-        let outcome = if &*at == "a1" { AttemptOutcome::Broken } else { AttemptOutcome::Served };
+        let outcome = if &*at == "a1" { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Served };
         broken += usize::from(&*at == "a1");
         logs = door.end(id, 0, &at, outcome);
-        if outcome == AttemptOutcome::Broken && broken == 1 {
+        if outcome == AttemptOutcome::ConnectionLost && broken == 1 {
             let next = door.served(1000, "other", "plain", "unsafe");
             assert_eq!(&*next, "a2", "after one failure it is left alone for as long as that took");
             door.end(1000, 0, &next, AttemptOutcome::Served);
@@ -95,18 +95,18 @@
 fn a_connection_that_breaks_alone_ejects_nobody_and_the_second_in_a_row_does() {
     let mut door = Door::new(settings(), &["a1"]);
     let at = door.served(1, "c1", "plain", "unsafe");
-    door.end_after(10.0, 1, 0, &at, AttemptOutcome::Broken);
-    let ejected = |door: &Door| door.gateway.backends().next().unwrap().eject_until > door.now;
+    door.end_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
+    let ejected = |door: &Door| door.gateway.backends().next().unwrap().ejected_until > door.now;
     assert!(!ejected(&door));
     let at = door.served(2, "c2", "plain", "unsafe");
     door.end(2, 0, &at, AttemptOutcome::Served);
     let at = door.served(3, "c3", "plain", "unsafe");
-    door.end_after(10.0, 3, 0, &at, AttemptOutcome::Broken);
+    door.end_after(10.0, 3, 0, &at, AttemptOutcome::ConnectionLost);
     assert!(!ejected(&door), "an answer between them takes the first back");
     let at = door.served(4, "c4", "plain", "unsafe");
-    door.end_after(10.0, 4, 0, &at, AttemptOutcome::Broken);
+    door.end_after(10.0, 4, 0, &at, AttemptOutcome::ConnectionLost);
     assert!(ejected(&door));
-    for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, AttemptOutcome::Full] {
+    for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, AttemptOutcome::Rejected] {
         let mut door = Door::new(settings(), &["a1"]);
         let at = door.served(1, "c1", "plain", "unsafe");
         door.end_after(10.0, 1, 0, &at, outcome);
@@ -116,12 +116,12 @@
 
 #[test]
 fn errors_of_two_classes_eject_and_those_of_one_do_not() {
-    let ejected = |door: &Door| door.gateway.backends().next().unwrap().eject_until > door.now;
+    let ejected = |door: &Door| door.gateway.backends().next().unwrap().ejected_until > door.now;
     let mut door = Door::new(settings(), &["a1"]);
     let fail = |door: &mut Door, id, class: &str| {
         let at = door.served(id, &format!("c{id}"), "plain", class);
         door.end_after(5.0, id, 0, &at, AttemptOutcome::Error);
-        door.tell(Event::ClientLeft { id });
+        door.tell(Event::ClientDisconnected { id });
     };
     for id in 1..=4 {
         fail(&mut door, id, "unsafe");
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -14,7 +14,12 @@
 impl Fleet {
     fn new(count: u32) -> Self {
         let door = |number| {
-            let settings = Settings { gateways: count, number, settles: true, ..settings() };
+            let settings = Settings {
+                gateway_count: count,
+                gateway_index: number,
+                responses_report_units: true,
+                ..settings()
+            };
             Door::seeded(settings, u64::from(number) + 11, &["a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"])
         };
         Self { doors: (0..count).map(door).collect(), counts: HashMap::new() }
@@ -25,12 +30,12 @@
         let mut sent = 0;
         while let Some(action) = did.pop() {
             match action {
-                Action::Count { name, amount, .. } => {
+                Action::AddToCounter { counter: name, amount, .. } => {
                     let total = self.counts.entry(name).or_default();
                     *total += amount;
                     did.extend(self.doors[at].total(name, *total));
                 }
-                Action::Send { id, backend, .. } => {
+                Action::SendAttempt { id, backend, .. } => {
                     sent += 1;
                     did.extend(self.doors[at].answer(id, &backend, 1.0));
                 }
@@ -43,7 +48,7 @@
     fn pass(&mut self, span: Millis) {
         for at in 0..self.doors.len() {
             self.doors[at].now += span;
-            let did = self.doors[at].tell(Event::Timer { token: 1 });
+            let did = self.doors[at].tell(Event::TimerExpired { token: 1 });
             self.settle(at, did);
         }
     }
@@ -57,9 +62,14 @@
     fn change(&mut self, change: &dyn Fn(&mut Settings)) {
         let count = self.doors.len() as u32;
         for at in 0..self.doors.len() {
-            let mut next = Settings { gateways: count, number: at as u32, settles: true, ..settings() };
+            let mut next = Settings {
+                gateway_count: count,
+                gateway_index: at as u32,
+                responses_report_units: true,
+                ..settings()
+            };
             change(&mut next);
-            let did = self.doors[at].tell(Event::Settings(Box::new(next)));
+            let did = self.doors[at].tell(Event::SettingsChanged(Box::new(next)));
             self.settle(at, did);
         }
     }
@@ -139,9 +149,9 @@
     // A block in hand, then a plan of a fifth: what is left of it is not spent.
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.ask(0, 1, "plain"), 1);
-    assert!(fleet.doors[0].gateway.customers().any(|c| c.lease >= 4.0));
+    assert!(fleet.doors[0].gateway.customers().any(|c| c.leased_units >= 4.0));
     fleet.change(&|s| s.plans[0].burst = 2.0);
-    assert!(fleet.doors[0].gateway.customers().all(|c| c.lease == 0.0));
+    assert!(fleet.doors[0].gateway.customers().all(|c| c.leased_units == 0.0));
     let rest = granted(&mut fleet, 300);
     assert!(rest <= 2, "{rest} after one of two was used");
 }
@@ -155,12 +165,12 @@
         let mut next = settings();
         next.classes.retain(|c| &*c.name != "unsafe");
         next.plans.retain(|p| &*p.name != "plain");
-        door.tell(Event::Settings(Box::new(next)));
+        door.tell(Event::SettingsChanged(Box::new(next)));
     }
     assert!(refused(&door.ask(3, "c", "plain", "safe"), 3), "the plan is gone for what comes");
     assert!(refused(&door.ask(4, "d", "capped", "unsafe"), 4), "and so is the class");
     // It may have run: never again, and no refusal.
-    assert!(failed(&door.end(1, 0, &backend, AttemptOutcome::Broken), 1));
+    assert!(failed(&door.end(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
     door.answer(2, &backend_2, 1.0);
     assert_eq!(
         door.gateway.customers().find(|c| &*c.name == "d").map(|c| c.plan.to_string()).as_deref(),
@@ -171,8 +181,9 @@
 #[test]
 fn settings_that_cannot_be_used_change_nothing() {
     let mut door = Door::new(settings(), &["a1"]);
-    for next in [Settings { number: 1, ..settings() }, Settings { classes: Vec::new(), ..settings() }] {
-        let did = door.tell(Event::Settings(Box::new(next)));
+    for next in [Settings { gateway_index: 1, ..settings() }, Settings { classes: Vec::new(), ..settings() }]
+    {
+        let did = door.tell(Event::SettingsChanged(Box::new(next)));
         assert!(matches!(&did[..], [Action::Log(line)] if line.contains("refused")), "{did:?}");
     }
     door.served(1, "c", "plain", "safe");
@@ -184,12 +195,12 @@
     assert_eq!(fleet.ask(0, 1, "plain"), 1);
     let held: f64 = fleet.counts.values().sum();
     assert_eq!(held, 5.0, "its even part of the burst");
-    let did = fleet.doors[0].tell(Event::Leaving);
+    let did = fleet.doors[0].tell(Event::ShutdownStarted);
     fleet.settle(0, did);
     assert_eq!(fleet.counts.values().sum::<f64>(), 1.0, "what was used stays counted");
     // What still comes is paid one by one, and nothing stays in hand.
     assert_eq!(fleet.ask(0, 2, "plain"), 1);
-    assert!(fleet.doors[0].gateway.customers().all(|c| c.lease == 0.0));
+    assert!(fleet.doors[0].gateway.customers().all(|c| c.leased_units == 0.0));
     // The other gateway can use all the rest.
     let rest: usize = (10..40).map(|id| fleet.ask(1, id, "plain")).sum();
     assert_eq!(rest, 8);
@@ -204,13 +215,13 @@
                 let did = door.ask_of(*id, "c", "plain", "safe", false, spread);
                 let did = match count(&did) {
                     Some((name, _)) => {
-                        let mut did = door.tell(Event::Counted {
-                            name,
+                        let mut did = door.tell(Event::CounterCallEnded {
+                            counter: name,
                             outcome: CounterOutcome::Unknown,
                             latency: 50.0,
                         });
                         door.now += 51.0;
-                        did.extend(door.tell(Event::Timer { token: 1 }));
+                        did.extend(door.tell(Event::TimerExpired { token: 1 }));
                         did
                     }
                     None => did,
@@ -225,8 +236,8 @@
     let first = spend(&mut door, 1, 2);
     assert!((4..=8).contains(&first), "{first}: half of ten, and what the rate adds");
     let mut next = settings();
-    next.gateways = 10;
-    door.tell(Event::Settings(Box::new(next)));
+    next.gateway_count = 10;
+    door.tell(Event::SettingsChanged(Box::new(next)));
     let more = spend(&mut door, 100, 10);
     assert!(more <= 1, "{more} more after the fleet grew: a slice was granted anew");
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -82,12 +82,12 @@
 impl Fleet {
     fn new(play: Play, seed: u64) -> Self {
         let mut chance = Chance(seed.wrapping_mul(0x9e37_79b9) + 1);
-        let base = Settings { gateways: play.gateways, fall_time: play.fall, ..settings() };
+        let base = Settings { gateway_count: play.gateways, overload_window: play.fall, ..settings() };
         let mut plan = base.plans[0].clone();
         plan.rate = 0.0;
-        let settings = Settings { plans: vec![plan], counter: false, ..base };
+        let settings = Settings { plans: vec![plan], has_counter: false, ..base };
         let gateways = (0..play.gateways).map(|number| {
-            let settings = Settings { number, ..settings.clone() };
+            let settings = Settings { gateway_index: number, ..settings.clone() };
             Gateway::new(settings, seed * 1000 + u64::from(number)).expect("usable settings")
         });
         let gateways = gateways.collect::<Vec<_>>();
@@ -144,9 +144,9 @@
         self.gateways[at].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, .. } => self.sent(at, id, backend),
+                Action::SendAttempt { id, backend, .. } => self.sent(at, id, backend),
                 Action::SetTimer { after, token } => self.later(after, at, Due::Timer(token)),
-                Action::Refuse { id, .. } | Action::Fail { id } => drop(self.attempts.remove(&id)),
+                Action::Reject { id, .. } | Action::Fail { id } => drop(self.attempts.remove(&id)),
                 _ => {}
             }
         }
@@ -168,9 +168,9 @@
             let begins = slot.max(now);
             let waits = ((begins - now) * RATE / 1000.0) as usize;
             if breaks {
-                (AttemptOutcome::Broken, 2.0)
+                (AttemptOutcome::ConnectionLost, 2.0)
             } else if waits > QUEUE {
-                (AttemptOutcome::Full, 1.0)
+                (AttemptOutcome::Rejected, 1.0)
             } else {
                 let ends = begins + work / warmth_of(machine.started, &self.settings, now);
                 *machine.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots") = ends;
@@ -182,7 +182,16 @@
             }
         };
         let (finished, load) = (outcome == AttemptOutcome::Served, None);
-        let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units: None, finished, load };
+        let end = AttemptEnd {
+            id,
+            attempt,
+            backend,
+            outcome,
+            latency,
+            true_units: None,
+            final_response_sent: finished,
+            load_report: load,
+        };
         self.later(latency.max(0.1), at, Due::Ends(end));
     }
 
@@ -193,7 +202,7 @@
         self.machines.insert(new.into(), Machine { started, up: true, slots, ..Machine::default() });
         for at in 0..self.gateways.len() {
             let after = 20.0 + 380.0 * self.chance.next();
-            let gone = backend(old, BackendState::Gone, None);
+            let gone = backend(old, BackendState::Removed, None);
             let came = backend(new, BackendState::Ready, started);
             self.later(after, at, Due::List(vec![gone, came]));
         }
@@ -227,22 +236,22 @@
                     let (class, bound) = ("safe".into(), Name::default());
                     self.tell(
                         gateway,
-                        Event::Request(IncomingRequest {
+                        Event::RequestReceived(IncomingRequest {
                             id,
                             customer,
                             plan,
                             class,
                             units: 1.0,
-                            repeat: false,
-                            patience,
-                            first: 0,
-                            spread: self.play.gateways,
-                            bound,
+                            client_retry: false,
+                            timeout: patience,
+                            first_gateway: 0,
+                            gateway_count: self.play.gateways,
+                            sticky_route: bound,
                         }),
                     );
                     self.arrive(gateway);
                 }
-                Due::Timer(token) => self.tell(gateway, Event::Timer { token }),
+                Due::Timer(token) => self.tell(gateway, Event::TimerExpired { token }),
                 Due::Ends(end) => self.tell(gateway, Event::AttemptEnded(end)),
                 Due::List(list) => self.tell(gateway, Event::BackendChanges(list)),
             }
@@ -252,9 +261,10 @@
         let worst = starts.map(|machine| {
             let arrived = &machine.arrived;
             let windows = arrived.iter().enumerate().map(|(at, from)| {
-                let count = arrived[at..].iter().take_while(|t| **t < from + settings.fall_time).count();
+                let count =
+                    arrived[at..].iter().take_while(|t| **t < from + settings.overload_window).count();
                 let warmth = warmth_of(machine.started, settings, *from);
-                let budget = settings.fall_multiple * warmth * RATE * settings.fall_time / 1000.0;
+                let budget = settings.overload_multiple * warmth * RATE * settings.overload_window / 1000.0;
                 (count as f64, budget + 2.0 * budget.sqrt() + 2.0)
             });
             windows.max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1))).unwrap_or((0.0, 1.0))
@@ -265,8 +275,8 @@
 
 /// The share of its capacity that a start has.
 fn warmth_of(started: Option<Millis>, settings: &Settings, now: Millis) -> f64 {
-    let age = started.map_or(1.0, |from| ((now - from) / settings.cold_time).clamp(0.0, 1.0));
-    settings.cold_share + (1.0 - settings.cold_share) * age
+    let age = started.map_or(1.0, |from| ((now - from) / settings.slow_start_duration).clamp(0.0, 1.0));
+    settings.slow_start_share + (1.0 - settings.slow_start_share) * age
 }
 
 fn plays() -> Vec<Play> {
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -6,7 +6,7 @@
 
 fn silence(door: &mut Door, name: u64) -> Vec<Action> {
     door.now += 50.0;
-    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 })
+    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 })
 }
 
 /// Offers a request every 20 ms while the counter says nothing; gives how many went on.
@@ -148,7 +148,7 @@
 #[test]
 fn what_settles_below_its_price_does_not_pass_the_ceiling() {
     let mut settings = settings();
-    (settings.gateways, settings.settles) = (1, true);
+    (settings.gateway_count, settings.responses_report_units) = (1, true);
     let plan = settings.plans[1].clone();
     let mut door = Door::new(settings, &["a1", "a2", "a3", "a4"]);
     let (mut left, mut total, mut lowest) = (plan.ceiling_burst, 0.0, f64::INFINITY);
@@ -156,14 +156,14 @@
     for id in 1..2000 {
         door.now += 10.0;
         left = (left + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
-        let mut did = door.tell(Event::Timer { token: 1 });
+        let mut did = door.tell(Event::TimerExpired { token: 1 });
         did.extend(door.ask(id, "c", "ceiling", "safe"));
         while let Some((name, amount)) = count(&did) {
             if name != window {
                 (window, total) = (name, 0.0);
             }
             total += amount;
-            did.retain(|a| !matches!(a, Action::Count { .. }));
+            did.retain(|a| !matches!(a, Action::AddToCounter { .. }));
             did.extend(door.total(name, total));
         }
         if let Some((id, backend)) = sent(&did) {
@@ -177,7 +177,7 @@
 
 fn late(door: &mut Door, name: u64, total: Option<f64>) -> Vec<Action> {
     let outcome = CounterOutcome::Late { added: true, total };
-    door.tell(Event::Counted { name, outcome, latency: 90.0 })
+    door.tell(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
 
 fn one(door: &Door) -> CustomerStatus {
@@ -189,26 +189,26 @@
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
     assert_eq!(block, 5.0, "the burst over the gateways");
-    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     // One was spent from the slice in the meantime: it is told with the next call.
-    assert_eq!((one(&door).lease, one(&door).owed), (0.0, 1.0));
+    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (0.0, 1.0));
     late(&mut door, name, Some(block));
-    assert_eq!((one(&door).lease, one(&door).owed), (5.0, 1.0));
+    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (5.0, 1.0));
     assert!(sent(&door.ask(2, "c", "plain", "safe")).is_some(), "it is spent as any other");
-    assert_eq!(one(&door).lease, 4.0);
+    assert_eq!(one(&door).leased_units, 4.0);
     // A word of a call that nobody made, or a second one, changes nothing.
     late(&mut door, name, Some(99.0));
-    assert_eq!(one(&door).lease, 4.0);
+    assert_eq!(one(&door).leased_units, 4.0);
 }
 
 #[test]
 fn what_was_added_without_a_total_goes_back() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     late(&mut door, name, None);
     let owed = 1.0 - block;
-    assert_eq!((one(&door).lease, one(&door).owed), (0.0, owed));
+    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (0.0, owed));
     let did = door.pass(25.0, &[]);
     assert_eq!(count(&did), Some((name, block + owed)), "with the next block, at once");
 }
@@ -217,10 +217,10 @@
 fn a_call_that_was_turned_away_late_was_never_made() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let (name, _) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 });
+    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
     let before = one(&door);
     let outcome = CounterOutcome::Late { added: false, total: None };
-    door.tell(Event::Counted { name, outcome, latency: 90.0 });
+    door.tell(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 });
     assert_eq!(one(&door), before);
 }
 
@@ -239,8 +239,12 @@
             let total: &mut f64 = totals.entry(name).or_default();
             *total += amount;
             waiting.push((name, *total));
-            did.retain(|a| !matches!(a, Action::Count { .. }));
-            did.extend(door.tell(Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 }));
+            did.retain(|a| !matches!(a, Action::AddToCounter { .. }));
+            did.extend(door.tell(Event::CounterCallEnded {
+                counter: name,
+                outcome: CounterOutcome::Unknown,
+                latency: 50.0,
+            }));
         }
         for (id, at) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
             door.end(id, 0, &at, AttemptOutcome::Served);
@@ -263,7 +267,11 @@
         let mut did = door.ask(id, "c", "plain", "safe");
         did.extend(door.pass(100.0, &[id]));
         while let Some((name, _)) = count(&did) {
-            did = door.tell(Event::Counted { name, outcome: CounterOutcome::NotAdded, latency: 1.0 });
+            did = door.tell(Event::CounterCallEnded {
+                counter: name,
+                outcome: CounterOutcome::NotAdded,
+                latency: 1.0,
+            });
         }
         for at in ["a1", "a2"] {
             door.end(id, 0, &at.into(), AttemptOutcome::Served);
@@ -280,8 +288,8 @@
         did.extend(door.pass(30.0, &[]));
     }
     let view = one(&door);
-    assert!(view.store + view.lease > -2.0, "{view:?}");
-    assert!(view.store + view.lease <= 10.0, "never more than its burst: {view:?}");
+    assert!(view.available_units + view.leased_units > -2.0, "{view:?}");
+    assert!(view.available_units + view.leased_units <= 10.0, "never more than its burst: {view:?}");
 }
 
 #[test]
@@ -300,10 +308,10 @@
         did.extend(door.pass(25.0, &[]));
     }
     let (name, amount) = count(&did).unwrap();
-    let before = one(&door).store;
+    let before = one(&door).available_units;
     door.total(name, amount + block + 8.0);
     assert!(
-        one(&door).store <= before - 8.0 + 1.0,
+        one(&door).available_units <= before - 8.0 + 1.0,
         "what came in meanwhile pays for nothing: {:?}",
         one(&door)
     );
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -54,12 +54,20 @@
 impl World {
     fn new(gateways: u32, seed: u64) -> Self {
         let mut random = Random(seed.wrapping_mul(77) + 5);
-        let mut settings = Settings { gateways, settles: true, most_units: 4.0, ..settings() };
-        settings.peers = random.below(2) == 0;
-        settings.price_cross_zone = random.below(2) as f64;
+        let mut settings = Settings {
+            gateway_count: gateways,
+            responses_report_units: true,
+            max_request_units: 4.0,
+            ..settings()
+        };
+        settings.gossip_allowed = random.below(2) == 0;
+        settings.cross_zone_price = random.below(2) as f64;
         let make = |number: u32| {
-            Gateway::new(Settings { number, ..settings.clone() }, seed * 1000 + u64::from(number))
-                .expect("usable")
+            Gateway::new(
+                Settings { gateway_index: number, ..settings.clone() },
+                seed * 1000 + u64::from(number),
+            )
+            .expect("usable")
         };
         let made = (0..gateways).map(make).collect();
         let (counts, due, out) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -98,7 +106,7 @@
 
     fn carry_out(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Send { id, backend, .. } => {
+            Action::SendAttempt { id, backend, .. } => {
                 let known = self.out.entry(id).or_default();
                 let attempt = known.attempt;
                 (known.gateway, known.backend, known.sent) = (gateway, backend.clone(), self.now);
@@ -106,41 +114,57 @@
                 let until = known.until;
                 let (outcome, latency) = match self.random.below(20) {
                     0 => (AttemptOutcome::Error, 30.0),
-                    1 => (AttemptOutcome::Full, 3.0),
+                    1 => (AttemptOutcome::Rejected, 3.0),
                     2 => (AttemptOutcome::ConnectFailed, 2.0),
-                    3 => (AttemptOutcome::Broken, 80.0),
+                    3 => (AttemptOutcome::ConnectionLost, 80.0),
                     4 => (AttemptOutcome::TimedOut, (until - self.now).max(1.0)),
                     _ => (AttemptOutcome::Served, 20.0 + self.random.below(700) as f64),
                 };
                 let true_units = (outcome == AttemptOutcome::Served).then(|| self.random.below(4) as f64);
                 let finished = outcome == AttemptOutcome::Served;
                 let load = None;
-                let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units, finished, load };
+                let end = AttemptEnd {
+                    id,
+                    attempt,
+                    backend,
+                    outcome,
+                    latency,
+                    true_units,
+                    final_response_sent: finished,
+                    load_report: load,
+                };
                 self.later(latency, gateway, Event::AttemptEnded(end));
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 self.out.entry(id).or_default().answered = true;
             }
-            Action::SetTimer { after, token } => self.later(after, gateway, Event::Timer { token }),
-            Action::Count { name, amount, .. } => {
+            Action::SetTimer { after, token } => self.later(after, gateway, Event::TimerExpired { token }),
+            Action::AddToCounter { counter: name, amount, .. } => {
                 if self.silent {
                     return self.later(
                         50.0,
                         gateway,
-                        Event::Counted { name, outcome: CounterOutcome::Unknown, latency: 50.0 },
+                        Event::CounterCallEnded {
+                            counter: name,
+                            outcome: CounterOutcome::Unknown,
+                            latency: 50.0,
+                        },
                     );
                 }
                 let total = self.counts.entry(name).or_default();
                 *total += amount;
                 let (outcome, latency) = (CounterOutcome::Total(*total), 1.0 + self.random.below(30) as f64);
-                self.later(latency, gateway, Event::Counted { name, outcome, latency });
+                self.later(latency, gateway, Event::CounterCallEnded { counter: name, outcome, latency });
             }
-            Action::Tell { bytes } => {
+            Action::Gossip { bytes } => {
                 for to in (0..self.gateways.len()).filter(|to| *to != gateway) {
-                    self.later(2.0, to, Event::PeerMessage { from: gateway as u32, bytes: bytes.clone() });
+                    self.later(2.0, to, Event::GossipReceived { from: gateway as u32, bytes: bytes.clone() });
                 }
             }
-            Action::CallOff { .. } | Action::Probe { .. } | Action::WatchBackends | Action::Log(_) => {}
+            Action::CancelAttempt { .. }
+            | Action::CheckHealth { .. }
+            | Action::WatchBackends
+            | Action::Log(_) => {}
         }
     }
 
@@ -163,7 +187,7 @@
             2 | 3 => {
                 let name = NAMES[self.random.below(6) as usize];
                 let states =
-                    [BackendState::Ready, BackendState::Draining, BackendState::Gone, BackendState::Ready];
+                    [BackendState::Ready, BackendState::Draining, BackendState::Removed, BackendState::Ready];
                 let state = states[self.random.below(4) as usize];
                 let started = (self.random.below(2) == 0).then_some(self.now);
                 let entry = backend(name, state, started);
@@ -178,19 +202,19 @@
                     }
                 }
                 for g in 0..count as usize {
-                    let settings = Settings { number: g as u32, ..self.settings.clone() };
-                    self.tell(g, Event::Settings(Box::new(settings)));
+                    let settings = Settings { gateway_index: g as u32, ..self.settings.clone() };
+                    self.tell(g, Event::SettingsChanged(Box::new(settings)));
                 }
             }
             5 => {
                 let views: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
-                self.tell(gateway, Event::Remembered(views));
+                self.tell(gateway, Event::StateRestored(views));
             }
-            6 if self.next > 3000 => self.tell(gateway, Event::Leaving),
+            6 if self.next > 3000 => self.tell(gateway, Event::ShutdownStarted),
             7..12 => {
                 let known = self.out.iter().rev().find(|(_, o)| !o.answered).map(|(id, o)| (*id, o.gateway));
                 if let Some((id, gateway)) = known {
-                    self.tell(gateway, Event::ClientLeft { id });
+                    self.tell(gateway, Event::ClientDisconnected { id });
                 }
             }
             _ => self.ask(gateway),
@@ -213,13 +237,13 @@
             plan: plan.into(),
             class: ["safe", "keyed", "unsafe"][class].into(),
             units,
-            repeat,
-            patience,
-            first: gateway as u32,
-            spread,
-            bound: Name::default(),
+            client_retry: repeat,
+            timeout: patience,
+            first_gateway: gateway as u32,
+            gateway_count: spread,
+            sticky_route: Name::default(),
         };
-        self.tell(gateway, Event::Request(arrival));
+        self.tell(gateway, Event::RequestReceived(arrival));
     }
 }
 
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -52,7 +52,7 @@
 }
 
 fn door(number: u32, seed: u64) -> Door {
-    let mut settings = Settings { gateways: GATEWAYS, number, ..settings() };
+    let mut settings = Settings { gateway_count: GATEWAYS, gateway_index: number, ..settings() };
     settings.plans[1] = plan();
     Door::seeded(settings, seed, &["a1", "a2", "a3", "a4"])
 }
@@ -70,11 +70,13 @@
             let mut next = Vec::new();
             for action in std::mem::take(&mut did) {
                 match action {
-                    Action::Send { id, backend, .. } => {
+                    Action::SendAttempt { id, backend, .. } => {
                         self.sent.push(self.doors[at].now);
                         next.extend(self.doors[at].end(id, 0, &backend, AttemptOutcome::Served));
                     }
-                    Action::Count { name, amount, keep } => next.extend(self.count(at, name, amount, keep)),
+                    Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
+                        next.extend(self.count(at, name, amount, keep))
+                    }
                     _ => {}
                 }
             }
@@ -94,7 +96,7 @@
             let lost = self.chance.next() < self.trouble.lost;
             if lost { (CounterOutcome::Unknown, 50.0) } else { (CounterOutcome::Total(total), 2.0) }
         };
-        self.doors[at].tell(Event::Counted { name, outcome, latency })
+        self.doors[at].tell(Event::CounterCallEnded { counter: name, outcome, latency })
     }
 
     /// Plays so long with tries at this rate a second; some gateways see many of them.
@@ -115,7 +117,7 @@
             for at in 0..self.doors.len() {
                 self.doors[at].now = now;
                 if (now / 5.0) as usize % 5 == at % 5 {
-                    let did = self.doors[at].tell(Event::Timer { token: 1 });
+                    let did = self.doors[at].tell(Event::TimerExpired { token: 1 });
                     self.carry(at, did);
                 }
             }
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -12,7 +12,7 @@
         let (old, new) = (format!("a{}", life - 1), format!("a{life}"));
         let born = Some(door.now);
         door.tell(Event::BackendChanges(vec![
-            backend(&old, BackendState::Gone, None),
+            backend(&old, BackendState::Removed, None),
             backend(&new, BackendState::Ready, born),
         ]));
         for number in 0..20u64 {
@@ -24,7 +24,7 @@
             if let Some((id, at)) = sent(&did) {
                 door.end(id, 0, &at, AttemptOutcome::Served);
             } else {
-                door.tell(Event::ClientLeft { id });
+                door.tell(Event::ClientDisconnected { id });
             }
             door.pass(50.0, &[]);
         }
@@ -45,7 +45,7 @@
     door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
     door.pass(1500.0, &[]);
     // Its key is remembered in the cell of a1 alone: b1 must not have it.
-    let did = door.end(1, 0, &at, AttemptOutcome::Broken);
+    let did = door.end(1, 0, &at, AttemptOutcome::ConnectionLost);
     assert_eq!(sends(&did), 0);
     assert!(!refused(&did, 1));
 }
@@ -53,7 +53,7 @@
 #[test]
 fn a_seat_that_was_given_up_serves_the_next_backend_as_its_own() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
-    door.tell(Event::BackendChanges(vec![backend("a1", BackendState::Gone, None)]));
+    door.tell(Event::BackendChanges(vec![backend("a1", BackendState::Removed, None)]));
     door.pass(61_000.0, &[]);
     assert_eq!(door.gateway.backends().count(), 1);
     door.tell(Event::BackendChanges(vec![backend("a3", BackendState::Ready, None)]));
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -7,46 +7,46 @@
 pub fn settings() -> Settings {
     let class = |name: &str, effect, group| RequestClass {
         name: name.into(),
-        aim: 800.0,
-        effect,
-        group,
-        memory: 4000.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        latency_objective: 800.0,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 4000.0,
+        priority_weight: 1.0,
+        late_response_value: 0.0,
     };
     let plan = |name: &str, open, ceiling: f64| Plan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
-        open,
+        max_in_flight: open,
         ceiling_rate: 5.0 * ceiling,
         ceiling_burst: 10.0 * ceiling,
         ceiling_slack: ceiling,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        priority_factor: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 1.0,
     };
     Settings {
-        gateways: 2,
+        gateway_count: 2,
         zone: "z1".into(),
         tick: 4.0,
         classes: vec![
-            class("safe", Idempotency::Safe, DeduplicationScope::All),
-            class("keyed", Idempotency::Keyed, DeduplicationScope::Cell),
-            class("unsafe", Idempotency::Unsafe, DeduplicationScope::All),
+            class("safe", Idempotency::Idempotent, DeduplicationScope::All),
+            class("keyed", Idempotency::WithKey, DeduplicationScope::Cell),
+            class("unsafe", Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         plans: vec![plan("plain", 0, 0.0), plan("ceiling", 0, 1.6), plan("capped", 2, 0.0)],
-        counter: true,
+        has_counter: true,
         counter_timeout: 50.0,
-        most_units: 1.0,
-        probes: true,
-        cancel: true,
-        most_attempts: 4,
-        longest_advice: 2000.0,
-        cold_share: 0.2,
-        cold_time: 18_000.0,
-        fall_multiple: 2.0,
-        fall_time: 3000.0,
+        max_request_units: 1.0,
+        health_checks_allowed: true,
+        cancellation_allowed: true,
+        max_attempts: 4,
+        max_retry_after: 2000.0,
+        slow_start_share: 0.2,
+        slow_start_duration: 18_000.0,
+        overload_multiple: 2.0,
+        overload_window: 3000.0,
         ..Settings::default()
     }
 }
@@ -54,7 +54,14 @@
 /// A list line; backends named `a…` are in cell 0, all others in cell 1.
 pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
-    BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started, place: Placement::default() }
+    BackendEntry {
+        name: name.into(),
+        zone: "z1".into(),
+        cell,
+        state,
+        started,
+        placement: Placement::default(),
+    }
 }
 
 /// A gateway, its clock and what it did at the last event.
@@ -86,9 +93,9 @@
     /// Lets time pass and runs the housekeeping timer and the hold timers of the requests named.
     pub fn pass(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
-        let mut all = self.tell(Event::Timer { token: 1 });
+        let mut all = self.tell(Event::TimerExpired { token: 1 });
         for id in requests {
-            all.extend(self.tell(Event::Timer { token: id * 2 }));
+            all.extend(self.tell(Event::TimerExpired { token: id * 2 }));
         }
         all
     }
@@ -101,17 +108,17 @@
     pub fn ask_of(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
     ) -> Vec<Action> {
-        self.tell(Event::Request(IncomingRequest {
+        self.tell(Event::RequestReceived(IncomingRequest {
             id,
             customer: customer.into(),
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            repeat,
-            patience: 2000.0,
-            first: 0,
-            spread,
-            bound: Name::default(),
+            client_retry: repeat,
+            timeout: 2000.0,
+            first_gateway: 0,
+            gateway_count: spread,
+            sticky_route: Name::default(),
         }))
     }
 
@@ -131,8 +138,8 @@
             outcome,
             latency,
             true_units: None,
-            finished: outcome == AttemptOutcome::Served,
-            load: None,
+            final_response_sent: outcome == AttemptOutcome::Served,
+            load_report: None,
         }))
     }
 
@@ -140,13 +147,26 @@
     pub fn answer(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
         let (attempt, backend, true_units) = (0, backend.clone(), Some(units));
         let (outcome, latency, finished, load) = (AttemptOutcome::Served, 100.0, true, None);
-        let end = AttemptEnd { id, attempt, backend, outcome, latency, true_units, finished, load };
+        let end = AttemptEnd {
+            id,
+            attempt,
+            backend,
+            outcome,
+            latency,
+            true_units,
+            final_response_sent: finished,
+            load_report: load,
+        };
         self.tell(Event::AttemptEnded(end))
     }
 
     /// Answers a counter call with a total.
     pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted { name, outcome: CounterOutcome::Total(total), latency: 2.0 })
+        self.tell(Event::CounterCallEnded {
+            counter: name,
+            outcome: CounterOutcome::Total(total),
+            latency: 2.0,
+        })
     }
 
     /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
@@ -162,7 +182,7 @@
 /// The first counter call among actions: its name and amount.
 pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { counter: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
@@ -170,19 +190,19 @@
 /// The first send among actions.
 pub fn sent(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|a| match a {
-        Action::Send { id, backend, .. } => Some((*id, backend.clone())),
+        Action::SendAttempt { id, backend, .. } => Some((*id, backend.clone())),
         _ => None,
     })
 }
 
 /// How many requests were sent on.
 pub fn sends(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::SendAttempt { .. })).count()
 }
 
 /// Whether a request got a refusal.
 pub fn refused(actions: &[Action], which: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == which))
+    actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == which))
 }
 
 /// Whether a request got a failure.
@@ -193,24 +213,24 @@
 /// An action as text that does not depend on any Rust name: recorded digests outlive renames.
 pub fn stable_text(action: &Action) -> String {
     match action {
-        Action::Send { id, backend, timeout, window } => {
+        Action::SendAttempt { id, backend, timeout, must_be_written_within: window } => {
             format!("Send {{ id: {id}, backend: {backend:?}, timeout: {timeout:?}, window: {window:?} }}")
         }
-        Action::Refuse { id, retry_after, why } => {
+        Action::Reject { id, retry_after, reason: why } => {
             let why = match why {
-                RejectReason::Quota => "Quota",
-                RejectReason::Busy => "Busy",
+                RejectReason::QuotaExceeded => "Quota",
+                RejectReason::Overloaded => "Busy",
             };
             format!("Refuse {{ id: {id}, retry_after: {retry_after:?}, why: {why} }}")
         }
         Action::Fail { id } => format!("Fail {{ id: {id} }}"),
-        Action::CallOff { id, attempt } => format!("CallOff {{ id: {id}, attempt: {attempt} }}"),
+        Action::CancelAttempt { id, attempt } => format!("CallOff {{ id: {id}, attempt: {attempt} }}"),
         Action::SetTimer { after, token } => format!("SetTimer {{ after: {after:?}, token: {token} }}"),
-        Action::Probe { backend } => format!("Probe {{ backend: {backend:?} }}"),
-        Action::Count { name, amount, keep } => {
+        Action::CheckHealth { backend } => format!("Probe {{ backend: {backend:?} }}"),
+        Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
             format!("Count {{ name: {name}, amount: {amount:?}, keep: {keep:?} }}")
         }
-        Action::Tell { bytes } => format!("Tell {{ bytes: {bytes:?} }}"),
+        Action::Gossip { bytes } => format!("Tell {{ bytes: {bytes:?} }}"),
         Action::WatchBackends => "WatchBackends".to_owned(),
         Action::Log(line) => format!("Log({line:?})"),
     }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -25,7 +25,7 @@
     // Others hold the whole burst and more than the window has refilled by now.
     let did = door.total(name, amount + 40.0);
     let advice = did.iter().find_map(|a| match a {
-        Action::Refuse { id: 1, retry_after, .. } => Some(*retry_after),
+        Action::Reject { id: 1, retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(advice.is_some_and(|ms| ms > 0.0), "{did:?}");
@@ -36,7 +36,7 @@
 #[test]
 fn all_gateways_derive_the_same_name_and_it_changes_with_the_window() {
     let mut other = settings();
-    other.number = 1;
+    other.gateway_index = 1;
     let mut one = Door::new(settings(), &["a1"]);
     let mut two = Door::new(other, &["a1"]);
     let first = count(&one.ask(1, "c", "plain", "safe")).expect("call").0;
@@ -76,7 +76,7 @@
 #[test]
 fn settled_units_are_added_later() {
     let mut set = settings();
-    (set.settles, set.most_units) = (true, 4.0);
+    (set.responses_report_units, set.max_request_units) = (true, 4.0);
     let mut door = Door::new(set, &["a1", "a2"]);
     let backend = door.served(1, "c", "plain", "safe");
     let end = AttemptEnd {
@@ -86,8 +86,8 @@
         outcome: AttemptOutcome::Served,
         latency: 90.0,
         true_units: Some(4.0),
-        finished: true,
-        load: None,
+        final_response_sent: true,
+        load_report: None,
     };
     door.tell(Event::AttemptEnded(end));
     let did = door.pass(30.0, &[]);
@@ -113,7 +113,7 @@
 
 #[test]
 fn units_of_a_request_whose_client_went_before_anything_was_written_go_back() {
-    for (outcome, paid) in [(AttemptOutcome::NeverSent, true), (AttemptOutcome::Broken, false)] {
+    for (outcome, paid) in [(AttemptOutcome::NeverSent, true), (AttemptOutcome::ConnectionLost, false)] {
         let mut door = Door::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
         let (name, _) = count(&door.ask(1, "c", "plain", "safe")).expect("a block is asked for");
         let (_, backend) = sent(&door.total(name, 5.0)).expect("sent on");
@@ -124,11 +124,11 @@
             outcome,
             latency: 40.0,
             true_units: None,
-            finished: true,
-            load: None,
+            final_response_sent: true,
+            load_report: None,
         };
         door.tell(Event::AttemptEnded(end));
-        door.tell(Event::ClientLeft { id: 1 });
+        door.tell(Event::ClientDisconnected { id: 1 });
         // The block held five.
         let served = (2..=6).filter(|id| sends(&door.ask(*id, "c", "plain", "safe")) == 1).count();
         assert_eq!(served, if paid { 5 } else { 4 }, "{outcome:?}");
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -12,7 +12,12 @@
     let names: Vec<&str> = backends.iter().map(String::as_str).collect();
     (0..gateways)
         .map(|number| {
-            let settings = Settings { gateways, number, peers, ..settings() };
+            let settings = Settings {
+                gateway_count: gateways,
+                gateway_index: number,
+                gossip_allowed: peers,
+                ..settings()
+            };
             let mut door = Door::seeded(settings, 1000 + u64::from(number), &names);
             if cold {
                 let born = Some(door.now);
@@ -110,11 +115,11 @@
     let (name, amount) = count(&spread(&mut doors[0], 1, "c", false)).expect("a call");
     let did = doors[0].total(name, 1000.0 + amount);
     let told =
-        did.iter().find_map(|a| if let Action::Tell { bytes } = a { Some(bytes.clone()) } else { None });
+        did.iter().find_map(|a| if let Action::Gossip { bytes } = a { Some(bytes.clone()) } else { None });
     assert!(refused(&did, 1));
-    doors[1].tell(Event::PeerMessage { from: 0, bytes: told.expect("a word to the others") });
+    doors[1].tell(Event::GossipReceived { from: 0, bytes: told.expect("a word to the others") });
     for junk in [vec![], vec![1; 7], vec![255; 300]] {
-        doors[1].tell(Event::PeerMessage { from: 0, bytes: junk });
+        doors[1].tell(Event::GossipReceived { from: 0, bytes: junk });
     }
     // The counter turns all calls away: what is left is what the other gateway said.
     let mut gone_on = 0;
@@ -122,7 +127,7 @@
         let mut did = spread(&mut doors[1], id, "c", false);
         if let Some((name, _)) = count(&did) {
             let (outcome, latency) = (CounterOutcome::NotAdded, 1.0);
-            did.extend(doors[1].tell(Event::Counted { name, outcome, latency }));
+            did.extend(doors[1].tell(Event::CounterCallEnded { counter: name, outcome, latency }));
         }
         gone_on += sends(&did);
     }
@@ -178,7 +183,7 @@
     let mut shed = 0;
     for seed in 0..10 {
         let mut door =
-            Door::seeded(Settings { gateways: GATEWAYS, ..settings() }, 50 + seed, &["a1", "a2", "a3"]);
+            Door::seeded(Settings { gateway_count: GATEWAYS, ..settings() }, 50 + seed, &["a1", "a2", "a3"]);
         let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         for id in 1..=200 {
             dice ^= dice << 13;
@@ -203,8 +208,8 @@
 /// Where calls are scarce, those are made that save the most: a wrong guess on a dear try costs more.
 #[test]
 fn calls_that_are_scarce_go_to_the_tries_that_are_worth_the_most() {
-    let mut all = Settings { gateways: GATEWAYS, ..settings() };
-    (all.classes[0].worth, all.classes[2].worth) = (2.0, 5.0);
+    let mut all = Settings { gateway_count: GATEWAYS, ..settings() };
+    (all.classes[0].priority_weight, all.classes[2].priority_weight) = (2.0, 5.0);
     let mut door = Door::seeded(all, 3, &["a1", "a2", "a3"]);
     let mut asked = BTreeMap::<&str, u32>::new();
     for id in 1..=600 {
@@ -214,7 +219,7 @@
             *asked.entry(class).or_default() += 1;
             // Its answer is slow each time, so that calls stay scarce.
             let outcome = CounterOutcome::Total(amount);
-            did.extend(door.tell(Event::Counted { name, outcome, latency: 45.0 }));
+            did.extend(door.tell(Event::CounterCallEnded { counter: name, outcome, latency: 45.0 }));
         }
         for (id, at) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
             door.end(id, 0, &at, AttemptOutcome::Served);
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -6,16 +6,21 @@
 use std::collections::BTreeMap;
 
 fn place(name: &str, state: BackendState, started: Option<Millis>, place: Placement) -> BackendEntry {
-    BackendEntry { place, ..backend(name, state, started) }
+    BackendEntry { placement: place, ..backend(name, state, started) }
 }
 
 fn ready(name: &str, tier: u32, role: BackendRole, weight: f64) -> BackendEntry {
     let (route, state) = (format!("r-{name}").as_str().into(), BackendState::Ready);
-    place(name, state, None, Placement { tier, role, weight, route, ..Placement::default() })
+    place(
+        name,
+        state,
+        None,
+        Placement { priority_level: tier, role, weight, sticky_route: route, ..Placement::default() },
+    )
 }
 
 fn open_settings(gateways: u32, number: u32) -> Settings {
-    let mut settings = Settings { gateways, number, ..settings() };
+    let mut settings = Settings { gateway_count: gateways, gateway_index: number, ..settings() };
     settings.plans[0].rate = 0.0;
     settings.plans[0].burst = 0.0;
     settings
@@ -40,17 +45,17 @@
     /// One request; where it went, and its number.
     fn ask(&mut self, bound: &str) -> (Option<Name>, RequestId) {
         self.id += 1;
-        let did = self.door.tell(Event::Request(IncomingRequest {
+        let did = self.door.tell(Event::RequestReceived(IncomingRequest {
             id: self.id,
             customer: "c".into(),
             plan: "plain".into(),
             class: "safe".into(),
             units: 1.0,
-            repeat: false,
-            patience: 2000.0,
-            first: 0,
-            spread: 1,
-            bound: bound.into(),
+            client_retry: false,
+            timeout: 2000.0,
+            first_gateway: 0,
+            gateway_count: 1,
+            sticky_route: bound.into(),
         }));
         (sent(&did).map(|(_, name)| name), self.id)
     }
@@ -68,7 +73,7 @@
                 }
                 None => {
                     *went.entry("-".into()).or_default() += 1;
-                    self.door.tell(Event::ClientLeft { id });
+                    self.door.tell(Event::ClientDisconnected { id });
                 }
             }
         }
@@ -112,10 +117,10 @@
     assert_eq!(keys(&fleet.served(40, "")), ["a1", "a2"]);
     fleet.fail("a1");
     assert_eq!(keys(&fleet.served(10, "")), ["a2"], "one left of the first tier is enough");
-    fleet.state("a2", BackendState::Draining, None, &list[1].place);
+    fleet.state("a2", BackendState::Draining, None, &list[1].placement);
     assert_eq!(keys(&fleet.served(10, "")), ["b1"]);
     fleet.door.now += 30_000.0;
-    fleet.state("a2", BackendState::Ready, None, &list[1].place);
+    fleet.state("a2", BackendState::Ready, None, &list[1].placement);
     let went = fleet.served(30, "");
     assert!(!went.contains_key("b1"), "{went:?}");
 }
@@ -147,7 +152,7 @@
     assert_eq!(keys(&fleet.served(10, "")), ["h1"], "the standby goes before the next tier");
     // One primary back, cold: it gets what its warmth allows, the standby the rest, and nothing waits.
     let born = Some(fleet.door.now);
-    fleet.state("a1", BackendState::Ready, born, &list[0].place);
+    fleet.state("a1", BackendState::Ready, born, &list[0].placement);
     let went = fleet.served(2000, "");
     let cold = went["a1"] as f64 / 2000.0;
     assert!((0.02..0.2).contains(&cold), "{went:?}");
@@ -166,19 +171,19 @@
         .collect();
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(100, "")), ["a1", "a2", "a3", "a4"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].place);
+    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(keys(&fleet.served(100, "")), ["a2", "a3", "a4", "s1"], "one stands in for one");
     for entry in &list[1..3] {
-        fleet.state(&entry.name, BackendState::Draining, None, &entry.place);
+        fleet.state(&entry.name, BackendState::Draining, None, &entry.placement);
     }
     assert_eq!(keys(&fleet.served(100, "")), ["a4", "s1", "s2"]);
     for entry in &list[..3] {
-        fleet.state(&entry.name, BackendState::Ready, None, &entry.place);
+        fleet.state(&entry.name, BackendState::Ready, None, &entry.placement);
     }
     assert_eq!(keys(&fleet.served(100, "")), ["a1", "a2", "a3", "a4"]);
     // A spare that is down itself stands in for nobody.
-    fleet.state("s1", BackendState::Draining, None, &list[4].place);
-    fleet.state("a1", BackendState::Draining, None, &list[0].place);
+    fleet.state("s1", BackendState::Draining, None, &list[4].placement);
+    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(keys(&fleet.served(100, "")), ["a2", "a3", "a4", "s2"]);
 }
 
@@ -189,7 +194,7 @@
     let mut fleet = Fleet::new(list.clone());
     let born = Some(fleet.door.now);
     for entry in &list[..4] {
-        fleet.state(&entry.name, BackendState::Ready, born, &entry.place);
+        fleet.state(&entry.name, BackendState::Ready, born, &entry.placement);
     }
     // All four have a fifth of their capacity: together they take a fifth of the sends at most, less a margin.
     let went = fleet.served(4000, "");
@@ -236,16 +241,16 @@
 fn a_disabled_backend_serves_only_what_is_bound_to_it() {
     let list = vec![
         ready("a1", 0, BackendRole::Active, 1.0),
-        ready("d1", 0, BackendRole::Bound, 1.0),
+        ready("d1", 0, BackendRole::StickyOnly, 1.0),
         ready("b1", 1, BackendRole::Active, 1.0),
     ];
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(50, "")), ["a1"]);
     assert_eq!(keys(&fleet.served(10, "r-d1")), ["d1"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].place);
+    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(keys(&fleet.served(10, "")), ["b1"], "not even when its tier has nothing else");
     // Enabled again by a later list.
-    fleet.state("d1", BackendState::Ready, None, &ready("d1", 0, BackendRole::Active, 1.0).place);
+    fleet.state("d1", BackendState::Ready, None, &ready("d1", 0, BackendRole::Active, 1.0).placement);
     assert_eq!(keys(&fleet.served(10, "")), ["d1"]);
 }
 
@@ -253,22 +258,22 @@
 fn a_bound_request_goes_home_to_the_successor_to_the_group_then_anywhere() {
     let with = |name: &str, role, redirect: &str, group: &str| {
         let mut entry = ready(name, 0, role, 1.0);
-        (entry.place.redirect, entry.place.group) = (redirect.into(), group.into());
+        (entry.placement.failover_route, entry.placement.failover_group) = (redirect.into(), group.into());
         entry
     };
     let list = vec![
         with("a1", BackendRole::Active, "r-x", "east"),
         with("a2", BackendRole::Active, "", "east"),
         with("a3", BackendRole::Active, "", "west"),
-        with("x", BackendRole::Bound, "", ""),
+        with("x", BackendRole::StickyOnly, "", ""),
     ];
     let mut fleet = Fleet::new(list.clone());
     assert_eq!(keys(&fleet.served(10, "r-a1")), ["a1"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].place);
+    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(keys(&fleet.served(10, "r-a1")), ["x"], "the successor, though it is disabled otherwise");
-    fleet.state("x", BackendState::Draining, None, &list[3].place);
+    fleet.state("x", BackendState::Draining, None, &list[3].placement);
     assert_eq!(keys(&fleet.served(10, "r-a1")), ["a2"], "one of the group");
-    fleet.state("a2", BackendState::Draining, None, &list[1].place);
+    fleet.state("a2", BackendState::Draining, None, &list[1].placement);
     assert_eq!(keys(&fleet.served(10, "r-a1")), ["a3"], "anywhere");
     assert_eq!(
         keys(&fleet.served(10, "r-nobody")),
@@ -280,10 +285,10 @@
 #[test]
 fn a_strict_binding_is_refused_rather_than_broken() {
     let mut settings = open_settings(2, 0);
-    settings.routing.strict = true;
+    settings.routing.strict_affinity = true;
     let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list.clone());
-    fleet.state("a1", BackendState::Draining, None, &list[0].place);
+    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
     let (to, id) = fleet.ask("r-a1");
     assert_eq!(to, None);
     let did = fleet.door.pass(900.0, &[id]);
@@ -333,7 +338,7 @@
     let mut went: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..gateways {
         let mut settings = open_settings(gateways, number);
-        settings.routing.balance = balance;
+        settings.routing.load_balancing = balance;
         let mut fleet = Fleet::with(settings, 1000 + u64::from(number), list.clone());
         fleet.served(each, "").into_iter().for_each(|(n, c)| *went.entry(n).or_default() += c);
     }
@@ -351,20 +356,20 @@
     let heavy = [1.0, 1.0, 1.0, 1.0, 30.0, 1.0, 1.0, 1.0];
     for (gateways, each, most) in [(2, 2000, 0.03), (20, 4000, 0.10), (500, 200, 0.10)] {
         for (name, weights) in [("even steps", &weights[..]), ("one heavy", &heavy[..])] {
-            for balance in [LoadBalancing::Outstanding, LoadBalancing::Requests] {
+            for balance in [LoadBalancing::LeastInFlight, LoadBalancing::WeightedRoundRobin] {
                 let error = spread_error(gateways, each, balance, weights);
                 println!("{gateways} gateways, {name}, {balance:?}: {:.2}%", error * 100.0);
                 assert!(error < most, "{gateways} gateways, {name}, {balance:?}: {error}");
             }
         }
     }
-    assert!(spread_error(2, 2000, LoadBalancing::Busyness, &weights) < 0.03);
+    assert!(spread_error(2, 2000, LoadBalancing::WeightedLeastInFlight, &weights) < 0.03);
 }
 
 #[test]
 fn busyness_counts_what_is_out_beside_the_weight() {
     let mut settings = open_settings(1, 0);
-    settings.routing.balance = LoadBalancing::Busyness;
+    settings.routing.load_balancing = LoadBalancing::WeightedLeastInFlight;
     let list = vec![ready("a1", 0, BackendRole::Active, 2.0), ready("a2", 0, BackendRole::Active, 1.0)];
     let mut fleet = Fleet::with(settings, 3, list);
     let mut went: BTreeMap<String, usize> = BTreeMap::new();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -14,9 +14,12 @@
 fn unusable_settings_are_refused() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(error(|s| s.number = 2), Some(SettingsError::NumberTooHigh));
-    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::BadFigure("tick")));
-    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::BadFigure("a plan's rate")));
-    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::BadFigure("a plan's burst")));
-    assert_eq!(error(|s| s.classes[0].aim = f64::INFINITY), Some(SettingsError::BadFigure("a class's aim")));
+    assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::GatewayIndexOutOfRange));
+    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::InvalidValue("tick")));
+    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::InvalidValue("a plan's rate")));
+    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::InvalidValue("a plan's burst")));
+    assert_eq!(
+        error(|s| s.classes[0].latency_objective = f64::INFINITY),
+        Some(SettingsError::InvalidValue("a class's aim"))
+    );
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -39,8 +39,8 @@
     fn check(&mut self, now: Millis, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { id, backend, .. } => self.sent(now, id, backend),
-                Action::Refuse { id, .. } => {
+                Action::SendAttempt { id, backend, .. } => self.sent(now, id, backend),
+                Action::Reject { id, .. } => {
                     let known = self.answer(now, id);
                     let keyed_alone = known.class == 1 || known.class == 2;
                     assert!(known.may_have_run.is_none() || !keyed_alone, "refused though it may have run");
@@ -48,19 +48,22 @@
                 Action::Fail { id } => {
                     self.answer(now, id);
                 }
-                Action::CallOff { id, .. } => {
+                Action::CancelAttempt { id, .. } => {
                     assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
-                Action::Count { name, .. } => {
+                Action::AddToCounter { counter: name, .. } => {
                     assert!(!self.calls.contains(&name), "two calls out for one name");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
-                Action::Probe { .. } | Action::Tell { .. } | Action::WatchBackends | Action::Log(_) => {}
+                Action::CheckHealth { .. }
+                | Action::Gossip { .. }
+                | Action::WatchBackends
+                | Action::Log(_) => {}
             }
         }
     }
@@ -99,17 +102,17 @@
 fn arrival(random: &mut Random, id: RequestId, patience: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let customer = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
-    Event::Request(IncomingRequest {
+    Event::RequestReceived(IncomingRequest {
         id,
         customer: format!("{plan}-{customer}").as_str().into(),
         plan: plan.into(),
         class: ["safe", "keyed", "unsafe"][class].into(),
         units: 1.0,
-        repeat: random.below(4) == 0,
-        patience,
-        first: random.below(2) as u32,
-        spread: random.below(3) as u32,
-        bound: Name::default(),
+        client_retry: random.below(4) == 0,
+        timeout: patience,
+        first_gateway: random.below(2) as u32,
+        gateway_count: random.below(3) as u32,
+        sticky_route: Name::default(),
     })
 }
 
@@ -127,11 +130,11 @@
                 break;
             }
             checker.timers.remove(&(at, order));
-            let did = door.tell(Event::Timer { token });
+            let did = door.tell(Event::TimerExpired { token });
             checker.check(door.now, did);
         }
         for (id, event) in outcomes(&mut random, &mut checker, door.now) {
-            let finished = matches!(&event, Event::AttemptEnded(end) if end.finished);
+            let finished = matches!(&event, Event::AttemptEnded(end) if end.final_response_sent);
             if finished && !checker.requests[&id].answered {
                 checker.answer(door.now, id);
             }
@@ -160,7 +163,7 @@
                     1 => CounterOutcome::NotAdded,
                     _ => CounterOutcome::Total(random.below(25) as f64),
                 };
-                Event::Counted { name, outcome, latency: 5.0 }
+                Event::CounterCallEnded { counter: name, outcome, latency: 5.0 }
             }
             34 | 35 => {
                 let name: Name = names[random.below(6) as usize].into();
@@ -174,9 +177,9 @@
                     continue;
                 };
                 checker.requests.get_mut(&id).expect("known").answered = true;
-                Event::ClientLeft { id }
+                Event::ClientDisconnected { id }
             }
-            _ => Event::ClientLeft { id: 900_000_000 },
+            _ => Event::ClientDisconnected { id: 900_000_000 },
         };
         let did = door.tell(event);
         checker.check(door.now, did);
@@ -200,14 +203,14 @@
             let all = [
                 AttemptOutcome::Served,
                 AttemptOutcome::Error,
-                AttemptOutcome::Full,
+                AttemptOutcome::Rejected,
                 AttemptOutcome::ConnectFailed,
-                AttemptOutcome::Broken,
+                AttemptOutcome::ConnectionLost,
             ];
             all[random.below(5) as usize]
         };
         known.out = None;
-        let never_ran = matches!(outcome, AttemptOutcome::Full | AttemptOutcome::ConnectFailed);
+        let never_ran = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed);
         if !never_ran && known.may_have_run.is_none() {
             known.may_have_run = Some((backend.clone(), sent_at));
         }
@@ -220,8 +223,8 @@
             outcome,
             latency,
             true_units: None,
-            finished,
-            load: None,
+            final_response_sent: finished,
+            load_report: None,
         };
         events.push((*id, Event::AttemptEnded(end)));
     }
