--- /dev/null
+++ b/src/action.rs
@@ -0,0 +1,80 @@
+//! What a gateway asks its host to do.
+
+use crate::types::{Millis, Name, RequestId};
+
+/// Why a request is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectReason {
+    /// Its customer is beyond the quota.
+    QuotaExceeded,
+    /// The backends have no capacity left, or the gateway sheds load.
+    Overloaded,
+}
+
+/// Something that the host has to do at once.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send an attempt of a request to a backend.
+    SendAttempt {
+        /// The request.
+        id: RequestId,
+        /// The backend.
+        backend: Name,
+        /// The attempt's timeout in ms; `None` for the client's own.
+        timeout: Option<Millis>,
+        /// For a retry that backends drop as a repetition for a limited time only: what is left of that time, in ms.
+        /// The attempt is withdrawn unless it is written whole by then.
+        must_be_written_within: Option<Millis>,
+    },
+    /// Final response: rejected, harmless to retry.
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// How long the client should wait before it retries, in ms.
+        retry_after: Millis,
+        /// Why.
+        reason: RejectReason,
+    },
+    /// Final response: failed; the request may have been executed.
+    Fail {
+        /// The request.
+        id: RequestId,
+    },
+    /// Cancel an attempt.
+    CancelAttempt {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+    },
+    /// Set a timer.
+    SetTimer {
+        /// How long from now, in ms.
+        after: Millis,
+        /// What the timer brings back.
+        token: u64,
+    },
+    /// Send a health check to a backend.
+    CheckHealth {
+        /// The backend.
+        backend: Name,
+    },
+    /// Add to a shared counter and report its total.
+    AddToCounter {
+        /// The counter's name, below 2^63.
+        counter: u64,
+        /// What to add; may be negative.
+        amount: f64,
+        /// How long a new counter is kept, in ms.
+        time_to_live: Millis,
+    },
+    /// Send a message to all other gateways.
+    Gossip {
+        /// The message.
+        bytes: Vec<u8>,
+    },
+    /// Ask for changes to the endpoint list from now on.
+    WatchBackends,
+    /// Write a line to the log.
+    Log(String),
+}
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,6 +1,6 @@
 //! Whether settings can be used at all; no decision is made here.
 
-use crate::interface::{Settings, SettingsError};
+use crate::{Settings, SettingsError};
 
 /// The first fault of the settings, if there is one.
 pub(crate) fn check(settings: &Settings) -> Result<(), SettingsError> {
--- /dev/null
+++ b/src/event.rs
@@ -0,0 +1,237 @@
+//! What the host reports to a gateway.
+
+use crate::settings::Settings;
+use crate::status::BackendStatus;
+use crate::types::{Millis, Name, RequestId};
+
+/// What the endpoint list says of a backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BackendState {
+    /// It takes requests.
+    Ready,
+    /// It finishes its work and must be sent nothing new.
+    Draining,
+    /// It is gone.
+    Removed,
+}
+
+/// The part that a backend has in its priority level.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum BackendRole {
+    /// It takes its share of the requests.
+    #[default]
+    Active,
+    /// It is used when nothing else of its priority level can serve.
+    Standby,
+    /// It replaces one active backend of its level that is out of service, until that one has warmed up again.
+    Spare,
+    /// It takes only requests with its sticky route.
+    StickyOnly,
+}
+
+/// A backend's place among the others. The default is that of a list that states none.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Placement {
+    /// Its share of the requests relative to the others of its priority level; above 0.
+    pub weight: f64,
+    /// Priority levels are tried in order from 0.
+    pub priority_level: u32,
+    /// Its part in its priority level.
+    pub role: BackendRole,
+    /// The name by which requests are bound to it; empty for none.
+    pub sticky_route: Name,
+    /// The route that takes its bound requests when it is out of service; empty for none.
+    pub failover_route: Name,
+    /// Backends of one failover group replace each other for bound requests; empty for none.
+    pub failover_group: Name,
+}
+
+impl Default for Placement {
+    fn default() -> Self {
+        Self {
+            weight: 1.0,
+            priority_level: 0,
+            role: BackendRole::Active,
+            sticky_route: Name::default(),
+            failover_route: Name::default(),
+            failover_group: Name::default(),
+        }
+    }
+}
+
+/// One entry of the endpoint list.
+#[derive(Clone, Debug)]
+pub struct BackendEntry {
+    /// The backend's name.
+    pub name: Name,
+    /// Its zone.
+    pub zone: Name,
+    /// Its cell.
+    pub cell: u64,
+    /// Whether it takes requests.
+    pub state: BackendState,
+    /// When it last started, on the host's clock, where that is known.
+    pub started: Option<Millis>,
+    /// Its place among the others.
+    pub placement: Placement,
+}
+
+/// A backend's report of its own load; each value only where the deployment has it.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
+    /// Requests that it holds.
+    pub in_flight: Option<f64>,
+    /// Requests that wait there.
+    pub queued: Option<f64>,
+    /// Its recent service time in ms, without waiting.
+    pub service_time: Option<Millis>,
+}
+
+/// How an attempt or a health check ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// The backend served it.
+    Served,
+    /// The backend answered with an error; it may have been executed.
+    Error,
+    /// The backend rejected it before any work.
+    Rejected,
+    /// No response in time; it may have been executed, or may still be.
+    TimedOut,
+    /// No connection could be made; it was never executed.
+    ConnectFailed,
+    /// The connection was lost; it may have been executed.
+    ConnectionLost,
+    /// The gateway cancelled it; it may have been executed.
+    Cancelled,
+    /// It was never sent.
+    NeverSent,
+}
+
+/// How a counter call ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CounterOutcome {
+    /// The total after the addition.
+    Total(f64),
+    /// Nothing was added.
+    NotAdded,
+    /// No response in time; the amount may have been added.
+    Unknown,
+    /// What became of a call that was reported as unknown before, where the host learns it.
+    Late {
+        /// Whether the amount was added.
+        added: bool,
+        /// The total after the addition, where the response has it.
+        total: Option<f64>,
+    },
+}
+
+/// A request that a client sent.
+#[derive(Clone, Debug)]
+pub struct IncomingRequest {
+    /// Its number.
+    pub id: RequestId,
+    /// The customer that sent it.
+    pub customer: Name,
+    /// The customer's plan.
+    pub plan: Name,
+    /// Its class.
+    pub class: Name,
+    /// The units it uses, or an estimate.
+    pub units: f64,
+    /// Whether the client marks it as a retry of an earlier request.
+    pub client_retry: bool,
+    /// How long the client waits, in ms.
+    pub timeout: Millis,
+    /// The index of the first gateway of the customer's set; the others follow, counted round.
+    pub first_gateway: u32,
+    /// How many gateways the customer's requests come in through.
+    pub gateway_count: u32,
+    /// The route that the request is bound to; empty for none.
+    pub sticky_route: Name,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Debug)]
+pub struct AttemptEnd {
+    /// The request.
+    pub id: RequestId,
+    /// The attempt's number, from 0.
+    pub attempt: u32,
+    /// The backend it was sent to.
+    pub backend: Name,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// How long it was in flight, in ms.
+    pub latency: Millis,
+    /// The units it used, where the response reports them.
+    pub true_units: Option<f64>,
+    /// Whether the client has had its final response.
+    pub final_response_sent: bool,
+    /// A load report, where one came with the response.
+    pub load_report: Option<LoadReport>,
+}
+
+/// Something that happened, as the host reports it.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// The settings changed. The gateway's index stays; requests in flight go on under the class and plan they came
+    /// with.
+    SettingsChanged(Box<Settings>),
+    /// What an earlier process of this gateway had learnt of the backends; reported once, after the first list.
+    StateRestored(Vec<BackendStatus>),
+    /// The process shuts down: it leases no more than it needs and returns what it has.
+    ShutdownStarted,
+    /// The whole endpoint list; a backend that it does not name is gone.
+    BackendList(Vec<BackendEntry>),
+    /// Changes to the endpoint list.
+    BackendChanges(Vec<BackendEntry>),
+    /// A call for the endpoint list failed.
+    BackendListFailed,
+    /// A client sent a request.
+    RequestReceived(IncomingRequest),
+    /// A stream began on an attempt; it belongs to the client from now on.
+    StreamStarted {
+        /// The request.
+        id: RequestId,
+    },
+    /// An attempt ended.
+    AttemptEnded(AttemptEnd),
+    /// A health check ended.
+    HealthCheckEnded {
+        /// The backend.
+        backend: Name,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// How long it took, in ms.
+        latency: Millis,
+        /// A load report, where one came with the response.
+        load_report: Option<LoadReport>,
+    },
+    /// The client disconnected; its request is over.
+    ClientDisconnected {
+        /// The request.
+        id: RequestId,
+    },
+    /// A timer expired.
+    TimerExpired {
+        /// The token that it was set with.
+        token: u64,
+    },
+    /// A counter call ended.
+    CounterCallEnded {
+        /// The counter's name.
+        counter: u64,
+        /// How the call ended.
+        outcome: CounterOutcome,
+        /// How long it took, in ms.
+        latency: Millis,
+    },
+    /// A message of another gateway arrived.
+    GossipReceived {
+        /// The sender's index.
+        from: u32,
+        /// The message.
+        bytes: Vec<u8>,
+    },
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -83,12 +83,26 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod action;
 mod check;
-mod interface;
+mod event;
 mod logic;
 mod mix;
 mod routes;
+mod settings;
 mod state;
+mod status;
+mod types;
 
-pub use interface::*;
+pub use action::{Action, RejectReason};
+pub use event::{
+    AttemptEnd, AttemptOutcome, BackendEntry, BackendRole, BackendState, CounterOutcome, Event,
+    IncomingRequest, LoadReport, Placement,
+};
 pub use logic::Gateway;
+pub use settings::{
+    DeduplicationScope, Idempotency, LoadBalancing, LoadReportSource, Plan, RequestClass, Routing, Settings,
+    SettingsError,
+};
+pub use status::{BackendStatus, CustomerStatus};
+pub use types::{Millis, Name, RequestId};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,13 +1,13 @@
-//! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
+//! All decisions of a gateway. Its interface is in `settings.rs`, `event.rs`, `action.rs` and `status.rs`.
 //!
 //! A request passes three gates: its customer's quota (`Customer`, a lease cache on a shared window count),
 //! its open cap, and a backend with room (`Backend`). What cannot pass yet waits a share of its aim.
 
 use crate::check::check;
-use crate::interface::*;
 use crate::mix::{hash, mix, unit};
 use crate::routes::{Fit, Routes};
 use crate::state::{Backend, Customer, Request, Stage, carry_over};
+use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
 // ---- Quotas (a turn is burst over rate: the time in which a quota turns over once) ----
--- /dev/null
+++ b/src/settings.rs
@@ -0,0 +1,181 @@
+//! What a gateway is configured with: request classes, plans, limits and what its host can do.
+
+use crate::types::{Millis, Name};
+
+/// What executing a request more than once does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// It may be retried at any time.
+    Idempotent,
+    /// It carries an idempotency key: backends of one scope drop a repetition for a stated time.
+    WithKey,
+    /// It must never be executed twice.
+    NonIdempotent,
+}
+
+/// The backends that share the memory of idempotency keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeduplicationScope {
+    /// All backends.
+    All,
+    /// The backends of one zone.
+    Zone,
+    /// The backends of one cell.
+    Cell,
+}
+
+/// One class of requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestClass {
+    /// The class's name.
+    pub name: Name,
+    /// The latency objective in ms: a response within it has its full value.
+    pub latency_objective: Millis,
+    /// What executing a request of the class more than once does.
+    pub idempotency: Idempotency,
+    /// Which backends drop a repetition of a request with an idempotency key.
+    pub deduplication_scope: DeduplicationScope,
+    /// For how long a repetition is dropped, in ms from the first attempt that may have been executed.
+    pub deduplication_window: Millis,
+    /// The value of a response, relative to those of other classes; 0 or more.
+    pub priority_weight: f64,
+    /// The share of the value that a response after the latency objective still has, 0 to 1.
+    pub late_response_value: f64,
+}
+
+/// One plan: the quota that each of its customers holds over all gateways together.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Plan {
+    /// The plan's name.
+    pub name: Name,
+    /// Units per second; 0 means that the plan has no rate quota.
+    pub rate: f64,
+    /// The most units that may be used at once.
+    pub burst: f64,
+    /// The most requests in flight at once; 0 means no such limit.
+    pub max_in_flight: u32,
+    /// Units per second that the hard ceiling fills by; 0 means no ceiling.
+    pub ceiling_rate: f64,
+    /// The most units that the ceiling holds.
+    pub ceiling_burst: f64,
+    /// The units by which the ceiling may be passed.
+    pub ceiling_slack: f64,
+    /// A factor on the priority weight of the plan's requests.
+    pub priority_factor: f64,
+    /// The share of its value that a response to a request beyond the quota earns.
+    pub over_quota_value: f64,
+    /// The share of its value that a request beyond the quota costs.
+    pub over_quota_cost: f64,
+}
+
+/// Where load reports come from.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LoadReportSource {
+    /// There are none.
+    #[default]
+    None,
+    /// With every response.
+    Responses,
+    /// With the responses to health checks only.
+    HealthChecks,
+}
+
+/// How requests are spread over the backends of a priority level.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LoadBalancing {
+    /// To the backend with the fewest requests of this gateway in flight; by weight where weights differ.
+    #[default]
+    LeastInFlight,
+    /// By weight alone.
+    WeightedRoundRobin,
+    /// To the backend with the fewest requests in flight relative to its weight; of equals by weight.
+    WeightedLeastInFlight,
+}
+
+/// Rules for the choice among backends whose placement the endpoint list states.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Routing {
+    /// How requests are spread.
+    pub load_balancing: LoadBalancing,
+    /// Whether a request with a sticky route waits and is rejected rather than served elsewhere.
+    pub strict_affinity: bool,
+    /// Whether a backend whose start is not known and that refused a connection counts as started when it is tried
+    /// again.
+    pub assume_restart: bool,
+}
+
+/// All that a gateway is configured with. The default is all zeros and no classes: a start to fill in.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Settings {
+    /// How many gateways there are.
+    pub gateway_count: u32,
+    /// This gateway's index among them, from 0.
+    pub gateway_index: u32,
+    /// The zone this gateway is in.
+    pub zone: Name,
+    /// The shortest time between two calls of `handle`, in ms.
+    pub tick: Millis,
+    /// The request classes; at least one.
+    pub classes: Vec<RequestClass>,
+    /// The plans.
+    pub plans: Vec<Plan>,
+    /// Whether there is a shared counter.
+    pub has_counter: bool,
+    /// A counter call without a response for this long, in ms, has timed out.
+    pub counter_timeout: Millis,
+    /// Whether responses report the units that their requests used.
+    pub responses_report_units: bool,
+    /// The most units of one request.
+    pub max_request_units: f64,
+    /// Where load reports come from.
+    pub load_reports: LoadReportSource,
+    /// Whether backends may be sent health checks.
+    pub health_checks_allowed: bool,
+    /// Whether gateways may send each other messages.
+    pub gossip_allowed: bool,
+    /// Whether attempts may be cancelled.
+    pub cancellation_allowed: bool,
+    /// Whether the endpoint list has to be asked for.
+    pub watch_on_request: bool,
+    /// The most attempts of one request.
+    pub max_attempts: u32,
+    /// The longest Retry-After that a client follows, in ms.
+    pub max_retry_after: Millis,
+    /// The share of its capacity that a backend has at its start, at least; 0 to 1.
+    pub slow_start_share: f64,
+    /// A backend has warmed up after this time at most, in ms.
+    pub slow_start_duration: Millis,
+    /// A backend that warms up fails when it is sent more than this multiple of its present capacity.
+    pub overload_multiple: f64,
+    /// The time over which that is judged, in ms.
+    pub overload_window: Millis,
+    /// What it costs that a request crosses from one zone to another, in points.
+    pub cross_zone_price: f64,
+    /// How backends with a stated placement are chosen.
+    pub routing: Routing,
+}
+
+/// Settings that cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SettingsError {
+    /// There are no classes.
+    NoClasses,
+    /// A value is negative, not finite, or zero where it may not be; the text names it.
+    InvalidValue(&'static str),
+    /// The gateway's own index is not below the number of gateways.
+    GatewayIndexOutOfRange,
+}
+
+impl std::fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Self::NoClasses => write!(f, "settings name no request class"),
+            Self::InvalidValue(what) => write!(f, "settings hold an unusable figure: {what}"),
+            Self::GatewayIndexOutOfRange => {
+                write!(f, "the gateway's number is not below the number of gateways")
+            }
+        }
+    }
+}
+
+impl std::error::Error for SettingsError {}
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the decisions hold of backends, customers and requests, and where things stay when settings change. Nothing is decided here.
 
-use crate::interface::*;
+use crate::*;
 use std::collections::VecDeque;
 
 #[derive(Default)]
