--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -9,7 +9,7 @@
 mod rig;
 mod running;
 
-use doorcourse_connection_limits::Shares;
+use doorcourse_connection_limits::DescriptorBudget;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rig::{
@@ -342,7 +342,7 @@
     longest(&mut file, 30_000);
     let gateway = start("full", &file);
     // A few have no connection to a backend: they are refused, and may go for newcomers.
-    let Shares { clients: full, backends: out } = Shares::of(64);
+    let DescriptorBudget { clients: full, backends: out } = DescriptorBudget::for_limit(64);
     let mut busy: Vec<Client> = (0..full).map(|_| Client::open(gateway.address)).collect();
     busy.iter_mut().for_each(|client| drop(client.send_ask("order", 29_000)));
     let asked = Instant::now();
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -3,10 +3,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bounds;
+mod activity;
+mod client_limits;
 mod pool;
-mod table;
 
-pub use bounds::{Accounts, Bounds, Full, Held};
-pub use pool::{Pool, kept};
-pub use table::{Ages, Held as HeldOpen, Shares, pause};
+pub use activity::{ConnectionActivity, ConnectionTimeouts, DescriptorBudget, fault_backoff};
+pub use client_limits::{ClientBudget, ClientLimits, ConnectionUsage, LimitExceeded};
+pub use pool::{ConnectionPool, idle_limit};
--- a/crates/connection-limits/src/pool.rs
+++ b/crates/connection-limits/src/pool.rs
@@ -13,14 +13,14 @@
 /// How long a connection may stand idle before it is closed here, where the node closes it after `keepalive`; a node
 /// that states no time keeps it.
 #[must_use]
-pub fn kept(keepalive: Millis) -> Millis {
+pub fn idle_limit(keepalive: Millis) -> Millis {
     if keepalive > 0.0 { keepalive * RETIRE } else { f64::INFINITY }
 }
 
 /// The connections of one start of one node at one address. Another start, or the same at another address, has another
 /// pool: what was made for the one before carries nothing for it, and is not what its requests wait for.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     /// Which of the starts and addresses that the host has heard of, in all.
     incarnation: u64,
     /// Those that stand idle and since when, the one used last behind.
@@ -30,10 +30,10 @@
     busy: usize,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// The pool of this incarnation, whose number no other has.
     #[must_use]
-    pub fn of(incarnation: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Self { incarnation, ..Self::default() }
     }
 
@@ -45,7 +45,7 @@
 
     /// A connection for a request: the one used last, so that those not needed age and go. Such as stood idle for too
     /// long are given as `old`, to be closed. It counts as busy from here on.
-    pub fn take(&mut self, now: Millis, keep: Millis, old: &mut Vec<usize>) -> Option<usize> {
+    pub fn take_idle(&mut self, now: Millis, keep: Millis, old: &mut Vec<usize>) -> Option<usize> {
         while let Some((at, since)) = self.idle.pop() {
             if now < since + keep {
                 self.busy += 1;
@@ -57,44 +57,44 @@
     }
 
     /// A request waits for a connection.
-    pub fn wait(&mut self, request: RequestId) {
+    pub fn enqueue(&mut self, request: RequestId) {
         self.waiting.push_back(request);
     }
 
     /// A request waits no more.
-    pub fn leave(&mut self, request: RequestId) {
+    pub fn cancel_wait(&mut self, request: RequestId) {
         self.waiting.retain(|w| *w != request);
     }
 
     /// The request that has waited longest, which cannot be served here.
-    pub fn turn_away(&mut self) -> Option<RequestId> {
+    pub fn pop_waiting(&mut self) -> Option<RequestId> {
         self.waiting.pop_front()
     }
 
     /// All that waits and all that is idle, which is given up: the node must not have it, or is another now.
-    pub fn withdraw(&mut self) -> (Vec<RequestId>, Vec<usize>) {
+    pub fn withdraw_all(&mut self) -> (Vec<RequestId>, Vec<usize>) {
         (self.waiting.drain(..).collect(), self.idle.drain(..).map(|(at, _)| at).collect())
     }
 
     /// Whether one more connection is to be made: as many as requests wait for, within the bound.
     #[must_use]
-    pub fn wants_dial(&self) -> bool {
+    pub fn needs_connection(&self) -> bool {
         self.dialing < self.waiting.len().min(DIALS)
     }
 
     /// A connection is on its way.
-    pub fn dials(&mut self) {
+    pub fn connect_started(&mut self) {
         self.dialing += 1;
     }
 
     /// It is up or will not be.
-    pub fn dialed(&mut self) {
+    pub fn connect_ended(&mut self) {
         self.dialing -= 1;
     }
 
     /// A connection is free, after a request or fresh: for the request that has waited longest, which it then carries,
     /// else it stands idle.
-    pub fn rest(&mut self, now: Millis, at: usize) -> Option<RequestId> {
+    pub fn release(&mut self, now: Millis, at: usize) -> Option<RequestId> {
         let next = self.waiting.pop_front();
         match next {
             Some(_) => self.busy += 1,
@@ -104,18 +104,18 @@
     }
 
     /// A connection's request is over, and it is free or gone.
-    pub fn freed(&mut self) {
+    pub fn request_ended(&mut self) {
         self.busy -= 1;
     }
 
     /// An idle connection is gone.
-    pub fn gone(&mut self, at: usize) {
+    pub fn remove_idle(&mut self, at: usize) {
         self.idle.retain(|(idle, _)| *idle != at);
     }
 
     /// The connection that has stood idle longest, and since when.
     #[must_use]
-    pub fn oldest(&self) -> Option<(usize, Millis)> {
+    pub fn longest_idle(&self) -> Option<(usize, Millis)> {
         self.idle.first().copied()
     }
 
@@ -138,43 +138,46 @@
 
     #[test]
     fn the_one_used_last_is_taken_and_the_old_ones_are_closed() {
-        let (mut pool, mut old) = (Pool::default(), Vec::new());
+        let (mut pool, mut old) = (ConnectionPool::default(), Vec::new());
         for at in 0..3 {
-            pool.rest(at as f64 * 100.0, at);
+            pool.release(at as f64 * 100.0, at);
         }
-        assert_eq!((pool.take(250.0, kept(500.0), &mut old), pool.oldest()), (Some(2), Some((0, 0.0))));
-        pool.freed();
-        assert_eq!(pool.rest(300.0, 2), None);
+        assert_eq!(
+            (pool.take_idle(250.0, idle_limit(500.0), &mut old), pool.longest_idle()),
+            (Some(2), Some((0, 0.0)))
+        );
+        pool.request_ended();
+        assert_eq!(pool.release(300.0, 2), None);
         // 0.7 of 500 ms: the one of 100 ms is over at 450, that of 300 is not.
-        assert_eq!(pool.take(449.0, kept(500.0), &mut old), Some(2));
-        assert_eq!((pool.take(450.0, kept(500.0), &mut old), &old[..]), (None, &[1, 0][..]));
-        assert!(kept(0.0).is_infinite());
+        assert_eq!(pool.take_idle(449.0, idle_limit(500.0), &mut old), Some(2));
+        assert_eq!((pool.take_idle(450.0, idle_limit(500.0), &mut old), &old[..]), (None, &[1, 0][..]));
+        assert!(idle_limit(0.0).is_infinite());
     }
 
     #[test]
     fn dials_follow_who_waits_within_the_bound() {
-        let mut pool = Pool::default();
+        let mut pool = ConnectionPool::default();
         let mut dials = 0;
         for request in 0..10 {
-            pool.wait(request);
-            while pool.wants_dial() {
-                pool.dials();
+            pool.enqueue(request);
+            while pool.needs_connection() {
+                pool.connect_started();
                 dials += 1;
             }
         }
         assert_eq!((dials, pool.counts()), (4, (10, 4, 0, 0)));
         // One is up and serves who waited longest; another is made for those behind.
-        pool.dialed();
-        assert_eq!(pool.rest(5.0, 0), Some(0));
-        assert!(pool.wants_dial());
-        pool.leave(1);
-        assert_eq!(pool.turn_away(), Some(2));
-        let (waiting, idle) = pool.withdraw();
-        assert_eq!((waiting, idle, pool.wants_dial()), ((3..10).collect(), Vec::new(), false));
+        pool.connect_ended();
+        assert_eq!(pool.release(5.0, 0), Some(0));
+        assert!(pool.needs_connection());
+        pool.cancel_wait(1);
+        assert_eq!(pool.pop_waiting(), Some(2));
+        let (waiting, idle) = pool.withdraw_all();
+        assert_eq!((waiting, idle, pool.needs_connection()), ((3..10).collect(), Vec::new(), false));
         for _ in 0..3 {
-            pool.dialed();
+            pool.connect_ended();
         }
-        pool.freed();
+        pool.request_ended();
         assert!(pool.is_empty());
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -3,6 +3,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod follow;
+mod watch;
 
-pub use follow::{Due, Follow, Start};
+pub use watch::{DiscoveryWatch, Readiness, WatchAction};
--- a/crates/discovery/src/follow.rs
+++ b/crates/discovery/src/watch.rs
@@ -40,15 +40,15 @@
 
 /// What is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum WatchAction {
     /// Make a connection; then tell `ask` or `lost`.
-    Dial,
+    Connect,
     /// The call is not answered at once: keep its connection aside, where it may still be; the next one is dialled soon.
-    SetAside,
+    Supersede,
     /// The call that was set aside is not answered either: close its connection.
-    DropAside,
+    CloseSuperseded,
     /// The connection is dead, for this reason: close it and tell `lost`.
-    Dead(&'static str),
+    Close(&'static str),
 }
 
 /// Where a gateway is in following the list. It reads no clock.
@@ -59,7 +59,7 @@
 /// it take three quarters of the grace. The one before stays open beside it, so that a source which is merely slow is
 /// heard too.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct DiscoveryWatch {
     state: State,
     until: Millis,
     /// How long a call may go unanswered before the next one is made, and the wait in between.
@@ -71,12 +71,12 @@
     away: bool,
 }
 
-impl Follow {
+impl DiscoveryWatch {
     /// By then a list is in hand that was there when the source could be reached again, whatever became of the calls
     /// made before: a watch begun an instant earlier is silent to its end, the next call cannot be followed, and the
     /// whole list comes after one more wait. Every other order adds up to less (the property test plays them). What the
     /// loop is late by comes on top; the platform counts a change as told after 6 s, and 4 s after SIGHUP.
-    pub const WORST: Millis = SILENT + 2.0 * LONGEST_WAIT;
+    pub const MAX_DELAY: Millis = SILENT + 2.0 * LONGEST_WAIT;
 
     /// Connects at once; goes on from a version where one is known. `grace` is how long sends to a backend that drains
     /// may go on.
@@ -84,12 +84,12 @@
     pub fn new(version: Option<u64>, grace: Millis) -> Self {
         let (state, until, aside) = (State::Waiting, f64::NEG_INFINITY, None);
         let mut new = Self { state, until, again: 0.0, wait: 0.0, aside, version, up: false, away: false };
-        new.set_grace(grace);
+        new.set_drain_grace(grace);
         new
     }
 
     /// The settings name another grace.
-    pub fn set_grace(&mut self, grace: Millis) {
+    pub fn set_drain_grace(&mut self, grace: Millis) {
         self.again = (grace / 2.0).clamp(2.0 * SHORTEST_WAIT, ANSWER);
         // A call that nobody answers is waited for as a watch is.
         if rule_disabled("discovery-call-timeout") {
@@ -100,22 +100,22 @@
 
     /// The source moved: the next connection is made at once, and goes on from the version in hand. A call that was set
     /// aside is to be closed.
-    pub fn moved(&mut self) {
+    pub fn address_changed(&mut self) {
         (self.state, self.until, self.aside) = (State::Waiting, f64::NEG_INFINITY, None);
         self.away = false;
     }
 
     /// When something is due.
     #[must_use]
-    pub fn due(&self) -> Millis {
+    pub fn next_timeout(&self) -> Millis {
         self.aside.map_or(self.until, |aside| aside.until.min(self.until))
     }
 
     /// What is due now.
-    pub fn tick(&mut self, now: Millis) -> Option<Due> {
+    pub fn handle_timeout(&mut self, now: Millis) -> Option<WatchAction> {
         if self.aside.is_some_and(|aside| now >= aside.until) {
             self.aside = None;
-            return Some(Due::DropAside);
+            return Some(WatchAction::CloseSuperseded);
         }
         if now < self.until {
             return None;
@@ -123,9 +123,9 @@
         Some(match self.state {
             State::Waiting => {
                 (self.state, self.until) = (State::Connecting, now + self.again);
-                Due::Dial
+                WatchAction::Connect
             }
-            State::Connecting => Due::Dead("no connection"),
+            State::Connecting => WatchAction::Close("no connection"),
             State::Open { head: false, from, whole_by, .. } if self.aside.is_none() => {
                 // It was asked for `again` ago.
                 let until = (now - self.again + ANSWER).max(now);
@@ -133,14 +133,14 @@
                 (self.state, self.until) = (State::Waiting, now + self.wait);
                 // A watch that says nothing may never tell anything: the whole list is asked for next.
                 self.version = None;
-                Due::SetAside
+                WatchAction::Supersede
             }
-            State::Open { .. } => Due::Dead("no answer, list or line in time"),
+            State::Open { .. } => WatchAction::Close("no answer, list or line in time"),
         })
     }
 
     /// A message is asked for on a connection that is up: from which version on, or the whole list.
-    pub fn ask(&mut self, now: Millis) -> Option<u64> {
+    pub fn request_sent(&mut self, now: Millis) -> Option<u64> {
         let whole_by = now + if self.version.is_some() { SILENT } else { LIST };
         self.state = State::Open { from: self.version, head: false, told: false, whole_by };
         self.until = now + self.again;
@@ -149,7 +149,7 @@
 
     /// The head of the answer came. It shows the source alive, and nothing more: a call that was set aside is to be
     /// closed.
-    pub fn answers(&mut self) {
+    pub fn response_started(&mut self) {
         self.aside = None;
         if let State::Open { whole_by, told: false, head, .. } = &mut self.state {
             (*head, self.until) = (true, *whole_by);
@@ -158,7 +158,7 @@
 
     /// The call that was set aside is answered after all: it takes the place of the one that is out, which is to be
     /// closed. True where it is a watch.
-    pub fn aside_answers(&mut self) -> bool {
+    pub fn superseded_response_started(&mut self) -> bool {
         let Some(Aside { from, whole_by, .. }) = self.aside.take() else { return false };
         (self.state, self.until) = (State::Open { from, head: false, told: false, whole_by }, whole_by);
         // Its changes are those since the version that it asked from.
@@ -167,12 +167,12 @@
     }
 
     /// The call that was set aside has ended without an answer.
-    pub fn aside_lost(&mut self) {
+    pub fn superseded_lost(&mut self) {
         self.aside = None;
     }
 
     /// A whole list or an empty line came on the watch. Bytes of a line that is not whole show nothing.
-    pub fn heard(&mut self, now: Millis) {
+    pub fn message_received(&mut self, now: Millis) {
         if let State::Open { from: Some(_), told, .. } = &mut self.state {
             (*told, self.until, self.away) = (true, now + SILENT, false);
         }
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// Changes that cannot be followed: the list before them is not known.
-    pub fn take(&mut self, version: u64, whole: bool) -> Result<bool, String> {
+    pub fn apply_version(&mut self, version: u64, whole: bool) -> Result<bool, String> {
         if !whole && self.version.is_none_or(|held| version < held) {
             return Err(format!("changes of version {version} without the list before them"));
         }
@@ -191,13 +191,13 @@
     }
 
     /// What came cannot be followed: the whole list is asked for next.
-    pub fn cannot_follow(&mut self) {
+    pub fn reset_version(&mut self) {
         self.version = None;
     }
 
     /// The connection is gone or could not be made. True when that is news: a source that stays away is told of once.
     /// A watch that told nothing may never tell anything: the whole list is asked for next.
-    pub fn lost(&mut self, now: Millis) -> bool {
+    pub fn connection_lost(&mut self, now: Millis) -> bool {
         let untold = matches!(self.state, State::Open { from: Some(_), told: false, .. });
         let news = !untold && std::mem::take(&mut self.up) || !self.away;
         if untold {
@@ -210,12 +210,12 @@
 
 /// When a gateway that was just started says that it is ready.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct Readiness {
     since: Millis,
     listed: bool,
 }
 
-impl Start {
+impl Readiness {
     /// It waits for the list as long as this; then it goes by the list it last had. Guards a fleet whose list is down
     /// against staying away altogether.
     const LIST_WAIT: Millis = 1000.0;
@@ -227,7 +227,7 @@
     }
 
     /// The list's source has told a list.
-    pub fn listed(&mut self) {
+    pub fn list_received(&mut self) {
         self.listed = true;
     }
 
--- a/crates/graceful-shutdown/src/lib.rs
+++ b/crates/graceful-shutdown/src/lib.rs
@@ -3,10 +3,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod lateness;
-mod leave;
+mod shutdown;
+mod stall;
 mod stop;
 
-pub use lateness::looks_again;
-pub use leave::{Leave, Phase, Take};
-pub use stop::{HandDrains, LastRounds, Round};
+pub use shutdown::{Admission, GracefulShutdown, ShutdownPhase};
+pub use stall::needs_repoll;
+pub use stop::{FinalRound, FinalRounds, ManualDrains};
--- a/crates/graceful-shutdown/src/leave.rs
+++ b/crates/graceful-shutdown/src/shutdown.rs
@@ -17,7 +17,7 @@
 //! stays open, up to the moment at which the process is killed, so every connection is closed as it falls idle.
 
 use doorcourse::Millis;
-use doorcourse_connection_limits::HeldOpen as Held;
+use doorcourse_connection_limits::ConnectionActivity;
 use doorcourse_fail_points::rule_disabled;
 
 /// How long requests may still come after the word to leave: those on their way, and those of a front that has not
@@ -33,29 +33,29 @@
 
 /// Where a gateway is in its leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// It was not told to leave.
     Serving,
     /// It was told, and serves on.
-    Grace,
+    Notice,
     /// Its doors are closed, and connections end as they fall idle.
-    Closing,
+    Draining,
     /// It may be killed any moment: what is still open is answered at once.
-    LastAnswers,
+    FinalResponses,
 }
 
 /// What becomes of a request that has just come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Take {
+pub enum Admission {
     /// It is taken on with so much time.
-    On(Millis),
+    Admit(Millis),
     /// It cannot end before the process may be killed: refused at once, so that its client can ask elsewhere.
-    Refuse,
+    Reject,
 }
 
 /// The leaving of one process. It reads no clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Leave {
+pub struct GracefulShutdown {
     told: Option<Told>,
 }
 
@@ -65,10 +65,10 @@
     end: Millis,
 }
 
-impl Leave {
+impl GracefulShutdown {
     /// It is told to leave; true the first time. `longest` is the longest time that any request may have: the process
     /// is not killed before that time, or 3 s where it is longer, and the grace have passed.
-    pub fn tell(&mut self, now: Millis, longest: Millis) -> bool {
+    pub fn begin(&mut self, now: Millis, longest: Millis) -> bool {
         let first = self.told.is_none();
         let end = now + longest.min(MOST) + GRACE - MARGIN;
         // The kill is not reckoned with.
@@ -79,18 +79,18 @@
 
     /// Where it is now.
     #[must_use]
-    pub fn phase(&self, now: Millis) -> Phase {
+    pub fn phase(&self, now: Millis) -> ShutdownPhase {
         match self.told {
-            None => Phase::Serving,
-            Some(told) if now < told.last_call => Phase::Grace,
-            Some(told) if now < told.end => Phase::Closing,
-            Some(_) => Phase::LastAnswers,
+            None => ShutdownPhase::Serving,
+            Some(told) if now < told.last_call => ShutdownPhase::Notice,
+            Some(told) if now < told.end => ShutdownPhase::Draining,
+            Some(_) => ShutdownPhase::FinalResponses,
         }
     }
 
     /// When the phase changes next without being told, or the process ends; infinite where neither is to come.
     #[must_use]
-    pub fn due(&self, now: Millis) -> Millis {
+    pub fn next_timeout(&self, now: Millis) -> Millis {
         match self.told {
             None => Millis::INFINITY,
             Some(told) if now < told.last_call => told.last_call,
@@ -103,34 +103,41 @@
     /// may be less than its own time; it is taken on where that is enough for the answers that its class is meant to
     /// have, and refused where it would most likely be cut off.
     #[must_use]
-    pub fn take(&self, now: Millis, patience: Millis, aim: Millis) -> Take {
+    pub fn admit(&self, now: Millis, patience: Millis, aim: Millis) -> Admission {
         let left = self.told.map_or(Millis::INFINITY, |told| told.end - now);
-        if left >= patience.min(aim) && left > 0.0 { Take::On(patience.min(left)) } else { Take::Refuse }
+        if left >= patience.min(aim) && left > 0.0 {
+            Admission::Admit(patience.min(left))
+        } else {
+            Admission::Reject
+        }
     }
 
     /// Whether a client's connection is to end now, if one last read finds nothing on it: its doors are closed, and the
     /// connection owes nothing and is not midway in a command.
     #[must_use]
-    pub fn parts(&self, now: Millis, held: &Held) -> bool {
-        let owes = held.open > 0 || held.unread.is_some() || held.midway.is_some() || held.ending.is_some();
+    pub fn may_close(&self, now: Millis, held: &ConnectionActivity) -> bool {
+        let owes = held.open_requests > 0
+            || held.unread_response_since.is_some()
+            || held.partial_request_since.is_some()
+            || held.lingering_close_until.is_some();
         // Looked at once, when the listener closes.
         let once = rule_disabled("close-idle-until-exit")
             && self.told.is_some_and(|told| now >= told.last_call + NEWCOMER / 2.0);
         let owes = owes || once;
-        let comes = held.spoke.is_none() && now < held.opened + NEWCOMER;
-        self.is_closing(now) && !owes && !comes
+        let comes = held.last_request_at.is_none() && now < held.opened_at + NEWCOMER;
+        self.is_draining(now) && !owes && !comes
     }
 
     /// Whether the doors are closed.
     #[must_use]
-    pub fn is_closing(&self, now: Millis) -> bool {
-        matches!(self.phase(now), Phase::Closing | Phase::LastAnswers)
+    pub fn is_draining(&self, now: Millis) -> bool {
+        matches!(self.phase(now), ShutdownPhase::Draining | ShutdownPhase::FinalResponses)
     }
 
     /// Whether the process may end, with so many client connections left.
     #[must_use]
-    pub fn is_over(&self, now: Millis, connections: usize) -> bool {
-        self.is_closing(now) && connections == 0 || self.told.is_some_and(|told| now >= told.end + MARGIN)
+    pub fn is_finished(&self, now: Millis, connections: usize) -> bool {
+        self.is_draining(now) && connections == 0 || self.told.is_some_and(|told| now >= told.end + MARGIN)
     }
 }
 
@@ -138,45 +145,48 @@
 mod tests {
     use super::*;
 
-    fn told(longest: Millis) -> Leave {
-        let mut leave = Leave::default();
-        assert!(leave.tell(100.0, longest));
+    fn told(longest: Millis) -> GracefulShutdown {
+        let mut leave = GracefulShutdown::default();
+        assert!(leave.begin(100.0, longest));
         leave
     }
 
-    fn idle() -> Held {
-        Held { spoke: Some(50.0), ..Held::new(0.0) }
+    fn idle() -> ConnectionActivity {
+        ConnectionActivity { last_request_at: Some(50.0), ..ConnectionActivity::new(0.0) }
     }
 
     #[test]
     fn phases_follow_the_first_word() {
-        let mut leave = Leave::default();
-        assert_eq!((leave.phase(1e12), leave.due(1e12)), (Phase::Serving, Millis::INFINITY));
-        assert!(!leave.is_over(1e12, 0) && !leave.parts(1e12, &idle()));
-        assert!(leave.tell(100.0, 1000.0) && !leave.tell(500.0, 9000.0));
-        assert_eq!((leave.phase(799.0), leave.due(799.0)), (Phase::Grace, 800.0));
-        assert_eq!((leave.phase(800.0), leave.due(800.0)), (Phase::Closing, 1750.0));
-        assert_eq!((leave.phase(1750.0), leave.due(1750.0)), (Phase::LastAnswers, 1800.0));
-        assert!(!leave.is_over(799.0, 0), "its doors are open");
-        assert!(leave.is_over(800.0, 0) && !leave.is_over(1799.0, 1) && leave.is_over(1800.0, 1));
+        let mut leave = GracefulShutdown::default();
+        assert_eq!((leave.phase(1e12), leave.next_timeout(1e12)), (ShutdownPhase::Serving, Millis::INFINITY));
+        assert!(!leave.is_finished(1e12, 0) && !leave.may_close(1e12, &idle()));
+        assert!(leave.begin(100.0, 1000.0) && !leave.begin(500.0, 9000.0));
+        assert_eq!((leave.phase(799.0), leave.next_timeout(799.0)), (ShutdownPhase::Notice, 800.0));
+        assert_eq!((leave.phase(800.0), leave.next_timeout(800.0)), (ShutdownPhase::Draining, 1750.0));
+        assert_eq!(
+            (leave.phase(1750.0), leave.next_timeout(1750.0)),
+            (ShutdownPhase::FinalResponses, 1800.0)
+        );
+        assert!(!leave.is_finished(799.0, 0), "its doors are open");
+        assert!(leave.is_finished(800.0, 0) && !leave.is_finished(1799.0, 1) && leave.is_finished(1800.0, 1));
     }
 
     #[test]
     fn a_connection_ends_when_it_owes_nothing_whatever_it_had_open_at_the_last_call() {
         let leave = told(1000.0);
-        assert!(!leave.parts(799.0, &idle()) && leave.parts(800.0, &idle()));
+        assert!(!leave.may_close(799.0, &idle()) && leave.may_close(800.0, &idle()));
         let owing = [
-            Held { open: 1, ..idle() },
-            Held { unread: Some(700.0), ..idle() },
-            Held { midway: Some(700.0), ..idle() },
-            Held { ending: Some(900.0), ..idle() },
+            ConnectionActivity { open_requests: 1, ..idle() },
+            ConnectionActivity { unread_response_since: Some(700.0), ..idle() },
+            ConnectionActivity { partial_request_since: Some(700.0), ..idle() },
+            ConnectionActivity { lingering_close_until: Some(900.0), ..idle() },
         ];
         for held in owing {
-            assert!(!leave.parts(3000.0, &held), "{held:?}");
+            assert!(!leave.may_close(3000.0, &held), "{held:?}");
         }
         // One that never spoke owes nothing either, unless it has only just come.
-        let silent = Held { spoke: None, opened: 790.0, ..idle() };
-        assert!(!leave.parts(839.0, &silent) && leave.parts(840.0, &silent));
+        let silent = ConnectionActivity { last_request_at: None, opened_at: 790.0, ..idle() };
+        assert!(!leave.may_close(839.0, &silent) && leave.may_close(840.0, &silent));
     }
 
     #[test]
@@ -187,20 +197,20 @@
             let mut now = 100.0;
             while now < kill + 500.0 {
                 for (patience, aim) in [(250.0, 100.0), (900.0, 400.0), (longest, 800.0)] {
-                    match leave.take(now, patience, aim) {
-                        Take::On(time) => {
+                    match leave.admit(now, patience, aim) {
+                        Admission::Admit(time) => {
                             let whole = time <= patience && time >= patience.min(aim);
                             assert!(whole && now + time <= kill - MARGIN, "{now}: {time}");
                         }
-                        Take::Refuse => {
+                        Admission::Reject => {
                             assert!(now + patience.min(aim) > kill - MARGIN, "{now}: it could be served");
                         }
                     }
                 }
                 now += 1.0;
             }
-            assert_eq!(leave.take(100.0, longest.min(3000.0), 800.0), Take::On(longest.min(3000.0)));
+            assert_eq!(leave.admit(100.0, longest.min(3000.0), 800.0), Admission::Admit(longest.min(3000.0)));
         }
-        assert_eq!(Leave::default().take(1e12, 1500.0, 400.0), Take::On(1500.0));
+        assert_eq!(GracefulShutdown::default().admit(1e12, 1500.0, 400.0), Admission::Admit(1500.0));
     }
 }
--- a/crates/graceful-shutdown/src/lateness.rs
+++ b/crates/graceful-shutdown/src/stall.rs
@@ -8,6 +8,6 @@
 /// Whether a loop that is so late for what is due has to look at its sockets once more before it does that: what came
 /// meanwhile, the close of a client above all, was there first.
 #[must_use]
-pub fn looks_again(late: Millis) -> bool {
+pub fn needs_repoll(late: Millis) -> bool {
     late > LATE
 }
--- a/crates/graceful-shutdown/src/stop.rs
+++ b/crates/graceful-shutdown/src/stop.rs
@@ -7,17 +7,17 @@
 /// Nodes that a person drained at this gateway, whatever the list says. A word holds until it is taken back or the
 /// process ends, also while the node is away from the list: who drained it did so for a reason.
 #[derive(Clone, Debug, Default)]
-pub struct HandDrains(BTreeSet<Name>);
+pub struct ManualDrains(BTreeSet<Name>);
 
-impl HandDrains {
+impl ManualDrains {
     /// Takes a person's word; whether it changes anything.
-    pub fn drain(&mut self, name: &Name, drain: bool) -> bool {
+    pub fn set_drained(&mut self, name: &Name, drain: bool) -> bool {
         if drain { self.0.insert(name.clone()) } else { self.0.remove(name) }
     }
 
     /// Whether a node is drained by hand.
     #[must_use]
-    pub fn has(&self, name: &Name) -> bool {
+    pub fn is_drained(&self, name: &Name) -> bool {
         self.0.contains(name)
     }
 
@@ -25,7 +25,7 @@
     #[must_use]
     pub fn apply(&self, list: impl IntoIterator<Item = BackendEntry>) -> Vec<BackendEntry> {
         let one = |mut entry: BackendEntry| {
-            if entry.state == BackendState::Ready && self.has(&entry.name) {
+            if entry.state == BackendState::Ready && self.is_drained(&entry.name) {
                 entry.state = BackendState::Draining;
             }
             entry
@@ -36,23 +36,23 @@
 
 /// What a stop does with what is left.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Round {
+pub enum FinalRound {
     /// These attempts are over: their time is up. The decisions give the final answer or try once more.
-    TimeUp(Vec<RequestId>),
+    ExpireAttempts(Vec<RequestId>),
     /// These have had more rounds than attempts: their clients' connections are cut.
-    Cut(Vec<RequestId>),
+    ResetClients(Vec<RequestId>),
     /// Nothing is left.
-    Over,
+    Finished,
 }
 
 /// The rounds of a stop. Each ends one attempt of each request, so there are as many as attempts, and one for what was
 /// held; whatever is left then would go on for ever.
 #[derive(Clone, Debug)]
-pub struct LastRounds {
+pub struct FinalRounds {
     left: u32,
 }
 
-impl LastRounds {
+impl FinalRounds {
     /// For requests of so many attempts at most.
     #[must_use]
     pub fn new(most_attempts: u32) -> Self {
@@ -60,15 +60,15 @@
     }
 
     /// The next round, with what is left.
-    pub fn next(&mut self, left: Vec<RequestId>) -> Round {
+    pub fn next(&mut self, left: Vec<RequestId>) -> FinalRound {
         if left.is_empty() {
-            return Round::Over;
+            return FinalRound::Finished;
         }
         if self.left == 0 {
-            return Round::Cut(left);
+            return FinalRound::ResetClients(left);
         }
         self.left -= 1;
-        Round::TimeUp(left)
+        FinalRound::ExpireAttempts(left)
     }
 }
 
@@ -87,24 +87,24 @@
             started: None,
             placement: Placement::default(),
         };
-        let mut drains = HandDrains::default();
-        let state = |d: &HandDrains, s| d.apply([entry(s)])[0].state;
+        let mut drains = ManualDrains::default();
+        let state = |d: &ManualDrains, s| d.apply([entry(s)])[0].state;
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Ready);
-        assert!(drains.drain(&"a".into(), true) && !drains.drain(&"a".into(), true));
+        assert!(drains.set_drained(&"a".into(), true) && !drains.set_drained(&"a".into(), true));
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Draining);
         assert_eq!(state(&drains, BackendState::Removed), BackendState::Removed);
-        assert!(drains.apply([]).is_empty() && drains.has(&"a".into()));
-        assert!(drains.drain(&"a".into(), false) && !drains.drain(&"a".into(), false));
+        assert!(drains.apply([]).is_empty() && drains.is_drained(&"a".into()));
+        assert!(drains.set_drained(&"a".into(), false) && !drains.set_drained(&"a".into(), false));
         assert_eq!(state(&drains, BackendState::Ready), BackendState::Ready);
     }
 
     #[test]
     fn rounds_end_also_for_what_never_does() {
-        let mut rounds = LastRounds::new(2);
+        let mut rounds = FinalRounds::new(2);
         for _ in 0..3 {
-            assert_eq!(rounds.next(vec![7]), Round::TimeUp(vec![7]));
+            assert_eq!(rounds.next(vec![7]), FinalRound::ExpireAttempts(vec![7]));
         }
-        assert_eq!(rounds.next(vec![7]), Round::Cut(vec![7]));
-        assert_eq!(rounds.next(Vec::new()), Round::Over);
+        assert_eq!(rounds.next(vec![7]), FinalRound::ResetClients(vec![7]));
+        assert_eq!(rounds.next(Vec::new()), FinalRound::Finished);
     }
 }
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::io::{Alarm, Io, Token};
 use doorcourse::{Name, RequestId};
 use doorcourse_config::Config;
-use doorcourse_connection_limits::{Accounts, Bounds, Held, Shares};
+use doorcourse_connection_limits::{ClientBudget, ClientLimits, ConnectionUsage, DescriptorBudget};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, is_out_of_descriptors, most_descriptors};
 use doorcourse_http::{Decoder, Framing, Limits as HttpLimits, Part, Role, chunk, chunk_end, response_head};
 use slab::Slab;
@@ -45,7 +45,7 @@
     until: f64,
     interest: Interest,
     /// What it holds, for the accounts; whose it is; whether its client took some since they were told.
-    held: Held,
+    held: ConnectionUsage,
     customer: Option<Name>,
     taken: bool,
     /// When it is looked at whether its client still reads.
@@ -96,7 +96,7 @@
 pub(crate) struct Clients {
     listeners: Vec<TcpListener>,
     connections: Slab<Client>,
-    pub accounts: Accounts,
+    pub accounts: ClientBudget,
     /// What is to be told, in its order.
     pub said: VecDeque<Said>,
     /// When a client's byte was heard last.
@@ -126,7 +126,7 @@
         Ok(Self {
             listeners,
             connections: Slab::new(),
-            accounts: Accounts::new(bounds(config)),
+            accounts: ClientBudget::new(bounds(config)),
             said: VecDeque::new(),
             spoke_at: io.now(),
             going: false,
@@ -135,7 +135,7 @@
     }
 
     pub fn take_settings(&mut self, config: &Config) {
-        self.accounts.set_bounds(bounds(config));
+        self.accounts.set_limits(bounds(config));
     }
 
     pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
@@ -191,8 +191,8 @@
                 Err(_) => continue,
             };
             let Ok(mut socket) = Socket::new(stream) else { continue };
-            if let Err(full) = self.accounts.accept(self.connections.len()) {
-                front::write(socket.output(), &front::full(full.text()), false, None);
+            if let Err(full) = self.accounts.check_connection(self.connections.len()) {
+                front::write(socket.output(), &front::full(full.message()), false, None);
                 socket.flush();
                 continue;
             }
@@ -217,7 +217,7 @@
                 framing: Framing::None,
                 until,
                 interest: CLIENT,
-                held: Held::default(),
+                held: ConnectionUsage::default(),
                 customer: None,
                 taken: false,
                 cut_alarm: f64::INFINITY,
@@ -246,7 +246,7 @@
         let Some(client) = known else { return };
         if client.cut_alarm <= now {
             client.cut_alarm = f64::INFINITY;
-            let cut = self.accounts.cut_at(&client.held);
+            let cut = self.accounts.reset_at(&client.held);
             if cut <= now {
                 tracing::debug!(customer = client.customer.as_deref(), "cut: its client does not read");
                 client.socket.reset_on_close();
@@ -315,7 +315,7 @@
 
     fn drop(&mut self, slot: usize) {
         if let Some(client) = self.connections.try_remove(slot) {
-            self.accounts.forget(&client.held);
+            self.accounts.remove_connection(&client.held);
         }
     }
 
@@ -353,7 +353,9 @@
             {
                 return;
             }
-            if matches!(client.phase, Phase::Head) && !self.accounts.may_begin(client.socket.pending()) {
+            if matches!(client.phase, Phase::Head)
+                && !self.accounts.may_start_request(client.socket.pending())
+            {
                 return;
             }
             let (used, part) = match client.decoder.decode(&client.socket.input) {
@@ -374,9 +376,9 @@
                     client.keep_alive = head.keep_alive && !self.going;
                     (client.minor, client.head_at) = (head.minor, io.now());
                     let wants_word = head.expects_continue() && head.framing != Framing::None;
-                    let read_on = |caller: Caller| match self.accounts.read_on(&caller.customer.name) {
+                    let read_on = |caller: Caller| match self.accounts.check_buffers(&caller.customer.name) {
                         Ok(()) => Ok(caller),
-                        Err(full) => Err(front::full(full.text())),
+                        Err(full) => Err(front::full(full.message())),
                     };
                     let caller = match front::caller(config, &head).and_then(read_on) {
                         Ok(caller) => caller,
@@ -516,15 +518,15 @@
         }
         let Some(client) = self.connections.get_mut(slot) else { return };
         let unread = client.socket.pending();
-        let waits = matches!(client.phase, Phase::Head) && !self.accounts.may_begin(unread);
+        let waits = matches!(client.phase, Phase::Head) && !self.accounts.may_start_request(unread);
         let answering = matches!(client.phase, Phase::Answering(_) | Phase::Asked) || client.closing || waits;
         let lingering = matches!(client.phase, Phase::Lingering);
         let read = lingering || !answering || client.socket.input.len() < PIPELINED;
         let interest = Interest::of(read, unread > 0).with_end();
         let bytes = (client.socket.input.len() + client.body.len() + unread) as u64;
         let taken = std::mem::take(&mut client.taken);
-        self.accounts.note(io.now(), &mut client.held, client.customer.as_ref(), bytes, unread, taken);
-        let cut = self.accounts.cut_at(&client.held);
+        self.accounts.update(io.now(), &mut client.held, client.customer.as_ref(), bytes, unread, taken);
+        let cut = self.accounts.reset_at(&client.held);
         if cut.is_finite() && client.cut_alarm.is_infinite() {
             client.cut_alarm = cut;
             io.timers.set(cut, Alarm::Client(slot, client.generation));
@@ -537,15 +539,15 @@
     }
 }
 
-fn bounds(config: &Config) -> Bounds {
+fn bounds(config: &Config) -> ClientLimits {
     let limits = &config.limits;
-    Bounds {
+    ClientLimits {
         // What the system allows is shared with the nodes' side and the program's own files; who comes on top is told so.
-        connections: limits.connections.min(Shares::of(most_descriptors()).clients),
-        requests: limits.requests,
-        bytes: limits.buffered,
-        customer_bytes: limits.customer_bytes,
-        unread: limits.client_buffer,
-        unread_time: limits.unread_time,
+        max_connections: limits.connections.min(DescriptorBudget::for_limit(most_descriptors()).clients),
+        max_requests: limits.requests,
+        max_buffered_bytes: limits.buffered,
+        max_customer_bytes: limits.customer_bytes,
+        max_unread_bytes: limits.client_buffer,
+        unread_timeout: limits.unread_time,
     }
 }
--- a/crates/http-gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/exchanges.rs
@@ -8,7 +8,7 @@
 use doorcourse_config::Config;
 use doorcourse_graphql::Scan;
 use doorcourse_http::Framing;
-use doorcourse_request_lifecycle::{Exchange, Final, Input, Output};
+use doorcourse_request_lifecycle::{FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle};
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// The head of a node's answer, as far as it is passed on.
@@ -29,7 +29,7 @@
     class: Name,
     began: f64,
     name: Name,
-    exchange: Exchange,
+    exchange: RequestLifecycle,
     media: Media,
     body: Vec<u8>,
     pass: Vec<(String, String)>,
@@ -60,7 +60,7 @@
     /// Tell the decisions.
     Tell(Event),
     /// Give a client this answer.
-    Answer { client: usize, media: Media, answer: Final, name: Name },
+    Answer { client: usize, media: Media, answer: FinalResponse, name: Name },
     /// Pass bytes of a node's answer on to a client, behind a head where one is given.
     Pass { client: usize, head: Option<PassedHead>, name: Name, bytes: Vec<u8>, node: Option<usize> },
     /// The answer that is passed on is at its end.
@@ -125,7 +125,7 @@
             class: arrival.class.clone(),
             began: now,
             name,
-            exchange: Exchange::new(config.limits.held_answer),
+            exchange: RequestLifecycle::new(config.limits.held_answer),
             media,
             body,
             pass,
@@ -152,24 +152,24 @@
         (request.head, request.whole) = (None, false);
         request.held.clear();
         request.scan.reset();
-        request.exchange.handle(Input::Sent, &mut Vec::new());
+        request.exchange.handle(LifecycleEvent::AttemptStarted, &mut Vec::new());
         request.exchange.attempts()
     }
 
     /// The time is over in which an attempt is dropped as a repeat: it is withdrawn unless it is written.
     pub fn window_over(&mut self, now: f64, id: RequestId, attempt: u32) {
-        let out = |r: &Request| r.exchange.is_out() && r.exchange.attempts() == attempt;
+        let out = |r: &Request| r.exchange.has_attempt() && r.exchange.attempts() == attempt;
         if self.requests.get(&id).is_some_and(out) {
-            self.tell(now, id, Input::Withdrawn);
+            self.tell(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
     /// Only these nodes may still get what is not written yet; other attempts that are not are withdrawn.
     pub fn withdraw_except(&mut self, now: f64, nodes: &HashSet<Name>) {
-        let out = |r: &Request| r.exchange.is_out() && !nodes.contains(&r.backend);
+        let out = |r: &Request| r.exchange.has_attempt() && !nodes.contains(&r.backend);
         let ids: Vec<_> = self.requests.iter().filter(|(_, r)| out(r)).map(|(id, _)| *id).collect();
         for id in ids {
-            self.tell(now, id, Input::Withdrawn);
+            self.tell(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
@@ -202,12 +202,12 @@
     pub fn heard(&mut self, now: f64, sticky: bool, id: RequestId, heard: Heard) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let input = match heard {
-            Heard::Connected => Input::Connected,
-            Heard::Written => Input::Written,
-            Heard::Broken => Input::Broken,
+            Heard::Connected => LifecycleEvent::Connected,
+            Heard::Written => LifecycleEvent::BytesWritten,
+            Heard::Broken => LifecycleEvent::InvalidResponse,
             Heard::Lost => {
                 request.node = None;
-                Input::Lost
+                LifecycleEvent::ConnectionLost
             }
             Heard::Head(head) => {
                 let content_type = head.field("content-type").unwrap_or("application/json").to_owned();
@@ -215,7 +215,7 @@
                 let cookies = set.map(|(_, v)| v.clone()).collect();
                 let (status, framing) = (head.status, head.framing);
                 request.head = Some(AnswerHead { status, content_type, framing, cookies });
-                Input::Head { status }
+                LifecycleEvent::ResponseHead { status }
             }
             Heard::Data(mut data) => {
                 request.scan.feed(&data);
@@ -225,7 +225,7 @@
                 } else {
                     request.held.append(&mut data);
                 }
-                Input::Data { bytes }
+                LifecycleEvent::ResponseData { bytes }
             }
             Heard::End => {
                 let counted = request.scan.counted();
@@ -238,7 +238,7 @@
                         tracing::warn!(%node, claim, counted, priced, "node claims another cost; told once");
                     }
                 }
-                Input::End { whole: counted.whole, units: counted.units }
+                LifecycleEvent::ResponseEnd { complete: counted.whole, units: counted.units }
             }
         };
         self.tell(now, id, input);
@@ -249,7 +249,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.client = None;
         }
-        self.tell(now, id, Input::ClientGone);
+        self.tell(now, id, LifecycleEvent::ClientDisconnected);
         self.drained(id);
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// Tells a request's exchange, and gives out what follows.
-    pub fn tell(&mut self, now: f64, id: RequestId, input: Input) {
+    pub fn tell(&mut self, now: f64, id: RequestId, input: LifecycleEvent) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let mut outputs = Vec::new();
         request.exchange.handle(input, &mut outputs);
@@ -278,10 +278,10 @@
         }
     }
 
-    fn give(&mut self, now: f64, id: RequestId, output: Output) {
+    fn give(&mut self, now: f64, id: RequestId, output: LifecycleAction) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match output {
-            Output::Ended { outcome, true_units, finished } => {
+            LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished } => {
                 request.node = None;
                 self.todo.push_back(Do::Tell(Event::AttemptEnded(AttemptEnd {
                     id,
@@ -294,33 +294,33 @@
                     load_report: None,
                 })));
             }
-            Output::Left => {
+            LifecycleAction::ClientDisconnected => {
                 self.todo.push_back(request.done(now, "CLIENT_LEFT"));
                 self.todo.push_back(Do::Tell(Event::ClientDisconnected { id }));
             }
-            Output::Answer(answer) => {
+            LifecycleAction::Respond(answer) => {
                 let (media, name) = (request.media, request.name.clone());
                 self.todo.push_back(request.done(now, code_of(answer)));
                 let client = request.client.take();
                 self.todo.extend(client.map(|client| Do::Answer { client, media, answer, name }));
             }
-            Output::Pass => self.pass(id),
-            Output::PassEnd => {
+            LifecycleAction::ForwardResponse => self.pass(id),
+            LifecycleAction::EndResponse => {
                 self.todo.push_back(request.done(now, "SERVED"));
                 self.todo.extend(request.client.take().map(|client| Do::PassEnd { client }));
             }
-            Output::Forget => {
+            LifecycleAction::DiscardResponse => {
                 request.held.clear();
                 request.head = None;
             }
-            Output::Cut => {
+            LifecycleAction::ResetClient => {
                 self.todo.push_back(request.done(now, "CUT"));
                 self.todo.extend(request.client.take().map(|client| Do::Cut { client }));
             }
-            Output::Abandon => {
+            LifecycleAction::CloseBackendConnection => {
                 self.todo.extend(request.node.take().map(|(node, _)| Do::LetGo { node }));
             }
-            Output::Over => {
+            LifecycleAction::Finished => {
                 if let Some(request) = self.requests.remove(&id) {
                     self.todo.push_back(Do::Over { bytes: request.body.len() as u64 });
                 }
--- a/crates/http-gateway/src/front.rs
+++ b/crates/http-gateway/src/front.rs
@@ -6,7 +6,8 @@
 use doorcourse_graphql::{Error as QueryError, OperationKind, Prepared};
 use doorcourse_http::{Framing, Head, response_head};
 use doorcourse_request_lifecycle::{
-    Failure, Final, Never, class_of, cookie, fits, parameter, patience, route_of, split_path,
+    ExceedsPlanCapacity, FailureReason, FinalResponse, check_plan_capacity, cookie, operation_class,
+    parameter, request_timeout, split_path, sticky_route,
 };
 use serde_json::{Map, Value, json};
 use std::sync::Arc;
@@ -162,7 +163,7 @@
     let session = cookie(&sticky.cookie, fields)
         .or_else(|| parameter(&sticky.parameter, behind, ';'))
         .or_else(|| parameter(&sticky.parameter, query, '&'));
-    let bound = session.map(route_of).unwrap_or_default().into();
+    let bound = session.map(sticky_route).unwrap_or_default().into();
     let own = |pair: &&str| sticky.parameter.is_empty() || parameter(&sticky.parameter, pair, '&').is_none();
     let query = get.then(|| query.split('&').filter(own).collect::<Vec<_>>().join("&"));
     Ok(Caller { customer: Arc::clone(customer), media, get, deadline, pass, bound, query })
@@ -309,19 +310,19 @@
         return Err(error(media, 400, "INTROSPECTION_DISABLED", "introspection is not answered here"));
     }
     let classes = prepared.root_fields().iter().filter_map(|f| config.class_of(kind, f));
-    let Some(class) = class_of(&config.decisions.classes, classes) else {
+    let Some(class) = operation_class(&config.decisions.classes, classes) else {
         return Err(error(media, 400, "NO_CLASS", "the operation belongs to no class"));
     };
     let units = prepared.cost().units;
     let plan = &config.decisions.plans[caller.customer.plan];
-    fits(plan, units).map_err(|Never { most }| {
+    check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity: most }| {
         // No Retry-After: waiting does not help.
         let text = format!("the operation costs {units} units, the plan never holds more than {most}");
         error(media, 429, "COST_EXCEEDS_PLAN", &text)
     })?;
     let limits = &config.limits;
     let give_up = config.give_up[class];
-    let patience = patience(give_up, caller.deadline, limits.longest_deadline, limits.answer_margin)
+    let patience = request_timeout(give_up, caller.deadline, limits.longest_deadline, limits.answer_margin)
         .map(|p| p - spent)
         .filter(|p| *p > 0.0)
         .ok_or_else(|| error(media, 504, "DEADLINE_PASSED", "no time is left for an answer"))?;
@@ -331,21 +332,21 @@
 }
 
 /// The stable code of a final answer of the gateway's own.
-pub(crate) fn code_of(answer: Final) -> &'static str {
+pub(crate) fn code_of(answer: FinalResponse) -> &'static str {
     match answer {
-        Final::Refused { why: RejectReason::QuotaExceeded, .. } => "QUOTA_EXCEEDED",
-        Final::Refused { why: RejectReason::Overloaded, .. } => "BUSY",
-        Final::Failed(Failure::Time) => "DEADLINE_EXCEEDED",
-        Final::Failed(Failure::Node) => "NODE_FAILED",
-        Final::Failed(Failure::NoNode) => "NO_NODE",
+        FinalResponse::Rejected { reason: RejectReason::QuotaExceeded, .. } => "QUOTA_EXCEEDED",
+        FinalResponse::Rejected { reason: RejectReason::Overloaded, .. } => "BUSY",
+        FinalResponse::Failed(FailureReason::DeadlineExpired) => "DEADLINE_EXCEEDED",
+        FinalResponse::Failed(FailureReason::BackendFailed) => "NODE_FAILED",
+        FinalResponse::Failed(FailureReason::NoBackendReached) => "NO_NODE",
     }
 }
 
 /// The HTTP form of a final answer of the gateway's own.
-pub(crate) fn last_word(media: Media, answer: Final) -> Reply {
+pub(crate) fn last_word(media: Media, answer: FinalResponse) -> Reply {
     let code = code_of(answer);
     match answer {
-        Final::Refused { retry_after, why } => {
+        FinalResponse::Rejected { retry_after, reason: why } => {
             let (status, text) = match why {
                 RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
                 RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
@@ -355,11 +356,13 @@
             reply.fields.push(("retry-after", (retry_after / 1000.0).ceil().max(1.0).to_string()));
             reply
         }
-        Final::Failed(failure) => {
+        FinalResponse::Failed(failure) => {
             let (status, text) = match failure {
-                Failure::Time => (504, "no answer came in time; the operation may have run"),
-                Failure::Node => (502, "a node failed; the operation may have run"),
-                Failure::NoNode => (503, "no node could be reached; the operation did not run"),
+                FailureReason::DeadlineExpired => (504, "no answer came in time; the operation may have run"),
+                FailureReason::BackendFailed => (502, "a node failed; the operation may have run"),
+                FailureReason::NoBackendReached => {
+                    (503, "no node could be reached; the operation did not run")
+                }
             };
             error(media, status, code, text)
         }
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -19,9 +19,9 @@
 use doorcourse_counter::Call;
 use doorcourse_event_loop::{Interest, Ready, listen};
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_graceful_shutdown::{HandDrains, LastRounds, Round, looks_again};
+use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, ManualDrains, needs_repoll};
 use doorcourse_lifecycle::{Input, Life, Out, Output};
-use doorcourse_request_lifecycle::Input as Tell;
+use doorcourse_request_lifecycle::LifecycleEvent as Tell;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -57,7 +57,7 @@
     reload: Reload,
     list: Option<ListFile>,
     listed: Vec<Node>,
-    drained: HandDrains,
+    drained: ManualDrains,
     decision: doorcourse::Gateway,
     life: Life,
     /// What the decisions answer, kept for its room.
@@ -161,7 +161,7 @@
             reload,
             list: config.node_list.as_ref().map(|(file, poll)| ListFile::new(folder.join(file), *poll)),
             listed: Vec::new(),
-            drained: HandDrains::default(),
+            drained: ManualDrains::default(),
             decision,
             life: Life::new(times(&config)),
             actions: Vec::new(),
@@ -267,7 +267,7 @@
             let wait = wait.min(Duration::from_secs_f64(fleet.min(3.6e6) / 1000.0));
             self.io.poller.wait(Some(wait), &mut ready)?;
             self.looked = self.io.now();
-            if looks_again(self.looked - first) {
+            if needs_repoll(self.looked - first) {
                 // Readiness is by level: nothing that was told before is lost.
                 self.io.poller.wait(Some(Duration::ZERO), &mut ready)?;
             }
@@ -297,7 +297,7 @@
     /// An iteration that stood still since its last look (on a disk, or with the whole process) looks again before it
     /// goes on: clients that went meanwhile went before whatever it begins next.
     fn look_for_ends(&mut self) -> anyhow::Result<()> {
-        if !looks_again(self.io.now() - self.looked) || rule_disabled("re-poll-stalled-iteration") {
+        if !needs_repoll(self.io.now() - self.looked) || rule_disabled("re-poll-stalled-iteration") {
             return Ok(());
         }
         self.looked = self.io.now();
@@ -374,7 +374,7 @@
     fn alarm(&mut self, alarm: Alarm) {
         match alarm {
             Alarm::Decision(token) => self.io.events.push_back(Event::TimerExpired { token }),
-            Alarm::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::TimeUp),
+            Alarm::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::DeadlineExpired),
             Alarm::Window(id, attempt) => self.exchanges.window_over(self.io.now(), id, attempt),
             Alarm::Client(slot, generation) => {
                 self.clients.time(&mut self.io, &self.config, slot, generation);
@@ -434,7 +434,7 @@
                 self.send(id, &backend, window)
             }
             Action::Reject { id, retry_after, reason: why } => {
-                self.exchanges.tell(now, id, Tell::Refused { retry_after, why });
+                self.exchanges.tell(now, id, Tell::Rejected { retry_after, reason: why });
             }
             Action::Fail { id } => self.exchanges.tell(now, id, Tell::Failed),
             Action::SetTimer { after, token } => self.io.timers.set(now + after, Alarm::Decision(token)),
@@ -513,14 +513,14 @@
         match said {
             Said::Call { slot, caller, body, head_at } => {
                 let spent = io.now() - head_at;
-                let ask = match self.clients.accounts.take_on(self.exchanges.count()) {
+                let ask = match self.clients.accounts.check_request(self.exchanges.count()) {
                     Ok(()) => front::ask(config, *caller, body, spent),
-                    Err(full) => Err(front::full(full.text())),
+                    Err(full) => Err(front::full(full.message())),
                 };
                 match ask {
                     Ok(ask) => {
                         let (arrival, bytes) = self.exchanges.begin(io.now(), config, slot, &self.name, ask);
-                        self.clients.accounts.add(bytes);
+                        self.clients.accounts.reserve(bytes);
                         self.clients.answering(slot, arrival.id);
                         io.timers.set(io.clock.now() + arrival.timeout, Alarm::TimeUp(arrival.id));
                         io.events.push_back(Event::RequestReceived(arrival));
@@ -587,15 +587,15 @@
     /// Ends what is left by the rules: an attempt that is out ends by its time, and the decisions give the final answer.
     fn answer_all(&mut self) {
         self.clients.close_listeners();
-        let mut rounds = LastRounds::new(self.config.decisions.max_attempts);
+        let mut rounds = FinalRounds::new(self.config.decisions.max_attempts);
         loop {
             match rounds.next(self.exchanges.open()) {
-                Round::TimeUp(open) => {
+                FinalRound::ExpireAttempts(open) => {
                     let now = self.io.now();
-                    open.into_iter().for_each(|id| self.exchanges.tell(now, id, Tell::TimeUp));
+                    open.into_iter().for_each(|id| self.exchanges.tell(now, id, Tell::DeadlineExpired));
                 }
-                Round::Cut(left) => left.into_iter().for_each(|id| self.exchanges.forget(id)),
-                Round::Over => break,
+                FinalRound::ResetClients(left) => left.into_iter().for_each(|id| self.exchanges.forget(id)),
+                FinalRound::Finished => break,
             }
             self.pump();
         }
@@ -702,7 +702,7 @@
     fn drain_node(&mut self, name: &str, drain: bool) -> bool {
         let Some(node) = self.listed.iter().find(|n| *n.entry.name == *name) else { return false };
         let name = node.entry.name.clone();
-        if self.drained.drain(&name, drain) {
+        if self.drained.set_drained(&name, drain) {
             tracing::info!(node = %name, drain, "node drained by hand");
             self.tell_list(|_| true);
         }
@@ -841,7 +841,7 @@
     fn node_views(&self) -> Value {
         let now = self.io.now();
         let one = |b: doorcourse::BackendStatus| {
-            json!({"name": &*b.name, "ready": b.ready, "drained_here": self.drained.has(&b.name), "out": b.in_flight,
+            json!({"name": &*b.name, "ready": b.ready, "drained_here": self.drained.is_drained(&b.name), "out": b.in_flight,
                 "room": b.concurrency_limit, "failures": b.consecutive_failures, "ejected_for_ms": (b.ejected_until - now).max(0.0),
                 "started_ms": b.started})
         };
--- a/crates/request-lifecycle/src/admission.rs
+++ b/crates/request-lifecycle/src/admission.rs
@@ -15,7 +15,7 @@
 /// operation is sent and repeated as one; of equals the most urgent aim, since its answer comes as one. An
 /// operation of meta fields alone (introspection) is the most patient of the safe classes.
 #[must_use]
-pub fn class_of(classes: &[RequestClass], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
+pub fn operation_class(classes: &[RequestClass], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
     let strictness = |effect: Idempotency| match effect {
         Idempotency::Idempotent => 0,
         Idempotency::WithKey => 1,
@@ -36,9 +36,9 @@
 
 /// Why a request can never be let in, however long its client waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Never {
+pub struct ExceedsPlanCapacity {
     /// The most that its plan can ever hold.
-    pub most: f64,
+    pub capacity: f64,
 }
 
 /// Whether a plan can ever hold a cost. Asked first, so that such a request takes no block from the others: a
@@ -46,19 +46,21 @@
 ///
 /// # Errors
 /// When it cannot.
-pub fn fits(plan: &Plan, units: f64) -> Result<(), Never> {
+pub fn check_plan_capacity(plan: &Plan, units: f64) -> Result<(), ExceedsPlanCapacity> {
     // Under a ceiling a gateway that knows nothing starts with half the burst; the rate fills the rest.
     let quota = if plan.rate > 0.0 { plan.burst } else { f64::INFINITY };
     let ceiling =
         if plan.ceiling_rate > 0.0 { plan.ceiling_burst + plan.ceiling_slack } else { f64::INFINITY };
     let most = quota.min(ceiling);
-    if units <= most { Ok(()) } else { Err(Never { most }) }
+    if units <= most { Ok(()) } else { Err(ExceedsPlanCapacity { capacity: most }) }
 }
 
 /// How long the decisions have for a request: until the client gives up, by its own word or its class, less the
 /// margin in which the answer travels. `None` when nothing is left: the client will not hear any answer.
 #[must_use]
-pub fn patience(give_up: Millis, asked: Option<Millis>, longest: Millis, margin: Millis) -> Option<Millis> {
+pub fn request_timeout(
+    give_up: Millis, asked: Option<Millis>, longest: Millis, margin: Millis,
+) -> Option<Millis> {
     let whole = asked.filter(|a| a.is_finite()).unwrap_or(give_up).min(longest);
     // A margin that is most of a short deadline would refuse what could be answered: a quarter at most.
     let left = whole - margin.min(whole / 4.0);
@@ -69,7 +71,7 @@
 /// first half of the request's time, so that one which reaches no node is given up before that half is over, with a
 /// second try behind a node that has vanished.
 #[must_use]
-pub fn dial_time(limit: Millis, patience: Millis, passed: Millis) -> Millis {
+pub fn connect_timeout(limit: Millis, patience: Millis, passed: Millis) -> Millis {
     let left = (patience / 2.0 - passed) / 2.0;
     left.clamp(patience / 16.0, limit.max(patience / 16.0))
 }
@@ -101,11 +103,11 @@
             class(Idempotency::NonIdempotent, 300.0),
             class(Idempotency::Idempotent, 2000.0),
         ];
-        assert_eq!(class_of(&classes, [0, 1]), Some(1));
-        assert_eq!(class_of(&classes, [0, 2, 1, 3]), Some(3));
-        assert_eq!(class_of(&classes, [4, 0]), Some(0));
-        assert_eq!(class_of(&classes, []), Some(4));
-        assert_eq!(class_of(&classes[1..4], []), None);
+        assert_eq!(operation_class(&classes, [0, 1]), Some(1));
+        assert_eq!(operation_class(&classes, [0, 2, 1, 3]), Some(3));
+        assert_eq!(operation_class(&classes, [4, 0]), Some(0));
+        assert_eq!(operation_class(&classes, []), Some(4));
+        assert_eq!(operation_class(&classes[1..4], []), None);
     }
 
     fn plan(rate: f64, burst: f64, ceiling: f64) -> Plan {
@@ -125,28 +127,31 @@
 
     #[test]
     fn what_no_window_can_hold() {
-        assert_eq!(fits(&plan(5.0, 40.0, 0.0), 40.0), Ok(()));
-        assert_eq!(fits(&plan(5.0, 40.0, 0.0), 40.5), Err(Never { most: 40.0 }));
-        assert_eq!(fits(&plan(0.0, 0.0, 0.0), 1e9), Ok(()));
-        assert!(fits(&plan(5.0, 40.0, 64.0), f64::NAN).is_err());
+        assert_eq!(check_plan_capacity(&plan(5.0, 40.0, 0.0), 40.0), Ok(()));
+        assert_eq!(
+            check_plan_capacity(&plan(5.0, 40.0, 0.0), 40.5),
+            Err(ExceedsPlanCapacity { capacity: 40.0 })
+        );
+        assert_eq!(check_plan_capacity(&plan(0.0, 0.0, 0.0), 1e9), Ok(()));
+        assert!(check_plan_capacity(&plan(5.0, 40.0, 64.0), f64::NAN).is_err());
     }
 
     #[test]
     fn a_dial_never_takes_the_first_half_of_the_time() {
-        assert_eq!(dial_time(250.0, 400.0, 0.0), 100.0);
-        assert_eq!(dial_time(250.0, 400.0, 100.0), 50.0);
-        assert_eq!(dial_time(250.0, 2500.0, 0.0), 250.0);
-        assert_eq!(dial_time(250.0, 400.0, 399.0), 25.0, "never nothing at all");
-        assert_eq!(dial_time(5.0, 400.0, 0.0), 25.0, "nor less than a connection may take");
+        assert_eq!(connect_timeout(250.0, 400.0, 0.0), 100.0);
+        assert_eq!(connect_timeout(250.0, 400.0, 100.0), 50.0);
+        assert_eq!(connect_timeout(250.0, 2500.0, 0.0), 250.0);
+        assert_eq!(connect_timeout(250.0, 400.0, 399.0), 25.0, "never nothing at all");
+        assert_eq!(connect_timeout(5.0, 400.0, 0.0), 25.0, "nor less than a connection may take");
     }
 
     #[test]
     fn patience_leaves_time_for_the_answer() {
-        assert_eq!(patience(1000.0, None, 5000.0, 20.0), Some(980.0));
-        assert_eq!(patience(1000.0, Some(400.0), 5000.0, 20.0), Some(380.0));
-        assert_eq!(patience(1000.0, Some(9000.0), 5000.0, 20.0), Some(4980.0));
-        assert_eq!(patience(1000.0, Some(8.0), 5000.0, 20.0), Some(6.0));
-        assert_eq!(patience(1000.0, Some(0.0), 5000.0, 20.0), None);
-        assert_eq!(patience(1000.0, Some(-3.0), 5000.0, 20.0), None);
+        assert_eq!(request_timeout(1000.0, None, 5000.0, 20.0), Some(980.0));
+        assert_eq!(request_timeout(1000.0, Some(400.0), 5000.0, 20.0), Some(380.0));
+        assert_eq!(request_timeout(1000.0, Some(9000.0), 5000.0, 20.0), Some(4980.0));
+        assert_eq!(request_timeout(1000.0, Some(8.0), 5000.0, 20.0), Some(6.0));
+        assert_eq!(request_timeout(1000.0, Some(0.0), 5000.0, 20.0), None);
+        assert_eq!(request_timeout(1000.0, Some(-3.0), 5000.0, 20.0), None);
     }
 }
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -9,9 +9,13 @@
 #![warn(missing_docs)]
 
 mod admission;
-mod exchange;
+mod lifecycle;
 mod session;
 
-pub use admission::{Never, Offer, class_of, dial_time, fits, patience};
-pub use exchange::{Exchange, Failure, Final, Input, Output, Reply, Wire};
-pub use session::{cookie, parameter, route_of, split_path};
+pub use admission::{
+    ExceedsPlanCapacity, Offer, check_plan_capacity, connect_timeout, operation_class, request_timeout,
+};
+pub use lifecycle::{
+    BackendReply, FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle, WireState,
+};
+pub use session::{cookie, parameter, split_path, sticky_route};
--- a/crates/request-lifecycle/src/exchange.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -4,69 +4,69 @@
 
 /// Where an attempt is on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum WireState {
     /// The connection is not made yet.
     Connecting,
     /// The connection is there, and no byte of the request was taken by the system.
-    Unsent,
+    Connected,
     /// Bytes were taken. The node may run the request from now on, whatever happens to the connection: a pooled
     /// connection closed just as the request was written tells nothing.
     Sent,
     /// The head of an answer came.
-    Answering,
+    Responding,
 }
 
 /// What the host tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Input {
+pub enum LifecycleEvent {
     /// The decisions sent the request to a node.
-    Sent,
+    AttemptStarted,
     /// The attempt's connection is made.
     Connected,
     /// The system took bytes of the request.
-    Written,
+    BytesWritten,
     /// The node answers with this status.
-    Head {
+    ResponseHead {
         /// The status.
         status: u16,
     },
     /// So many bytes of the answer's body came.
-    Data {
+    ResponseData {
         /// How many.
         bytes: usize,
     },
     /// The answer is at its end.
-    End {
+    ResponseEnd {
         /// Whether it is a whole GraphQL response.
-        whole: bool,
+        complete: bool,
         /// What it came to, by the answer's data.
         units: f64,
     },
     /// The answer came whole and at once, in a protocol where nothing of it is passed on before.
-    Answered {
+    ResponseReceived {
         /// What it says.
-        reply: Reply,
+        reply: BackendReply,
         /// What it came to, where the answer tells.
         units: Option<f64>,
     },
     /// The node drains, is gone or was started anew before a byte of the request was written: it must not have it.
     Withdrawn,
     /// The attempt's connection broke or could not be made.
-    Lost,
+    ConnectionLost,
     /// The answer breaks a limit or the protocol.
-    Broken,
+    InvalidResponse,
     /// The decisions call the attempt off.
-    CalledOff,
+    Cancelled,
     /// The time for the answer is up.
-    TimeUp,
+    DeadlineExpired,
     /// The client is gone.
-    ClientGone,
+    ClientDisconnected,
     /// The decisions refuse the request.
-    Refused {
+    Rejected {
         /// The advice, in ms.
         retry_after: f64,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// The decisions fail the request.
     Failed,
@@ -74,68 +74,68 @@
 
 /// What a node's whole answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum BackendReply {
     /// The value made for this request.
     Value,
     /// It failed, and may have run.
     Failed,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
 }
 
 /// Why a request failed, as far as the wire tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum FailureReason {
     /// No answer came in time.
-    Time,
+    DeadlineExpired,
     /// A node broke off or answered with an error.
-    Node,
+    BackendFailed,
     /// No node took it: it never ran.
-    NoNode,
+    NoBackendReached,
 }
 
 /// A final answer that the gateway gives itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalResponse {
     /// Refused: to try again is harmless.
-    Refused {
+    Rejected {
         /// The advice, in ms.
         retry_after: f64,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
     /// Failed, with no promise.
-    Failed(Failure),
+    Failed(FailureReason),
 }
 
 /// What the host is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Output {
+pub enum LifecycleAction {
     /// Tell the decisions how the attempt ended.
-    Ended {
+    AttemptEnded {
         /// How.
         outcome: AttemptOutcome,
         /// The true units, where the answer told them.
         true_units: Option<f64>,
         /// Whether the request has had its final answer.
-        finished: bool,
+        final_response_sent: bool,
     },
     /// Tell the decisions that the client left.
-    Left,
+    ClientDisconnected,
     /// Give the client this answer.
-    Answer(Final),
+    Respond(FinalResponse),
     /// Pass on what is held of the node's answer, and what follows as it comes.
-    Pass,
+    ForwardResponse,
     /// The passed answer is at its end.
-    PassEnd,
+    EndResponse,
     /// Forget what is held of the node's answer.
-    Forget,
+    DiscardResponse,
     /// Break the client's connection, so that it cannot take what it has for the whole.
-    Cut,
+    ResetClient,
     /// Close the node's connection: whatever still comes on it is of no use.
-    Abandon,
+    CloseBackendConnection,
     /// The exchange is over.
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -150,14 +150,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Attempt {
-    wire: Wire,
+    wire: WireState,
     status: u16,
     held: usize,
 }
 
 /// One request's exchange.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct RequestLifecycle {
     client: Client,
     attempt: Option<Attempt>,
     attempts: u32,
@@ -167,7 +167,7 @@
     over: bool,
 }
 
-impl Exchange {
+impl RequestLifecycle {
     /// A request that was taken. Answers up to `hold` bytes are held until they are whole.
     #[must_use]
     pub fn new(hold: usize) -> Self {
@@ -176,13 +176,13 @@
 
     /// Whether an attempt is out.
     #[must_use]
-    pub fn is_out(&self) -> bool {
+    pub fn has_attempt(&self) -> bool {
         self.attempt.is_some()
     }
 
     /// Whether the client waits for an answer or the rest of one.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn awaits_response(&self) -> bool {
         self.client != Client::Done
     }
 
@@ -193,26 +193,26 @@
     }
 
     /// Takes what happened and appends what is to be done.
-    pub fn handle(&mut self, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, input: LifecycleEvent, out: &mut Vec<LifecycleAction>) {
         if self.over {
             return;
         }
         match input {
-            Input::Sent => {
+            LifecycleEvent::AttemptStarted => {
                 debug_assert!(self.attempt.is_none(), "never two attempts at once");
                 self.attempts += 1;
-                self.attempt = Some(Attempt { wire: Wire::Connecting, status: 0, held: 0 });
+                self.attempt = Some(Attempt { wire: WireState::Connecting, status: 0, held: 0 });
             }
-            Input::Connected => self.advance(Wire::Unsent),
-            Input::Written => self.advance(Wire::Sent),
-            Input::Head { status } => {
-                self.advance(Wire::Answering);
+            LifecycleEvent::Connected => self.advance(WireState::Connected),
+            LifecycleEvent::BytesWritten => self.advance(WireState::Sent),
+            LifecycleEvent::ResponseHead { status } => {
+                self.advance(WireState::Responding);
                 if let Some(attempt) = &mut self.attempt {
                     attempt.status = status;
                 }
             }
-            Input::Data { bytes } => self.data(bytes, out),
-            Input::End { whole, units } => {
+            LifecycleEvent::ResponseData { bytes } => self.data(bytes, out),
+            LifecycleEvent::ResponseEnd { complete: whole, units } => {
                 let outcome = match self.attempt.map(|a| a.status) {
                     // Turned away unseen: RFC 6585 section 4, before any work. 503 says less: it may come after work.
                     Some(429) => AttemptOutcome::Rejected,
@@ -221,97 +221,102 @@
                 };
                 self.end(outcome, Some(units), out);
             }
-            Input::Answered { reply, units } => {
+            LifecycleEvent::ResponseReceived { reply, units } => {
                 // An answer to what was not asked in full answers something else.
-                if self.attempt.is_some_and(|a| a.wire != Wire::Sent) {
-                    return self.handle(Input::Broken, out);
+                if self.attempt.is_some_and(|a| a.wire != WireState::Sent) {
+                    return self.handle(LifecycleEvent::InvalidResponse, out);
                 }
                 let outcome = match reply {
-                    Reply::Value => AttemptOutcome::Served,
-                    Reply::Failed => AttemptOutcome::Error,
-                    Reply::TurnedAway => AttemptOutcome::Rejected,
+                    BackendReply::Value => AttemptOutcome::Served,
+                    BackendReply::Failed => AttemptOutcome::Error,
+                    BackendReply::Rejected => AttemptOutcome::Rejected,
                 };
                 self.end(outcome, units, out);
             }
-            Input::Withdrawn => {
+            LifecycleEvent::Withdrawn => {
                 if self.is_unsent() {
-                    out.push(Output::Abandon);
+                    out.push(LifecycleAction::CloseBackendConnection);
                     self.break_off(AttemptOutcome::NeverSent, out);
                 }
             }
-            Input::Lost => self.lost(out),
-            Input::Broken if self.attempt.is_some() => {
-                out.push(Output::Abandon);
+            LifecycleEvent::ConnectionLost => self.lost(out),
+            LifecycleEvent::InvalidResponse if self.attempt.is_some() => {
+                out.push(LifecycleAction::CloseBackendConnection);
                 self.break_off(AttemptOutcome::Error, out);
             }
-            Input::Broken => {}
-            Input::CalledOff => {
+            LifecycleEvent::InvalidResponse => {}
+            LifecycleEvent::Cancelled => {
                 if let Some(attempt) = self.attempt {
-                    out.push(Output::Abandon);
-                    let sent = matches!(attempt.wire, Wire::Sent | Wire::Answering);
+                    out.push(LifecycleAction::CloseBackendConnection);
+                    let sent = matches!(attempt.wire, WireState::Sent | WireState::Responding);
                     self.break_off(
                         if sent { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverSent },
                         out,
                     );
                 }
             }
-            Input::TimeUp => self.time_up(out),
-            Input::ClientGone => self.client_gone(out),
-            Input::Refused { retry_after, why } => self.finish(Final::Refused { retry_after, why }, out),
-            Input::Failed => {
+            LifecycleEvent::DeadlineExpired => self.time_up(out),
+            LifecycleEvent::ClientDisconnected => self.client_gone(out),
+            LifecycleEvent::Rejected { retry_after, reason: why } => {
+                self.finish(FinalResponse::Rejected { retry_after, reason: why }, out)
+            }
+            LifecycleEvent::Failed => {
                 let failure = match self.last {
                     // What was never sent is refused while there is time: without an attempt its time was over.
-                    None | Some(AttemptOutcome::TimedOut) => Failure::Time,
+                    None | Some(AttemptOutcome::TimedOut) => FailureReason::DeadlineExpired,
                     Some(
                         AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Rejected,
-                    ) => Failure::NoNode,
-                    Some(_) => Failure::Node,
+                    ) => FailureReason::NoBackendReached,
+                    Some(_) => FailureReason::BackendFailed,
                 };
-                self.finish(Final::Failed(failure), out);
+                self.finish(FinalResponse::Failed(failure), out);
             }
         }
     }
 
     /// An attempt that is written goes on: nothing stops the node's work, and its end is still told. One that is not
     /// written is withdrawn at once: nobody waits for it.
-    fn client_gone(&mut self, out: &mut Vec<Output>) {
+    fn client_gone(&mut self, out: &mut Vec<LifecycleAction>) {
         let waited = std::mem::replace(&mut self.client, Client::Done) != Client::Done;
         if self.is_unsent() {
             self.attempt = None;
             self.last = Some(AttemptOutcome::NeverSent);
-            let ended =
-                Output::Ended { outcome: AttemptOutcome::NeverSent, true_units: None, finished: true };
-            out.extend([Output::Abandon, Output::Forget, ended]);
+            let ended = LifecycleAction::AttemptEnded {
+                outcome: AttemptOutcome::NeverSent,
+                true_units: None,
+                final_response_sent: true,
+            };
+            out.extend([LifecycleAction::CloseBackendConnection, LifecycleAction::DiscardResponse, ended]);
         }
         if waited {
-            out.push(Output::Left);
+            out.push(LifecycleAction::ClientDisconnected);
         }
         self.over(out);
     }
 
     /// Whether an attempt is out of which nothing can have reached the node.
     fn is_unsent(&self) -> bool {
-        self.attempt.is_some_and(|a| matches!(a.wire, Wire::Connecting | Wire::Unsent))
+        self.attempt.is_some_and(|a| matches!(a.wire, WireState::Connecting | WireState::Connected))
     }
 
-    fn advance(&mut self, wire: Wire) {
+    fn advance(&mut self, wire: WireState) {
         if let Some(attempt) = &mut self.attempt {
             attempt.wire = wire;
         }
     }
 
-    fn over(&mut self, out: &mut Vec<Output>) {
+    fn over(&mut self, out: &mut Vec<LifecycleAction>) {
         if self.client == Client::Done && self.attempt.is_none() {
             self.over = true;
-            out.push(Output::Over);
+            out.push(LifecycleAction::Finished);
         }
     }
 
-    fn finish(&mut self, answer: Final, out: &mut Vec<Output>) {
+    fn finish(&mut self, answer: FinalResponse, out: &mut Vec<LifecycleAction>) {
         match self.client {
-            Client::Waits => out.push(Output::Answer(answer)),
+            Client::Waits => out.push(LifecycleAction::Respond(answer)),
             // The decisions never end a request whose answer has begun; were it so, it could only be cut.
-            Client::HasPart => out.push(Output::Cut),
+            Client::HasPart => out.push(LifecycleAction::ResetClient),
             Client::Done => {}
         }
         self.client = Client::Done;
@@ -324,71 +329,73 @@
         matches!(status, 200 | 400 | 422)
     }
 
-    fn data(&mut self, bytes: usize, out: &mut Vec<Output>) {
+    fn data(&mut self, bytes: usize, out: &mut Vec<LifecycleAction>) {
         let Some(attempt) = &mut self.attempt else { return };
         attempt.held = attempt.held.saturating_add(bytes);
         if !Self::is_answer(attempt.status) || self.client == Client::Done {
-            return out.push(Output::Forget);
+            return out.push(LifecycleAction::DiscardResponse);
         }
         // Held until whole where it is small, so that a node that breaks midway can still be made good; a
         // large answer goes on as it comes, and from then on it can only be finished or cut.
         if attempt.held > self.hold || self.client == Client::HasPart {
             self.client = Client::HasPart;
-            out.push(Output::Pass);
+            out.push(LifecycleAction::ForwardResponse);
         }
     }
 
-    fn end(&mut self, outcome: AttemptOutcome, units: Option<f64>, out: &mut Vec<Output>) {
+    fn end(&mut self, outcome: AttemptOutcome, units: Option<f64>, out: &mut Vec<LifecycleAction>) {
         if self.attempt.take().is_none() {
             return;
         }
         let served = outcome == AttemptOutcome::Served;
         let true_units = units.filter(|_| served);
         match self.client {
-            Client::Waits if served => out.extend([Output::Pass, Output::PassEnd]),
+            Client::Waits if served => {
+                out.extend([LifecycleAction::ForwardResponse, LifecycleAction::EndResponse])
+            }
             // Its bytes are with the client already: what is wrong with them the client sees itself.
-            Client::HasPart => out.push(Output::PassEnd),
-            Client::Waits | Client::Done => out.push(Output::Forget),
+            Client::HasPart => out.push(LifecycleAction::EndResponse),
+            Client::Waits | Client::Done => out.push(LifecycleAction::DiscardResponse),
         }
         let finished = served || self.client != Client::Waits;
         if finished {
             self.client = Client::Done;
         }
         self.last = Some(outcome);
-        out.push(Output::Ended { outcome, true_units, finished });
+        out.push(LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished });
         self.over(out);
     }
 
     /// What a broken connection means: only before the first byte was taken it is sure that nothing ran.
-    fn lost(&mut self, out: &mut Vec<Output>) {
+    fn lost(&mut self, out: &mut Vec<LifecycleAction>) {
         let Some(attempt) = self.attempt else { return };
         let outcome = match attempt.wire {
-            Wire::Connecting => AttemptOutcome::ConnectFailed,
-            Wire::Unsent => AttemptOutcome::NeverSent,
-            Wire::Sent | Wire::Answering => AttemptOutcome::ConnectionLost,
+            WireState::Connecting => AttemptOutcome::ConnectFailed,
+            WireState::Connected => AttemptOutcome::NeverSent,
+            WireState::Sent | WireState::Responding => AttemptOutcome::ConnectionLost,
         };
         self.break_off(outcome, out);
     }
 
-    fn break_off(&mut self, outcome: AttemptOutcome, out: &mut Vec<Output>) {
+    fn break_off(&mut self, outcome: AttemptOutcome, out: &mut Vec<LifecycleAction>) {
         if self.attempt.take().is_none() {
             return;
         }
         let finished = self.client != Client::Waits;
         if self.client == Client::HasPart {
-            out.push(Output::Cut);
+            out.push(LifecycleAction::ResetClient);
             self.client = Client::Done;
         } else {
-            out.push(Output::Forget);
+            out.push(LifecycleAction::DiscardResponse);
         }
         self.last = Some(outcome);
-        out.push(Output::Ended { outcome, true_units: None, finished });
+        out.push(LifecycleAction::AttemptEnded { outcome, true_units: None, final_response_sent: finished });
         self.over(out);
     }
 
-    fn time_up(&mut self, out: &mut Vec<Output>) {
+    fn time_up(&mut self, out: &mut Vec<LifecycleAction>) {
         if self.attempt.is_some() {
-            out.push(Output::Abandon);
+            out.push(LifecycleAction::CloseBackendConnection);
             // Nothing was written: it never ran, also when time ran out over it.
             self.break_off(
                 if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut },
@@ -400,8 +407,8 @@
         }
         if self.client == Client::Waits {
             // The decisions hold a request no longer than its time; this is the net under them (rule 1).
-            out.push(Output::Left);
-            self.finish(Final::Failed(Failure::Time), out);
+            out.push(LifecycleAction::ClientDisconnected);
+            self.finish(FinalResponse::Failed(FailureReason::DeadlineExpired), out);
         }
     }
 }
--- a/crates/request-lifecycle/src/session.rs
+++ b/crates/request-lifecycle/src/session.rs
@@ -30,7 +30,7 @@
 
 /// The route that a session's id names; empty for none.
 #[must_use]
-pub fn route_of(session: &str) -> &str {
+pub fn sticky_route(session: &str) -> &str {
     session.split_once('.').map_or("", |(_, route)| route)
 }
 
@@ -48,6 +48,9 @@
         assert_eq!(parameter("s", "a=b;s=1.r;s=2.r", ';'), Some("1.r"));
         assert_eq!(parameter("", "=1", '&'), None);
         assert_eq!(split_path("/g;s=1.r;t=2"), ("/g", "s=1.r;t=2"));
-        assert_eq!((route_of("x.r1"), route_of("x.a.b"), route_of("x"), route_of("")), ("r1", "a.b", "", ""));
+        assert_eq!(
+            (sticky_route("x.r1"), sticky_route("x.a.b"), sticky_route("x"), sticky_route("")),
+            ("r1", "a.b", "", "")
+        );
     }
 }
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -6,10 +6,10 @@
 use crate::io::{Io, Kind, Token, Watched};
 use crate::members::Members;
 use doorcourse::{BackendState, LoadReport, Name, RequestId};
-use doorcourse_connection_limits::{Pool, kept};
+use doorcourse_connection_limits::{ConnectionPool, idle_limit};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_request_lifecycle::Reply;
+use doorcourse_request_lifecycle::BackendReply;
 use doorcourse_resp::{Answer, Answers};
 use slab::Slab;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
     /// Its last byte was written.
     Written,
     /// A whole answer.
-    Answered { reply: Reply, value: Vec<u8>, units: Option<f64>, load: Option<LoadReport> },
+    Answered { reply: BackendReply, value: Vec<u8>, units: Option<f64>, load: Option<LoadReport> },
     /// The answer cannot be read.
     Broken,
     /// The connection broke, or could not be made.
@@ -63,7 +63,7 @@
     started: Option<f64>,
     ready: bool,
     listed: bool,
-    pool: Pool,
+    pool: ConnectionPool,
 }
 
 /// What a connection is used for.
@@ -139,7 +139,7 @@
                     }
                 }
                 (None, Some(address)) if listed => {
-                    let (started, pool) = (entry.started, Pool::default());
+                    let (started, pool) = (entry.started, ConnectionPool::default());
                     self.peers.insert(entry.name.clone(), Peer { address, started, ready, listed, pool });
                     self.begin_incarnation(&entry.name);
                 }
@@ -162,7 +162,7 @@
     /// Nothing that waits goes there, and what is idle is of another life of it.
     fn withdraw(&mut self, name: &Name, said: &mut Vec<(RequestId, Heard)>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let (waiting, idle) = peer.pool.withdraw();
+        let (waiting, idle) = peer.pool.withdraw_all();
         said.extend(waiting.into_iter().map(|id| (id, Heard::Withdrawn)));
         for at in idle {
             self.close(at);
@@ -183,12 +183,12 @@
             return;
         }
         self.incarnations += 1;
-        peer.pool = Pool::of(self.incarnations);
+        peer.pool = ConnectionPool::new(self.incarnations);
         self.conns.retain(|_, c| c.backend != *name || !matches!(c.state, State::Dialing { .. }));
     }
 
     /// The pool that a connection belongs to, where its backend is still the one that it was made for.
-    fn pool_of(&mut self, backend: &Name, incarnation: u64) -> Option<&mut Pool> {
+    fn pool_of(&mut self, backend: &Name, incarnation: u64) -> Option<&mut ConnectionPool> {
         self.peers
             .get_mut(backend)
             .map(|peer| &mut peer.pool)
@@ -231,10 +231,10 @@
         };
         let attempt = Attempt { backend: backend.clone(), what, until, conn: None };
         self.attempts.insert(request, attempt);
-        let keep = kept(self.keepalive);
+        let keep = idle_limit(self.keepalive);
         let mut old = Vec::new();
         loop {
-            let taken = peer.pool.take(io.now, keep, &mut old);
+            let taken = peer.pool.take_idle(io.now, keep, &mut old);
             old.drain(..).for_each(|at| drop(self.conns.remove(at)));
             let Some(at) = taken else { break };
             // Anything unasked for, or an end, shows here: bytes left behind an answer must not become the next.
@@ -242,9 +242,9 @@
                 return self.write(io, at, request, said);
             }
             self.conns.remove(at);
-            peer.pool.freed();
+            peer.pool.request_ended();
         }
-        peer.pool.wait(request);
+        peer.pool.enqueue(request);
         self.dial(io, backend, said);
     }
 
@@ -273,7 +273,7 @@
                 self.retire_oldest();
             }
             let Some(peer) = self.peers.get_mut(name) else { return };
-            if !peer.pool.wants_dial() {
+            if !peer.pool.needs_connection() {
                 return;
             }
             let full = self.conns.len() >= self.most;
@@ -290,7 +290,7 @@
                 Ok(watched) => {
                     let (backend, state, dirty) = (name.clone(), State::Dialing { since: io.now }, false);
                     let incarnation = peer.pool.incarnation();
-                    peer.pool.dials();
+                    peer.pool.connect_started();
                     self.dialed += 1;
                     self.conns.insert(Conn {
                         watched,
@@ -305,7 +305,7 @@
                     });
                 }
                 Err(kind) => {
-                    let Some(request) = peer.pool.turn_away() else { return };
+                    let Some(request) = peer.pool.pop_waiting() else { return };
                     self.attempts.remove(&request);
                     // What this machine is short of is no fault of the backend's.
                     let refused = kind == Some(std::io::ErrorKind::ConnectionRefused);
@@ -317,7 +317,7 @@
 
     /// Closes the connection that has been idle longest, wherever it is.
     fn retire_oldest(&mut self) {
-        let idle = self.peers.values().filter_map(|p| p.pool.oldest());
+        let idle = self.peers.values().filter_map(|p| p.pool.longest_idle());
         if let Some((at, _)) = idle.min_by(|a, b| a.1.total_cmp(&b.1)) {
             self.close(at);
         }
@@ -328,9 +328,9 @@
         let Some(conn) = self.conns.try_remove(at) else { return };
         if let Some(pool) = self.pool_of(&conn.backend, conn.incarnation) {
             match conn.state {
-                State::Dialing { .. } => pool.dialed(),
-                State::Idle { .. } => pool.gone(at),
-                State::Busy { .. } => pool.freed(),
+                State::Dialing { .. } => pool.connect_ended(),
+                State::Idle { .. } => pool.remove_idle(at),
+                State::Busy { .. } => pool.request_ended(),
             }
         }
         self.tidy(&conn.backend);
@@ -343,7 +343,7 @@
             Some(at) => self.close(at),
             None => {
                 if let Some(peer) = self.peers.get_mut(&attempt.backend) {
-                    peer.pool.leave(request);
+                    peer.pool.cancel_wait(request);
                 }
             }
         }
@@ -370,7 +370,7 @@
                     Err(_) => {
                         let name = conn.backend.clone();
                         self.close(at);
-                        if let Some(request) = self.peers.get_mut(&name).and_then(|p| p.pool.turn_away()) {
+                        if let Some(request) = self.peers.get_mut(&name).and_then(|p| p.pool.pop_waiting()) {
                             self.attempts.remove(&request);
                             said.push((request, Heard::Lost));
                         }
@@ -428,11 +428,11 @@
         let fits = |p: &&mut Peer| p.ready && p.pool.incarnation() == conn.incarnation;
         let Some(peer) = self.peers.get_mut(&conn.backend).filter(fits) else { return self.close(at) };
         match std::mem::replace(&mut conn.state, State::Idle { since: io.now }) {
-            State::Dialing { .. } => peer.pool.dialed(),
-            State::Busy { .. } => peer.pool.freed(),
+            State::Dialing { .. } => peer.pool.connect_ended(),
+            State::Busy { .. } => peer.pool.request_ended(),
             State::Idle { .. } => {}
         }
-        if let Some(request) = peer.pool.rest(io.now, at) {
+        if let Some(request) = peer.pool.release(io.now, at) {
             self.write(io, at, request, said);
         }
     }
@@ -467,7 +467,7 @@
             return;
         }
         self.swept = io.now;
-        let keep = kept(self.keepalive);
+        let keep = idle_limit(self.keepalive);
         for at in 0..self.conns.capacity() {
             let Some(conn) = self.conns.get(at) else { continue };
             let over = match conn.state {
@@ -500,18 +500,24 @@
         Answer::Served { .. } if probe => return None,
         Answer::Served { value, used, report } => {
             let units = used.and_then(|u| u.parse().ok()).filter(|u: &f64| u.is_finite() && *u > 0.0);
-            let (reply, value) = (Reply::Value, input[value].to_vec());
+            let (reply, value) = (BackendReply::Value, input[value].to_vec());
             Heard::Answered { reply, value, units, load: load(report) }
         }
-        Answer::Failed { report } => {
-            Heard::Answered { reply: Reply::Failed, value: Vec::new(), units: None, load: load(report) }
-        }
-        Answer::Busy { report } => {
-            Heard::Answered { reply: Reply::TurnedAway, value: Vec::new(), units: None, load: load(report) }
-        }
+        Answer::Failed { report } => Heard::Answered {
+            reply: BackendReply::Failed,
+            value: Vec::new(),
+            units: None,
+            load: load(report),
+        },
+        Answer::Busy { report } => Heard::Answered {
+            reply: BackendReply::Rejected,
+            value: Vec::new(),
+            units: None,
+            load: load(report),
+        },
         Answer::Bulk(text) if probe => {
             let load = load(std::str::from_utf8(&input[text]).ok().map(str::to_owned));
-            Heard::Answered { reply: Reply::Value, value: Vec::new(), units: None, load }
+            Heard::Answered { reply: BackendReply::Value, value: Vec::new(), units: None, load }
         }
         Answer::Pong | Answer::Bulk(_) => return None,
     })
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -4,11 +4,11 @@
 use crate::ask::{self, Ask, Wrong};
 use crate::io::{Io, Kind, Token, Watched};
 use doorcourse::RequestId;
-use doorcourse_connection_limits::{Ages, HeldOpen, pause};
+use doorcourse_connection_limits::{ConnectionActivity, ConnectionTimeouts, fault_backoff};
 use doorcourse_deployment::Site;
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, is_out_of_descriptors};
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_graceful_shutdown::Leave;
+use doorcourse_graceful_shutdown::GracefulShutdown;
 use doorcourse_resp::{CommandLimits, Commands, Fault};
 use slab::Slab;
 use std::collections::VecDeque;
@@ -26,7 +26,8 @@
 /// Connections that the system may hold at the door.
 const QUEUE: usize = 1024;
 /// Ages in ms. Bad clients are owed an error or a close within 3 s.
-const AGES: Ages = Ages { silent: 2000.0, idle: 5000.0, unread: 2500.0 };
+const AGES: ConnectionTimeouts =
+    ConnectionTimeouts { silent_timeout: 2000.0, idle_timeout: 5000.0, unread_timeout: 2500.0 };
 /// How long a connection whose last word is said stays, in ms: its client has to read that word, and a close over
 /// bytes that were not read resets the connection and takes the word with it (RFC 9112 section 9.6 says the same of HTTP).
 const LINGER: f64 = 250.0;
@@ -96,7 +97,7 @@
     slots: VecDeque<Slot>,
     /// The number of the first slot.
     first: u64,
-    held: HeldOpen,
+    held: ConnectionActivity,
     faults: u32,
     /// Nothing is read before then.
     resume: f64,
@@ -110,13 +111,13 @@
 impl Conn {
     fn push(&mut self, slot: Slot) -> Place {
         self.slots.push_back(slot);
-        self.held.open = self.slots.len();
+        self.held.open_requests = self.slots.len();
         let number = self.first + self.slots.len() as u64 - 1;
         Place { at: self.watched.token.at, serial: self.watched.token.serial, number }
     }
 
     fn reads(&self, now: f64) -> bool {
-        if self.held.ending.is_some() {
+        if self.held.lingering_close_until.is_some() {
             return self.read_over < READ_OVER;
         }
         let room = self.slots.len() < PIPELINE && self.watched.socket.pending() <= UNREAD;
@@ -128,7 +129,7 @@
     fn linger(&mut self, now: f64) {
         self.watched.socket.end_writing();
         self.watched.socket.input = Vec::new();
-        (self.lost, self.held.ending) = (true, Some(now + LINGER));
+        (self.lost, self.held.lingering_close_until) = (true, Some(now + LINGER));
     }
 
     /// Moves answers whose turn it is to the output. From here on they are there to be read, also while they are not
@@ -139,12 +140,12 @@
             self.slots.pop_front();
             self.first += 1;
             if !rule_disabled("track-written-responses") {
-                self.held.answered = Some(now);
+                self.held.last_response_at = Some(now);
             }
         }
-        self.held.open = self.slots.len();
+        self.held.open_requests = self.slots.len();
         if self.watched.socket.pending() > 0 && !rule_disabled("track-written-responses") {
-            self.held.unread.get_or_insert(now);
+            self.held.unread_response_since.get_or_insert(now);
         }
     }
 }
@@ -215,7 +216,7 @@
             }
             let token = Token { kind: Kind::Client, serial: io.serial(), at: self.conns.vacant_key() };
             let Ok(watched) = Watched::new(io, socket, token, interest()) else { continue };
-            let held = HeldOpen::new(io.now);
+            let held = ConnectionActivity::new(io.now);
             let (commands, slots) = (Commands::new(LIMITS), VecDeque::new());
             let at = self.conns.insert(Conn {
                 watched,
@@ -243,10 +244,10 @@
     /// it is seen by the last look, and another has to go.
     fn make_room(&mut self, io: &mut Io, site: &Site, told: &mut Vec<Told>) -> bool {
         loop {
-            let ranked = self.conns.iter().filter_map(|(at, conn)| Some((conn.held.rank()?, at)));
+            let ranked = self.conns.iter().filter_map(|(at, conn)| Some((conn.held.eviction_rank()?, at)));
             let first = ranked.min_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
             let Some((_, at)) = first else { return false };
-            let part = |held: &HeldOpen| held.rank().is_some();
+            let part = |held: &ConnectionActivity| held.eviction_rank().is_some();
             // Its place is wanted now; one that goes here has long had its last answer.
             if self.end(io, site, at, part, told) {
                 self.remove(at, told);
@@ -259,7 +260,7 @@
     /// taken. What comes later is read over and never begun: its client sees the end and asks elsewhere. False where
     /// the connection goes on.
     fn end(
-        &mut self, io: &mut Io, site: &Site, at: usize, ends: impl Fn(&HeldOpen) -> bool,
+        &mut self, io: &mut Io, site: &Site, at: usize, ends: impl Fn(&ConnectionActivity) -> bool,
         told: &mut Vec<Told>,
     ) -> bool {
         if !rule_disabled("last-read-before-close") {
@@ -270,7 +271,7 @@
             return false;
         }
         tracing::trace!(target: "doorcourse::requests", at, "connection ended");
-        if conn.held.ending.is_some() || conn.held.answered.is_none() {
+        if conn.held.lingering_close_until.is_some() || conn.held.last_response_at.is_none() {
             self.remove(at, told);
         } else {
             conn.linger(io.now);
@@ -298,7 +299,7 @@
     fn read(&mut self, io: &mut Io, site: &Site, at: usize, told: &mut Vec<Told>) {
         let Some(conn) = self.conns.get_mut(at) else { return };
         let (count, flow) = conn.watched.socket.read();
-        if conn.held.ending.is_some() {
+        if conn.held.lingering_close_until.is_some() {
             conn.read_over += count;
             conn.watched.socket.input = Vec::new();
         } else {
@@ -320,10 +321,10 @@
                 Ok(None) => break,
                 Ok(Some((words, took))) => {
                     used += took;
-                    conn.held.midway = None;
+                    conn.held.partial_request_since = None;
                     let said = ask::read(site, rest, &words);
                     if said.is_ok() {
-                        conn.held.spoke = Some(io.now);
+                        conn.held.last_request_at = Some(io.now);
                     }
                     match said {
                         Ok(ask::Said::Ping) => told.push(Told::Ping(conn.push(Slot::Waits(None)))),
@@ -348,9 +349,9 @@
         conn.watched.socket.input = input;
         conn.watched.socket.consume(used);
         if conn.watched.socket.input.is_empty() {
-            conn.held.midway = None;
+            conn.held.partial_request_since = None;
         } else {
-            conn.held.midway.get_or_insert(io.now);
+            conn.held.partial_request_since.get_or_insert(io.now);
         }
         if used > 0 {
             conn.settle(io.now);
@@ -360,7 +361,7 @@
 
     fn fault(conn: &mut Conn, now: f64) {
         conn.faults += 1;
-        conn.resume = now + pause(conn.faults);
+        conn.resume = now + fault_backoff(conn.faults);
     }
 
     /// Whether the client of a command still waits for its answer.
@@ -404,7 +405,7 @@
 
     /// Writes what the turn left to write; commands that waited for room to answer are taken then.
     /// Once the gateway leaves, a connection on which nothing is open then ends.
-    pub fn flush(&mut self, io: &mut Io, site: &Site, leave: &Leave, told: &mut Vec<Told>) {
+    pub fn flush(&mut self, io: &mut Io, site: &Site, leave: &GracefulShutdown, told: &mut Vec<Told>) {
         let now = io.now;
         // Commands that are taken here may be answered at once: it ends because each round takes some of the input.
         while let Some(at) = self.dirty.pop() {
@@ -417,17 +418,18 @@
             }
             let pending = conn.watched.socket.pending();
             if pending == 0 {
-                conn.held.unread = None;
-            } else if pending < before || conn.held.unread.is_none() {
-                conn.held.unread = Some(io.now);
+                conn.held.unread_response_since = None;
+            } else if pending < before || conn.held.unread_response_since.is_none() {
+                conn.held.unread_response_since = Some(io.now);
             }
-            if conn.lost && pending == 0 && conn.slots.is_empty() && conn.held.ending.is_none() {
+            if conn.lost && pending == 0 && conn.slots.is_empty() && conn.held.lingering_close_until.is_none()
+            {
                 conn.linger(now);
             }
             if !conn.watched.socket.input.is_empty() {
                 self.take(io, site, at, told);
             }
-            let parts = |held: &HeldOpen| leave.parts(now, held);
+            let parts = |held: &ConnectionActivity| leave.may_close(now, held);
             if self.conns.get(at).is_some_and(|conn| parts(&conn.held)) {
                 self.end(io, site, at, parts, told);
             }
@@ -453,10 +455,10 @@
         }
         self.swept = io.now;
         self.listen(io, true);
-        let (now, ages) = (io.now, AGES.under(self.conns.len(), self.most));
+        let (now, ages) = (io.now, AGES.for_occupancy(self.conns.len(), self.most));
         for at in 0..self.conns.capacity() {
             let Some(conn) = self.conns.get_mut(at) else { continue };
-            let over = |held: &HeldOpen| held.is_over(now, &ages);
+            let over = |held: &ConnectionActivity| held.is_expired(now, &ages);
             if over(&conn.held) {
                 self.end(io, site, at, over, told);
             } else if conn.faults > 0 && conn.reads(io.now) {
@@ -542,7 +544,7 @@
     }
 
     fn answer_of(mut clients: Clients, mut io: Io, site: &Site, mut client: TcpStream) -> String {
-        clients.flush(&mut io, site, &Leave::default(), &mut Vec::new());
+        clients.flush(&mut io, site, &GracefulShutdown::default(), &mut Vec::new());
         drop(clients);
         let mut text = String::new();
         client.read_to_string(&mut text).unwrap();
@@ -552,7 +554,7 @@
     #[test]
     fn an_answer_given_long_after_its_command_is_written_before_any_age_counts() {
         let (mut io, site, mut clients, place, client) = asked(8);
-        io.now += 2.0 * AGES.idle;
+        io.now += 2.0 * AGES.idle_timeout;
         clients.answer(io.now, place, Given::Failed("no answer in time"));
         // The sweep of ages comes before the flush of the same turn.
         clients.tick(&mut io, &site, &mut Vec::new());
@@ -572,15 +574,15 @@
         for why in ["age", "room", "leaving"] {
             let (mut io, site, mut clients, place, mut client) = asked(1);
             clients.answer(io.now, place, Given::Busy(None));
-            clients.flush(&mut io, &site, &Leave::default(), &mut Vec::new());
+            clients.flush(&mut io, &site, &GracefulShutdown::default(), &mut Vec::new());
             client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-            let (mut told, mut leave) = (Vec::new(), Leave::default());
-            io.now += 2.0 * AGES.idle;
+            let (mut told, mut leave) = (Vec::new(), GracefulShutdown::default());
+            io.now += 2.0 * AGES.idle_timeout;
             match why {
                 "age" => clients.tick(&mut io, &site, &mut told),
                 "room" => assert!(!clients.make_room(&mut io, &site, &mut told), "{why}"),
                 _ => {
-                    leave.tell(0.0, 1000.0);
+                    leave.begin(0.0, 1000.0);
                     clients.look_at_all();
                     clients.flush(&mut io, &site, &leave, &mut told);
                 }
@@ -592,7 +594,7 @@
             if why == "leaving" {
                 // Its end comes while the room still stands: this side is ended, and what still comes is read over.
                 client.read_to_string(&mut text).unwrap();
-                assert!(clients.conns.iter().all(|(_, conn)| conn.held.ending.is_some()));
+                assert!(clients.conns.iter().all(|(_, conn)| conn.held.lingering_close_until.is_some()));
             } else {
                 text = answer_of(clients, io, &site, client);
             }
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::io::{Io, Kind, Token, Watched};
 use crate::members::Members;
-use doorcourse_discovery::{Due, Follow};
+use doorcourse_discovery::{DiscoveryWatch, WatchAction};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
 use doorcourse_http::{Decoder, Limits, Part, Role};
@@ -24,7 +24,7 @@
     state: State,
     /// A call that was not answered at once, and may be yet.
     aside: Option<(Watched, Decoder)>,
-    follow: Follow,
+    follow: DiscoveryWatch,
     /// A line of the watch, or a whole list, as far as it has come.
     line: Vec<u8>,
     watching: bool,
@@ -32,32 +32,32 @@
 
 impl Discovery {
     pub fn new(address: SocketAddr, seq: Option<u64>, grace: f64) -> Self {
-        let (state, follow) = (State::Closed, Follow::new(seq, grace));
+        let (state, follow) = (State::Closed, DiscoveryWatch::new(seq, grace));
         Self { address, state, aside: None, follow, line: Vec::new(), watching: false }
     }
 
     /// How long sends to a backend that drains may go on.
     pub fn set_grace(&mut self, grace: f64) {
-        self.follow.set_grace(grace);
+        self.follow.set_drain_grace(grace);
     }
 
     /// Another address takes over at once.
     pub fn move_to(&mut self, address: SocketAddr) {
         (self.address, self.state, self.aside) = (address, State::Closed, None);
-        self.follow.moved();
+        self.follow.address_changed();
     }
 
     pub fn due(&self) -> f64 {
-        self.follow.due()
+        self.follow.next_timeout()
     }
 
     pub fn tick(&mut self, io: &mut Io) {
-        while let Some(due) = self.follow.tick(io.now) {
+        while let Some(due) = self.follow.handle_timeout(io.now) {
             match due {
-                Due::Dial => self.dial(io),
-                Due::Dead(why) => self.lost(io, why),
-                Due::DropAside => self.aside = None,
-                Due::SetAside => {
+                WatchAction::Connect => self.dial(io),
+                WatchAction::Close(why) => self.lost(io, why),
+                WatchAction::CloseSuperseded => self.aside = None,
+                WatchAction::Supersede => {
                     if let State::Open { link, decoder } = std::mem::replace(&mut self.state, State::Closed) {
                         self.aside = Some((link, decoder));
                     }
@@ -76,7 +76,7 @@
     }
 
     fn lost(&mut self, io: &Io, why: &str) {
-        if self.follow.lost(io.now) {
+        if self.follow.connection_lost(io.now) {
             tracing::info!(target: "doorcourse::discovery", "discovery lost: {why}");
         }
         self.state = State::Closed;
@@ -84,7 +84,7 @@
 
     /// Begins a message on a fresh connection.
     fn ask(&mut self, io: &Io, mut link: Watched) {
-        let from = self.follow.ask(io.now);
+        let from = self.follow.request_sent(io.now);
         let _ = match from {
             Some(seq) => write!(link.socket.output(), "GET /catalog/members?watch=1&from={seq} HTTP/1.1\r\n"),
             None => write!(link.socket.output(), "GET /catalog/members HTTP/1.1\r\n"),
@@ -119,16 +119,16 @@
         // Its head is looked at here and read where the call is the one that is out: half a head shows nothing.
         match decoder.clone().decode(&link.socket.input) {
             Ok((_, Some(Part::Head(_)))) => {
-                self.watching = self.follow.aside_answers();
+                self.watching = self.follow.superseded_response_started();
                 self.line.clear();
                 self.state = State::Open { link, decoder };
             }
             Ok(_) if flow == Flow::Open && rule_disabled("superseded-call-kept-apart") => {
-                self.watching = self.follow.aside_answers();
+                self.watching = self.follow.superseded_response_started();
                 self.state = State::Open { link, decoder };
             }
             Ok(_) if flow == Flow::Open => self.aside = Some((link, decoder)),
-            _ => self.follow.aside_lost(),
+            _ => self.follow.superseded_lost(),
         }
     }
 
@@ -162,7 +162,7 @@
                                     fault = Some(format!("status {}", head.status));
                                 }
                                 Some(Part::Head(_)) => {
-                                    self.follow.answers();
+                                    self.follow.response_started();
                                     self.aside = None;
                                 }
                                 Some(Part::Data(bytes)) => {
@@ -174,7 +174,7 @@
                                         fault = self.lists(told);
                                         // Lines of a list that is not whole show nothing: they may drip for ever.
                                         if told.len() > before || self.line.is_empty() {
-                                            self.follow.heard(io.now);
+                                            self.follow.message_received(io.now);
                                         }
                                     }
                                     if self.line.len() > LINE {
@@ -200,7 +200,7 @@
                     }
                 }
                 if let Some(why) = fault {
-                    self.follow.cannot_follow();
+                    self.follow.reset_version();
                     self.lost(io, &why);
                 } else if ended || flow != Flow::Open {
                     self.lost(io, "the watch ended");
@@ -232,7 +232,7 @@
     }
 
     fn take(&mut self, list: Members, told: &mut Vec<Members>) -> Result<(), String> {
-        if self.follow.take(list.seq, list.whole)? {
+        if self.follow.apply_version(list.seq, list.whole)? {
             tracing::info!(target: "doorcourse::discovery", version = list.seq, "discovery up");
         }
         told.push(list);
--- a/crates/resp-gateway/src/exchanges.rs
+++ b/crates/resp-gateway/src/exchanges.rs
@@ -6,8 +6,10 @@
 use crate::clients::{Given, Place};
 use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
 use doorcourse_deployment::Site;
-use doorcourse_graceful_shutdown::{Leave, Take};
-use doorcourse_request_lifecycle::{Exchange, Failure, Final, Input, Output, patience};
+use doorcourse_graceful_shutdown::{Admission, GracefulShutdown};
+use doorcourse_request_lifecycle::{
+    FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle, request_timeout,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -40,7 +42,7 @@
 }
 
 struct Open {
-    exchange: Exchange,
+    exchange: RequestLifecycle,
     id: u64,
     place: Place,
     passed: Arc<Passed>,
@@ -66,23 +68,25 @@
     /// The ids of clients: one that is open is refused to a newcomer.
     ids: HashMap<u64, RequestId>,
     last: RequestId,
-    outputs: Vec<Output>,
+    outputs: Vec<LifecycleAction>,
 }
 
 impl Exchanges {
     /// Takes a request on, where its id, its time and a gateway that may be leaving allow it.
-    pub fn begin(&mut self, now: f64, site: &Site, leave: &Leave, place: Place, ask: Ask) -> Begun {
+    pub fn begin(
+        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: Place, ask: Ask,
+    ) -> Begun {
         if self.ids.contains_key(&ask.id) {
             return Begun::Twice;
         }
         let longest =
             site.host.patience.get(ask.class).copied().filter(|p| *p > 0.0).unwrap_or(f64::INFINITY);
-        let Some(patience) = patience(longest, Some(ask.deadline), longest, MARGIN) else {
+        let Some(patience) = request_timeout(longest, Some(ask.deadline), longest, MARGIN) else {
             tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "no time is left");
             return Begun::NoTime;
         };
-        let Take::On(patience) =
-            leave.take(now, patience, site.settings.classes[ask.class].latency_objective)
+        let Admission::Admit(patience) =
+            leave.admit(now, patience, site.settings.classes[ask.class].latency_objective)
         else {
             tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "refused: leaving");
             return Begun::Leaving;
@@ -103,7 +107,7 @@
             sticky_route: Name::default(),
         };
         let (until, passed) = (now + patience, Arc::new(ask.passed));
-        let exchange = Exchange::new(usize::MAX);
+        let exchange = RequestLifecycle::new(usize::MAX);
         let (backend, value) = (Name::default(), Vec::new());
         let began = now;
         let open =
@@ -116,7 +120,7 @@
     /// The decisions send a request to a backend; `None` for one that is over.
     pub fn send(&mut self, now: f64, id: RequestId, backend: &Name) -> Option<Outgoing> {
         let open = self.open.get_mut(&id)?;
-        open.exchange.handle(Input::Sent, &mut self.outputs);
+        open.exchange.handle(LifecycleEvent::AttemptStarted, &mut self.outputs);
         self.outputs.clear();
         (open.backend, open.sent, open.load) = (backend.clone(), now, None);
         tracing::trace!(target: LOG, number = id, backend = &**backend, passed = now - open.began, "sent on");
@@ -130,41 +134,43 @@
 
     /// Whether this attempt is the one that is out.
     pub fn is_out(&self, id: RequestId, attempt: u32) -> bool {
-        self.open.get(&id).is_some_and(|o| o.exchange.is_out() && o.exchange.attempts() == attempt)
+        self.open.get(&id).is_some_and(|o| o.exchange.has_attempt() && o.exchange.attempts() == attempt)
     }
 
     /// Something was heard of a request's attempt.
     pub fn heard(&mut self, now: f64, advice: bool, id: RequestId, heard: Heard, out: &mut Vec<Do>) {
         let input = match heard {
-            Heard::Connected => Input::Connected,
-            Heard::Written => Input::Written,
+            Heard::Connected => LifecycleEvent::Connected,
+            Heard::Written => LifecycleEvent::BytesWritten,
             Heard::Answered { reply, value, units, load } => {
                 if let Some(open) = self.open.get_mut(&id) {
                     (open.value, open.load) = (value, load);
                 }
-                Input::Answered { reply, units }
+                LifecycleEvent::ResponseReceived { reply, units }
             }
-            Heard::Broken => Input::Broken,
-            Heard::Lost => Input::Lost,
-            Heard::Withdrawn => Input::Withdrawn,
+            Heard::Broken => LifecycleEvent::InvalidResponse,
+            Heard::Lost => LifecycleEvent::ConnectionLost,
+            Heard::Withdrawn => LifecycleEvent::Withdrawn,
         };
         self.handle(now, advice, id, input, out);
     }
 
     /// Something happened to a request.
-    pub fn handle(&mut self, now: f64, advice: bool, id: RequestId, input: Input, out: &mut Vec<Do>) {
+    pub fn handle(
+        &mut self, now: f64, advice: bool, id: RequestId, input: LifecycleEvent, out: &mut Vec<Do>,
+    ) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let mut outputs = std::mem::take(&mut self.outputs);
         match input {
-            Input::Written => tracing::trace!(target: LOG, number = id, "written"),
-            Input::ClientGone => tracing::trace!(target: LOG, number = id, "client gone"),
+            LifecycleEvent::BytesWritten => tracing::trace!(target: LOG, number = id, "written"),
+            LifecycleEvent::ClientDisconnected => tracing::trace!(target: LOG, number = id, "client gone"),
             _ => {}
         }
         open.exchange.handle(input, &mut outputs);
         let mut over = false;
         for output in outputs.drain(..) {
             match output {
-                Output::Ended { outcome, true_units, finished } => {
+                LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished } => {
                     let (attempt, backend) = (open.exchange.attempts(), open.backend.clone());
                     let (latency, load) = (now - open.sent, open.load.take());
                     tracing::trace!(target: LOG, number = id, ?outcome, latency, "attempt ended");
@@ -179,14 +185,16 @@
                         load_report: load,
                     })));
                 }
-                Output::Left => out.push(Do::Tell(Event::ClientDisconnected { id })),
-                Output::Answer(answer) => out.push(Do::Give(open.place, given(answer, advice))),
-                Output::Pass => out.push(Do::Give(open.place, Given::Value(std::mem::take(&mut open.value)))),
-                Output::Forget => open.value = Vec::new(),
-                Output::Abandon => out.push(Do::Abandon(id)),
+                LifecycleAction::ClientDisconnected => out.push(Do::Tell(Event::ClientDisconnected { id })),
+                LifecycleAction::Respond(answer) => out.push(Do::Give(open.place, given(answer, advice))),
+                LifecycleAction::ForwardResponse => {
+                    out.push(Do::Give(open.place, Given::Value(std::mem::take(&mut open.value))))
+                }
+                LifecycleAction::DiscardResponse => open.value = Vec::new(),
+                LifecycleAction::CloseBackendConnection => out.push(Do::Abandon(id)),
                 // Answers are held whole: none is ever passed in part.
-                Output::PassEnd | Output::Cut => {}
-                Output::Over => over = true,
+                LifecycleAction::EndResponse | LifecycleAction::ResetClient => {}
+                LifecycleAction::Finished => over = true,
             }
         }
         self.outputs = outputs;
@@ -198,7 +206,7 @@
 
     /// The requests whose clients wait for an answer.
     pub fn waiting(&self) -> Vec<RequestId> {
-        self.open.iter().filter(|(_, o)| o.exchange.is_open()).map(|(id, _)| *id).collect()
+        self.open.iter().filter(|(_, o)| o.exchange.awaits_response()).map(|(id, _)| *id).collect()
     }
 
     /// Requests that are open, and attempts whose clients are gone.
@@ -207,13 +215,13 @@
     }
 }
 
-fn given(answer: Final, advice: bool) -> Given {
+fn given(answer: FinalResponse, advice: bool) -> Given {
     match answer {
-        Final::Refused { retry_after, .. } => {
+        FinalResponse::Rejected { retry_after, .. } => {
             Given::Busy((advice && retry_after > 0.0).then(|| retry_after.ceil() as u64))
         }
-        Final::Failed(Failure::Time) => Given::Failed("no answer in time"),
-        Final::Failed(Failure::Node) => Given::Failed("the backend failed"),
-        Final::Failed(Failure::NoNode) => Given::Failed("no backend took it"),
+        FinalResponse::Failed(FailureReason::DeadlineExpired) => Given::Failed("no answer in time"),
+        FinalResponse::Failed(FailureReason::BackendFailed) => Given::Failed("the backend failed"),
+        FinalResponse::Failed(FailureReason::NoBackendReached) => Given::Failed("no backend took it"),
     }
 }
--- a/crates/resp-gateway/src/run.rs
+++ b/crates/resp-gateway/src/run.rs
@@ -11,13 +11,13 @@
 use crate::members::Members;
 use crate::watch::Watch;
 use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
-use doorcourse_connection_limits::Shares;
+use doorcourse_connection_limits::DescriptorBudget;
 use doorcourse_counter::Call;
 use doorcourse_deployment::Site;
-use doorcourse_discovery::Start;
+use doorcourse_discovery::Readiness;
 use doorcourse_event_loop::{Interest, Ready, listen, most_descriptors};
-use doorcourse_graceful_shutdown::{LastRounds, Leave, Phase, Round, looks_again};
-use doorcourse_request_lifecycle::{Input, Reply, dial_time};
+use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, GracefulShutdown, ShutdownPhase, needs_repoll};
+use doorcourse_request_lifecycle::{BackendReply, LifecycleEvent, connect_timeout};
 use std::collections::{HashMap, VecDeque};
 use std::fs::File;
 use std::net::SocketAddr;
@@ -40,10 +40,10 @@
     counter: Counter,
     discovery: Discovery,
     watch: Watch,
-    leave: Leave,
+    leave: GracefulShutdown,
     closed: bool,
     address: SocketAddr,
-    start: Start,
+    start: Readiness,
     /// Probes that are out: where to, and since when.
     probes: HashMap<RequestId, (Name, f64)>,
     /// Pipes that wake the loop, and what a byte on each means; on the first, bytes speak for themselves.
@@ -111,7 +111,7 @@
         let listener = listen(address).map_err(|e| anyhow::anyhow!("cannot listen on {address}: {e}"))?;
         let address = listener.local_addr()?;
         // The file may promise more than the system allows.
-        let shares = Shares::of(limits.sockets.min(most_descriptors()));
+        let shares = DescriptorBudget::for_limit(limits.sockets.min(most_descriptors()));
         let clients = Clients::new(&mut io, listener, shares.clients)?;
         let host = &site.host;
         tracing::debug!(settings = ?site.settings, ?host, "settings");
@@ -123,7 +123,7 @@
         wake.set_nonblocking(true)?;
         let token = Token { kind: Kind::Signal, serial: io.serial(), at: 0 };
         io.poller.add(&signal, token.pack(), Interest::READ)?;
-        let (start, watch) = (Start::new(io.now), Watch::new(io.now));
+        let (start, watch) = (Readiness::new(io.now), Watch::new(io.now));
         tracing::info!(%name, %address, ?shares, known = known.as_ref().map(|k| k.members.len()),
             keepalive = host.keepalive, dial_timeout = host.dial_timeout, "started");
         let mut new = Self {
@@ -137,7 +137,7 @@
             counter,
             discovery,
             watch,
-            leave: Leave::default(),
+            leave: GracefulShutdown::default(),
             closed: false,
             address,
             start,
@@ -193,12 +193,12 @@
     /// When the system fails.
     pub fn run(&mut self) -> anyhow::Result<()> {
         let mut ready = Vec::new();
-        while !self.leave.is_over(self.io.now, self.clients.connections()) {
+        while !self.leave.is_finished(self.io.now, self.clients.connections()) {
             let due = self.due();
             let wait = (due < f64::INFINITY).then(|| self.io.clock.until(due));
             self.io.poller.wait(wait, &mut ready)?;
             self.io.now = self.io.clock.now();
-            if looks_again(self.io.now - due) {
+            if needs_repoll(self.io.now - due) {
                 // Readiness is by level: nothing that was told before is lost.
                 self.io.poller.wait(Some(Duration::ZERO), &mut ready)?;
             }
@@ -215,7 +215,7 @@
             self.backends.due(),
             self.clients.due(),
             self.io.timers.first().unwrap_or(f64::INFINITY),
-            self.leave.due(self.io.now),
+            self.leave.next_timeout(self.io.now),
         ];
         rooms.into_iter().fold(f64::INFINITY, f64::min)
     }
@@ -236,7 +236,7 @@
             self.one(*ready);
         }
         self.clients.tick(&mut self.io, &self.site, &mut self.told);
-        if self.leave.is_closing(self.io.now) {
+        if self.leave.is_draining(self.io.now) {
             if std::mem::replace(&mut self.closed, true) {
                 self.clients.look_at_all();
             } else {
@@ -244,7 +244,7 @@
             }
         }
         self.settle();
-        if self.leave.phase(self.io.now) == Phase::LastAnswers {
+        if self.leave.phase(self.io.now) == ShutdownPhase::FinalResponses {
             self.answer_all();
         }
         self.flush();
@@ -266,7 +266,7 @@
                 let mut lists = Vec::new();
                 self.discovery.ready(&mut self.io, token, ready, &mut lists);
                 if !lists.is_empty() {
-                    self.start.listed();
+                    self.start.list_received();
                 }
                 lists.into_iter().for_each(|list| self.take_list(list));
             }
@@ -286,7 +286,7 @@
         while let Some(alarm) = self.io.timers.due(self.io.now) {
             match alarm {
                 Alarm::Decision(token) => self.events.push_back(Event::TimerExpired { token }),
-                Alarm::TimeUp(id) => self.input(id, Input::TimeUp),
+                Alarm::TimeUp(id) => self.input(id, LifecycleEvent::DeadlineExpired),
                 Alarm::Probe(id) => {
                     self.backends.abandon(id);
                     self.probed(id, AttemptOutcome::TimedOut, None);
@@ -299,7 +299,7 @@
                 }
                 Alarm::Window(id, attempt) => {
                     if self.exchanges.is_out(id, attempt) {
-                        self.input(id, Input::Withdrawn);
+                        self.input(id, LifecycleEvent::Withdrawn);
                     }
                 }
             }
@@ -343,18 +343,18 @@
     /// Answers all that is open, by the rules: attempts that are out end by their time, and the decisions give the final
     /// answer. What they send anew goes no further than a buffer, since nothing is written before the last round.
     fn answer_all(&mut self) {
-        let mut rounds = LastRounds::new(self.site.settings.max_attempts);
+        let mut rounds = FinalRounds::new(self.site.settings.max_attempts);
         loop {
             let (open, input) = match rounds.next(self.exchanges.waiting()) {
-                Round::TimeUp(open) => (open, Input::TimeUp),
-                Round::Cut(left) => (left, Input::Failed),
-                Round::Over => return,
+                FinalRound::ExpireAttempts(open) => (open, LifecycleEvent::DeadlineExpired),
+                FinalRound::ResetClients(left) => (left, LifecycleEvent::Failed),
+                FinalRound::Finished => return,
             };
             for id in open {
                 self.input(id, input);
             }
             self.settle();
-            if input == Input::Failed {
+            if input == LifecycleEvent::Failed {
                 return;
             }
         }
@@ -363,9 +363,9 @@
     fn heard_of_probe(&mut self, id: RequestId, heard: Heard) {
         let (outcome, load) = match heard {
             Heard::Connected | Heard::Written => return,
-            Heard::Answered { reply: Reply::Value, load, .. } => (AttemptOutcome::Served, load),
-            Heard::Answered { reply: Reply::TurnedAway, load, .. } => (AttemptOutcome::Rejected, load),
-            Heard::Answered { reply: Reply::Failed, load, .. } => (AttemptOutcome::Error, load),
+            Heard::Answered { reply: BackendReply::Value, load, .. } => (AttemptOutcome::Served, load),
+            Heard::Answered { reply: BackendReply::Rejected, load, .. } => (AttemptOutcome::Rejected, load),
+            Heard::Answered { reply: BackendReply::Failed, load, .. } => (AttemptOutcome::Error, load),
             Heard::Broken => (AttemptOutcome::Error, None),
             Heard::Lost => (AttemptOutcome::ConnectFailed, None),
             Heard::Withdrawn => {
@@ -382,7 +382,7 @@
         self.events.push_back(Event::HealthCheckEnded { backend, outcome, latency, load_report: load });
     }
 
-    fn input(&mut self, id: RequestId, input: Input) {
+    fn input(&mut self, id: RequestId, input: LifecycleEvent) {
         let (now, advice) = (self.io.now, self.site.host.advice);
         self.exchanges.handle(now, advice, id, input, &mut self.doing);
         self.carry_out();
@@ -422,7 +422,7 @@
                 };
                 self.clients.answer(self.io.now, place, given);
             }
-            Told::Gone(id) => self.input(id, Input::ClientGone),
+            Told::Gone(id) => self.input(id, LifecycleEvent::ClientDisconnected),
         }
     }
 
@@ -434,7 +434,7 @@
                     self.io.timers.set(self.io.now + timeout, Alarm::TimeUp(id));
                 }
                 let (limit, until) = (self.site.host.dial_timeout, out.until);
-                let dial = dial_time(limit, until - out.began, self.io.now - out.began);
+                let dial = connect_timeout(limit, until - out.began, self.io.now - out.began);
                 self.backends.send(&mut self.io, id, &backend, out.passed, until, &mut self.said);
                 if self.backends.dial_is_due(id) && limit > 0.0 {
                     self.io.timers.set(self.io.now + dial, Alarm::Dial(id, out.attempt));
@@ -444,10 +444,10 @@
                 }
             }
             Action::Reject { id, retry_after, reason: why } => {
-                self.input(id, Input::Refused { retry_after, why })
+                self.input(id, LifecycleEvent::Rejected { retry_after, reason: why })
             }
-            Action::Fail { id } => self.input(id, Input::Failed),
-            Action::CancelAttempt { id, .. } => self.input(id, Input::CalledOff),
+            Action::Fail { id } => self.input(id, LifecycleEvent::Failed),
+            Action::CancelAttempt { id, .. } => self.input(id, LifecycleEvent::Cancelled),
             Action::SetTimer { after, token } => {
                 self.io.timers.set(self.io.now + after, Alarm::Decision(token));
             }
@@ -504,7 +504,7 @@
             match means.unwrap_or(*byte) {
                 STOP => {
                     let longest = self.site.host.patience.iter().copied().fold(0.0, f64::max);
-                    if self.leave.tell(self.io.now, longest) {
+                    if self.leave.begin(self.io.now, longest) {
                         tracing::info!(open = self.exchanges.len(), "leaving");
                         self.events.push_back(Event::ShutdownStarted);
                     }
