--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -3,6 +3,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod readiness;
 mod watch;
 
-pub use watch::{DiscoveryWatch, Readiness, WatchAction};
+pub use readiness::Readiness;
+pub use watch::{DiscoveryWatch, WatchAction};
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,6 +1,6 @@
 //! When discovery is asked, given up and asked again; and that no order of failures makes a change late.
 
-use doorcourse_discovery::{DiscoveryWatch, Readiness, WatchAction};
+use doorcourse_discovery::{DiscoveryWatch, WatchAction};
 use proptest::prelude::*;
 
 const GRACE: f64 = 200.0;
@@ -193,14 +193,6 @@
     assert_eq!(follow.request_sent(0.0), Some(2));
 }
 
-#[test]
-fn ready_with_the_list_or_when_it_was_waited_for() {
-    let mut start = Readiness::new(500.0);
-    assert!(!start.is_ready(1499.0) && start.is_ready(1500.0));
-    start.list_received();
-    assert!(start.is_ready(501.0));
-}
-
 /// What becomes of a call that is made while the source cannot be reached, or that it spoils.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
