--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,4 +1,9 @@
-//! The watch of the endpoint list: when it is connected, considered dead and connected anew, without I/O.
+//! The client's side of the endpoint list: when to connect to its source, when a call is dead, and which version to
+//! ask for next.
+//!
+//! [`DiscoveryWatch`] decides and keeps state; it does no I/O and reads no clock. The host owns the sockets, reads the
+//! messages, reports what happened with the time of it, and carries out each [`WatchAction`]. [`Readiness`] decides
+//! when a gateway that has just started may take requests.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -7,4 +12,4 @@
 mod watch;
 
 pub use readiness::Readiness;
-pub use watch::{DiscoveryWatch, WatchAction};
+pub use watch::{ApplyVersionError, DiscoveryWatch, WatchAction};
--- a/crates/discovery/src/readiness.rs
+++ b/crates/discovery/src/readiness.rs
@@ -1,33 +1,33 @@
-//! When a gateway that was just started says that it is ready.
+//! When a gateway that has just started may take requests.
 
 use doorcourse::Millis;
 
-/// When a gateway that was just started says that it is ready.
+/// How long after its start a gateway waits for an endpoint list. After that it serves with the list of its earlier
+/// process, so that a fleet whose discovery is down still comes up.
+const ENDPOINT_LIST_TIMEOUT: Millis = 1000.0;
+
+/// Whether a gateway that has just started is ready to take requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    since: Millis,
-    listed: bool,
+    started_at: Millis,
+    list_received: bool,
 }
 
 impl Readiness {
-    /// It waits for the list as long as this; then it goes by the list it last had. Guards a fleet whose list is down
-    /// against staying away altogether.
-    const LIST_WAIT: Millis = 1000.0;
-
-    /// It was started now.
+    /// The state of a gateway that starts at `now` and has no endpoint list yet.
     #[must_use]
     pub fn new(now: Millis) -> Self {
-        Self { since: now, listed: false }
+        Self { started_at: now, list_received: false }
     }
 
-    /// The list's source has told a list.
+    /// Records that the source has sent an endpoint list.
     pub fn list_received(&mut self) {
-        self.listed = true;
+        self.list_received = true;
     }
 
-    /// Whether it takes requests.
+    /// Whether the gateway takes requests at `now`: with a list, or one second after its start without one.
     #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
-        self.listed || now >= self.since + Self::LIST_WAIT
+        self.list_received || now >= self.started_at + ENDPOINT_LIST_TIMEOUT
     }
 }
