--- a/crates/graceful-shutdown/src/lib.rs
+++ b/crates/graceful-shutdown/src/lib.rs
@@ -3,10 +3,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod final_rounds;
+mod manual_drains;
 mod shutdown;
 mod stall;
-mod stop;
 
+pub use final_rounds::{FinalRound, FinalRounds};
+pub use manual_drains::ManualDrains;
 pub use shutdown::{Admission, GracefulShutdown, ShutdownPhase};
 pub use stall::needs_repoll;
-pub use stop::{FinalRound, FinalRounds, ManualDrains};
