--- a/crates/graceful-shutdown/src/final_rounds.rs
+++ b/crates/graceful-shutdown/src/final_rounds.rs
@@ -1,42 +1,45 @@
-//! The rounds in which what is left at a stop is answered.
+//! The rounds in which the requests that remain at the end of a process get their final responses.
 
 use doorcourse::RequestId;
 
-/// What a stop does with what is left.
+/// What the host does with the remaining requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalRound {
-    /// These attempts are over: their time is up. The decisions give the final answer or try once more.
+    /// End the attempts of these requests as timed out. The decisions then give the final response or start another
+    /// attempt, which the next round ends.
     ExpireAttempts(Vec<RequestId>),
-    /// These have had more rounds than attempts: their clients' connections are cut.
+    /// These requests have had all rounds: disconnect their clients.
     ResetClients(Vec<RequestId>),
-    /// Nothing is left.
+    /// No request remains.
     Finished,
 }
 
-/// The rounds of a stop. Each ends one attempt of each request, so there are as many as attempts, and one for what was
-/// held; whatever is left then would go on for ever.
+/// Bounds the rounds in which the remaining requests are ended.
+///
+/// A round ends one attempt of each request, so there are as many rounds as attempts allowed, and one for requests that
+/// were queued. A request that remains after these would remain for ever.
 #[derive(Clone, Debug)]
 pub struct FinalRounds {
-    left: u32,
+    remaining_rounds: u32,
 }
 
 impl FinalRounds {
-    /// For requests of so many attempts at most.
+    /// The rounds for requests with at most `max_attempts` attempts each.
     #[must_use]
-    pub fn new(most_attempts: u32) -> Self {
-        Self { left: most_attempts.saturating_add(1) }
+    pub fn new(max_attempts: u32) -> Self {
+        Self { remaining_rounds: max_attempts.saturating_add(1) }
     }
 
-    /// The next round, with what is left.
-    pub fn next(&mut self, left: Vec<RequestId>) -> FinalRound {
-        if left.is_empty() {
+    /// The next round, for the requests that are still open.
+    pub fn next(&mut self, open_requests: Vec<RequestId>) -> FinalRound {
+        if open_requests.is_empty() {
             return FinalRound::Finished;
         }
-        if self.left == 0 {
-            return FinalRound::ResetClients(left);
+        if self.remaining_rounds == 0 {
+            return FinalRound::ResetClients(open_requests);
         }
-        self.left -= 1;
-        FinalRound::ExpireAttempts(left)
+        self.remaining_rounds -= 1;
+        FinalRound::ExpireAttempts(open_requests)
     }
 }
 
--- a/crates/graceful-shutdown/src/manual_drains.rs
+++ b/crates/graceful-shutdown/src/manual_drains.rs
@@ -1,35 +1,40 @@
-//! Nodes drained by hand.
+//! Backends that an operator drained at this gateway, whatever the endpoint list says.
 
 use doorcourse::{BackendEntry, BackendState, Name};
 use std::collections::BTreeSet;
 
-/// Nodes that a person drained at this gateway, whatever the list says. A word holds until it is taken back or the
-/// process ends, also while the node is away from the list: who drained it did so for a reason.
+/// The backends drained by an operator.
+///
+/// A drain holds until the operator ends it or the process ends, also while the backend is missing from the endpoint
+/// list: the reason of the drain does not end with the entry.
 #[derive(Clone, Debug, Default)]
-pub struct ManualDrains(BTreeSet<Name>);
+pub struct ManualDrains {
+    drained: BTreeSet<Name>,
+}
 
 impl ManualDrains {
-    /// Takes a person's word; whether it changes anything.
-    pub fn set_drained(&mut self, name: &Name, drain: bool) -> bool {
-        if drain { self.0.insert(name.clone()) } else { self.0.remove(name) }
+    /// Begins or ends the drain of a backend, by its name. Returns whether that changes anything.
+    pub fn set_drained(&mut self, backend: &Name, drained: bool) -> bool {
+        if drained { self.drained.insert(backend.clone()) } else { self.drained.remove(backend) }
     }
 
-    /// Whether a node is drained by hand.
+    /// Whether an operator drained the backend of this name.
     #[must_use]
-    pub fn is_drained(&self, name: &Name) -> bool {
-        self.0.contains(name)
+    pub fn is_drained(&self, backend: &Name) -> bool {
+        self.drained.contains(backend)
     }
 
-    /// The list as this gateway is to take it.
+    /// The endpoint list with each ready backend that is drained by hand as draining.
     #[must_use]
-    pub fn apply(&self, list: impl IntoIterator<Item = BackendEntry>) -> Vec<BackendEntry> {
-        let one = |mut entry: BackendEntry| {
-            if entry.state == BackendState::Ready && self.is_drained(&entry.name) {
-                entry.state = BackendState::Draining;
-            }
-            entry
-        };
-        list.into_iter().map(one).collect()
+    pub fn apply(&self, endpoints: impl IntoIterator<Item = BackendEntry>) -> Vec<BackendEntry> {
+        endpoints.into_iter().map(|entry| self.apply_to_entry(entry)).collect()
+    }
+
+    fn apply_to_entry(&self, mut entry: BackendEntry) -> BackendEntry {
+        if entry.state == BackendState::Ready && self.is_drained(&entry.name) {
+            entry.state = BackendState::Draining;
+        }
+        entry
     }
 }
 
--- a/crates/graceful-shutdown/src/shutdown.rs
+++ b/crates/graceful-shutdown/src/shutdown.rs
@@ -1,143 +1,184 @@
-//! The end of a gateway that was told to leave, as one state machine without I/O.
+//! The schedule of a graceful shutdown.
 //!
 //! ```text
-//! Serving --told--> Grace --0.7 s--> Closing --shortly before the kill--> LastAnswers
-//!                                      |                                     |
-//!                                      +--no connection left: over           +--no connection left, or killed: over
+//! Serving --SIGTERM--> Notice --0.7 s--> Draining --50 ms before the kill--> FinalResponses
+//!                                           |                                     |
+//!                                           +--no connection remains: exit        +--no connection remains, or the
+//!                                                                                    kill is due: exit
 //! ```
 //!
-//! | | doors | connections | requests |
-//! |---|---|---|---|
-//! | Serving | open | kept | taken on with their own time |
-//! | Grace | open: clients and fronts have not all heard yet | kept: they are in use | as before |
-//! | Closing | what waits in the queue is let in, then closed | each ends once nothing is open on it and one last read finds nothing | those that can end in time; the others are refused at once |
-//! | LastAnswers | closed | as before | none: what is open is answered now, by the rules |
+//! The platform kills the process no earlier than the longest request timeout (3 s where it is longer) and 0.7 s after
+//! SIGTERM.
 //!
-//! A connection that merely had a request open when the doors closed is no exception: clients go on sending on whatever
-//! stays open, up to the moment at which the process is killed, so every connection is closed as it falls idle.
+//! | phase | listener | connections | new requests |
+//! | --- | --- | --- | --- |
+//! | `Serving` | open | kept | admitted with their own timeout |
+//! | `Notice` | open: not all clients and load balancers know of the shutdown yet | kept: they are in use | admitted if they can end in time, else rejected |
+//! | `Draining` | connections in the accept queue are accepted, then it is closed | each is closed once nothing is open on it and one last read finds nothing | as before |
+//! | `FinalResponses` | closed | as before | rejected; every open request gets its final response now |
+//!
+//! A connection that had a request open when the listener closed is no exception: clients go on sending on whatever
+//! stays open up to the kill, so each connection is closed as it falls idle.
 
 use doorcourse::Millis;
 use doorcourse_connection_limits::ConnectionActivity;
 use doorcourse_fail_points::rule_disabled;
 
-/// How long requests may still come after the word to leave: those on their way, and those of a front that has not
-/// heard yet.
-const GRACE: Millis = 700.0;
-/// The longest time of a request counts as no more than this where the time to the kill is worked out.
-const MOST: Millis = 3000.0;
-/// All is answered so long before the process may be killed: an answer has to travel, and the loop may be late.
-const MARGIN: Millis = 50.0;
+/// How long after SIGTERM new connections and requests are expected as before: those on their way, and those of a load
+/// balancer that does not know of the shutdown yet.
+const NOTICE_PERIOD: Millis = 700.0;
+/// The longest request timeout counts as no more than this for the time of the kill.
+const MAX_COUNTED_TIMEOUT: Millis = 3000.0;
+/// How long before the kill every request has its final response: the response has to travel, and the event loop may
+/// be late.
+const EXIT_MARGIN: Millis = 50.0;
+
+/// How long a connection that was just accepted is kept for its first request, which is on its way.
+const FIRST_REQUEST_WAIT: Millis = 50.0;
 
-/// A connection that has just come up has its first request on the way: it is given as long as this to say something.
-const NEWCOMER: Millis = 50.0;
+/// By how much the fail point `shutdown-deadline` delays the final responses, far past the kill.
+const DISABLED_DEADLINE_DELAY: Millis = 10_000.0;
 
-/// Where a gateway is in its leaving.
+/// The phase of a gateway's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// It was not told to leave.
+    /// No shutdown is in progress.
     Serving,
-    /// It was told, and serves on.
+    /// The shutdown is announced; the gateway serves on, since its clients do not all know yet.
     Notice,
-    /// Its doors are closed, and connections end as they fall idle.
+    /// The listener is closed, and connections are closed as they fall idle.
     Draining,
-    /// It may be killed any moment: what is still open is answered at once.
+    /// The kill may come at any moment: each open request gets its final response at once.
     FinalResponses,
 }
 
-/// What becomes of a request that has just come.
+/// The decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is taken on with so much time.
+    /// It is admitted with this timeout in ms.
     Admit(Millis),
-    /// It cannot end before the process may be killed: refused at once, so that its client can ask elsewhere.
+    /// It cannot end before the process may be killed: rejected at once, so that its client can retry elsewhere.
     Reject,
 }
 
-/// The leaving of one process. It reads no clock.
+/// The graceful shutdown of one process.
+///
+/// The host reports SIGTERM with [`begin`](Self::begin), asks for the [`phase`](Self::phase) and carries it out, wakes
+/// at [`next_timeout`](Self::next_timeout), and exits with [`is_finished`](Self::is_finished).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GracefulShutdown {
-    told: Option<Told>,
+    /// `None` while no shutdown is in progress.
+    schedule: Option<ShutdownSchedule>,
 }
 
+/// When the phases of a shutdown change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Told {
-    last_call: Millis,
-    end: Millis,
+struct ShutdownSchedule {
+    /// From `Notice` to `Draining`.
+    stop_accepting_at: Millis,
+    /// From `Draining` to `FinalResponses`: the deadline of every response.
+    final_responses_at: Millis,
+}
+
+impl ShutdownSchedule {
+    /// The schedule of a shutdown that begins at `now`, where no request has a longer timeout than `max_request_timeout`.
+    fn new(now: Millis, max_request_timeout: Millis) -> Self {
+        let mut final_responses_at =
+            now + max_request_timeout.min(MAX_COUNTED_TIMEOUT) + NOTICE_PERIOD - EXIT_MARGIN;
+        if rule_disabled("shutdown-deadline") {
+            final_responses_at += DISABLED_DEADLINE_DELAY;
+        }
+        Self { stop_accepting_at: now + NOTICE_PERIOD, final_responses_at }
+    }
+
+    /// When the process exits whatever remains, just before the kill.
+    fn exit_at(&self) -> Millis {
+        self.final_responses_at + EXIT_MARGIN
+    }
 }
 
 impl GracefulShutdown {
-    /// It is told to leave; true the first time. `longest` is the longest time that any request may have: the process
-    /// is not killed before that time, or 3 s where it is longer, and the grace have passed.
-    pub fn begin(&mut self, now: Millis, longest: Millis) -> bool {
-        let first = self.told.is_none();
-        let end = now + longest.min(MOST) + GRACE - MARGIN;
-        // The kill is not reckoned with.
-        let end = if rule_disabled("shutdown-deadline") { end + 10_000.0 } else { end };
-        self.told.get_or_insert(Told { last_call: now + GRACE, end });
+    /// Begins the shutdown. Returns whether this is the first call; later ones change nothing.
+    ///
+    /// `max_request_timeout` is the longest timeout that any request may have, in ms: the process is not killed before
+    /// that time, or 3 s where it is longer, and the notice period of 0.7 s have passed.
+    pub fn begin(&mut self, now: Millis, max_request_timeout: Millis) -> bool {
+        let first = self.schedule.is_none();
+        self.schedule.get_or_insert_with(|| ShutdownSchedule::new(now, max_request_timeout));
         first
     }
 
-    /// Where it is now.
+    /// The phase at `now`.
     #[must_use]
     pub fn phase(&self, now: Millis) -> ShutdownPhase {
-        match self.told {
+        match self.schedule {
             None => ShutdownPhase::Serving,
-            Some(told) if now < told.last_call => ShutdownPhase::Notice,
-            Some(told) if now < told.end => ShutdownPhase::Draining,
+            Some(schedule) if now < schedule.stop_accepting_at => ShutdownPhase::Notice,
+            Some(schedule) if now < schedule.final_responses_at => ShutdownPhase::Draining,
             Some(_) => ShutdownPhase::FinalResponses,
         }
     }
 
-    /// When the phase changes next without being told, or the process ends; infinite where neither is to come.
+    /// When the phase next changes by time alone, or the process exits; infinite while no shutdown is in progress.
     #[must_use]
     pub fn next_timeout(&self, now: Millis) -> Millis {
-        match self.told {
+        match self.schedule {
             None => Millis::INFINITY,
-            Some(told) if now < told.last_call => told.last_call,
-            Some(told) if now < told.end => told.end,
-            Some(told) => told.end + MARGIN,
+            Some(schedule) if now < schedule.stop_accepting_at => schedule.stop_accepting_at,
+            Some(schedule) if now < schedule.final_responses_at => schedule.final_responses_at,
+            Some(schedule) => schedule.exit_at(),
         }
     }
 
-    /// What becomes of a request with so much time, whose answer is wanted within `aim`. What is left before the kill
-    /// may be less than its own time; it is taken on where that is enough for the answers that its class is meant to
-    /// have, and refused where it would most likely be cut off.
+    /// Decides on a new request with this timeout, in a class with this latency objective, both in ms.
+    ///
+    /// The time that remains may be shorter than the request's own timeout. The request is admitted where it suffices
+    /// for the latency objective, and rejected where its attempt would most likely be cut off.
     #[must_use]
-    pub fn admit(&self, now: Millis, patience: Millis, aim: Millis) -> Admission {
-        let left = self.told.map_or(Millis::INFINITY, |told| told.end - now);
-        if left >= patience.min(aim) && left > 0.0 {
-            Admission::Admit(patience.min(left))
+    pub fn admit(&self, now: Millis, request_timeout: Millis, latency_objective: Millis) -> Admission {
+        let remaining = self.schedule.map_or(Millis::INFINITY, |schedule| schedule.final_responses_at - now);
+        if remaining >= request_timeout.min(latency_objective) && remaining > 0.0 {
+            Admission::Admit(request_timeout.min(remaining))
         } else {
             Admission::Reject
         }
     }
 
-    /// Whether a client's connection is to end now, if one last read finds nothing on it: its doors are closed, and the
-    /// connection owes nothing and is not midway in a command.
+    /// Whether a client connection is to be closed now, if one last read finds nothing on it.
+    ///
+    /// It is while the gateway drains and nothing is open on the connection: no request or part of one, no unread
+    /// response, no lingering close; one that was just accepted is kept for its first request.
     #[must_use]
-    pub fn may_close(&self, now: Millis, held: &ConnectionActivity) -> bool {
-        let owes = held.open_requests > 0
-            || held.unread_response_since.is_some()
-            || held.partial_request_since.is_some()
-            || held.lingering_close_until.is_some();
-        // Looked at once, when the listener closes.
-        let once = rule_disabled("close-idle-until-exit")
-            && self.told.is_some_and(|told| now >= told.last_call + NEWCOMER / 2.0);
-        let owes = owes || once;
-        let comes = held.last_request_at.is_none() && now < held.opened_at + NEWCOMER;
-        self.is_draining(now) && !owes && !comes
+    pub fn may_close(&self, now: Millis, connection: &ConnectionActivity) -> bool {
+        let in_use = connection.open_requests > 0
+            || connection.unread_response_since.is_some()
+            || connection.partial_request_since.is_some()
+            || connection.lingering_close_until.is_some();
+        let awaits_first_request =
+            connection.last_request_at.is_none() && now < connection.opened_at + FIRST_REQUEST_WAIT;
+        self.is_draining(now) && !in_use && !awaits_first_request && !self.keeps_idle_connections(now)
+    }
+
+    /// The fault that the fail point `close-idle-until-exit` injects: connections are closed only just after the
+    /// listener, and those that fall idle later stay open.
+    fn keeps_idle_connections(&self, now: Millis) -> bool {
+        rule_disabled("close-idle-until-exit")
+            && self
+                .schedule
+                .is_some_and(|schedule| now >= schedule.stop_accepting_at + FIRST_REQUEST_WAIT / 2.0)
     }
 
-    /// Whether the doors are closed.
+    /// Whether the listener is closed and connections are closed as they fall idle.
     #[must_use]
     pub fn is_draining(&self, now: Millis) -> bool {
         matches!(self.phase(now), ShutdownPhase::Draining | ShutdownPhase::FinalResponses)
     }
 
-    /// Whether the process may end, with so many client connections left.
+    /// Whether the process exits now, with so many client connections still open.
     #[must_use]
-    pub fn is_finished(&self, now: Millis, connections: usize) -> bool {
-        self.is_draining(now) && connections == 0 || self.told.is_some_and(|told| now >= told.end + MARGIN)
+    pub fn is_finished(&self, now: Millis, open_connections: usize) -> bool {
+        let all_closed = self.is_draining(now) && open_connections == 0;
+        all_closed || self.schedule.is_some_and(|schedule| now >= schedule.exit_at())
     }
 }
 
--- a/crates/graceful-shutdown/src/stall.rs
+++ b/crates/graceful-shutdown/src/stall.rs
@@ -1,13 +1,14 @@
-//! What a loop does that comes late to what is due.
+//! Which iterations of an event loop count as stalled.
 
 use doorcourse::Millis;
 
-/// So late, a loop has stood still between its wait and its look at the clock; less is the system's own unevenness.
-const LATE: Millis = 5.0;
+/// Delay beyond which an iteration is stalled, between its poll and its reading of the clock. Less is the ordinary
+/// jitter of the system's scheduling.
+const STALL_THRESHOLD: Millis = 5.0;
 
-/// Whether a loop that is so late for what is due has to look at its sockets once more before it does that: what came
-/// meanwhile, the close of a client above all, was there first.
+/// Whether an event loop that is `delay` ms late for its timers polls its sockets again before it handles them: what
+/// arrived during the stall, above all the close of a client, precedes the timers.
 #[must_use]
-pub fn needs_repoll(late: Millis) -> bool {
-    late > LATE
+pub fn needs_repoll(delay: Millis) -> bool {
+    delay > STALL_THRESHOLD
 }
