--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -1,38 +1,8 @@
-//! How a machine's descriptors are shared out, and which client's connection goes when there are too many. One that is
-//! silent or idle goes before one that may be at work; one with a request open never goes.
+//! Which client's connection goes when there are too many. One that is silent or idle goes before one that may be at
+//! work; one with a request open never goes.
 
 use doorcourse::Millis;
 
-/// Descriptors by who uses them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DescriptorBudget {
-    /// Connections of clients.
-    pub clients: usize,
-    /// Connections to backends.
-    pub backends: usize,
-}
-
-/// What the program itself needs, counted: 3 standard streams, the poller, the listener, 4 pairs that wake the loop, the
-/// settings' file and the descriptor that is kept for it, discovery and a call to it that was set aside, and 4 connections
-/// to the counter beside 4 to one that was moved.
-const NEEDED: usize = 25;
-/// What is kept for it where there is more: room for connections that are replaced while the old ones end.
-const RESERVE: usize = 40;
-/// The clients' part of the rest. Each open request may need a connection on either side, and clients hold idle
-/// ones beside; backends keep those of past peaks.
-const CLIENTS: f64 = 0.55;
-
-impl DescriptorBudget {
-    /// DescriptorBudget out so many descriptors; at least one connection each way.
-    #[must_use]
-    pub fn for_limit(descriptors: usize) -> Self {
-        let reserve = RESERVE.min(descriptors / 4).max(NEEDED.min(descriptors / 2));
-        let rest = descriptors.saturating_sub(reserve);
-        let clients = ((rest as f64 * CLIENTS) as usize).max(1);
-        Self { clients, backends: rest.saturating_sub(clients).max(1) }
-    }
-}
-
 /// When client connections end by their age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
@@ -134,79 +104,5 @@
     }
 }
 
-/// The pause that a client gets which sends what cannot be taken, before more of it is read: doubled with each fault, so
-/// that one which goes on at full speed costs no more than a few a second.
-#[must_use]
-pub fn fault_backoff(faults: u32) -> Millis {
-    const FIRST: Millis = 5.0;
-    const LONGEST: Millis = 1000.0;
-    (FIRST * f64::from(1u32 << faults.saturating_sub(1).min(10))).min(LONGEST)
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn shares_leave_room_for_all() {
-        for descriptors in [1, 8, 64, 256, 1024, 4096] {
-            let shares = DescriptorBudget::for_limit(descriptors);
-            assert!(shares.clients >= 1 && shares.backends >= 1);
-            assert!(descriptors < 64 || shares.clients + shares.backends + NEEDED <= descriptors);
-            assert!(descriptors < 256 || shares.backends * 3 > descriptors, "a third for requests");
-        }
-    }
-
-    const AGES: ConnectionTimeouts =
-        ConnectionTimeouts { silent_timeout: 2000.0, idle_timeout: 5000.0, unread_timeout: 2500.0 };
-
-    fn held() -> ConnectionActivity {
-        ConnectionActivity::new(100.0)
-    }
-
-    #[test]
-    fn ages() {
-        assert!(!held().is_expired(2099.0, &AGES) && held().is_expired(2100.0, &AGES));
-        let spoke = ConnectionActivity { last_request_at: Some(1000.0), ..held() };
-        assert!(!spoke.is_expired(5999.0, &AGES) && spoke.is_expired(6000.0, &AGES));
-        let answered = ConnectionActivity { last_response_at: Some(5500.0), ..spoke };
-        assert!(
-            !answered.is_expired(10_499.0, &AGES) && answered.is_expired(10_500.0, &AGES),
-            "idle since its answer"
-        );
-        assert_eq!(answered.eviction_rank(), Some((1, 5500.0)));
-        let midway = ConnectionActivity { partial_request_since: Some(1500.0), ..spoke };
-        assert!(!midway.is_expired(3499.0, &AGES) && midway.is_expired(3500.0, &AGES));
-        let open = ConnectionActivity { open_requests: 1, ..midway };
-        assert!(!open.is_expired(1e9, &AGES), "a request is open");
-        let unread = ConnectionActivity { unread_response_since: Some(2000.0), ..open };
-        assert!(!unread.is_expired(4499.0, &AGES) && unread.is_expired(4500.0, &AGES));
-        let ending = ConnectionActivity { lingering_close_until: Some(300.0), ..open };
-        assert!(!ending.is_expired(299.0, &AGES) && ending.is_expired(300.0, &AGES));
-    }
-
-    #[test]
-    fn who_goes_first() {
-        let silent = ConnectionActivity { opened_at: 5000.0, ..held() };
-        let (used, held_on) = (
-            ConnectionActivity { last_request_at: Some(4900.0), ..held() },
-            ConnectionActivity { last_request_at: Some(4000.0), ..held() },
-        );
-        let ending = ConnectionActivity { lingering_close_until: Some(9e9), open_requests: 1, ..held() };
-        let mut all = [used, silent, held_on, ending];
-        all.sort_by(|a, b| a.eviction_rank().partial_cmp(&b.eviction_rank()).unwrap());
-        // One that has just come goes before one in use, and behind one that has held on for long.
-        assert_eq!(all, [ending, held_on, silent, used]);
-        assert_eq!(ConnectionActivity { open_requests: 1, ..used }.eviction_rank(), None);
-        assert_eq!(AGES.for_occupancy(74, 100).idle_timeout, 5000.0);
-        assert_eq!(AGES.for_occupancy(75, 100), ConnectionTimeouts { idle_timeout: 2000.0, ..AGES });
-    }
-
-    #[test]
-    fn pauses_grow_to_a_bound() {
-        assert_eq!(
-            (fault_backoff(1), fault_backoff(2), fault_backoff(8), fault_backoff(9), fault_backoff(u32::MAX)),
-            (5.0, 10.0, 640.0, 1000.0, 1000.0)
-        );
-    }
-}
+mod tests;
