--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -1,57 +1,67 @@
-//! Which client's connection goes when there are too many. One that is silent or idle goes before one that may be at
-//! work; one with a request open never goes.
+//! When a client connection expires by its inactivity, and which one is evicted first when the table of connections is
+//! full. Silent and idle connections precede those in use; one with an open request is never evicted.
 
 use doorcourse::Millis;
 
-/// When client connections end by their age.
+/// By how much a connection without a valid request counts as older than it is when connections are evicted, in ms.
+///
+/// No more than this: where the table is full of connections that had one request and are kept open since, the ones
+/// without a request are those that were just accepted and are about to send one.
+const SILENT_CONNECTION_PENALTY: Millis = 500.0;
+
+/// Eviction rank of a connection that is closed after a fault: first.
+const LINGERING_RANK: u8 = 0;
+/// Eviction rank of every other connection, by the time since which it is idle.
+const IDLE_RANK: u8 = 1;
+
+/// After which inactivity client connections are closed, in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
-    /// One that has said nothing whole, or is midway in a command.
+    /// For a connection without a complete request so far, and for one whose request is received in part.
     pub silent_timeout: Millis,
-    /// One between requests.
+    /// For a connection between requests.
     pub idle_timeout: Millis,
-    /// One that takes nothing of what it has to read.
+    /// For a connection whose client reads nothing of a response.
     pub unread_timeout: Millis,
 }
 
-/// By how much a connection that has said nothing good looks older, in ms.
-const SILENT_OLDER: Millis = 500.0;
-
 impl ConnectionTimeouts {
-    /// The ages while so many of the table's places are taken: where three quarters are, idle ones go as silent ones do,
-    /// before a newcomer has to take a place from somebody.
+    /// The timeouts while `connections` of at most `max_connections` are open.
+    ///
+    /// From three quarters on, idle connections expire as silent ones do, so that a new connection seldom finds the
+    /// table full and evicts one.
     #[must_use]
-    pub fn for_occupancy(self, taken: usize, places: usize) -> Self {
-        let idle = if taken * 4 >= places * 3 {
-            self.idle_timeout.min(self.silent_timeout)
+    pub fn for_occupancy(self, connections: usize, max_connections: usize) -> Self {
+        if connections * 4 >= max_connections * 3 {
+            Self { idle_timeout: self.idle_timeout.min(self.silent_timeout), ..self }
         } else {
-            self.idle_timeout
-        };
-        Self { idle_timeout: idle, ..self }
+            self
+        }
     }
 }
 
-/// A client's connection as far as this matters.
+/// The activity of one client connection. The host keeps it up to date; times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionActivity {
-    /// When it was opened.
+    /// When the connection was accepted.
     pub opened_at: Millis,
-    /// When a command that can be taken came last.
+    /// When the last valid request arrived; `None` before the first.
     pub last_request_at: Option<Millis>,
-    /// When its last answer was given.
+    /// When the last response was handed to the connection; `None` before the first.
     pub last_response_at: Option<Millis>,
-    /// Since when a command is midway.
+    /// Since when a request is received in part; `None` between requests.
     pub partial_request_since: Option<Millis>,
-    /// Since when it has something to read and takes nothing, also where that is not written yet.
+    /// Since when the client reads nothing of a response that is there for it, written to the socket or not; `None`
+    /// where it has read all.
     pub unread_response_since: Option<Millis>,
-    /// Requests and answers that are open.
+    /// Requests that arrived and whose responses are not handed to the connection yet.
     pub open_requests: usize,
-    /// It was told of a fault and is to end then.
+    /// When the connection is closed after a fault that was reported to its client; `None` for one without such a fault.
     pub lingering_close_until: Option<Millis>,
 }
 
 impl ConnectionActivity {
-    /// One that was opened now.
+    /// A connection accepted at `now`.
     #[must_use]
     pub fn new(now: Millis) -> Self {
         Self {
@@ -65,42 +75,52 @@
         }
     }
 
-    /// Since when it stands idle, where it has said anything good: its last answer may have come long after its last
-    /// command, and who has just been answered is about to ask again.
-    fn idle_since(&self) -> Option<Millis> {
-        self.last_request_at.map(|at| self.last_response_at.map_or(at, |answered| answered.max(at)))
-    }
-
-    /// Whether its age is over.
+    /// Whether the connection is closed at `now` for its inactivity.
     #[must_use]
-    pub fn is_expired(&self, now: Millis, ages: &ConnectionTimeouts) -> bool {
-        let old = |since: Option<Millis>, age: Millis| since.is_some_and(|at| now >= at + age);
-        if self.lingering_close_until.is_some_and(|at| now >= at)
-            || old(self.unread_response_since, ages.unread_timeout)
-        {
+    pub fn is_expired(&self, now: Millis, timeouts: &ConnectionTimeouts) -> bool {
+        let has_lasted = |since: Option<Millis>, timeout: Millis| since.is_some_and(|at| now >= at + timeout);
+        if self.lingering_close_until.is_some_and(|until| now >= until) {
+            return true;
+        }
+        if has_lasted(self.unread_response_since, timeouts.unread_timeout) {
             return true;
         }
-        if self.open_requests > 0 || self.unread_response_since.is_some() {
+        if self.is_in_use() {
             return false;
         }
+        if has_lasted(self.partial_request_since, timeouts.silent_timeout) {
+            return true;
+        }
         match self.idle_since() {
-            _ if old(self.partial_request_since, ages.silent_timeout) => true,
-            None => now >= self.opened_at + ages.silent_timeout,
-            Some(at) => self.partial_request_since.is_none() && now >= at + ages.idle_timeout,
+            None => now >= self.opened_at + timeouts.silent_timeout,
+            Some(since) => self.partial_request_since.is_none() && now >= since + timeouts.idle_timeout,
         }
     }
 
-    /// Who goes first when there is no room: the lower, those of one rank by the older time. `None` never goes. One
-    /// that has said nothing good yet counts as a little older than it is, and no more: where the table is full of those
-    /// that spoke once and hold on, the silent ones are those that have just come and are about to ask.
+    /// The order in which connections are evicted for a new one: lower ranks first, in one rank those with the earlier
+    /// time. `None` for a connection in use, which is never evicted.
     #[must_use]
     pub fn eviction_rank(&self) -> Option<(u8, Millis)> {
-        match (self.lingering_close_until, self.idle_since()) {
-            (Some(at), _) => Some((0, at)),
-            (None, _) if self.open_requests > 0 || self.unread_response_since.is_some() => None,
-            (None, None) => Some((1, self.opened_at - SILENT_OLDER)),
-            (None, Some(at)) => Some((1, at)),
+        if let Some(until) = self.lingering_close_until {
+            return Some((LINGERING_RANK, until));
         }
+        if self.is_in_use() {
+            return None;
+        }
+        let idle_since = self.idle_since().unwrap_or(self.opened_at - SILENT_CONNECTION_PENALTY);
+        Some((IDLE_RANK, idle_since))
+    }
+
+    /// Whether a request is open or a response is not read to its end.
+    fn is_in_use(&self) -> bool {
+        self.open_requests > 0 || self.unread_response_since.is_some()
+    }
+
+    /// Since when the connection is idle; `None` before its first valid request. It counts from the last response where
+    /// that is later than the last request: a client that was just answered is about to send its next request.
+    fn idle_since(&self) -> Option<Millis> {
+        let last_request_at = self.last_request_at?;
+        Some(self.last_response_at.map_or(last_request_at, |response_at| response_at.max(last_request_at)))
     }
 }
 
--- a/crates/connection-limits/src/client_limits.rs
+++ b/crates/connection-limits/src/client_limits.rs
@@ -1,41 +1,41 @@
-//! What a gateway holds for its clients at most, and who is held back, refused or cut when it is too much: in all,
-//! for each customer and for each connection. One that reads nothing must not take what all share.
+//! What a gateway buffers and keeps open for its clients: in all, for each customer and for each connection. A client
+//! that does not read its responses must not use up what all clients share.
 
 use doorcourse::{Millis, Name};
 use std::collections::HashMap;
 
-/// The bounds; bytes and ms.
+/// The limits on what is kept open and buffered for clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
     /// Client connections.
     pub max_connections: usize,
-    /// Requests that are not answered yet.
+    /// Open requests.
     pub max_requests: usize,
-    /// Bytes held for all clients together.
+    /// Bytes buffered for all clients together.
     pub max_buffered_bytes: u64,
-    /// Bytes held for the connections of one customer.
+    /// Bytes buffered for the connections of one customer.
     pub max_customer_bytes: u64,
-    /// Bytes of answers that a connection may leave unread before its next request begins.
+    /// Response bytes that a client may leave unread when its connection's next request starts.
     pub max_unread_bytes: usize,
-    /// A connection that has bytes to read and takes none for this long is cut.
+    /// After how many ms a connection is reset whose client has bytes to read and reads none.
     pub unread_timeout: Millis,
 }
 
-/// Why a request is turned away before anything is done for it.
+/// The limit for which a connection or a request is rejected before anything is done for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// Too many connections.
+    /// [`ClientLimits::max_connections`].
     Connections,
-    /// Too many requests.
+    /// [`ClientLimits::max_requests`].
     Requests,
-    /// Too much is held for all clients.
+    /// [`ClientLimits::max_buffered_bytes`].
     BufferedBytes,
-    /// Too much is held for this customer.
+    /// [`ClientLimits::max_customer_bytes`].
     CustomerBytes,
 }
 
 impl LimitExceeded {
-    /// A sentence for people.
+    /// The explanation in the client's error response.
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
@@ -47,134 +47,163 @@
     }
 }
 
-/// What a connection holds, as it was told last.
+/// What one connection contributes to the [`ClientBudget`], as of its last update. The host keeps one beside each
+/// connection and returns it with [`ClientBudget::remove_connection`].
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionUsage {
+    /// The customer to whom the bytes are charged; `None` before its first request is known.
     customer: Option<Name>,
-    bytes: u64,
-    /// Bytes to be read, and since when none of them was taken.
-    unread: usize,
-    since: Millis,
+    buffered_bytes: u64,
+    /// Response bytes that the client has not read.
+    unread_bytes: usize,
+    /// When the client last read something, or when the first of its unread bytes came.
+    unread_since: Millis,
+}
+
+impl ConnectionUsage {
+    /// Records how many response bytes are unread, and whether the client read some since the last update.
+    fn record_unread(&mut self, now: Millis, unread_bytes: usize, has_read: bool) {
+        if unread_bytes == 0 || has_read || self.unread_bytes == 0 {
+            self.unread_since = now;
+        }
+        self.unread_bytes = unread_bytes;
+    }
 }
 
-/// The accounts of what is held.
+/// The bytes that a gateway buffers for its clients, and the checks against its [`ClientLimits`].
 #[derive(Clone, Debug)]
 pub struct ClientBudget {
-    bounds: ClientLimits,
+    limits: ClientLimits,
     buffered_bytes: u64,
-    customers: HashMap<Name, u64>,
+    /// Bytes buffered for the connections of each customer; customers without any have no entry.
+    customer_bytes: HashMap<Name, u64>,
 }
 
 impl ClientBudget {
-    /// Nothing is held yet.
+    /// A budget without any bytes in use.
     #[must_use]
-    pub fn new(bounds: ClientLimits) -> Self {
-        Self { bounds, buffered_bytes: 0, customers: HashMap::new() }
+    pub fn new(limits: ClientLimits) -> Self {
+        Self { limits, buffered_bytes: 0, customer_bytes: HashMap::new() }
     }
 
-    /// The bounds changed; what is held stays.
-    pub fn set_limits(&mut self, bounds: ClientLimits) {
-        self.bounds = bounds;
+    /// Changes the limits. What is in use stays, also beyond a lower limit.
+    pub fn set_limits(&mut self, limits: ClientLimits) {
+        self.limits = limits;
     }
 
-    /// Bytes held in all.
+    /// Bytes buffered for all clients together.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.buffered_bytes
     }
 
-    /// Whether one connection more is taken.
+    /// Checks whether one more connection is accepted while `connections` are open.
     ///
     /// # Errors
-    /// When there are too many.
+    /// [`LimitExceeded::Connections`].
     pub fn check_connection(&self, connections: usize) -> Result<(), LimitExceeded> {
-        if connections < self.bounds.max_connections { Ok(()) } else { Err(LimitExceeded::Connections) }
+        if connections < self.limits.max_connections { Ok(()) } else { Err(LimitExceeded::Connections) }
     }
 
-    /// Whether a connection's next request may begin, or waits until more of its answers is read.
+    /// Whether a connection's next request may start while so many response bytes are unread on it. If not, it waits
+    /// until the client reads more.
     #[must_use]
-    pub fn may_start_request(&self, unread: usize) -> bool {
-        unread <= self.bounds.max_unread_bytes
+    pub fn may_start_request(&self, unread_bytes: usize) -> bool {
+        unread_bytes <= self.limits.max_unread_bytes
     }
 
-    /// Whether a request whose head has come is read on.
+    /// Checks whether the body of a request is read, once its head shows its customer.
     ///
     /// # Errors
-    /// When too much is held in all, or for its customer.
+    /// [`LimitExceeded::BufferedBytes`] where too much is buffered in all, else [`LimitExceeded::CustomerBytes`] where
+    /// too much is buffered for this customer.
     pub fn check_buffers(&self, customer: &Name) -> Result<(), LimitExceeded> {
-        if self.buffered_bytes > self.bounds.max_buffered_bytes {
+        if self.buffered_bytes > self.limits.max_buffered_bytes {
             return Err(LimitExceeded::BufferedBytes);
         }
-        let held = self.customers.get(customer).copied().unwrap_or(0);
-        if held > self.bounds.max_customer_bytes { Err(LimitExceeded::CustomerBytes) } else { Ok(()) }
+        let customer_bytes = self.customer_bytes.get(customer).copied().unwrap_or(0);
+        if customer_bytes > self.limits.max_customer_bytes {
+            return Err(LimitExceeded::CustomerBytes);
+        }
+        Ok(())
     }
 
-    /// Whether a whole request is taken on.
+    /// Checks whether a complete request is admitted while `requests` are open.
     ///
     /// # Errors
-    /// When too many are open.
+    /// [`LimitExceeded::Requests`].
     pub fn check_request(&self, requests: usize) -> Result<(), LimitExceeded> {
-        if requests < self.bounds.max_requests { Ok(()) } else { Err(LimitExceeded::Requests) }
+        if requests < self.limits.max_requests { Ok(()) } else { Err(LimitExceeded::Requests) }
     }
 
-    /// What a connection belongs to from now on, what it holds in all, and how much of that its client has to read.
-    /// `taken` is whether the client took some since the last word.
+    /// Updates what a connection uses.
+    ///
+    /// `customer` is charged from now on; `None` leaves the customer as it is. `bytes` is what is buffered for the
+    /// connection in all, `unread_bytes` how much of that its client has to read, and `has_read` whether the client
+    /// read some since the last update.
     pub fn update(
-        &mut self, now: Millis, held: &mut ConnectionUsage, customer: Option<&Name>, bytes: u64,
-        unread: usize, taken: bool,
+        &mut self, now: Millis, usage: &mut ConnectionUsage, customer: Option<&Name>, bytes: u64,
+        unread_bytes: usize, has_read: bool,
     ) {
-        if held.customer.as_ref() != customer && customer.is_some() {
-            self.give_back(held);
-            held.customer = customer.cloned();
-            self.charge(held);
-        }
-        if held.bytes != bytes {
-            self.give_back(held);
-            held.bytes = bytes;
-            self.charge(held);
+        if customer.is_some() && usage.customer.as_ref() != customer {
+            self.discharge(usage);
+            usage.customer = customer.cloned();
+            self.charge(usage);
         }
-        if unread == 0 || taken || held.unread == 0 {
-            held.since = now;
+        if usage.buffered_bytes != bytes {
+            self.discharge(usage);
+            usage.buffered_bytes = bytes;
+            self.charge(usage);
         }
-        held.unread = unread;
+        usage.record_unread(now, unread_bytes, has_read);
     }
 
-    /// The connection is gone.
-    pub fn remove_connection(&mut self, held: &ConnectionUsage) {
-        self.give_back(held);
+    /// The connection is closed: its bytes are no longer in use.
+    pub fn remove_connection(&mut self, usage: &ConnectionUsage) {
+        self.discharge(usage);
     }
 
-    /// Bytes that belong to a request rather than to a connection: a body on its way to nodes.
+    /// Adds bytes that belong to a request rather than to a connection: a body on its way to backends. They count for
+    /// all clients, not for a customer.
     pub fn reserve(&mut self, bytes: u64) {
         self.buffered_bytes += bytes;
     }
 
-    /// They are let go.
+    /// Releases bytes that were reserved.
     pub fn release(&mut self, bytes: u64) {
         self.buffered_bytes = self.buffered_bytes.saturating_sub(bytes);
     }
 
-    /// When a connection is cut unless its client reads on; never where nothing waits to be read.
+    /// When a connection is reset unless its client reads; infinite where nothing is unread.
     #[must_use]
-    pub fn reset_at(&self, held: &ConnectionUsage) -> Millis {
-        if held.unread == 0 { Millis::INFINITY } else { held.since + self.bounds.unread_timeout }
+    pub fn reset_at(&self, usage: &ConnectionUsage) -> Millis {
+        if usage.unread_bytes == 0 {
+            Millis::INFINITY
+        } else {
+            usage.unread_since + self.limits.unread_timeout
+        }
     }
 
-    fn charge(&mut self, held: &ConnectionUsage) {
-        self.buffered_bytes += held.bytes;
-        if let Some(customer) = held.customer.as_ref().filter(|_| held.bytes > 0) {
-            *self.customers.entry(customer.clone()).or_default() += held.bytes;
+    fn charge(&mut self, usage: &ConnectionUsage) {
+        self.buffered_bytes += usage.buffered_bytes;
+        if usage.buffered_bytes == 0 {
+            return;
+        }
+        if let Some(customer) = &usage.customer {
+            *self.customer_bytes.entry(customer.clone()).or_default() += usage.buffered_bytes;
         }
     }
 
-    fn give_back(&mut self, held: &ConnectionUsage) {
-        self.buffered_bytes = self.buffered_bytes.saturating_sub(held.bytes);
-        let Some(customer) = held.customer.as_ref().filter(|_| held.bytes > 0) else { return };
-        if let Some(sum) = self.customers.get_mut(customer) {
-            *sum = sum.saturating_sub(held.bytes);
-            if *sum == 0 {
-                self.customers.remove(customer);
-            }
+    fn discharge(&mut self, usage: &ConnectionUsage) {
+        self.buffered_bytes = self.buffered_bytes.saturating_sub(usage.buffered_bytes);
+        if usage.buffered_bytes == 0 {
+            return;
+        }
+        let Some(customer) = &usage.customer else { return };
+        let Some(customer_bytes) = self.customer_bytes.get_mut(customer) else { return };
+        *customer_bytes = customer_bytes.saturating_sub(usage.buffered_bytes);
+        if *customer_bytes == 0 {
+            self.customer_bytes.remove(customer);
         }
     }
 }
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -1,34 +1,39 @@
-//! How a machine's descriptors are shared out.
+//! How the descriptors of the process are divided among their users.
 
-/// Descriptors by who uses them.
+/// Descriptors that the program itself uses: 3 standard streams, the poller, the listener, 4 pairs that wake the event
+/// loop, the settings file and the descriptor kept for it, the discovery call and a superseded one, 4 connections to
+/// the counter and 4 to an address of it that was replaced.
+const PROGRAM_DESCRIPTORS: usize = 25;
+/// Descriptors reserved for the program where the limit allows: connections are replaced while the old ones still end.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// The clients' fraction of the rest. An open request may use one connection on either side; beside these, clients keep
+/// idle ones, and pools those of past peaks.
+const CLIENT_FRACTION: f64 = 0.55;
+
+/// The limit on descriptors, by use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Connections of clients.
+    /// Client connections, at least 1.
     pub clients: usize,
-    /// Connections to backends.
+    /// Backend connections, at least 1.
     pub backends: usize,
 }
 
-/// What the program itself needs, counted: 3 standard streams, the poller, the listener, 4 pairs that wake the loop, the
-/// settings' file and the descriptor that is kept for it, discovery and a call to it that was set aside, and 4 connections
-/// to the counter beside 4 to one that was moved.
-const NEEDED: usize = 25;
-/// What is kept for it where there is more: room for connections that are replaced while the old ones end.
-const RESERVE: usize = 40;
-/// The clients' part of the rest. Each open request may need a connection on either side, and clients hold idle
-/// ones beside; backends keep those of past peaks.
-const CLIENTS: f64 = 0.55;
-
 impl DescriptorBudget {
-    /// DescriptorBudget out so many descriptors; at least one connection each way.
+    /// Divides a limit of so many descriptors, the smaller of the configured and the system's.
     #[must_use]
     pub fn for_limit(descriptors: usize) -> Self {
-        let reserve = RESERVE.min(descriptors / 4).max(NEEDED.min(descriptors / 2));
-        let rest = descriptors.saturating_sub(reserve);
-        let clients = ((rest as f64 * CLIENTS) as usize).max(1);
-        Self { clients, backends: rest.saturating_sub(clients).max(1) }
+        let available = descriptors.saturating_sub(reserved_descriptors(descriptors));
+        let clients = ((available as f64 * CLIENT_FRACTION) as usize).max(1);
+        let backends = available.saturating_sub(clients).max(1);
+        Self { clients, backends }
     }
 }
 
+/// The descriptors reserved for the program: a quarter of a small limit, but what the program uses up to a half of it.
+fn reserved_descriptors(descriptors: usize) -> usize {
+    RESERVED_DESCRIPTORS.min(descriptors / 4).max(PROGRAM_DESCRIPTORS.min(descriptors / 2))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/connection-limits/src/descriptor_budget/tests.rs
+++ b/crates/connection-limits/src/descriptor_budget/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn shares_leave_room_for_all() {
+fn every_limit_leaves_descriptors_for_clients_backends_and_the_program() {
     for descriptors in [1, 8, 64, 256, 1024, 4096] {
-        let shares = DescriptorBudget::for_limit(descriptors);
-        assert!(shares.clients >= 1 && shares.backends >= 1);
-        assert!(descriptors < 64 || shares.clients + shares.backends + NEEDED <= descriptors);
-        assert!(descriptors < 256 || shares.backends * 3 > descriptors, "a third for requests");
+        let budget = DescriptorBudget::for_limit(descriptors);
+        assert!(budget.clients >= 1 && budget.backends >= 1);
+        assert!(descriptors < 64 || budget.clients + budget.backends + PROGRAM_DESCRIPTORS <= descriptors);
+        assert!(descriptors < 256 || budget.backends * 3 > descriptors, "a third for requests");
     }
 }
--- a/crates/connection-limits/src/fault_backoff.rs
+++ b/crates/connection-limits/src/fault_backoff.rs
@@ -1,14 +1,21 @@
-//! The pause of a client that sends what cannot be taken.
+//! The backoff of a client that sends faulty commands.
 
 use doorcourse::Millis;
 
-/// The pause that a client gets which sends what cannot be taken, before more of it is read: doubled with each fault, so
-/// that one which goes on at full speed costs no more than a few a second.
+/// Backoff after the first fault.
+const INITIAL_BACKOFF: Millis = 5.0;
+/// Longest backoff.
+const MAX_BACKOFF: Millis = 1000.0;
+/// Keeps the shift in range; the backoff is at its bound from 8 doublings on.
+const MAX_DOUBLINGS: u32 = 10;
+
+/// How long, in ms, a client connection is not read after its fault number `faults` (1 for the first). It doubles with
+/// each fault, so that a client which sends faults at full speed soon costs no more than one a second.
 #[must_use]
 pub fn fault_backoff(faults: u32) -> Millis {
-    const FIRST: Millis = 5.0;
-    const LONGEST: Millis = 1000.0;
-    (FIRST * f64::from(1u32 << faults.saturating_sub(1).min(10))).min(LONGEST)
+    let doublings = faults.saturating_sub(1).min(MAX_DOUBLINGS);
+    let backoff = INITIAL_BACKOFF * f64::from(1u32 << doublings);
+    backoff.min(MAX_BACKOFF)
 }
 
 #[cfg(test)]
--- a/crates/connection-limits/src/fault_backoff/tests.rs
+++ b/crates/connection-limits/src/fault_backoff/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 
 #[test]
-fn pauses_grow_to_a_bound() {
-    assert_eq!(
-        (fault_backoff(1), fault_backoff(2), fault_backoff(8), fault_backoff(9), fault_backoff(u32::MAX)),
-        (5.0, 10.0, 640.0, 1000.0, 1000.0)
-    );
+fn the_backoff_doubles_with_each_fault_up_to_one_second() {
+    assert_eq!(fault_backoff(1), 5.0);
+    assert_eq!(fault_backoff(2), 10.0);
+    assert_eq!(fault_backoff(8), 640.0);
+    assert_eq!(fault_backoff(9), 1000.0);
+    assert_eq!(fault_backoff(u32::MAX), 1000.0);
 }
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,4 +1,16 @@
-//! Which connections a gateway accepts, opens, keeps and closes, and how much it buffers for them: decisions without I/O.
+//! Limits on a gateway's connections and buffers: which connections it accepts, keeps, reuses and closes, and how many
+//! bytes it buffers for its clients.
+//!
+//! All of it is decided without I/O and without a clock; the host owns the sockets, passes the time in milliseconds on
+//! one monotonic clock, reports what happened and carries out what is decided.
+//!
+//! | type | what it decides | who owns it |
+//! | --- | --- | --- |
+//! | [`DescriptorBudget`] | how many descriptors clients and backends may use | computed once from the limit |
+//! | [`ConnectionActivity`], [`ConnectionTimeouts`] | when a client connection expires, which one is evicted first | the host, one activity for each client connection |
+//! | [`fault_backoff`] | how long a client that sends faulty commands is not read | the host, a count of faults for each client connection |
+//! | [`ClientBudget`], [`ClientLimits`] | which connections and requests are rejected for the buffers and counts in use | the host, one for the process |
+//! | [`ConnectionPool`] | which backend connection carries a request, when one more is opened | the host, one for each incarnation of a backend |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/connection-limits/src/pool.rs
+++ b/crates/connection-limits/src/pool.rs
@@ -1,57 +1,73 @@
-//! The connections of one node as its requests see them: which one is taken, how many are on their way, who waits, and
-//! which are closed. It opens and closes nothing; connections are numbers of the host's.
+//! The connections of one backend, as its requests use them: which one carries a request, how many are being opened,
+//! which requests wait, and which connections are closed. The host opens and closes them; here each is a number.
 
 use doorcourse::{Millis, RequestId};
 use std::collections::VecDeque;
 
-/// An idle connection is closed after this share of the time after which the node would: a request written to one
-/// that was just closed may have run.
-const RETIRE: f64 = 0.7;
-/// Connections to one node that are on their way at once: each costs it work.
-const DIALS: usize = 4;
+/// Fraction of the backend's keep-alive timeout after which an idle connection is closed here. A request written just as
+/// the backend closes its connection may have been executed, and may not be retried.
+const IDLE_FRACTION: f64 = 0.7;
+/// Connections to one backend that are opened at the same time: each costs the backend work.
+const MAX_CONCURRENT_CONNECTS: usize = 4;
 
-/// How long a connection may stand idle before it is closed here, where the node closes it after `keepalive`; a node
-/// that states no time keeps it.
+/// How long, in ms, a connection may be idle before it is closed here, where the backend closes it after
+/// `keepalive_timeout` ms. Infinite for a backend that names no timeout (0).
 #[must_use]
-pub fn idle_limit(keepalive: Millis) -> Millis {
-    if keepalive > 0.0 { keepalive * RETIRE } else { f64::INFINITY }
+pub fn idle_limit(keepalive_timeout: Millis) -> Millis {
+    if keepalive_timeout > 0.0 { keepalive_timeout * IDLE_FRACTION } else { f64::INFINITY }
 }
 
-/// The connections of one start of one node at one address. Another start, or the same at another address, has another
-/// pool: what was made for the one before carries nothing for it, and is not what its requests wait for.
+/// An idle connection.
+#[derive(Clone, Copy, Debug)]
+struct IdleConnection {
+    /// The host's number of it.
+    connection: usize,
+    since: Millis,
+}
+
+/// The connections of one incarnation of a backend: one start of it at one address.
+///
+/// Another start, or another address, has a pool of its own: connections made for the incarnation before carry no
+/// request of it, and its requests do not wait for them. The host reports each request that waits or ends, and each
+/// connection that is opened, freed or lost.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPool {
-    /// Which of the starts and addresses that the host has heard of, in all.
+    /// Counts the incarnations of all backends that the host has seen.
     incarnation: u64,
-    /// Those that stand idle and since when, the one used last behind.
-    idle: Vec<(usize, Millis)>,
+    /// The idle connections, the most recently used last.
+    idle: Vec<IdleConnection>,
+    /// The requests that wait for a connection, the longest waiting first.
     waiting: VecDeque<RequestId>,
-    dialing: usize,
+    /// Connections that are being opened.
+    connecting: usize,
+    /// Connections that carry a request.
     busy: usize,
 }
 
 impl ConnectionPool {
-    /// The pool of this incarnation, whose number no other has.
+    /// The empty pool of an incarnation, whose number no other has.
     #[must_use]
     pub fn new(incarnation: u64) -> Self {
         Self { incarnation, ..Self::default() }
     }
 
-    /// Which incarnation its connections are made for.
+    /// The incarnation to which its connections belong.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// A connection for a request: the one used last, so that those not needed age and go. Such as stood idle for too
-    /// long are given as `old`, to be closed. It counts as busy from here on.
-    pub fn take_idle(&mut self, now: Millis, keep: Millis, old: &mut Vec<usize>) -> Option<usize> {
-        while let Some((at, since)) = self.idle.pop() {
-            if now < since + keep {
+    /// Takes an idle connection for a request; it counts as busy from then on. `None` where all are busy.
+    ///
+    /// The most recently used one is taken, so that those not needed reach their idle limit. Connections that were
+    /// idle for `idle_limit` ms or more are removed and appended to `expired`; the host closes them.
+    pub fn take_idle(&mut self, now: Millis, idle_limit: Millis, expired: &mut Vec<usize>) -> Option<usize> {
+        while let Some(IdleConnection { connection, since }) = self.idle.pop() {
+            if now < since + idle_limit {
                 self.busy += 1;
-                return Some(at);
+                return Some(connection);
             }
-            old.push(at);
+            expired.push(connection);
         }
         None
     }
@@ -61,71 +77,76 @@
         self.waiting.push_back(request);
     }
 
-    /// A request waits no more.
+    /// A request no longer waits; nothing changes where it does not.
     pub fn cancel_wait(&mut self, request: RequestId) {
-        self.waiting.retain(|w| *w != request);
+        self.waiting.retain(|waiting| *waiting != request);
     }
 
-    /// The request that has waited longest, which cannot be served here.
+    /// Removes the request that has waited longest, which cannot be served here.
     pub fn pop_waiting(&mut self) -> Option<RequestId> {
         self.waiting.pop_front()
     }
 
-    /// All that waits and all that is idle, which is given up: the node must not have it, or is another now.
+    /// Removes all waiting requests and all idle connections: the backend must not be sent requests, or it is another
+    /// incarnation now. Returns both; the host withdraws the requests and closes the connections.
     pub fn withdraw_all(&mut self) -> (Vec<RequestId>, Vec<usize>) {
-        (self.waiting.drain(..).collect(), self.idle.drain(..).map(|(at, _)| at).collect())
+        let waiting = self.waiting.drain(..).collect();
+        let idle = self.idle.drain(..).map(|idle| idle.connection).collect();
+        (waiting, idle)
     }
 
-    /// Whether one more connection is to be made: as many as requests wait for, within the bound.
+    /// Whether one more connection is to be opened: one for each waiting request, up to the bound of concurrent
+    /// connects.
     #[must_use]
     pub fn needs_connection(&self) -> bool {
-        self.dialing < self.waiting.len().min(DIALS)
+        self.connecting < self.waiting.len().min(MAX_CONCURRENT_CONNECTS)
     }
 
-    /// A connection is on its way.
+    /// A connect has started.
     pub fn connect_started(&mut self) {
-        self.dialing += 1;
+        self.connecting += 1;
     }
 
-    /// It is up or will not be.
+    /// A connect has succeeded or failed.
     pub fn connect_ended(&mut self) {
-        self.dialing -= 1;
+        self.connecting -= 1;
     }
 
-    /// A connection is free, after a request or fresh: for the request that has waited longest, which it then carries,
-    /// else it stands idle.
-    pub fn release(&mut self, now: Millis, at: usize) -> Option<RequestId> {
-        let next = self.waiting.pop_front();
-        match next {
-            Some(_) => self.busy += 1,
-            None => self.idle.push((at, now)),
+    /// A connection is free, after a request or newly opened. Returns the request that has waited longest, which it
+    /// carries now; without any it becomes idle.
+    pub fn release(&mut self, now: Millis, connection: usize) -> Option<RequestId> {
+        let next_request = self.waiting.pop_front();
+        if next_request.is_some() {
+            self.busy += 1;
+        } else {
+            self.idle.push(IdleConnection { connection, since: now });
         }
-        next
+        next_request
     }
 
-    /// A connection's request is over, and it is free or gone.
+    /// The request of a busy connection has ended; the connection is free or closed.
     pub fn request_ended(&mut self) {
         self.busy -= 1;
     }
 
-    /// An idle connection is gone.
-    pub fn remove_idle(&mut self, at: usize) {
-        self.idle.retain(|(idle, _)| *idle != at);
+    /// An idle connection was closed; nothing changes where it is not idle.
+    pub fn remove_idle(&mut self, connection: usize) {
+        self.idle.retain(|idle| idle.connection != connection);
     }
 
-    /// The connection that has stood idle longest, and since when.
+    /// The connection that is idle for the longest time, and since when.
     #[must_use]
     pub fn longest_idle(&self) -> Option<(usize, Millis)> {
-        self.idle.first().copied()
+        self.idle.first().map(|idle| (idle.connection, idle.since))
     }
 
-    /// Requests that wait, connections on their way, busy and idle.
+    /// The numbers of waiting requests and of connecting, busy and idle connections, in this order.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize, usize) {
-        (self.waiting.len(), self.dialing, self.busy, self.idle.len())
+        (self.waiting.len(), self.connecting, self.busy, self.idle.len())
     }
 
-    /// Whether nothing of the node is left here.
+    /// Whether no request waits and no connection is connecting, busy or idle.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counts() == (0, 0, 0, 0)
