--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -8,14 +8,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod admission;
+mod action;
+mod event;
 mod lifecycle;
+mod operation_class;
+mod plan_capacity;
 mod session;
+mod timeouts;
 
-pub use admission::{
-    ExceedsPlanCapacity, Offer, check_plan_capacity, connect_timeout, operation_class, request_timeout,
-};
-pub use lifecycle::{
-    BackendReply, FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle, WireState,
-};
+pub use action::{FailureReason, FinalResponse, LifecycleAction};
+pub use event::{BackendReply, LifecycleEvent, WireState};
+pub use lifecycle::RequestLifecycle;
+pub use operation_class::operation_class;
+pub use plan_capacity::{ExceedsPlanCapacity, Offer, check_plan_capacity};
 pub use session::{cookie, parameter, split_path, sticky_route};
+pub use timeouts::{connect_timeout, request_timeout};
