--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -20,6 +20,6 @@
 pub use event::{BackendReply, LifecycleEvent, WireState};
 pub use lifecycle::RequestLifecycle;
 pub use operation_class::operation_class;
-pub use plan_capacity::{ExceedsPlanCapacity, Offer, check_plan_capacity};
+pub use plan_capacity::{ExceedsPlanCapacity, check_plan_capacity};
 pub use session::{cookie, parameter, split_path, sticky_route};
 pub use timeouts::{connect_timeout, request_timeout};
--- a/crates/request-lifecycle/src/plan_capacity.rs
+++ b/crates/request-lifecycle/src/plan_capacity.rs
@@ -2,15 +2,6 @@
 
 use doorcourse::Plan;
 
-/// What a request asks for, as far as admission goes.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Offer {
-    /// The class.
-    pub class: usize,
-    /// The units.
-    pub units: f64,
-}
-
 /// Why a request can never be let in, however long its client waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExceedsPlanCapacity {
