--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -1,58 +1,58 @@
-//! What the host is to do.
+//! What the host carries out for the lifecycle of a request.
 
 use doorcourse::{AttemptOutcome, RejectReason};
 
-/// Why a request failed, as far as the wire tells.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FailureReason {
-    /// No answer came in time.
-    DeadlineExpired,
-    /// A node broke off or answered with an error.
-    BackendFailed,
-    /// No node took it: it never ran.
-    NoBackendReached,
-}
-
-/// A final answer that the gateway gives itself.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FinalResponse {
-    /// Refused: to try again is harmless.
-    Rejected {
-        /// The advice, in ms.
-        retry_after: f64,
-        /// Why.
-        reason: RejectReason,
-    },
-    /// Failed, with no promise.
-    Failed(FailureReason),
-}
-
-/// What the host is to do.
+/// Something that the host carries out at once, in the order of the actions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LifecycleAction {
-    /// Tell the decisions how the attempt ended.
+    /// Report the end of the attempt to the decision library.
     AttemptEnded {
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
-        /// The true units, where the answer told them.
+        /// The true cost in units, where a served response names it.
         true_units: Option<f64>,
-        /// Whether the request has had its final answer.
+        /// Whether the client has had its final response, or is gone.
         final_response_sent: bool,
     },
-    /// Tell the decisions that the client left.
+    /// Report to the decision library that the client no longer waits.
     ClientDisconnected,
-    /// Give the client this answer.
+    /// Send the client this final response.
     Respond(FinalResponse),
-    /// Pass on what is held of the node's answer, and what follows as it comes.
+    /// Forward what is buffered of the backend's response to the client, and what follows as it arrives.
     ForwardResponse,
-    /// The passed answer is at its end.
+    /// The forwarded response is at its end.
     EndResponse,
-    /// Forget what is held of the node's answer.
+    /// Discard what is buffered of the backend's response.
     DiscardResponse,
-    /// Break the client's connection, so that it cannot take what it has for the whole.
+    /// Reset the client's connection, so that it cannot take the part that it has for the complete response.
     ResetClient,
-    /// Close the node's connection: whatever still comes on it is of no use.
+    /// Close the attempt's connection: nothing that still arrives on it is of use.
     CloseBackendConnection,
-    /// The exchange is over.
+    /// The request has ended: remove its state.
     Finished,
 }
+
+/// A final response made by the gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum FinalResponse {
+    /// The request was rejected: it was not executed, and a retry is harmless.
+    Rejected {
+        /// After how many ms the client may retry.
+        retry_after: f64,
+        /// Why.
+        reason: RejectReason,
+    },
+    /// The request failed; it may have been executed.
+    Failed(FailureReason),
+}
+
+/// Why a request failed, as far as the wire shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FailureReason {
+    /// No response arrived before the deadline.
+    DeadlineExpired,
+    /// A backend broke off or responded with an error.
+    BackendFailed,
+    /// No backend accepted the request: it was not executed.
+    NoBackendReached,
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/attempt.rs
@@ -0,0 +1,110 @@
+//! The state of one attempt on the wire, and what its end means for the request.
+//!
+//! | ended by | connecting | connected, nothing written | bytes written, or a response head received |
+//! | --- | --- | --- | --- |
+//! | `ConnectionLost` | `ConnectFailed` | `NeverSent` | `ConnectionLost` |
+//! | `DeadlineExpired` | `ConnectFailed` | `ConnectFailed` | `TimedOut` |
+//! | `Cancelled` | `NeverSent` | `NeverSent` | `Cancelled` |
+//! | `Withdrawn`, `ClientDisconnected` | `NeverSent` | `NeverSent` | the attempt goes on |
+//! | `InvalidResponse` | `Error` | `Error` | `Error` |
+//!
+//! `ConnectFailed`, `NeverSent` and `Rejected` say that the request was not executed; after every other outcome it may
+//! have been.
+
+use doorcourse::AttemptOutcome;
+
+/// HTTP status of a backend that rejects a request before any work (RFC 6585, section 4). 503 says less: it may come
+/// after work.
+const TOO_MANY_REQUESTS: u16 = 429;
+
+/// How far an attempt has come on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WireState {
+    /// It has no connection yet.
+    Connecting,
+    /// It has a connection, and no byte of the request was accepted by the operating system.
+    Connected,
+    /// Bytes were accepted. The backend may execute the request from now on, whatever happens to the connection: a
+    /// pooled connection that closes just as the request is written does not show whether it was read.
+    Sent,
+    /// The response head arrived.
+    Responding,
+}
+
+/// An attempt in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Attempt {
+    wire: WireState,
+    /// The HTTP status of the response; `None` before its head.
+    status: Option<u16>,
+    /// Response body bytes received so far.
+    received_bytes: usize,
+}
+
+impl Attempt {
+    pub(crate) fn new() -> Self {
+        Self { wire: WireState::Connecting, status: None, received_bytes: 0 }
+    }
+
+    pub(crate) fn advance(&mut self, wire: WireState) {
+        self.wire = wire;
+    }
+
+    pub(crate) fn response_head(&mut self, status: u16) {
+        self.wire = WireState::Responding;
+        self.status = Some(status);
+    }
+
+    /// Records body bytes. Returns how many were received in all.
+    pub(crate) fn response_data(&mut self, bytes: usize) -> usize {
+        self.received_bytes = self.received_bytes.saturating_add(bytes);
+        self.received_bytes
+    }
+
+    /// Whether nothing of the request can have reached the backend.
+    pub(crate) fn is_unsent(&self) -> bool {
+        matches!(self.wire, WireState::Connecting | WireState::Connected)
+    }
+
+    /// Whether the request was written and no response head arrived, so that a complete response can belong to it.
+    pub(crate) fn awaits_response_head(&self) -> bool {
+        self.wire == WireState::Sent
+    }
+
+    /// Whether the response received is the service's response to the client. Statuses 400 and 422 reject the operation
+    /// itself: another backend would respond the same.
+    pub(crate) fn has_client_response(&self) -> bool {
+        matches!(self.status, Some(200 | 400 | 422))
+    }
+
+    /// The outcome where the response body ended, as a `complete` GraphQL response or not.
+    pub(crate) fn outcome_at_response_end(&self, complete: bool) -> AttemptOutcome {
+        if self.status == Some(TOO_MANY_REQUESTS) {
+            AttemptOutcome::Rejected
+        } else if complete && self.has_client_response() {
+            AttemptOutcome::Served
+        } else {
+            AttemptOutcome::Error
+        }
+    }
+
+    /// The outcome where the connection is lost: only before the first byte was written is it certain that the request
+    /// was not executed.
+    pub(crate) fn outcome_at_connection_loss(&self) -> AttemptOutcome {
+        match self.wire {
+            WireState::Connecting => AttemptOutcome::ConnectFailed,
+            WireState::Connected => AttemptOutcome::NeverSent,
+            WireState::Sent | WireState::Responding => AttemptOutcome::ConnectionLost,
+        }
+    }
+
+    /// The outcome where the decision library cancels the attempt.
+    pub(crate) fn outcome_at_cancellation(&self) -> AttemptOutcome {
+        if self.is_unsent() { AttemptOutcome::NeverSent } else { AttemptOutcome::Cancelled }
+    }
+
+    /// The outcome where the deadline expires: a request of which nothing was written was not executed.
+    pub(crate) fn outcome_at_deadline(&self) -> AttemptOutcome {
+        if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut }
+    }
+}
--- a/crates/request-lifecycle/src/event.rs
+++ b/crates/request-lifecycle/src/event.rs
@@ -1,84 +1,71 @@
-//! What the host tells.
+//! What the host reports to the lifecycle of a request.
 
 use doorcourse::RejectReason;
 
-/// Where an attempt is on the wire.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WireState {
-    /// The connection is not made yet.
-    Connecting,
-    /// The connection is there, and no byte of the request was taken by the system.
-    Connected,
-    /// Bytes were taken. The node may run the request from now on, whatever happens to the connection: a pooled
-    /// connection closed just as the request was written tells nothing.
-    Sent,
-    /// The head of an answer came.
-    Responding,
-}
-
-/// What the host tells.
+/// Something that happened to a request, in the order in which it happened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LifecycleEvent {
-    /// The decisions sent the request to a node.
+    /// The decision library sent an attempt to a backend. No other attempt of the request is in flight.
     AttemptStarted,
-    /// The attempt's connection is made.
+    /// The attempt has a connection.
     Connected,
-    /// The system took bytes of the request.
+    /// The operating system accepted bytes of the request for sending.
     BytesWritten,
-    /// The node answers with this status.
+    /// The response head arrived.
     ResponseHead {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// So many bytes of the answer's body came.
+    /// A part of the response body arrived.
     ResponseData {
-        /// How many.
+        /// Its length.
         bytes: usize,
     },
-    /// The answer is at its end.
+    /// The response body ended.
     ResponseEnd {
-        /// Whether it is a whole GraphQL response.
+        /// Whether it is a complete GraphQL response.
         complete: bool,
-        /// What it came to, by the answer's data.
+        /// The cost of the operation by the data of the response, in units.
         units: f64,
     },
-    /// The answer came whole and at once, in a protocol where nothing of it is passed on before.
+    /// The complete response arrived, in a protocol where none of it is forwarded before its end.
     ResponseReceived {
         /// What it says.
         reply: BackendReply,
-        /// What it came to, where the answer tells.
+        /// The cost in units, where the response names it.
         units: Option<f64>,
     },
-    /// The node drains, is gone or was started anew before a byte of the request was written: it must not have it.
+    /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, if no byte was
+    /// written yet.
     Withdrawn,
-    /// The attempt's connection broke or could not be made.
+    /// The attempt's connection was lost or could not be made.
     ConnectionLost,
-    /// The answer breaks a limit or the protocol.
+    /// The response violates a limit or the protocol.
     InvalidResponse,
-    /// The decisions call the attempt off.
+    /// The decision library cancels the attempt.
     Cancelled,
-    /// The time for the answer is up.
+    /// The deadline of the attempt, or of the request without an attempt, expired.
     DeadlineExpired,
-    /// The client is gone.
+    /// The client closed its connection.
     ClientDisconnected,
-    /// The decisions refuse the request.
+    /// The decision library rejects the request.
     Rejected {
-        /// The advice, in ms.
+        /// After how many ms the client may retry.
         retry_after: f64,
         /// Why.
         reason: RejectReason,
     },
-    /// The decisions fail the request.
+    /// The decision library fails the request.
     Failed,
 }
 
-/// What a node's whole answer says.
+/// What a backend's complete response says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendReply {
-    /// The value made for this request.
+    /// The value of the request.
     Value,
-    /// It failed, and may have run.
+    /// An error; the request may have been executed.
     Failed,
-    /// Turned away unseen.
+    /// The backend rejected the request before any work.
     Rejected,
 }
--- a/crates/request-lifecycle/src/lib.rs
+++ b/crates/request-lifecycle/src/lib.rs
@@ -1,14 +1,23 @@
-//! The life of one request between its client and its backends: decisions without I/O and without a clock.
+//! The lifecycle of one request between its client and the backends: its attempts, and its one final response.
 //!
-//! The decision library says where a request goes and when it is rejected or failed. This package says what its bytes
-//! on sockets mean for it: what an attempt that ended in some state of the wire may have executed, when a response is
-//! passed on and from when on it can only be cut, and that a client gets one final response before its deadline. The
-//! host reports what happened and carries out what comes back.
+//! The decision library chooses where a request goes and when it is rejected or failed. This package decides what
+//! happens on the sockets means for it: whether an attempt that ended may have been executed, when response bytes are
+//! forwarded, from when on a response can only be completed or cut, and that a client gets exactly one final response
+//! before its deadline. All of it is decided without I/O and without a clock.
+//!
+//! | item | what it decides |
+//! | --- | --- |
+//! | [`RequestLifecycle`] | the state of one request; the host keeps one for each open request |
+//! | [`operation_class`] | the class of a GraphQL operation |
+//! | [`check_plan_capacity`] | whether a plan can ever admit a request of this cost |
+//! | [`request_timeout`], [`connect_timeout`] | how long a request and a connect for it may take |
+//! | [`cookie`], [`parameter`], [`split_path`], [`sticky_route`] | the sticky session route that a request names |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod action;
+mod attempt;
 mod event;
 mod lifecycle;
 mod operation_class;
@@ -17,7 +26,8 @@
 mod timeouts;
 
 pub use action::{FailureReason, FinalResponse, LifecycleAction};
-pub use event::{BackendReply, LifecycleEvent, WireState};
+pub use attempt::WireState;
+pub use event::{BackendReply, LifecycleEvent};
 pub use lifecycle::RequestLifecycle;
 pub use operation_class::operation_class;
 pub use plan_capacity::{ExceedsPlanCapacity, check_plan_capacity};
--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -1,280 +1,316 @@
-//! The state of one request. Every input is allowed in every state: what cannot matter any more changes nothing.
+//! The state of one request: its client, and its attempt in flight.
+//!
+//! ```text
+//! client   AwaitingResponse --response exceeds the buffer limit--> ReceivingResponse --end or reset--> Done
+//!              |                                                                                      ^
+//!              +--complete response, final response of the gateway, or client disconnected -----------+
+//!
+//! attempt  none --AttemptStarted--> Connecting --> Connected --> Sent --> Responding --ended--> none
+//!                                       |              |           |                             ^
+//!                                       +--------------+-----------+--ended ---------------------+
+//! ```
+//!
+//! The request has ended once the client is done and no attempt is in flight. After a failed attempt the decision
+//! library starts another one, rejects or fails the request. Every event is allowed in every state: one that has no
+//! meaning there changes nothing.
 
 use crate::action::{FailureReason, FinalResponse, LifecycleAction};
-use crate::event::{BackendReply, LifecycleEvent, WireState};
+use crate::attempt::{Attempt, WireState};
+use crate::event::{BackendReply, LifecycleEvent};
 use doorcourse::AttemptOutcome;
 
+/// What the client has had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Client {
-    /// It waits; nothing was answered.
-    Waits,
-    /// A part of the node's answer has gone to it.
-    HasPart,
-    /// It has its final answer, or is gone.
+enum ClientState {
+    /// Nothing: another attempt can still give it a response.
+    AwaitingResponse,
+    /// A part of a backend's response, which can only be completed or cut.
+    ReceivingResponse,
+    /// Its final response, or it is gone.
     Done,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Attempt {
-    wire: WireState,
-    status: u16,
-    held: usize,
-}
-
-/// One request's exchange.
+/// The lifecycle of one request.
+///
+/// The host reports each event with [`handle`](Self::handle) and carries out the actions. Actions are appended to a
+/// vector of the host, which it reuses.
 #[derive(Clone, Debug)]
 pub struct RequestLifecycle {
-    client: Client,
+    client: ClientState,
+    /// The attempt in flight.
     attempt: Option<Attempt>,
-    attempts: u32,
-    /// What the last attempt ended by, to tell a client why its request failed.
-    last: Option<AttemptOutcome>,
-    hold: usize,
-    over: bool,
+    attempts_started: u32,
+    /// How the last attempt ended, for the reason of a failure.
+    last_outcome: Option<AttemptOutcome>,
+    /// Response bytes up to which a response is buffered until it is complete.
+    buffer_limit: usize,
 }
 
 impl RequestLifecycle {
-    /// A request that was taken. Answers up to `hold` bytes are held until they are whole.
+    /// A request that was admitted and has no attempt yet. Responses of at most `buffer_limit` bytes are buffered until
+    /// they are complete; longer ones are forwarded as they arrive, once they exceed it.
     #[must_use]
-    pub fn new(hold: usize) -> Self {
-        Self { client: Client::Waits, attempt: None, attempts: 0, last: None, hold, over: false }
+    pub fn new(buffer_limit: usize) -> Self {
+        Self {
+            client: ClientState::AwaitingResponse,
+            attempt: None,
+            attempts_started: 0,
+            last_outcome: None,
+            buffer_limit,
+        }
     }
 
-    /// Whether an attempt is out.
+    /// Whether an attempt is in flight.
     #[must_use]
     pub fn has_attempt(&self) -> bool {
         self.attempt.is_some()
     }
 
-    /// Whether the client waits for an answer or the rest of one.
+    /// Whether the client waits for a response or the rest of one.
     #[must_use]
     pub fn awaits_response(&self) -> bool {
-        self.client != Client::Done
+        self.client != ClientState::Done
     }
 
-    /// How many attempts were made.
+    /// How many attempts were started.
     #[must_use]
     pub fn attempts(&self) -> u32 {
-        self.attempts
+        self.attempts_started
     }
 
-    /// Takes what happened and appends what is to be done.
-    pub fn handle(&mut self, input: LifecycleEvent, out: &mut Vec<LifecycleAction>) {
-        if self.over {
+    /// Handles an event and appends the actions that follow from it.
+    pub fn handle(&mut self, event: LifecycleEvent, actions: &mut Vec<LifecycleAction>) {
+        if self.is_finished() {
             return;
         }
-        match input {
-            LifecycleEvent::AttemptStarted => {
-                debug_assert!(self.attempt.is_none(), "never two attempts at once");
-                self.attempts += 1;
-                self.attempt = Some(Attempt { wire: WireState::Connecting, status: 0, held: 0 });
-            }
-            LifecycleEvent::Connected => self.advance(WireState::Connected),
-            LifecycleEvent::BytesWritten => self.advance(WireState::Sent),
-            LifecycleEvent::ResponseHead { status } => {
-                self.advance(WireState::Responding);
-                if let Some(attempt) = &mut self.attempt {
-                    attempt.status = status;
-                }
-            }
-            LifecycleEvent::ResponseData { bytes } => self.data(bytes, out),
-            LifecycleEvent::ResponseEnd { complete: whole, units } => {
-                let outcome = match self.attempt.map(|a| a.status) {
-                    // Turned away unseen: RFC 6585 section 4, before any work. 503 says less: it may come after work.
-                    Some(429) => AttemptOutcome::Rejected,
-                    Some(status) if Self::is_answer(status) && whole => AttemptOutcome::Served,
-                    _ => AttemptOutcome::Error,
-                };
-                self.end(outcome, Some(units), out);
+        match event {
+            LifecycleEvent::AttemptStarted => self.start_attempt(),
+            LifecycleEvent::Connected => self.advance_attempt(WireState::Connected),
+            LifecycleEvent::BytesWritten => self.advance_attempt(WireState::Sent),
+            LifecycleEvent::ResponseHead { status } => self.handle_response_head(status),
+            LifecycleEvent::ResponseData { bytes } => self.handle_response_data(bytes, actions),
+            LifecycleEvent::ResponseEnd { complete, units } => {
+                self.handle_response_end(complete, units, actions)
             }
             LifecycleEvent::ResponseReceived { reply, units } => {
-                // An answer to what was not asked in full answers something else.
-                if self.attempt.is_some_and(|a| a.wire != WireState::Sent) {
-                    return self.handle(LifecycleEvent::InvalidResponse, out);
-                }
-                let outcome = match reply {
-                    BackendReply::Value => AttemptOutcome::Served,
-                    BackendReply::Failed => AttemptOutcome::Error,
-                    BackendReply::Rejected => AttemptOutcome::Rejected,
-                };
-                self.end(outcome, units, out);
-            }
-            LifecycleEvent::Withdrawn => {
-                if self.is_unsent() {
-                    out.push(LifecycleAction::CloseBackendConnection);
-                    self.break_off(AttemptOutcome::NeverSent, out);
-                }
-            }
-            LifecycleEvent::ConnectionLost => self.lost(out),
-            LifecycleEvent::InvalidResponse if self.attempt.is_some() => {
-                out.push(LifecycleAction::CloseBackendConnection);
-                self.break_off(AttemptOutcome::Error, out);
+                self.handle_response_received(reply, units, actions)
             }
-            LifecycleEvent::InvalidResponse => {}
-            LifecycleEvent::Cancelled => {
-                if let Some(attempt) = self.attempt {
-                    out.push(LifecycleAction::CloseBackendConnection);
-                    let sent = matches!(attempt.wire, WireState::Sent | WireState::Responding);
-                    self.break_off(
-                        if sent { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverSent },
-                        out,
-                    );
-                }
-            }
-            LifecycleEvent::DeadlineExpired => self.time_up(out),
-            LifecycleEvent::ClientDisconnected => self.client_gone(out),
-            LifecycleEvent::Rejected { retry_after, reason: why } => {
-                self.finish(FinalResponse::Rejected { retry_after, reason: why }, out)
-            }
-            LifecycleEvent::Failed => {
-                let failure = match self.last {
-                    // What was never sent is refused while there is time: without an attempt its time was over.
-                    None | Some(AttemptOutcome::TimedOut) => FailureReason::DeadlineExpired,
-                    Some(
-                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Rejected,
-                    ) => FailureReason::NoBackendReached,
-                    Some(_) => FailureReason::BackendFailed,
-                };
-                self.finish(FinalResponse::Failed(failure), out);
+            LifecycleEvent::Withdrawn => self.handle_withdrawal(actions),
+            LifecycleEvent::ConnectionLost => self.handle_connection_loss(actions),
+            LifecycleEvent::InvalidResponse => self.handle_invalid_response(actions),
+            LifecycleEvent::Cancelled => self.handle_cancellation(actions),
+            LifecycleEvent::DeadlineExpired => self.handle_deadline(actions),
+            LifecycleEvent::ClientDisconnected => self.handle_client_disconnect(actions),
+            LifecycleEvent::Rejected { retry_after, reason } => {
+                self.respond(FinalResponse::Rejected { retry_after, reason }, actions)
             }
+            LifecycleEvent::Failed => self.respond(FinalResponse::Failed(self.failure_reason()), actions),
         }
     }
 
-    /// An attempt that is written goes on: nothing stops the node's work, and its end is still told. One that is not
-    /// written is withdrawn at once: nobody waits for it.
-    fn client_gone(&mut self, out: &mut Vec<LifecycleAction>) {
-        let waited = std::mem::replace(&mut self.client, Client::Done) != Client::Done;
-        if self.is_unsent() {
-            self.attempt = None;
-            self.last = Some(AttemptOutcome::NeverSent);
-            let ended = LifecycleAction::AttemptEnded {
-                outcome: AttemptOutcome::NeverSent,
-                true_units: None,
-                final_response_sent: true,
-            };
-            out.extend([LifecycleAction::CloseBackendConnection, LifecycleAction::DiscardResponse, ended]);
+    fn is_finished(&self) -> bool {
+        self.client == ClientState::Done && self.attempt.is_none()
+    }
+
+    fn start_attempt(&mut self) {
+        debug_assert!(self.attempt.is_none(), "never two attempts at once");
+        self.attempts_started += 1;
+        self.attempt = Some(Attempt::new());
+    }
+
+    fn advance_attempt(&mut self, wire: WireState) {
+        if let Some(attempt) = &mut self.attempt {
+            attempt.advance(wire);
         }
-        if waited {
-            out.push(LifecycleAction::ClientDisconnected);
+    }
+
+    fn handle_response_head(&mut self, status: u16) {
+        if let Some(attempt) = &mut self.attempt {
+            attempt.response_head(status);
         }
-        self.over(out);
     }
 
-    /// Whether an attempt is out of which nothing can have reached the node.
-    fn is_unsent(&self) -> bool {
-        self.attempt.is_some_and(|a| matches!(a.wire, WireState::Connecting | WireState::Connected))
+    /// A response within the buffer limit is forwarded once it is complete, so that another attempt can still replace
+    /// that of a backend which breaks off. A longer one is forwarded as it arrives.
+    fn handle_response_data(&mut self, bytes: usize, actions: &mut Vec<LifecycleAction>) {
+        let Some(attempt) = &mut self.attempt else { return };
+        let received_bytes = attempt.response_data(bytes);
+        if !attempt.has_client_response() || self.client == ClientState::Done {
+            actions.push(LifecycleAction::DiscardResponse);
+            return;
+        }
+        if received_bytes > self.buffer_limit || self.client == ClientState::ReceivingResponse {
+            self.client = ClientState::ReceivingResponse;
+            actions.push(LifecycleAction::ForwardResponse);
+        }
     }
 
-    fn advance(&mut self, wire: WireState) {
-        if let Some(attempt) = &mut self.attempt {
-            attempt.wire = wire;
+    fn handle_response_end(&mut self, complete: bool, units: f64, actions: &mut Vec<LifecycleAction>) {
+        if let Some(attempt) = self.attempt {
+            self.complete_attempt(attempt.outcome_at_response_end(complete), Some(units), actions);
         }
     }
 
-    fn over(&mut self, out: &mut Vec<LifecycleAction>) {
-        if self.client == Client::Done && self.attempt.is_none() {
-            self.over = true;
-            out.push(LifecycleAction::Finished);
+    fn handle_response_received(
+        &mut self, reply: BackendReply, units: Option<f64>, actions: &mut Vec<LifecycleAction>,
+    ) {
+        let Some(attempt) = self.attempt else { return };
+        if !attempt.awaits_response_head() {
+            // A response to a request that was not written in full belongs to something else.
+            self.handle_invalid_response(actions);
+            return;
         }
+        let outcome = match reply {
+            BackendReply::Value => AttemptOutcome::Served,
+            BackendReply::Failed => AttemptOutcome::Error,
+            BackendReply::Rejected => AttemptOutcome::Rejected,
+        };
+        self.complete_attempt(outcome, units, actions);
     }
 
-    fn finish(&mut self, answer: FinalResponse, out: &mut Vec<LifecycleAction>) {
-        match self.client {
-            Client::Waits => out.push(LifecycleAction::Respond(answer)),
-            // The decisions never end a request whose answer has begun; were it so, it could only be cut.
-            Client::HasPart => out.push(LifecycleAction::ResetClient),
-            Client::Done => {}
+    fn handle_withdrawal(&mut self, actions: &mut Vec<LifecycleAction>) {
+        if self.has_unsent_attempt() {
+            actions.push(LifecycleAction::CloseBackendConnection);
+            self.abort_attempt(AttemptOutcome::NeverSent, actions);
         }
-        self.client = Client::Done;
-        self.over(out);
     }
 
-    /// Whether a status belongs to an answer of the GraphQL service, that is to the client.
-    fn is_answer(status: u16) -> bool {
-        // 400 and 422 refuse the operation itself: another node would say the same.
-        matches!(status, 200 | 400 | 422)
+    fn handle_connection_loss(&mut self, actions: &mut Vec<LifecycleAction>) {
+        if let Some(attempt) = self.attempt {
+            self.abort_attempt(attempt.outcome_at_connection_loss(), actions);
+        }
     }
 
-    fn data(&mut self, bytes: usize, out: &mut Vec<LifecycleAction>) {
-        let Some(attempt) = &mut self.attempt else { return };
-        attempt.held = attempt.held.saturating_add(bytes);
-        if !Self::is_answer(attempt.status) || self.client == Client::Done {
-            return out.push(LifecycleAction::DiscardResponse);
+    fn handle_invalid_response(&mut self, actions: &mut Vec<LifecycleAction>) {
+        if self.has_attempt() {
+            actions.push(LifecycleAction::CloseBackendConnection);
+            self.abort_attempt(AttemptOutcome::Error, actions);
         }
-        // Held until whole where it is small, so that a node that breaks midway can still be made good; a
-        // large answer goes on as it comes, and from then on it can only be finished or cut.
-        if attempt.held > self.hold || self.client == Client::HasPart {
-            self.client = Client::HasPart;
-            out.push(LifecycleAction::ForwardResponse);
+    }
+
+    fn handle_cancellation(&mut self, actions: &mut Vec<LifecycleAction>) {
+        if let Some(attempt) = self.attempt {
+            actions.push(LifecycleAction::CloseBackendConnection);
+            self.abort_attempt(attempt.outcome_at_cancellation(), actions);
         }
     }
 
-    fn end(&mut self, outcome: AttemptOutcome, units: Option<f64>, out: &mut Vec<LifecycleAction>) {
-        if self.attempt.take().is_none() {
+    fn handle_deadline(&mut self, actions: &mut Vec<LifecycleAction>) {
+        if let Some(attempt) = self.attempt {
+            actions.push(LifecycleAction::CloseBackendConnection);
+            self.abort_attempt(attempt.outcome_at_deadline(), actions);
+            // If the request fails after this, its client learns of the deadline, also where no connection was made.
+            self.last_outcome = Some(AttemptOutcome::TimedOut);
             return;
         }
+        if self.client == ClientState::AwaitingResponse {
+            // The decision library queues no request beyond its deadline; this holds if it should.
+            actions.push(LifecycleAction::ClientDisconnected);
+            self.respond(FinalResponse::Failed(FailureReason::DeadlineExpired), actions);
+        }
+    }
+
+    /// An attempt that is written goes on, since nothing stops the backend's work, and its end is still reported. One
+    /// that is not written is withdrawn.
+    fn handle_client_disconnect(&mut self, actions: &mut Vec<LifecycleAction>) {
+        let was_waiting = self.awaits_response();
+        self.client = ClientState::Done;
+        if self.has_unsent_attempt() {
+            self.attempt = None;
+            actions.push(LifecycleAction::CloseBackendConnection);
+            actions.push(LifecycleAction::DiscardResponse);
+            self.report_attempt_end(AttemptOutcome::NeverSent, None, actions);
+        }
+        if was_waiting {
+            actions.push(LifecycleAction::ClientDisconnected);
+        }
+        self.finish_if_done(actions);
+    }
+
+    /// Ends the attempt with a response that has arrived to its end.
+    fn complete_attempt(
+        &mut self, outcome: AttemptOutcome, units: Option<f64>, actions: &mut Vec<LifecycleAction>,
+    ) {
+        self.attempt = None;
         let served = outcome == AttemptOutcome::Served;
-        let true_units = units.filter(|_| served);
         match self.client {
-            Client::Waits if served => {
-                out.extend([LifecycleAction::ForwardResponse, LifecycleAction::EndResponse])
+            ClientState::AwaitingResponse if served => {
+                actions.push(LifecycleAction::ForwardResponse);
+                actions.push(LifecycleAction::EndResponse);
+                self.client = ClientState::Done;
+            }
+            ClientState::ReceivingResponse => {
+                // The client has its bytes already, and sees itself what is wrong with them.
+                actions.push(LifecycleAction::EndResponse);
+                self.client = ClientState::Done;
+            }
+            ClientState::AwaitingResponse | ClientState::Done => {
+                actions.push(LifecycleAction::DiscardResponse);
             }
-            // Its bytes are with the client already: what is wrong with them the client sees itself.
-            Client::HasPart => out.push(LifecycleAction::EndResponse),
-            Client::Waits | Client::Done => out.push(LifecycleAction::DiscardResponse),
-        }
-        let finished = served || self.client != Client::Waits;
-        if finished {
-            self.client = Client::Done;
         }
-        self.last = Some(outcome);
-        out.push(LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished });
-        self.over(out);
+        let true_units = units.filter(|_| served);
+        self.report_attempt_end(outcome, true_units, actions);
+        self.finish_if_done(actions);
     }
 
-    /// What a broken connection means: only before the first byte was taken it is sure that nothing ran.
-    fn lost(&mut self, out: &mut Vec<LifecycleAction>) {
-        let Some(attempt) = self.attempt else { return };
-        let outcome = match attempt.wire {
-            WireState::Connecting => AttemptOutcome::ConnectFailed,
-            WireState::Connected => AttemptOutcome::NeverSent,
-            WireState::Sent | WireState::Responding => AttemptOutcome::ConnectionLost,
-        };
-        self.break_off(outcome, out);
+    /// Ends the attempt without a complete response.
+    fn abort_attempt(&mut self, outcome: AttemptOutcome, actions: &mut Vec<LifecycleAction>) {
+        self.attempt = None;
+        if self.client == ClientState::ReceivingResponse {
+            actions.push(LifecycleAction::ResetClient);
+            self.client = ClientState::Done;
+        } else {
+            actions.push(LifecycleAction::DiscardResponse);
+        }
+        self.report_attempt_end(outcome, None, actions);
+        self.finish_if_done(actions);
     }
 
-    fn break_off(&mut self, outcome: AttemptOutcome, out: &mut Vec<LifecycleAction>) {
-        if self.attempt.take().is_none() {
-            return;
-        }
-        let finished = self.client != Client::Waits;
-        if self.client == Client::HasPart {
-            out.push(LifecycleAction::ResetClient);
-            self.client = Client::Done;
-        } else {
-            out.push(LifecycleAction::DiscardResponse);
+    /// Gives the client a final response of the gateway.
+    fn respond(&mut self, response: FinalResponse, actions: &mut Vec<LifecycleAction>) {
+        match self.client {
+            ClientState::AwaitingResponse => actions.push(LifecycleAction::Respond(response)),
+            // The decision library ends no request whose response is forwarded already; if it should, the response can
+            // only be cut.
+            ClientState::ReceivingResponse => actions.push(LifecycleAction::ResetClient),
+            ClientState::Done => {}
         }
-        self.last = Some(outcome);
-        out.push(LifecycleAction::AttemptEnded { outcome, true_units: None, final_response_sent: finished });
-        self.over(out);
+        self.client = ClientState::Done;
+        self.finish_if_done(actions);
     }
 
-    fn time_up(&mut self, out: &mut Vec<LifecycleAction>) {
-        if self.attempt.is_some() {
-            out.push(LifecycleAction::CloseBackendConnection);
-            // Nothing was written: it never ran, also when time ran out over it.
-            self.break_off(
-                if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut },
-                out,
-            );
-            // Whatever the decisions make of it, the client is told of its time and not of a node.
-            self.last = Some(AttemptOutcome::TimedOut);
-            return;
+    fn report_attempt_end(
+        &mut self, outcome: AttemptOutcome, true_units: Option<f64>, actions: &mut Vec<LifecycleAction>,
+    ) {
+        self.last_outcome = Some(outcome);
+        let final_response_sent = !self.awaits_response();
+        actions.push(LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent });
+    }
+
+    fn finish_if_done(&self, actions: &mut Vec<LifecycleAction>) {
+        if self.is_finished() {
+            actions.push(LifecycleAction::Finished);
         }
-        if self.client == Client::Waits {
-            // The decisions hold a request no longer than its time; this is the net under them (rule 1).
-            out.push(LifecycleAction::ClientDisconnected);
-            self.finish(FinalResponse::Failed(FailureReason::DeadlineExpired), out);
+    }
+
+    fn has_unsent_attempt(&self) -> bool {
+        self.attempt.is_some_and(|attempt| attempt.is_unsent())
+    }
+
+    /// What a client learns when its request fails. A request without any attempt was queued until its deadline: the
+    /// decision library rejects it while there is time.
+    fn failure_reason(&self) -> FailureReason {
+        match self.last_outcome {
+            None | Some(AttemptOutcome::TimedOut) => FailureReason::DeadlineExpired,
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent | AttemptOutcome::Rejected) => {
+                FailureReason::NoBackendReached
+            }
+            Some(
+                AttemptOutcome::Served
+                | AttemptOutcome::Error
+                | AttemptOutcome::ConnectionLost
+                | AttemptOutcome::Cancelled,
+            ) => FailureReason::BackendFailed,
         }
     }
 }
--- a/crates/request-lifecycle/src/operation_class.rs
+++ b/crates/request-lifecycle/src/operation_class.rs
@@ -1,28 +1,46 @@
-//! The class of an operation.
+//! Which request class a GraphQL operation belongs to.
 
 use doorcourse::{Idempotency, RequestClass};
+use std::cmp::Ordering;
 
-/// The class of an operation, by those of its root fields: the strictest effect among them, since the whole
-/// operation is sent and repeated as one; of equals the most urgent aim, since its answer comes as one. An
-/// operation of meta fields alone (introspection) is the most patient of the safe classes.
+/// The class of an operation, as an index into `classes`, from the classes of its root fields.
+///
+/// It is the class with the strictest idempotency among them, since the whole operation is sent and retried as one; of
+/// equally strict ones that with the shortest latency objective, since the response comes as one. An operation without
+/// root fields in a class (introspection) has the idempotent class with the longest latency objective; `None` where no
+/// class is idempotent. Indices beyond `classes` are ignored.
 #[must_use]
-pub fn operation_class(classes: &[RequestClass], fields: impl IntoIterator<Item = usize>) -> Option<usize> {
-    let strictness = |effect: Idempotency| match effect {
+pub fn operation_class(
+    classes: &[RequestClass], field_classes: impl IntoIterator<Item = usize>,
+) -> Option<usize> {
+    let known = field_classes.into_iter().filter_map(|index| Some((index, classes.get(index)?)));
+    let strictest = known.max_by(|(_, a), (_, b)| compare_strictness(a, b));
+    match strictest {
+        Some((index, _)) => Some(index),
+        None => longest_idempotent_class(classes),
+    }
+}
+
+/// Orders classes by strictness: by their idempotency, then by a shorter latency objective.
+fn compare_strictness(a: &RequestClass, b: &RequestClass) -> Ordering {
+    idempotency_strictness(a.idempotency)
+        .cmp(&idempotency_strictness(b.idempotency))
+        .then(b.latency_objective.total_cmp(&a.latency_objective))
+}
+
+fn idempotency_strictness(idempotency: Idempotency) -> u8 {
+    match idempotency {
         Idempotency::Idempotent => 0,
         Idempotency::WithKey => 1,
         Idempotency::NonIdempotent => 2,
-    };
-    let known = fields.into_iter().filter_map(|at| Some((at, classes.get(at)?)));
-    let order = |(_, a): &(usize, &RequestClass), (_, b): &(usize, &RequestClass)| {
-        strictness(a.idempotency)
-            .cmp(&strictness(b.idempotency))
-            .then(b.latency_objective.total_cmp(&a.latency_objective))
-    };
-    let of_fields = known.max_by(order).map(|(at, _)| at);
-    of_fields.or_else(|| {
-        let safe = classes.iter().enumerate().filter(|(_, c)| c.idempotency == Idempotency::Idempotent);
-        safe.max_by(|a, b| a.1.latency_objective.total_cmp(&b.1.latency_objective)).map(|(at, _)| at)
-    })
+    }
+}
+
+fn longest_idempotent_class(classes: &[RequestClass]) -> Option<usize> {
+    let idempotent =
+        classes.iter().enumerate().filter(|(_, class)| class.idempotency == Idempotency::Idempotent);
+    let longest = idempotent.max_by(|(_, a), (_, b)| a.latency_objective.total_cmp(&b.latency_objective));
+    longest.map(|(index, _)| index)
 }
 
 #[cfg(test)]
--- a/crates/request-lifecycle/src/operation_class/tests.rs
+++ b/crates/request-lifecycle/src/operation_class/tests.rs
@@ -1,13 +1,12 @@
 use super::*;
 use doorcourse::{DeduplicationScope, Millis};
 
-fn class(effect: Idempotency, aim: Millis) -> RequestClass {
-    let (name, group) = ("c".into(), DeduplicationScope::All);
+fn class(idempotency: Idempotency, latency_objective: Millis) -> RequestClass {
     RequestClass {
-        name,
-        latency_objective: aim,
-        idempotency: effect,
-        deduplication_scope: group,
+        name: "c".into(),
+        latency_objective,
+        idempotency,
+        deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0.0,
         priority_weight: 1.0,
         late_response_value: 0.0,
@@ -15,7 +14,7 @@
 }
 
 #[test]
-fn the_strictest_effect_and_of_equals_the_most_urgent() {
+fn the_strictest_class_is_chosen_and_of_equals_the_one_with_the_shortest_objective() {
     let classes = [
         class(Idempotency::Idempotent, 100.0),
         class(Idempotency::WithKey, 900.0),
@@ -26,6 +25,6 @@
     assert_eq!(operation_class(&classes, [0, 1]), Some(1));
     assert_eq!(operation_class(&classes, [0, 2, 1, 3]), Some(3));
     assert_eq!(operation_class(&classes, [4, 0]), Some(0));
-    assert_eq!(operation_class(&classes, []), Some(4));
-    assert_eq!(operation_class(&classes[1..4], []), None);
+    assert_eq!(operation_class(&classes, []), Some(4), "introspection");
+    assert_eq!(operation_class(&classes[1..4], []), None, "no class is idempotent");
 }
--- a/crates/request-lifecycle/src/plan_capacity.rs
+++ b/crates/request-lifecycle/src/plan_capacity.rs
@@ -1,26 +1,33 @@
-//! Whether a plan can ever hold a request's cost.
+//! Whether a plan can ever admit a request of a given cost.
 
 use doorcourse::Plan;
 
-/// Why a request can never be let in, however long its client waits.
+/// A request costs more units than its plan can ever hold, however long its client waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExceedsPlanCapacity {
-    /// The most that its plan can ever hold.
+    /// The most units that the plan can hold.
     pub capacity: f64,
 }
 
-/// Whether a plan can ever hold a cost. Asked first, so that such a request takes no block from the others: a
-/// block larger than the burst is never granted, and its client would be told to come back for ever.
+/// Checks whether a plan can ever hold a cost of `units`.
+///
+/// The check precedes the admission, so that such a request takes no quota lease from others: a lease larger than the
+/// burst is never granted, and the client would be advised to retry for ever.
 ///
 /// # Errors
-/// When it cannot.
+/// [`ExceedsPlanCapacity`] where it cannot.
 pub fn check_plan_capacity(plan: &Plan, units: f64) -> Result<(), ExceedsPlanCapacity> {
-    // Under a ceiling a gateway that knows nothing starts with half the burst; the rate fills the rest.
+    let capacity = plan_capacity(plan);
+    if units <= capacity { Ok(()) } else { Err(ExceedsPlanCapacity { capacity }) }
+}
+
+/// The most units that a plan's quota and its ceiling can hold; infinite for a plan with neither.
+fn plan_capacity(plan: &Plan) -> f64 {
+    // Under a ceiling, a gateway that has no counter total starts with half of the burst; the rate fills the rest.
     let quota = if plan.rate > 0.0 { plan.burst } else { f64::INFINITY };
     let ceiling =
         if plan.ceiling_rate > 0.0 { plan.ceiling_burst + plan.ceiling_slack } else { f64::INFINITY };
-    let most = quota.min(ceiling);
-    if units <= most { Ok(()) } else { Err(ExceedsPlanCapacity { capacity: most }) }
+    quota.min(ceiling)
 }
 
 #[cfg(test)]
--- a/crates/request-lifecycle/src/plan_capacity/tests.rs
+++ b/crates/request-lifecycle/src/plan_capacity/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn plan(rate: f64, burst: f64, ceiling: f64) -> Plan {
+fn plan(rate: f64, burst: f64, ceiling_burst: f64) -> Plan {
     Plan {
         name: "p".into(),
         rate,
         burst,
         max_in_flight: 0,
-        ceiling_rate: if ceiling > 0.0 { rate * 2.0 } else { 0.0 },
-        ceiling_burst: ceiling,
+        ceiling_rate: if ceiling_burst > 0.0 { rate * 2.0 } else { 0.0 },
+        ceiling_burst,
         ceiling_slack: 1.0,
         priority_factor: 1.0,
         over_quota_value: 0.0,
@@ -16,9 +16,18 @@
 }
 
 #[test]
-fn what_no_window_can_hold() {
+fn a_cost_beyond_the_burst_exceeds_the_capacity_and_a_plan_without_quota_holds_any() {
     assert_eq!(check_plan_capacity(&plan(5.0, 40.0, 0.0), 40.0), Ok(()));
     assert_eq!(check_plan_capacity(&plan(5.0, 40.0, 0.0), 40.5), Err(ExceedsPlanCapacity { capacity: 40.0 }));
     assert_eq!(check_plan_capacity(&plan(0.0, 0.0, 0.0), 1e9), Ok(()));
     assert!(check_plan_capacity(&plan(5.0, 40.0, 64.0), f64::NAN).is_err());
 }
+
+#[test]
+fn the_ceiling_with_its_slack_limits_the_capacity_of_a_larger_burst() {
+    assert_eq!(check_plan_capacity(&plan(5.0, 40.0, 24.0), 25.0), Ok(()));
+    assert_eq!(
+        check_plan_capacity(&plan(5.0, 40.0, 24.0), 25.5),
+        Err(ExceedsPlanCapacity { capacity: 25.0 })
+    );
+}
--- a/crates/request-lifecycle/src/session.rs
+++ b/crates/request-lifecycle/src/session.rs
@@ -1,37 +1,53 @@
-//! Which node a client's session is bound to: its id says so behind the first dot ("id.route"), in a cookie or in a
-//! parameter. Names and places are what servlet containers and Apache's balancers use.
+//! The sticky session route that a request names: the part of its session id behind the first dot (`id.route`), in a
+//! cookie or in a parameter of the path or the query. Names and places are those of servlet containers and of Apache's
+//! load balancers.
 
-/// The value of a cookie among the Cookie fields of a request (RFC 6265 section 4.2.1), quotes taken off.
+/// The value of a cookie in the `Cookie` header fields of a request (RFC 6265, section 4.2.1), without its quotes; the
+/// first one counts. `None` where no cookie has the name, or the name is empty.
 #[must_use]
-pub fn cookie<'a>(name: &str, fields: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn cookie<'a>(name: &str, header_fields: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     if name.is_empty() {
         return None;
     }
-    let mut pairs = fields.into_iter().flat_map(|f| f.split(';'));
-    let value = pairs.find_map(|p| p.trim().split_once('=').filter(|(n, _)| n.trim_end() == name))?.1;
-    let value = value.trim();
-    Some(value.strip_prefix('"').and_then(|v| v.strip_suffix('"')).unwrap_or(value))
+    let mut cookies = header_fields.into_iter().flat_map(|field| field.split(';'));
+    let value = cookies.find_map(|cookie| cookie_value(name, cookie))?;
+    Some(unquoted(value.trim()))
 }
 
-/// The value of a parameter among others.
+fn cookie_value<'a>(name: &str, cookie: &'a str) -> Option<&'a str> {
+    let (cookie_name, value) = cookie.trim().split_once('=')?;
+    (cookie_name.trim_end() == name).then_some(value)
+}
+
+fn unquoted(value: &str) -> &str {
+    value.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')).unwrap_or(value)
+}
+
+/// The value of a parameter among `name=value` pairs separated by `delimiter`; the first one counts. `None` where no
+/// pair has the name, or the name is empty.
 #[must_use]
 pub fn parameter<'a>(name: &str, pairs: &'a str, delimiter: char) -> Option<&'a str> {
     if name.is_empty() {
         return None;
     }
-    pairs.split(delimiter).find_map(|p| p.split_once('=').filter(|(n, _)| *n == name)).map(|(_, v)| v)
+    pairs.split(delimiter).find_map(|pair| parameter_value(name, pair))
+}
+
+fn parameter_value<'a>(name: &str, pair: &'a str) -> Option<&'a str> {
+    let (pair_name, value) = pair.split_once('=')?;
+    (pair_name == name).then_some(value)
 }
 
-/// A path, and the parameters behind its first ";".
+/// Splits a path from the parameters behind its first semicolon, which are empty where it has none.
 #[must_use]
 pub fn split_path(path: &str) -> (&str, &str) {
     path.split_once(';').unwrap_or((path, ""))
 }
 
-/// The route that a session's id names; empty for none.
+/// The route that a session id names; empty where it names none.
 #[must_use]
-pub fn sticky_route(session: &str) -> &str {
-    session.split_once('.').map_or("", |(_, route)| route)
+pub fn sticky_route(session_id: &str) -> &str {
+    session_id.split_once('.').map_or("", |(_, route)| route)
 }
 
 #[cfg(test)]
--- a/crates/request-lifecycle/src/timeouts.rs
+++ b/crates/request-lifecycle/src/timeouts.rs
@@ -1,26 +1,32 @@
-//! How long the decisions and an attempt's connect have for a request.
+//! How long a request, and a connect for one of its attempts, may take.
 
 use doorcourse::Millis;
 
-/// How long the decisions have for a request: until the client gives up, by its own word or its class, less the
-/// margin in which the answer travels. `None` when nothing is left: the client will not hear any answer.
+/// The timeout of a request for the decision library, in ms: the client's, less the margin in which its response
+/// travels. `None` where nothing is left, so that no response would reach the client in time.
+///
+/// `class_timeout` applies where the client names no finite `client_timeout`, and neither counts beyond `max_timeout`.
+/// The `response_margin` is cut to a quarter of the timeout, so that requests with a short one can be served at all.
 #[must_use]
 pub fn request_timeout(
-    give_up: Millis, asked: Option<Millis>, longest: Millis, margin: Millis,
+    class_timeout: Millis, client_timeout: Option<Millis>, max_timeout: Millis, response_margin: Millis,
 ) -> Option<Millis> {
-    let whole = asked.filter(|a| a.is_finite()).unwrap_or(give_up).min(longest);
-    // A margin that is most of a short deadline would refuse what could be answered: a quarter at most.
-    let left = whole - margin.min(whole / 4.0);
-    if left > 0.0 { Some(left) } else { None }
+    let timeout =
+        client_timeout.filter(|timeout| timeout.is_finite()).unwrap_or(class_timeout).min(max_timeout);
+    let remaining = timeout - response_margin.min(timeout / 4.0);
+    if remaining > 0.0 { Some(remaining) } else { None }
 }
 
-/// How long an attempt waits for its connection: no longer than the host's limit, and by halves of what is left of the
-/// first half of the request's time, so that one which reaches no node is given up before that half is over, with a
-/// second try behind a node that has vanished.
+/// The timeout of a connect for an attempt, in ms.
+///
+/// It is half of what is left of the first half of the request's timeout, no more than `max_connect_timeout`, and no
+/// less than a sixteenth of the request's timeout. So a request that reaches no backend ends before half of its
+/// timeout, after a second connect where the first backend has vanished. `elapsed` is the age of the request, in ms.
 #[must_use]
-pub fn connect_timeout(limit: Millis, patience: Millis, passed: Millis) -> Millis {
-    let left = (patience / 2.0 - passed) / 2.0;
-    left.clamp(patience / 16.0, limit.max(patience / 16.0))
+pub fn connect_timeout(max_connect_timeout: Millis, request_timeout: Millis, elapsed: Millis) -> Millis {
+    let timeout = (request_timeout / 2.0 - elapsed) / 2.0;
+    let min_connect_timeout = request_timeout / 16.0;
+    timeout.clamp(min_connect_timeout, max_connect_timeout.max(min_connect_timeout))
 }
 
 #[cfg(test)]
