--- a/crates/request-lifecycle/tests/lifecycle.rs
+++ b/crates/request-lifecycle/tests/lifecycle.rs
@@ -1,222 +1,308 @@
-//! One request in each state, and every order of events by chance against the rules.
+//! The lifecycle of one request in each state, and random orders of events against its invariants.
 
 use doorcourse::{AttemptOutcome, RejectReason};
 use doorcourse_request_lifecycle::{
-    FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle,
+    BackendReply, FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle,
 };
 
-fn run(inputs: &[LifecycleEvent]) -> (RequestLifecycle, Vec<LifecycleAction>) {
-    let (mut exchange, mut out) = (RequestLifecycle::new(100), Vec::new());
-    for input in inputs {
-        exchange.handle(*input, &mut out);
+const BUFFER_LIMIT: usize = 100;
+
+/// The events of an attempt up to the writing of its request.
+const SENT: [LifecycleEvent; 3] =
+    [LifecycleEvent::AttemptStarted, LifecycleEvent::Connected, LifecycleEvent::BytesWritten];
+const STATUS_200: LifecycleEvent = LifecycleEvent::ResponseHead { status: 200 };
+const RESPONSE_END: LifecycleEvent = LifecycleEvent::ResponseEnd { complete: true, units: 2.0 };
+
+/// Handles events in a new lifecycle. Returns it with all actions.
+fn run(events: &[LifecycleEvent]) -> (RequestLifecycle, Vec<LifecycleAction>) {
+    let mut lifecycle = RequestLifecycle::new(BUFFER_LIMIT);
+    let mut actions = Vec::new();
+    for event in events {
+        lifecycle.handle(*event, &mut actions);
     }
-    (exchange, out)
+    (lifecycle, actions)
 }
 
-fn ended(outcome: AttemptOutcome, true_units: Option<f64>, finished: bool) -> LifecycleAction {
-    LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished }
+/// The actions after the events of `before` and one more event.
+fn actions_after(before: &[LifecycleEvent], last: LifecycleEvent) -> Vec<LifecycleAction> {
+    run(&[before, &[last]].concat()).1
 }
 
-const SENT: [LifecycleEvent; 3] =
-    [LifecycleEvent::AttemptStarted, LifecycleEvent::Connected, LifecycleEvent::BytesWritten];
-const OK: LifecycleEvent = LifecycleEvent::ResponseHead { status: 200 };
+/// The actions after an attempt was sent and these events.
+fn actions_after_sent(events: &[LifecycleEvent]) -> Vec<LifecycleAction> {
+    run(&[&SENT, events].concat()).1
+}
 
-fn after(more: &[LifecycleEvent]) -> Vec<LifecycleAction> {
-    run(&[&SENT, more].concat()).1
+fn attempt_ended(
+    outcome: AttemptOutcome, true_units: Option<f64>, final_response_sent: bool,
+) -> LifecycleAction {
+    LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent }
+}
+
+fn failed(reason: FailureReason) -> LifecycleAction {
+    LifecycleAction::Respond(FinalResponse::Failed(reason))
 }
 
 #[test]
-fn a_small_answer_is_held_until_it_is_whole() {
+fn a_response_within_the_buffer_limit_is_forwarded_once_it_is_complete() {
     let data = LifecycleEvent::ResponseData { bytes: 60 };
-    let whole = after(&[OK, data, LifecycleEvent::ResponseEnd { complete: true, units: 2.0 }]);
     assert_eq!(
-        whole,
+        actions_after_sent(&[STATUS_200, data, RESPONSE_END]),
         [
             LifecycleAction::ForwardResponse,
             LifecycleAction::EndResponse,
-            ended(AttemptOutcome::Served, Some(2.0), true),
+            attempt_ended(AttemptOutcome::Served, Some(2.0), true),
             LifecycleAction::Finished
         ]
     );
-    // A node that breaks midway can still be made good: the client has seen nothing.
+    // Another attempt can replace an incomplete response: the client has had nothing of it.
+    assert_eq!(
+        actions_after_sent(&[STATUS_200, data, LifecycleEvent::ConnectionLost]),
+        [LifecycleAction::DiscardResponse, attempt_ended(AttemptOutcome::ConnectionLost, None, false)]
+    );
+    let incomplete = LifecycleEvent::ResponseEnd { complete: false, units: 2.0 };
     assert_eq!(
-        after(&[OK, data, LifecycleEvent::ConnectionLost]),
-        [LifecycleAction::DiscardResponse, ended(AttemptOutcome::ConnectionLost, None, false)]
+        actions_after_sent(&[STATUS_200, data, incomplete]),
+        [LifecycleAction::DiscardResponse, attempt_ended(AttemptOutcome::Error, None, false)]
     );
-    let bad = after(&[OK, data, LifecycleEvent::ResponseEnd { complete: false, units: 2.0 }]);
-    assert_eq!(bad, [LifecycleAction::DiscardResponse, ended(AttemptOutcome::Error, None, false)]);
 }
 
 #[test]
-fn a_large_answer_can_only_be_finished_or_cut() {
+fn a_response_beyond_the_buffer_limit_is_reset_where_its_attempt_fails() {
     let data = LifecycleEvent::ResponseData { bytes: 101 };
     for (last, outcome) in [
         (LifecycleEvent::ConnectionLost, AttemptOutcome::ConnectionLost),
         (LifecycleEvent::DeadlineExpired, AttemptOutcome::TimedOut),
     ] {
-        let out = after(&[OK, data, last]);
-        assert_eq!(out[0], LifecycleAction::ForwardResponse);
-        assert!(
-            out.contains(&LifecycleAction::ResetClient) && out.contains(&ended(outcome, None, true)),
-            "{out:?}"
-        );
-        assert!(!out.iter().any(|o| matches!(o, LifecycleAction::Respond(_))), "{out:?}");
+        let actions = actions_after_sent(&[STATUS_200, data, last]);
+        assert_eq!(actions[0], LifecycleAction::ForwardResponse);
+        assert!(actions.contains(&LifecycleAction::ResetClient), "{actions:?}");
+        assert!(actions.contains(&attempt_ended(outcome, None, true)), "{actions:?}");
+        assert!(!actions.iter().any(|action| matches!(action, LifecycleAction::Respond(_))), "{actions:?}");
     }
 }
 
 #[test]
-fn only_what_was_never_written_never_ran() {
-    let lost = |inputs: &[LifecycleEvent]| run(&[inputs, &[LifecycleEvent::ConnectionLost]].concat()).1[1];
-    assert_eq!(lost(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
-    assert_eq!(lost(&SENT[..2]), ended(AttemptOutcome::NeverSent, None, false));
-    assert_eq!(lost(&SENT), ended(AttemptOutcome::ConnectionLost, None, false));
-    let time = |inputs: &[LifecycleEvent]| run(&[inputs, &[LifecycleEvent::DeadlineExpired]].concat()).1[2];
-    assert_eq!(time(&SENT[..1]), ended(AttemptOutcome::ConnectFailed, None, false));
-    assert_eq!(time(&SENT), ended(AttemptOutcome::TimedOut, None, false));
-    // Time that runs out over a connection not made yet is time all the same to the client.
-    let out =
-        run(&[LifecycleEvent::AttemptStarted, LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed]).1;
-    assert!(
-        out.contains(&LifecycleAction::Respond(FinalResponse::Failed(FailureReason::DeadlineExpired))),
-        "{out:?}"
-    );
-    let why = |inputs: &[LifecycleEvent]| {
-        run(&[inputs, &[LifecycleEvent::Failed]].concat())
-            .1
-            .contains(&LifecycleAction::Respond(FinalResponse::Failed(FailureReason::NoBackendReached)))
+fn an_attempt_counts_as_not_executed_only_before_its_first_byte() {
+    let lost = |before: &[LifecycleEvent]| actions_after(before, LifecycleEvent::ConnectionLost)[1];
+    assert_eq!(lost(&SENT[..1]), attempt_ended(AttemptOutcome::ConnectFailed, None, false));
+    assert_eq!(lost(&SENT[..2]), attempt_ended(AttemptOutcome::NeverSent, None, false));
+    assert_eq!(lost(&SENT), attempt_ended(AttemptOutcome::ConnectionLost, None, false));
+    let expired = |before: &[LifecycleEvent]| actions_after(before, LifecycleEvent::DeadlineExpired)[2];
+    assert_eq!(expired(&SENT[..1]), attempt_ended(AttemptOutcome::ConnectFailed, None, false));
+    assert_eq!(expired(&SENT[..2]), attempt_ended(AttemptOutcome::ConnectFailed, None, false));
+    assert_eq!(expired(&SENT), attempt_ended(AttemptOutcome::TimedOut, None, false));
+    let cancelled = |before: &[LifecycleEvent]| actions_after(before, LifecycleEvent::Cancelled)[2];
+    assert_eq!(cancelled(&SENT[..2]), attempt_ended(AttemptOutcome::NeverSent, None, false));
+    assert_eq!(cancelled(&SENT), attempt_ended(AttemptOutcome::Cancelled, None, false));
+}
+
+#[test]
+fn a_failure_names_the_deadline_the_backend_or_that_no_backend_was_reached() {
+    // A deadline that expires during the connect is a deadline to the client.
+    let events = [LifecycleEvent::AttemptStarted, LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed];
+    let actions = run(&events).1;
+    assert!(actions.contains(&failed(FailureReason::DeadlineExpired)), "{actions:?}");
+    let no_backend_reached = |events: &[LifecycleEvent]| {
+        actions_after(events, LifecycleEvent::Failed).contains(&failed(FailureReason::NoBackendReached))
     };
-    assert!(
-        why(&[LifecycleEvent::AttemptStarted, LifecycleEvent::ConnectionLost])
-            && !why(&[])
-            && !why(&[&SENT[..], &[LifecycleEvent::ConnectionLost]].concat())
-    );
+    assert!(no_backend_reached(&[LifecycleEvent::AttemptStarted, LifecycleEvent::ConnectionLost]));
+    assert!(!no_backend_reached(&[]));
+    let lost_after_sent = [&SENT[..], &[LifecycleEvent::ConnectionLost]].concat();
+    assert!(!no_backend_reached(&lost_after_sent));
+    let actions = actions_after(&lost_after_sent, LifecycleEvent::Failed);
+    assert!(actions.contains(&failed(FailureReason::BackendFailed)), "{actions:?}");
 }
 
 #[test]
-fn statuses_of_a_node() {
+fn the_status_of_a_complete_response_decides_the_outcome_of_its_attempt() {
     for (status, outcome) in [
         (429, AttemptOutcome::Rejected),
         (503, AttemptOutcome::Error),
         (500, AttemptOutcome::Error),
         (404, AttemptOutcome::Error),
     ] {
-        let out = after(&[
+        let actions = actions_after_sent(&[
             LifecycleEvent::ResponseHead { status },
             LifecycleEvent::ResponseData { bytes: 500 },
             LifecycleEvent::ResponseEnd { complete: true, units: 0.0 },
         ]);
-        assert!(out.contains(&ended(outcome, None, false)), "{status}: {out:?}");
-        assert!(!out.contains(&LifecycleAction::ForwardResponse));
+        assert!(actions.contains(&attempt_ended(outcome, None, false)), "{status}: {actions:?}");
+        assert!(!actions.contains(&LifecycleAction::ForwardResponse));
     }
-    // The service's own word on the operation is an answer.
-    let out = after(&[
+    // A rejection of the operation itself is the service's response to the client.
+    let actions = actions_after_sent(&[
         LifecycleEvent::ResponseHead { status: 400 },
         LifecycleEvent::ResponseEnd { complete: true, units: 0.0 },
     ]);
-    assert!(out.contains(&ended(AttemptOutcome::Served, Some(0.0), true)));
+    assert!(actions.contains(&attempt_ended(AttemptOutcome::Served, Some(0.0), true)));
+}
+
+#[test]
+fn a_response_received_at_once_ends_the_attempt_by_its_reply() {
+    let received = |reply| actions_after(&SENT, LifecycleEvent::ResponseReceived { reply, units: Some(3.0) });
+    assert_eq!(
+        received(BackendReply::Value),
+        [
+            LifecycleAction::ForwardResponse,
+            LifecycleAction::EndResponse,
+            attempt_ended(AttemptOutcome::Served, Some(3.0), true),
+            LifecycleAction::Finished
+        ]
+    );
+    for (reply, outcome) in
+        [(BackendReply::Failed, AttemptOutcome::Error), (BackendReply::Rejected, AttemptOutcome::Rejected)]
+    {
+        let expected = [LifecycleAction::DiscardResponse, attempt_ended(outcome, None, false)];
+        assert_eq!(received(reply), expected, "{reply:?}");
+    }
+}
+
+#[test]
+fn a_response_to_a_request_that_was_not_written_is_invalid() {
+    let value = LifecycleEvent::ResponseReceived { reply: BackendReply::Value, units: None };
+    assert_eq!(
+        actions_after(&SENT[..2], value),
+        [
+            LifecycleAction::CloseBackendConnection,
+            LifecycleAction::DiscardResponse,
+            attempt_ended(AttemptOutcome::Error, None, false)
+        ]
+    );
+}
+
+#[test]
+fn a_withdrawal_ends_only_an_attempt_that_is_not_written() {
+    for before in [&SENT[..1], &SENT[..2]] {
+        assert_eq!(
+            actions_after(before, LifecycleEvent::Withdrawn),
+            [
+                LifecycleAction::CloseBackendConnection,
+                LifecycleAction::DiscardResponse,
+                attempt_ended(AttemptOutcome::NeverSent, None, false)
+            ]
+        );
+    }
+    assert_eq!(actions_after(&SENT, LifecycleEvent::Withdrawn), []);
 }
 
 #[test]
-fn a_client_that_left_hears_nothing_and_its_attempt_still_ends() {
-    let (mut exchange, mut out) = run(&[&SENT[..], &[LifecycleEvent::ClientDisconnected]].concat());
-    assert_eq!(out, [LifecycleAction::ClientDisconnected]);
-    exchange.handle(OK, &mut out);
-    exchange.handle(LifecycleEvent::ResponseData { bytes: 1000 }, &mut out);
-    exchange.handle(LifecycleEvent::ResponseEnd { complete: true, units: 3.0 }, &mut out);
-    assert!(!out.contains(&LifecycleAction::ForwardResponse));
-    assert_eq!(out.last(), Some(&LifecycleAction::Finished));
-    assert!(out.contains(&ended(AttemptOutcome::Served, Some(3.0), true)));
+fn a_written_attempt_goes_on_after_its_client_disconnects_and_its_end_is_reported() {
+    let (mut lifecycle, mut actions) = run(&[&SENT[..], &[LifecycleEvent::ClientDisconnected]].concat());
+    assert_eq!(actions, [LifecycleAction::ClientDisconnected]);
+    lifecycle.handle(STATUS_200, &mut actions);
+    lifecycle.handle(LifecycleEvent::ResponseData { bytes: 1000 }, &mut actions);
+    lifecycle.handle(LifecycleEvent::ResponseEnd { complete: true, units: 3.0 }, &mut actions);
+    assert!(!actions.contains(&LifecycleAction::ForwardResponse));
+    assert_eq!(actions.last(), Some(&LifecycleAction::Finished));
+    assert!(actions.contains(&attempt_ended(AttemptOutcome::Served, Some(3.0), true)));
 }
 
 #[test]
-fn an_attempt_that_is_not_written_is_withdrawn_with_its_client() {
-    for upto in [&SENT[..1], &SENT[..2]] {
-        let (mut exchange, out) = run(&[upto, &[LifecycleEvent::ClientDisconnected]].concat());
-        let never = ended(AttemptOutcome::NeverSent, None, true);
+fn an_unwritten_attempt_is_withdrawn_when_its_client_disconnects() {
+    for before in [&SENT[..1], &SENT[..2]] {
+        let (mut lifecycle, actions) = run(&[before, &[LifecycleEvent::ClientDisconnected]].concat());
         assert_eq!(
-            out,
+            actions,
             [
                 LifecycleAction::CloseBackendConnection,
                 LifecycleAction::DiscardResponse,
-                never,
+                attempt_ended(AttemptOutcome::NeverSent, None, true),
                 LifecycleAction::ClientDisconnected,
                 LifecycleAction::Finished
             ]
         );
-        let mut more = Vec::new();
-        [LifecycleEvent::Connected, LifecycleEvent::BytesWritten, LifecycleEvent::ConnectionLost]
-            .iter()
-            .for_each(|i| exchange.handle(*i, &mut more));
-        assert!(more.is_empty());
+        let mut actions_after_end = Vec::new();
+        for event in [LifecycleEvent::Connected, LifecycleEvent::BytesWritten, LifecycleEvent::ConnectionLost]
+        {
+            lifecycle.handle(event, &mut actions_after_end);
+        }
+        assert!(actions_after_end.is_empty());
     }
 }
 
 #[test]
-fn time_up_while_held_is_failed_by_the_net() {
-    let out = run(&[LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed]).1;
+fn a_request_queued_beyond_its_deadline_fails() {
+    let actions = run(&[LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed]).1;
     assert_eq!(
-        out,
+        actions,
         [
             LifecycleAction::ClientDisconnected,
-            LifecycleAction::Respond(FinalResponse::Failed(FailureReason::DeadlineExpired)),
+            failed(FailureReason::DeadlineExpired),
             LifecycleAction::Finished
         ]
     );
 }
 
-/// Any order of inputs: at most one final answer, nothing sent after it, each attempt ended once.
+/// A linear congruential generator: the same events in every run.
+struct RandomDraws {
+    state: u64,
+}
+
+impl RandomDraws {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.state =
+            self.state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.state >> 33) % bound
+    }
+}
+
+/// An event that a host may report now; an attempt starts, and the decisions end the request, only while none is in
+/// flight.
+fn random_event(draws: &mut RandomDraws, without_attempt: bool) -> LifecycleEvent {
+    match draws.below(12) {
+        0 | 1 if without_attempt => LifecycleEvent::AttemptStarted,
+        2 => LifecycleEvent::Connected,
+        3 => LifecycleEvent::BytesWritten,
+        4 => LifecycleEvent::ResponseHead { status: [200, 429, 500][draws.below(3) as usize] },
+        5 => LifecycleEvent::ResponseData { bytes: draws.below(200) as usize },
+        6 => LifecycleEvent::ResponseEnd { complete: draws.below(2) == 0, units: 1.0 },
+        7 => LifecycleEvent::ConnectionLost,
+        8 => LifecycleEvent::DeadlineExpired,
+        9 => LifecycleEvent::ClientDisconnected,
+        10 if without_attempt => {
+            LifecycleEvent::Rejected { retry_after: 1.0, reason: RejectReason::QuotaExceeded }
+        }
+        11 if without_attempt => LifecycleEvent::Failed,
+        _ => LifecycleEvent::InvalidResponse,
+    }
+}
+
+fn is_final_response(action: &LifecycleAction) -> bool {
+    matches!(
+        action,
+        LifecycleAction::Respond(_) | LifecycleAction::EndResponse | LifecycleAction::ResetClient
+    )
+}
+
+fn assert_invariants(actions: &[LifecycleAction], attempts_started: usize) {
+    let count =
+        |matches: &dyn Fn(&LifecycleAction) -> bool| actions.iter().filter(|action| matches(action)).count();
+    assert!(count(&is_final_response) <= 1, "{actions:?}");
+    assert!(count(&|action| matches!(action, LifecycleAction::Finished)) <= 1, "{actions:?}");
+    let attempts_ended = count(&|action| matches!(action, LifecycleAction::AttemptEnded { .. }));
+    assert_eq!(attempts_ended, attempts_started, "{actions:?}");
+    let final_response_at = actions.iter().position(is_final_response);
+    let after_final_response = &actions[final_response_at.map_or(actions.len(), |index| index + 1)..];
+    assert!(!after_final_response.contains(&LifecycleAction::ForwardResponse), "{actions:?}");
+}
+
 #[test]
-fn any_order_keeps_the_rules() {
-    let mut seed = 7u64;
-    let mut chance = |n: u64| {
-        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (seed >> 33) % n
-    };
+fn any_order_of_events_has_at_most_one_final_response_and_ends_each_attempt_once() {
+    let mut draws = RandomDraws { state: 7 };
     for _ in 0..20_000 {
-        let (mut exchange, mut out, mut sent) = (RequestLifecycle::new(100), Vec::new(), 0);
+        let mut lifecycle = RequestLifecycle::new(BUFFER_LIMIT);
+        let mut actions = Vec::new();
+        let mut attempts_started = 0;
         for _ in 0..12 {
-            let open = exchange.awaits_response() && !exchange.has_attempt();
-            let input = match chance(12) {
-                0 | 1 if open => {
-                    sent += 1;
-                    LifecycleEvent::AttemptStarted
-                }
-                2 => LifecycleEvent::Connected,
-                3 => LifecycleEvent::BytesWritten,
-                4 => LifecycleEvent::ResponseHead { status: [200, 429, 500][chance(3) as usize] },
-                5 => LifecycleEvent::ResponseData { bytes: chance(200) as usize },
-                6 => LifecycleEvent::ResponseEnd { complete: chance(2) == 0, units: 1.0 },
-                7 => LifecycleEvent::ConnectionLost,
-                8 => LifecycleEvent::DeadlineExpired,
-                9 => LifecycleEvent::ClientDisconnected,
-                10 if open => {
-                    LifecycleEvent::Rejected { retry_after: 1.0, reason: RejectReason::QuotaExceeded }
-                }
-                11 if open => LifecycleEvent::Failed,
-                _ => LifecycleEvent::InvalidResponse,
-            };
-            exchange.handle(input, &mut out);
+            let without_attempt = lifecycle.awaits_response() && !lifecycle.has_attempt();
+            let event = random_event(&mut draws, without_attempt);
+            attempts_started += usize::from(event == LifecycleEvent::AttemptStarted);
+            lifecycle.handle(event, &mut actions);
         }
-        if exchange.has_attempt() {
-            exchange.handle(LifecycleEvent::DeadlineExpired, &mut out);
+        if lifecycle.has_attempt() {
+            lifecycle.handle(LifecycleEvent::DeadlineExpired, &mut actions);
         }
-        let count = |f: &dyn Fn(&LifecycleAction) -> bool| out.iter().filter(|o| f(o)).count();
-        let finals = count(&|o| {
-            matches!(
-                o,
-                LifecycleAction::Respond(_) | LifecycleAction::EndResponse | LifecycleAction::ResetClient
-            )
-        });
-        assert!(finals <= 1, "{out:?}");
-        assert!(count(&|o| matches!(o, LifecycleAction::Finished)) <= 1, "{out:?}");
-        assert_eq!(count(&|o| matches!(o, LifecycleAction::AttemptEnded { .. })), sent, "{out:?}");
-        let end = out.iter().position(|o| {
-            matches!(
-                o,
-                LifecycleAction::Respond(_) | LifecycleAction::EndResponse | LifecycleAction::ResetClient
-            )
-        });
-        let after = &out[end.map_or(out.len(), |e| e + 1)..];
-        assert!(!after.contains(&LifecycleAction::ForwardResponse), "{out:?}");
+        assert_invariants(&actions, attempts_started);
     }
 }
