--- a/crates/request-lifecycle/tests/lifecycle.rs
+++ b/crates/request-lifecycle/tests/lifecycle.rs
@@ -82,6 +82,13 @@
     }
 }
 
+#[test]
+fn a_request_that_fails_while_its_response_is_forwarded_is_reset() {
+    let data = LifecycleEvent::ResponseData { bytes: 101 };
+    let actions = actions_after_sent(&[STATUS_200, data, LifecycleEvent::Failed]);
+    assert_eq!(actions, [LifecycleAction::ForwardResponse, LifecycleAction::ResetClient]);
+}
+
 #[test]
 fn an_attempt_counts_as_not_executed_only_before_its_first_byte() {
     let lost = |before: &[LifecycleEvent]| actions_after(before, LifecycleEvent::ConnectionLost)[1];
