--- /dev/null
+++ b/crates/discovery/src/readiness.rs
@@ -0,0 +1,33 @@
+//! When a gateway that has just started may take requests.
+
+use doorcourse::Millis;
+
+/// How long after its start a gateway waits for an endpoint list. After that it serves with the list of its earlier
+/// process, so that a fleet whose discovery is down still comes up.
+const ENDPOINT_LIST_TIMEOUT: Millis = 1000.0;
+
+/// Whether a gateway that has just started is ready to take requests.
+#[derive(Clone, Copy, Debug)]
+pub struct Readiness {
+    started_at: Millis,
+    list_received: bool,
+}
+
+impl Readiness {
+    /// The state of a gateway that starts at `now` and has no endpoint list yet.
+    #[must_use]
+    pub fn new(now: Millis) -> Self {
+        Self { started_at: now, list_received: false }
+    }
+
+    /// Records that the source has sent an endpoint list.
+    pub fn list_received(&mut self) {
+        self.list_received = true;
+    }
+
+    /// Whether the gateway takes requests at `now`: with a list, or one second after its start without one.
+    #[must_use]
+    pub fn is_ready(&self, now: Millis) -> bool {
+        self.list_received || now >= self.started_at + ENDPOINT_LIST_TIMEOUT
+    }
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/action.rs
@@ -0,0 +1,58 @@
+//! What the host carries out for the lifecycle of a request.
+
+use doorcourse::{AttemptOutcome, RejectReason};
+
+/// Something that the host carries out at once, in the order of the actions.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LifecycleAction {
+    /// Report the end of the attempt to the decision library.
+    AttemptEnded {
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// The true cost in units, where a served response names it.
+        true_units: Option<f64>,
+        /// Whether the client has had its final response, or is gone.
+        final_response_sent: bool,
+    },
+    /// Report to the decision library that the client no longer waits.
+    ClientDisconnected,
+    /// Send the client this final response.
+    Respond(FinalResponse),
+    /// Forward what is buffered of the backend's response to the client, and what follows as it arrives.
+    ForwardResponse,
+    /// The forwarded response is at its end.
+    EndResponse,
+    /// Discard what is buffered of the backend's response.
+    DiscardResponse,
+    /// Reset the client's connection, so that it cannot take the part that it has for the complete response.
+    ResetClient,
+    /// Close the attempt's connection: nothing that still arrives on it is of use.
+    CloseBackendConnection,
+    /// The request has ended: remove its state.
+    Finished,
+}
+
+/// A final response made by the gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum FinalResponse {
+    /// The request was rejected: it was not executed, and a retry is harmless.
+    Rejected {
+        /// After how many ms the client may retry.
+        retry_after: f64,
+        /// Why.
+        reason: RejectReason,
+    },
+    /// The request failed; it may have been executed.
+    Failed(FailureReason),
+}
+
+/// Why a request failed, as far as the wire shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FailureReason {
+    /// No response arrived before the deadline.
+    DeadlineExpired,
+    /// A backend broke off or responded with an error.
+    BackendFailed,
+    /// No backend accepted the request: it was not executed.
+    NoBackendReached,
+}
--- /dev/null
+++ b/crates/request-lifecycle/src/event.rs
@@ -0,0 +1,71 @@
+//! What the host reports to the lifecycle of a request.
+
+use doorcourse::RejectReason;
+
+/// Something that happened to a request, in the order in which it happened.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LifecycleEvent {
+    /// The decision library sent an attempt to a backend. No other attempt of the request is in flight.
+    AttemptStarted,
+    /// The attempt has a connection.
+    Connected,
+    /// The operating system accepted bytes of the request for sending.
+    BytesWritten,
+    /// The response head arrived.
+    ResponseHead {
+        /// The HTTP status.
+        status: u16,
+    },
+    /// A part of the response body arrived.
+    ResponseData {
+        /// Its length.
+        bytes: usize,
+    },
+    /// The response body ended.
+    ResponseEnd {
+        /// Whether it is a complete GraphQL response.
+        complete: bool,
+        /// The cost of the operation by the data of the response, in units.
+        units: f64,
+    },
+    /// The complete response arrived, in a protocol where none of it is forwarded before its end.
+    ResponseReceived {
+        /// What it says.
+        reply: BackendReply,
+        /// The cost in units, where the response names it.
+        units: Option<f64>,
+    },
+    /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, if no byte was
+    /// written yet.
+    Withdrawn,
+    /// The attempt's connection was lost or could not be made.
+    ConnectionLost,
+    /// The response violates a limit or the protocol.
+    InvalidResponse,
+    /// The decision library cancels the attempt.
+    Cancelled,
+    /// The deadline of the attempt, or of the request without an attempt, expired.
+    DeadlineExpired,
+    /// The client closed its connection.
+    ClientDisconnected,
+    /// The decision library rejects the request.
+    Rejected {
+        /// After how many ms the client may retry.
+        retry_after: f64,
+        /// Why.
+        reason: RejectReason,
+    },
+    /// The decision library fails the request.
+    Failed,
+}
+
+/// What a backend's complete response says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BackendReply {
+    /// The value of the request.
+    Value,
+    /// An error; the request may have been executed.
+    Failed,
+    /// The backend rejected the request before any work.
+    Rejected,
+}
