--- /dev/null
+++ b/src/admission/open_cap.rs
@@ -0,0 +1,14 @@
+//! The limit on a customer's requests in flight.
+
+use crate::*;
+
+impl Gateway {
+    /// The open cap, shared evenly: the gateways first in the customer's set take what does not divide.
+    pub(crate) fn open_allowed(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(customer) = self.customers.get(&request.customer) else { return true };
+        let cap = self.settings.plans[request.plan].max_in_flight;
+        let (spread, place) = (customer.spread as u32, customer.place);
+        cap == 0 || customer.open < (cap / spread + u32::from(place < cap % spread)).max(1)
+    }
+}
--- /dev/null
+++ b/src/admission/queue.rs
@@ -0,0 +1,61 @@
+//! The queue of requests that wait for a backend.
+
+use crate::state::{Request, Stage};
+use crate::*;
+
+/// A request is held (for its open cap, for a backend with room) at most this share of its aim.
+pub(crate) const HOLD_SHARE: f64 = 0.3;
+
+impl Gateway {
+    pub(crate) fn hold(&mut self, id: RequestId, stage: Stage, until: Millis, out: &mut Vec<Action>) {
+        let Some(last) = self.requests.get(&id).map(|r| self.send_by(r)) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.stage = stage;
+        request.hold_until = until.min(last);
+        let after = (request.hold_until - self.now).max(0.0);
+        out.push(Action::SetTimer { after, token: id * 2 });
+    }
+
+    /// Sends a request on, or has it wait in line: those worth more first. Refuses early in overload: a line
+    /// longer than what is out would not be served in time.
+    pub(crate) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.stage = Stage::Queue;
+        let (fresh, class, blind) = (request.attempts == 0, request.class, request.blind);
+        if fresh && !self.taken(class, blind) {
+            return self.give_up(id, out);
+        }
+        if self.dispatch(id, out) {
+            return;
+        }
+        let Some(request) = self.requests.get(&id) else { return };
+        let hold = self.settings.classes[request.class].latency_objective * HOLD_SHARE;
+        let until = if fresh { request.arrived } else { self.now } + hold;
+        if until <= self.now || fresh && self.queue.len() as f64 >= self.room().max(1.0) {
+            return self.give_up(id, out);
+        }
+        let worth = |r: &Request| self.settings.classes[r.class].priority_weight;
+        let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
+        let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
+        self.queue.insert(at, id);
+        self.hold(id, Stage::Queue, until, out);
+    }
+
+    pub(crate) fn drain_queue(&mut self, out: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.queue) {
+            if self.requests.get(&id).is_some_and(|r| r.stage == Stage::Queue) && !self.dispatch(id, out) {
+                self.queue.push_back(id);
+            }
+        }
+    }
+
+    pub(crate) fn on_hold_over(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let over = self.now + 1e-6 >= request.hold_until;
+        match request.stage {
+            Stage::Queue if over => self.give_up(id, out),
+            Stage::Block if over => self.by_slice(id, out),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/mod.rs
@@ -0,0 +1,2 @@
+pub(crate) mod endpoints;
+pub(crate) mod select;
--- /dev/null
+++ b/src/balancer/select.rs
@@ -0,0 +1,75 @@
+//! The choice of a backend.
+
+use crate::health::slow_start::COLD_MULTIPLE;
+use crate::random::unit;
+use crate::routes::Fit;
+use crate::state::{Backend, Stage};
+use crate::*;
+
+/// A backend in another zone looks this much slower for each point of price: prices are small, so is this.
+pub(crate) const ZONE_BIAS: f64 = 5.0;
+/// Among many gateways, backends that are not of this one's own (`Routes::own`) look this much further.
+pub(crate) const STRANGE: f64 = 100.0;
+
+impl Gateway {
+    pub(crate) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let left = self.send_by(request) - self.now;
+        let in_time = request.attempts == 0 || left > 0.0;
+        let chosen = if in_time && self.open_allowed(id) { self.pick(id) } else { None };
+        let Some(name) = chosen else { return false };
+        let (request, backend) = (self.requests.get_mut(&id), self.backends.get_mut(&name));
+        let (Some(request), Some(backend)) = (request, backend) else { return false };
+        backend.out += 1;
+        if let Some(customer) = self.customers.get_mut(&request.customer) {
+            customer.open += 1;
+        }
+        (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
+        let keyed = self.settings.classes[request.class].idempotency == Idempotency::WithKey;
+        let window = (keyed && request.may_have_run.is_some()).then_some(left);
+        out.push(Action::SendAttempt { id, backend: name, timeout: None, must_be_written_within: window });
+        true
+    }
+
+    /// The backend that should answer first: the one with the fewest requests of this gateway, near if equal.
+    pub(crate) fn pick(&mut self, id: RequestId) -> Option<Name> {
+        let request = self.requests.get(&id)?;
+        let class = &self.settings.classes[request.class];
+        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
+        let home = tied.and_then(|(_, home)| self.backends.get(home));
+        let out: f64 = self.backends.values().map(|b| f64::from(b.out)).sum();
+        if out >= self.room().max(1.0) {
+            return None;
+        }
+        let salt = self.random;
+        let far = 1.0 + self.settings.cross_zone_price * ZONE_BIAS;
+        let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
+        for backend in self.backends.values() {
+            let (group, zone, cell, seat) =
+                (class.deduplication_scope, &backend.zone, backend.cell, backend.seat);
+            let same = |h: &Backend| {
+                if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
+            };
+            let luck = unit(salt ^ self.routes.hash_of(seat));
+            let warmth = backend.warmth(self.now, &self.settings);
+            // The cold budget: by chance its share of its part of the sends, from the first ms. Guards cold
+            // backends with no agreement and no warm backend.
+            let cold = warmth < 1.0 && luck * self.routes.parts(seat) >= warmth * cold_share;
+            let fit = match () {
+                () if !backend.ready || self.now < backend.eject_until => Fit::Down,
+                () if group != DeduplicationScope::All && !home.is_none_or(same) => Fit::Barred,
+                () if f64::from(backend.out) >= backend.room.ceil() => Fit::Full,
+                () if cold => Fit::Cold,
+                () => Fit::Free,
+            };
+            // Among many, a draw by weight: no two gateways follow the same order.
+            let draw = if many { -luck.max(1e-12).ln() } else { 1.0 + 0.1 * luck };
+            let far = if *zone == self.settings.zone { 1.0 } else { far };
+            let far = if self.routes.own(seat) || !many { far } else { far * STRANGE };
+            self.routes.offer(seat, fit, warmth >= 1.0, far, draw, (backend.out, backend.room));
+        }
+        let chosen = self.routes.choose(&request.bound);
+        self.chance();
+        chosen
+    }
+}
--- /dev/null
+++ b/src/counter/mod.rs
@@ -0,0 +1,2 @@
+pub(crate) mod calls;
+pub(crate) mod results;
--- /dev/null
+++ b/src/drain.rs
@@ -0,0 +1,20 @@
+//! Shutdown of the process.
+
+use crate::*;
+
+impl Gateway {
+    /// Blocks in hand go back at once, so that the others can use them; what still comes is paid singly.
+    pub(crate) fn on_leaving(&mut self, out: &mut Vec<Action>) {
+        self.leaving = true;
+        let names: Vec<Name> = self.customers.keys().cloned().collect();
+        for name in names {
+            let Some(customer) = self.customers.get_mut(&name) else { continue };
+            customer.roll(self.now, &self.settings.plans[customer.plan]);
+            let lease = std::mem::take(&mut customer.lease);
+            (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+            if customer.owed.abs() > 1e-6 {
+                self.ask(&name, out);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway.rs
@@ -0,0 +1,129 @@
+//! The gateway: takes one event, hands it to the module that owns it, collects the actions.
+
+use crate::check::check;
+use crate::counter::results::SILENT_AFTER;
+use crate::maintenance::{SWEEP, SWEEP_TOKEN};
+use crate::random::mix;
+use crate::routes::Routes;
+use crate::state::{Backend, Customer, Request};
+use crate::*;
+use std::collections::{BTreeMap, VecDeque};
+
+/// One gateway: build it from settings and a seed, then feed it events.
+#[derive(Default)]
+pub struct Gateway {
+    pub(crate) settings: Settings,
+    pub(crate) random: u64,
+    pub(crate) now: Millis,
+    pub(crate) backends: BTreeMap<Name, Backend>,
+    pub(crate) routes: Routes,
+    pub(crate) customers: BTreeMap<Name, Customer>,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
+    pub(crate) queue: VecDeque<RequestId>,
+    pub(crate) calls: BTreeMap<u64, Name>,
+    /// Calls without an answer in time, oldest first: count, customer, window, block, what was owed.
+    pub(crate) given_up: VecDeque<(u64, Name, u64, f64, f64)>,
+    /// The share of the calls wanted that the counter can bear, by how fast it answers.
+    pub(crate) ease: f64,
+    /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
+    pub(crate) plan_odds: Vec<[f64; 2]>,
+    /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
+    pub(crate) told: BTreeMap<u64, (f64, Millis)>,
+    pub(crate) silences: u32,
+    /// The last silence: since when, and until when.
+    pub(crate) silence: (Millis, Millis),
+    pub(crate) counter_heard: Millis,
+    pub(crate) told_silent: bool,
+    pub(crate) class_latency: Vec<f64>,
+    pub(crate) late: f64,
+    pub(crate) sweeping: bool,
+    pub(crate) leaving: bool,
+}
+
+impl Gateway {
+    /// A gateway that knows its settings and nothing else.
+    ///
+    /// # Errors
+    /// When the settings cannot be used.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        check(&settings)?;
+        let class_latency = vec![0.0; settings.classes.len()];
+        let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
+        let random = mix(seed | 1);
+        let mut new = Self { settings, random, ease: 1.0, plan_odds, class_latency, ..Self::default() };
+        new.routes.configure(&new.settings, new.many(), random);
+        Ok(new)
+    }
+
+    /// Takes one event at a time and appends what the host is to do.
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        if !std::mem::replace(&mut self.sweeping, true) {
+            out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+            if self.settings.watch_on_request {
+                out.push(Action::WatchBackends);
+            }
+        }
+        match event {
+            Event::SettingsChanged(settings) => self.on_settings(*settings, out),
+            Event::StateRestored(views) => self.on_remembered(views),
+            Event::ShutdownStarted => self.on_leaving(out),
+            Event::BackendList(list) => self.on_list(list, true, out),
+            Event::BackendChanges(list) => self.on_list(list, false, out),
+            Event::BackendListFailed => out.push(Action::WatchBackends),
+            Event::RequestReceived(arrival) => self.on_request(arrival, out),
+            Event::AttemptEnded(end) => {
+                self.on_backend(&end, out);
+                self.on_attempt(end, out);
+                self.drain_queue(out);
+            }
+            Event::ClientDisconnected { id } => self.forget(id),
+            Event::TimerExpired { token: SWEEP_TOKEN } => self.on_sweep(out),
+            Event::TimerExpired { token } => self.on_hold_over(token / 2, out),
+            Event::CounterCallEnded { counter: name, outcome, latency } => {
+                self.on_counted(name, outcome, latency, out)
+            }
+            Event::GossipReceived { bytes, .. } => self.on_told(&bytes),
+            Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
+        }
+    }
+
+    /// Whether the counter counts as silent.
+    pub fn is_counter_silent(&self) -> bool {
+        let gap = self.now - self.counter_heard;
+        !self.settings.has_counter || self.silences > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
+    }
+
+    /// What is held of each customer, for people.
+    pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
+        self.customers.iter().map(|(name, c)| {
+            let (name, plan) = (name.clone(), self.settings.plans[c.plan].name.clone());
+            let (lease, store, owed, waiting) = (c.lease, c.store, c.owed, c.waiting.len());
+            CustomerStatus {
+                name,
+                plan,
+                leased_units: lease,
+                available_units: store,
+                unreported_units: owed,
+                waiting,
+                in_flight: c.open,
+            }
+        })
+    }
+
+    /// What is known of each backend, for people and for a file that outlives the process.
+    pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
+        self.backends.iter().map(|(name, b)| {
+            let (name, ready, out, room, started) = (name.clone(), b.ready, b.out, b.room, b.started);
+            BackendStatus {
+                name,
+                ready,
+                in_flight: out,
+                concurrency_limit: room,
+                started,
+                consecutive_failures: b.failures,
+                ejected_until: b.eject_until,
+            }
+        })
+    }
+}
--- /dev/null
+++ b/src/health/outlier.rs
@@ -0,0 +1,67 @@
+//! Backends that fail.
+
+use crate::admission::shedding::LATE_WEIGHT;
+use crate::health::concurrency_limit::ROOM_SHARE;
+use crate::state::Backend;
+use crate::*;
+
+/// A failure is a late answer if it took this many times the usual latency.
+pub(crate) const LATE_LATENCIES: f64 = 4.0;
+/// Weight of the newest latency in the usual latency of its class.
+pub(crate) const USUAL_WEIGHT: f64 = 0.02;
+/// A backend that failed is tried again after this share of the cold time for each failure in a row ...
+pub(crate) const EJECT_SHARE: f64 = 0.02;
+/// ... and the log tells of it at this many.
+pub(crate) const EJECT_TOLD: u32 = 2;
+
+impl Backend {
+    /// Guards against dead and stalled backends, which show in outcomes long before the list does: nothing
+    /// is sent for as long again as the failure took, where calling off stops no work what was given
+    /// up still has to be worked through, and longer with each failure in a row. A connection that breaks
+    /// alone says little of its backend: one that died breaks or refuses the next as well.
+    pub(crate) fn failed(&mut self, now: Millis, latency: Millis, broke: bool, settings: &Settings) -> bool {
+        self.failures += 1;
+        let share = EJECT_SHARE * f64::from(self.failures);
+        if !broke || self.failures >= EJECT_TOLD {
+            self.eject_until = now + latency.max(settings.slow_start_duration * share);
+        }
+        self.failures == EJECT_TOLD
+    }
+}
+
+impl Gateway {
+    pub(crate) fn on_backend(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+        let (now, name, latency) = (self.now, &end.backend, end.latency);
+        let Some(backend) = self.backends.get_mut(name) else { return };
+        backend.out = backend.out.saturating_sub(1);
+        let class = self.requests.get(&end.id).map_or(0, |r| r.class);
+        let usual = &mut self.class_latency[class];
+        let late = match end.outcome {
+            AttemptOutcome::Served => {
+                if backend.failures >= EJECT_TOLD {
+                    out.push(Action::Log(format!("backend {name} back: it answers again")));
+                }
+                (backend.failures, backend.error) = (0, None);
+                *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
+                latency > self.settings.classes[class].latency_objective * ROOM_SHARE
+            }
+            AttemptOutcome::NeverSent => return,
+            // Guards against one that fails at once and so draws more. One class alone may fail anywhere.
+            AttemptOutcome::Error if backend.error.replace(class).is_none_or(|c| c == class) => return,
+            AttemptOutcome::Error => false,
+            AttemptOutcome::Rejected => true,
+            // A client with little time left proves nothing of the fleet.
+            _ => latency > *usual * LATE_LATENCIES,
+        };
+        backend.note_latency(late);
+        self.late += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late);
+        let (lost, broke) =
+            (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::ConnectionLost);
+        if lost && backend.failed(now, latency, broke, &self.settings) {
+            out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
+        }
+        if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
+            backend.refused = Some(backend.eject_until);
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,12 +84,24 @@
 #![warn(missing_docs)]
 
 mod action;
+mod admission;
+mod balancer;
 mod check;
+mod counter;
+mod drain;
 mod event;
-mod logic;
-mod mix;
+mod gateway;
+mod gossip;
+mod health;
+mod maintenance;
+mod quota;
+mod random;
+mod request;
+mod restore;
+mod retry;
 mod routes;
 mod settings;
+mod settings_change;
 mod state;
 mod status;
 mod types;
@@ -99,7 +111,7 @@
     AttemptEnd, AttemptOutcome, BackendEntry, BackendRole, BackendState, CounterOutcome, Event,
     IncomingRequest, LoadReport, Placement,
 };
-pub use logic::Gateway;
+pub use gateway::Gateway;
 pub use settings::{
     DeduplicationScope, Idempotency, LoadBalancing, LoadReportSource, Plan, RequestClass, Routing, Settings,
     SettingsError,
--- /dev/null
+++ b/src/maintenance.rs
@@ -0,0 +1,51 @@
+//! The periodic tick.
+
+use crate::quota::lease::{BLOCK_SHARE, NEAR_SHARE};
+use crate::state::{Backend, Customer};
+use crate::*;
+
+/// A customer idle for this many turns has a full store again: it and its count are forgotten, which loses
+/// nothing and bounds the memory when many are seen once.
+pub(crate) const IDLE_TURNS: f64 = 2.0;
+/// No count and no word of a customer is kept for more than this many ms.
+pub(crate) const KEEP_MOST: Millis = 60_000.0;
+/// Time between housekeeping rounds, in ms: short beside any aim.
+pub(crate) const SWEEP: Millis = 25.0;
+pub(crate) const SWEEP_TOKEN: u64 = 1;
+
+impl Gateway {
+    pub(crate) fn on_sweep(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+        let now = self.now;
+        let mut asking = Vec::new();
+        let plans = &self.settings.plans;
+        self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
+        // A backend that is gone still tells the cell of requests that may have run there, while any lives.
+        let (routes, left) = (&mut self.routes, |b: &Backend| b.gone.is_some_and(|at| now - at > KEEP_MOST));
+        let mut forget = |b: &Backend| b.out == 0 && left(b) && (routes.leave(b.seat), true).1;
+        self.backends.retain(|_, backend| !forget(backend));
+        self.customers.retain(|name, customer| {
+            let plan = &plans[customer.plan];
+            let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
+            customer.roll(now, plan);
+            let scarce = customer.store < plan.burst * NEAR_SHARE;
+            if scarce && idle > turn * BLOCK_SHARE && customer.lease >= 1.0 || self.leaving {
+                let lease = std::mem::take(&mut customer.lease);
+                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+            }
+            let least = if self.leaving { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
+            let owes = !customer.thin(plan) && customer.owed.abs() >= least;
+            if customer.call.is_none() && (owes || !customer.waiting.is_empty()) {
+                asking.push(name.clone());
+            }
+            let busy = customer.call.is_some() || customer.open > 0 || !customer.waiting.is_empty();
+            busy || idle < turn * IDLE_TURNS
+        });
+        if !self.is_counter_silent() {
+            for name in asking {
+                self.ask(&name, out);
+            }
+        }
+        self.drain_queue(out);
+    }
+}
--- /dev/null
+++ b/src/quota/fallback.rs
@@ -0,0 +1,38 @@
+//! The quota while the counter does not answer.
+
+use crate::state::Customer;
+use crate::*;
+
+impl Customer {
+    /// Spends from the even slice, which starts from the store as last known: the silence rule.
+    pub(crate) fn spend_slice(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
+        let (held, at) = self.slice.unwrap_or((self.store.max(0.0) / self.spread, now));
+        let filled = held + plan.rate * (now - at) / 1000.0 / self.spread;
+        let held = filled.min((plan.burst / self.spread).max(units));
+        let fits = held >= units;
+        let used = if fits { units } else { 0.0 };
+        self.slice = Some((held - used, now));
+        (self.owed, self.store) = (self.owed + used, self.store - used);
+        fits
+    }
+}
+
+impl Gateway {
+    /// The silence rule for one request: the even slice or refusal.
+    pub(crate) fn by_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        let plan = &self.settings.plans[request.plan];
+        customer.waiting.retain(|w| *w != id);
+        if customer.thin(plan) {
+            return self.by_odds(id, out);
+        }
+        customer.roll(self.now, plan);
+        if customer.spend_slice(request.units, self.now, plan) {
+            return self.place(id, out);
+        }
+        let short = request.units - customer.slice.map_or(0.0, |s| s.0);
+        let rate = plan.rate / customer.spread;
+        self.over_quota(id, short, rate, out);
+    }
+}
--- /dev/null
+++ b/src/request.rs
@@ -0,0 +1,85 @@
+//! A request's arrival and its final response.
+
+use crate::random::hash;
+use crate::state::{Customer, Request, Stage};
+use crate::*;
+
+/// Demand is smoothed over this share of a turn.
+pub(crate) const DEMAND_SHARE: f64 = 0.5;
+
+impl Gateway {
+    pub(crate) fn on_request(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
+        let IncomingRequest { id, customer: name, .. } = arrival;
+        let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
+        let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
+        let (Some(class), Some(plan)) = (class, plan) else {
+            return out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
+        };
+        let now = self.now;
+        let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
+        let (arrived, deadline) = (now, now + arrival.timeout);
+        let (customer, repeat, bound) = (name.clone(), arrival.client_retry, arrival.sticky_route);
+        let rest = Request { arrived, deadline, bound, ..Request::default() };
+        self.requests.insert(id, Request { customer, plan, class, units, repeat, ..rest });
+        let customer = self.customers.entry(name.clone()).or_insert_with(|| {
+            let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
+            Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
+        });
+        if customer.plan != plan {
+            customer.replan(now, &self.settings.plans[customer.plan], &self.settings.plans[plan]);
+            customer.plan = plan;
+        }
+        let gateways = self.settings.gateway_count;
+        let spread = f64::from(arrival.gateway_count.clamp(1, gateways));
+        // More gateways share what is left of the slice; fewer let it grow by the rate alone.
+        let share = if customer.spread > 0.0 { (customer.spread / spread).min(1.0) } else { 1.0 };
+        customer.slice = customer.slice.map(|(held, at)| (held * share, at));
+        customer.spread = spread;
+        customer.place =
+            (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
+        let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
+        customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
+        customer.demand_at = now;
+        if self.admit(id, out) {
+            self.ask(&name, out);
+        }
+    }
+
+    /// The one final answer of a request that gets no further attempt: refused where that is harmless.
+    pub(crate) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let class = &self.settings.classes[request.class];
+        let harmless = request.may_have_run.is_none()
+            || class.idempotency == Idempotency::Idempotent
+            || (class.idempotency == Idempotency::WithKey
+                && class.deduplication_scope == DeduplicationScope::All);
+        if harmless && self.now < request.deadline {
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
+            self.refuse(id, wait, RejectReason::Overloaded, out);
+        } else {
+            self.forget(id);
+            out.push(Action::Fail { id });
+        }
+    }
+
+    pub(crate) fn refuse(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
+        self.forget(id);
+        out.push(Action::Reject {
+            id,
+            retry_after: wait.clamp(0.0, self.settings.max_retry_after),
+            reason: why,
+        });
+    }
+
+    /// Units of a request that was never sent go back to its customer's block.
+    pub(crate) fn forget(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        match request.stage {
+            Stage::Block => customer.waiting.retain(|w| *w != id),
+            Stage::Out => customer.open = customer.open.saturating_sub(1),
+            Stage::Queue if request.attempts == 0 => customer.lease += request.units,
+            Stage::Queue => {}
+        }
+    }
+}
--- a/src/routes.rs
+++ b/src/routes.rs
@@ -4,7 +4,7 @@
 //! Each gateway decides by what it knows itself. With few gateways weights are kept by strides (each backend's
 //! next turn comes `1 / weight` after its last), with many by a draw, since all would follow the same order.
 
-use crate::mix::{hash, mix, unit};
+use crate::random::{hash, mix, unit};
 use crate::*;
 
 /// One of many gateways keeps to about this many backends of its own in each tier: guards against full
--- /dev/null
+++ b/src/settings_change.rs
@@ -0,0 +1,43 @@
+//! Changed settings.
+
+use crate::check::check;
+use crate::state::carry_over;
+use crate::*;
+
+impl Gateway {
+    /// What is out goes on under the class and plan it came with: those that the new settings lack stay
+    /// behind them, without a name to be asked for, as long as something is of them.
+    pub(crate) fn on_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
+        if check(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
+            return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
+        }
+        let old = std::mem::replace(&mut self.settings, settings);
+        let (requests, customers) = (&self.requests, &self.customers);
+        let used = |at| requests.values().any(|r| r.class == at);
+        let classes = carry_over(&old.classes, &mut self.settings.classes, |c| &mut c.name, used);
+        let plans = carry_over(
+            &old.plans,
+            &mut self.settings.plans,
+            |p| &mut p.name,
+            |at| requests.values().any(|r| r.plan == at) || customers.values().any(|c| c.plan == at),
+        );
+        let (mut latency, mut odds) = (vec![0.0; self.settings.classes.len()], Vec::new());
+        odds.resize(self.settings.plans.len(), [1.0, 0.0]);
+        let moved = classes.iter().zip(&self.class_latency).filter_map(|(to, was)| Some(((*to)?, *was)));
+        moved.for_each(|(to, was)| latency[to] = was);
+        let moved = plans.iter().zip(&self.plan_odds).filter_map(|(to, was)| Some(((*to)?, *was)));
+        moved.for_each(|(to, was)| odds[to] = was);
+        (self.class_latency, self.plan_odds) = (latency, odds);
+        for request in self.requests.values_mut() {
+            request.class = classes[request.class].unwrap_or_default();
+            request.plan = plans[request.plan].unwrap_or_default();
+        }
+        self.routes.configure(&self.settings, self.many(), self.random);
+        for customer in self.customers.values_mut() {
+            let to = plans[customer.plan].unwrap_or_default();
+            customer.replan(self.now, &old.plans[customer.plan], &self.settings.plans[to]);
+            customer.plan = to;
+        }
+        out.push(Action::Log("settings changed".into()));
+    }
+}
