--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,6 +1,6 @@
 //! The queue of requests that wait for a backend.
 
-use crate::state::{Request, Stage};
+use crate::request::{Request, Stage};
 use crate::*;
 
 /// A request is held (for its open cap, for a backend with room) at most this share of its aim.
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -1,9 +1,10 @@
 //! The choice of a backend.
 
+use crate::balancer::backend::Backend;
+use crate::balancer::endpoints::{Routes, Seat};
 use crate::health::slow_start::COLD_MULTIPLE;
 use crate::random::unit;
-use crate::routes::Fit;
-use crate::state::{Backend, Stage};
+use crate::request::Stage;
 use crate::*;
 
 /// A backend in another zone looks this much slower for each point of price: prices are small, so is this.
@@ -73,3 +74,81 @@
         chosen
     }
 }
+
+/// Whether a backend could take a request now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
+pub(crate) enum Fit {
+    /// It is out of service: the list says so, or it failed lately.
+    #[default]
+    Down,
+    /// It is cold and its part of the sends is given already.
+    Cold,
+    /// It has no room.
+    Full,
+    /// This request must not go there.
+    Barred,
+    /// It can.
+    Free,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Offer {
+    pub(crate) fit: Fit,
+    pub(crate) warm: bool,
+    pub(crate) score: (f64, f64),
+    pub(crate) far: f64,
+    pub(crate) out: f64,
+    pub(crate) room: f64,
+}
+
+impl Routes {
+    /// Takes what is known of one backend for the request at hand; `draw` is its luck, the lower the better.
+    pub(crate) fn offer(&mut self, at: usize, fit: Fit, warm: bool, far: f64, draw: f64, load: (u32, f64)) {
+        let (out, room) = (f64::from(load.0), load.1);
+        let plain_score = if warm { (1.0 + out) * far * draw } else { 0.0 };
+        if self.plain {
+            if fit == Fit::Free && self.best.is_none_or(|(s, _)| plain_score < s) {
+                self.best = Some((plain_score, at));
+            }
+            return;
+        }
+        let (many, busyness) =
+            (self.many, self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight);
+        let seat = &mut self.seats[at];
+        let time = seat.level.map_or(0.0, |l| self.levels[l].2);
+        let turn = seat.turn.max(time);
+        let score = if !warm {
+            (-1.0, draw)
+        } else if !self.weighted {
+            (plain_score, 0.0)
+        } else if many {
+            ((1.0 + out / seat.relative) * far * draw / seat.pull, 0.0)
+        } else if busyness {
+            (out / seat.relative * far, turn)
+        } else {
+            (turn, draw)
+        };
+        seat.offer = Offer { fit, warm, score, far, out, room };
+    }
+
+    /// The backend that takes the request; none where it has to wait.
+    pub(crate) fn choose(&mut self, bound: &str) -> Option<Name> {
+        let chosen = if self.plain {
+            self.best.take().map(|(_, at)| at)
+        } else {
+            let levels = || (0..self.levels.len()).find_map(|level| self.in_level(level)).flatten();
+            self.follow(bound).unwrap_or_else(levels)
+        }?;
+        self.take(chosen);
+        Some(self.seats[chosen].name.clone())
+    }
+
+    pub(crate) fn lowest<'a>(&self, seats: impl Iterator<Item = (usize, &'a Seat)>) -> Option<usize> {
+        let free = seats.filter(|(_, s)| s.offer.fit == Fit::Free);
+        free.min_by(|a, b| {
+            let (a, b) = (a.1.offer.score, b.1.offer.score);
+            a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
+        })
+        .map(|(at, _)| at)
+    }
+}
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -1,8 +1,8 @@
 //! Calls to the shared counter.
 
 use crate::maintenance::{IDLE_TURNS, KEEP_MOST};
+use crate::quota::customer::Customer;
 use crate::random::mix;
-use crate::state::Customer;
 use crate::*;
 
 /// The most counter calls out at once from one gateway while the counter is at ease.
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,8 +1,8 @@
 //! Results of counter calls.
 
 use crate::counter::calls::{EASE_LEAST, EASE_SHARE, EASE_STEP};
+use crate::quota::customer::Customer;
 use crate::quota::sampled::EASE_MOST;
-use crate::state::Customer;
 use crate::*;
 
 /// The counter counts as silent after this many time-outs without an answer: one call may just be late.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,11 +1,13 @@
 //! The gateway: takes one event, hands it to the module that owns it, collects the actions.
 
+use crate::balancer::backend::Backend;
+use crate::balancer::endpoints::Routes;
 use crate::check::check;
 use crate::counter::results::SILENT_AFTER;
 use crate::maintenance::{SWEEP, SWEEP_TOKEN};
+use crate::quota::customer::Customer;
 use crate::random::mix;
-use crate::routes::Routes;
-use crate::state::{Backend, Customer, Request};
+use crate::request::Request;
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! The limit on requests in flight at one backend.
 
-use crate::state::Backend;
+use crate::balancer::backend::Backend;
 use crate::*;
 
 /// What all gateways together keep out at one backend at first; it then follows the latencies seen.
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -1,8 +1,8 @@
 //! Backends that fail.
 
 use crate::admission::shedding::LATE_WEIGHT;
+use crate::balancer::backend::Backend;
 use crate::health::concurrency_limit::ROOM_SHARE;
-use crate::state::Backend;
 use crate::*;
 
 /// A failure is a late answer if it took this many times the usual latency.
--- a/src/health/slow_start.rs
+++ b/src/health/slow_start.rs
@@ -1,6 +1,6 @@
 //! Backends that have just started.
 
-use crate::state::Backend;
+use crate::balancer::backend::Backend;
 use crate::*;
 
 /// A cold backend gets this part of its capacity's share of an even part of all sends. Warm ones are not sent
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -99,10 +99,8 @@
 mod request;
 mod restore;
 mod retry;
-mod routes;
 mod settings;
 mod settings_change;
-mod state;
 mod status;
 mod types;
 
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,7 +1,8 @@
 //! The periodic tick.
 
+use crate::balancer::backend::Backend;
+use crate::quota::customer::Customer;
 use crate::quota::lease::{BLOCK_SHARE, NEAR_SHARE};
-use crate::state::{Backend, Customer};
 use crate::*;
 
 /// A customer idle for this many turns has a full store again: it and its count are forgotten, which loses
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -1,6 +1,6 @@
 //! The token bucket of a customer, by all totals heard.
 
-use crate::state::Customer;
+use crate::quota::customer::Customer;
 use crate::*;
 
 /// A plan without a rate is remembered as if its quota turned over in this many ms.
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -1,6 +1,6 @@
 //! The quota while the counter does not answer.
 
-use crate::state::Customer;
+use crate::quota::customer::Customer;
 use crate::*;
 
 impl Customer {
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -1,6 +1,7 @@
 //! Quota leases: their size and renewal.
 
-use crate::state::{Customer, Stage};
+use crate::quota::customer::Customer;
+use crate::request::Stage;
 use crate::*;
 
 /// A block holds the demand of this share of a turn; one unused for as long goes back, so that others can use
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,4 +1,5 @@
 pub(crate) mod bucket;
+pub(crate) mod customer;
 pub(crate) mod fallback;
 pub(crate) mod lease;
 pub(crate) mod plan_change;
--- a/src/quota/plan_change.rs
+++ b/src/quota/plan_change.rs
@@ -1,6 +1,6 @@
 //! A customer moves to a plan of other figures.
 
-use crate::state::Customer;
+use crate::quota::customer::Customer;
 use crate::*;
 
 impl Customer {
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -1,8 +1,9 @@
 //! Quotas too small to lease.
 
 use crate::counter::calls::EASE_LEAST;
+use crate::quota::customer::Customer;
 use crate::quota::lease::NEAR_SHARE;
-use crate::state::{Customer, Request};
+use crate::request::Request;
 use crate::*;
 
 /// All first tries of thin customers are asked about at 1, all repeats of clients at this.
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,7 +1,7 @@
 //! A request's arrival and its final response.
 
+use crate::quota::customer::Customer;
 use crate::random::hash;
-use crate::state::{Customer, Request, Stage};
 use crate::*;
 
 /// Demand is smoothed over this share of a turn.
@@ -83,3 +83,32 @@
         }
     }
 }
+
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(crate) enum Stage {
+    #[default]
+    Block,
+    Queue,
+    Out,
+}
+
+#[derive(Default)]
+pub(crate) struct Request {
+    pub customer: Name,
+    pub plan: usize,
+    pub class: usize,
+    pub units: f64,
+    /// What it adds to a thin customer's count: itself and those like it that are not asked about.
+    pub weight: f64,
+    /// Let in without a total of its customer; the client has asked for the same before.
+    pub blind: bool,
+    pub repeat: bool,
+    pub arrived: Millis,
+    pub deadline: Millis,
+    pub hold_until: Millis,
+    pub stage: Stage,
+    pub attempts: u32,
+    pub may_have_run: Option<(Millis, Name)>,
+    pub sent_at: Millis,
+    pub bound: Name,
+}
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,6 +1,6 @@
 //! Which attempt may follow, and until when.
 
-use crate::state::{Request, Stage};
+use crate::request::{Request, Stage};
 use crate::*;
 
 /// An answer must leave this many ticks before the client's patience ends.
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -1,7 +1,6 @@
 //! Changed settings.
 
 use crate::check::check;
-use crate::state::carry_over;
 use crate::*;
 
 impl Gateway {
@@ -41,3 +40,20 @@
         out.push(Action::Log("settings changed".into()));
     }
 }
+
+/// Where each old class or plan is among the new ones, by name; one that is gone and in use goes behind.
+pub(crate) fn carry_over<T: Clone>(
+    old: &[T], new: &mut Vec<T>, name: impl Fn(&mut T) -> &mut Name, used: impl Fn(usize) -> bool,
+) -> Vec<Option<usize>> {
+    let mut place = |(at, item): (usize, &T)| {
+        let mut item = item.clone();
+        let known = new.iter_mut().position(|n| !name(&mut item).is_empty() && *name(n) == *name(&mut item));
+        known.or_else(|| {
+            let kept = used(at);
+            *name(&mut item) = Name::default();
+            kept.then(|| new.push(item))?;
+            Some(new.len() - 1)
+        })
+    };
+    old.iter().enumerate().map(&mut place).collect()
+}
