--- a/src/admission/open_cap.rs
+++ b/src/admission/open_cap.rs
@@ -8,7 +8,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
         let cap = self.settings.plans[request.plan].max_in_flight;
-        let (spread, place) = (customer.spread as u32, customer.place);
-        cap == 0 || customer.open < (cap / spread + u32::from(place < cap % spread)).max(1)
+        let (spread, place) = (customer.gateway_count as u32, customer.gateway_rank);
+        cap == 0 || customer.in_flight < (cap / spread + u32::from(place < cap % spread)).max(1)
     }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -12,22 +12,30 @@
     pub(crate) fn on_list(&mut self, list: Vec<BackendEntry>, full: bool, out: &mut Vec<Action>) {
         if full {
             let now = self.now;
-            self.backends.values_mut().for_each(|b| (b.ready, b.gone) = (false, b.gone.or(Some(now))));
+            self.backends
+                .values_mut()
+                .for_each(|b| (b.ready, b.removed_at) = (false, b.removed_at.or(Some(now))));
             self.routes.clear_list();
         }
         for entry in list {
             let (ready, known) = (entry.state == BackendState::Ready, self.backends.get_mut(&entry.name));
-            let out = known.as_ref().map_or(0, |b| b.out);
+            let out = known.as_ref().map_or(0, |b| b.in_flight);
             let gone = (entry.state == BackendState::Removed).then_some(self.now);
-            let seat = self.routes.seat(known.as_ref().map(|b| b.seat), &entry);
+            let seat = self.routes.seat(known.as_ref().map(|b| b.slot), &entry);
             if let Some(known) = known.filter(|b| b.started == entry.started) {
-                (known.ready, known.gone) = (ready, gone);
+                (known.ready, known.removed_at) = (ready, gone);
                 continue;
             }
             let room = ROOM_FIRST / f64::from(self.settings.gateway_count);
             let BackendEntry { name, zone, cell, started, .. } = entry;
-            let rest = Backend { seat, started, out, room, ..Default::default() };
-            self.backends.insert(name, Backend { zone, cell, ready, gone, ..rest });
+            let rest = Backend {
+                slot: seat,
+                started,
+                in_flight: out,
+                concurrency_limit: room,
+                ..Default::default()
+            };
+            self.backends.insert(name, Backend { zone, cell, ready, removed_at: gone, ..rest });
         }
         self.routes.arrange();
         self.drain_queue(out);
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -21,9 +21,9 @@
         let Some(name) = chosen else { return false };
         let (request, backend) = (self.requests.get_mut(&id), self.backends.get_mut(&name));
         let (Some(request), Some(backend)) = (request, backend) else { return false };
-        backend.out += 1;
+        backend.in_flight += 1;
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.open += 1;
+            customer.in_flight += 1;
         }
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
         let keyed = self.settings.classes[request.class].idempotency == Idempotency::WithKey;
@@ -38,7 +38,7 @@
         let class = &self.settings.classes[request.class];
         let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
-        let out: f64 = self.backends.values().map(|b| f64::from(b.out)).sum();
+        let out: f64 = self.backends.values().map(|b| f64::from(b.in_flight)).sum();
         if out >= self.room().max(1.0) {
             return None;
         }
@@ -47,7 +47,7 @@
         let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
         for backend in self.backends.values() {
             let (group, zone, cell, seat) =
-                (class.deduplication_scope, &backend.zone, backend.cell, backend.seat);
+                (class.deduplication_scope, &backend.zone, backend.cell, backend.slot);
             let same = |h: &Backend| {
                 if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
             };
@@ -57,9 +57,9 @@
             // backends with no agreement and no warm backend.
             let cold = warmth < 1.0 && luck * self.routes.parts(seat) >= warmth * cold_share;
             let fit = match () {
-                () if !backend.ready || self.now < backend.eject_until => Fit::Down,
+                () if !backend.ready || self.now < backend.ejected_until => Fit::Down,
                 () if group != DeduplicationScope::All && !home.is_none_or(same) => Fit::Barred,
-                () if f64::from(backend.out) >= backend.room.ceil() => Fit::Full,
+                () if f64::from(backend.in_flight) >= backend.concurrency_limit.ceil() => Fit::Full,
                 () if cold => Fit::Cold,
                 () => Fit::Free,
             };
@@ -67,7 +67,14 @@
             let draw = if many { -luck.max(1e-12).ln() } else { 1.0 + 0.1 * luck };
             let far = if *zone == self.settings.zone { 1.0 } else { far };
             let far = if self.routes.own(seat) || !many { far } else { far * STRANGE };
-            self.routes.offer(seat, fit, warmth >= 1.0, far, draw, (backend.out, backend.room));
+            self.routes.offer(
+                seat,
+                fit,
+                warmth >= 1.0,
+                far,
+                draw,
+                (backend.in_flight, backend.concurrency_limit),
+            );
         }
         let chosen = self.routes.choose(&request.bound);
         self.chance();
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -26,7 +26,7 @@
             return self.silent(count, &name, outcome == CounterOutcome::Unknown, out);
         };
         self.counter_speaks(out);
-        let call = self.customers.get_mut(&name).and_then(|c| c.call.take());
+        let call = self.customers.get_mut(&name).and_then(|c| c.pending_call.take());
         self.granted(&name, call.unwrap_or_default(), total, out);
     }
 
@@ -42,50 +42,51 @@
     pub(crate) fn granted(&mut self, name: &Name, call: (u64, f64, f64), total: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let (plan, (window, block, owed)) = (&self.settings.plans[customer.plan], call);
+        let (plan, (window, block, owed)) = (&self.settings.plans[customer.plan_index], call);
         if customer.thin(plan) {
             return self.granted_thin(name, total - block - owed, block, out);
         }
         customer.roll(now, plan);
-        let slice = customer.slice.take();
+        let slice = customer.fallback_budget.take();
         // What others used in a silence is told at its end, all at once: their parts of what came in then
         // paid for it, but under a ceiling, which many gateways would pass together.
         let (from, back) = self.silence;
         let pays = now < back + Customer::turn(plan) && plan.ceiling_rate <= 0.0;
-        let part = if pays { 1.0 - 1.0 / customer.spread } else { 0.0 };
-        customer.spilt = customer.spilt.min(plan.rate * (back - from) / 1000.0 * part);
-        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < back {
+        let part = if pays { 1.0 - 1.0 / customer.gateway_count } else { 0.0 };
+        customer.overflow_units = customer.overflow_units.min(plan.rate * (back - from) / 1000.0 * part);
+        if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < back {
             // Guards against a counter that comes back empty: what others spent in the silence is told
             // nowhere. Only the own slice (or an unknown customer's start) is sure to be left.
-            customer.store = customer.store.min(slice.map_or(Customer::start_of(plan), |(held, _)| held));
+            customer.available_units =
+                customer.available_units.min(slice.map_or(Customer::start_of(plan), |(held, _)| held));
         }
-        customer.heard = now;
+        customer.last_total_at = now;
         if window == customer.window {
-            customer.added += block + owed;
-            if !customer.known {
-                customer.store = Customer::start_of(plan) - total;
-                customer.known = true;
-            } else if total + 1e-6 < customer.added {
+            customer.reported_units += block + owed;
+            if !customer.has_total {
+                customer.available_units = Customer::start_of(plan) - total;
+                customer.has_total = true;
+            } else if total + 1e-6 < customer.reported_units {
                 // Guards against an emptied count: what this gateway holds is told again, so that new blocks
                 // do not stack on those still held.
-                customer.owed += customer.added - total;
-                customer.store -= block;
+                customer.unreported_units += customer.reported_units - total;
+                customer.available_units -= block;
             } else {
-                let used = total - customer.seen - owed;
-                let paid = (used - block).clamp(0.0, customer.spilt);
-                customer.spilt -= paid;
-                customer.store = (customer.store - (used - paid)).min(plan.burst);
+                let used = total - customer.last_total - owed;
+                let paid = (used - block).clamp(0.0, customer.overflow_units);
+                customer.overflow_units -= paid;
+                customer.available_units = (customer.available_units - (used - paid)).min(plan.burst);
             }
-            (customer.seen, customer.lease) = (total, customer.lease + block);
-            if customer.store < 0.0 {
-                let back = customer.lease.min((-customer.store).ceil()).min(block);
-                customer.lease -= back;
-                customer.owed -= back;
-                customer.store += back;
+            (customer.last_total, customer.leased_units) = (total, customer.leased_units + block);
+            if customer.available_units < 0.0 {
+                let back = customer.leased_units.min((-customer.available_units).ceil()).min(block);
+                customer.leased_units -= back;
+                customer.unreported_units -= back;
+                customer.available_units += back;
             }
         }
         let waiting = std::mem::take(&mut customer.waiting);
-        let give_back = customer.owed <= -1.0;
+        let give_back = customer.unreported_units <= -1.0;
         let wait = waiting.into_iter().filter(|id| self.admit(*id, out)).count();
         if wait > 0 || give_back {
             self.ask(name, out);
@@ -100,8 +101,8 @@
             out.push(Action::Log("counter silent: spending blocks and even slices".into()));
         }
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let (window, block, owed) = customer.call.take().unwrap_or_default();
-        customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
+        let (window, block, owed) = customer.pending_call.take().unwrap_or_default();
+        customer.unreported_units += if may_have_counted { owed.max(0.0) } else { owed };
         if may_have_counted {
             self.given_up.push_back((count, name.clone(), window, block, owed));
             self.given_up.drain(..self.given_up.len().saturating_sub(LATE_MOST));
@@ -117,23 +118,23 @@
         let Some(at) = self.given_up.iter().position(|call| call.0 == count) else { return };
         let Some((_, name, window, block, owed)) = self.given_up.remove(at) else { return };
         let Some(customer) = self.customers.get_mut(&name) else { return };
-        let plan = &self.settings.plans[customer.plan];
+        let plan = &self.settings.plans[customer.plan_index];
         customer.roll(self.now, plan);
         if !added {
-            customer.owed += owed.min(0.0);
+            customer.unreported_units += owed.min(0.0);
         } else if !customer.thin(plan) {
-            customer.owed -= owed.max(0.0);
-            let fresh = total.filter(|t| window == customer.window && *t >= customer.seen);
+            customer.unreported_units -= owed.max(0.0);
+            let fresh = total.filter(|t| window == customer.window && *t >= customer.last_total);
             if let Some(total) = fresh {
                 self.counter_speaks(out);
                 return self.granted(&name, (window, block, owed), total, out);
             }
-            customer.owed -= block;
+            customer.unreported_units -= block;
             if window == customer.window {
-                customer.seen += block + owed;
-                customer.added += block + owed;
+                customer.last_total += block + owed;
+                customer.reported_units += block + owed;
             } else {
-                customer.store = (customer.store + block + owed.max(0.0)).min(plan.burst);
+                customer.available_units = (customer.available_units + block + owed.max(0.0)).min(plan.burst);
             }
         }
     }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -9,10 +9,11 @@
         let names: Vec<Name> = self.customers.keys().cloned().collect();
         for name in names {
             let Some(customer) = self.customers.get_mut(&name) else { continue };
-            customer.roll(self.now, &self.settings.plans[customer.plan]);
-            let lease = std::mem::take(&mut customer.lease);
-            (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
-            if customer.owed.abs() > 1e-6 {
+            customer.roll(self.now, &self.settings.plans[customer.plan_index]);
+            let lease = std::mem::take(&mut customer.leased_units);
+            (customer.unreported_units, customer.available_units) =
+                (customer.unreported_units - lease, customer.available_units + lease);
+            if customer.unreported_units.abs() > 1e-6 {
                 self.ask(&name, out);
             }
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -99,8 +99,9 @@
     /// What is held of each customer, for people.
     pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
         self.customers.iter().map(|(name, c)| {
-            let (name, plan) = (name.clone(), self.settings.plans[c.plan].name.clone());
-            let (lease, store, owed, waiting) = (c.lease, c.store, c.owed, c.waiting.len());
+            let (name, plan) = (name.clone(), self.settings.plans[c.plan_index].name.clone());
+            let (lease, store, owed, waiting) =
+                (c.leased_units, c.available_units, c.unreported_units, c.waiting.len());
             CustomerStatus {
                 name,
                 plan,
@@ -108,7 +109,7 @@
                 available_units: store,
                 unreported_units: owed,
                 waiting,
-                in_flight: c.open,
+                in_flight: c.in_flight,
             }
         })
     }
@@ -116,15 +117,16 @@
     /// What is known of each backend, for people and for a file that outlives the process.
     pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
         self.backends.iter().map(|(name, b)| {
-            let (name, ready, out, room, started) = (name.clone(), b.ready, b.out, b.room, b.started);
+            let (name, ready, out, room, started) =
+                (name.clone(), b.ready, b.in_flight, b.concurrency_limit, b.started);
             BackendStatus {
                 name,
                 ready,
                 in_flight: out,
                 concurrency_limit: room,
                 started,
-                consecutive_failures: b.failures,
-                ejected_until: b.eject_until,
+                consecutive_failures: b.consecutive_failures,
+                ejected_until: b.ejected_until,
             }
         })
     }
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -18,16 +18,16 @@
     /// Bounds what is out so that most answers keep to their aim: room follows the share of late answers.
     /// Guards against overload of any cause; it needs no figure of the backend's size.
     pub(crate) fn note_latency(&mut self, late: bool) {
-        let used = f64::from(self.out) + 1.0 >= self.room.floor();
+        let used = f64::from(self.in_flight) + 1.0 >= self.concurrency_limit.floor();
         if late || used {
             let step = ROOM_STEP * (ROOM_LATE - f64::from(u8::from(late)));
-            self.room = (self.room * (1.0 + step)).max(ROOM_LEAST);
+            self.concurrency_limit = (self.concurrency_limit * (1.0 + step)).max(ROOM_LEAST);
         }
     }
 }
 
 impl Gateway {
     pub(crate) fn room(&self) -> f64 {
-        self.backends.values().filter(|b| b.ready).map(|b| b.room).sum()
+        self.backends.values().filter(|b| b.ready).map(|b| b.concurrency_limit).sum()
     }
 }
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -20,12 +20,12 @@
     /// up still has to be worked through, and longer with each failure in a row. A connection that breaks
     /// alone says little of its backend: one that died breaks or refuses the next as well.
     pub(crate) fn failed(&mut self, now: Millis, latency: Millis, broke: bool, settings: &Settings) -> bool {
-        self.failures += 1;
-        let share = EJECT_SHARE * f64::from(self.failures);
-        if !broke || self.failures >= EJECT_TOLD {
-            self.eject_until = now + latency.max(settings.slow_start_duration * share);
+        self.consecutive_failures += 1;
+        let share = EJECT_SHARE * f64::from(self.consecutive_failures);
+        if !broke || self.consecutive_failures >= EJECT_TOLD {
+            self.ejected_until = now + latency.max(settings.slow_start_duration * share);
         }
-        self.failures == EJECT_TOLD
+        self.consecutive_failures == EJECT_TOLD
     }
 }
 
@@ -33,21 +33,21 @@
     pub(crate) fn on_backend(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let (now, name, latency) = (self.now, &end.backend, end.latency);
         let Some(backend) = self.backends.get_mut(name) else { return };
-        backend.out = backend.out.saturating_sub(1);
+        backend.in_flight = backend.in_flight.saturating_sub(1);
         let class = self.requests.get(&end.id).map_or(0, |r| r.class);
         let usual = &mut self.class_latency[class];
         let late = match end.outcome {
             AttemptOutcome::Served => {
-                if backend.failures >= EJECT_TOLD {
+                if backend.consecutive_failures >= EJECT_TOLD {
                     out.push(Action::Log(format!("backend {name} back: it answers again")));
                 }
-                (backend.failures, backend.error) = (0, None);
+                (backend.consecutive_failures, backend.error_class) = (0, None);
                 *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
                 latency > self.settings.classes[class].latency_objective * ROOM_SHARE
             }
             AttemptOutcome::NeverSent => return,
             // Guards against one that fails at once and so draws more. One class alone may fail anywhere.
-            AttemptOutcome::Error if backend.error.replace(class).is_none_or(|c| c == class) => return,
+            AttemptOutcome::Error if backend.error_class.replace(class).is_none_or(|c| c == class) => return,
             AttemptOutcome::Error => false,
             AttemptOutcome::Rejected => true,
             // A client with little time left proves nothing of the fleet.
@@ -61,7 +61,7 @@
             out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
         }
         if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
-            backend.refused = Some(backend.eject_until);
+            backend.assumed_start = Some(backend.ejected_until);
         }
     }
 }
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -22,24 +22,27 @@
         let plans = &self.settings.plans;
         self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
         // A backend that is gone still tells the cell of requests that may have run there, while any lives.
-        let (routes, left) = (&mut self.routes, |b: &Backend| b.gone.is_some_and(|at| now - at > KEEP_MOST));
-        let mut forget = |b: &Backend| b.out == 0 && left(b) && (routes.leave(b.seat), true).1;
+        let (routes, left) =
+            (&mut self.routes, |b: &Backend| b.removed_at.is_some_and(|at| now - at > KEEP_MOST));
+        let mut forget = |b: &Backend| b.in_flight == 0 && left(b) && (routes.leave(b.slot), true).1;
         self.backends.retain(|_, backend| !forget(backend));
         self.customers.retain(|name, customer| {
-            let plan = &plans[customer.plan];
+            let plan = &plans[customer.plan_index];
             let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
             customer.roll(now, plan);
-            let scarce = customer.store < plan.burst * NEAR_SHARE;
-            if scarce && idle > turn * BLOCK_SHARE && customer.lease >= 1.0 || self.leaving {
-                let lease = std::mem::take(&mut customer.lease);
-                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+            let scarce = customer.available_units < plan.burst * NEAR_SHARE;
+            if scarce && idle > turn * BLOCK_SHARE && customer.leased_units >= 1.0 || self.leaving {
+                let lease = std::mem::take(&mut customer.leased_units);
+                (customer.unreported_units, customer.available_units) =
+                    (customer.unreported_units - lease, customer.available_units + lease);
             }
             let least = if self.leaving { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.thin(plan) && customer.owed.abs() >= least;
-            if customer.call.is_none() && (owes || !customer.waiting.is_empty()) {
+            let owes = !customer.thin(plan) && customer.unreported_units.abs() >= least;
+            if customer.pending_call.is_none() && (owes || !customer.waiting.is_empty()) {
                 asking.push(name.clone());
             }
-            let busy = customer.call.is_some() || customer.open > 0 || !customer.waiting.is_empty();
+            let busy =
+                customer.pending_call.is_some() || customer.in_flight > 0 || !customer.waiting.is_empty();
             busy || idle < turn * IDLE_TURNS
         });
         if !self.is_counter_silent() {
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -23,20 +23,20 @@
     /// The number of a window and when it began, staggered by hash: customers do not all renew at once.
     pub(crate) fn window_at(&self, now: Millis, plan: &Plan) -> (u64, Millis) {
         let length = Self::turn(plan);
-        let shift = (self.salt % 1024) as f64 / 1024.0 * length;
+        let shift = (self.name_hash % 1024) as f64 / 1024.0 * length;
         let number = ((now + shift) / length).floor();
         (number as u64, number * length - shift)
     }
 
     /// Fills the store and moves to the present window: blocks end with theirs, unused.
     pub(crate) fn roll(&mut self, now: Millis, plan: &Plan) {
-        let filled = self.store + plan.rate * (now - self.store_at) / 1000.0;
-        (self.store, self.store_at) = (filled.min(plan.burst), now);
-        self.spilt += (filled - plan.burst).max(0.0);
+        let filled = self.available_units + plan.rate * (now - self.filled_at) / 1000.0;
+        (self.available_units, self.filled_at) = (filled.min(plan.burst), now);
+        self.overflow_units += (filled - plan.burst).max(0.0);
         let (window, _) = self.window_at(now, plan);
         if window != self.window {
-            self.store = (self.store + self.lease).min(plan.burst);
-            (self.window, self.lease, self.added, self.seen) = (window, 0.0, 0.0, 0.0);
+            self.available_units = (self.available_units + self.leased_units).min(plan.burst);
+            (self.window, self.leased_units, self.reported_units, self.last_total) = (window, 0.0, 0.0, 0.0);
         }
     }
 }
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -6,31 +6,31 @@
 /// One customer as this gateway knows it.
 #[derive(Default)]
 pub(crate) struct Customer {
-    pub plan: usize,
-    pub spread: f64,
-    pub place: u32,
-    pub salt: u64,
+    pub plan_index: usize,
+    pub gateway_count: f64,
+    pub gateway_rank: u32,
+    pub name_hash: u64,
     pub window: u64,
     /// Units of the block in hand; they end with the window.
-    pub lease: f64,
+    pub leased_units: f64,
     /// What this gateway has added to the window's count in all, and the last total heard of it.
-    pub added: f64,
-    pub seen: f64,
+    pub reported_units: f64,
+    pub last_total: f64,
     /// What the customer's store holds by all totals heard; between them it fills at the rate.
-    pub store: f64,
-    pub store_at: Millis,
-    pub known: bool,
-    pub heard: Millis,
+    pub available_units: f64,
+    pub filled_at: Millis,
+    pub has_total: bool,
+    pub last_total_at: Millis,
     /// Used but not yet added, or to be given back (negative).
-    pub owed: f64,
+    pub unreported_units: f64,
     /// What its store could not take because it was full, since the last total.
-    pub spilt: f64,
+    pub overflow_units: f64,
     /// The call out: its window, block, and what was owed.
-    pub call: Option<(u64, f64, f64)>,
+    pub pending_call: Option<(u64, f64, f64)>,
     pub waiting: VecDeque<RequestId>,
     pub demand: f64,
     pub demand_at: Millis,
     /// This gateway's even slice of the store, spent while the counter is silent.
-    pub slice: Option<(f64, Millis)>,
-    pub open: u32,
+    pub fallback_budget: Option<(f64, Millis)>,
+    pub in_flight: u32,
 }
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -6,13 +6,15 @@
 impl Customer {
     /// Spends from the even slice, which starts from the store as last known: the silence rule.
     pub(crate) fn spend_slice(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
-        let (held, at) = self.slice.unwrap_or((self.store.max(0.0) / self.spread, now));
-        let filled = held + plan.rate * (now - at) / 1000.0 / self.spread;
-        let held = filled.min((plan.burst / self.spread).max(units));
+        let (held, at) =
+            self.fallback_budget.unwrap_or((self.available_units.max(0.0) / self.gateway_count, now));
+        let filled = held + plan.rate * (now - at) / 1000.0 / self.gateway_count;
+        let held = filled.min((plan.burst / self.gateway_count).max(units));
         let fits = held >= units;
         let used = if fits { units } else { 0.0 };
-        self.slice = Some((held - used, now));
-        (self.owed, self.store) = (self.owed + used, self.store - used);
+        self.fallback_budget = Some((held - used, now));
+        (self.unreported_units, self.available_units) =
+            (self.unreported_units + used, self.available_units - used);
         fits
     }
 }
@@ -31,8 +33,8 @@
         if customer.spend_slice(request.units, self.now, plan) {
             return self.place(id, out);
         }
-        let short = request.units - customer.slice.map_or(0.0, |s| s.0);
-        let rate = plan.rate / customer.spread;
+        let short = request.units - customer.fallback_budget.map_or(0.0, |s| s.0);
+        let rate = plan.rate / customer.gateway_count;
         self.over_quota(id, short, rate, out);
     }
 }
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -19,15 +19,18 @@
     /// The smoothed demand of a short while, as far as an even part of what is left allows.
     pub(crate) fn demand_block(&self, plan: &Plan) -> f64 {
         let target = self.demand * Self::turn(plan) * BLOCK_SHARE;
-        target.min(self.store * NEAR_SHARE / self.spread).floor()
+        target.min(self.available_units * NEAR_SHARE / self.gateway_count).floor()
     }
 
     /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
     /// smoothed demand; near the total it falls to what waits.
     pub(crate) fn block(&self, need: f64, plan: &Plan) -> f64 {
-        let plenty = (self.store - plan.burst * NEAR_SHARE) / self.spread;
-        let want =
-            if self.known { self.demand_block(plan).max(plenty.ceil()) } else { plan.burst / self.spread };
+        let plenty = (self.available_units - plan.burst * NEAR_SHARE) / self.gateway_count;
+        let want = if self.has_total {
+            self.demand_block(plan).max(plenty.ceil())
+        } else {
+            plan.burst / self.gateway_count
+        };
         need.max(want.floor()).max(0.0)
     }
 }
@@ -40,17 +43,17 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let (name, units) = (request.customer.clone(), request.units);
         let Some(customer) = self.customers.get_mut(&name) else { return false };
-        let plan = &self.settings.plans[customer.plan];
+        let plan = &self.settings.plans[customer.plan_index];
         customer.roll(now, plan);
-        let left = customer.store + customer.lease;
+        let left = customer.available_units + customer.leased_units;
         if plan.rate <= 0.0 {
             self.place(id, out);
         } else if customer.thin(plan) {
             return self.admit_thin(id, out);
-        } else if customer.waiting.is_empty() && customer.lease >= units {
-            customer.lease -= units;
+        } else if customer.waiting.is_empty() && customer.leased_units >= units {
+            customer.leased_units -= units;
             let target = customer.demand_block(plan);
-            if !silent && target >= 1.0 && customer.lease < target * RENEW_SHARE {
+            if !silent && target >= 1.0 && customer.leased_units < target * RENEW_SHARE {
                 self.ask(&name, out);
             }
             self.place(id, out);
@@ -59,7 +62,7 @@
             if self.calls.is_empty() && self.chance() < self.ease {
                 self.ask(&name, out);
             }
-        } else if customer.known && left < units {
+        } else if customer.has_total && left < units {
             self.over_quota(id, units - left, plan.rate, out);
         } else {
             return self.wait_for_total(id, out);
--- a/src/quota/plan_change.rs
+++ b/src/quota/plan_change.rs
@@ -13,19 +13,21 @@
             return;
         }
         self.roll(now, was);
-        let lease = std::mem::take(&mut self.lease);
-        let used = (self.added - lease).min(was.burst - self.store - lease).max(0.0);
-        self.store = (self.store + lease + is.burst - was.burst).min(is.burst);
+        let lease = std::mem::take(&mut self.leased_units);
+        let used = (self.reported_units - lease).min(was.burst - self.available_units - lease).max(0.0);
+        self.available_units = (self.available_units + lease + is.burst - was.burst).min(is.burst);
         let (window, _) = self.window_at(now, is);
         if window == self.window && Self::turn(was) == Self::turn(is) {
-            self.owed -= lease;
+            self.unreported_units -= lease;
         } else {
-            (self.owed, self.added, self.seen, self.known) = (self.owed.max(0.0) + used, 0.0, 0.0, false);
+            (self.unreported_units, self.reported_units, self.last_total, self.has_total) =
+                (self.unreported_units.max(0.0) + used, 0.0, 0.0, false);
             self.window = window;
         }
         if was.rate <= 0.0 {
-            (self.store, self.owed) = (Self::start_of(is), 0.0);
+            (self.available_units, self.unreported_units) = (Self::start_of(is), 0.0);
         }
-        self.slice = self.slice.map(|(held, at)| (held.min(is.burst / self.spread.max(1.0)), at));
+        self.fallback_budget =
+            self.fallback_budget.map(|(held, at)| (held.min(is.burst / self.gateway_count.max(1.0)), at));
     }
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -25,7 +25,7 @@
 impl Customer {
     /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
     pub(crate) fn thin(&self, plan: &Plan) -> bool {
-        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.spread
+        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.gateway_count
     }
 }
 
@@ -39,7 +39,7 @@
         let calls = self.settings.has_counter && chance < asked - repeat;
         let weight = (1.0 - repeat) * request.units / asked.min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        if calls && customer.call.is_none() {
+        if calls && customer.pending_call.is_none() {
             self.requests.entry(id).and_modify(|r| r.weight = weight);
             return self.wait_for_total(id, out);
         }
@@ -63,11 +63,11 @@
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
-        let plan = &self.settings.plans[customer.plan];
-        let usual = self.plan_odds[customer.plan][usize::from(request.repeat)];
+        let plan = &self.settings.plans[customer.plan_index];
+        let usual = self.plan_odds[customer.plan_index][usize::from(request.repeat)];
         let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_value);
         let usual = f64::from(pays);
-        let (odds, at) = self.told.get(&customer.salt).copied().unwrap_or_default();
+        let (odds, at) = self.told.get(&customer.name_hash).copied().unwrap_or_default();
         let age = (self.now - at) / Customer::turn(plan);
         if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
             self.requests.entry(id).and_modify(|r| r.blind = true);
@@ -80,7 +80,7 @@
     pub(crate) fn granted_thin(&mut self, name: &Name, mut asked: f64, block: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let plan = &self.settings.plans[customer.plan];
+        let plan = &self.settings.plans[customer.plan_index];
         let (rate, turn) = (plan.rate, Customer::turn(plan));
         let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
         // A try that weighs more than itself stands for others by chance: one such is let by.
@@ -89,16 +89,17 @@
         let granted = (plan.burst * THIN_START + since).min(plan.burst) + luck;
         let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
         let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
-        let (told, at) = self.told.insert(customer.salt, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
+        let (told, at) =
+            self.told.insert(customer.name_hash, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
         if self.settings.gossip_allowed && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
-            let mut bytes = customer.salt.to_le_bytes();
+            let mut bytes = customer.name_hash.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
             out.push(Action::Gossip { bytes: bytes.to_vec() });
         }
         let waiting = std::mem::take(&mut customer.waiting);
-        if !std::mem::replace(&mut customer.known, true) {
+        if !std::mem::replace(&mut customer.has_total, true) {
             let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.repeat));
-            let usual = &mut self.plan_odds[customer.plan][usize::from(repeat)];
+            let usual = &mut self.plan_odds[customer.plan_index][usize::from(repeat)];
             *usual += NEWEST * (f64::from(asked < granted * NEAR_SHARE) - *usual);
         }
         for id in waiting {
--- a/src/request.rs
+++ b/src/request.rs
@@ -23,19 +23,27 @@
         self.requests.insert(id, Request { customer, plan, class, units, repeat, ..rest });
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
             let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
-            Customer { plan, salt, store, store_at: now, demand_at: now, ..Customer::default() }
+            Customer {
+                plan_index: plan,
+                name_hash: salt,
+                available_units: store,
+                filled_at: now,
+                demand_at: now,
+                ..Customer::default()
+            }
         });
-        if customer.plan != plan {
-            customer.replan(now, &self.settings.plans[customer.plan], &self.settings.plans[plan]);
-            customer.plan = plan;
+        if customer.plan_index != plan {
+            customer.replan(now, &self.settings.plans[customer.plan_index], &self.settings.plans[plan]);
+            customer.plan_index = plan;
         }
         let gateways = self.settings.gateway_count;
         let spread = f64::from(arrival.gateway_count.clamp(1, gateways));
         // More gateways share what is left of the slice; fewer let it grow by the rate alone.
-        let share = if customer.spread > 0.0 { (customer.spread / spread).min(1.0) } else { 1.0 };
-        customer.slice = customer.slice.map(|(held, at)| (held * share, at));
-        customer.spread = spread;
-        customer.place =
+        let share =
+            if customer.gateway_count > 0.0 { (customer.gateway_count / spread).min(1.0) } else { 1.0 };
+        customer.fallback_budget = customer.fallback_budget.map(|(held, at)| (held * share, at));
+        customer.gateway_count = spread;
+        customer.gateway_rank =
             (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
         let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
@@ -77,8 +85,8 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         match request.stage {
             Stage::Block => customer.waiting.retain(|w| *w != id),
-            Stage::Out => customer.open = customer.open.saturating_sub(1),
-            Stage::Queue if request.attempts == 0 => customer.lease += request.units,
+            Stage::Out => customer.in_flight = customer.in_flight.saturating_sub(1),
+            Stage::Queue if request.attempts == 0 => customer.leased_units += request.units,
             Stage::Queue => {}
         }
     }
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -10,9 +10,12 @@
         for view in views {
             let Some(backend) = self.backends.get_mut(&view.name) else { continue };
             if backend.started == view.started && view.concurrency_limit.is_finite() {
-                backend.room = view.concurrency_limit.clamp(ROOM_LEAST, ROOM_FIRST.max(backend.room));
-                (backend.failures, backend.eject_until) = (view.consecutive_failures, view.ejected_until);
-                backend.eject_until = backend.eject_until.min(self.now + self.settings.slow_start_duration);
+                backend.concurrency_limit =
+                    view.concurrency_limit.clamp(ROOM_LEAST, ROOM_FIRST.max(backend.concurrency_limit));
+                (backend.consecutive_failures, backend.ejected_until) =
+                    (view.consecutive_failures, view.ejected_until);
+                backend.ejected_until =
+                    backend.ejected_until.min(self.now + self.settings.slow_start_duration);
             }
         }
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -20,12 +20,13 @@
             let more = (true_units - request.units).max(least);
             // What the store cannot bear comes out of the block in hand, which is counted already: none is
             // spent while the account is below nothing. Guards against prices that are far too low.
-            let paid = (more - customer.store.max(0.0)).clamp(0.0, customer.lease.max(0.0));
+            let paid = (more - customer.available_units.max(0.0)).clamp(0.0, customer.leased_units.max(0.0));
             let more = more - paid;
-            customer.lease -= paid;
-            (customer.owed, customer.store) = (customer.owed + more, customer.store - more);
+            customer.leased_units -= paid;
+            (customer.unreported_units, customer.available_units) =
+                (customer.unreported_units + more, customer.available_units - more);
         }
-        customer.open = customer.open.saturating_sub(1);
+        customer.in_flight = customer.in_flight.saturating_sub(1);
         request.stage = Stage::Queue;
         if end.final_response_sent || outcome == AttemptOutcome::Served {
             // Nothing was written before its client had gone: what no backend heard of is not used.
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -18,7 +18,7 @@
             &old.plans,
             &mut self.settings.plans,
             |p| &mut p.name,
-            |at| requests.values().any(|r| r.plan == at) || customers.values().any(|c| c.plan == at),
+            |at| requests.values().any(|r| r.plan == at) || customers.values().any(|c| c.plan_index == at),
         );
         let (mut latency, mut odds) = (vec![0.0; self.settings.classes.len()], Vec::new());
         odds.resize(self.settings.plans.len(), [1.0, 0.0]);
@@ -33,9 +33,9 @@
         }
         self.routes.configure(&self.settings, self.many(), self.random);
         for customer in self.customers.values_mut() {
-            let to = plans[customer.plan].unwrap_or_default();
-            customer.replan(self.now, &old.plans[customer.plan], &self.settings.plans[to]);
-            customer.plan = to;
+            let to = plans[customer.plan_index].unwrap_or_default();
+            customer.replan(self.now, &old.plans[customer.plan_index], &self.settings.plans[to]);
+            customer.plan_index = to;
         }
         out.push(Action::Log("settings changed".into()));
     }
