--- a/src/admission/open_cap.rs
+++ b/src/admission/open_cap.rs
@@ -7,7 +7,7 @@
     pub(crate) fn open_allowed(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
-        let cap = self.settings.plans[request.plan].max_in_flight;
+        let cap = self.settings.plans[request.plan_index].max_in_flight;
         let (spread, place) = (customer.gateway_count as u32, customer.gateway_rank);
         cap == 0 || customer.in_flight < (cap / spread + u32::from(place < cap % spread)).max(1)
     }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -11,8 +11,8 @@
         let Some(last) = self.requests.get(&id).map(|r| self.send_by(r)) else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = stage;
-        request.hold_until = until.min(last);
-        let after = (request.hold_until - self.now).max(0.0);
+        request.waits_until = until.min(last);
+        let after = (request.waits_until - self.now).max(0.0);
         out.push(Action::SetTimer { after, token: id * 2 });
     }
 
@@ -20,8 +20,9 @@
     /// longer than what is out would not be served in time.
     pub(crate) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.stage = Stage::Queue;
-        let (fresh, class, blind) = (request.attempts == 0, request.class, request.blind);
+        request.stage = Stage::Queued;
+        let (fresh, class, blind) =
+            (request.attempts == 0, request.class_index, request.admitted_without_total);
         if fresh && !self.taken(class, blind) {
             return self.give_up(id, out);
         }
@@ -29,21 +30,21 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let hold = self.settings.classes[request.class].latency_objective * HOLD_SHARE;
+        let hold = self.settings.classes[request.class_index].latency_objective * HOLD_SHARE;
         let until = if fresh { request.arrived } else { self.now } + hold;
         if until <= self.now || fresh && self.queue.len() as f64 >= self.room().max(1.0) {
             return self.give_up(id, out);
         }
-        let worth = |r: &Request| self.settings.classes[r.class].priority_weight;
+        let worth = |r: &Request| self.settings.classes[r.class_index].priority_weight;
         let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
         let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
         self.queue.insert(at, id);
-        self.hold(id, Stage::Queue, until, out);
+        self.hold(id, Stage::Queued, until, out);
     }
 
     pub(crate) fn drain_queue(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.queue) {
-            if self.requests.get(&id).is_some_and(|r| r.stage == Stage::Queue) && !self.dispatch(id, out) {
+            if self.requests.get(&id).is_some_and(|r| r.stage == Stage::Queued) && !self.dispatch(id, out) {
                 self.queue.push_back(id);
             }
         }
@@ -51,10 +52,10 @@
 
     pub(crate) fn on_hold_over(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let over = self.now + 1e-6 >= request.hold_until;
+        let over = self.now + 1e-6 >= request.waits_until;
         match request.stage {
-            Stage::Queue if over => self.give_up(id, out),
-            Stage::Block if over => self.by_slice(id, out),
+            Stage::Queued if over => self.give_up(id, out),
+            Stage::AwaitingLease if over => self.by_slice(id, out),
             _ => {}
         }
     }
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -22,11 +22,11 @@
     /// Guards a large fleet against overload of any cause: the more answers are late, the fewer fresh
     /// requests are taken, those worth less first.
     pub(crate) fn take(&self) -> f64 {
-        (1.0 - TAKE_SLOPE * (self.late - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
+        (1.0 - TAKE_SLOPE * (self.late_fraction - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
     }
 
     pub(crate) fn taken(&mut self, class: usize, blind: bool) -> bool {
-        self.late *= 1.0 - LATE_WEIGHT * NEWEST;
+        self.late_fraction *= 1.0 - LATE_WEIGHT * NEWEST;
         let rank = if blind { BLIND_RANK } else { 1.0 } / self.worth(class);
         let share = self.take().powf(rank);
         !self.many() || self.chance() < share
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -25,9 +25,10 @@
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             customer.in_flight += 1;
         }
-        (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
-        let keyed = self.settings.classes[request.class].idempotency == Idempotency::WithKey;
-        let window = (keyed && request.may_have_run.is_some()).then_some(left);
+        (request.stage, request.sent_at, request.attempts) =
+            (Stage::InFlight, self.now, request.attempts + 1);
+        let keyed = self.settings.classes[request.class_index].idempotency == Idempotency::WithKey;
+        let window = (keyed && request.possibly_executed.is_some()).then_some(left);
         out.push(Action::SendAttempt { id, backend: name, timeout: None, must_be_written_within: window });
         true
     }
@@ -35,8 +36,8 @@
     /// The backend that should answer first: the one with the fewest requests of this gateway, near if equal.
     pub(crate) fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
-        let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
+        let class = &self.settings.classes[request.class_index];
+        let tied = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
         let out: f64 = self.backends.values().map(|b| f64::from(b.in_flight)).sum();
         if out >= self.room().max(1.0) {
@@ -76,7 +77,7 @@
                 (backend.in_flight, backend.concurrency_limit),
             );
         }
-        let chosen = self.routes.choose(&request.bound);
+        let chosen = self.routes.choose(&request.sticky_route);
         self.chance();
         chosen
     }
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -18,7 +18,8 @@
     /// Adds a block to the customer's count: one call out for each name, and a bound on all.
     pub(crate) fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let full = self.calls.len() as f64 >= (CALLS_MOST * self.ease.min(1.0)).max(1.0) && !self.leaving;
+        let full = self.counter_calls.len() as f64 >= (CALLS_MOST * self.call_rate.min(1.0)).max(1.0)
+            && !self.draining;
         if customer.pending_call.is_some() || !self.settings.has_counter || full {
             return;
         }
@@ -26,17 +27,17 @@
         customer.roll(self.now, plan);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
         let block = if customer.thin(plan) {
-            waiting.map(|r| r.weight).sum()
+            waiting.map(|r| r.weighted_units).sum()
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
             let need = need.min(customer.available_units.max(1.0));
-            let block = if self.leaving { need } else { customer.block(need, plan) };
+            let block = if self.draining { need } else { customer.block(need, plan) };
             (block - customer.leased_units).max(0.0)
         };
         let owed = std::mem::take(&mut customer.unreported_units);
         let count = mix(customer.name_hash ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
         customer.pending_call = Some((customer.window, block, owed));
-        self.calls.insert(count, name.clone());
+        self.counter_calls.insert(count, name.clone());
         let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
         out.push(Action::AddToCounter { counter: count, amount: block + owed, time_to_live: keep });
     }
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -17,11 +17,11 @@
         if let CounterOutcome::Late { added, total } = outcome {
             return self.on_late(count, added, total, out);
         }
-        let Some(name) = self.calls.remove(&count) else { return };
+        let Some(name) = self.counter_calls.remove(&count) else { return };
         let quick = self.settings.counter_timeout * EASE_SHARE;
         let slow = if matches!(outcome, CounterOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
         let step = EASE_STEP * (1.0 - slow).max(-2.0);
-        self.ease = (self.ease * (1.0 + step)).clamp(EASE_LEAST, EASE_MOST);
+        self.call_rate = (self.call_rate * (1.0 + step)).clamp(EASE_LEAST, EASE_MOST);
         let CounterOutcome::Total(total) = outcome else {
             return self.silent(count, &name, outcome == CounterOutcome::Unknown, out);
         };
@@ -31,11 +31,11 @@
     }
 
     pub(crate) fn counter_speaks(&mut self, out: &mut Vec<Action>) {
-        if std::mem::take(&mut self.told_silent) {
-            self.silence.1 = self.now;
+        if std::mem::take(&mut self.outage_logged) {
+            self.outage.1 = self.now;
             out.push(Action::Log("counter back".into()));
         }
-        (self.silences, self.counter_heard) = (0, self.now);
+        (self.consecutive_timeouts, self.last_total_at) = (0, self.now);
     }
 
     /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
@@ -50,7 +50,7 @@
         let slice = customer.fallback_budget.take();
         // What others used in a silence is told at its end, all at once: their parts of what came in then
         // paid for it, but under a ceiling, which many gateways would pass together.
-        let (from, back) = self.silence;
+        let (from, back) = self.outage;
         let pays = now < back + Customer::turn(plan) && plan.ceiling_rate <= 0.0;
         let part = if pays { 1.0 - 1.0 / customer.gateway_count } else { 0.0 };
         customer.overflow_units = customer.overflow_units.min(plan.rate * (back - from) / 1000.0 * part);
@@ -95,17 +95,17 @@
 
     /// No answer: the silence rule decides for who waits, and a block that may have counted is let go.
     pub(crate) fn silent(&mut self, count: u64, name: &Name, may_have_counted: bool, out: &mut Vec<Action>) {
-        self.silences += 1;
-        if self.is_counter_silent() && !std::mem::replace(&mut self.told_silent, true) {
-            self.silence = (self.now, f64::NEG_INFINITY);
+        self.consecutive_timeouts += 1;
+        if self.is_counter_silent() && !std::mem::replace(&mut self.outage_logged, true) {
+            self.outage = (self.now, f64::NEG_INFINITY);
             out.push(Action::Log("counter silent: spending blocks and even slices".into()));
         }
         let Some(customer) = self.customers.get_mut(name) else { return };
         let (window, block, owed) = customer.pending_call.take().unwrap_or_default();
         customer.unreported_units += if may_have_counted { owed.max(0.0) } else { owed };
         if may_have_counted {
-            self.given_up.push_back((count, name.clone(), window, block, owed));
-            self.given_up.drain(..self.given_up.len().saturating_sub(LATE_MOST));
+            self.timed_out_calls.push_back((count, name.clone(), window, block, owed));
+            self.timed_out_calls.drain(..self.timed_out_calls.len().saturating_sub(LATE_MOST));
         }
         for id in std::mem::take(&mut customer.waiting) {
             self.by_slice(id, out);
@@ -115,8 +115,8 @@
     /// A call that was given up is heard of after all. In its window the block is granted, else goes back.
     /// Guards against a slow counter that eats up quotas: a block let go stays in the count, held by nobody.
     pub(crate) fn on_late(&mut self, count: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
-        let Some(at) = self.given_up.iter().position(|call| call.0 == count) else { return };
-        let Some((_, name, window, block, owed)) = self.given_up.remove(at) else { return };
+        let Some(at) = self.timed_out_calls.iter().position(|call| call.0 == count) else { return };
+        let Some((_, name, window, block, owed)) = self.timed_out_calls.remove(at) else { return };
         let Some(customer) = self.customers.get_mut(&name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
         customer.roll(self.now, plan);
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -5,7 +5,7 @@
 impl Gateway {
     /// Blocks in hand go back at once, so that the others can use them; what still comes is paid singly.
     pub(crate) fn on_leaving(&mut self, out: &mut Vec<Action>) {
-        self.leaving = true;
+        self.draining = true;
         let names: Vec<Name> = self.customers.keys().cloned().collect();
         for name in names {
             let Some(customer) = self.customers.get_mut(&name) else { continue };
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -22,24 +22,24 @@
     pub(crate) customers: BTreeMap<Name, Customer>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) queue: VecDeque<RequestId>,
-    pub(crate) calls: BTreeMap<u64, Name>,
+    pub(crate) counter_calls: BTreeMap<u64, Name>,
     /// Calls without an answer in time, oldest first: count, customer, window, block, what was owed.
-    pub(crate) given_up: VecDeque<(u64, Name, u64, f64, f64)>,
+    pub(crate) timed_out_calls: VecDeque<(u64, Name, u64, f64, f64)>,
     /// The share of the calls wanted that the counter can bear, by how fast it answers.
-    pub(crate) ease: f64,
+    pub(crate) call_rate: f64,
     /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
-    pub(crate) plan_odds: Vec<[f64; 2]>,
+    pub(crate) plan_admit_probability: Vec<[f64; 2]>,
     /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
-    pub(crate) told: BTreeMap<u64, (f64, Millis)>,
-    pub(crate) silences: u32,
+    pub(crate) admit_probabilities: BTreeMap<u64, (f64, Millis)>,
+    pub(crate) consecutive_timeouts: u32,
     /// The last silence: since when, and until when.
-    pub(crate) silence: (Millis, Millis),
-    pub(crate) counter_heard: Millis,
-    pub(crate) told_silent: bool,
+    pub(crate) outage: (Millis, Millis),
+    pub(crate) last_total_at: Millis,
+    pub(crate) outage_logged: bool,
     pub(crate) class_latency: Vec<f64>,
-    pub(crate) late: f64,
-    pub(crate) sweeping: bool,
-    pub(crate) leaving: bool,
+    pub(crate) late_fraction: f64,
+    pub(crate) maintenance_started: bool,
+    pub(crate) draining: bool,
 }
 
 impl Gateway {
@@ -52,7 +52,14 @@
         let class_latency = vec![0.0; settings.classes.len()];
         let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
         let random = mix(seed | 1);
-        let mut new = Self { settings, random, ease: 1.0, plan_odds, class_latency, ..Self::default() };
+        let mut new = Self {
+            settings,
+            random,
+            call_rate: 1.0,
+            plan_admit_probability: plan_odds,
+            class_latency,
+            ..Self::default()
+        };
         new.routes.configure(&new.settings, new.many(), random);
         Ok(new)
     }
@@ -60,7 +67,7 @@
     /// Takes one event at a time and appends what the host is to do.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.sweeping, true) {
+        if !std::mem::replace(&mut self.maintenance_started, true) {
             out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
             if self.settings.watch_on_request {
                 out.push(Action::WatchBackends);
@@ -92,8 +99,9 @@
 
     /// Whether the counter counts as silent.
     pub fn is_counter_silent(&self) -> bool {
-        let gap = self.now - self.counter_heard;
-        !self.settings.has_counter || self.silences > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
+        let gap = self.now - self.last_total_at;
+        !self.settings.has_counter
+            || self.consecutive_timeouts > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
     }
 
     /// What is held of each customer, for people.
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -34,7 +34,7 @@
         let (now, name, latency) = (self.now, &end.backend, end.latency);
         let Some(backend) = self.backends.get_mut(name) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
-        let class = self.requests.get(&end.id).map_or(0, |r| r.class);
+        let class = self.requests.get(&end.id).map_or(0, |r| r.class_index);
         let usual = &mut self.class_latency[class];
         let late = match end.outcome {
             AttemptOutcome::Served => {
@@ -54,7 +54,7 @@
             _ => latency > *usual * LATE_LATENCIES,
         };
         backend.note_latency(late);
-        self.late += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late);
+        self.late_fraction += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_fraction);
         let (lost, broke) =
             (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::ConnectionLost);
         if lost && backend.failed(now, latency, broke, &self.settings) {
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -20,7 +20,7 @@
         let now = self.now;
         let mut asking = Vec::new();
         let plans = &self.settings.plans;
-        self.told.retain(|_, (_, at)| now - *at < KEEP_MOST);
+        self.admit_probabilities.retain(|_, (_, at)| now - *at < KEEP_MOST);
         // A backend that is gone still tells the cell of requests that may have run there, while any lives.
         let (routes, left) =
             (&mut self.routes, |b: &Backend| b.removed_at.is_some_and(|at| now - at > KEEP_MOST));
@@ -31,12 +31,12 @@
             let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
             customer.roll(now, plan);
             let scarce = customer.available_units < plan.burst * NEAR_SHARE;
-            if scarce && idle > turn * BLOCK_SHARE && customer.leased_units >= 1.0 || self.leaving {
+            if scarce && idle > turn * BLOCK_SHARE && customer.leased_units >= 1.0 || self.draining {
                 let lease = std::mem::take(&mut customer.leased_units);
                 (customer.unreported_units, customer.available_units) =
                     (customer.unreported_units - lease, customer.available_units + lease);
             }
-            let least = if self.leaving { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
+            let least = if self.draining { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
             let owes = !customer.thin(plan) && customer.unreported_units.abs() >= least;
             if customer.pending_call.is_none() && (owes || !customer.waiting.is_empty()) {
                 asking.push(name.clone());
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -24,7 +24,7 @@
     pub(crate) fn by_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        let plan = &self.settings.plans[request.plan];
+        let plan = &self.settings.plans[request.plan_index];
         customer.waiting.retain(|w| *w != id);
         if customer.thin(plan) {
             return self.by_odds(id, out);
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -59,7 +59,7 @@
             self.place(id, out);
         } else if silent {
             self.by_slice(id, out);
-            if self.calls.is_empty() && self.chance() < self.ease {
+            if self.counter_calls.is_empty() && self.chance() < self.call_rate {
                 self.ask(&name, out);
             }
         } else if customer.has_total && left < units {
@@ -74,8 +74,9 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].latency_objective * BLOCK_WAIT;
-        self.hold(id, Stage::Block, until, out);
+        let until =
+            request.arrived + self.settings.classes[request.class_index].latency_objective * BLOCK_WAIT;
+        self.hold(id, Stage::AwaitingLease, until, out);
         true
     }
 
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -35,12 +35,12 @@
     pub(crate) fn admit_thin(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return false };
-        let (asked, repeat) = (self.asked(request), f64::from(request.repeat));
+        let (asked, repeat) = (self.asked(request), f64::from(request.client_retry));
         let calls = self.settings.has_counter && chance < asked - repeat;
         let weight = (1.0 - repeat) * request.units / asked.min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         if calls && customer.pending_call.is_none() {
-            self.requests.entry(id).and_modify(|r| r.weight = weight);
+            self.requests.entry(id).and_modify(|r| r.weighted_units = weight);
             return self.wait_for_total(id, out);
         }
         self.by_odds(id, out);
@@ -53,8 +53,8 @@
         let loss = |p: &Plan| p.priority_factor * (p.over_quota_cost - p.over_quota_value).clamp(0.0, 1.0);
         let plans = &self.settings.plans;
         let mean = plans.iter().map(loss).sum::<f64>() / plans.len() as f64;
-        let plan = loss(&plans[request.plan]) / mean.max(1e-9);
-        (self.ease * plan * self.worth(request.class)).clamp(EASE_LEAST * EASE_LEAST, EASE_MOST)
+        let plan = loss(&plans[request.plan_index]) / mean.max(1e-9);
+        (self.call_rate * plan * self.worth(request.class_index)).clamp(EASE_LEAST * EASE_LEAST, EASE_MOST)
     }
 
     /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
@@ -64,13 +64,13 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let usual = self.plan_odds[customer.plan_index][usize::from(request.repeat)];
+        let usual = self.plan_admit_probability[customer.plan_index][usize::from(request.client_retry)];
         let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_value);
         let usual = f64::from(pays);
-        let (odds, at) = self.told.get(&customer.name_hash).copied().unwrap_or_default();
+        let (odds, at) = self.admit_probabilities.get(&customer.name_hash).copied().unwrap_or_default();
         let age = (self.now - at) / Customer::turn(plan);
         if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
-            self.requests.entry(id).and_modify(|r| r.blind = true);
+            self.requests.entry(id).and_modify(|r| r.admitted_without_total = true);
             return self.place(id, out);
         }
         self.over_quota(id, request.units, plan.rate, out);
@@ -89,8 +89,10 @@
         let granted = (plan.burst * THIN_START + since).min(plan.burst) + luck;
         let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
         let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
-        let (told, at) =
-            self.told.insert(customer.name_hash, (odds, now)).unwrap_or((1.0, f64::NEG_INFINITY));
+        let (told, at) = self
+            .admit_probabilities
+            .insert(customer.name_hash, (odds, now))
+            .unwrap_or((1.0, f64::NEG_INFINITY));
         if self.settings.gossip_allowed && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
             let mut bytes = customer.name_hash.to_le_bytes();
             bytes[7] = (odds * 255.0) as u8;
@@ -98,12 +100,12 @@
         }
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.has_total, true) {
-            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.repeat));
-            let usual = &mut self.plan_odds[customer.plan_index][usize::from(repeat)];
+            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.client_retry));
+            let usual = &mut self.plan_admit_probability[customer.plan_index][usize::from(repeat)];
             *usual += NEWEST * (f64::from(asked < granted * NEAR_SHARE) - *usual);
         }
         for id in waiting {
-            asked += self.requests.get(&id).filter(|r| !r.repeat).map_or(0.0, |r| r.units);
+            asked += self.requests.get(&id).filter(|r| !r.client_retry).map_or(0.0, |r| r.units);
             let over = asked - granted;
             if over <= 0.0 { self.place(id, out) } else { self.over_quota(id, over, rate, out) }
         }
--- a/src/request.rs
+++ b/src/request.rs
@@ -19,8 +19,11 @@
         let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
         let (arrived, deadline) = (now, now + arrival.timeout);
         let (customer, repeat, bound) = (name.clone(), arrival.client_retry, arrival.sticky_route);
-        let rest = Request { arrived, deadline, bound, ..Request::default() };
-        self.requests.insert(id, Request { customer, plan, class, units, repeat, ..rest });
+        let rest = Request { arrived, deadline, sticky_route: bound, ..Request::default() };
+        self.requests.insert(
+            id,
+            Request { customer, plan_index: plan, class_index: class, units, client_retry: repeat, ..rest },
+        );
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
             let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
             Customer {
@@ -56,8 +59,8 @@
     /// The one final answer of a request that gets no further attempt: refused where that is harmless.
     pub(crate) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let class = &self.settings.classes[request.class];
-        let harmless = request.may_have_run.is_none()
+        let class = &self.settings.classes[request.class_index];
+        let harmless = request.possibly_executed.is_none()
             || class.idempotency == Idempotency::Idempotent
             || (class.idempotency == Idempotency::WithKey
                 && class.deduplication_scope == DeduplicationScope::All);
@@ -84,10 +87,10 @@
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         match request.stage {
-            Stage::Block => customer.waiting.retain(|w| *w != id),
-            Stage::Out => customer.in_flight = customer.in_flight.saturating_sub(1),
-            Stage::Queue if request.attempts == 0 => customer.leased_units += request.units,
-            Stage::Queue => {}
+            Stage::AwaitingLease => customer.waiting.retain(|w| *w != id),
+            Stage::InFlight => customer.in_flight = customer.in_flight.saturating_sub(1),
+            Stage::Queued if request.attempts == 0 => customer.leased_units += request.units,
+            Stage::Queued => {}
         }
     }
 }
@@ -95,28 +98,28 @@
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum Stage {
     #[default]
-    Block,
-    Queue,
-    Out,
+    AwaitingLease,
+    Queued,
+    InFlight,
 }
 
 #[derive(Default)]
 pub(crate) struct Request {
     pub customer: Name,
-    pub plan: usize,
-    pub class: usize,
+    pub plan_index: usize,
+    pub class_index: usize,
     pub units: f64,
     /// What it adds to a thin customer's count: itself and those like it that are not asked about.
-    pub weight: f64,
+    pub weighted_units: f64,
     /// Let in without a total of its customer; the client has asked for the same before.
-    pub blind: bool,
-    pub repeat: bool,
+    pub admitted_without_total: bool,
+    pub client_retry: bool,
     pub arrived: Millis,
     pub deadline: Millis,
-    pub hold_until: Millis,
+    pub waits_until: Millis,
     pub stage: Stage,
     pub attempts: u32,
-    pub may_have_run: Option<(Millis, Name)>,
+    pub possibly_executed: Option<(Millis, Name)>,
     pub sent_at: Millis,
-    pub bound: Name,
+    pub sticky_route: Name,
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -15,8 +15,11 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         if let Some(true_units) = end.true_units.filter(|_| outcome == AttemptOutcome::Served) {
             // A ceiling goes by the guess: under one, nothing comes back that could be sent on above it.
-            let least =
-                if self.settings.plans[request.plan].ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
+            let least = if self.settings.plans[request.plan_index].ceiling_rate > 0.0 {
+                0.0
+            } else {
+                f64::NEG_INFINITY
+            };
             let more = (true_units - request.units).max(least);
             // What the store cannot bear comes out of the block in hand, which is counted already: none is
             // spent while the account is below nothing. Guards against prices that are far too low.
@@ -27,7 +30,7 @@
                 (customer.unreported_units + more, customer.available_units - more);
         }
         customer.in_flight = customer.in_flight.saturating_sub(1);
-        request.stage = Stage::Queue;
+        request.stage = Stage::Queued;
         if end.final_response_sent || outcome == AttemptOutcome::Served {
             // Nothing was written before its client had gone: what no backend heard of is not used.
             request.attempts -= u32::from(outcome == AttemptOutcome::NeverSent);
@@ -37,27 +40,28 @@
             outcome,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
-        if !never_ran && request.may_have_run.is_none() {
-            request.may_have_run = Some((request.sent_at, end.backend));
+        if !never_ran && request.possibly_executed.is_none() {
+            request.possibly_executed = Some((request.sent_at, end.backend));
         }
         if self.may_try_again(id) { self.place(id, out) } else { self.give_up(id, out) }
     }
 
     pub(crate) fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let allowed = match (&request.may_have_run, self.settings.classes[request.class].idempotency) {
-            (None, _) | (_, Idempotency::WithKey) => true,
-            (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
-            (Some(_), Idempotency::NonIdempotent) => false,
-        };
+        let allowed =
+            match (&request.possibly_executed, self.settings.classes[request.class_index].idempotency) {
+                (None, _) | (_, Idempotency::WithKey) => true,
+                (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
+                (Some(_), Idempotency::NonIdempotent) => false,
+            };
         allowed && self.now < self.send_by(request) && request.attempts < self.settings.max_attempts
     }
 
     /// Until when an attempt may begin: while an answer can come, and a keyed repeat while it is dropped as
     /// such. Guards repeats that waited in line past their window.
     pub(crate) fn send_by(&self, request: &Request) -> Millis {
-        let class = &self.settings.classes[request.class];
-        let first = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
+        let class = &self.settings.classes[request.class_index];
+        let first = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.deduplication_window);
         request.deadline.min(dropped) - LAST_TICKS * self.settings.tick
     }
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -12,24 +12,28 @@
         }
         let old = std::mem::replace(&mut self.settings, settings);
         let (requests, customers) = (&self.requests, &self.customers);
-        let used = |at| requests.values().any(|r| r.class == at);
+        let used = |at| requests.values().any(|r| r.class_index == at);
         let classes = carry_over(&old.classes, &mut self.settings.classes, |c| &mut c.name, used);
         let plans = carry_over(
             &old.plans,
             &mut self.settings.plans,
             |p| &mut p.name,
-            |at| requests.values().any(|r| r.plan == at) || customers.values().any(|c| c.plan_index == at),
+            |at| {
+                requests.values().any(|r| r.plan_index == at)
+                    || customers.values().any(|c| c.plan_index == at)
+            },
         );
         let (mut latency, mut odds) = (vec![0.0; self.settings.classes.len()], Vec::new());
         odds.resize(self.settings.plans.len(), [1.0, 0.0]);
         let moved = classes.iter().zip(&self.class_latency).filter_map(|(to, was)| Some(((*to)?, *was)));
         moved.for_each(|(to, was)| latency[to] = was);
-        let moved = plans.iter().zip(&self.plan_odds).filter_map(|(to, was)| Some(((*to)?, *was)));
+        let moved =
+            plans.iter().zip(&self.plan_admit_probability).filter_map(|(to, was)| Some(((*to)?, *was)));
         moved.for_each(|(to, was)| odds[to] = was);
-        (self.class_latency, self.plan_odds) = (latency, odds);
+        (self.class_latency, self.plan_admit_probability) = (latency, odds);
         for request in self.requests.values_mut() {
-            request.class = classes[request.class].unwrap_or_default();
-            request.plan = plans[request.plan].unwrap_or_default();
+            request.class_index = classes[request.class_index].unwrap_or_default();
+            request.plan_index = plans[request.plan_index].unwrap_or_default();
         }
         self.routes.configure(&self.settings, self.many(), self.random);
         for customer in self.customers.values_mut() {
