--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -1,7 +1,7 @@
 //! The choice of a backend.
 
 use crate::balancer::backend::Backend;
-use crate::balancer::endpoints::{Routes, Seat};
+use crate::balancer::endpoints::{EndpointTable, Slot};
 use crate::health::slow_start::COLD_MULTIPLE;
 use crate::random::unit;
 use crate::request::Stage;
@@ -52,23 +52,26 @@
             let same = |h: &Backend| {
                 if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
             };
-            let luck = unit(salt ^ self.routes.hash_of(seat));
+            let luck = unit(salt ^ self.endpoints.name_hash(seat));
             let warmth = backend.warmth(self.now, &self.settings);
             // The cold budget: by chance its share of its part of the sends, from the first ms. Guards cold
             // backends with no agreement and no warm backend.
-            let cold = warmth < 1.0 && luck * self.routes.parts(seat) >= warmth * cold_share;
+            let cold =
+                warmth < 1.0 && luck * self.endpoints.inverse_weight_share(seat) >= warmth * cold_share;
             let fit = match () {
-                () if !backend.ready || self.now < backend.ejected_until => Fit::Down,
-                () if group != DeduplicationScope::All && !home.is_none_or(same) => Fit::Barred,
-                () if f64::from(backend.in_flight) >= backend.concurrency_limit.ceil() => Fit::Full,
-                () if cold => Fit::Cold,
-                () => Fit::Free,
+                () if !backend.ready || self.now < backend.ejected_until => Eligibility::Unavailable,
+                () if group != DeduplicationScope::All && !home.is_none_or(same) => Eligibility::OutOfScope,
+                () if f64::from(backend.in_flight) >= backend.concurrency_limit.ceil() => {
+                    Eligibility::AtLimit
+                }
+                () if cold => Eligibility::SlowStart,
+                () => Eligibility::Eligible,
             };
             // Among many, a draw by weight: no two gateways follow the same order.
             let draw = if many { -luck.max(1e-12).ln() } else { 1.0 + 0.1 * luck };
             let far = if *zone == self.settings.zone { 1.0 } else { far };
-            let far = if self.routes.own(seat) || !many { far } else { far * STRANGE };
-            self.routes.offer(
+            let far = if self.endpoints.is_in_subset(seat) || !many { far } else { far * STRANGE };
+            self.endpoints.set_candidate(
                 seat,
                 fit,
                 warmth >= 1.0,
@@ -77,7 +80,7 @@
                 (backend.in_flight, backend.concurrency_limit),
             );
         }
-        let chosen = self.routes.choose(&request.sticky_route);
+        let chosen = self.endpoints.select(&request.sticky_route);
         self.chance();
         chosen
     }
@@ -85,76 +88,85 @@
 
 /// Whether a backend could take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub(crate) enum Fit {
+pub(crate) enum Eligibility {
     /// It is out of service: the list says so, or it failed lately.
     #[default]
-    Down,
+    Unavailable,
     /// It is cold and its part of the sends is given already.
-    Cold,
+    SlowStart,
     /// It has no room.
-    Full,
+    AtLimit,
     /// This request must not go there.
-    Barred,
+    OutOfScope,
     /// It can.
-    Free,
+    Eligible,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Offer {
-    pub(crate) fit: Fit,
-    pub(crate) warm: bool,
+pub(crate) struct Candidate {
+    pub(crate) eligibility: Eligibility,
+    pub(crate) is_warm: bool,
     pub(crate) score: (f64, f64),
-    pub(crate) far: f64,
-    pub(crate) out: f64,
-    pub(crate) room: f64,
+    pub(crate) distance_penalty: f64,
+    pub(crate) in_flight: f64,
+    pub(crate) concurrency_limit: f64,
 }
 
-impl Routes {
+impl EndpointTable {
     /// Takes what is known of one backend for the request at hand; `draw` is its luck, the lower the better.
-    pub(crate) fn offer(&mut self, at: usize, fit: Fit, warm: bool, far: f64, draw: f64, load: (u32, f64)) {
+    pub(crate) fn set_candidate(
+        &mut self, at: usize, fit: Eligibility, warm: bool, far: f64, draw: f64, load: (u32, f64),
+    ) {
         let (out, room) = (f64::from(load.0), load.1);
         let plain_score = if warm { (1.0 + out) * far * draw } else { 0.0 };
-        if self.plain {
-            if fit == Fit::Free && self.best.is_none_or(|(s, _)| plain_score < s) {
-                self.best = Some((plain_score, at));
+        if self.is_uniform {
+            if fit == Eligibility::Eligible && self.best_candidate.is_none_or(|(s, _)| plain_score < s) {
+                self.best_candidate = Some((plain_score, at));
             }
             return;
         }
         let (many, busyness) =
-            (self.many, self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight);
-        let seat = &mut self.seats[at];
-        let time = seat.level.map_or(0.0, |l| self.levels[l].2);
-        let turn = seat.turn.max(time);
+            (self.is_large_fleet, self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight);
+        let seat = &mut self.slots[at];
+        let time = seat.level_index.map_or(0.0, |l| self.levels[l].2);
+        let turn = seat.pass.max(time);
         let score = if !warm {
             (-1.0, draw)
         } else if !self.weighted {
             (plain_score, 0.0)
         } else if many {
-            ((1.0 + out / seat.relative) * far * draw / seat.pull, 0.0)
+            ((1.0 + out / seat.relative_weight) * far * draw / seat.subset_weight, 0.0)
         } else if busyness {
-            (out / seat.relative * far, turn)
+            (out / seat.relative_weight * far, turn)
         } else {
             (turn, draw)
         };
-        seat.offer = Offer { fit, warm, score, far, out, room };
+        seat.candidate = Candidate {
+            eligibility: fit,
+            is_warm: warm,
+            score,
+            distance_penalty: far,
+            in_flight: out,
+            concurrency_limit: room,
+        };
     }
 
     /// The backend that takes the request; none where it has to wait.
-    pub(crate) fn choose(&mut self, bound: &str) -> Option<Name> {
-        let chosen = if self.plain {
-            self.best.take().map(|(_, at)| at)
+    pub(crate) fn select(&mut self, bound: &str) -> Option<Name> {
+        let chosen = if self.is_uniform {
+            self.best_candidate.take().map(|(_, at)| at)
         } else {
-            let levels = || (0..self.levels.len()).find_map(|level| self.in_level(level)).flatten();
-            self.follow(bound).unwrap_or_else(levels)
+            let levels = || (0..self.levels.len()).find_map(|level| self.select_in_level(level)).flatten();
+            self.select_sticky(bound).unwrap_or_else(levels)
         }?;
-        self.take(chosen);
-        Some(self.seats[chosen].name.clone())
+        self.advance_stride(chosen);
+        Some(self.slots[chosen].name.clone())
     }
 
-    pub(crate) fn lowest<'a>(&self, seats: impl Iterator<Item = (usize, &'a Seat)>) -> Option<usize> {
-        let free = seats.filter(|(_, s)| s.offer.fit == Fit::Free);
+    pub(crate) fn lowest_score<'a>(&self, seats: impl Iterator<Item = (usize, &'a Slot)>) -> Option<usize> {
+        let free = seats.filter(|(_, s)| s.candidate.eligibility == Eligibility::Eligible);
         free.min_by(|a, b| {
-            let (a, b) = (a.1.offer.score, b.1.offer.score);
+            let (a, b) = (a.1.candidate.score, b.1.candidate.score);
             a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
         })
         .map(|(at, _)| at)
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway: takes one event, hands it to the module that owns it, collects the actions.
 
 use crate::balancer::backend::Backend;
-use crate::balancer::endpoints::Routes;
+use crate::balancer::endpoints::EndpointTable;
 use crate::check::check;
 use crate::counter::results::SILENT_AFTER;
 use crate::maintenance::{SWEEP, SWEEP_TOKEN};
@@ -18,7 +18,7 @@
     pub(crate) random: u64,
     pub(crate) now: Millis,
     pub(crate) backends: BTreeMap<Name, Backend>,
-    pub(crate) routes: Routes,
+    pub(crate) endpoints: EndpointTable,
     pub(crate) customers: BTreeMap<Name, Customer>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) queue: VecDeque<RequestId>,
@@ -60,7 +60,7 @@
             class_latency,
             ..Self::default()
         };
-        new.routes.configure(&new.settings, new.many(), random);
+        new.endpoints.configure(&new.settings, new.many(), random);
         Ok(new)
     }
 
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -23,8 +23,8 @@
         self.admit_probabilities.retain(|_, (_, at)| now - *at < KEEP_MOST);
         // A backend that is gone still tells the cell of requests that may have run there, while any lives.
         let (routes, left) =
-            (&mut self.routes, |b: &Backend| b.removed_at.is_some_and(|at| now - at > KEEP_MOST));
-        let mut forget = |b: &Backend| b.in_flight == 0 && left(b) && (routes.leave(b.slot), true).1;
+            (&mut self.endpoints, |b: &Backend| b.removed_at.is_some_and(|at| now - at > KEEP_MOST));
+        let mut forget = |b: &Backend| b.in_flight == 0 && left(b) && (routes.release_slot(b.slot), true).1;
         self.backends.retain(|_, backend| !forget(backend));
         self.customers.retain(|name, customer| {
             let plan = &plans[customer.plan_index];
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -35,7 +35,7 @@
             request.class_index = classes[request.class_index].unwrap_or_default();
             request.plan_index = plans[request.plan_index].unwrap_or_default();
         }
-        self.routes.configure(&self.settings, self.many(), self.random);
+        self.endpoints.configure(&self.settings, self.many(), self.random);
         for customer in self.customers.values_mut() {
             let to = plans[customer.plan_index].unwrap_or_default();
             customer.replan(self.now, &old.plans[customer.plan_index], &self.settings.plans[to]);
