--- a/src/admission/open_cap.rs
+++ b/src/admission/open_cap.rs
@@ -4,7 +4,7 @@
 
 impl Gateway {
     /// The open cap, shared evenly: the gateways first in the customer's set take what does not divide.
-    pub(crate) fn open_allowed(&self, id: RequestId) -> bool {
+    pub(crate) fn is_below_in_flight_limit(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
         let cap = self.settings.plans[request.plan_index].max_in_flight;
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -15,25 +15,25 @@
 impl Gateway {
     /// Whether each gateway sees too little of a backend: choice goes by chance then, and the fleet's state
     /// shows in all answers together.
-    pub(crate) fn many(&self) -> bool {
+    pub(crate) fn is_large_fleet(&self) -> bool {
         ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateway_count)
     }
 
     /// Guards a large fleet against overload of any cause: the more answers are late, the fewer fresh
     /// requests are taken, those worth less first.
-    pub(crate) fn take(&self) -> f64 {
+    pub(crate) fn admit_fraction(&self) -> f64 {
         (1.0 - TAKE_SLOPE * (self.late_fraction - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
     }
 
-    pub(crate) fn taken(&mut self, class: usize, blind: bool) -> bool {
+    pub(crate) fn admits_first_attempt(&mut self, class: usize, blind: bool) -> bool {
         self.late_fraction *= 1.0 - LATE_WEIGHT * NEWEST;
-        let rank = if blind { BLIND_RANK } else { 1.0 } / self.worth(class);
-        let share = self.take().powf(rank);
-        !self.many() || self.chance() < share
+        let rank = if blind { BLIND_RANK } else { 1.0 } / self.relative_priority(class);
+        let share = self.admit_fraction().powf(rank);
+        !self.is_large_fleet() || self.draw() < share
     }
 
     /// What a class is worth beside the mean of all.
-    pub(crate) fn worth(&self, class: usize) -> f64 {
+    pub(crate) fn relative_priority(&self, class: usize) -> f64 {
         let classes = &self.settings.classes;
         let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
         classes[class].priority_weight.max(1e-9) / mean.max(1e-9)
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::*;
 
 impl Gateway {
-    pub(crate) fn on_list(&mut self, list: Vec<BackendEntry>, full: bool, out: &mut Vec<Action>) {
+    pub(crate) fn update_endpoints(&mut self, list: Vec<BackendEntry>, full: bool, out: &mut Vec<Action>) {
         if full {
             let now = self.now;
             self.backends
@@ -38,7 +38,7 @@
             self.backends.insert(name, Backend { zone, cell, ready, removed_at: gone, ..rest });
         }
         self.endpoints.rebuild();
-        self.drain_queue(out);
+        self.forward_queued(out);
     }
 }
 
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -13,11 +13,12 @@
 pub(crate) const STRANGE: f64 = 100.0;
 
 impl Gateway {
-    pub(crate) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(crate) fn try_forward(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let left = self.send_by(request) - self.now;
+        let left = self.attempt_deadline(request) - self.now;
         let in_time = request.attempts == 0 || left > 0.0;
-        let chosen = if in_time && self.open_allowed(id) { self.pick(id) } else { None };
+        let chosen =
+            if in_time && self.is_below_in_flight_limit(id) { self.select_backend(id) } else { None };
         let Some(name) = chosen else { return false };
         let (request, backend) = (self.requests.get_mut(&id), self.backends.get_mut(&name));
         let (Some(request), Some(backend)) = (request, backend) else { return false };
@@ -34,18 +35,18 @@
     }
 
     /// The backend that should answer first: the one with the fewest requests of this gateway, near if equal.
-    pub(crate) fn pick(&mut self, id: RequestId) -> Option<Name> {
+    pub(crate) fn select_backend(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class_index];
         let tied = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
         let out: f64 = self.backends.values().map(|b| f64::from(b.in_flight)).sum();
-        if out >= self.room().max(1.0) {
+        if out >= self.total_concurrency_limit().max(1.0) {
             return None;
         }
         let salt = self.random;
         let far = 1.0 + self.settings.cross_zone_price * ZONE_BIAS;
-        let (many, cold_share) = (self.many(), COLD_MULTIPLE * self.take());
+        let (many, cold_share) = (self.is_large_fleet(), COLD_MULTIPLE * self.admit_fraction());
         for backend in self.backends.values() {
             let (group, zone, cell, seat) =
                 (class.deduplication_scope, &backend.zone, backend.cell, backend.slot);
@@ -53,7 +54,7 @@
                 if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
             };
             let luck = unit(salt ^ self.endpoints.name_hash(seat));
-            let warmth = backend.warmth(self.now, &self.settings);
+            let warmth = backend.slow_start_weight(self.now, &self.settings);
             // The cold budget: by chance its share of its part of the sends, from the first ms. Guards cold
             // backends with no agreement and no warm backend.
             let cold =
@@ -81,7 +82,7 @@
             );
         }
         let chosen = self.endpoints.select(&request.sticky_route);
-        self.chance();
+        self.draw();
         chosen
     }
 }
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -16,7 +16,7 @@
 
 impl Gateway {
     /// Adds a block to the customer's count: one call out for each name, and a bound on all.
-    pub(crate) fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
+    pub(crate) fn call_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let full = self.counter_calls.len() as f64 >= (CALLS_MOST * self.call_rate.min(1.0)).max(1.0)
             && !self.draining;
@@ -24,21 +24,21 @@
             return;
         }
         let plan = &self.settings.plans[customer.plan_index];
-        customer.roll(self.now, plan);
+        customer.advance(self.now, plan);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
-        let block = if customer.thin(plan) {
+        let block = if customer.is_sampled(plan) {
             waiting.map(|r| r.weighted_units).sum()
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
             let need = need.min(customer.available_units.max(1.0));
-            let block = if self.draining { need } else { customer.block(need, plan) };
+            let block = if self.draining { need } else { customer.lease_size(need, plan) };
             (block - customer.leased_units).max(0.0)
         };
         let owed = std::mem::take(&mut customer.unreported_units);
         let count = mix(customer.name_hash ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
         customer.pending_call = Some((customer.window, block, owed));
         self.counter_calls.insert(count, name.clone());
-        let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
+        let keep = (Customer::refill_period(plan) * IDLE_TURNS).min(KEEP_MOST);
         out.push(Action::AddToCounter { counter: count, amount: block + owed, time_to_live: keep });
     }
 }
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -11,11 +11,11 @@
 pub(crate) const LATE_MOST: usize = 256;
 
 impl Gateway {
-    pub(crate) fn on_counted(
+    pub(crate) fn counter_call_ended(
         &mut self, count: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>,
     ) {
         if let CounterOutcome::Late { added, total } = outcome {
-            return self.on_late(count, added, total, out);
+            return self.late_result_received(count, added, total, out);
         }
         let Some(name) = self.counter_calls.remove(&count) else { return };
         let quick = self.settings.counter_timeout * EASE_SHARE;
@@ -23,14 +23,14 @@
         let step = EASE_STEP * (1.0 - slow).max(-2.0);
         self.call_rate = (self.call_rate * (1.0 + step)).clamp(EASE_LEAST, EASE_MOST);
         let CounterOutcome::Total(total) = outcome else {
-            return self.silent(count, &name, outcome == CounterOutcome::Unknown, out);
+            return self.counter_call_failed(count, &name, outcome == CounterOutcome::Unknown, out);
         };
-        self.counter_speaks(out);
+        self.counter_answered(out);
         let call = self.customers.get_mut(&name).and_then(|c| c.pending_call.take());
-        self.granted(&name, call.unwrap_or_default(), total, out);
+        self.total_received(&name, call.unwrap_or_default(), total, out);
     }
 
-    pub(crate) fn counter_speaks(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn counter_answered(&mut self, out: &mut Vec<Action>) {
         if std::mem::take(&mut self.outage_logged) {
             self.outage.1 = self.now;
             out.push(Action::Log("counter back".into()));
@@ -39,32 +39,34 @@
     }
 
     /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
-    pub(crate) fn granted(&mut self, name: &Name, call: (u64, f64, f64), total: f64, out: &mut Vec<Action>) {
+    pub(crate) fn total_received(
+        &mut self, name: &Name, call: (u64, f64, f64), total: f64, out: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(name) else { return };
         let (plan, (window, block, owed)) = (&self.settings.plans[customer.plan_index], call);
-        if customer.thin(plan) {
-            return self.granted_thin(name, total - block - owed, block, out);
+        if customer.is_sampled(plan) {
+            return self.sampled_total_received(name, total - block - owed, block, out);
         }
-        customer.roll(now, plan);
+        customer.advance(now, plan);
         let slice = customer.fallback_budget.take();
         // What others used in a silence is told at its end, all at once: their parts of what came in then
         // paid for it, but under a ceiling, which many gateways would pass together.
         let (from, back) = self.outage;
-        let pays = now < back + Customer::turn(plan) && plan.ceiling_rate <= 0.0;
+        let pays = now < back + Customer::refill_period(plan) && plan.ceiling_rate <= 0.0;
         let part = if pays { 1.0 - 1.0 / customer.gateway_count } else { 0.0 };
         customer.overflow_units = customer.overflow_units.min(plan.rate * (back - from) / 1000.0 * part);
         if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < back {
             // Guards against a counter that comes back empty: what others spent in the silence is told
             // nowhere. Only the own slice (or an unknown customer's start) is sure to be left.
             customer.available_units =
-                customer.available_units.min(slice.map_or(Customer::start_of(plan), |(held, _)| held));
+                customer.available_units.min(slice.map_or(Customer::initial_units(plan), |(held, _)| held));
         }
         customer.last_total_at = now;
         if window == customer.window {
             customer.reported_units += block + owed;
             if !customer.has_total {
-                customer.available_units = Customer::start_of(plan) - total;
+                customer.available_units = Customer::initial_units(plan) - total;
                 customer.has_total = true;
             } else if total + 1e-6 < customer.reported_units {
                 // Guards against an emptied count: what this gateway holds is told again, so that new blocks
@@ -87,14 +89,16 @@
         }
         let waiting = std::mem::take(&mut customer.waiting);
         let give_back = customer.unreported_units <= -1.0;
-        let wait = waiting.into_iter().filter(|id| self.admit(*id, out)).count();
+        let wait = waiting.into_iter().filter(|id| self.admit_by_quota(*id, out)).count();
         if wait > 0 || give_back {
-            self.ask(name, out);
+            self.call_counter(name, out);
         }
     }
 
     /// No answer: the silence rule decides for who waits, and a block that may have counted is let go.
-    pub(crate) fn silent(&mut self, count: u64, name: &Name, may_have_counted: bool, out: &mut Vec<Action>) {
+    pub(crate) fn counter_call_failed(
+        &mut self, count: u64, name: &Name, may_have_counted: bool, out: &mut Vec<Action>,
+    ) {
         self.consecutive_timeouts += 1;
         if self.is_counter_silent() && !std::mem::replace(&mut self.outage_logged, true) {
             self.outage = (self.now, f64::NEG_INFINITY);
@@ -108,26 +112,28 @@
             self.timed_out_calls.drain(..self.timed_out_calls.len().saturating_sub(LATE_MOST));
         }
         for id in std::mem::take(&mut customer.waiting) {
-            self.by_slice(id, out);
+            self.admit_by_fallback(id, out);
         }
     }
 
     /// A call that was given up is heard of after all. In its window the block is granted, else goes back.
     /// Guards against a slow counter that eats up quotas: a block let go stays in the count, held by nobody.
-    pub(crate) fn on_late(&mut self, count: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
+    pub(crate) fn late_result_received(
+        &mut self, count: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>,
+    ) {
         let Some(at) = self.timed_out_calls.iter().position(|call| call.0 == count) else { return };
         let Some((_, name, window, block, owed)) = self.timed_out_calls.remove(at) else { return };
         let Some(customer) = self.customers.get_mut(&name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        customer.roll(self.now, plan);
+        customer.advance(self.now, plan);
         if !added {
             customer.unreported_units += owed.min(0.0);
-        } else if !customer.thin(plan) {
+        } else if !customer.is_sampled(plan) {
             customer.unreported_units -= owed.max(0.0);
             let fresh = total.filter(|t| window == customer.window && *t >= customer.last_total);
             if let Some(total) = fresh {
-                self.counter_speaks(out);
-                return self.granted(&name, (window, block, owed), total, out);
+                self.counter_answered(out);
+                return self.total_received(&name, (window, block, owed), total, out);
             }
             customer.unreported_units -= block;
             if window == customer.window {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -60,7 +60,7 @@
             class_latency,
             ..Self::default()
         };
-        new.endpoints.configure(&new.settings, new.many(), random);
+        new.endpoints.configure(&new.settings, new.is_large_fleet(), random);
         Ok(new)
     }
 
@@ -74,25 +74,25 @@
             }
         }
         match event {
-            Event::SettingsChanged(settings) => self.on_settings(*settings, out),
-            Event::StateRestored(views) => self.on_remembered(views),
-            Event::ShutdownStarted => self.on_leaving(out),
-            Event::BackendList(list) => self.on_list(list, true, out),
-            Event::BackendChanges(list) => self.on_list(list, false, out),
+            Event::SettingsChanged(settings) => self.change_settings(*settings, out),
+            Event::StateRestored(views) => self.restore_backends(views),
+            Event::ShutdownStarted => self.start_draining(out),
+            Event::BackendList(list) => self.update_endpoints(list, true, out),
+            Event::BackendChanges(list) => self.update_endpoints(list, false, out),
             Event::BackendListFailed => out.push(Action::WatchBackends),
-            Event::RequestReceived(arrival) => self.on_request(arrival, out),
+            Event::RequestReceived(arrival) => self.receive_request(arrival, out),
             Event::AttemptEnded(end) => {
-                self.on_backend(&end, out);
-                self.on_attempt(end, out);
-                self.drain_queue(out);
+                self.record_backend_outcome(&end, out);
+                self.attempt_ended(end, out);
+                self.forward_queued(out);
             }
-            Event::ClientDisconnected { id } => self.forget(id),
-            Event::TimerExpired { token: SWEEP_TOKEN } => self.on_sweep(out),
-            Event::TimerExpired { token } => self.on_hold_over(token / 2, out),
+            Event::ClientDisconnected { id } => self.remove_request(id),
+            Event::TimerExpired { token: SWEEP_TOKEN } => self.run_maintenance(out),
+            Event::TimerExpired { token } => self.wait_expired(token / 2, out),
             Event::CounterCallEnded { counter: name, outcome, latency } => {
-                self.on_counted(name, outcome, latency, out)
+                self.counter_call_ended(name, outcome, latency, out)
             }
-            Event::GossipReceived { bytes, .. } => self.on_told(&bytes),
+            Event::GossipReceived { bytes, .. } => self.receive_gossip(&bytes),
             Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
         }
     }
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -17,7 +17,7 @@
 impl Backend {
     /// Bounds what is out so that most answers keep to their aim: room follows the share of late answers.
     /// Guards against overload of any cause; it needs no figure of the backend's size.
-    pub(crate) fn note_latency(&mut self, late: bool) {
+    pub(crate) fn adjust_concurrency_limit(&mut self, late: bool) {
         let used = f64::from(self.in_flight) + 1.0 >= self.concurrency_limit.floor();
         if late || used {
             let step = ROOM_STEP * (ROOM_LATE - f64::from(u8::from(late)));
@@ -27,7 +27,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn room(&self) -> f64 {
+    pub(crate) fn total_concurrency_limit(&self) -> f64 {
         self.backends.values().filter(|b| b.ready).map(|b| b.concurrency_limit).sum()
     }
 }
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -19,7 +19,9 @@
     /// is sent for as long again as the failure took, where calling off stops no work what was given
     /// up still has to be worked through, and longer with each failure in a row. A connection that breaks
     /// alone says little of its backend: one that died breaks or refuses the next as well.
-    pub(crate) fn failed(&mut self, now: Millis, latency: Millis, broke: bool, settings: &Settings) -> bool {
+    pub(crate) fn record_failure(
+        &mut self, now: Millis, latency: Millis, broke: bool, settings: &Settings,
+    ) -> bool {
         self.consecutive_failures += 1;
         let share = EJECT_SHARE * f64::from(self.consecutive_failures);
         if !broke || self.consecutive_failures >= EJECT_TOLD {
@@ -30,7 +32,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn on_backend(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+    pub(crate) fn record_backend_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let (now, name, latency) = (self.now, &end.backend, end.latency);
         let Some(backend) = self.backends.get_mut(name) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
@@ -53,11 +55,11 @@
             // A client with little time left proves nothing of the fleet.
             _ => latency > *usual * LATE_LATENCIES,
         };
-        backend.note_latency(late);
+        backend.adjust_concurrency_limit(late);
         self.late_fraction += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_fraction);
         let (lost, broke) =
             (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::ConnectionLost);
-        if lost && backend.failed(now, latency, broke, &self.settings) {
+        if lost && backend.record_failure(now, latency, broke, &self.settings) {
             out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
         }
         if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -15,7 +15,7 @@
 pub(crate) const SWEEP_TOKEN: u64 = 1;
 
 impl Gateway {
-    pub(crate) fn on_sweep(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn run_maintenance(&mut self, out: &mut Vec<Action>) {
         out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
         let now = self.now;
         let mut asking = Vec::new();
@@ -28,8 +28,8 @@
         self.backends.retain(|_, backend| !forget(backend));
         self.customers.retain(|name, customer| {
             let plan = &plans[customer.plan_index];
-            let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
-            customer.roll(now, plan);
+            let (idle, turn) = (now - customer.demand_at, Customer::refill_period(plan));
+            customer.advance(now, plan);
             let scarce = customer.available_units < plan.burst * NEAR_SHARE;
             if scarce && idle > turn * BLOCK_SHARE && customer.leased_units >= 1.0 || self.draining {
                 let lease = std::mem::take(&mut customer.leased_units);
@@ -37,7 +37,7 @@
                     (customer.unreported_units - lease, customer.available_units + lease);
             }
             let least = if self.draining { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.thin(plan) && customer.unreported_units.abs() >= least;
+            let owes = !customer.is_sampled(plan) && customer.unreported_units.abs() >= least;
             if customer.pending_call.is_none() && (owes || !customer.waiting.is_empty()) {
                 asking.push(name.clone());
             }
@@ -47,9 +47,9 @@
         });
         if !self.is_counter_silent() {
             for name in asking {
-                self.ask(&name, out);
+                self.call_counter(&name, out);
             }
         }
-        self.drain_queue(out);
+        self.forward_queued(out);
     }
 }
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -5,7 +5,7 @@
 
 impl Customer {
     /// Spends from the even slice, which starts from the store as last known: the silence rule.
-    pub(crate) fn spend_slice(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
+    pub(crate) fn spend_fallback_budget(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
         let (held, at) =
             self.fallback_budget.unwrap_or((self.available_units.max(0.0) / self.gateway_count, now));
         let filled = held + plan.rate * (now - at) / 1000.0 / self.gateway_count;
@@ -21,20 +21,20 @@
 
 impl Gateway {
     /// The silence rule for one request: the even slice or refusal.
-    pub(crate) fn by_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn admit_by_fallback(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         let plan = &self.settings.plans[request.plan_index];
         customer.waiting.retain(|w| *w != id);
-        if customer.thin(plan) {
-            return self.by_odds(id, out);
+        if customer.is_sampled(plan) {
+            return self.admit_without_total(id, out);
         }
-        customer.roll(self.now, plan);
-        if customer.spend_slice(request.units, self.now, plan) {
-            return self.place(id, out);
+        customer.advance(self.now, plan);
+        if customer.spend_fallback_budget(request.units, self.now, plan) {
+            return self.forward_or_enqueue(id, out);
         }
         let short = request.units - customer.fallback_budget.map_or(0.0, |s| s.0);
         let rate = plan.rate / customer.gateway_count;
-        self.over_quota(id, short, rate, out);
+        self.reject_over_quota(id, short, rate, out);
     }
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -24,7 +24,7 @@
 
 impl Customer {
     /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
-    pub(crate) fn thin(&self, plan: &Plan) -> bool {
+    pub(crate) fn is_sampled(&self, plan: &Plan) -> bool {
         plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.gateway_count
     }
 }
@@ -32,35 +32,36 @@
 impl Gateway {
     /// The gate of a thin customer. Its count sums what is asked: a try is added by chance, as far as the
     /// counter bears, and weighs the more; without an add the odds last heard decide.
-    pub(crate) fn admit_thin(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let chance = self.chance();
+    pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+        let chance = self.draw();
         let Some(request) = self.requests.get(&id) else { return false };
-        let (asked, repeat) = (self.asked(request), f64::from(request.client_retry));
+        let (asked, repeat) = (self.sampling_probability(request), f64::from(request.client_retry));
         let calls = self.settings.has_counter && chance < asked - repeat;
         let weight = (1.0 - repeat) * request.units / asked.min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
         if calls && customer.pending_call.is_none() {
             self.requests.entry(id).and_modify(|r| r.weighted_units = weight);
-            return self.wait_for_total(id, out);
+            return self.wait_for_lease(id, out);
         }
-        self.by_odds(id, out);
+        self.admit_without_total(id, out);
         false
     }
 
     /// How likely a thin customer's first try is asked about: while calls are scarce, less likely where a
     /// wrong guess costs less.
-    pub(crate) fn asked(&self, request: &Request) -> f64 {
+    pub(crate) fn sampling_probability(&self, request: &Request) -> f64 {
         let loss = |p: &Plan| p.priority_factor * (p.over_quota_cost - p.over_quota_value).clamp(0.0, 1.0);
         let plans = &self.settings.plans;
         let mean = plans.iter().map(loss).sum::<f64>() / plans.len() as f64;
         let plan = loss(&plans[request.plan_index]) / mean.max(1e-9);
-        (self.call_rate * plan * self.worth(request.class_index)).clamp(EASE_LEAST * EASE_LEAST, EASE_MOST)
+        (self.call_rate * plan * self.relative_priority(request.class_index))
+            .clamp(EASE_LEAST * EASE_LEAST, EASE_MOST)
     }
 
     /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
     /// unknown customers all is let in where that gains more than it costs, else nothing.
-    pub(crate) fn by_odds(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let chance = self.chance();
+    pub(crate) fn admit_without_total(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let chance = self.draw();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan_index];
@@ -68,20 +69,22 @@
         let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_value);
         let usual = f64::from(pays);
         let (odds, at) = self.admit_probabilities.get(&customer.name_hash).copied().unwrap_or_default();
-        let age = (self.now - at) / Customer::turn(plan);
+        let age = (self.now - at) / Customer::refill_period(plan);
         if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
             self.requests.entry(id).and_modify(|r| r.admitted_without_total = true);
-            return self.place(id, out);
+            return self.forward_or_enqueue(id, out);
         }
-        self.over_quota(id, request.units, plan.rate, out);
+        self.reject_over_quota(id, request.units, plan.rate, out);
     }
 
     /// A thin customer's total came: what is asked fits as far as the window has granted by now.
-    pub(crate) fn granted_thin(&mut self, name: &Name, mut asked: f64, block: f64, out: &mut Vec<Action>) {
+    pub(crate) fn sampled_total_received(
+        &mut self, name: &Name, mut asked: f64, block: f64, out: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let (rate, turn) = (plan.rate, Customer::turn(plan));
+        let (rate, turn) = (plan.rate, Customer::refill_period(plan));
         let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
         // A try that weighs more than itself stands for others by chance: one such is let by.
         let own: f64 = customer.waiting.iter().filter_map(|id| Some(self.requests.get(id)?.units)).sum();
@@ -107,7 +110,11 @@
         for id in waiting {
             asked += self.requests.get(&id).filter(|r| !r.client_retry).map_or(0.0, |r| r.units);
             let over = asked - granted;
-            if over <= 0.0 { self.place(id, out) } else { self.over_quota(id, over, rate, out) }
+            if over <= 0.0 {
+                self.forward_or_enqueue(id, out)
+            } else {
+                self.reject_over_quota(id, over, rate, out)
+            }
         }
     }
 }
--- a/src/random.rs
+++ b/src/random.rs
@@ -17,7 +17,7 @@
 use crate::*;
 
 impl Gateway {
-    pub(crate) fn chance(&mut self) -> f64 {
+    pub(crate) fn draw(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit(self.random)
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -8,7 +8,7 @@
 pub(crate) const DEMAND_SHARE: f64 = 0.5;
 
 impl Gateway {
-    pub(crate) fn on_request(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
+    pub(crate) fn receive_request(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
         let IncomingRequest { id, customer: name, .. } = arrival;
         let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
         let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
@@ -25,7 +25,7 @@
             Request { customer, plan_index: plan, class_index: class, units, client_retry: repeat, ..rest },
         );
         let customer = self.customers.entry(name.clone()).or_insert_with(|| {
-            let (salt, store) = (hash(&name) >> 8, Customer::start_of(&self.settings.plans[plan]));
+            let (salt, store) = (hash(&name) >> 8, Customer::initial_units(&self.settings.plans[plan]));
             Customer {
                 plan_index: plan,
                 name_hash: salt,
@@ -36,7 +36,7 @@
             }
         });
         if customer.plan_index != plan {
-            customer.replan(now, &self.settings.plans[customer.plan_index], &self.settings.plans[plan]);
+            customer.change_plan(now, &self.settings.plans[customer.plan_index], &self.settings.plans[plan]);
             customer.plan_index = plan;
         }
         let gateways = self.settings.gateway_count;
@@ -48,16 +48,16 @@
         customer.gateway_count = spread;
         customer.gateway_rank =
             (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
-        let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
+        let span = Customer::refill_period(&self.settings.plans[plan]) * DEMAND_SHARE;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
-        if self.admit(id, out) {
-            self.ask(&name, out);
+        if self.admit_by_quota(id, out) {
+            self.call_counter(&name, out);
         }
     }
 
     /// The one final answer of a request that gets no further attempt: refused where that is harmless.
-    pub(crate) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class_index];
         let harmless = request.possibly_executed.is_none()
@@ -65,16 +65,16 @@
             || (class.idempotency == Idempotency::WithKey
                 && class.deduplication_scope == DeduplicationScope::All);
         if harmless && self.now < request.deadline {
-            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
-            self.refuse(id, wait, RejectReason::Overloaded, out);
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.draw());
+            self.reject(id, wait, RejectReason::Overloaded, out);
         } else {
-            self.forget(id);
+            self.remove_request(id);
             out.push(Action::Fail { id });
         }
     }
 
-    pub(crate) fn refuse(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
-        self.forget(id);
+    pub(crate) fn reject(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
+        self.remove_request(id);
         out.push(Action::Reject {
             id,
             retry_after: wait.clamp(0.0, self.settings.max_retry_after),
@@ -83,7 +83,7 @@
     }
 
     /// Units of a request that was never sent go back to its customer's block.
-    pub(crate) fn forget(&mut self, id: RequestId) {
+    pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         match request.stage {
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -6,7 +6,7 @@
 impl Gateway {
     /// What was learnt of a backend holds while it is the same start of it, and no longer than it could have
     /// been left alone. Guards the first second after a restart against nodes that were known to be dead.
-    pub(crate) fn on_remembered(&mut self, views: Vec<BackendStatus>) {
+    pub(crate) fn restore_backends(&mut self, views: Vec<BackendStatus>) {
         for view in views {
             let Some(backend) = self.backends.get_mut(&view.name) else { continue };
             if backend.started == view.started && view.concurrency_limit.is_finite() {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -9,7 +9,7 @@
 pub(crate) const REPEAT_MOST: u32 = 2;
 
 impl Gateway {
-    pub(crate) fn on_attempt(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+    pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
@@ -34,7 +34,7 @@
         if end.final_response_sent || outcome == AttemptOutcome::Served {
             // Nothing was written before its client had gone: what no backend heard of is not used.
             request.attempts -= u32::from(outcome == AttemptOutcome::NeverSent);
-            return self.forget(id);
+            return self.remove_request(id);
         }
         let never_ran = matches!(
             outcome,
@@ -43,10 +43,10 @@
         if !never_ran && request.possibly_executed.is_none() {
             request.possibly_executed = Some((request.sent_at, end.backend));
         }
-        if self.may_try_again(id) { self.place(id, out) } else { self.give_up(id, out) }
+        if self.may_retry(id) { self.forward_or_enqueue(id, out) } else { self.finish_unserved(id, out) }
     }
 
-    pub(crate) fn may_try_again(&self, id: RequestId) -> bool {
+    pub(crate) fn may_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let allowed =
             match (&request.possibly_executed, self.settings.classes[request.class_index].idempotency) {
@@ -54,12 +54,12 @@
                 (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
                 (Some(_), Idempotency::NonIdempotent) => false,
             };
-        allowed && self.now < self.send_by(request) && request.attempts < self.settings.max_attempts
+        allowed && self.now < self.attempt_deadline(request) && request.attempts < self.settings.max_attempts
     }
 
     /// Until when an attempt may begin: while an answer can come, and a keyed repeat while it is dropped as
     /// such. Guards repeats that waited in line past their window.
-    pub(crate) fn send_by(&self, request: &Request) -> Millis {
+    pub(crate) fn attempt_deadline(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class_index];
         let first = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
         let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.deduplication_window);
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -6,7 +6,7 @@
 impl Gateway {
     /// What is out goes on under the class and plan it came with: those that the new settings lack stay
     /// behind them, without a name to be asked for, as long as something is of them.
-    pub(crate) fn on_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
+    pub(crate) fn change_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
         if check(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
             return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
         }
@@ -35,10 +35,10 @@
             request.class_index = classes[request.class_index].unwrap_or_default();
             request.plan_index = plans[request.plan_index].unwrap_or_default();
         }
-        self.endpoints.configure(&self.settings, self.many(), self.random);
+        self.endpoints.configure(&self.settings, self.is_large_fleet(), self.random);
         for customer in self.customers.values_mut() {
             let to = plans[customer.plan_index].unwrap_or_default();
-            customer.replan(self.now, &old.plans[customer.plan_index], &self.settings.plans[to]);
+            customer.change_plan(self.now, &old.plans[customer.plan_index], &self.settings.plans[to]);
             customer.plan_index = to;
         }
         out.push(Action::Log("settings changed".into()));
