--- a/src/action.rs
+++ b/src/action.rs
@@ -23,7 +23,7 @@
         /// The attempt's timeout in ms; `None` for the client's own.
         timeout: Option<Millis>,
         /// For a retry that backends drop as a repetition for a limited time only: what is left of that time, in ms.
-        /// The attempt is withdrawn unless it is written whole by then.
+        /// The attempt is withdrawn unless it is completely written by then.
         must_be_written_within: Option<Millis>,
     },
     /// Final response: rejected, harmless to retry.
--- a/src/admission/open_cap.rs
+++ b/src/admission/open_cap.rs
@@ -1,14 +1,26 @@
 //! The limit on a customer's requests in flight.
 
-use crate::*;
+use crate::{Gateway, RequestId};
+
+/// This gateway's even part of a limit on requests in flight. The first gateways of the customer's set take what does
+/// not divide; each has at least one, else a limit below the number of gateways would stop some of them.
+///
+/// `gateway_rank` counts from 0, `gateway_count` is at least 1.
+fn in_flight_limit(max_in_flight: u32, gateway_rank: u32, gateway_count: u32) -> u32 {
+    let remainder = max_in_flight % gateway_count;
+    (max_in_flight / gateway_count + u32::from(gateway_rank < remainder)).max(1)
+}
 
 impl Gateway {
-    /// The open cap, shared evenly: the gateways first in the customer's set take what does not divide.
+    /// Whether the request's customer may have one more request in flight at this gateway.
     pub(crate) fn is_below_in_flight_limit(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get(&request.customer) else { return true };
-        let cap = self.settings.plans[request.plan_index].max_in_flight;
-        let (spread, place) = (customer.gateway_count as u32, customer.gateway_rank);
-        cap == 0 || customer.in_flight < (cap / spread + u32::from(place < cap % spread)).max(1)
+        let max_in_flight = self.settings.plans[request.plan_index].max_in_flight;
+        if max_in_flight == 0 {
+            return true;
+        }
+        let gateway_count = customer.gateway_count as u32;
+        customer.in_flight < in_flight_limit(max_in_flight, customer.gateway_rank, gateway_count)
     }
 }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,63 +1,95 @@
-//! The queue of requests that wait for a backend.
+//! The queue of requests that wait for a backend or for their customer's limit, and the timers of requests that wait.
 
-use crate::request::{Request, Stage};
-use crate::*;
+use crate::request::RequestStage;
+use crate::{Action, Gateway, Millis, RequestId};
 
-/// A request is held (for its open cap, for a backend with room) at most this share of its aim.
-pub(crate) const HOLD_SHARE: f64 = 0.3;
+/// A request waits in the queue at most this share of its latency objective.
+const QUEUE_TIMEOUT_SHARE: f64 = 0.3;
+/// A timer may expire this much before its time, in ms: the limit of the clock's precision.
+const TIMER_EPSILON: Millis = 1e-6;
+/// Timers of requests have the token `id * 2`; odd tokens are left for timers of the gateway.
+const TIMER_TOKENS_PER_REQUEST: u64 = 2;
 
-impl Gateway {
-    pub(crate) fn start_wait(&mut self, id: RequestId, stage: Stage, until: Millis, out: &mut Vec<Action>) {
-        let Some(last) = self.requests.get(&id).map(|r| self.attempt_deadline(r)) else { return };
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.stage = stage;
-        request.waits_until = until.min(last);
-        let after = (request.waits_until - self.now).max(0.0);
-        out.push(Action::SetTimer { after, token: id * 2 });
-    }
+/// The request that a timer's token belongs to.
+pub(crate) fn request_of_token(token: u64) -> RequestId {
+    token / TIMER_TOKENS_PER_REQUEST
+}
 
-    /// Sends a request on, or has it wait in line: those worth more first. Refuses early in overload: a line
-    /// longer than what is out would not be served in time.
+impl Gateway {
+    /// Forwards a request or puts it into the queue. Rejects it early where it is shed, or where the queue is longer than
+    /// what can be in flight: it would not be served in time.
     pub(crate) fn forward_or_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.stage = Stage::Queued;
-        let (fresh, class, blind) =
-            (request.attempts == 0, request.class_index, request.admitted_without_total);
-        if fresh && !self.admits_first_attempt(class, blind) {
+        request.stage = RequestStage::Queued;
+        let is_first_attempt = request.attempts == 0;
+        let class_index = request.class_index;
+        let admitted_without_total = request.admitted_without_total;
+        if is_first_attempt && !self.admits_first_attempt(class_index, admitted_without_total) {
             return self.finish_unserved(id, out);
         }
         if self.try_forward(id, out) {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let hold = self.settings.classes[request.class_index].latency_objective * HOLD_SHARE;
-        let until = if fresh { request.arrived } else { self.now } + hold;
-        if until <= self.now || fresh && self.queue.len() as f64 >= self.total_concurrency_limit().max(1.0) {
+        let waits_since = if is_first_attempt { request.arrived_at } else { self.now };
+        let until = waits_since + self.settings.classes[class_index].latency_objective * QUEUE_TIMEOUT_SHARE;
+        if until <= self.now || is_first_attempt && self.is_queue_full() {
             return self.finish_unserved(id, out);
         }
-        let worth = |r: &Request| self.settings.classes[r.class_index].priority_weight;
-        let less = |q: &RequestId| self.requests.get(q).is_some_and(|r| worth(r) < worth(request));
-        let at = self.queue.iter().position(less).unwrap_or(self.queue.len());
-        self.queue.insert(at, id);
-        self.start_wait(id, Stage::Queued, until, out);
+        self.queue.insert(self.queue_position(class_index), id);
+        self.start_wait(id, RequestStage::Queued, until, out);
+    }
+
+    /// Whether the queue is as long as what may be in flight at all backends.
+    fn is_queue_full(&self) -> bool {
+        self.queue.len() as f64 >= self.total_concurrency_limit().max(1.0)
     }
 
+    /// Where a request of a class enters the queue: before all of lower priority, behind all others.
+    fn queue_position(&self, class_index: usize) -> usize {
+        let priority_of = |class_index: usize| self.settings.classes[class_index].priority_weight;
+        let priority = priority_of(class_index);
+        let has_lower_priority = |queued: &RequestId| {
+            self.requests.get(queued).is_some_and(|request| priority_of(request.class_index) < priority)
+        };
+        self.queue.iter().position(has_lower_priority).unwrap_or(self.queue.len())
+    }
+
+    /// Forwards all queued requests that can be forwarded now, in their order.
     pub(crate) fn forward_queued(&mut self, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.queue) {
-            if self.requests.get(&id).is_some_and(|r| r.stage == Stage::Queued) && !self.try_forward(id, out)
-            {
+            let is_queued =
+                self.requests.get(&id).is_some_and(|request| request.stage == RequestStage::Queued);
+            if is_queued && !self.try_forward(id, out) {
                 self.queue.push_back(id);
             }
         }
     }
 
+    /// Lets a request wait in a stage until a time, at most until no attempt may begin any more.
+    pub(crate) fn start_wait(
+        &mut self, id: RequestId, stage: RequestStage, until: Millis, out: &mut Vec<Action>,
+    ) {
+        let Some(last) = self.requests.get(&id).map(|request| self.attempt_deadline(request)) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.stage = stage;
+        request.waits_until = until.min(last);
+        let after = (request.waits_until - self.now).max(0.0);
+        out.push(Action::SetTimer { after, token: id * TIMER_TOKENS_PER_REQUEST });
+    }
+
+    /// Takes the timer of a request that waits: one in the queue gets its final response, one that waits for the counter
+    /// is decided without it. Timers of earlier waits are ignored.
     pub(crate) fn wait_expired(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let over = self.now + 1e-6 >= request.waits_until;
+        let is_over = self.now + TIMER_EPSILON >= request.waits_until;
+        if !is_over {
+            return;
+        }
         match request.stage {
-            Stage::Queued if over => self.finish_unserved(id, out),
-            Stage::AwaitingLease if over => self.admit_by_fallback(id, out),
-            _ => {}
+            RequestStage::Queued => self.finish_unserved(id, out),
+            RequestStage::AwaitingCounter => self.admit_by_fallback(id, out),
+            RequestStage::InFlight => {}
         }
     }
 }
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -1,41 +1,82 @@
-//! Load shedding.
+//! Load shedding in a large fleet, whose gateways see too little of each backend to limit requests by backend.
 
-use crate::health::concurrency_limit::{ROOM_FIRST, ROOM_LATE, ROOM_LEAST};
-use crate::quota::sampled::NEWEST;
-use crate::*;
+use crate::health::concurrency_limit::{TARGET_LATE_FRACTION, is_large_fleet};
+use crate::{Gateway, RequestClass};
 
-/// Weight of the newest answer in the share of late ones: over few answers, chance alone would shed.
-pub(crate) const LATE_WEIGHT: f64 = 0.03;
-/// Late answers beyond `ROOM_LATE` turn away this many times their share of the fresh requests, never all;
-/// those let in without a total as if they were worth `BLIND_RANK` times less.
-pub(crate) const TAKE_SLOPE: f64 = 2.0;
-pub(crate) const TAKE_LEAST: f64 = 0.05;
-pub(crate) const BLIND_RANK: f64 = 40.0;
+/// Weight of the newest response in the late fraction. Over few responses chance alone would shed.
+const LATE_FRACTION_WEIGHT: f64 = 0.03;
+/// Each arrival lowers the late fraction by this share of a response's weight, so that shedding ends when no responses
+/// come any more.
+const ARRIVAL_WEIGHT_SHARE: f64 = 0.1;
+/// By how much the admit fraction falls for each unit of late fraction above the target.
+const ADMIT_FRACTION_SLOPE: f64 = 2.0;
+/// The least admit fraction: without requests the gateway would not learn that the overload is over.
+const MIN_ADMIT_FRACTION: f64 = 0.05;
+/// A request admitted without a total is shed as if its priority were this many times lower: it may be over quota.
+const WITHOUT_TOTAL_PRIORITY_DIVISOR: f64 = 40.0;
+/// The least priority weight in a ratio.
+const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
 
-impl Gateway {
-    /// Whether each gateway sees too little of a backend: choice goes by chance then, and the fleet's state
-    /// shows in all answers together.
-    pub(crate) fn is_large_fleet(&self) -> bool {
-        ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateway_count)
+/// The share of responses over the latency objective, over all backends.
+#[derive(Default)]
+pub(crate) struct LoadShedder {
+    /// 0 to 1.
+    late_fraction: f64,
+}
+
+impl LoadShedder {
+    /// Records a response.
+    pub(crate) fn record_response(&mut self, is_late: bool) {
+        self.late_fraction += LATE_FRACTION_WEIGHT * (f64::from(u8::from(is_late)) - self.late_fraction);
     }
 
-    /// Guards a large fleet against overload of any cause: the more answers are late, the fewer fresh
-    /// requests are taken, those worth less first.
+    /// Records the arrival of a request.
+    fn record_arrival(&mut self) {
+        self.late_fraction *= 1.0 - LATE_FRACTION_WEIGHT * ARRIVAL_WEIGHT_SHARE;
+    }
+
+    /// The share of the requests to admit, [`MIN_ADMIT_FRACTION`] to 1.
     pub(crate) fn admit_fraction(&self) -> f64 {
-        (1.0 - TAKE_SLOPE * (self.late_fraction - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
+        admit_fraction(self.late_fraction)
     }
+}
 
-    pub(crate) fn admits_first_attempt(&mut self, class: usize, blind: bool) -> bool {
-        self.late_fraction *= 1.0 - LATE_WEIGHT * NEWEST;
-        let rank = if blind { BLIND_RANK } else { 1.0 } / self.relative_priority(class);
-        let share = self.admit_fraction().powf(rank);
-        !self.is_large_fleet() || self.draw() < share
+/// The share of the requests to admit: it falls linearly from 1 as the late fraction rises above
+/// [`TARGET_LATE_FRACTION`].
+fn admit_fraction(late_fraction: f64) -> f64 {
+    (1.0 - ADMIT_FRACTION_SLOPE * (late_fraction - TARGET_LATE_FRACTION)).clamp(MIN_ADMIT_FRACTION, 1.0)
+}
+
+/// The probability of admitting one request while the fleet is overloaded. Requests of higher priority are shed last,
+/// those admitted without a total first.
+///
+/// Inputs: `admit_fraction` in 0..=1, `relative_priority` relative to the mean of all classes.
+fn admit_probability(admit_fraction: f64, relative_priority: f64, admitted_without_total: bool) -> f64 {
+    let divisor = if admitted_without_total { WITHOUT_TOTAL_PRIORITY_DIVISOR } else { 1.0 };
+    admit_fraction.powf(divisor / relative_priority)
+}
+
+/// The priority weight of a class relative to the mean of all classes.
+fn relative_priority(classes: &[RequestClass], class_index: usize) -> f64 {
+    let mean = classes.iter().map(|class| class.priority_weight).sum::<f64>() / classes.len() as f64;
+    classes[class_index].priority_weight.max(MIN_PRIORITY_WEIGHT) / mean.max(MIN_PRIORITY_WEIGHT)
+}
+
+impl Gateway {
+    /// The priority weight of a class relative to the mean of all classes.
+    pub(crate) fn relative_priority(&self, class_index: usize) -> f64 {
+        relative_priority(&self.settings.classes, class_index)
     }
 
-    /// What a class is worth beside the mean of all.
-    pub(crate) fn relative_priority(&self, class: usize) -> f64 {
-        let classes = &self.settings.classes;
-        let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
-        classes[class].priority_weight.max(1e-9) / mean.max(1e-9)
+    /// Whether a request's first attempt is admitted; always in a small fleet, where the limits at each backend suffice.
+    pub(crate) fn admits_first_attempt(&mut self, class_index: usize, admitted_without_total: bool) -> bool {
+        self.load_shedder.record_arrival();
+        if !is_large_fleet(self.settings.gateway_count) {
+            return true;
+        }
+        let admit_fraction = self.load_shedder.admit_fraction();
+        let relative_priority = self.relative_priority(class_index);
+        let draw = self.random.draw();
+        draw < admit_probability(admit_fraction, relative_priority, admitted_without_total)
     }
 }
--- a/src/balancer/backend.rs
+++ b/src/balancer/backend.rs
@@ -1,23 +1,34 @@
-//! What is held of one backend.
+//! The state that a gateway keeps of one backend.
 
-use crate::*;
+use crate::health::concurrency_limit::ConcurrencyLimit;
+use crate::health::outlier::OutlierState;
+use crate::health::slow_start::StartTime;
+use crate::{DeduplicationScope, Millis, Name};
 
-#[derive(Default)]
+/// One backend as this gateway knows it.
 pub(crate) struct Backend {
     pub zone: Name,
     pub cell: u64,
+    /// Whether the endpoint list lets it be used.
     pub ready: bool,
-    /// Since when the list does not name it any more.
+    /// Since when the endpoint list does not name it any more.
     pub removed_at: Option<Millis>,
+    /// Its slot in the endpoint table.
     pub slot: usize,
-    pub started: Option<Millis>,
-    /// Where starts are not told: when it is tried again after it refused a connection, as if it started then.
-    pub assumed_start: Option<Millis>,
+    pub start: StartTime,
+    /// Requests of this gateway in flight there.
     pub in_flight: u32,
-    /// How many this gateway keeps out here at most.
-    pub concurrency_limit: f64,
-    pub consecutive_failures: u32,
-    /// The class of the last error, until an answer is served.
-    pub error_class: Option<usize>,
-    pub ejected_until: Millis,
+    pub concurrency_limit: ConcurrencyLimit,
+    pub outlier: OutlierState,
+}
+
+impl Backend {
+    /// Whether both share the memory of idempotency keys.
+    pub(crate) fn shares_keys_with(&self, other: &Backend, scope: DeduplicationScope) -> bool {
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.zone == other.zone,
+            DeduplicationScope::Cell => self.cell == other.cell,
+        }
+    }
 }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,196 +1,261 @@
-//! The endpoint list.
+//! The endpoint list and what follows from it until it changes.
 
 use crate::balancer::backend::Backend;
-use crate::balancer::select::Candidate;
-use crate::balancer::stride::WEIGHT_LEAST;
-use crate::balancer::subset::OWN_BACKENDS;
-use crate::health::concurrency_limit::ROOM_FIRST;
-use crate::random::{hash, mix, unit};
-use crate::*;
+use crate::balancer::priority_levels::{LevelKey, PriorityLevel};
+use crate::balancer::select::{Candidate, Score, Scoring};
+use crate::balancer::subset::{SUBSET_SIZE, is_in_equal_subset};
+use crate::health::concurrency_limit::{ConcurrencyLimit, is_large_fleet};
+use crate::health::outlier::OutlierState;
+use crate::health::slow_start::StartTime;
+use crate::random::{Random, hash_text, mix_bits};
+use crate::{
+    Action, BackendEntry, BackendRole, BackendState, Gateway, LoadBalancing, Millis, Name, Placement,
+    Routing, Settings,
+};
 
-impl Gateway {
-    pub(crate) fn update_endpoints(&mut self, list: Vec<BackendEntry>, full: bool, out: &mut Vec<Action>) {
-        if full {
-            let now = self.now;
-            self.backends
-                .values_mut()
-                .for_each(|b| (b.ready, b.removed_at) = (false, b.removed_at.or(Some(now))));
-            self.endpoints.clear_list();
-        }
-        for entry in list {
-            let (ready, known) = (entry.state == BackendState::Ready, self.backends.get_mut(&entry.name));
-            let out = known.as_ref().map_or(0, |b| b.in_flight);
-            let gone = (entry.state == BackendState::Removed).then_some(self.now);
-            let seat = self.endpoints.upsert(known.as_ref().map(|b| b.slot), &entry);
-            if let Some(known) = known.filter(|b| b.started == entry.started) {
-                (known.ready, known.removed_at) = (ready, gone);
-                continue;
-            }
-            let room = ROOM_FIRST / f64::from(self.settings.gateway_count);
-            let BackendEntry { name, zone, cell, started, .. } = entry;
-            let rest = Backend {
-                slot: seat,
-                started,
-                in_flight: out,
-                concurrency_limit: room,
-                ..Default::default()
-            };
-            self.backends.insert(name, Backend { zone, cell, ready, removed_at: gone, ..rest });
-        }
-        self.endpoints.rebuild();
-        self.forward_queued(out);
-    }
-}
+/// The least weight of a backend.
+const MIN_WEIGHT: f64 = 1e-6;
+/// Weights that differ by no more than this are equal.
+const WEIGHT_EPSILON: f64 = 1e-9;
 
+/// One backend in the endpoint table.
 #[derive(Debug)]
 pub(crate) struct Slot {
-    pub(crate) name: Name,
-    pub(crate) name_hash: u64,
-    pub(crate) placement: Placement,
-    pub(crate) listed: bool,
-    pub(crate) ready: bool,
-    /// The level it is chosen in; none where it takes bound requests alone.
-    pub(crate) level_index: Option<usize>,
-    /// This gateway's own backends come first where there are many gateways.
-    pub(crate) in_subset: bool,
-    /// The part of its level's weight, as one in so many.
-    pub(crate) inverse_weight_share: f64,
-    /// Its weight beside the mean of its level, and what it weighs in a draw among many gateways.
-    pub(crate) relative_weight: f64,
-    pub(crate) subset_weight: f64,
-    /// When its next turn is due, on its level's own time.
-    pub(crate) pass: f64,
-    pub(crate) candidate: Candidate,
+    pub name: Name,
+    pub name_hash: u64,
+    pub placement: Placement,
+    /// Whether the endpoint list names it.
+    pub listed: bool,
+    /// Whether the endpoint list lets it be used.
+    pub ready: bool,
+    /// The priority level in which it takes requests; `None` where it takes only those with its sticky route, or none.
+    pub level_index: Option<usize>,
+    /// Whether it belongs to this gateway's subset, see [`crate::balancer::subset`].
+    pub in_subset: bool,
+    /// Its share of its level's requests, as one in so many.
+    pub inverse_weight_share: f64,
+    /// Its weight relative to the mean of its level.
+    pub relative_weight: f64,
+    /// Its weight in a random draw of a large fleet, relative to the mean of its level.
+    pub subset_weight: f64,
+    /// Its pass in stride scheduling, on the clock of its level; `None` until it enters a level.
+    pub pass: Option<f64>,
+    /// What is known of it for the request at hand.
+    pub candidate: Candidate,
+    pub score: Score,
 }
 
-/// The seats of all backends and what is due to each.
+impl Slot {
+    fn new(name: Name) -> Self {
+        Self {
+            name_hash: hash_text(&name),
+            name,
+            placement: Placement::default(),
+            listed: false,
+            ready: false,
+            level_index: None,
+            in_subset: false,
+            inverse_weight_share: 1.0,
+            relative_weight: 1.0,
+            subset_weight: 1.0,
+            pass: None,
+            candidate: Candidate::default(),
+            score: Score::default(),
+        }
+    }
+
+    pub(crate) fn weight(&self) -> f64 {
+        self.placement.weight.max(MIN_WEIGHT)
+    }
+
+    /// Whether it takes requests without a sticky route.
+    fn takes_unbound_requests(&self) -> bool {
+        self.listed && self.placement.role != BackendRole::StickyOnly
+    }
+}
+
+/// All backends of the endpoint list, with what is due to each.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
-    pub(crate) slots: Vec<Slot>,
-    pub(crate) is_uniform: bool,
-    pub(crate) weighted: bool,
-    pub(crate) routing: Routing,
-    pub(crate) gateway_index: u32,
-    pub(crate) gateway_count: u32,
-    pub(crate) is_large_fleet: bool,
-    pub(crate) seed: u64,
-    /// (tier, whether it is the tier's standbys, its time), in the order they are tried.
-    pub(crate) levels: Vec<(u32, bool, f64)>,
-    pub(crate) best_candidate: Option<(f64, usize)>,
-    /// Seats of backends that were forgotten, for the next ones.
-    pub(crate) free_slots: Vec<usize>,
+    pub slots: Vec<Slot>,
+    pub scoring: Scoring,
+    pub routing: Routing,
+    pub gateway_index: u32,
+    pub gateway_count: u32,
+    /// Draws where each gateway begins in stride scheduling.
+    random: Random,
+    /// In the order in which they are tried.
+    pub levels: Vec<PriorityLevel>,
+    /// The lowest score so far and its slot, where the scoring is uniform.
+    pub best_candidate: Option<(f64, usize)>,
+    /// Slots of backends that were forgotten, for the next ones.
+    free_slots: Vec<usize>,
 }
 
 impl EndpointTable {
-    pub(crate) fn configure(&mut self, settings: &Settings, many: bool, seed: u64) {
-        (self.routing, self.gateway_index, self.gateway_count) =
-            (settings.routing, settings.gateway_index, settings.gateway_count);
-        (self.is_large_fleet, self.seed) = (many, seed);
+    /// Takes changed settings.
+    pub(crate) fn configure(&mut self, settings: &Settings, random: Random) {
+        self.routing = settings.routing;
+        self.gateway_index = settings.gateway_index;
+        self.gateway_count = settings.gateway_count;
+        self.random = random;
         self.rebuild();
     }
 
-    /// Before a whole list: what it does not name is gone.
-    pub(crate) fn clear_list(&mut self) {
-        self.slots.iter_mut().for_each(|s| (s.listed, s.ready) = (false, false));
+    /// Prepares for a complete list: a backend that it does not name is gone.
+    fn clear_list(&mut self) {
+        for slot in &mut self.slots {
+            slot.listed = false;
+            slot.ready = false;
+        }
     }
 
-    /// A backend that is long gone is forgotten; its seat is for another. Guards against growth where backends are
-    /// replaced under new names.
-    pub(crate) fn release_slot(&mut self, seat: usize) {
-        self.free_slots.push(seat);
+    /// Frees the slot of a backend that is forgotten, so that the table does not grow where backends are replaced under
+    /// new names.
+    pub(crate) fn release_slot(&mut self, slot: usize) {
+        self.free_slots.push(slot);
     }
 
-    /// Takes one line of the list; gives the backend's seat.
-    pub(crate) fn upsert(&mut self, known: Option<usize>, entry: &BackendEntry) -> usize {
-        let at = known.or_else(|| self.free_slots.pop()).unwrap_or(self.slots.len());
-        if known.is_none() {
-            let (hash, place, offer) = (hash(&entry.name), Placement::default(), Candidate::default());
-            let (level, listed, ready, own) = (None, false, false, false);
-            let (name, parts, relative, pull, turn) = (entry.name.clone(), 1.0, 1.0, 1.0, f64::NAN);
-            let new = Slot {
-                name,
-                name_hash: hash,
-                placement: place,
-                listed,
-                ready,
-                level_index: level,
-                in_subset: own,
-                inverse_weight_share: parts,
-                relative_weight: relative,
-                subset_weight: pull,
-                pass: turn,
-                candidate: offer,
-            };
-            match self.slots.get_mut(at) {
+    /// Takes one entry of the list into the backend's slot or a new one. Returns the slot.
+    fn upsert(&mut self, known_slot: Option<usize>, entry: &BackendEntry) -> usize {
+        let index = known_slot.or_else(|| self.free_slots.pop()).unwrap_or(self.slots.len());
+        if known_slot.is_none() {
+            let new = Slot::new(entry.name.clone());
+            match self.slots.get_mut(index) {
                 Some(free) => *free = new,
                 None => self.slots.push(new),
             }
         }
-        let seat = &mut self.slots[at];
-        seat.placement = entry.placement.clone();
-        (seat.listed, seat.ready) =
-            (entry.state != BackendState::Removed, entry.state == BackendState::Ready);
-        at
+        let slot = &mut self.slots[index];
+        slot.placement = entry.placement.clone();
+        slot.listed = entry.state != BackendState::Removed;
+        slot.ready = entry.state == BackendState::Ready;
+        index
+    }
+
+    /// Works out what stays until the next change of the list.
+    fn rebuild(&mut self) {
+        let is_weighted = self.is_weighted();
+        self.scoring = self.choose_scoring(is_weighted);
+        self.rebuild_levels();
+        for level_index in 0..self.levels.len() {
+            self.weigh_level(level_index, is_weighted);
+        }
     }
 
-    /// After a list: works out what does not change until the next one.
-    pub(crate) fn rebuild(&mut self) {
-        let usual = Placement::default();
-        let listed = || self.slots.iter().filter(|s| s.listed);
-        self.is_uniform = self.routing == Routing::default() && listed().all(|s| s.placement == usual);
-        let mut weights = listed().map(|s| s.placement.weight);
+    /// Whether the configuration or unequal weights of listed backends ask for choice by weight.
+    fn is_weighted(&self) -> bool {
+        let mut weights = self.slots.iter().filter(|slot| slot.listed).map(|slot| slot.placement.weight);
         let first = weights.next().unwrap_or(1.0);
-        self.weighted = self.routing.load_balancing != LoadBalancing::LeastInFlight
-            || weights.any(|w| (w - first).abs() > 1e-9);
-        let of = |seat: &Slot| (seat.placement.priority_level, seat.placement.role == BackendRole::Standby);
-        let chosen =
-            |seat: &&Slot| seat.listed && (self.is_uniform || seat.placement.role != BackendRole::StickyOnly);
-        let mut keys: Vec<(u32, bool)> = self.slots.iter().filter(chosen).map(of).collect();
+        self.routing.load_balancing != LoadBalancing::LeastInFlight
+            || weights.any(|weight| (weight - first).abs() > WEIGHT_EPSILON)
+    }
+
+    fn choose_scoring(&self, is_weighted: bool) -> Scoring {
+        let default = Placement::default();
+        let mut listed = self.slots.iter().filter(|slot| slot.listed);
+        let is_uniform = self.routing == Routing::default() && listed.all(|slot| slot.placement == default);
+        if is_uniform {
+            Scoring::Uniform
+        } else if !is_weighted {
+            Scoring::LeastInFlight
+        } else if is_large_fleet(self.gateway_count) {
+            Scoring::WeightedDraw
+        } else if self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight {
+            Scoring::WeightedLeastInFlight
+        } else {
+            Scoring::Stride
+        }
+    }
+
+    /// Sorts the listed backends into priority levels. A level that stays keeps its pass.
+    fn rebuild_levels(&mut self) {
+        let unbound = self.slots.iter().filter(|slot| slot.takes_unbound_requests());
+        let mut keys: Vec<LevelKey> = unbound.map(|slot| LevelKey::of(&slot.placement)).collect();
         keys.sort_unstable();
         keys.dedup();
-        let was = std::mem::take(&mut self.levels);
-        let time = |key: (u32, bool)| was.iter().find(|l| (l.0, l.1) == key).map_or(0.0, |l| l.2);
-        self.levels = keys.iter().map(|k| (k.0, k.1, time(*k))).collect();
-        for seat in &mut self.slots {
-            let bound = seat.placement.role == BackendRole::StickyOnly || !seat.listed;
-            seat.level_index = if bound { None } else { keys.iter().position(|k| *k == of(seat)) };
+        let old = std::mem::take(&mut self.levels);
+        let pass_of =
+            |key: LevelKey| old.iter().find(|level| level.key == key).map_or(0.0, |level| level.pass);
+        self.levels = keys.iter().map(|key| PriorityLevel { key: *key, pass: pass_of(*key) }).collect();
+        for slot in &mut self.slots {
+            let key = LevelKey::of(&slot.placement);
+            let position = keys.iter().position(|known| *known == key);
+            slot.level_index = position.filter(|_| slot.takes_unbound_requests());
         }
-        let salt = mix(u64::from(self.gateway_index) + 1);
-        for level in 0..self.levels.len() {
-            let time = self.levels[level].2;
-            let members = || self.slots.iter().filter(|s| s.level_index == Some(level) && s.ready);
-            let (total, count) = members().fold((0.0, 0.0_f64), |(w, n): (f64, f64), s| {
-                (w + s.placement.weight.max(WEIGHT_LEAST), n + 1.0)
-            });
-            let (weighted, seed) = (self.weighted, self.seed);
-            // Few gateways start at different points of the turns; each is then off by one request at most.
-            for seat in self.slots.iter_mut().filter(|s| s.level_index == Some(level)) {
-                let weight = seat.placement.weight.max(WEIGHT_LEAST);
-                seat.inverse_weight_share = if weighted { (total / weight).max(1.0) } else { count.max(1.0) };
-                seat.relative_weight = if count > 0.0 { weight * count / total } else { 1.0 };
-                if seat.pass.is_nan() {
-                    seat.pass = time + unit(seed ^ seat.name_hash) / weight;
-                }
-                seat.subset_weight = seat.relative_weight;
-                seat.in_subset =
-                    seat.ready && (weighted || unit(seat.name_hash ^ salt) * count < OWN_BACKENDS);
-            }
-            if weighted && self.is_large_fleet && count > OWN_BACKENDS {
-                self.assign_subset_by_weight(level, total, count);
-            }
+    }
+
+    /// Works out the weights of a level's backends relative to those that are ready, and this gateway's subset.
+    fn weigh_level(&mut self, level_index: usize, is_weighted: bool) {
+        let mut total_weight = 0.0;
+        let mut count = 0.0_f64;
+        for slot in self.slots.iter().filter(|slot| slot.level_index == Some(level_index) && slot.ready) {
+            total_weight += slot.weight();
+            count += 1.0;
+        }
+        let subset_salt = mix_bits(u64::from(self.gateway_index) + 1);
+        let level_pass = self.levels[level_index].pass;
+        for slot in self.slots.iter_mut().filter(|slot| slot.level_index == Some(level_index)) {
+            let weight = slot.weight();
+            slot.inverse_weight_share =
+                if is_weighted { (total_weight / weight).max(1.0) } else { count.max(1.0) };
+            slot.relative_weight = if count > 0.0 { weight * count / total_weight } else { 1.0 };
+            slot.subset_weight = slot.relative_weight;
+            slot.in_subset =
+                slot.ready && (is_weighted || is_in_equal_subset(slot.name_hash, subset_salt, count));
+            // Gateways begin at different points, so that not all of them choose the same backend at once.
+            let first_pass = || level_pass + self.random.draw_for(slot.name_hash) / weight;
+            slot.pass = slot.pass.or_else(|| Some(first_pass()));
+        }
+        if is_weighted && is_large_fleet(self.gateway_count) && count > SUBSET_SIZE {
+            self.assign_subset_by_weight(level_index, total_weight, count);
         }
     }
+}
 
-    pub(crate) fn name_hash(&self, seat: usize) -> u64 {
-        self.slots[seat].name_hash
+impl Gateway {
+    /// Takes a complete endpoint list; a backend that it does not name is gone.
+    pub(crate) fn replace_endpoints(&mut self, entries: Vec<BackendEntry>, out: &mut Vec<Action>) {
+        for backend in self.backends.values_mut() {
+            backend.ready = false;
+            backend.removed_at = backend.removed_at.or(Some(self.now));
+        }
+        self.endpoints.clear_list();
+        self.change_endpoints(entries, out);
     }
 
-    pub(crate) fn is_in_subset(&self, seat: usize) -> bool {
-        self.slots[seat].in_subset
+    /// Takes changes to the endpoint list.
+    pub(crate) fn change_endpoints(&mut self, entries: Vec<BackendEntry>, out: &mut Vec<Action>) {
+        for entry in entries {
+            self.change_endpoint(entry);
+        }
+        self.endpoints.rebuild();
+        self.forward_queued(out);
     }
 
-    /// One in how many sends of its level is this backend's by its weight.
-    pub(crate) fn inverse_weight_share(&self, seat: usize) -> f64 {
-        self.slots[seat].inverse_weight_share
+    /// Takes one entry. A backend that has started anew keeps only its requests in flight.
+    fn change_endpoint(&mut self, entry: BackendEntry) {
+        let known = self.backends.get_mut(&entry.name);
+        let in_flight = known.as_ref().map_or(0, |backend| backend.in_flight);
+        let slot = self.endpoints.upsert(known.as_ref().map(|backend| backend.slot), &entry);
+        let ready = entry.state == BackendState::Ready;
+        let removed_at: Option<Millis> = (entry.state == BackendState::Removed).then_some(self.now);
+        if let Some(known) = known.filter(|backend| backend.start.reported == entry.started) {
+            known.ready = ready;
+            known.removed_at = removed_at;
+            return;
+        }
+        let backend = Backend {
+            zone: entry.zone,
+            cell: entry.cell,
+            ready,
+            removed_at,
+            slot,
+            start: StartTime { reported: entry.started, assumed: None },
+            in_flight,
+            concurrency_limit: ConcurrencyLimit::new(self.settings.gateway_count),
+            outlier: OutlierState::default(),
+        };
+        self.backends.insert(entry.name, backend);
     }
 }
--- a/src/balancer/priority_levels.rs
+++ b/src/balancer/priority_levels.rs
@@ -1,49 +1,120 @@
-//! Priority levels, standbys and spares.
+//! Priority levels, their standby backends and their spares.
 
 use crate::balancer::endpoints::{EndpointTable, Slot};
-use crate::balancer::select::Eligibility;
-use crate::*;
+use crate::balancer::select::{Eligibility, Selection};
+use crate::{BackendRole, Placement};
+
+/// What orders the priority levels: the standbys of a level are tried between it and the next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct LevelKey {
+    number: u32,
+    is_standby: bool,
+}
+
+impl LevelKey {
+    pub(crate) fn of(placement: &Placement) -> Self {
+        Self { number: placement.priority_level, is_standby: placement.role == BackendRole::Standby }
+    }
+}
+
+/// A priority level, or the standbys of one.
+#[derive(Debug)]
+pub(crate) struct PriorityLevel {
+    pub key: LevelKey,
+    /// The pass of the last warm backend chosen, see [`crate::balancer::stride`].
+    pub pass: f64,
+}
+
+/// The backends of a level that may serve now, spares in use included.
+struct LevelMembers<'a> {
+    slots: Vec<(usize, &'a Slot)>,
+    /// Whether a ready backend of the level is unavailable or warms up.
+    is_degraded: bool,
+}
+
+impl LevelMembers<'_> {
+    /// Whether the level has as many requests in flight as its backends may take.
+    fn is_at_limit(&self) -> bool {
+        let available = self.slots.iter().filter(|(_, slot)| slot.is_available());
+        let (in_flight, limit) = available.fold((0.0, 0.0), |(in_flight, limit), (_, slot)| {
+            (in_flight + slot.candidate.in_flight, limit + slot.candidate.concurrency_limit)
+        });
+        in_flight >= limit.max(1.0)
+    }
+
+    /// Whether a warm backend could serve the request, now or once others have ended.
+    fn has_server(&self) -> bool {
+        let mut available = self.slots.iter().filter(|(_, slot)| slot.is_available());
+        available
+            .any(|(_, slot)| slot.candidate.is_warm && slot.candidate.eligibility != Eligibility::OutOfScope)
+    }
+}
+
+impl Slot {
+    fn is_available(&self) -> bool {
+        self.candidate.eligibility != Eligibility::Unavailable
+    }
+
+    /// Whether a spare replaces it: it is out of service, or not warm yet. A spare that left with the first response of a
+    /// backend that warms up would push that over.
+    fn needs_spare(&self) -> bool {
+        match self.placement.role {
+            BackendRole::Active => !self.is_available() || !self.candidate.is_warm,
+            BackendRole::StickyOnly => true,
+            BackendRole::Standby | BackendRole::Spare => false,
+        }
+    }
+}
 
 impl EndpointTable {
-    /// One level: `Some(Some)` is the choice, `Some(None)` to wait here, `None` to go on to the next.
-    ///
-    /// A level keeps its requests while it is whole. One that is short (something of it is down or cold) lets
-    /// on what it has no room for: what is left of it is not pushed over, nor is what comes back cold.
-    pub(crate) fn select_in_level(&self, level: usize) -> Option<Option<usize>> {
-        let (tier, standby, _) = self.levels[level];
-        let tier_of = |s: &&Slot| s.listed && s.placement.priority_level == tier;
-        // A spare stands in for each that is out of service or not warm yet, in the order of the list.
-        let away = |s: &&Slot| {
-            matches!(s.placement.role, BackendRole::Active | BackendRole::StickyOnly)
-                && (s.placement.role == BackendRole::StickyOnly
-                    || s.candidate.eligibility == Eligibility::Unavailable
-                    || !s.candidate.is_warm)
-        };
-        let mut spares = if standby { 0 } else { self.slots.iter().filter(tier_of).filter(away).count() };
-        let mut members: Vec<(usize, &Slot)> = Vec::new();
-        let mut short = false;
-        for (at, seat) in self.slots.iter().enumerate().filter(|(_, s)| s.level_index == Some(level)) {
-            let down = seat.candidate.eligibility == Eligibility::Unavailable;
-            if seat.placement.role == BackendRole::Spare {
-                if spares == 0 || down {
+    /// Selects from the first priority level that does not pass the request on.
+    pub(crate) fn select_by_level(&self) -> Option<usize> {
+        for level_index in 0..self.levels.len() {
+            match self.select_in_level(level_index) {
+                Selection::Selected(index) => return Some(index),
+                Selection::Wait => return None,
+                Selection::Continue => {}
+            }
+        }
+        None
+    }
+
+    /// Selects from one level. A level without fault keeps its requests: they wait. A degraded one passes on what it has
+    /// no capacity for, so that neither the rest of it nor what comes back is overloaded.
+    fn select_in_level(&self, level_index: usize) -> Selection {
+        let members = self.members(level_index);
+        let best = if members.is_at_limit() { None } else { self.lowest_score(&members.slots) };
+        match best {
+            Some(index) => Selection::Selected(index),
+            None if members.has_server() && !members.is_degraded => Selection::Wait,
+            None => Selection::Continue,
+        }
+    }
+
+    /// The backends of a level that may serve now. As many of its spares are used as it lacks, in the order of the list.
+    fn members(&self, level_index: usize) -> LevelMembers<'_> {
+        let mut unused_spares = self.spares_needed(self.levels[level_index].key);
+        let mut members = LevelMembers { slots: Vec::new(), is_degraded: false };
+        let in_level = |slot: &Slot| slot.level_index == Some(level_index);
+        for (index, slot) in self.slots.iter().enumerate().filter(|(_, slot)| in_level(slot)) {
+            if slot.placement.role == BackendRole::Spare {
+                if unused_spares == 0 || !slot.is_available() {
                     continue;
                 }
-                spares -= 1;
+                unused_spares -= 1;
             }
-            short |= seat.ready && (down || !seat.candidate.is_warm);
-            members.push((at, seat));
+            members.is_degraded |= slot.ready && (!slot.is_available() || !slot.candidate.is_warm);
+            members.slots.push((index, slot));
         }
-        let up = || members.iter().filter(|(_, s)| s.candidate.eligibility != Eligibility::Unavailable);
-        let (out, room) = up().fold((0.0, 0.0), |(o, r), (_, s)| {
-            (o + s.candidate.in_flight, r + s.candidate.concurrency_limit)
-        });
-        let best = if out < room.max(1.0) { self.lowest_score(members.iter().copied()) } else { None };
-        let serves =
-            up().any(|(_, s)| s.candidate.is_warm && s.candidate.eligibility != Eligibility::OutOfScope);
-        match best {
-            Some(_) => Some(best),
-            None if serves && !short => Some(None),
-            None => None,
+        members
+    }
+
+    /// How many spares replace other backends of a level; standbys have none.
+    fn spares_needed(&self, key: LevelKey) -> usize {
+        if key.is_standby {
+            return 0;
         }
+        let listed = self.slots.iter().filter(|slot| slot.listed);
+        listed.filter(|slot| slot.placement.priority_level == key.number && slot.needs_spare()).count()
     }
 }
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -1,175 +1,252 @@
-//! The choice of a backend.
+//! Which backends are eligible for a request, and which of them has the lowest score.
 
 use crate::balancer::backend::Backend;
 use crate::balancer::endpoints::{EndpointTable, Slot};
-use crate::health::slow_start::COLD_MULTIPLE;
-use crate::random::unit;
-use crate::request::Stage;
-use crate::*;
+use crate::health::concurrency_limit::is_large_fleet;
+use crate::health::slow_start::{exceeds_slow_start_budget, is_warm, slow_start_budget};
+use crate::{DeduplicationScope, Gateway, Millis, Name, RequestId, Settings};
 
-/// A backend in another zone looks this much slower for each point of price: prices are small, so is this.
-pub(crate) const ZONE_BIAS: f64 = 5.0;
-/// Among many gateways, backends that are not of this one's own (`Routes::own`) look this much further.
-pub(crate) const STRANGE: f64 = 100.0;
+/// A backend in another zone counts as this much slower for each point of the cross-zone price. Prices are small.
+const CROSS_ZONE_PENALTY_PER_POINT: f64 = 5.0;
+/// In a large fleet a backend outside the gateway's subset counts as this much slower.
+const OUT_OF_SUBSET_PENALTY: f64 = 100.0;
+/// In a small fleet, draws change the score of a backend by up to this share: they decide among equals.
+const TIE_BREAK_SHARE: f64 = 0.1;
+/// The least draw that a logarithm is taken of.
+const MIN_DRAW: f64 = 1e-12;
 
-impl Gateway {
-    pub(crate) fn try_forward(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
-        let left = self.attempt_deadline(request) - self.now;
-        let in_time = request.attempts == 0 || left > 0.0;
-        let chosen =
-            if in_time && self.is_below_in_flight_limit(id) { self.select_backend(id) } else { None };
-        let Some(name) = chosen else { return false };
-        let (request, backend) = (self.requests.get_mut(&id), self.backends.get_mut(&name));
-        let (Some(request), Some(backend)) = (request, backend) else { return false };
-        backend.in_flight += 1;
-        if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.in_flight += 1;
-        }
-        (request.stage, request.sent_at, request.attempts) =
-            (Stage::InFlight, self.now, request.attempts + 1);
-        let keyed = self.settings.classes[request.class_index].idempotency == Idempotency::WithKey;
-        let window = (keyed && request.possibly_executed.is_some()).then_some(left);
-        out.push(Action::SendAttempt { id, backend: name, timeout: None, must_be_written_within: window });
-        true
-    }
-
-    /// The backend that should answer first: the one with the fewest requests of this gateway, near if equal.
-    pub(crate) fn select_backend(&mut self, id: RequestId) -> Option<Name> {
-        let request = self.requests.get(&id)?;
-        let class = &self.settings.classes[request.class_index];
-        let tied = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
-        let home = tied.and_then(|(_, home)| self.backends.get(home));
-        let out: f64 = self.backends.values().map(|b| f64::from(b.in_flight)).sum();
-        if out >= self.total_concurrency_limit().max(1.0) {
-            return None;
-        }
-        let salt = self.random;
-        let far = 1.0 + self.settings.cross_zone_price * ZONE_BIAS;
-        let (many, cold_share) = (self.is_large_fleet(), COLD_MULTIPLE * self.admit_fraction());
-        for backend in self.backends.values() {
-            let (group, zone, cell, seat) =
-                (class.deduplication_scope, &backend.zone, backend.cell, backend.slot);
-            let same = |h: &Backend| {
-                if group == DeduplicationScope::Zone { h.zone == *zone } else { h.cell == cell }
-            };
-            let luck = unit(salt ^ self.endpoints.name_hash(seat));
-            let warmth = backend.slow_start_weight(self.now, &self.settings);
-            // The cold budget: by chance its share of its part of the sends, from the first ms. Guards cold
-            // backends with no agreement and no warm backend.
-            let cold =
-                warmth < 1.0 && luck * self.endpoints.inverse_weight_share(seat) >= warmth * cold_share;
-            let fit = match () {
-                () if !backend.ready || self.now < backend.ejected_until => Eligibility::Unavailable,
-                () if group != DeduplicationScope::All && !home.is_none_or(same) => Eligibility::OutOfScope,
-                () if f64::from(backend.in_flight) >= backend.concurrency_limit.ceil() => {
-                    Eligibility::AtLimit
-                }
-                () if cold => Eligibility::SlowStart,
-                () => Eligibility::Eligible,
-            };
-            // Among many, a draw by weight: no two gateways follow the same order.
-            let draw = if many { -luck.max(1e-12).ln() } else { 1.0 + 0.1 * luck };
-            let far = if *zone == self.settings.zone { 1.0 } else { far };
-            let far = if self.endpoints.is_in_subset(seat) || !many { far } else { far * STRANGE };
-            self.endpoints.set_candidate(
-                seat,
-                fit,
-                warmth >= 1.0,
-                far,
-                draw,
-                (backend.in_flight, backend.concurrency_limit),
-            );
-        }
-        let chosen = self.endpoints.select(&request.sticky_route);
-        self.draw();
-        chosen
-    }
-}
-
-/// Whether a backend could take a request now.
+/// Whether a backend can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub(crate) enum Eligibility {
-    /// It is out of service: the list says so, or it failed lately.
+    /// It is out of service: the endpoint list says so, or it is ejected.
     #[default]
     Unavailable,
-    /// It is cold and its part of the sends is given already.
-    SlowStart,
-    /// It has no room.
-    AtLimit,
-    /// This request must not go there.
+    /// It does not share the memory of idempotency keys with the backend that may have executed the request.
     OutOfScope,
-    /// It can.
+    /// As many requests are in flight there as its concurrency limit allows.
+    AtLimit,
+    /// It warms up and has had its part of the requests.
+    SlowStart,
+    /// It can take the request.
     Eligible,
 }
 
+/// What is known of a backend for the request at hand.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Candidate {
-    pub(crate) eligibility: Eligibility,
-    pub(crate) is_warm: bool,
-    pub(crate) score: (f64, f64),
-    pub(crate) distance_penalty: f64,
-    pub(crate) in_flight: f64,
-    pub(crate) concurrency_limit: f64,
+    pub eligibility: Eligibility,
+    /// Whether it has warmed up.
+    pub is_warm: bool,
+    /// By how much its distance makes it count as slower, at least 1.
+    pub distance_penalty: f64,
+    /// A random factor of its score, see [`random_factor`].
+    pub random_factor: f64,
+    /// Requests of this gateway in flight there.
+    pub in_flight: f64,
+    /// How many may be in flight there.
+    pub concurrency_limit: f64,
+}
+
+/// The rank of a candidate; the lowest is chosen.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Score {
+    primary: f64,
+    tie_break: f64,
+}
+
+impl Score {
+    fn compare(&self, other: &Self) -> std::cmp::Ordering {
+        self.primary.total_cmp(&other.primary).then(self.tie_break.total_cmp(&other.tie_break))
+    }
+}
+
+/// How candidates are scored.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum Scoring {
+    /// No backend states a placement: all are of one level and weight.
+    #[default]
+    Uniform,
+    /// Fewest requests in flight.
+    LeastInFlight,
+    /// Fewest requests in flight relative to weight; in stride order among equals.
+    WeightedLeastInFlight,
+    /// In stride order.
+    Stride,
+    /// By a weighted draw: in a large fleet, all gateways in step would choose the same backends.
+    WeightedDraw,
+}
+
+/// The outcome of a rule that selects among some backends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Selection {
+    /// The slot of the backend that takes the request.
+    Selected(usize),
+    /// The request waits for one of these backends.
+    Wait,
+    /// These backends cannot serve the request; other rules decide.
+    Continue,
+}
+
+impl Selection {
+    /// This selection, or that of the next rule where this one does not decide.
+    pub(crate) fn or_else(self, next: impl FnOnce() -> Self) -> Self {
+        if self == Self::Continue { next() } else { self }
+    }
+}
+
+/// What the eligibility of all backends for one request depends on.
+struct SelectionContext<'a> {
+    now: Millis,
+    settings: &'a Settings,
+    deduplication_scope: DeduplicationScope,
+    /// The backend that may have executed the request, where its idempotency key matters.
+    executed_on: Option<&'a Backend>,
+    /// See [`slow_start_budget`].
+    slow_start_budget: f64,
+    cross_zone_penalty: f64,
+    is_large_fleet: bool,
+}
+
+impl SelectionContext<'_> {
+    /// What is known of a backend. `draw` is in 0..1 and differs by backend.
+    fn candidate(&self, backend: &Backend, slot: &Slot, draw: f64) -> Candidate {
+        let weight = backend.start.slow_start_weight(self.now, self.settings);
+        let budget = self.slow_start_budget;
+        let exceeds_budget = exceeds_slow_start_budget(weight, budget, draw, slot.inverse_weight_share);
+        Candidate {
+            eligibility: self.eligibility(backend, exceeds_budget),
+            is_warm: is_warm(weight),
+            distance_penalty: self.distance_penalty(&backend.zone, slot.in_subset),
+            random_factor: random_factor(draw, self.is_large_fleet),
+            in_flight: f64::from(backend.in_flight),
+            concurrency_limit: backend.concurrency_limit.get(),
+        }
+    }
+
+    fn eligibility(&self, backend: &Backend, exceeds_slow_start_budget: bool) -> Eligibility {
+        let scope = self.deduplication_scope;
+        if !backend.ready || backend.outlier.is_ejected(self.now) {
+            Eligibility::Unavailable
+        } else if self.executed_on.is_some_and(|executed_on| !backend.shares_keys_with(executed_on, scope)) {
+            Eligibility::OutOfScope
+        } else if backend.concurrency_limit.is_reached(backend.in_flight) {
+            Eligibility::AtLimit
+        } else if exceeds_slow_start_budget {
+            Eligibility::SlowStart
+        } else {
+            Eligibility::Eligible
+        }
+    }
+
+    /// By how much a backend counts as slower because of its zone and this gateway's subset.
+    fn distance_penalty(&self, zone: &Name, in_subset: bool) -> f64 {
+        let zone_penalty = if *zone == self.settings.zone { 1.0 } else { self.cross_zone_penalty };
+        if in_subset || !self.is_large_fleet { zone_penalty } else { zone_penalty * OUT_OF_SUBSET_PENALTY }
+    }
+}
+
+/// The random factor of a backend's score; `draw` is in 0..1. In a small fleet it decides among equals. In a large one
+/// it is exponentially distributed, so that the lowest product is a draw by weight and no two gateways follow the same
+/// order.
+fn random_factor(draw: f64, is_large_fleet: bool) -> f64 {
+    if is_large_fleet { -draw.max(MIN_DRAW).ln() } else { 1.0 + TIE_BREAK_SHARE * draw }
+}
+
+/// The score by requests in flight. A backend that warms up and has not had its part goes first.
+fn least_in_flight_score(candidate: &Candidate) -> f64 {
+    if !candidate.is_warm {
+        return 0.0;
+    }
+    (1.0 + candidate.in_flight) * candidate.distance_penalty * candidate.random_factor
+}
+
+/// The score of a slot for a candidate; `level_pass` is the pass of its level.
+fn score(scoring: Scoring, slot: &Slot, candidate: &Candidate, level_pass: f64) -> Score {
+    let Candidate { in_flight, distance_penalty, random_factor, .. } = *candidate;
+    let pass = slot.present_pass(level_pass);
+    match scoring {
+        _ if !candidate.is_warm => Score { primary: -1.0, tie_break: random_factor },
+        Scoring::Uniform | Scoring::LeastInFlight => {
+            Score { primary: least_in_flight_score(candidate), tie_break: 0.0 }
+        }
+        Scoring::WeightedDraw => {
+            let load = 1.0 + in_flight / slot.relative_weight;
+            Score { primary: load * distance_penalty * random_factor / slot.subset_weight, tie_break: 0.0 }
+        }
+        Scoring::WeightedLeastInFlight => {
+            Score { primary: in_flight / slot.relative_weight * distance_penalty, tie_break: pass }
+        }
+        Scoring::Stride => Score { primary: pass, tie_break: random_factor },
+    }
 }
 
 impl EndpointTable {
-    /// Takes what is known of one backend for the request at hand; `draw` is its luck, the lower the better.
-    pub(crate) fn set_candidate(
-        &mut self, at: usize, fit: Eligibility, warm: bool, far: f64, draw: f64, load: (u32, f64),
-    ) {
-        let (out, room) = (f64::from(load.0), load.1);
-        let plain_score = if warm { (1.0 + out) * far * draw } else { 0.0 };
-        if self.is_uniform {
-            if fit == Eligibility::Eligible && self.best_candidate.is_none_or(|(s, _)| plain_score < s) {
-                self.best_candidate = Some((plain_score, at));
+    /// Takes what is known of one backend for the request at hand.
+    fn set_candidate(&mut self, index: usize, candidate: Candidate) {
+        if self.scoring == Scoring::Uniform {
+            let score = least_in_flight_score(&candidate);
+            let is_eligible = candidate.eligibility == Eligibility::Eligible;
+            if is_eligible && self.best_candidate.is_none_or(|(best, _)| score < best) {
+                self.best_candidate = Some((score, index));
             }
             return;
         }
-        let (many, busyness) =
-            (self.is_large_fleet, self.routing.load_balancing == LoadBalancing::WeightedLeastInFlight);
-        let seat = &mut self.slots[at];
-        let time = seat.level_index.map_or(0.0, |l| self.levels[l].2);
-        let turn = seat.pass.max(time);
-        let score = if !warm {
-            (-1.0, draw)
-        } else if !self.weighted {
-            (plain_score, 0.0)
-        } else if many {
-            ((1.0 + out / seat.relative_weight) * far * draw / seat.subset_weight, 0.0)
-        } else if busyness {
-            (out / seat.relative_weight * far, turn)
-        } else {
-            (turn, draw)
-        };
-        seat.candidate = Candidate {
-            eligibility: fit,
-            is_warm: warm,
-            score,
-            distance_penalty: far,
-            in_flight: out,
-            concurrency_limit: room,
-        };
+        let slot = &mut self.slots[index];
+        let level_pass = slot.level_index.map_or(0.0, |level_index| self.levels[level_index].pass);
+        slot.score = score(self.scoring, slot, &candidate, level_pass);
+        slot.candidate = candidate;
     }
 
-    /// The backend that takes the request; none where it has to wait.
-    pub(crate) fn select(&mut self, bound: &str) -> Option<Name> {
-        let chosen = if self.is_uniform {
-            self.best_candidate.take().map(|(_, at)| at)
+    /// Selects the backend that takes the request; `None` where it has to wait.
+    fn select(&mut self, sticky_route: &str) -> Option<Name> {
+        let selected = if self.scoring == Scoring::Uniform {
+            self.best_candidate.take().map(|(_, index)| index)
         } else {
-            let levels = || (0..self.levels.len()).find_map(|level| self.select_in_level(level)).flatten();
-            self.select_sticky(bound).unwrap_or_else(levels)
+            match self.select_sticky(sticky_route) {
+                Selection::Selected(index) => Some(index),
+                Selection::Wait => None,
+                Selection::Continue => self.select_by_level(),
+            }
         }?;
-        self.advance_stride(chosen);
-        Some(self.slots[chosen].name.clone())
+        self.advance_stride(selected);
+        Some(self.slots[selected].name.clone())
     }
 
-    pub(crate) fn lowest_score<'a>(&self, seats: impl Iterator<Item = (usize, &'a Slot)>) -> Option<usize> {
-        let free = seats.filter(|(_, s)| s.candidate.eligibility == Eligibility::Eligible);
-        free.min_by(|a, b| {
-            let (a, b) = (a.1.candidate.score, b.1.candidate.score);
-            a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
-        })
-        .map(|(at, _)| at)
+    /// The eligible slot with the lowest score, the first of equals.
+    pub(crate) fn lowest_score(&self, slots: &[(usize, &Slot)]) -> Option<usize> {
+        let eligible = slots.iter().filter(|(_, slot)| slot.candidate.eligibility == Eligibility::Eligible);
+        eligible.min_by(|(_, a), (_, b)| a.score.compare(&b.score)).map(|(index, _)| *index)
+    }
+}
+
+impl Gateway {
+    /// Selects the backend for a request's next attempt; `None` where the request has to wait.
+    pub(crate) fn select_backend(&mut self, id: RequestId) -> Option<Name> {
+        let request = self.requests.get(&id)?;
+        let in_flight: f64 = self.backends.values().map(|backend| f64::from(backend.in_flight)).sum();
+        if in_flight >= self.total_concurrency_limit().max(1.0) {
+            return None;
+        }
+        let class = &self.settings.classes[request.class_index];
+        let keyed = request.keyed_execution(class);
+        let context = SelectionContext {
+            now: self.now,
+            settings: &self.settings,
+            deduplication_scope: class.deduplication_scope,
+            executed_on: keyed.and_then(|execution| self.backends.get(&execution.backend)),
+            slow_start_budget: slow_start_budget(self.load_shedder.admit_fraction()),
+            cross_zone_penalty: 1.0 + self.settings.cross_zone_price * CROSS_ZONE_PENALTY_PER_POINT,
+            is_large_fleet: is_large_fleet(self.settings.gateway_count),
+        };
+        for backend in self.backends.values() {
+            let slot = &self.endpoints.slots[backend.slot];
+            let draw = self.random.draw_for(slot.name_hash);
+            let candidate = context.candidate(backend, slot, draw);
+            self.endpoints.set_candidate(backend.slot, candidate);
+        }
+        let selected = self.endpoints.select(&request.sticky_route);
+        // All backends drew from one state; the next selection draws from another.
+        self.random.draw();
+        selected
     }
 }
--- a/src/balancer/sticky.rs
+++ b/src/balancer/sticky.rs
@@ -1,43 +1,63 @@
-//! Requests bound to a route.
+//! Sticky routes: requests that are bound to a backend.
 
+use crate::Name;
 use crate::balancer::endpoints::{EndpointTable, Slot};
-use crate::balancer::select::Eligibility;
+use crate::balancer::select::{Eligibility, Selection};
 
 impl EndpointTable {
-    /// A request bound to a route: its backend, else the successor that it names, else the rest of its group,
-    /// else any other unless the binding is strict. `None`: choose as for any other request.
-    pub(crate) fn select_sticky(&self, route: &str) -> Option<Option<usize>> {
+    /// Selects for a request with a sticky route: its backend, else the failover route that this names, else the rest of
+    /// its failover group, else any other backend unless affinity is strict. A backend at its limit is waited for: a
+    /// session that moved would be lost or have to be rebuilt.
+    pub(crate) fn select_sticky(&self, route: &str) -> Selection {
         if route.is_empty() {
-            return None;
+            return Selection::Continue;
         }
-        let of = |route: &str| -> Vec<(usize, &Slot)> {
-            let all = self.slots.iter().enumerate().filter(|(_, s)| s.listed);
-            all.filter(|(_, s)| *s.placement.sticky_route == *route).collect()
-        };
-        let home = of(route);
-        let waits = |seats: &[(usize, &Slot)]| {
-            seats.iter().any(|(_, s)| s.candidate.eligibility == Eligibility::AtLimit)
-        };
-        let try_seats = |seats: &[(usize, &Slot)]| match self.lowest_score(seats.iter().copied()) {
-            Some(at) => Some(Some(at)),
-            None => waits(seats).then_some(None),
-        };
-        if let Some(done) = try_seats(&home) {
-            return Some(done);
+        let home = self.slots_of_route(route);
+        let selection = self
+            .select_among(&home)
+            .or_else(|| self.select_failover_route(&home))
+            .or_else(|| self.select_failover_group(&home));
+        if selection == Selection::Continue && self.routing.strict_affinity && !home.is_empty() {
+            return Selection::Wait;
         }
-        let successor = home.iter().map(|(_, s)| &s.placement.failover_route).find(|r| !r.is_empty());
-        if let Some(done) = successor.and_then(|r| try_seats(&of(r))) {
-            return Some(done);
+        selection
+    }
+
+    fn select_failover_route(&self, home: &[(usize, &Slot)]) -> Selection {
+        match first_stated(home, |slot| &slot.placement.failover_route) {
+            Some(route) => self.select_among(&self.slots_of_route(route)),
+            None => Selection::Continue,
         }
-        if let Some(group) = home.iter().map(|(_, s)| &s.placement.failover_group).find(|g| !g.is_empty()) {
-            let all = self.slots.iter().enumerate();
-            let group: Vec<(usize, &Slot)> = all
-                .filter(|(_, s)| s.level_index.is_some() && s.placement.failover_group == *group)
-                .collect();
-            if let Some(done) = try_seats(&group) {
-                return Some(done);
-            }
+    }
+
+    fn select_failover_group(&self, home: &[(usize, &Slot)]) -> Selection {
+        match first_stated(home, |slot| &slot.placement.failover_group) {
+            Some(group) => self.select_among(&self.slots_of_group(group)),
+            None => Selection::Continue,
+        }
+    }
+
+    /// Selects the lowest score, or waits where one of the backends is at its limit.
+    fn select_among(&self, slots: &[(usize, &Slot)]) -> Selection {
+        if let Some(index) = self.lowest_score(slots) {
+            return Selection::Selected(index);
         }
-        (self.routing.strict_affinity && !home.is_empty()).then_some(None)
+        let is_at_limit = |slot: &Slot| slot.candidate.eligibility == Eligibility::AtLimit;
+        if slots.iter().any(|(_, slot)| is_at_limit(slot)) { Selection::Wait } else { Selection::Continue }
     }
+
+    fn slots_of_route(&self, route: &str) -> Vec<(usize, &Slot)> {
+        let listed = self.slots.iter().enumerate().filter(|(_, slot)| slot.listed);
+        listed.filter(|(_, slot)| *slot.placement.sticky_route == *route).collect()
+    }
+
+    fn slots_of_group(&self, group: &str) -> Vec<(usize, &Slot)> {
+        let unbound = self.slots.iter().enumerate().filter(|(_, slot)| slot.level_index.is_some());
+        unbound.filter(|(_, slot)| *slot.placement.failover_group == *group).collect()
+    }
+}
+
+/// The first name that is not empty.
+fn first_stated<'a>(slots: &[(usize, &'a Slot)], name: impl Fn(&'a Slot) -> &'a Name) -> Option<&'a Name> {
+    slots.iter().map(|(_, slot)| name(slot)).find(|name| !name.is_empty())
 }
--- a/src/balancer/stride.rs
+++ b/src/balancer/stride.rs
@@ -1,22 +1,31 @@
-//! Stride scheduling.
+//! Stride scheduling: choice by weight, off by one request at most for each backend.
+//!
+//! Each slot has a pass, the slot with the lowest pass is chosen, and its pass then advances by its stride, `1 / weight`.
 
-use crate::balancer::endpoints::EndpointTable;
+use crate::balancer::endpoints::{EndpointTable, Slot};
+use crate::balancer::select::Scoring;
 
-/// The least weight that is told apart from nothing.
-pub(crate) const WEIGHT_LEAST: f64 = 1e-6;
+impl Slot {
+    /// The slot's pass, at least that of its level: a backend that was unavailable does not make up for what it missed.
+    pub(crate) fn present_pass(&self, level_pass: f64) -> f64 {
+        self.pass.map_or(level_pass, |pass| pass.max(level_pass))
+    }
+}
 
 impl EndpointTable {
-    /// Strides of the chosen: its next turn is due `1 / weight` later. The level's time is that of the turn taken
-    /// last: who was away finds its turn there, and not all those that it missed.
-    pub(crate) fn advance_stride(&mut self, at: usize) {
-        let seat = &mut self.slots[at];
-        let weight = seat.placement.weight.max(WEIGHT_LEAST);
-        let Some(level) = seat.level_index.filter(|_| !self.is_uniform) else { return };
-        let time = &mut self.levels[level].2;
-        let from = seat.pass.max(*time);
-        seat.pass = from + seat.candidate.distance_penalty / weight;
-        if seat.candidate.is_warm {
-            *time = from.max(*time);
+    /// Advances the pass of the chosen slot. A distant backend's stride is longer by its penalty. The level's pass
+    /// follows that of the last warm backend chosen.
+    pub(crate) fn advance_stride(&mut self, index: usize) {
+        if self.scoring == Scoring::Uniform {
+            return;
+        }
+        let slot = &mut self.slots[index];
+        let Some(level_index) = slot.level_index else { return };
+        let level_pass = &mut self.levels[level_index].pass;
+        let pass = slot.present_pass(*level_pass);
+        slot.pass = Some(pass + slot.candidate.distance_penalty / slot.weight());
+        if slot.candidate.is_warm {
+            *level_pass = pass;
         }
     }
 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,33 +1,62 @@
-//! The backends that one of many gateways prefers.
+//! Deterministic subsetting: each gateway of a large fleet prefers a few backends, which bounds connections and shows it
+//! more of each.
 
 use crate::balancer::endpoints::EndpointTable;
-use crate::balancer::stride::WEIGHT_LEAST;
+use crate::random::unit_interval;
 
-/// One of many gateways keeps to about this many backends of its own in each tier: guards against full
-/// connection tables, and it hears more of each.
-pub(crate) const OWN_BACKENDS: f64 = 5.0;
+/// The size of a gateway's subset in each priority level, on average.
+pub(crate) const SUBSET_SIZE: f64 = 5.0;
+/// A part of the circle of weights shorter than this is nothing: the limit of the sums' precision.
+const ARC_EPSILON: f64 = 1e-12;
+
+/// Whether a backend belongs to the subset of a gateway, where weights are equal. Each gateway draws its subset by the
+/// backend's hash and its own salt; `count` backends are ready.
+pub(crate) fn is_in_equal_subset(name_hash: u64, gateway_salt: u64, count: f64) -> bool {
+    unit_interval(name_hash ^ gateway_salt) * count < SUBSET_SIZE
+}
+
+/// A gateway's arc of the circle of weights, which has the length 1.
+struct Arc {
+    start: f64,
+    length: f64,
+}
+
+impl Arc {
+    /// Arcs begin at even distances and are as long as an integral number of them: every point lies in as many arcs, so that
+    /// over the fleet each backend gets exactly its weight's share.
+    fn of_gateway(gateway_index: u32, gateway_count: u32, backend_count: f64) -> Self {
+        let gateways = f64::from(gateway_count);
+        let length = (gateways * SUBSET_SIZE / backend_count).ceil() / gateways;
+        Self { start: f64::from(gateway_index) / gateways, length }
+    }
+
+    /// The length that the arc shares with `from..to`, both in 0..=1.
+    fn overlap(&self, from: f64, to: f64) -> f64 {
+        let overlap_at = |start: f64| (to.min(start + self.length) - from.max(start)).max(0.0);
+        overlap_at(self.start) + overlap_at(self.start - 1.0)
+    }
+}
 
 impl EndpointTable {
-    /// All weights of a level laid round a circle, in an order that is the same at all gateways: each gateway's
-    /// own backends are those on an arc of it, and they are drawn by how much of them lies there. Arcs begin at
-    /// even distances and are as long as a whole number of these, so every point is in as many arcs: over the
-    /// fleet each backend has exactly its weight's part.
-    pub(crate) fn assign_subset_by_weight(&mut self, level: usize, total: f64, count: f64) {
-        let gateways = f64::from(self.gateway_count);
-        let length = (gateways * OWN_BACKENDS / count).ceil() / gateways;
-        let from = f64::from(self.gateway_index) / gateways;
+    /// Assigns the subset where weights differ: the weights of a level are laid round a circle in an order that is the
+    /// same at all gateways. A gateway's subset are the backends on its arc, drawn by how much of them lies there
+    /// (weighted consistent hashing).
+    pub(crate) fn assign_subset_by_weight(&mut self, level_index: usize, total_weight: f64, count: f64) {
+        let arc = Arc::of_gateway(self.gateway_index, self.gateway_count, count);
         let mut order: Vec<usize> = (0..self.slots.len()).collect();
-        order.retain(|at| self.slots[*at].level_index == Some(level) && self.slots[*at].ready);
-        order.sort_unstable_by_key(|at| self.slots[*at].name_hash);
-        let mut low = 0.0;
-        for at in order {
-            let seat = &mut self.slots[at];
-            let high = low + seat.placement.weight.max(WEIGHT_LEAST) / total;
-            let over = |from: f64| (high.min(from + length) - low.max(from)).max(0.0);
-            let lies = over(from) + over(from - 1.0);
-            seat.in_subset = lies > 1e-12;
-            seat.subset_weight = if seat.in_subset { lies * count } else { seat.relative_weight };
-            low = high;
+        order.retain(|index| {
+            let slot = &self.slots[*index];
+            slot.level_index == Some(level_index) && slot.ready
+        });
+        order.sort_unstable_by_key(|index| self.slots[*index].name_hash);
+        let mut from = 0.0;
+        for index in order {
+            let slot = &mut self.slots[index];
+            let to = from + slot.weight() / total_weight;
+            let overlap = arc.overlap(from, to);
+            slot.in_subset = overlap > ARC_EPSILON;
+            slot.subset_weight = if slot.in_subset { overlap * count } else { slot.relative_weight };
+            from = to;
         }
     }
 }
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -1,44 +1,72 @@
-//! Calls to the shared counter.
+//! Calls to the shared counter: one in flight for each customer, and a limit on all.
 
-use crate::maintenance::{IDLE_TURNS, KEEP_MOST};
+use crate::maintenance::{IDLE_PERIODS, MAX_RETENTION};
+use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
-use crate::random::mix;
-use crate::*;
-
-/// The most counter calls out at once from one gateway while the counter is at ease.
-pub(crate) const CALLS_MOST: f64 = 12.0;
-/// Counter calls should be answered within this share of their time-out: slower, and fewer are made.
-pub(crate) const EASE_SHARE: f64 = 0.3;
-/// By how much an instant answer raises the share of calls made; a late one lowers it by up to twice that.
-pub(crate) const EASE_STEP: f64 = 0.2;
-/// The least share of calls still made: who never asks never learns that the counter is back.
-pub(crate) const EASE_LEAST: f64 = 0.1;
+use crate::quota::lease::LeaseCall;
+use crate::quota::sampled::{is_sampled, sum_of};
+use crate::random::{GOLDEN_GAMMA, mix_bits};
+use crate::{Action, Gateway, Millis, Name, Plan};
+
+/// The most counter calls in flight from one gateway, at a call rate of 1 or more.
+const MAX_CALLS_IN_FLIGHT: f64 = 12.0;
+
+/// The most counter calls in flight at the present call rate; at least one.
+fn max_calls_in_flight(call_rate: f64) -> f64 {
+    (MAX_CALLS_IN_FLIGHT * call_rate.min(1.0)).max(1.0)
+}
+
+/// The name of the counter for one window of a customer, below 2^63 and the same at all gateways.
+fn counter_name(name_hash: u64, window: u64) -> u64 {
+    mix_bits(name_hash ^ window.wrapping_mul(GOLDEN_GAMMA)) >> 1
+}
+
+/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is lost,
+/// and memory is bounded when many customers are seen once.
+pub(crate) fn idle_retention(plan: &Plan) -> Millis {
+    refill_period(plan) * IDLE_PERIODS
+}
 
 impl Gateway {
-    /// Adds a block to the customer's count: one call out for each name, and a bound on all.
+    /// Adds to the customer's counter what it needs and what it has not reported yet. Does nothing while a call of the
+    /// customer or too many calls are in flight.
     pub(crate) fn call_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
+        let call_limit = max_calls_in_flight(self.call_rate.get());
+        let is_at_limit = self.counter_calls.len() as f64 >= call_limit && !self.draining;
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let full = self.counter_calls.len() as f64 >= (CALLS_MOST * self.call_rate.min(1.0)).max(1.0)
-            && !self.draining;
-        if customer.pending_call.is_some() || !self.settings.has_counter || full {
+        if customer.pending_call.is_some() || !self.settings.has_counter || is_at_limit {
             return;
         }
         let plan = &self.settings.plans[customer.plan_index];
         customer.advance(self.now, plan);
-        let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
-        let block = if customer.is_sampled(plan) {
-            waiting.map(|r| r.weighted_units).sum()
+        let lease_units = if is_sampled(plan, customer.gateway_count) {
+            sum_of(&customer.waiting, &self.requests, |request| request.weighted_units)
         } else {
-            let need: f64 = waiting.map(|r| r.units).sum();
-            let need = need.min(customer.available_units.max(1.0));
-            let block = if self.draining { need } else { customer.lease_size(need, plan) };
-            (block - customer.leased_units).max(0.0)
+            let needed_units = sum_of(&customer.waiting, &self.requests, |request| request.units);
+            customer.units_to_lease(needed_units, plan, self.draining)
         };
-        let owed = std::mem::take(&mut customer.unreported_units);
-        let count = mix(customer.name_hash ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
-        customer.pending_call = Some((customer.window, block, owed));
-        self.counter_calls.insert(count, name.clone());
-        let keep = (Customer::refill_period(plan) * IDLE_TURNS).min(KEEP_MOST);
-        out.push(Action::AddToCounter { counter: count, amount: block + owed, time_to_live: keep });
+        let report_units = std::mem::take(&mut customer.unreported_units);
+        let call = LeaseCall { window: customer.lease.window, lease_units, report_units };
+        let counter = counter_name(customer.name_hash, call.window);
+        customer.pending_call = Some(call);
+        self.counter_calls.insert(counter, name.clone());
+        let time_to_live = idle_retention(plan).min(MAX_RETENTION);
+        out.push(Action::AddToCounter { counter, amount: call.amount(), time_to_live });
+    }
+
+    /// During an outage, calls the counter now and then to learn whether it answers again.
+    pub(crate) fn probe_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
+        if self.counter_calls.is_empty() && self.random.draw() < self.call_rate.get() {
+            self.call_counter(name, out);
+        }
+    }
+}
+
+impl Customer {
+    /// The units to lease beyond those leased already. A gateway that drains leases no more than it needs.
+    fn units_to_lease(&self, waiting_units: f64, plan: &Plan, is_draining: bool) -> f64 {
+        let needed_units = waiting_units.min(self.bucket.available_units.max(1.0));
+        let lease_units = if is_draining { needed_units } else { self.lease_units(needed_units, plan) };
+        (lease_units - self.lease.units).max(0.0)
     }
 }
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,147 +1,189 @@
-//! Results of counter calls.
+//! Results of counter calls: totals, failures and late results.
 
-use crate::counter::calls::{EASE_LEAST, EASE_SHARE, EASE_STEP};
+use crate::counter::availability::Outage;
+use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
 use crate::quota::customer::Customer;
-use crate::quota::sampled::EASE_MOST;
-use crate::*;
+use crate::quota::lease::LeaseCall;
+use crate::quota::sampled::is_sampled;
+use crate::{Action, CounterOutcome, Gateway, Millis, Name, Plan};
+use std::collections::VecDeque;
 
-/// The counter counts as silent after this many time-outs without an answer: one call may just be late.
-pub(crate) const SILENT_AFTER: f64 = 3.0;
-/// So many calls given up are remembered, in case their answers come after all.
-pub(crate) const LATE_MOST: usize = 256;
+/// So many calls that timed out are remembered, in case their results arrive late.
+const MAX_TIMED_OUT_CALLS: usize = 256;
+/// Units below this are nothing: the limit of the sums' precision.
+pub(crate) const UNITS_EPSILON: f64 = 1e-6;
+
+/// A call without a result in time; its units may have been added.
+struct TimedOutCall {
+    counter: u64,
+    customer: Name,
+    call: LeaseCall,
+}
+
+/// The calls that timed out last, oldest first.
+#[derive(Default)]
+pub(crate) struct TimedOutCalls(VecDeque<TimedOutCall>);
+
+impl TimedOutCalls {
+    fn push(&mut self, counter: u64, customer: Name, call: LeaseCall) {
+        self.0.push_back(TimedOutCall { counter, customer, call });
+        self.0.drain(..self.0.len().saturating_sub(MAX_TIMED_OUT_CALLS));
+    }
+
+    fn take(&mut self, counter: u64) -> Option<TimedOutCall> {
+        let position = self.0.iter().position(|call| call.counter == counter)?;
+        self.0.remove(position)
+    }
+}
+
+impl Customer {
+    /// Takes the total of a call into the bucket and the lease.
+    fn record_total(&mut self, call: LeaseCall, total: f64, outage: Outage, now: Millis, plan: &Plan) {
+        let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
+        let is_recent = now < outage.ended_at + refill_period(plan);
+        let outage_span = outage.ended_at - outage.started_at;
+        self.bucket.limit_overflow(payable_overflow(plan, outage_span, is_recent, self.gateway_count));
+        if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < outage.ended_at {
+            // The counter may have come back empty, and what others spent in the outage is reported nowhere: only this
+            // gateway's own part is sure to be left.
+            let sure_units = fallback_units.unwrap_or(initial_units(plan));
+            self.bucket.available_units = self.bucket.available_units.min(sure_units);
+        }
+        self.last_total_at = now;
+        if call.window == self.lease.window {
+            self.add_lease(call, total, plan);
+            self.return_overdrawn(call.lease_units);
+        }
+    }
+
+    /// Adds the units of a call of the present window to the lease.
+    fn add_lease(&mut self, call: LeaseCall, total: f64, plan: &Plan) {
+        self.lease.reported_units += call.amount();
+        if !self.has_total {
+            self.bucket.available_units = initial_units(plan) - total;
+            self.has_total = true;
+        } else if total + UNITS_EPSILON < self.lease.reported_units {
+            // The counter was emptied. What this gateway holds is reported again, so that new leases do not stack on
+            // those still held.
+            self.unreported_units += self.lease.reported_units - total;
+            self.bucket.available_units -= call.lease_units;
+        } else {
+            let used_units = total - self.lease.last_total - call.report_units;
+            self.bucket.settle_total(used_units, call.lease_units, plan.burst);
+        }
+        self.lease.last_total = total;
+        self.lease.units += call.lease_units;
+    }
+
+    /// Returns as much of a new lease as the bucket is overdrawn by.
+    fn return_overdrawn(&mut self, new_lease_units: f64) {
+        if self.bucket.available_units < 0.0 {
+            let overdrawn_units = (-self.bucket.available_units).ceil();
+            let returned_units = self.lease.units.min(overdrawn_units).min(new_lease_units);
+            self.lease.units -= returned_units;
+            self.unreported_units -= returned_units;
+            self.bucket.available_units += returned_units;
+        }
+    }
+
+    /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is returned.
+    fn return_late_lease(&mut self, call: LeaseCall, plan: &Plan) {
+        self.unreported_units -= call.lease_units;
+        if call.window == self.lease.window {
+            self.lease.last_total += call.amount();
+            self.lease.reported_units += call.amount();
+        } else {
+            let late_units = self.bucket.available_units + call.lease_units + call.report_units.max(0.0);
+            self.bucket.available_units = late_units.min(plan.burst);
+        }
+    }
+}
 
 impl Gateway {
+    /// Takes the end of a counter call.
     pub(crate) fn counter_call_ended(
-        &mut self, count: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>,
+        &mut self, counter: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>,
     ) {
         if let CounterOutcome::Late { added, total } = outcome {
-            return self.late_result_received(count, added, total, out);
+            return self.late_result_received(counter, added, total, out);
         }
-        let Some(name) = self.counter_calls.remove(&count) else { return };
-        let quick = self.settings.counter_timeout * EASE_SHARE;
-        let slow = if matches!(outcome, CounterOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
-        let step = EASE_STEP * (1.0 - slow).max(-2.0);
-        self.call_rate = (self.call_rate * (1.0 + step)).clamp(EASE_LEAST, EASE_MOST);
+        let Some(name) = self.counter_calls.remove(&counter) else { return };
+        let answered = matches!(outcome, CounterOutcome::Total(_));
+        self.call_rate.record(answered.then_some(latency), self.settings.counter_timeout);
         let CounterOutcome::Total(total) = outcome else {
-            return self.counter_call_failed(count, &name, outcome == CounterOutcome::Unknown, out);
+            let may_be_added = outcome == CounterOutcome::Unknown;
+            return self.counter_call_failed(counter, &name, may_be_added, out);
         };
         self.counter_answered(out);
-        let call = self.customers.get_mut(&name).and_then(|c| c.pending_call.take());
+        let call = self.customers.get_mut(&name).and_then(|customer| customer.pending_call.take());
         self.total_received(&name, call.unwrap_or_default(), total, out);
     }
 
-    pub(crate) fn counter_answered(&mut self, out: &mut Vec<Action>) {
-        if std::mem::take(&mut self.outage_logged) {
-            self.outage.1 = self.now;
+    fn counter_answered(&mut self, out: &mut Vec<Action>) {
+        if self.counter_availability.record_answer(self.now) {
             out.push(Action::Log("counter back".into()));
         }
-        (self.consecutive_timeouts, self.last_total_at) = (0, self.now);
     }
 
-    /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
-    pub(crate) fn total_received(
-        &mut self, name: &Name, call: (u64, f64, f64), total: f64, out: &mut Vec<Action>,
-    ) {
-        let now = self.now;
+    /// Takes a total, then admits the requests that waited for it. Calls again where some still wait or units are to be
+    /// returned.
+    fn total_received(&mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>) {
+        let outage = self.counter_availability.last_outage();
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let (plan, (window, block, owed)) = (&self.settings.plans[customer.plan_index], call);
-        if customer.is_sampled(plan) {
-            return self.sampled_total_received(name, total - block - owed, block, out);
-        }
-        customer.advance(now, plan);
-        let slice = customer.fallback_budget.take();
-        // What others used in a silence is told at its end, all at once: their parts of what came in then
-        // paid for it, but under a ceiling, which many gateways would pass together.
-        let (from, back) = self.outage;
-        let pays = now < back + Customer::refill_period(plan) && plan.ceiling_rate <= 0.0;
-        let part = if pays { 1.0 - 1.0 / customer.gateway_count } else { 0.0 };
-        customer.overflow_units = customer.overflow_units.min(plan.rate * (back - from) / 1000.0 * part);
-        if plan.ceiling_rate > 0.0 && customer.has_total && customer.last_total_at < back {
-            // Guards against a counter that comes back empty: what others spent in the silence is told
-            // nowhere. Only the own slice (or an unknown customer's start) is sure to be left.
-            customer.available_units =
-                customer.available_units.min(slice.map_or(Customer::initial_units(plan), |(held, _)| held));
-        }
-        customer.last_total_at = now;
-        if window == customer.window {
-            customer.reported_units += block + owed;
-            if !customer.has_total {
-                customer.available_units = Customer::initial_units(plan) - total;
-                customer.has_total = true;
-            } else if total + 1e-6 < customer.reported_units {
-                // Guards against an emptied count: what this gateway holds is told again, so that new blocks
-                // do not stack on those still held.
-                customer.unreported_units += customer.reported_units - total;
-                customer.available_units -= block;
-            } else {
-                let used = total - customer.last_total - owed;
-                let paid = (used - block).clamp(0.0, customer.overflow_units);
-                customer.overflow_units -= paid;
-                customer.available_units = (customer.available_units - (used - paid)).min(plan.burst);
-            }
-            (customer.last_total, customer.leased_units) = (total, customer.leased_units + block);
-            if customer.available_units < 0.0 {
-                let back = customer.leased_units.min((-customer.available_units).ceil()).min(block);
-                customer.leased_units -= back;
-                customer.unreported_units -= back;
-                customer.available_units += back;
-            }
+        let plan = &self.settings.plans[customer.plan_index];
+        if is_sampled(plan, customer.gateway_count) {
+            return self.sampled_total_received(name, call, total, out);
         }
+        customer.advance(self.now, plan);
+        customer.record_total(call, total, outage, self.now, plan);
         let waiting = std::mem::take(&mut customer.waiting);
-        let give_back = customer.unreported_units <= -1.0;
-        let wait = waiting.into_iter().filter(|id| self.admit_by_quota(*id, out)).count();
-        if wait > 0 || give_back {
+        let has_units_to_return = customer.unreported_units <= -1.0;
+        let still_waiting = waiting.into_iter().filter(|id| self.admit_by_quota(*id, out)).count();
+        if still_waiting > 0 || has_units_to_return {
             self.call_counter(name, out);
         }
     }
 
-    /// No answer: the silence rule decides for who waits, and a block that may have counted is let go.
-    pub(crate) fn counter_call_failed(
-        &mut self, count: u64, name: &Name, may_have_counted: bool, out: &mut Vec<Action>,
-    ) {
-        self.consecutive_timeouts += 1;
-        if self.is_counter_silent() && !std::mem::replace(&mut self.outage_logged, true) {
-            self.outage = (self.now, f64::NEG_INFINITY);
+    /// Decides without the counter for the requests that waited for a call. A lease that may have been added is dropped:
+    /// what was to be reported is reported again, what was to be returned is not returned twice.
+    fn counter_call_failed(&mut self, counter: u64, name: &Name, may_be_added: bool, out: &mut Vec<Action>) {
+        self.counter_availability.record_failure();
+        if self.is_counter_silent() && self.counter_availability.begin_outage(self.now) {
             out.push(Action::Log("counter silent: spending blocks and even slices".into()));
         }
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let (window, block, owed) = customer.pending_call.take().unwrap_or_default();
-        customer.unreported_units += if may_have_counted { owed.max(0.0) } else { owed };
-        if may_have_counted {
-            self.timed_out_calls.push_back((count, name.clone(), window, block, owed));
-            self.timed_out_calls.drain(..self.timed_out_calls.len().saturating_sub(LATE_MOST));
+        let call = customer.pending_call.take().unwrap_or_default();
+        if may_be_added {
+            customer.unreported_units += call.report_units.max(0.0);
+            self.timed_out_calls.push(counter, name.clone(), call);
+        } else {
+            customer.unreported_units += call.report_units;
         }
         for id in std::mem::take(&mut customer.waiting) {
             self.admit_by_fallback(id, out);
         }
     }
 
-    /// A call that was given up is heard of after all. In its window the block is granted, else goes back.
-    /// Guards against a slow counter that eats up quotas: a block let go stays in the count, held by nobody.
-    pub(crate) fn late_result_received(
-        &mut self, count: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>,
-    ) {
-        let Some(at) = self.timed_out_calls.iter().position(|call| call.0 == count) else { return };
-        let Some((_, name, window, block, owed)) = self.timed_out_calls.remove(at) else { return };
+    /// Takes the result of a call that had timed out. A total of the present window counts as any other; else the lease
+    /// is returned. Without this, leases that a slow counter added late would stay in the count, held by no gateway.
+    fn late_result_received(&mut self, counter: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
+        let Some(TimedOutCall { customer: name, call, .. }) = self.timed_out_calls.take(counter) else {
+            return;
+        };
         let Some(customer) = self.customers.get_mut(&name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
         customer.advance(self.now, plan);
         if !added {
-            customer.unreported_units += owed.min(0.0);
-        } else if !customer.is_sampled(plan) {
-            customer.unreported_units -= owed.max(0.0);
-            let fresh = total.filter(|t| window == customer.window && *t >= customer.last_total);
-            if let Some(total) = fresh {
+            customer.unreported_units += call.report_units.min(0.0);
+        } else if !is_sampled(plan, customer.gateway_count) {
+            customer.unreported_units -= call.report_units.max(0.0);
+            let is_present = call.window == customer.lease.window;
+            let newer_total = total.filter(|total| is_present && *total >= customer.lease.last_total);
+            if let Some(total) = newer_total {
                 self.counter_answered(out);
-                return self.total_received(&name, (window, block, owed), total, out);
-            }
-            customer.unreported_units -= block;
-            if window == customer.window {
-                customer.last_total += block + owed;
-                customer.reported_units += block + owed;
-            } else {
-                customer.available_units = (customer.available_units + block + owed.max(0.0)).min(plan.burst);
+                return self.total_received(&name, call, total, out);
             }
+            customer.return_late_lease(call, plan);
         }
     }
 }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,19 +1,18 @@
-//! Shutdown of the process.
+//! Shutdown of the process: quota leases are returned, so that the other gateways can use them.
 
-use crate::*;
+use crate::counter::results::UNITS_EPSILON;
+use crate::{Action, Gateway, Name};
 
 impl Gateway {
-    /// Blocks in hand go back at once, so that the others can use them; what still comes is paid singly.
+    /// Returns all leases at once. Requests that still arrive lease no more than they need.
     pub(crate) fn start_draining(&mut self, out: &mut Vec<Action>) {
         self.draining = true;
         let names: Vec<Name> = self.customers.keys().cloned().collect();
         for name in names {
             let Some(customer) = self.customers.get_mut(&name) else { continue };
             customer.advance(self.now, &self.settings.plans[customer.plan_index]);
-            let lease = std::mem::take(&mut customer.leased_units);
-            (customer.unreported_units, customer.available_units) =
-                (customer.unreported_units - lease, customer.available_units + lease);
-            if customer.unreported_units.abs() > 1e-6 {
+            customer.return_lease();
+            if customer.unreported_units.abs() > UNITS_EPSILON {
                 self.call_counter(&name, out);
             }
         }
--- a/src/event.rs
+++ b/src/event.rs
@@ -182,7 +182,7 @@
     StateRestored(Vec<BackendStatus>),
     /// The process shuts down: it leases no more than it needs and returns what it has.
     ShutdownStarted,
-    /// The whole endpoint list; a backend that it does not name is gone.
+    /// The complete endpoint list; a backend that it does not name is gone.
     BackendList(Vec<BackendEntry>),
     /// Changes to the endpoint list.
     BackendChanges(Vec<BackendEntry>),
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,45 +1,53 @@
-//! The gateway: takes one event, hands it to the module that owns it, collects the actions.
+//! The gateway object: takes one event, hands it to the module that owns it and collects the actions.
 
+use crate::admission::queue::request_of_token;
+use crate::admission::shedding::LoadShedder;
 use crate::balancer::backend::Backend;
 use crate::balancer::endpoints::EndpointTable;
-use crate::check::check;
-use crate::counter::results::SILENT_AFTER;
-use crate::maintenance::{SWEEP, SWEEP_TOKEN};
+use crate::counter::availability::CounterAvailability;
+use crate::counter::call_rate::CallRate;
+use crate::counter::results::TimedOutCalls;
+use crate::health::outcome::UsualLatency;
+use crate::maintenance::MAINTENANCE_TOKEN;
 use crate::quota::customer::Customer;
-use crate::random::mix;
+use crate::quota::sampled::{AdmitEstimates, PlanPrior};
+use crate::random::Random;
 use crate::request::Request;
-use crate::*;
+use crate::validation::validate;
+use crate::{Action, BackendStatus, CustomerStatus, Event, Millis, Name, RequestId, Settings, SettingsError};
 use std::collections::{BTreeMap, VecDeque};
 
 /// One gateway: build it from settings and a seed, then feed it events.
 #[derive(Default)]
 pub struct Gateway {
     pub(crate) settings: Settings,
-    pub(crate) random: u64,
+    pub(crate) random: Random,
+    /// The latest time of an event; it never goes back.
     pub(crate) now: Millis,
+    pub(crate) maintenance_started: bool,
+    /// The process shuts down.
+    pub(crate) draining: bool,
+
     pub(crate) backends: BTreeMap<Name, Backend>,
     pub(crate) endpoints: EndpointTable,
-    pub(crate) customers: BTreeMap<Name, Customer>,
+    pub(crate) load_shedder: LoadShedder,
+    /// For each class of the settings.
+    pub(crate) usual_latencies: Vec<UsualLatency>,
+
     pub(crate) requests: BTreeMap<RequestId, Request>,
+    /// Requests that wait for a backend, those of higher priority first. Some may be over by now.
     pub(crate) queue: VecDeque<RequestId>,
+
+    pub(crate) customers: BTreeMap<Name, Customer>,
+    /// For each plan of the settings.
+    pub(crate) plan_priors: Vec<PlanPrior>,
+    pub(crate) admit_estimates: AdmitEstimates,
+
+    /// The customer of each counter call in flight, by the counter's name.
     pub(crate) counter_calls: BTreeMap<u64, Name>,
-    /// Calls without an answer in time, oldest first: count, customer, window, block, what was owed.
-    pub(crate) timed_out_calls: VecDeque<(u64, Name, u64, f64, f64)>,
-    /// The share of the calls wanted that the counter can bear, by how fast it answers.
-    pub(crate) call_rate: f64,
-    /// The share of first totals with room left, for each plan: of first tries, and of clients' repeats.
-    pub(crate) plan_admit_probability: Vec<[f64; 2]>,
-    /// Of thin customers: the share of tries that fits and when that was heard, here or by another gateway.
-    pub(crate) admit_probabilities: BTreeMap<u64, (f64, Millis)>,
-    pub(crate) consecutive_timeouts: u32,
-    /// The last silence: since when, and until when.
-    pub(crate) outage: (Millis, Millis),
-    pub(crate) last_total_at: Millis,
-    pub(crate) outage_logged: bool,
-    pub(crate) class_latency: Vec<f64>,
-    pub(crate) late_fraction: f64,
-    pub(crate) maintenance_started: bool,
-    pub(crate) draining: bool,
+    pub(crate) timed_out_calls: TimedOutCalls,
+    pub(crate) call_rate: CallRate,
+    pub(crate) counter_availability: CounterAvailability,
 }
 
 impl Gateway {
@@ -48,94 +56,76 @@
     /// # Errors
     /// When the settings cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
-        let class_latency = vec![0.0; settings.classes.len()];
-        let plan_odds = vec![[1.0, 0.0]; settings.plans.len()];
-        let random = mix(seed | 1);
-        let mut new = Self {
+        validate(&settings)?;
+        let mut gateway = Self {
+            random: Random::new(seed),
+            usual_latencies: vec![UsualLatency::default(); settings.classes.len()],
+            plan_priors: vec![PlanPrior::default(); settings.plans.len()],
             settings,
-            random,
-            call_rate: 1.0,
-            plan_admit_probability: plan_odds,
-            class_latency,
             ..Self::default()
         };
-        new.endpoints.configure(&new.settings, new.is_large_fleet(), random);
-        Ok(new)
+        gateway.endpoints.configure(&gateway.settings, gateway.random);
+        Ok(gateway)
     }
 
-    /// Takes one event at a time and appends what the host is to do.
+    /// Takes one event and appends the actions that the host has to carry out, in order. `now` is a time on the host's
+    /// clock, in ms.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.maintenance_started, true) {
-            out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
-            if self.settings.watch_on_request {
-                out.push(Action::WatchBackends);
-            }
-        }
+        self.start_maintenance(out);
         match event {
             Event::SettingsChanged(settings) => self.change_settings(*settings, out),
-            Event::StateRestored(views) => self.restore_backends(views),
+            Event::StateRestored(statuses) => self.restore_backends(statuses),
             Event::ShutdownStarted => self.start_draining(out),
-            Event::BackendList(list) => self.update_endpoints(list, true, out),
-            Event::BackendChanges(list) => self.update_endpoints(list, false, out),
+            Event::BackendList(entries) => self.replace_endpoints(entries, out),
+            Event::BackendChanges(entries) => self.change_endpoints(entries, out),
             Event::BackendListFailed => out.push(Action::WatchBackends),
-            Event::RequestReceived(arrival) => self.receive_request(arrival, out),
+            Event::RequestReceived(incoming) => self.receive_request(incoming, out),
             Event::AttemptEnded(end) => {
                 self.record_backend_outcome(&end, out);
                 self.attempt_ended(end, out);
                 self.forward_queued(out);
             }
             Event::ClientDisconnected { id } => self.remove_request(id),
-            Event::TimerExpired { token: SWEEP_TOKEN } => self.run_maintenance(out),
-            Event::TimerExpired { token } => self.wait_expired(token / 2, out),
-            Event::CounterCallEnded { counter: name, outcome, latency } => {
-                self.counter_call_ended(name, outcome, latency, out)
+            Event::TimerExpired { token: MAINTENANCE_TOKEN } => self.run_maintenance(out),
+            Event::TimerExpired { token } => self.wait_expired(request_of_token(token), out),
+            Event::CounterCallEnded { counter, outcome, latency } => {
+                self.counter_call_ended(counter, outcome, latency, out);
             }
             Event::GossipReceived { bytes, .. } => self.receive_gossip(&bytes),
             Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
         }
     }
 
-    /// Whether the counter counts as silent.
+    /// Whether the shared counter is unavailable; always where there is none.
     pub fn is_counter_silent(&self) -> bool {
-        let gap = self.now - self.last_total_at;
-        !self.settings.has_counter
-            || self.consecutive_timeouts > 1 && gap > self.settings.counter_timeout * SILENT_AFTER
+        let counter_timeout = self.settings.counter_timeout;
+        !self.settings.has_counter || self.counter_availability.is_unavailable(self.now, counter_timeout)
     }
 
-    /// What is held of each customer, for people.
+    /// What this gateway holds of each customer, in order of names.
     pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
-        self.customers.iter().map(|(name, c)| {
-            let (name, plan) = (name.clone(), self.settings.plans[c.plan_index].name.clone());
-            let (lease, store, owed, waiting) =
-                (c.leased_units, c.available_units, c.unreported_units, c.waiting.len());
-            CustomerStatus {
-                name,
-                plan,
-                leased_units: lease,
-                available_units: store,
-                unreported_units: owed,
-                waiting,
-                in_flight: c.in_flight,
-            }
+        self.customers.iter().map(|(name, customer)| CustomerStatus {
+            name: name.clone(),
+            plan: self.settings.plans[customer.plan_index].name.clone(),
+            leased_units: customer.lease.units,
+            available_units: customer.bucket.available_units,
+            unreported_units: customer.unreported_units,
+            waiting: customer.waiting.len(),
+            in_flight: customer.in_flight,
         })
     }
 
-    /// What is known of each backend, for people and for a file that outlives the process.
+    /// What this gateway knows of each backend, in order of names; may be kept to be restored by the next process.
     pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
-        self.backends.iter().map(|(name, b)| {
-            let (name, ready, out, room, started) =
-                (name.clone(), b.ready, b.in_flight, b.concurrency_limit, b.started);
-            BackendStatus {
-                name,
-                ready,
-                in_flight: out,
-                concurrency_limit: room,
-                started,
-                consecutive_failures: b.consecutive_failures,
-                ejected_until: b.ejected_until,
-            }
+        self.backends.iter().map(|(name, backend)| BackendStatus {
+            name: name.clone(),
+            ready: backend.ready,
+            in_flight: backend.in_flight,
+            concurrency_limit: backend.concurrency_limit.get(),
+            started: backend.start.reported,
+            consecutive_failures: backend.outlier.consecutive_failures,
+            ejected_until: backend.outlier.ejected_until,
         })
     }
 }
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -1,33 +1,62 @@
-//! The limit on requests in flight at one backend.
-
-use crate::balancer::backend::Backend;
-use crate::*;
-
-/// What all gateways together keep out at one backend at first; it then follows the latencies seen.
-pub(crate) const ROOM_FIRST: f64 = 3.5;
-/// Answers should come within this share of the aim; the rest is for the way, for holding, for bad luck.
-pub(crate) const ROOM_SHARE: f64 = 0.6;
-/// The share of answers that may come later than that: fewer and room grows, more and it shrinks.
-pub(crate) const ROOM_LATE: f64 = 0.1;
-/// By how much one answer moves room: a late one by nine tenths of this, one in time by a tenth.
-pub(crate) const ROOM_STEP: f64 = 0.12;
-/// The least room at one backend for one gateway: the sum over all backends still binds.
-pub(crate) const ROOM_LEAST: f64 = 0.2;
-
-impl Backend {
-    /// Bounds what is out so that most answers keep to their aim: room follows the share of late answers.
-    /// Guards against overload of any cause; it needs no figure of the backend's size.
-    pub(crate) fn adjust_concurrency_limit(&mut self, late: bool) {
-        let used = f64::from(self.in_flight) + 1.0 >= self.concurrency_limit.floor();
-        if late || used {
-            let step = ROOM_STEP * (ROOM_LATE - f64::from(u8::from(late)));
-            self.concurrency_limit = (self.concurrency_limit * (1.0 + step)).max(ROOM_LEAST);
+//! The adaptive limit on this gateway's requests in flight at one backend.
+//!
+//! It follows the share of responses over a part of the latency objective, so it guards against overload of any cause
+//! and needs no figure of the backend's size.
+
+use crate::Gateway;
+
+/// The initial limit of all gateways together at one backend.
+const INITIAL_FLEET_LIMIT: f64 = 3.5;
+/// The least limit of one gateway at one backend. Below 1, the sum over all backends still binds.
+const MIN_LIMIT: f64 = 0.2;
+/// The share of responses that may be late: with fewer the limit grows, with more it shrinks.
+pub(crate) const TARGET_LATE_FRACTION: f64 = 0.1;
+/// The relative step of the limit by one response: nine tenths of this down for a late one, a tenth up for one in time.
+const LIMIT_STEP: f64 = 0.12;
+
+/// Whether there are so many gateways that even parts of the initial limit would be below the minimum. Each gateway then
+/// sees too little of a backend: choice goes by random draw, and load is shed by all responses together.
+pub(crate) fn is_large_fleet(gateway_count: u32) -> bool {
+    INITIAL_FLEET_LIMIT < MIN_LIMIT * f64::from(gateway_count)
+}
+
+/// How many requests this gateway keeps in flight at one backend, as a fraction.
+pub(crate) struct ConcurrencyLimit(f64);
+
+impl ConcurrencyLimit {
+    /// The even part of the initial limit.
+    pub(crate) fn new(gateway_count: u32) -> Self {
+        Self(INITIAL_FLEET_LIMIT / f64::from(gateway_count))
+    }
+
+    pub(crate) fn get(&self) -> f64 {
+        self.0
+    }
+
+    /// Whether no further request may be sent beside those in flight.
+    pub(crate) fn is_reached(&self, in_flight: u32) -> bool {
+        f64::from(in_flight) >= self.0.ceil()
+    }
+
+    /// Follows a response; `in_flight` are the requests left. The limit grows only while it is used.
+    pub(crate) fn record_response(&mut self, is_late: bool, in_flight: u32) {
+        let is_used = f64::from(in_flight) + 1.0 >= self.0.floor();
+        if is_late || is_used {
+            let change = LIMIT_STEP * (TARGET_LATE_FRACTION - f64::from(u8::from(is_late)));
+            self.0 = (self.0 * (1.0 + change)).max(MIN_LIMIT);
         }
     }
+
+    /// Takes over the limit of an earlier process, within the minimum and the larger of initial and present limit.
+    pub(crate) fn restore(&mut self, limit: f64) {
+        self.0 = limit.clamp(MIN_LIMIT, INITIAL_FLEET_LIMIT.max(self.0));
+    }
 }
 
 impl Gateway {
+    /// How many requests may be in flight at all ready backends together.
     pub(crate) fn total_concurrency_limit(&self) -> f64 {
-        self.backends.values().filter(|b| b.ready).map(|b| b.concurrency_limit).sum()
+        let ready = self.backends.values().filter(|backend| backend.ready);
+        ready.map(|backend| backend.concurrency_limit.get()).sum()
     }
 }
--- /dev/null
+++ b/src/health/outcome.rs
@@ -0,0 +1,73 @@
+//! Takes the outcome of an attempt into the state of its backend.
+
+use crate::health::outlier::{CONFIRMED_FAILURES, Failure};
+use crate::{Action, AttemptEnd, AttemptOutcome, Gateway, Millis};
+
+/// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the network
+/// and for waiting in the queue.
+const LATE_OBJECTIVE_SHARE: f64 = 0.6;
+/// A failed attempt is late if it took this many times the usual latency: a client with a short timeout proves nothing.
+const LATE_FAILURE_FACTOR: f64 = 4.0;
+/// Weight of the newest latency in the usual latency of a class.
+const USUAL_LATENCY_WEIGHT: f64 = 0.02;
+
+/// The smoothed latency of served requests of one class, in ms; 0 before the first.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct UsualLatency(Millis);
+
+impl UsualLatency {
+    fn record(&mut self, latency: Millis) {
+        self.0 = if self.0 == 0.0 { latency } else { self.0 + USUAL_LATENCY_WEIGHT * (latency - self.0) };
+    }
+}
+
+/// Whether an outcome counts as late. An error says nothing of the load; a rejection says that it is too high.
+fn is_late(outcome: AttemptOutcome, latency: Millis, objective: Millis, usual: UsualLatency) -> bool {
+    match outcome {
+        AttemptOutcome::Served => latency > objective * LATE_OBJECTIVE_SHARE,
+        AttemptOutcome::Error | AttemptOutcome::NeverSent => false,
+        AttemptOutcome::Rejected => true,
+        AttemptOutcome::TimedOut
+        | AttemptOutcome::ConnectFailed
+        | AttemptOutcome::ConnectionLost
+        | AttemptOutcome::Cancelled => latency > usual.0 * LATE_FAILURE_FACTOR,
+    }
+}
+
+impl Gateway {
+    /// Takes the outcome of an attempt into its backend's concurrency limit and outlier state and into load shedding.
+    pub(crate) fn record_backend_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+        let name = &end.backend;
+        let Some(backend) = self.backends.get_mut(name) else { return };
+        backend.in_flight = backend.in_flight.saturating_sub(1);
+        let class_index = self.requests.get(&end.id).map_or(0, |request| request.class_index);
+        let usual_latency = &mut self.usual_latencies[class_index];
+        match end.outcome {
+            AttemptOutcome::NeverSent => return,
+            AttemptOutcome::Error if !backend.outlier.record_error(class_index) => return,
+            AttemptOutcome::Served => {
+                if backend.outlier.record_success() {
+                    out.push(Action::Log(format!("backend {name} back: it answers again")));
+                }
+                usual_latency.record(end.latency);
+            }
+            _ => {}
+        }
+        let objective = self.settings.classes[class_index].latency_objective;
+        let is_late = is_late(end.outcome, end.latency, objective, *usual_latency);
+        backend.concurrency_limit.record_response(is_late, backend.in_flight);
+        self.load_shedder.record_response(is_late);
+        if end.outcome != AttemptOutcome::Served {
+            let connection_lost = end.outcome == AttemptOutcome::ConnectionLost;
+            let failure = Failure { latency: end.latency, connection_lost };
+            let slow_start_duration = self.settings.slow_start_duration;
+            if backend.outlier.record_failure(&failure, self.now, slow_start_duration) {
+                let line = format!("backend {name} ejected: {CONFIRMED_FAILURES} failures in a row");
+                out.push(Action::Log(line));
+            }
+        }
+        if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
+            backend.start.assumed = Some(backend.outlier.ejected_until);
+        }
+    }
+}
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -1,69 +1,79 @@
-//! Backends that fail.
+//! Outlier ejection: a backend that fails is sent nothing for a while.
+//!
+//! Dead and stalled backends show in the outcomes of attempts long before the endpoint list changes.
 
-use crate::admission::shedding::LATE_WEIGHT;
-use crate::balancer::backend::Backend;
-use crate::health::concurrency_limit::ROOM_SHARE;
-use crate::*;
+use crate::Millis;
 
-/// A failure is a late answer if it took this many times the usual latency.
-pub(crate) const LATE_LATENCIES: f64 = 4.0;
-/// Weight of the newest latency in the usual latency of its class.
-pub(crate) const USUAL_WEIGHT: f64 = 0.02;
-/// A backend that failed is tried again after this share of the cold time for each failure in a row ...
-pub(crate) const EJECT_SHARE: f64 = 0.02;
-/// ... and the log tells of it at this many.
-pub(crate) const EJECT_TOLD: u32 = 2;
+/// A backend is ejected for this share of the slow-start duration for each failure in a row.
+const EJECTION_SHARE: f64 = 0.02;
+/// From this many failures in a row a lost connection ejects as well, and the ejection is logged.
+pub(crate) const CONFIRMED_FAILURES: u32 = 2;
 
-impl Backend {
-    /// Guards against dead and stalled backends, which show in outcomes long before the list does: nothing
-    /// is sent for as long again as the failure took, where calling off stops no work what was given
-    /// up still has to be worked through, and longer with each failure in a row. A connection that breaks
-    /// alone says little of its backend: one that died breaks or refuses the next as well.
+/// The failures of one backend.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct OutlierState {
+    pub consecutive_failures: u32,
+    /// The class of the last request answered with an error, until a request is served.
+    error_class: Option<usize>,
+    /// Nothing is sent until then.
+    pub ejected_until: Millis,
+}
+
+/// What failed attempts say of a backend.
+pub(crate) struct Failure {
+    /// How long the attempt was in flight, in ms.
+    pub latency: Millis,
+    /// Whether the connection was lost, which may happen to one connection alone.
+    pub connection_lost: bool,
+}
+
+impl OutlierState {
+    /// Whether the backend is ejected.
+    pub(crate) fn is_ejected(&self, now: Millis) -> bool {
+        now < self.ejected_until
+    }
+
+    /// Records a served request. Returns whether it ended a confirmed series of failures.
+    pub(crate) fn record_success(&mut self) -> bool {
+        let was_confirmed = self.consecutive_failures >= CONFIRMED_FAILURES;
+        self.consecutive_failures = 0;
+        self.error_class = None;
+        was_confirmed
+    }
+
+    /// Records an error response. Returns whether it counts as a failure: errors of two classes without a served request
+    /// between them do, else a backend that fails at once would attract ever more requests. Errors of one class do not,
+    /// since that class may fail at all backends alike.
+    pub(crate) fn record_error(&mut self, class_index: usize) -> bool {
+        let last = self.error_class.replace(class_index);
+        last.is_some_and(|last| last != class_index)
+    }
+
+    /// Records a failure and ejects the backend: for as long again as the failure took, since what timed out may still
+    /// occupy the backend, and longer with each failure in a row. The first lost connection does not eject; a backend
+    /// that died breaks or refuses the next one as well. Returns whether the failures are now confirmed.
     pub(crate) fn record_failure(
-        &mut self, now: Millis, latency: Millis, broke: bool, settings: &Settings,
+        &mut self, failure: &Failure, now: Millis, slow_start_duration: Millis,
     ) -> bool {
         self.consecutive_failures += 1;
-        let share = EJECT_SHARE * f64::from(self.consecutive_failures);
-        if !broke || self.consecutive_failures >= EJECT_TOLD {
-            self.ejected_until = now + latency.max(settings.slow_start_duration * share);
+        if !failure.connection_lost || self.consecutive_failures >= CONFIRMED_FAILURES {
+            let duration = ejection_duration(failure.latency, self.consecutive_failures, slow_start_duration);
+            self.ejected_until = now + duration;
         }
-        self.consecutive_failures == EJECT_TOLD
+        self.consecutive_failures == CONFIRMED_FAILURES
     }
-}
 
-impl Gateway {
-    pub(crate) fn record_backend_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
-        let (now, name, latency) = (self.now, &end.backend, end.latency);
-        let Some(backend) = self.backends.get_mut(name) else { return };
-        backend.in_flight = backend.in_flight.saturating_sub(1);
-        let class = self.requests.get(&end.id).map_or(0, |r| r.class_index);
-        let usual = &mut self.class_latency[class];
-        let late = match end.outcome {
-            AttemptOutcome::Served => {
-                if backend.consecutive_failures >= EJECT_TOLD {
-                    out.push(Action::Log(format!("backend {name} back: it answers again")));
-                }
-                (backend.consecutive_failures, backend.error_class) = (0, None);
-                *usual = if *usual == 0.0 { latency } else { *usual + USUAL_WEIGHT * (latency - *usual) };
-                latency > self.settings.classes[class].latency_objective * ROOM_SHARE
-            }
-            AttemptOutcome::NeverSent => return,
-            // Guards against one that fails at once and so draws more. One class alone may fail anywhere.
-            AttemptOutcome::Error if backend.error_class.replace(class).is_none_or(|c| c == class) => return,
-            AttemptOutcome::Error => false,
-            AttemptOutcome::Rejected => true,
-            // A client with little time left proves nothing of the fleet.
-            _ => latency > *usual * LATE_LATENCIES,
-        };
-        backend.adjust_concurrency_limit(late);
-        self.late_fraction += LATE_WEIGHT * (f64::from(u8::from(late)) - self.late_fraction);
-        let (lost, broke) =
-            (end.outcome != AttemptOutcome::Served, end.outcome == AttemptOutcome::ConnectionLost);
-        if lost && backend.record_failure(now, latency, broke, &self.settings) {
-            out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
-        }
-        if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
-            backend.assumed_start = Some(backend.ejected_until);
-        }
+    /// Takes over the failures that an earlier process saw. The ejection lasts no longer than `max_duration` ms.
+    pub(crate) fn restore(
+        &mut self, consecutive_failures: u32, ejected_until: Millis, now: Millis, max_duration: Millis,
+    ) {
+        self.consecutive_failures = consecutive_failures;
+        self.ejected_until = ejected_until.min(now + max_duration);
     }
 }
+
+/// How long a backend is ejected, in ms.
+fn ejection_duration(latency: Millis, consecutive_failures: u32, slow_start_duration: Millis) -> Millis {
+    let share = EJECTION_SHARE * f64::from(consecutive_failures);
+    latency.max(slow_start_duration * share)
+}
--- a/src/health/slow_start.rs
+++ b/src/health/slow_start.rs
@@ -1,17 +1,51 @@
-//! Backends that have just started.
+//! Slow start: a backend that has just started is sent less until it has warmed up.
 
-use crate::balancer::backend::Backend;
-use crate::*;
+use crate::{Millis, Settings};
 
-/// A cold backend gets this part of its capacity's share of an even part of all sends. Warm ones are not sent
-/// more than they can do, so all gateways together stay under the multiple that fells it.
-pub(crate) const COLD_MULTIPLE: f64 = 0.8;
+/// A backend that warms up is sent this part of the share of its capacity of an even part of all requests. Below 1, since
+/// all gateways together must stay below the multiple of its capacity at which it fails.
+const SLOW_START_BUDGET: f64 = 0.8;
+/// The shortest slow start, in ms.
+const MIN_SLOW_START_DURATION: Millis = 1.0;
 
-impl Backend {
-    /// The share of its capacity that a backend surely has by now: it rises at least evenly.
+/// When a backend started.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct StartTime {
+    /// As the endpoint list states it.
+    pub reported: Option<Millis>,
+    /// Where the list does not: when a backend that refused a connection is tried again, as if it started then.
+    pub assumed: Option<Millis>,
+}
+
+impl StartTime {
+    /// The share of its capacity that the backend has by now at least, up to 1. It rises linearly from the configured
+    /// share.
     pub(crate) fn slow_start_weight(&self, now: Millis, settings: &Settings) -> f64 {
-        let Some(started) = self.started.or(self.assumed_start) else { return 1.0 };
-        let age = ((now - started) / settings.slow_start_duration.max(1.0)).clamp(0.0, 1.0);
-        settings.slow_start_share + (1.0 - settings.slow_start_share) * age
+        let Some(started) = self.reported.or(self.assumed) else { return 1.0 };
+        let duration = settings.slow_start_duration.max(MIN_SLOW_START_DURATION);
+        let elapsed_share = ((now - started) / duration).clamp(0.0, 1.0);
+        settings.slow_start_share + (1.0 - settings.slow_start_share) * elapsed_share
     }
 }
+
+/// The share of an even part of all requests that one unit of slow-start weight is sent. While load is shed it falls with
+/// the requests that are admitted.
+pub(crate) fn slow_start_budget(admit_fraction: f64) -> f64 {
+    SLOW_START_BUDGET * admit_fraction
+}
+
+/// Whether a backend has warmed up.
+pub(crate) fn is_warm(slow_start_weight: f64) -> bool {
+    slow_start_weight >= 1.0
+}
+
+/// Whether a backend that warms up is passed over for a request. By chance it gets its budget's share of its part of the
+/// requests, which needs neither agreement among gateways nor a warm backend.
+///
+/// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, `inverse_weight_share` as one in how many requests
+/// of its priority level the backend gets.
+pub(crate) fn exceeds_slow_start_budget(
+    slow_start_weight: f64, budget: f64, draw: f64, inverse_weight_share: f64,
+) -> bool {
+    !is_warm(slow_start_weight) && draw * inverse_weight_share >= slow_start_weight * budget
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -86,7 +86,6 @@
 mod action;
 mod admission;
 mod balancer;
-mod check;
 mod counter;
 mod drain;
 mod event;
@@ -103,6 +102,7 @@
 mod settings_change;
 mod status;
 mod types;
+mod validation;
 
 pub use action::{Action, RejectReason};
 pub use event::{
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,55 +1,120 @@
-//! The periodic tick.
+//! The periodic maintenance tick: forgets what is idle, returns unused leases, reports use, forwards queued requests.
 
 use crate::balancer::backend::Backend;
+use crate::counter::calls::idle_retention;
+use crate::counter::results::UNITS_EPSILON;
+use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
-use crate::quota::lease::{BLOCK_SHARE, NEAR_SHARE};
-use crate::*;
-
-/// A customer idle for this many turns has a full store again: it and its count are forgotten, which loses
-/// nothing and bounds the memory when many are seen once.
-pub(crate) const IDLE_TURNS: f64 = 2.0;
-/// No count and no word of a customer is kept for more than this many ms.
-pub(crate) const KEEP_MOST: Millis = 60_000.0;
-/// Time between housekeeping rounds, in ms: short beside any aim.
-pub(crate) const SWEEP: Millis = 25.0;
-pub(crate) const SWEEP_TOKEN: u64 = 1;
+use crate::quota::lease::{LEASE_SHARE, SCARCE_SHARE};
+use crate::quota::sampled::is_sampled;
+use crate::{Action, Gateway, Millis, Name, Plan};
+
+/// A customer idle for this many refill periods is forgotten, see [`idle_retention`].
+pub(crate) const IDLE_PERIODS: f64 = 2.0;
+/// No counter, admit estimate or removed backend is kept for longer than this, in ms.
+pub(crate) const MAX_RETENTION: Millis = 60_000.0;
+/// The time between maintenance ticks, in ms: short beside any latency objective.
+const MAINTENANCE_INTERVAL: Millis = 25.0;
+/// The token of the maintenance timer; tokens of requests are even.
+pub(crate) const MAINTENANCE_TOKEN: u64 = 1;
+/// A lease below this many units is not returned early.
+const MIN_RETURNED_UNITS: f64 = 1.0;
+
+/// The least unreported units, used or to be returned, that are worth a counter call of their own.
+fn min_reported_units(burst: f64, is_draining: bool) -> f64 {
+    if is_draining { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(1.0) }
+}
+
+impl Backend {
+    /// Whether it has been off the list for so long that no request that may have been executed there is left: until
+    /// then it still tells the cell of such requests.
+    fn is_forgettable(&self, now: Millis) -> bool {
+        self.in_flight == 0 && self.removed_at.is_some_and(|removed_at| now - removed_at > MAX_RETENTION)
+    }
+}
+
+impl Customer {
+    /// Whether its lease is to be returned: unused for a while and needed elsewhere, or the gateway drains.
+    fn should_return_lease(&self, now: Millis, plan: &Plan, is_draining: bool) -> bool {
+        let idle = now - self.demand.updated_at;
+        let is_scarce = self.bucket.available_units < plan.burst * SCARCE_SHARE;
+        let is_idle = idle > refill_period(plan) * LEASE_SHARE;
+        is_scarce && is_idle && self.lease.units >= MIN_RETURNED_UNITS || is_draining
+    }
+
+    /// Whether it has requests waiting or use to report, and no call is in flight.
+    fn needs_counter_call(&self, plan: &Plan, is_draining: bool) -> bool {
+        let min_units = min_reported_units(plan.burst, is_draining);
+        let has_report = !is_sampled(plan, self.gateway_count) && self.unreported_units.abs() >= min_units;
+        self.pending_call.is_none() && (has_report || !self.waiting.is_empty())
+    }
+
+    /// Whether it has to be kept.
+    fn is_in_use(&self, now: Millis, plan: &Plan) -> bool {
+        let is_busy = self.pending_call.is_some() || self.in_flight > 0 || !self.waiting.is_empty();
+        is_busy || now - self.demand.updated_at < idle_retention(plan)
+    }
+}
 
 impl Gateway {
+    /// Starts the maintenance timer with the first event.
+    pub(crate) fn start_maintenance(&mut self, out: &mut Vec<Action>) {
+        if std::mem::replace(&mut self.maintenance_started, true) {
+            return;
+        }
+        set_maintenance_timer(out);
+        if self.settings.watch_on_request {
+            out.push(Action::WatchBackends);
+        }
+    }
+
+    /// Runs one maintenance tick and sets the timer for the next.
     pub(crate) fn run_maintenance(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+        set_maintenance_timer(out);
+        self.admit_estimates.expire(self.now, MAX_RETENTION);
+        self.forget_backends();
+        let to_call = self.maintain_customers();
+        if !self.is_counter_silent() {
+            for name in to_call {
+                self.call_counter(&name, out);
+            }
+        }
+        self.forward_queued(out);
+    }
+
+    fn forget_backends(&mut self) {
+        let now = self.now;
+        let endpoints = &mut self.endpoints;
+        self.backends.retain(|_, backend| {
+            let is_forgettable = backend.is_forgettable(now);
+            if is_forgettable {
+                endpoints.release_slot(backend.slot);
+            }
+            !is_forgettable
+        });
+    }
+
+    /// Returns unused leases and forgets idle customers. Returns the customers to call the counter for.
+    fn maintain_customers(&mut self) -> Vec<Name> {
+        let mut to_call = Vec::new();
         let now = self.now;
-        let mut asking = Vec::new();
         let plans = &self.settings.plans;
-        self.admit_probabilities.retain(|_, (_, at)| now - *at < KEEP_MOST);
-        // A backend that is gone still tells the cell of requests that may have run there, while any lives.
-        let (routes, left) =
-            (&mut self.endpoints, |b: &Backend| b.removed_at.is_some_and(|at| now - at > KEEP_MOST));
-        let mut forget = |b: &Backend| b.in_flight == 0 && left(b) && (routes.release_slot(b.slot), true).1;
-        self.backends.retain(|_, backend| !forget(backend));
+        let is_draining = self.draining;
         self.customers.retain(|name, customer| {
             let plan = &plans[customer.plan_index];
-            let (idle, turn) = (now - customer.demand_at, Customer::refill_period(plan));
             customer.advance(now, plan);
-            let scarce = customer.available_units < plan.burst * NEAR_SHARE;
-            if scarce && idle > turn * BLOCK_SHARE && customer.leased_units >= 1.0 || self.draining {
-                let lease = std::mem::take(&mut customer.leased_units);
-                (customer.unreported_units, customer.available_units) =
-                    (customer.unreported_units - lease, customer.available_units + lease);
+            if customer.should_return_lease(now, plan, is_draining) {
+                customer.return_lease();
             }
-            let least = if self.draining { 1e-6 } else { (plan.burst * BLOCK_SHARE).max(1.0) };
-            let owes = !customer.is_sampled(plan) && customer.unreported_units.abs() >= least;
-            if customer.pending_call.is_none() && (owes || !customer.waiting.is_empty()) {
-                asking.push(name.clone());
+            if customer.needs_counter_call(plan, is_draining) {
+                to_call.push(name.clone());
             }
-            let busy =
-                customer.pending_call.is_some() || customer.in_flight > 0 || !customer.waiting.is_empty();
-            busy || idle < turn * IDLE_TURNS
+            customer.is_in_use(now, plan)
         });
-        if !self.is_counter_silent() {
-            for name in asking {
-                self.call_counter(&name, out);
-            }
-        }
-        self.forward_queued(out);
+        to_call
     }
 }
+
+fn set_maintenance_timer(out: &mut Vec<Action>) {
+    out.push(Action::SetTimer { after: MAINTENANCE_INTERVAL, token: MAINTENANCE_TOKEN });
+}
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -1,42 +1,92 @@
-//! The token bucket of a customer, by all totals heard.
-
-use crate::quota::customer::Customer;
-use crate::*;
-
-/// A plan without a rate is remembered as if its quota turned over in this many ms.
-pub(crate) const RATELESS_TURN: Millis = 1000.0;
-/// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::start_of`).
-pub(crate) const CEILING_START: f64 = 0.5;
-
-impl Customer {
-    /// What an unknown customer's store is taken to hold. Under a ceiling (at least 1.6 times rate and burst
-    /// by its plan) only half the burst: a gateway may come back to an emptied count while the others have
-    /// just granted a full burst, and burst + half a burst + rate x time stays within the ceiling.
-    pub(crate) fn initial_units(plan: &Plan) -> f64 {
-        if plan.ceiling_rate > 0.0 { plan.burst * CEILING_START } else { plan.burst }
+//! The token bucket of a customer and the windows of its shared counter.
+
+use crate::{Millis, Plan};
+
+/// The refill period of a plan without a rate, in ms: only says how long its customers are remembered.
+const UNLIMITED_REFILL_PERIOD: Millis = 1000.0;
+/// Under a ceiling an unknown customer's bucket starts with this share of its burst.
+const CEILING_INITIAL_SHARE: f64 = 0.5;
+/// Windows of customers are staggered in so many steps.
+const WINDOW_OFFSETS: u64 = 1024;
+
+/// What a customer may still use, by all counter totals received; between totals it fills at the plan's rate.
+#[derive(Default)]
+pub(crate) struct TokenBucket {
+    /// Units that may be used; negative where more was used than the quota allows.
+    pub available_units: f64,
+    /// When the bucket was last filled.
+    filled_at: Millis,
+    /// Units that came in while the bucket was full, since the last total.
+    pub overflow_units: f64,
+}
+
+impl TokenBucket {
+    pub(crate) fn new(available_units: f64, now: Millis) -> Self {
+        Self { available_units, filled_at: now, overflow_units: 0.0 }
     }
 
-    pub(crate) fn refill_period(plan: &Plan) -> Millis {
-        if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { RATELESS_TURN }
+    /// Adds what the rate has brought since the last call, up to the burst.
+    pub(crate) fn fill(&mut self, now: Millis, plan: &Plan) {
+        let filled_units = self.available_units + plan.rate * (now - self.filled_at) / 1000.0;
+        self.available_units = filled_units.min(plan.burst);
+        self.filled_at = now;
+        self.overflow_units += (filled_units - plan.burst).max(0.0);
     }
 
-    /// The number of a window and when it began, staggered by hash: customers do not all renew at once.
-    pub(crate) fn window_at(&self, now: Millis, plan: &Plan) -> (u64, Millis) {
-        let length = Self::refill_period(plan);
-        let shift = (self.name_hash % 1024) as f64 / 1024.0 * length;
-        let number = ((now + shift) / length).floor();
-        (number as u64, number * length - shift)
+    /// Puts units back that were not used, up to `burst`.
+    pub(crate) fn put_back(&mut self, units: f64, burst: f64) {
+        self.available_units = (self.available_units + units).min(burst);
     }
 
-    /// Fills the store and moves to the present window: blocks end with theirs, unused.
-    pub(crate) fn advance(&mut self, now: Millis, plan: &Plan) {
-        let filled = self.available_units + plan.rate * (now - self.filled_at) / 1000.0;
-        (self.available_units, self.filled_at) = (filled.min(plan.burst), now);
-        self.overflow_units += (filled - plan.burst).max(0.0);
-        let (window, _) = self.window_at(now, plan);
-        if window != self.window {
-            self.available_units = (self.available_units + self.leased_units).min(plan.burst);
-            (self.window, self.leased_units, self.reported_units, self.last_total) = (window, 0.0, 0.0, 0.0);
-        }
+    /// Keeps of the overflow what may pay for the use of other gateways, see [`payable_overflow`].
+    pub(crate) fn limit_overflow(&mut self, payable_units: f64) {
+        self.overflow_units = self.overflow_units.min(payable_units);
     }
+
+    /// Takes what was used since the last total: `used_units` in all, `leased_units` of them by this gateway's new
+    /// lease. The overflow pays for what other gateways used, never for this gateway's lease.
+    pub(crate) fn settle_total(&mut self, used_units: f64, leased_units: f64, burst: f64) {
+        let paid_units = (used_units - leased_units).clamp(0.0, self.overflow_units);
+        self.overflow_units -= paid_units;
+        self.available_units = (self.available_units - (used_units - paid_units)).min(burst);
+    }
+}
+
+/// The units in the bucket of a customer that this gateway knows nothing of.
+///
+/// Under a ceiling (at least 1.6 times rate and burst) only half the burst: a gateway may return to an emptied counter
+/// when the others have just granted a full burst, and 1.5 bursts and the rate stay within the ceiling.
+pub(crate) fn initial_units(plan: &Plan) -> f64 {
+    if plan.ceiling_rate > 0.0 { plan.burst * CEILING_INITIAL_SHARE } else { plan.burst }
+}
+
+/// The time in which the rate fills an empty bucket, in ms.
+pub(crate) fn refill_period(plan: &Plan) -> Millis {
+    if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { UNLIMITED_REFILL_PERIOD }
+}
+
+/// One window of a shared counter; it is one refill period long.
+pub(crate) struct Window {
+    /// Its number, the same at all gateways.
+    pub number: u64,
+    /// When it began, on the host's clock.
+    pub started_at: Millis,
+}
+
+/// The window at `now`. Windows are staggered by the customer's hash, so that customers do not renew all at once.
+pub(crate) fn window_at(now: Millis, refill_period: Millis, name_hash: u64) -> Window {
+    let offset = (name_hash % WINDOW_OFFSETS) as f64 / WINDOW_OFFSETS as f64 * refill_period;
+    let number = ((now + offset) / refill_period).floor();
+    Window { number: number as u64, started_at: number * refill_period - offset }
+}
+
+/// The most overflow, in units, that may pay for what other gateways used during a counter outage of `outage` ms.
+///
+/// Gateways report what they used in an outage all at once after it, while a bucket that was full could not keep what
+/// came in: the other gateways' even share of that pays for their reports. Not under a ceiling, which many gateways
+/// would exceed together.
+pub(crate) fn payable_overflow(plan: &Plan, outage: Millis, is_recent: bool, gateway_count: f64) -> f64 {
+    let pays = is_recent && plan.ceiling_rate <= 0.0;
+    let others_share = if pays { 1.0 - 1.0 / gateway_count } else { 0.0 };
+    plan.rate * outage / 1000.0 * others_share
 }
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -1,36 +1,93 @@
-//! What is held of one customer.
+//! The state that a gateway keeps of one customer.
 
-use crate::*;
+use crate::quota::bucket::{TokenBucket, initial_units, refill_period, window_at};
+use crate::quota::fallback::FallbackBudget;
+use crate::quota::lease::{Demand, LeaseCall, QuotaLease};
+use crate::random::hash_text;
+use crate::{Millis, Name, Plan, RequestId};
 use std::collections::VecDeque;
 
+/// Bits cut from the hash of a customer's name: a gossip message carries the hash in seven bytes.
+const HASH_BITS_CUT: u32 = 8;
+
 /// One customer as this gateway knows it.
 #[derive(Default)]
 pub(crate) struct Customer {
+    /// The index of its plan in the settings.
     pub plan_index: usize,
+    /// How many gateways its requests come in through, at least 1 from the first request on.
     pub gateway_count: f64,
+    /// This gateway's rank among them, from 0.
     pub gateway_rank: u32,
+    /// 56 bits that stand for its name in counters and gossip.
     pub name_hash: u64,
-    pub window: u64,
-    /// Units of the block in hand; they end with the window.
-    pub leased_units: f64,
-    /// What this gateway has added to the window's count in all, and the last total heard of it.
-    pub reported_units: f64,
-    pub last_total: f64,
-    /// What the customer's store holds by all totals heard; between them it fills at the rate.
-    pub available_units: f64,
-    pub filled_at: Millis,
+    pub bucket: TokenBucket,
+    pub lease: QuotaLease,
+    pub demand: Demand,
+    /// Whether a total has been received since the customer became known or changed its window.
     pub has_total: bool,
+    /// When the last total was received.
     pub last_total_at: Millis,
-    /// Used but not yet added, or to be given back (negative).
+    /// Units used and not yet added to the counter; negative where units are to be returned.
     pub unreported_units: f64,
-    /// What its store could not take because it was full, since the last total.
-    pub overflow_units: f64,
-    /// The call out: its window, block, and what was owed.
-    pub pending_call: Option<(u64, f64, f64)>,
+    /// The counter call in flight.
+    pub pending_call: Option<LeaseCall>,
+    /// Requests that wait for the counter, in order of arrival.
     pub waiting: VecDeque<RequestId>,
-    pub demand: f64,
-    pub demand_at: Millis,
-    /// This gateway's even slice of the store, spent while the counter is silent.
-    pub fallback_budget: Option<(f64, Millis)>,
+    /// Set while the counter does not answer.
+    pub fallback_budget: Option<FallbackBudget>,
+    /// Requests in flight at backends.
     pub in_flight: u32,
 }
+
+impl Customer {
+    /// A customer of which this gateway knows nothing.
+    pub(crate) fn new(name: &Name, plan_index: usize, plan: &Plan, now: Millis) -> Self {
+        Self {
+            plan_index,
+            name_hash: hash_text(name) >> HASH_BITS_CUT,
+            bucket: TokenBucket::new(initial_units(plan), now),
+            demand: Demand::new(now),
+            ..Self::default()
+        }
+    }
+
+    /// Fills the bucket and enters the present window. Units leased for an earlier window expire unused.
+    pub(crate) fn advance(&mut self, now: Millis, plan: &Plan) {
+        self.bucket.fill(now, plan);
+        let window = window_at(now, refill_period(plan), self.name_hash);
+        if window.number != self.lease.window {
+            self.bucket.put_back(self.lease.units, plan.burst);
+            self.lease = QuotaLease::for_window(window.number);
+        }
+    }
+
+    /// Follows a change in the number of gateways. More gateways split the fallback budget further; with fewer it grows
+    /// by the rate alone, so that no change grants units anew.
+    pub(crate) fn set_gateways(&mut self, gateway_count: f64, gateway_rank: u32) {
+        let is_known = self.gateway_count > 0.0;
+        let share = if is_known { (self.gateway_count / gateway_count).min(1.0) } else { 1.0 };
+        if let Some(budget) = &mut self.fallback_budget {
+            budget.units *= share;
+        }
+        self.gateway_count = gateway_count;
+        self.gateway_rank = gateway_rank;
+    }
+
+    /// Returns the unspent units of the lease with the next counter call.
+    pub(crate) fn return_lease(&mut self) {
+        let units = std::mem::take(&mut self.lease.units);
+        self.unreported_units -= units;
+        self.bucket.available_units += units;
+    }
+
+    /// Takes a request off the requests that wait for the counter.
+    pub(crate) fn stop_waiting(&mut self, id: RequestId) {
+        self.waiting.retain(|waiting| *waiting != id);
+    }
+}
+
+/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round.
+pub(crate) fn gateway_rank(gateway_index: u32, first_gateway: u32, gateway_count: u32) -> u32 {
+    (gateway_index + gateway_count - first_gateway % gateway_count) % gateway_count
+}
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -1,40 +1,71 @@
-//! The quota while the counter does not answer.
+//! Admission while the counter does not answer: each gateway spends an even part of the customer's quota.
 
 use crate::quota::customer::Customer;
-use crate::*;
+use crate::quota::sampled::is_sampled;
+use crate::{Action, Gateway, Millis, Plan, RequestId};
+
+/// This gateway's even part of a customer's token bucket.
+#[derive(Clone, Copy)]
+pub(crate) struct FallbackBudget {
+    /// Units left.
+    pub units: f64,
+    filled_at: Millis,
+}
+
+impl FallbackBudget {
+    /// The even part of the bucket as last known.
+    fn new(available_units: f64, gateway_count: f64, now: Millis) -> Self {
+        Self { units: available_units.max(0.0) / gateway_count, filled_at: now }
+    }
+
+    /// Adds the even part of what the rate brought, up to the even part of the burst, then spends `units` where they
+    /// fit. The budget holds at least `units`: a request larger than the even part of a burst is admitted in time.
+    fn try_spend(&mut self, units: f64, now: Millis, plan: &Plan, gateway_count: f64) -> bool {
+        let filled_units = self.units + plan.rate * (now - self.filled_at) / 1000.0 / gateway_count;
+        self.units = filled_units.min((plan.burst / gateway_count).max(units));
+        self.filled_at = now;
+        let fits = self.units >= units;
+        if fits {
+            self.units -= units;
+        }
+        fits
+    }
+}
 
 impl Customer {
-    /// Spends from the even slice, which starts from the store as last known: the silence rule.
-    pub(crate) fn spend_fallback_budget(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
-        let (held, at) =
-            self.fallback_budget.unwrap_or((self.available_units.max(0.0) / self.gateway_count, now));
-        let filled = held + plan.rate * (now - at) / 1000.0 / self.gateway_count;
-        let held = filled.min((plan.burst / self.gateway_count).max(units));
-        let fits = held >= units;
-        let used = if fits { units } else { 0.0 };
-        self.fallback_budget = Some((held - used, now));
-        (self.unreported_units, self.available_units) =
-            (self.unreported_units + used, self.available_units - used);
+    /// Spends from the fallback budget, which starts with the first request after the counter's last answer. What is
+    /// spent is reported once the counter answers again.
+    fn try_spend_fallback(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
+        let available_units = self.bucket.available_units;
+        let gateway_count = self.gateway_count;
+        let budget = self
+            .fallback_budget
+            .get_or_insert_with(|| FallbackBudget::new(available_units, gateway_count, now));
+        let fits = budget.try_spend(units, now, plan, gateway_count);
+        if fits {
+            self.unreported_units += units;
+            self.bucket.available_units -= units;
+        }
         fits
     }
 }
 
 impl Gateway {
-    /// The silence rule for one request: the even slice or refusal.
+    /// Admits or rejects a request without the counter.
     pub(crate) fn admit_by_fallback(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         let plan = &self.settings.plans[request.plan_index];
-        customer.waiting.retain(|w| *w != id);
-        if customer.is_sampled(plan) {
+        customer.stop_waiting(id);
+        if is_sampled(plan, customer.gateway_count) {
             return self.admit_without_total(id, out);
         }
         customer.advance(self.now, plan);
-        if customer.spend_fallback_budget(request.units, self.now, plan) {
+        if customer.try_spend_fallback(request.units, self.now, plan) {
             return self.forward_or_enqueue(id, out);
         }
-        let short = request.units - customer.fallback_budget.map_or(0.0, |s| s.0);
-        let rate = plan.rate / customer.gateway_count;
-        self.reject_over_quota(id, short, rate, out);
+        let missing_units = request.units - customer.fallback_budget.map_or(0.0, |budget| budget.units);
+        let units_per_second = plan.rate / customer.gateway_count;
+        self.reject_over_quota(id, missing_units, units_per_second, out);
     }
 }
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -1,87 +1,191 @@
-//! Quota leases: their size and renewal.
+//! Quota leases: units that a gateway takes from the shared counter at once and spends without further calls.
 
+use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
-use crate::request::Stage;
-use crate::*;
-
-/// A block holds the demand of this share of a turn; one unused for as long goes back, so that others can use
-/// it, and what is owed is told without a block once it is this share of the burst.
-pub(crate) const BLOCK_SHARE: f64 = 0.15;
-/// A block takes at most this share of what is left, split over the customer's gateways, or an even part of
-/// all that is left above this share of the burst: while there is plenty, blocks are large.
-pub(crate) const NEAR_SHARE: f64 = 0.5;
-/// A block is renewed when less than this share of it is left.
-pub(crate) const RENEW_SHARE: f64 = 0.4;
-/// A request waits for its block at most this share of its aim.
-pub(crate) const BLOCK_WAIT: f64 = 0.12;
+use crate::quota::sampled::is_sampled;
+use crate::request::RequestStage;
+use crate::{Action, Gateway, Millis, Plan, RejectReason, RequestId};
+
+/// A lease covers the demand of this share of a refill period. One unused for as long is returned while units are
+/// scarce; use is reported without a new lease once it reaches this share of the burst.
+pub(crate) const LEASE_SHARE: f64 = 0.15;
+/// Units are scarce while less than this share of the burst is available. A lease takes at most this share of what is
+/// available, or all above this share of the burst, each split evenly over the customer's gateways.
+pub(crate) const SCARCE_SHARE: f64 = 0.5;
+/// A lease is renewed when less than this share of it is left.
+const RENEWAL_SHARE: f64 = 0.4;
+/// Demand is smoothed over this share of a refill period.
+const DEMAND_SMOOTHING_SHARE: f64 = 0.5;
+/// A request waits for the counter at most this share of its latency objective.
+const LEASE_WAIT_SHARE: f64 = 0.12;
+/// `Retry-After` of a request over quota is lengthened by up to this share, so that clients do not return all at once.
+const RETRY_AFTER_JITTER: f64 = 0.5;
+/// The least refill rate that a `Retry-After` is computed from, in units per second.
+const MIN_UNITS_PER_SECOND: f64 = 1e-9;
+
+/// The units leased for one window of the counter.
+#[derive(Default)]
+pub(crate) struct QuotaLease {
+    /// The window's number.
+    pub window: u64,
+    /// Units leased and not spent yet; they expire with the window.
+    pub units: f64,
+    /// Units that this gateway has added to the window's counter.
+    pub reported_units: f64,
+    /// The last total received of the window's counter.
+    pub last_total: f64,
+}
+
+impl QuotaLease {
+    /// Nothing leased yet.
+    pub(crate) fn for_window(window: u64) -> Self {
+        Self { window, ..Self::default() }
+    }
+}
+
+/// A counter call that leases units and reports use.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct LeaseCall {
+    /// The window whose counter was called.
+    pub window: u64,
+    /// Units to lease.
+    pub lease_units: f64,
+    /// Units used earlier that the call reports; negative where it returns units.
+    pub report_units: f64,
+}
+
+impl LeaseCall {
+    /// What the call adds to the counter.
+    pub(crate) fn amount(&self) -> f64 {
+        self.lease_units + self.report_units
+    }
+}
+
+/// The smoothed demand of a customer at this gateway.
+#[derive(Default)]
+pub(crate) struct Demand {
+    units_per_ms: f64,
+    /// When the last request arrived.
+    pub updated_at: Millis,
+}
+
+impl Demand {
+    pub(crate) fn new(now: Millis) -> Self {
+        Self { units_per_ms: 0.0, updated_at: now }
+    }
+
+    /// Adds a request to the exponential mean.
+    pub(crate) fn record(&mut self, units: f64, now: Millis, refill_period: Millis) {
+        let span = refill_period * DEMAND_SMOOTHING_SHARE;
+        self.units_per_ms = self.units_per_ms * (-(now - self.updated_at) / span).exp() + units / span;
+        self.updated_at = now;
+    }
+}
+
+/// The lease that smoothed demand asks for, rounded to units: the demand of a part of the refill period, at most an even
+/// part of what is available.
+fn demand_lease_units(
+    demand_units_per_ms: f64, refill_period: Millis, available_units: f64, gateway_count: f64,
+) -> f64 {
+    let demand_units = demand_units_per_ms * refill_period * LEASE_SHARE;
+    demand_units.min(available_units * SCARCE_SHARE / gateway_count).floor()
+}
+
+/// The lease taken while units are not scarce, rounded to units: an even part of all above the scarce share. Large leases
+/// save calls while no gateway can run short; below zero while units are scarce.
+fn plentiful_lease_units(available_units: f64, burst: f64, gateway_count: f64) -> f64 {
+    ((available_units - burst * SCARCE_SHARE) / gateway_count).ceil()
+}
 
 impl Customer {
-    /// The smoothed demand of a short while, as far as an even part of what is left allows.
-    pub(crate) fn demand_lease(&self, plan: &Plan) -> f64 {
-        let target = self.demand * Self::refill_period(plan) * BLOCK_SHARE;
-        target.min(self.available_units * NEAR_SHARE / self.gateway_count).floor()
+    /// The lease that smoothed demand asks for, rounded to units.
+    pub(crate) fn demand_lease_units(&self, plan: &Plan) -> f64 {
+        let demand = self.demand.units_per_ms;
+        demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.gateway_count)
     }
 
-    /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
-    /// smoothed demand; near the total it falls to what waits.
-    pub(crate) fn lease_size(&self, need: f64, plan: &Plan) -> f64 {
-        let plenty = (self.available_units - plan.burst * NEAR_SHARE) / self.gateway_count;
-        let want = if self.has_total {
-            self.demand_lease(plan).max(plenty.ceil())
+    /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what demand
+    /// or plenty allow. Near the end of the quota it falls to what the waiting requests need.
+    pub(crate) fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
+        let wanted_units = if self.has_total {
+            let available_units = self.bucket.available_units;
+            let plentiful = plentiful_lease_units(available_units, plan.burst, self.gateway_count);
+            self.demand_lease_units(plan).max(plentiful)
         } else {
             plan.burst / self.gateway_count
         };
-        need.max(want.floor()).max(0.0)
+        needed_units.max(wanted_units.floor()).max(0.0)
+    }
+
+    /// Whether the lease has fallen so low that it should be renewed before it is spent.
+    fn should_renew_lease(&self, plan: &Plan) -> bool {
+        let target_units = self.demand_lease_units(plan);
+        target_units >= 1.0 && self.lease.units < target_units * RENEWAL_SHARE
+    }
+
+    /// Whether the lease covers a request. Requests that wait go first.
+    fn lease_covers(&self, units: f64) -> bool {
+        self.waiting.is_empty() && self.lease.units >= units
     }
 }
 
 impl Gateway {
-    /// The quota's gate: the block in hand, else the silence rule, else refusal once block and count are
-    /// spent. True when the request has to wait.
+    /// Admits a request by its customer's quota: from the lease, without the counter during an outage, or after the
+    /// counter's answer; rejects it once lease and bucket are spent. Returns whether the request waits for the counter.
     pub(crate) fn admit_by_quota(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let (now, silent) = (self.now, self.is_counter_silent());
+        let is_unavailable = self.is_counter_silent();
         let Some(request) = self.requests.get(&id) else { return false };
-        let (name, units) = (request.customer.clone(), request.units);
+        let name = request.customer.clone();
+        let units = request.units;
         let Some(customer) = self.customers.get_mut(&name) else { return false };
         let plan = &self.settings.plans[customer.plan_index];
-        customer.advance(now, plan);
-        let left = customer.available_units + customer.leased_units;
+        customer.advance(self.now, plan);
+        let usable_units = customer.bucket.available_units + customer.lease.units;
         if plan.rate <= 0.0 {
             self.forward_or_enqueue(id, out);
-        } else if customer.is_sampled(plan) {
+        } else if is_sampled(plan, customer.gateway_count) {
             return self.admit_sampled(id, out);
-        } else if customer.waiting.is_empty() && customer.leased_units >= units {
-            customer.leased_units -= units;
-            let target = customer.demand_lease(plan);
-            if !silent && target >= 1.0 && customer.leased_units < target * RENEW_SHARE {
+        } else if customer.lease_covers(units) {
+            customer.lease.units -= units;
+            if !is_unavailable && customer.should_renew_lease(plan) {
                 self.call_counter(&name, out);
             }
             self.forward_or_enqueue(id, out);
-        } else if silent {
+        } else if is_unavailable {
             self.admit_by_fallback(id, out);
-            if self.counter_calls.is_empty() && self.draw() < self.call_rate {
-                self.call_counter(&name, out);
-            }
-        } else if customer.has_total && left < units {
-            self.reject_over_quota(id, units - left, plan.rate, out);
+            self.probe_counter(&name, out);
+        } else if customer.has_total && usable_units < units {
+            let units_per_second = plan.rate;
+            self.reject_over_quota(id, units - usable_units, units_per_second, out);
         } else {
-            return self.wait_for_lease(id, out);
+            return self.wait_for_counter(id, out);
         }
         false
     }
 
-    pub(crate) fn wait_for_lease(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    /// Lets a request wait for the answer of the counter. Returns whether it waits.
+    pub(crate) fn wait_for_counter(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until =
-            request.arrived + self.settings.classes[request.class_index].latency_objective * BLOCK_WAIT;
-        self.start_wait(id, Stage::AwaitingLease, until, out);
+        let objective = self.settings.classes[request.class_index].latency_objective;
+        let until = request.arrived_at + objective * LEASE_WAIT_SHARE;
+        self.start_wait(id, RequestStage::AwaitingCounter, until, out);
         true
     }
 
-    pub(crate) fn reject_over_quota(&mut self, id: RequestId, short: f64, rate: f64, out: &mut Vec<Action>) {
-        let wait = short / rate.max(1e-9) * 1000.0 * (1.0 + 0.5 * self.draw());
-        self.reject(id, wait, RejectReason::QuotaExceeded, out);
+    /// Rejects a request that lacks `missing_units`, with the time in which they come in as `Retry-After`.
+    pub(crate) fn reject_over_quota(
+        &mut self, id: RequestId, missing_units: f64, units_per_second: f64, out: &mut Vec<Action>,
+    ) {
+        let draw = self.random.draw();
+        let retry_after = over_quota_retry_after(missing_units, units_per_second, draw);
+        self.reject(id, retry_after, RejectReason::QuotaExceeded, out);
     }
 }
+
+/// How long a client over quota should wait, in ms: until the missing units have come in, and by `draw` in 0..1 a
+/// little longer.
+fn over_quota_retry_after(missing_units: f64, units_per_second: f64, draw: f64) -> Millis {
+    missing_units / units_per_second.max(MIN_UNITS_PER_SECOND) * 1000.0 * (1.0 + RETRY_AFTER_JITTER * draw)
+}
--- a/src/quota/plan_change.rs
+++ b/src/quota/plan_change.rs
@@ -1,33 +1,46 @@
-//! A customer moves to a plan of other figures.
+//! Moves a customer to a plan with another quota without granting its units anew.
 
+use crate::quota::bucket::{initial_units, refill_period, window_at};
 use crate::quota::customer::Customer;
-use crate::*;
+use crate::{Millis, Plan};
+
+/// Whether two plans grant the same quota.
+fn has_same_quota(a: &Plan, b: &Plan) -> bool {
+    (a.rate, a.burst, a.ceiling_rate, a.ceiling_burst) == (b.rate, b.burst, b.ceiling_rate, b.ceiling_burst)
+}
 
 impl Customer {
-    /// Moves to a plan of other figures: the block goes back, and the store keeps what was used. A window
-    /// of another length has another count: what this gateway used is told it again, and the customer starts
-    /// as an unknown one. Guards against a quota granted anew by each change.
-    pub(crate) fn change_plan(&mut self, now: Millis, was: &Plan, is: &Plan) {
-        let figures = |p: &Plan| (p.rate, p.burst, p.ceiling_rate, p.ceiling_burst);
-        if figures(was) == figures(is) {
+    /// Moves to another plan. The lease is returned, and the bucket keeps what was used.
+    ///
+    /// A refill period of another length has another counter: what this gateway used is reported to it, and the
+    /// customer starts as an unknown one.
+    pub(crate) fn change_plan(&mut self, now: Millis, old: &Plan, new: &Plan) {
+        if has_same_quota(old, new) {
             return;
         }
-        self.advance(now, was);
-        let lease = std::mem::take(&mut self.leased_units);
-        let used = (self.reported_units - lease).min(was.burst - self.available_units - lease).max(0.0);
-        self.available_units = (self.available_units + lease + is.burst - was.burst).min(is.burst);
-        let (window, _) = self.window_at(now, is);
-        if window == self.window && Self::refill_period(was) == Self::refill_period(is) {
-            self.unreported_units -= lease;
+        self.advance(now, old);
+        let leased_units = std::mem::take(&mut self.lease.units);
+        let available_units = self.bucket.available_units;
+        let used_units = (self.lease.reported_units - leased_units)
+            .min(old.burst - available_units - leased_units)
+            .max(0.0);
+        self.bucket.available_units = (available_units + leased_units + new.burst - old.burst).min(new.burst);
+        let window = window_at(now, refill_period(new), self.name_hash).number;
+        if window == self.lease.window && refill_period(old) == refill_period(new) {
+            self.unreported_units -= leased_units;
         } else {
-            (self.unreported_units, self.reported_units, self.last_total, self.has_total) =
-                (self.unreported_units.max(0.0) + used, 0.0, 0.0, false);
-            self.window = window;
+            self.unreported_units = self.unreported_units.max(0.0) + used_units;
+            self.has_total = false;
+            self.lease.window = window;
+            self.lease.reported_units = 0.0;
+            self.lease.last_total = 0.0;
+        }
+        if old.rate <= 0.0 {
+            self.bucket.available_units = initial_units(new);
+            self.unreported_units = 0.0;
         }
-        if was.rate <= 0.0 {
-            (self.available_units, self.unreported_units) = (Self::initial_units(is), 0.0);
+        if let Some(budget) = &mut self.fallback_budget {
+            budget.units = budget.units.min(new.burst / self.gateway_count.max(1.0));
         }
-        self.fallback_budget =
-            self.fallback_budget.map(|(held, at)| (held.min(is.burst / self.gateway_count.max(1.0)), at));
     }
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -1,120 +1,246 @@
-//! Quotas too small to lease.
+//! Sampled admission: quotas so small that a lease at each gateway would exceed them.
+//!
+//! A sample of the requests is added to the counter, each weighted by the inverse of its sampling probability, so that
+//! the total is on average what all gateways were asked for. Requests outside the sample are admitted with the
+//! probability that the last total suggests.
 
-use crate::counter::calls::EASE_LEAST;
-use crate::quota::customer::Customer;
-use crate::quota::lease::NEAR_SHARE;
+use crate::counter::call_rate::{MAX_CALL_RATE, MIN_CALL_RATE};
+use crate::gossip::AdmitReport;
+use crate::quota::bucket::{refill_period, window_at};
+use crate::quota::lease::{LeaseCall, SCARCE_SHARE};
 use crate::request::Request;
-use crate::*;
-
-/// All first tries of thin customers are asked about at 1, all repeats of clients at this.
-pub(crate) const EASE_MOST: f64 = 2.0;
-/// A customer is thin where its burst leaves each of its gateways less than this part of a unit: a block in
-/// hand everywhere would be its whole quota many times over.
-pub(crate) const THIN: f64 = 0.5;
-/// What a thin customer's window grants at once, as a share of the burst; the rest comes with the rate.
-pub(crate) const THIN_START: f64 = 0.75;
-/// How far a thin customer is beyond its quota is told by what the rate and this share of the burst grant ...
-pub(crate) const THIN_ODDS: f64 = 0.25;
-/// ... and fades over this many turns.
-pub(crate) const THIN_FADE: f64 = 4.0;
-/// Gateways that may talk tell of customers of whom less than this share fits, and again when it falls so.
-pub(crate) const THIN_NEWS: f64 = 0.7;
-/// Weight of the newest first total in a plan's odds.
-pub(crate) const NEWEST: f64 = 0.1;
-
-impl Customer {
-    /// Whether the quota is too small for blocks at each gateway; chance decides then, but under no ceiling.
-    pub(crate) fn is_sampled(&self, plan: &Plan) -> bool {
-        plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < THIN * self.gateway_count
+use crate::{Action, Gateway, Millis, Name, Plan, RequestId};
+use std::collections::{BTreeMap, VecDeque};
+
+/// A quota is sampled where its burst leaves each gateway less than this part of a unit.
+const MIN_LEASABLE_UNITS: f64 = 0.5;
+/// A window grants this share of the burst at once; the rest comes in with the rate.
+const WINDOW_INITIAL_SHARE: f64 = 0.75;
+/// Requests over quota are admitted in the proportion that the rate and this share of the burst can bear.
+const ADMIT_BURST_SHARE: f64 = 0.25;
+/// An admit probability fades to the plan's prior over this many refill periods.
+const ADMIT_FADE_PERIODS: f64 = 4.0;
+/// An admit probability below this is gossiped, and again when it falls below this share of the last one.
+const GOSSIP_THRESHOLD: f64 = 0.7;
+/// Weight of the newest first total in a plan's prior.
+const PRIOR_WEIGHT: f64 = 0.1;
+/// The least mean loss that losses are compared with.
+const MIN_MEAN_LOSS: f64 = 1e-9;
+
+/// Whether a quota is too small to be leased. Never under a ceiling, which sampling could exceed.
+pub(crate) fn is_sampled(plan: &Plan, gateway_count: f64) -> bool {
+    plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < MIN_LEASABLE_UNITS * gateway_count
+}
+
+/// What one wrongly admitted request of a plan costs, relative to the value of a response.
+fn over_quota_loss(plan: &Plan) -> f64 {
+    plan.priority_factor * (plan.over_quota_cost - plan.over_quota_value).clamp(0.0, 1.0)
+}
+
+/// The loss of a wrong decision for a plan relative to the mean of all plans.
+fn relative_loss(plans: &[Plan], plan_index: usize) -> f64 {
+    let mean = plans.iter().map(over_quota_loss).sum::<f64>() / plans.len() as f64;
+    over_quota_loss(&plans[plan_index]) / mean.max(MIN_MEAN_LOSS)
+}
+
+/// The probability that a request is added to the counter; above 1, retries of clients are added too. While calls are
+/// scarce, requests are sampled less where a wrong decision costs less.
+///
+/// Inputs: `call_rate` as in [`crate::counter::call_rate`], `relative_loss` and `relative_priority` relative to the
+/// means of all plans and classes.
+fn sampling_probability(call_rate: f64, relative_loss: f64, relative_priority: f64) -> f64 {
+    (call_rate * relative_loss * relative_priority).clamp(MIN_CALL_RATE * MIN_CALL_RATE, MAX_CALL_RATE)
+}
+
+/// The probability of admitting a request without a total of its own.
+///
+/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share of
+/// first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
+fn admit_probability(prior_fit: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
+    let admits_unknown = prior_fit > (1.0 - prior_fit) * (plan.over_quota_cost - plan.over_quota_value);
+    let prior = f64::from(admits_unknown);
+    let age_periods = (now - last.estimated_at) / refill_period(plan);
+    prior + (-age_periods / ADMIT_FADE_PERIODS).exp() * (last.probability - prior)
+}
+
+/// The probability of admitting requests of one customer, from a total received here or by another gateway.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct AdmitEstimate {
+    probability: f64,
+    estimated_at: Millis,
+}
+
+/// The last estimate for each customer, by the hash of its name.
+#[derive(Default)]
+pub(crate) struct AdmitEstimates(BTreeMap<u64, AdmitEstimate>);
+
+impl AdmitEstimates {
+    /// Records an estimate and returns the one before.
+    pub(crate) fn record(&mut self, name_hash: u64, probability: f64, now: Millis) -> Option<AdmitEstimate> {
+        self.0.insert(name_hash, AdmitEstimate { probability, estimated_at: now })
+    }
+
+    /// Drops estimates that are as old as `retention` ms.
+    pub(crate) fn expire(&mut self, now: Millis, retention: Millis) {
+        self.0.retain(|_, estimate| now - estimate.estimated_at < retention);
+    }
+
+    fn get(&self, name_hash: u64) -> AdmitEstimate {
+        self.0.get(&name_hash).copied().unwrap_or_default()
+    }
+}
+
+/// The share of first totals of a plan's customers that left units, for first requests and for clients' retries.
+#[derive(Clone, Copy)]
+pub(crate) struct PlanPrior {
+    first_request_fit: f64,
+    client_retry_fit: f64,
+}
+
+impl Default for PlanPrior {
+    fn default() -> Self {
+        Self { first_request_fit: 1.0, client_retry_fit: 0.0 }
+    }
+}
+
+impl PlanPrior {
+    fn fit(&self, client_retry: bool) -> f64 {
+        if client_retry { self.client_retry_fit } else { self.first_request_fit }
+    }
+
+    fn record(&mut self, client_retry: bool, fits: bool) {
+        let fit = if client_retry { &mut self.client_retry_fit } else { &mut self.first_request_fit };
+        *fit += PRIOR_WEIGHT * (f64::from(fits) - *fit);
+    }
+}
+
+/// What the window of a sampled quota allows.
+struct SampledWindow {
+    /// Units granted so far.
+    granted_units: f64,
+    /// The share of the requests that can be admitted, 0 to 1.
+    admit_probability: f64,
+}
+
+impl SampledWindow {
+    /// Inputs: `elapsed` since the window began, `asked_units` by other requests, `call_units` by those of the last
+    /// call, whose weights exceed their own units by `excess_units`.
+    ///
+    /// A sampled request that counts for others stands for one that was admitted by chance: its excess is granted.
+    fn new(plan: &Plan, elapsed: Millis, asked_units: f64, call_units: f64, excess_units: f64) -> Self {
+        let refilled_units = plan.rate * elapsed / 1000.0;
+        let granted_units =
+            (plan.burst * WINDOW_INITIAL_SHARE + refilled_units).min(plan.burst) + excess_units;
+        let bearable_units = plan.burst * ADMIT_BURST_SHARE + refilled_units + excess_units;
+        let is_over_quota = asked_units + call_units > granted_units;
+        let bearable_share = bearable_units / (asked_units + call_units);
+        let admit_probability = if is_over_quota { bearable_share.min(1.0) } else { 1.0 };
+        Self { granted_units, admit_probability }
     }
 }
 
 impl Gateway {
-    /// The gate of a thin customer. Its count sums what is asked: a try is added by chance, as far as the
-    /// counter bears, and weighs the more; without an add the odds last heard decide.
+    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total. Returns
+    /// whether the request waits for the counter.
     pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let chance = self.draw();
+        let draw = self.random.draw();
         let Some(request) = self.requests.get(&id) else { return false };
-        let (asked, repeat) = (self.sampling_probability(request), f64::from(request.client_retry));
-        let calls = self.settings.has_counter && chance < asked - repeat;
-        let weight = (1.0 - repeat) * request.units / asked.min(1.0);
+        let probability = sampling_probability(
+            self.call_rate.get(),
+            relative_loss(&self.settings.plans, request.plan_index),
+            self.relative_priority(request.class_index),
+        );
+        let is_retry = f64::from(request.client_retry);
+        let is_sampled = self.settings.has_counter && draw < probability - is_retry;
+        // A client's retry is in the counter since its first request.
+        let weighted_units = (1.0 - is_retry) * request.units / probability.min(1.0);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        if calls && customer.pending_call.is_none() {
-            self.requests.entry(id).and_modify(|r| r.weighted_units = weight);
-            return self.wait_for_lease(id, out);
+        if is_sampled && customer.pending_call.is_none() {
+            self.requests.entry(id).and_modify(|request| request.weighted_units = weighted_units);
+            return self.wait_for_counter(id, out);
         }
         self.admit_without_total(id, out);
         false
     }
 
-    /// How likely a thin customer's first try is asked about: while calls are scarce, less likely where a
-    /// wrong guess costs less.
-    pub(crate) fn sampling_probability(&self, request: &Request) -> f64 {
-        let loss = |p: &Plan| p.priority_factor * (p.over_quota_cost - p.over_quota_value).clamp(0.0, 1.0);
-        let plans = &self.settings.plans;
-        let mean = plans.iter().map(loss).sum::<f64>() / plans.len() as f64;
-        let plan = loss(&plans[request.plan_index]) / mean.max(1e-9);
-        (self.call_rate * plan * self.relative_priority(request.class_index))
-            .clamp(EASE_LEAST * EASE_LEAST, EASE_MOST)
-    }
-
-    /// Decides for a thin customer's try without a total: by the odds last heard, fading to its plan's. Of
-    /// unknown customers all is let in where that gains more than it costs, else nothing.
+    /// Admits or rejects a request of a sampled quota by the customer's admit probability.
     pub(crate) fn admit_without_total(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let chance = self.draw();
+        let draw = self.random.draw();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let usual = self.plan_admit_probability[customer.plan_index][usize::from(request.client_retry)];
-        let pays = usual > (1.0 - usual) * (plan.over_quota_cost - plan.over_quota_value);
-        let usual = f64::from(pays);
-        let (odds, at) = self.admit_probabilities.get(&customer.name_hash).copied().unwrap_or_default();
-        let age = (self.now - at) / Customer::refill_period(plan);
-        if chance < usual + (-age / THIN_FADE).exp() * (odds - usual) {
-            self.requests.entry(id).and_modify(|r| r.admitted_without_total = true);
+        let prior_fit = self.plan_priors[customer.plan_index].fit(request.client_retry);
+        let last = self.admit_estimates.get(customer.name_hash);
+        if draw < admit_probability(prior_fit, plan, last, self.now) {
+            self.requests.entry(id).and_modify(|request| request.admitted_without_total = true);
             return self.forward_or_enqueue(id, out);
         }
         self.reject_over_quota(id, request.units, plan.rate, out);
     }
 
-    /// A thin customer's total came: what is asked fits as far as the window has granted by now.
+    /// Takes the counter's total for a sampled quota: learns the admit probability and decides for the requests that
+    /// wait.
     pub(crate) fn sampled_total_received(
-        &mut self, name: &Name, mut asked: f64, block: f64, out: &mut Vec<Action>,
+        &mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>,
     ) {
-        let now = self.now;
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let (rate, turn) = (plan.rate, Customer::refill_period(plan));
-        let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
-        // A try that weighs more than itself stands for others by chance: one such is let by.
-        let own: f64 = customer.waiting.iter().filter_map(|id| Some(self.requests.get(id)?.units)).sum();
-        let luck = (block - own).max(0.0);
-        let granted = (plan.burst * THIN_START + since).min(plan.burst) + luck;
-        let even = (plan.burst * THIN_ODDS + since + luck) / (asked + block);
-        let odds = if asked + block > granted { even.min(1.0) } else { 1.0 };
-        let (told, at) = self
-            .admit_probabilities
-            .insert(customer.name_hash, (odds, now))
-            .unwrap_or((1.0, f64::NEG_INFINITY));
-        if self.settings.gossip_allowed && odds < THIN_NEWS && (odds < told * THIN_NEWS || now > at + turn) {
-            let mut bytes = customer.name_hash.to_le_bytes();
-            bytes[7] = (odds * 255.0) as u8;
-            out.push(Action::Gossip { bytes: bytes.to_vec() });
-        }
+        let asked_units = total - call.lease_units - call.report_units;
+        let own_units = sum_of(&customer.waiting, &self.requests, |request| request.units);
+        let excess_units = (call.lease_units - own_units).max(0.0);
+        let period = refill_period(plan);
+        let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
+        let window = SampledWindow::new(plan, elapsed, asked_units, call.lease_units, excess_units);
+        let units_per_second = plan.rate;
+        let name_hash = customer.name_hash;
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.has_total, true) {
-            let repeat = waiting.iter().any(|id| self.requests.get(id).is_some_and(|r| r.client_retry));
-            let usual = &mut self.plan_admit_probability[customer.plan_index][usize::from(repeat)];
-            *usual += NEWEST * (f64::from(asked < granted * NEAR_SHARE) - *usual);
+            let is_retry =
+                waiting.iter().any(|id| self.requests.get(id).is_some_and(|request| request.client_retry));
+            let fits = asked_units < window.granted_units * SCARCE_SHARE;
+            self.plan_priors[customer.plan_index].record(is_retry, fits);
+        }
+        self.record_admit_probability(name_hash, window.admit_probability, period, out);
+        self.decide_sampled(waiting, asked_units, window.granted_units, units_per_second, out);
+    }
+
+    /// Records an admit probability and gossips it where it is low and news: lower than the last one by the threshold,
+    /// or the last one is a refill period old.
+    fn record_admit_probability(
+        &mut self, name_hash: u64, probability: f64, refill_period: Millis, out: &mut Vec<Action>,
+    ) {
+        let unknown = AdmitEstimate { probability: 1.0, estimated_at: f64::NEG_INFINITY };
+        let last = self.admit_estimates.record(name_hash, probability, self.now).unwrap_or(unknown);
+        let has_fallen = probability < last.probability * GOSSIP_THRESHOLD;
+        let is_outdated = self.now > last.estimated_at + refill_period;
+        if self.settings.gossip_allowed && probability < GOSSIP_THRESHOLD && (has_fallen || is_outdated) {
+            let report = AdmitReport { name_hash, probability };
+            out.push(Action::Gossip { bytes: report.encode() });
         }
+    }
+
+    /// Admits the requests that waited, in order, as far as the granted units go. Clients' retries are in the total
+    /// already.
+    fn decide_sampled(
+        &mut self, waiting: VecDeque<RequestId>, mut asked_units: f64, granted_units: f64,
+        units_per_second: f64, out: &mut Vec<Action>,
+    ) {
         for id in waiting {
-            asked += self.requests.get(&id).filter(|r| !r.client_retry).map_or(0.0, |r| r.units);
-            let over = asked - granted;
-            if over <= 0.0 {
-                self.forward_or_enqueue(id, out)
+            let first = self.requests.get(&id).filter(|request| !request.client_retry);
+            asked_units += first.map_or(0.0, |request| request.units);
+            let missing_units = asked_units - granted_units;
+            if missing_units <= 0.0 {
+                self.forward_or_enqueue(id, out);
             } else {
-                self.reject_over_quota(id, over, rate, out)
+                self.reject_over_quota(id, missing_units, units_per_second, out);
             }
         }
     }
 }
+
+/// The sum of a value over requests, those that are over left out.
+pub(crate) fn sum_of(
+    ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
+) -> f64 {
+    ids.iter().filter_map(|id| requests.get(id)).map(value).sum()
+}
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,125 +1,143 @@
-//! A request's arrival and its final response.
+//! The state of one request, its arrival and its final response.
 
-use crate::quota::customer::Customer;
-use crate::random::hash;
-use crate::*;
+use crate::quota::bucket::refill_period;
+use crate::quota::customer::{Customer, gateway_rank};
+use crate::retry::{FirstExecution, is_rejection_harmless};
+use crate::{Action, Gateway, IncomingRequest, Millis, Name, RejectReason, RequestId};
 
-/// Demand is smoothed over this share of a turn.
-pub(crate) const DEMAND_SHARE: f64 = 0.5;
+/// `Retry-After` of a request rejected for lack of capacity is drawn evenly from this share of the longest one ...
+const MIN_RETRY_AFTER_SHARE: f64 = 0.3;
+/// ... and this much more of it, so that clients do not return all at once.
+const RETRY_AFTER_SPREAD: f64 = 0.4;
+/// The units of a request whose estimate is not a number.
+const DEFAULT_UNITS: f64 = 1.0;
+
+/// Where a request is.
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(crate) enum RequestStage {
+    /// It waits for the answer of the counter.
+    #[default]
+    AwaitingCounter,
+    /// Its quota is paid; it waits for a backend.
+    Queued,
+    /// An attempt is in flight.
+    InFlight,
+}
+
+/// A request without its final response.
+#[derive(Default)]
+pub(crate) struct Request {
+    pub customer: Name,
+    /// The index of its plan in the settings.
+    pub plan_index: usize,
+    /// The index of its class in the settings.
+    pub class_index: usize,
+    /// The units it uses, or an estimate.
+    pub units: f64,
+    /// The units it adds to the counter of a sampled quota: its own over its sampling probability.
+    pub weighted_units: f64,
+    /// Whether a sampled quota admitted it without a total.
+    pub admitted_without_total: bool,
+    /// Whether the client marks it as a retry.
+    pub client_retry: bool,
+    pub arrived_at: Millis,
+    /// When the client's timeout ends.
+    pub deadline: Millis,
+    /// Until when it waits in its stage.
+    pub waits_until: Millis,
+    pub stage: RequestStage,
+    /// Attempts sent.
+    pub attempts: u32,
+    /// The first attempt that may have been executed.
+    pub first_execution: Option<FirstExecution>,
+    /// When the last attempt was sent.
+    pub sent_at: Millis,
+    /// The route that it is bound to; empty for none.
+    pub sticky_route: Name,
+}
 
 impl Gateway {
-    pub(crate) fn receive_request(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
-        let IncomingRequest { id, customer: name, .. } = arrival;
-        let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
-        let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
-        let (Some(class), Some(plan)) = (class, plan) else {
+    /// Takes a request of a client. One of an unknown class or plan is rejected.
+    pub(crate) fn receive_request(&mut self, incoming: IncomingRequest, out: &mut Vec<Action>) {
+        let id = incoming.id;
+        let class = self.settings.classes.iter().position(|class| class.name == incoming.class);
+        let plan = self.settings.plans.iter().position(|plan| plan.name == incoming.plan);
+        let (Some(class_index), Some(plan_index)) = (class, plan) else {
             return out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
         };
-        let now = self.now;
-        let units = if arrival.units.is_finite() { arrival.units.max(0.0) } else { 1.0 };
-        let (arrived, deadline) = (now, now + arrival.timeout);
-        let (customer, repeat, bound) = (name.clone(), arrival.client_retry, arrival.sticky_route);
-        let rest = Request { arrived, deadline, sticky_route: bound, ..Request::default() };
-        self.requests.insert(
-            id,
-            Request { customer, plan_index: plan, class_index: class, units, client_retry: repeat, ..rest },
-        );
-        let customer = self.customers.entry(name.clone()).or_insert_with(|| {
-            let (salt, store) = (hash(&name) >> 8, Customer::initial_units(&self.settings.plans[plan]));
-            Customer {
-                plan_index: plan,
-                name_hash: salt,
-                available_units: store,
-                filled_at: now,
-                demand_at: now,
-                ..Customer::default()
-            }
-        });
-        if customer.plan_index != plan {
-            customer.change_plan(now, &self.settings.plans[customer.plan_index], &self.settings.plans[plan]);
-            customer.plan_index = plan;
-        }
-        let gateways = self.settings.gateway_count;
-        let spread = f64::from(arrival.gateway_count.clamp(1, gateways));
-        // More gateways share what is left of the slice; fewer let it grow by the rate alone.
-        let share =
-            if customer.gateway_count > 0.0 { (customer.gateway_count / spread).min(1.0) } else { 1.0 };
-        customer.fallback_budget = customer.fallback_budget.map(|(held, at)| (held * share, at));
-        customer.gateway_count = spread;
-        customer.gateway_rank =
-            (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
-        let span = Customer::refill_period(&self.settings.plans[plan]) * DEMAND_SHARE;
-        customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
-        customer.demand_at = now;
+        let units = if incoming.units.is_finite() { incoming.units.max(0.0) } else { DEFAULT_UNITS };
+        let name = incoming.customer.clone();
+        self.record_demand(&incoming, plan_index, units);
+        let request = Request {
+            customer: incoming.customer,
+            plan_index,
+            class_index,
+            units,
+            client_retry: incoming.client_retry,
+            arrived_at: self.now,
+            deadline: self.now + incoming.timeout,
+            sticky_route: incoming.sticky_route,
+            ..Request::default()
+        };
+        self.requests.insert(id, request);
         if self.admit_by_quota(id, out) {
             self.call_counter(&name, out);
         }
     }
 
-    /// The one final answer of a request that gets no further attempt: refused where that is harmless.
+    /// Updates the customer's plan, gateways and demand by a new request.
+    fn record_demand(&mut self, incoming: &IncomingRequest, plan_index: usize, units: f64) {
+        let now = self.now;
+        let plans = &self.settings.plans;
+        let plan = &plans[plan_index];
+        let name = &incoming.customer;
+        let customer =
+            self.customers.entry(name.clone()).or_insert_with(|| Customer::new(name, plan_index, plan, now));
+        if customer.plan_index != plan_index {
+            customer.change_plan(now, &plans[customer.plan_index], plan);
+            customer.plan_index = plan_index;
+        }
+        let all_gateways = self.settings.gateway_count;
+        let gateway_count = f64::from(incoming.gateway_count.clamp(1, all_gateways));
+        let rank = gateway_rank(self.settings.gateway_index, incoming.first_gateway, all_gateways);
+        customer.set_gateways(gateway_count, rank);
+        customer.demand.record(units, now, refill_period(plan));
+    }
+
+    /// The final response of a request that gets no further attempt: rejected where a retry of the client is harmless,
+    /// else failed.
     pub(crate) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class_index];
-        let harmless = request.possibly_executed.is_none()
-            || class.idempotency == Idempotency::Idempotent
-            || (class.idempotency == Idempotency::WithKey
-                && class.deduplication_scope == DeduplicationScope::All);
-        if harmless && self.now < request.deadline {
-            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.draw());
-            self.reject(id, wait, RejectReason::Overloaded, out);
+        let is_harmless = is_rejection_harmless(request.first_execution.is_some(), class);
+        if is_harmless && self.now < request.deadline {
+            let draw = self.random.draw();
+            let share = MIN_RETRY_AFTER_SHARE + RETRY_AFTER_SPREAD * draw;
+            self.reject(id, self.settings.max_retry_after * share, RejectReason::Overloaded, out);
         } else {
             self.remove_request(id);
             out.push(Action::Fail { id });
         }
     }
 
-    pub(crate) fn reject(&mut self, id: RequestId, wait: Millis, why: RejectReason, out: &mut Vec<Action>) {
+    /// Rejects a request; `retry_after` in ms is held within what clients follow.
+    pub(crate) fn reject(
+        &mut self, id: RequestId, retry_after: Millis, reason: RejectReason, out: &mut Vec<Action>,
+    ) {
         self.remove_request(id);
-        out.push(Action::Reject {
-            id,
-            retry_after: wait.clamp(0.0, self.settings.max_retry_after),
-            reason: why,
-        });
+        let retry_after = retry_after.clamp(0.0, self.settings.max_retry_after);
+        out.push(Action::Reject { id, retry_after, reason });
     }
 
-    /// Units of a request that was never sent go back to its customer's block.
+    /// Removes a request. Units of one that was never sent return to its customer's lease.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         match request.stage {
-            Stage::AwaitingLease => customer.waiting.retain(|w| *w != id),
-            Stage::InFlight => customer.in_flight = customer.in_flight.saturating_sub(1),
-            Stage::Queued if request.attempts == 0 => customer.leased_units += request.units,
-            Stage::Queued => {}
+            RequestStage::AwaitingCounter => customer.stop_waiting(id),
+            RequestStage::InFlight => customer.in_flight = customer.in_flight.saturating_sub(1),
+            RequestStage::Queued if request.attempts == 0 => customer.lease.units += request.units,
+            RequestStage::Queued => {}
         }
     }
 }
-
-#[derive(Clone, Copy, Default, PartialEq)]
-pub(crate) enum Stage {
-    #[default]
-    AwaitingLease,
-    Queued,
-    InFlight,
-}
-
-#[derive(Default)]
-pub(crate) struct Request {
-    pub customer: Name,
-    pub plan_index: usize,
-    pub class_index: usize,
-    pub units: f64,
-    /// What it adds to a thin customer's count: itself and those like it that are not asked about.
-    pub weighted_units: f64,
-    /// Let in without a total of its customer; the client has asked for the same before.
-    pub admitted_without_total: bool,
-    pub client_retry: bool,
-    pub arrived: Millis,
-    pub deadline: Millis,
-    pub waits_until: Millis,
-    pub stage: Stage,
-    pub attempts: u32,
-    pub possibly_executed: Option<(Millis, Name)>,
-    pub sent_at: Millis,
-    pub sticky_route: Name,
-}
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -1,22 +1,21 @@
-//! State of an earlier process.
+//! State that an earlier process of this gateway has learnt of the backends.
 
-use crate::health::concurrency_limit::{ROOM_FIRST, ROOM_LEAST};
-use crate::*;
+use crate::{BackendStatus, Gateway};
 
 impl Gateway {
-    /// What was learnt of a backend holds while it is the same start of it, and no longer than it could have
-    /// been left alone. Guards the first second after a restart against nodes that were known to be dead.
-    pub(crate) fn restore_backends(&mut self, views: Vec<BackendStatus>) {
-        for view in views {
-            let Some(backend) = self.backends.get_mut(&view.name) else { continue };
-            if backend.started == view.started && view.concurrency_limit.is_finite() {
-                backend.concurrency_limit =
-                    view.concurrency_limit.clamp(ROOM_LEAST, ROOM_FIRST.max(backend.concurrency_limit));
-                (backend.consecutive_failures, backend.ejected_until) =
-                    (view.consecutive_failures, view.ejected_until);
-                backend.ejected_until =
-                    backend.ejected_until.min(self.now + self.settings.slow_start_duration);
+    /// Takes over concurrency limits and ejections, so that the first second after a restart is not spent on backends
+    /// known to be dead. A backend that has started since is left as it is; an ejection lasts no longer than the slow
+    /// start.
+    pub(crate) fn restore_backends(&mut self, statuses: Vec<BackendStatus>) {
+        let max_ejection = self.settings.slow_start_duration;
+        for status in statuses {
+            let Some(backend) = self.backends.get_mut(&status.name) else { continue };
+            if backend.start.reported != status.started || !status.concurrency_limit.is_finite() {
+                continue;
             }
+            backend.concurrency_limit.restore(status.concurrency_limit);
+            let failures = status.consecutive_failures;
+            backend.outlier.restore(failures, status.ejected_until, self.now, max_ejection);
         }
     }
 }
