--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,68 +1,102 @@
-//! Which attempt may follow, and until when.
+//! Which attempt may follow another, and until when.
 
-use crate::request::{Request, Stage};
-use crate::*;
+use crate::request::{Request, RequestStage};
+use crate::{
+    Action, AttemptEnd, AttemptOutcome, DeduplicationScope, Gateway, Idempotency, Millis, Name, RequestClass,
+    RequestId,
+};
 
-/// An answer must leave this many ticks before the client's patience ends.
-pub(crate) const LAST_TICKS: f64 = 2.0;
-/// A safe request that may have run is tried this often at most: what two backends cannot do is costly.
-pub(crate) const REPEAT_MOST: u32 = 2;
+/// The final response must leave this many ticks before the client's timeout.
+const RESPONSE_MARGIN_TICKS: f64 = 2.0;
+/// An idempotent request that may have been executed gets at most this many attempts: what two backends could not
+/// serve is likely to be costly.
+const MAX_IDEMPOTENT_ATTEMPTS: u32 = 2;
+
+/// The first attempt of a request that may have been executed.
+pub(crate) struct FirstExecution {
+    pub sent_at: Millis,
+    pub backend: Name,
+}
+
+/// Whether a backend certainly did not execute an attempt with this outcome.
+fn was_never_executed(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent)
+}
+
+/// Whether a further attempt after `attempts` can do no harm.
+fn is_retry_safe(possibly_executed: bool, idempotency: Idempotency, attempts: u32) -> bool {
+    match idempotency {
+        _ if !possibly_executed => true,
+        Idempotency::WithKey => true,
+        Idempotency::Idempotent => attempts < MAX_IDEMPOTENT_ATTEMPTS,
+        Idempotency::NonIdempotent => false,
+    }
+}
+
+/// Whether the client may safely retry a request that is rejected. A retry may reach any backend, so an idempotency key
+/// helps only where all backends share it.
+pub(crate) fn is_rejection_harmless(possibly_executed: bool, class: &RequestClass) -> bool {
+    match class.idempotency {
+        _ if !possibly_executed => true,
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey => class.deduplication_scope == DeduplicationScope::All,
+        Idempotency::NonIdempotent => false,
+    }
+}
+
+/// Until when an attempt may begin: while its response can reach the client, and one with an idempotency key while
+/// backends still drop it as a repetition, however long it waited in the queue.
+///
+/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the shortest time
+/// between two events, in ms.
+fn attempt_deadline(client_deadline: Millis, deduplicated_until: Option<Millis>, tick: Millis) -> Millis {
+    client_deadline.min(deduplicated_until.unwrap_or(f64::INFINITY)) - RESPONSE_MARGIN_TICKS * tick
+}
+
+impl Request {
+    /// The first execution where backends recognize a further attempt by its idempotency key.
+    pub(crate) fn keyed_execution(&self, class: &RequestClass) -> Option<&FirstExecution> {
+        self.first_execution.as_ref().filter(|_| class.idempotency == Idempotency::WithKey)
+    }
+}
 
 impl Gateway {
+    /// Takes the end of an attempt: its customer's accounts, then the final response or a further attempt.
     pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
-        let (id, outcome) = (end.id, end.outcome);
+        let id = end.id;
+        let is_served = end.outcome == AttemptOutcome::Served;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        if let Some(true_units) = end.true_units.filter(|_| outcome == AttemptOutcome::Served) {
-            // A ceiling goes by the guess: under one, nothing comes back that could be sent on above it.
-            let least = if self.settings.plans[request.plan_index].ceiling_rate > 0.0 {
-                0.0
-            } else {
-                f64::NEG_INFINITY
-            };
-            let more = (true_units - request.units).max(least);
-            // What the store cannot bear comes out of the block in hand, which is counted already: none is
-            // spent while the account is below nothing. Guards against prices that are far too low.
-            let paid = (more - customer.available_units.max(0.0)).clamp(0.0, customer.leased_units.max(0.0));
-            let more = more - paid;
-            customer.leased_units -= paid;
-            (customer.unreported_units, customer.available_units) =
-                (customer.unreported_units + more, customer.available_units - more);
+        if let Some(true_units) = end.true_units.filter(|_| is_served) {
+            customer.settle(true_units, request.units, &self.settings.plans[request.plan_index]);
         }
         customer.in_flight = customer.in_flight.saturating_sub(1);
-        request.stage = Stage::Queued;
-        if end.final_response_sent || outcome == AttemptOutcome::Served {
-            // Nothing was written before its client had gone: what no backend heard of is not used.
-            request.attempts -= u32::from(outcome == AttemptOutcome::NeverSent);
+        request.stage = RequestStage::Queued;
+        if end.final_response_sent || is_served {
+            // The client left before anything was written: an attempt that no backend received uses no units.
+            request.attempts -= u32::from(end.outcome == AttemptOutcome::NeverSent);
             return self.remove_request(id);
         }
-        let never_ran = matches!(
-            outcome,
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
-        );
-        if !never_ran && request.possibly_executed.is_none() {
-            request.possibly_executed = Some((request.sent_at, end.backend));
+        if !was_never_executed(end.outcome) && request.first_execution.is_none() {
+            request.first_execution = Some(FirstExecution { sent_at: request.sent_at, backend: end.backend });
         }
         if self.may_retry(id) { self.forward_or_enqueue(id, out) } else { self.finish_unserved(id, out) }
     }
 
-    pub(crate) fn may_retry(&self, id: RequestId) -> bool {
+    /// Whether a request may get a further attempt.
+    fn may_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let allowed =
-            match (&request.possibly_executed, self.settings.classes[request.class_index].idempotency) {
-                (None, _) | (_, Idempotency::WithKey) => true,
-                (_, Idempotency::Idempotent) => request.attempts < REPEAT_MOST,
-                (Some(_), Idempotency::NonIdempotent) => false,
-            };
-        allowed && self.now < self.attempt_deadline(request) && request.attempts < self.settings.max_attempts
+        let idempotency = self.settings.classes[request.class_index].idempotency;
+        is_retry_safe(request.first_execution.is_some(), idempotency, request.attempts)
+            && self.now < self.attempt_deadline(request)
+            && request.attempts < self.settings.max_attempts
     }
 
-    /// Until when an attempt may begin: while an answer can come, and a keyed repeat while it is dropped as
-    /// such. Guards repeats that waited in line past their window.
+    /// Until when an attempt of a request may begin.
     pub(crate) fn attempt_deadline(&self, request: &Request) -> Millis {
         let class = &self.settings.classes[request.class_index];
-        let first = request.possibly_executed.as_ref().filter(|_| class.idempotency == Idempotency::WithKey);
-        let dropped = first.map_or(f64::INFINITY, |(sent, _)| sent + class.deduplication_window);
-        request.deadline.min(dropped) - LAST_TICKS * self.settings.tick
+        let first = request.keyed_execution(class);
+        let deduplicated_until = first.map(|first| first.sent_at + class.deduplication_window);
+        attempt_deadline(request.deadline, deduplicated_until, self.settings.tick)
     }
 }
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -1,63 +1,103 @@
-//! Changed settings.
+//! Changed settings take effect without losing requests or quotas.
 
-use crate::check::check;
-use crate::*;
+use crate::validation::validate;
+use crate::{Action, Gateway, Name, Plan, RequestClass, Settings};
+
+/// An item of the settings that requests and customers refer to by index.
+trait Named {
+    fn name(&self) -> &Name;
+    fn clear_name(&mut self);
+}
+
+impl Named for RequestClass {
+    fn name(&self) -> &Name {
+        &self.name
+    }
+
+    fn clear_name(&mut self) {
+        self.name = Name::default();
+    }
+}
+
+impl Named for Plan {
+    fn name(&self) -> &Name {
+        &self.name
+    }
+
+    fn clear_name(&mut self) {
+        self.name = Name::default();
+    }
+}
+
+/// Where each old item is among the new ones.
+struct NewIndices(Vec<Option<usize>>);
+
+impl NewIndices {
+    /// The new index of an old item that is in use.
+    fn of(&self, old_index: usize) -> usize {
+        self.0[old_index].unwrap_or_default()
+    }
+
+    /// Moves what was learnt of each old item to its new index; new items have the default.
+    fn move_state<T: Copy + Default>(&self, old: &[T], new_len: usize) -> Vec<T> {
+        let mut new = vec![T::default(); new_len];
+        for (new_index, state) in self.0.iter().zip(old) {
+            if let Some(new_index) = new_index {
+                new[*new_index] = *state;
+            }
+        }
+        new
+    }
+}
+
+/// Finds each old item among the new ones by its name. One that is gone and still in use is appended without its name, so
+/// that no new request can refer to it.
+fn carry_over<T: Clone + Named>(
+    old: &[T], new: &mut Vec<T>, is_in_use: impl Fn(usize) -> bool,
+) -> NewIndices {
+    let mut new_index = |(index, item): (usize, &T)| {
+        let has_its_name = |new: &T| !item.name().is_empty() && new.name() == item.name();
+        if let Some(known) = new.iter().position(has_its_name) {
+            return Some(known);
+        }
+        if !is_in_use(index) {
+            return None;
+        }
+        let mut item = item.clone();
+        item.clear_name();
+        new.push(item);
+        Some(new.len() - 1)
+    };
+    NewIndices(old.iter().enumerate().map(&mut new_index).collect())
+}
 
 impl Gateway {
-    /// What is out goes on under the class and plan it came with: those that the new settings lack stay
-    /// behind them, without a name to be asked for, as long as something is of them.
+    /// Takes new settings. Unusable ones, or those of another gateway, are refused. Requests in flight go on under the
+    /// class and plan they came with.
     pub(crate) fn change_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
-        if check(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
+        if validate(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
             return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
         }
         let old = std::mem::replace(&mut self.settings, settings);
-        let (requests, customers) = (&self.requests, &self.customers);
-        let used = |at| requests.values().any(|r| r.class_index == at);
-        let classes = carry_over(&old.classes, &mut self.settings.classes, |c| &mut c.name, used);
-        let plans = carry_over(
-            &old.plans,
-            &mut self.settings.plans,
-            |p| &mut p.name,
-            |at| {
-                requests.values().any(|r| r.plan_index == at)
-                    || customers.values().any(|c| c.plan_index == at)
-            },
-        );
-        let (mut latency, mut odds) = (vec![0.0; self.settings.classes.len()], Vec::new());
-        odds.resize(self.settings.plans.len(), [1.0, 0.0]);
-        let moved = classes.iter().zip(&self.class_latency).filter_map(|(to, was)| Some(((*to)?, *was)));
-        moved.for_each(|(to, was)| latency[to] = was);
-        let moved =
-            plans.iter().zip(&self.plan_admit_probability).filter_map(|(to, was)| Some(((*to)?, *was)));
-        moved.for_each(|(to, was)| odds[to] = was);
-        (self.class_latency, self.plan_admit_probability) = (latency, odds);
+        let classes = carry_over(&old.classes, &mut self.settings.classes, |index| {
+            self.requests.values().any(|request| request.class_index == index)
+        });
+        let plans = carry_over(&old.plans, &mut self.settings.plans, |index| {
+            self.requests.values().any(|request| request.plan_index == index)
+                || self.customers.values().any(|customer| customer.plan_index == index)
+        });
+        self.usual_latencies = classes.move_state(&self.usual_latencies, self.settings.classes.len());
+        self.plan_priors = plans.move_state(&self.plan_priors, self.settings.plans.len());
         for request in self.requests.values_mut() {
-            request.class_index = classes[request.class_index].unwrap_or_default();
-            request.plan_index = plans[request.plan_index].unwrap_or_default();
+            request.class_index = classes.of(request.class_index);
+            request.plan_index = plans.of(request.plan_index);
         }
-        self.endpoints.configure(&self.settings, self.is_large_fleet(), self.random);
+        self.endpoints.configure(&self.settings, self.random);
         for customer in self.customers.values_mut() {
-            let to = plans[customer.plan_index].unwrap_or_default();
-            customer.change_plan(self.now, &old.plans[customer.plan_index], &self.settings.plans[to]);
-            customer.plan_index = to;
+            let new_index = plans.of(customer.plan_index);
+            customer.change_plan(self.now, &old.plans[customer.plan_index], &self.settings.plans[new_index]);
+            customer.plan_index = new_index;
         }
         out.push(Action::Log("settings changed".into()));
     }
 }
-
-/// Where each old class or plan is among the new ones, by name; one that is gone and in use goes behind.
-pub(crate) fn carry_over<T: Clone>(
-    old: &[T], new: &mut Vec<T>, name: impl Fn(&mut T) -> &mut Name, used: impl Fn(usize) -> bool,
-) -> Vec<Option<usize>> {
-    let mut place = |(at, item): (usize, &T)| {
-        let mut item = item.clone();
-        let known = new.iter_mut().position(|n| !name(&mut item).is_empty() && *name(n) == *name(&mut item));
-        known.or_else(|| {
-            let kept = used(at);
-            *name(&mut item) = Name::default();
-            kept.then(|| new.push(item))?;
-            Some(new.len() - 1)
-        })
-    };
-    old.iter().enumerate().map(&mut place).collect()
-}
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! Names, times and numbers that the whole interface shares.
+//! Names, times and numbers that all of the interface shares.
 
 use std::sync::Arc;
 
