--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,12 +1,14 @@
-//! `doorcourse-simhost`: the wire on standard input and output.
+//! `doorcourse-simhost`: gateways on the simulator's wire, on standard input and output.
 
 #![forbid(unsafe_code)]
 
+use doorcourse_simulator_adapter::Host;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match doorcourse_simulator_adapter::Host::default().run(&mut input, &mut output) {
+    let mut input = std::io::stdin().lock();
+    let mut output = std::io::stdout().lock();
+    match Host::default().run(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("doorcourse-simhost: {error}");
