--- a/tests/backends.rs
+++ b/tests/backend_health.rs
@@ -1,8 +1,8 @@
 //! Drains, cold backends, ejection and room.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 #[test]
 fn a_drained_or_gone_backend_gets_nothing_new() {
--- a/tests/counter_silence.rs
+++ b/tests/counter_outage.rs
@@ -1,8 +1,8 @@
 //! The counter silent, slow or emptied; the ceiling through all of it.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 fn silence(door: &mut Door, name: u64) -> Vec<Action> {
     door.now += 50.0;
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -1,9 +1,9 @@
 //! Long streams of every kind of event through fleets of one, three and forty gateways; what they did is a digest. A
 //! change that folds code must leave every digest as it is; one that decides otherwise must say so and change it.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::{BTreeMap, HashMap};
 
 struct Random(u64);
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -1,9 +1,9 @@
 //! A customer of many gateways under a ceiling: the counter falls silent, loses answers, comes back empty; one gateway starts
 //! anew. What all gateways send together is judged by the ceiling alone.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::BTreeMap;
 
 const GATEWAYS: u32 = 25;
--- a/tests/streams.rs
+++ b/tests/invariants.rs
@@ -1,9 +1,9 @@
 //! Long seeded streams of legal events in odd orders, and the rules that one gateway alone can be held to. There is
 //! no model of servers or fleets here: outcomes and totals are drawn at random.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::BTreeMap;
 
 struct Random(u64);
--- a/tests/many.rs
+++ b/tests/large_fleet.rs
@@ -1,8 +1,8 @@
 //! Hundreds of gateways, fed by hand: what they permit together is added up.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const GATEWAYS: u32 = 500;
--- a/tests/growth.rs
+++ b/tests/memory_bounds.rs
@@ -1,8 +1,8 @@
 //! What is held stays flat, however many backends are replaced and customers seen once.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 #[test]
 fn replaced_backends_and_customers_seen_once_leave_nothing_behind() {
--- a/tests/routes.rs
+++ b/tests/placement.rs
@@ -1,8 +1,8 @@
 //! Tiers, standbys, spares, weights, bound requests.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::BTreeMap;
 
 fn place(name: &str, state: BackendState, started: Option<Millis>, place: Placement) -> BackendEntry {
--- a/tests/lease.rs
+++ b/tests/quota_lease.rs
@@ -1,8 +1,8 @@
 //! The ordinary path: blocks, refusal, give-back, windows.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 #[test]
 fn first_block_is_burst_over_gateways_and_is_spent_locally() {
--- a/tests/effects.rs
+++ b/tests/retries.rs
@@ -1,8 +1,8 @@
 //! One answer, in time; repeats only as the class allows; never two attempts out.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 #[test]
 fn proof_that_nothing_ran_leads_elsewhere_at_once_for_every_class() {
--- a/tests/changes.rs
+++ b/tests/settings_change.rs
@@ -1,8 +1,8 @@
 //! Settings that change in service, and a gateway that leaves.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::collections::HashMap;
 
 /// Several gateways on one counter that answers at once.
--- a/tests/settings.rs
+++ b/tests/settings_validation.rs
@@ -1,8 +1,8 @@
 //! Settings that cannot be used are an error value.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 
 fn error(change: impl FnOnce(&mut Settings)) -> Option<SettingsError> {
     let mut set = settings();
--- a/tests/cold.rs
+++ b/tests/slow_start.rs
@@ -2,9 +2,9 @@
 //! that returns, bursts and failures. What reaches each start within the stated time is held against the users' term,
 //! N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds of each.
 
-mod helper;
+mod common;
+use common::*;
 use doorcourse::*;
-use helper::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
