--- /dev/null
+++ b/src/balancer/backend.rs
@@ -0,0 +1,34 @@
+//! The state that a gateway keeps of one backend.
+
+use crate::health::concurrency_limit::ConcurrencyLimit;
+use crate::health::outlier::OutlierState;
+use crate::health::slow_start::StartTime;
+use crate::{DeduplicationScope, Millis, Name};
+
+/// One backend as this gateway knows it.
+pub(crate) struct Backend {
+    pub zone: Name,
+    pub cell: u64,
+    /// Whether the endpoint list lets it be used.
+    pub ready: bool,
+    /// Since when the endpoint list does not name it any more.
+    pub removed_at: Option<Millis>,
+    /// Its slot in the endpoint table.
+    pub slot: usize,
+    pub start: StartTime,
+    /// Requests of this gateway in flight there.
+    pub in_flight: u32,
+    pub concurrency_limit: ConcurrencyLimit,
+    pub outlier: OutlierState,
+}
+
+impl Backend {
+    /// Whether both share the memory of idempotency keys.
+    pub(crate) fn shares_keys_with(&self, other: &Backend, scope: DeduplicationScope) -> bool {
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.zone == other.zone,
+            DeduplicationScope::Cell => self.cell == other.cell,
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway.rs
@@ -0,0 +1,131 @@
+//! The gateway object: takes one event, hands it to the module that owns it and collects the actions.
+
+use crate::admission::queue::request_of_token;
+use crate::admission::shedding::LoadShedder;
+use crate::balancer::backend::Backend;
+use crate::balancer::endpoints::EndpointTable;
+use crate::counter::availability::CounterAvailability;
+use crate::counter::call_rate::CallRate;
+use crate::counter::results::TimedOutCalls;
+use crate::health::outcome::UsualLatency;
+use crate::maintenance::MAINTENANCE_TOKEN;
+use crate::quota::customer::Customer;
+use crate::quota::sampled::{AdmitEstimates, PlanPrior};
+use crate::random::Random;
+use crate::request::Request;
+use crate::validation::validate;
+use crate::{Action, BackendStatus, CustomerStatus, Event, Millis, Name, RequestId, Settings, SettingsError};
+use std::collections::{BTreeMap, VecDeque};
+
+/// One gateway: build it from settings and a seed, then feed it events.
+#[derive(Default)]
+pub struct Gateway {
+    pub(crate) settings: Settings,
+    pub(crate) random: Random,
+    /// The latest time of an event; it never goes back.
+    pub(crate) now: Millis,
+    pub(crate) maintenance_started: bool,
+    /// The process shuts down.
+    pub(crate) draining: bool,
+
+    pub(crate) backends: BTreeMap<Name, Backend>,
+    pub(crate) endpoints: EndpointTable,
+    pub(crate) load_shedder: LoadShedder,
+    /// For each class of the settings.
+    pub(crate) usual_latencies: Vec<UsualLatency>,
+
+    pub(crate) requests: BTreeMap<RequestId, Request>,
+    /// Requests that wait for a backend, those of higher priority first. Some may be over by now.
+    pub(crate) queue: VecDeque<RequestId>,
+
+    pub(crate) customers: BTreeMap<Name, Customer>,
+    /// For each plan of the settings.
+    pub(crate) plan_priors: Vec<PlanPrior>,
+    pub(crate) admit_estimates: AdmitEstimates,
+
+    /// The customer of each counter call in flight, by the counter's name.
+    pub(crate) counter_calls: BTreeMap<u64, Name>,
+    pub(crate) timed_out_calls: TimedOutCalls,
+    pub(crate) call_rate: CallRate,
+    pub(crate) counter_availability: CounterAvailability,
+}
+
+impl Gateway {
+    /// A gateway that knows its settings and nothing else.
+    ///
+    /// # Errors
+    /// When the settings cannot be used.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        validate(&settings)?;
+        let mut gateway = Self {
+            random: Random::new(seed),
+            usual_latencies: vec![UsualLatency::default(); settings.classes.len()],
+            plan_priors: vec![PlanPrior::default(); settings.plans.len()],
+            settings,
+            ..Self::default()
+        };
+        gateway.endpoints.configure(&gateway.settings, gateway.random);
+        Ok(gateway)
+    }
+
+    /// Takes one event and appends the actions that the host has to carry out, in order. `now` is a time on the host's
+    /// clock, in ms.
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        self.start_maintenance(out);
+        match event {
+            Event::SettingsChanged(settings) => self.change_settings(*settings, out),
+            Event::StateRestored(statuses) => self.restore_backends(statuses),
+            Event::ShutdownStarted => self.start_draining(out),
+            Event::BackendList(entries) => self.replace_endpoints(entries, out),
+            Event::BackendChanges(entries) => self.change_endpoints(entries, out),
+            Event::BackendListFailed => out.push(Action::WatchBackends),
+            Event::RequestReceived(incoming) => self.receive_request(incoming, out),
+            Event::AttemptEnded(end) => {
+                self.record_backend_outcome(&end, out);
+                self.attempt_ended(end, out);
+                self.forward_queued(out);
+            }
+            Event::ClientDisconnected { id } => self.remove_request(id),
+            Event::TimerExpired { token: MAINTENANCE_TOKEN } => self.run_maintenance(out),
+            Event::TimerExpired { token } => self.wait_expired(request_of_token(token), out),
+            Event::CounterCallEnded { counter, outcome, latency } => {
+                self.counter_call_ended(counter, outcome, latency, out);
+            }
+            Event::GossipReceived { bytes, .. } => self.receive_gossip(&bytes),
+            Event::StreamStarted { .. } | Event::HealthCheckEnded { .. } => {}
+        }
+    }
+
+    /// Whether the shared counter is unavailable; always where there is none.
+    pub fn is_counter_silent(&self) -> bool {
+        let counter_timeout = self.settings.counter_timeout;
+        !self.settings.has_counter || self.counter_availability.is_unavailable(self.now, counter_timeout)
+    }
+
+    /// What this gateway holds of each customer, in order of names.
+    pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
+        self.customers.iter().map(|(name, customer)| CustomerStatus {
+            name: name.clone(),
+            plan: self.settings.plans[customer.plan_index].name.clone(),
+            leased_units: customer.lease.units,
+            available_units: customer.bucket.available_units,
+            unreported_units: customer.unreported_units,
+            waiting: customer.waiting.len(),
+            in_flight: customer.in_flight,
+        })
+    }
+
+    /// What this gateway knows of each backend, in order of names; may be kept to be restored by the next process.
+    pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
+        self.backends.iter().map(|(name, backend)| BackendStatus {
+            name: name.clone(),
+            ready: backend.ready,
+            in_flight: backend.in_flight,
+            concurrency_limit: backend.concurrency_limit.get(),
+            started: backend.start.reported,
+            consecutive_failures: backend.outlier.consecutive_failures,
+            ejected_until: backend.outlier.ejected_until,
+        })
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,22 +84,32 @@
 #![warn(missing_docs)]
 
 mod action;
-mod check;
+mod admission;
+mod balancer;
+mod counter;
+mod drain;
 mod event;
-mod logic;
-mod mix;
-mod routes;
+mod gateway;
+mod gossip;
+mod health;
+mod maintenance;
+mod quota;
+mod random;
+mod request;
+mod restore;
+mod retry;
 mod settings;
-mod state;
+mod settings_change;
 mod status;
 mod types;
+mod validation;
 
 pub use action::{Action, RejectReason};
 pub use event::{
     AttemptEnd, AttemptOutcome, BackendEntry, BackendRole, BackendState, CounterOutcome, Event,
     IncomingRequest, LoadReport, Placement,
 };
-pub use logic::Gateway;
+pub use gateway::Gateway;
 pub use settings::{
     DeduplicationScope, Idempotency, LoadBalancing, LoadReportSource, Plan, RequestClass, Routing, Settings,
     SettingsError,
--- /dev/null
+++ b/src/restore.rs
@@ -0,0 +1,21 @@
+//! State that an earlier process of this gateway has learnt of the backends.
+
+use crate::{BackendStatus, Gateway};
+
+impl Gateway {
+    /// Takes over concurrency limits and ejections, so that the first second after a restart is not spent on backends
+    /// known to be dead. A backend that has started since is left as it is; an ejection lasts no longer than the slow
+    /// start.
+    pub(crate) fn restore_backends(&mut self, statuses: Vec<BackendStatus>) {
+        let max_ejection = self.settings.slow_start_duration;
+        for status in statuses {
+            let Some(backend) = self.backends.get_mut(&status.name) else { continue };
+            if backend.start.reported != status.started || !status.concurrency_limit.is_finite() {
+                continue;
+            }
+            backend.concurrency_limit.restore(status.concurrency_limit);
+            let failures = status.consecutive_failures;
+            backend.outlier.restore(failures, status.ejected_until, self.now, max_ejection);
+        }
+    }
+}
--- /dev/null
+++ b/src/retry.rs
@@ -0,0 +1,102 @@
+//! Which attempt may follow another, and until when.
+
+use crate::request::{Request, RequestStage};
+use crate::{
+    Action, AttemptEnd, AttemptOutcome, DeduplicationScope, Gateway, Idempotency, Millis, Name, RequestClass,
+    RequestId,
+};
+
+/// The final response must leave this many ticks before the client's timeout.
+const RESPONSE_MARGIN_TICKS: f64 = 2.0;
+/// An idempotent request that may have been executed gets at most this many attempts: what two backends could not
+/// serve is likely to be costly.
+const MAX_IDEMPOTENT_ATTEMPTS: u32 = 2;
+
+/// The first attempt of a request that may have been executed.
+pub(crate) struct FirstExecution {
+    pub sent_at: Millis,
+    pub backend: Name,
+}
+
+/// Whether a backend certainly did not execute an attempt with this outcome.
+fn was_never_executed(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent)
+}
+
+/// Whether a further attempt after `attempts` can do no harm.
+fn is_retry_safe(possibly_executed: bool, idempotency: Idempotency, attempts: u32) -> bool {
+    match idempotency {
+        _ if !possibly_executed => true,
+        Idempotency::WithKey => true,
+        Idempotency::Idempotent => attempts < MAX_IDEMPOTENT_ATTEMPTS,
+        Idempotency::NonIdempotent => false,
+    }
+}
+
+/// Whether the client may safely retry a request that is rejected. A retry may reach any backend, so an idempotency key
+/// helps only where all backends share it.
+pub(crate) fn is_rejection_harmless(possibly_executed: bool, class: &RequestClass) -> bool {
+    match class.idempotency {
+        _ if !possibly_executed => true,
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey => class.deduplication_scope == DeduplicationScope::All,
+        Idempotency::NonIdempotent => false,
+    }
+}
+
+/// Until when an attempt may begin: while its response can reach the client, and one with an idempotency key while
+/// backends still drop it as a repetition, however long it waited in the queue.
+///
+/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the shortest time
+/// between two events, in ms.
+fn attempt_deadline(client_deadline: Millis, deduplicated_until: Option<Millis>, tick: Millis) -> Millis {
+    client_deadline.min(deduplicated_until.unwrap_or(f64::INFINITY)) - RESPONSE_MARGIN_TICKS * tick
+}
+
+impl Request {
+    /// The first execution where backends recognize a further attempt by its idempotency key.
+    pub(crate) fn keyed_execution(&self, class: &RequestClass) -> Option<&FirstExecution> {
+        self.first_execution.as_ref().filter(|_| class.idempotency == Idempotency::WithKey)
+    }
+}
+
+impl Gateway {
+    /// Takes the end of an attempt: its customer's accounts, then the final response or a further attempt.
+    pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+        let id = end.id;
+        let is_served = end.outcome == AttemptOutcome::Served;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+        if let Some(true_units) = end.true_units.filter(|_| is_served) {
+            customer.settle(true_units, request.units, &self.settings.plans[request.plan_index]);
+        }
+        customer.in_flight = customer.in_flight.saturating_sub(1);
+        request.stage = RequestStage::Queued;
+        if end.final_response_sent || is_served {
+            // The client left before anything was written: an attempt that no backend received uses no units.
+            request.attempts -= u32::from(end.outcome == AttemptOutcome::NeverSent);
+            return self.remove_request(id);
+        }
+        if !was_never_executed(end.outcome) && request.first_execution.is_none() {
+            request.first_execution = Some(FirstExecution { sent_at: request.sent_at, backend: end.backend });
+        }
+        if self.may_retry(id) { self.forward_or_enqueue(id, out) } else { self.finish_unserved(id, out) }
+    }
+
+    /// Whether a request may get a further attempt.
+    fn may_retry(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let idempotency = self.settings.classes[request.class_index].idempotency;
+        is_retry_safe(request.first_execution.is_some(), idempotency, request.attempts)
+            && self.now < self.attempt_deadline(request)
+            && request.attempts < self.settings.max_attempts
+    }
+
+    /// Until when an attempt of a request may begin.
+    pub(crate) fn attempt_deadline(&self, request: &Request) -> Millis {
+        let class = &self.settings.classes[request.class_index];
+        let first = request.keyed_execution(class);
+        let deduplicated_until = first.map(|first| first.sent_at + class.deduplication_window);
+        attempt_deadline(request.deadline, deduplicated_until, self.settings.tick)
+    }
+}
