--- a/crates/counter/src/http.rs
+++ b/crates/counter/src/http.rs
@@ -1,88 +1,98 @@
-//! Calls as HTTP/1.1 requests of the platform's counter: POST /v1/count/NAME?add=AMOUNT&ttl_ms=LIFE.
+//! Encodes counter calls as HTTP/1.1 requests: `POST /v1/count/NAME?add=AMOUNT&ttl_ms=LIFE`.
 
-use crate::link::{Call, Codec, Ended, Reply};
+use crate::call::{CallOutcome, CounterCall, CounterReply};
+use crate::codec::{CodecError, CounterCodec};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use std::io::Write;
 
-/// The longest life of a name in ms; the counter takes any longer one for this.
-const LONGEST: f64 = 60_000.0;
-/// Bytes of a body that may hold a total: more is none.
-const BODY: u64 = 256;
-
-/// What cannot be read is the answer to a call that had its turn all the same.
-const SPOILT: Option<Reply> = Some(Reply { ended: Ended::Added, last: true });
-/// How each answer begins: noise shows at its first byte, not when a head's worth of it has come.
-const START: &[u8] = b"HTTP/1.";
+/// The longest life of a counter in ms; the server caps a longer one to this.
+const MAX_TIME_TO_LIVE_MS: f64 = 60_000.0;
+/// The longest body that may hold a total, in bytes.
+const MAX_BODY_BYTES: u64 = 256;
+/// How each response begins: bytes that are not HTTP show at the first byte, not at the end of a head.
+const RESPONSE_START: &[u8] = b"HTTP/1.";
+/// The reply where a response cannot be read. The server had processed the call by then, so its amount was added; the
+/// connection is of no further use.
+const UNREADABLE_RESPONSE: CounterReply =
+    CounterReply { outcome: CallOutcome::AddedWithoutTotal, closes_connection: true };
 
 /// The codec of a counter that speaks HTTP/1.1.
 #[derive(Debug)]
 pub struct HttpCodec {
     host: String,
     decoder: Decoder,
+    /// Status of the response being read.
     status: u16,
+    /// Whether the server keeps the connection open after the response being read.
     keep_alive: bool,
     body: Vec<u8>,
 }
 
 impl HttpCodec {
-    /// A codec for the counter at an address, which the Host field names.
+    /// A codec for the counter at `host`, the value of the Host field (RFC 9112 section 3.2).
     #[must_use]
     pub fn new(host: &str) -> Self {
-        Self { host: host.into(), decoder: decoder(), status: 0, keep_alive: true, body: Vec::new() }
+        Self { host: host.into(), decoder: response_decoder(), status: 0, keep_alive: true, body: Vec::new() }
+    }
+
+    fn completed_reply(&self) -> CounterReply {
+        let text = std::str::from_utf8(&self.body).ok().map(str::trim);
+        let total = text.and_then(|text| text.parse().ok()).filter(|total: &f64| total.is_finite());
+        let outcome = match (self.status, total) {
+            (200, Some(total)) => CallOutcome::Total(total),
+            (200, None) => CallOutcome::AddedWithoutTotal,
+            (400 | 404 | 503, _) => CallOutcome::NotAdded,
+            _ => CallOutcome::Unknown,
+        };
+        let is_unexpected = matches!(outcome, CallOutcome::AddedWithoutTotal | CallOutcome::Unknown);
+        CounterReply { outcome, closes_connection: !self.keep_alive || is_unexpected }
     }
 }
 
-fn decoder() -> Decoder {
-    Decoder::new(Role::Responses, Limits { line: 512, head: 4 << 10, fields: 32, body: BODY })
+fn response_decoder() -> Decoder {
+    Decoder::new(Role::Responses, Limits { line: 512, head: 4 << 10, fields: 32, body: MAX_BODY_BYTES })
 }
 
-impl Codec for HttpCodec {
-    fn open(&mut self, _: &mut Vec<u8>) {
-        self.decoder = decoder();
+impl CounterCodec for HttpCodec {
+    fn connection_opened(&mut self, _output: &mut Vec<u8>) {
+        self.decoder = response_decoder();
         self.body.clear();
     }
 
-    fn call(&mut self, call: &Call, out: &mut Vec<u8>) {
-        let keep = call.keep.ceil().clamp(1.0, LONGEST) as u64;
+    fn encode_call(&mut self, call: &CounterCall, output: &mut Vec<u8>) {
+        let time_to_live_ms = call.time_to_live.ceil().clamp(1.0, MAX_TIME_TO_LIVE_MS) as u64;
+        // Writing to a Vec cannot fail.
         let _ = write!(
-            out,
-            "POST /v1/count/{:x}?add={}&ttl_ms={keep} HTTP/1.1\r\nhost: {}\r\ncontent-length: 0\r\n\r\n",
-            call.name, call.amount, self.host
+            output,
+            "POST /v1/count/{:x}?add={}&ttl_ms={time_to_live_ms} HTTP/1.1\r\nhost: {}\r\ncontent-length: 0\r\n\r\n",
+            call.counter, call.amount, self.host
         );
     }
 
-    fn waits(&self) -> bool {
+    fn awaits_greeting(&self) -> bool {
         false
     }
 
-    fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), String> {
+    fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError> {
         let mut used = 0;
         loop {
-            let begun = &input[used..];
-            if !self.decoder.in_message(false) && begun.iter().zip(START).any(|(a, b)| a != b) {
-                return Ok((used, SPOILT));
+            let rest = &input[used..];
+            if !self.decoder.in_message(false) && rest.iter().zip(RESPONSE_START).any(|(a, b)| a != b) {
+                return Ok((used, Some(UNREADABLE_RESPONSE)));
             }
-            let Ok((took, part)) = self.decoder.decode(&input[used..]) else { return Ok((used, SPOILT)) };
-            used += took;
+            let Ok((length, part)) = self.decoder.decode(rest) else {
+                return Ok((used, Some(UNREADABLE_RESPONSE)));
+            };
+            used += length;
             match part {
                 None => return Ok((used, None)),
                 Some(Part::Head(head)) => {
-                    (self.status, self.keep_alive) = (head.status, head.keep_alive);
+                    self.status = head.status;
+                    self.keep_alive = head.keep_alive;
                     self.body.clear();
                 }
                 Some(Part::Data(bytes)) => self.body.extend_from_slice(bytes),
-                Some(Part::End) => {
-                    let text = std::str::from_utf8(&self.body).ok().map(str::trim);
-                    let total = text.and_then(|t| t.parse().ok()).filter(|t: &f64| t.is_finite());
-                    let ended = match (self.status, total) {
-                        (200, Some(total)) => Ended::Total(total),
-                        (400 | 404 | 503, _) => Ended::NotAdded,
-                        (200, None) => Ended::Added,
-                        _ => Ended::Unknown,
-                    };
-                    let last = !self.keep_alive || matches!(ended, Ended::Added | Ended::Unknown);
-                    return Ok((used, Some(Reply { ended, last })));
-                }
+                Some(Part::End) => return Ok((used, Some(self.completed_reply()))),
             }
         }
     }
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,14 +1,23 @@
-//! The shared counter as a gateway sees it: [`Link`] is the state of one connection, without I/O; a [`Codec`] says how
-//! calls look on the wire. The daemon's counter speaks RESP, the platform's HTTP/1.1; what a time-out, a late answer
-//! or a broken connection means for a call is the same for both and stands here once.
+//! The connection to the shared counter as a state machine without I/O.
+//!
+//! [`CounterLink`] owns the state of one connection: the calls in flight, their timeouts and the reconnection backoff. A
+//! [`CounterCodec`] encodes calls and decodes replies: [`RespCodec`] for a counter that speaks RESP, [`HttpCodec`] for
+//! one that speaks HTTP/1.1. What a timeout, a late reply or a broken connection means for a call is the same for both
+//! protocols and is decided in the link.
+//!
+//! Times are in ms on the caller's clock ([`doorcourse::Millis`]); nothing here reads a clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod call;
+mod codec;
 mod http;
 mod link;
 mod resp;
 
+pub use call::{CallOutcome, CounterCall, CounterReply};
+pub use codec::{CodecError, CounterCodec};
 pub use http::HttpCodec;
-pub use link::{Call, Codec, Ended, Link, LinkAction, LinkSettings, Reply};
+pub use link::{CounterLink, LinkAction, LinkSettings};
 pub use resp::RespCodec;
--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -1,313 +1,315 @@
-//! The counter link as a state machine: calls in, bytes out; bytes in, ends out. It decides when a call is given
-//! up, when a connection is not worth keeping and how long to wait before the next one. It reads no clock.
+//! The state of one connection to the shared counter: calls in and bytes out; bytes in and outcomes out.
+//!
+//! The link decides when a call times out, when a connection is replaced and how long to back off before the next one.
+//! Its host does the I/O: it executes the [`LinkAction`]s, reports connections and bytes, and calls
+//! [`CounterLink::handle_timeout`] when that is due.
 
-use doorcourse::CounterOutcome;
+use crate::call::{CallOutcome, CounterCall, CounterReply};
+use crate::codec::CounterCodec;
+use doorcourse::Millis;
 use std::collections::VecDeque;
 
-/// How the link behaves. Times in ms.
+/// The largest amount of one call in units; the counter rejects larger ones.
+const MAX_AMOUNT_UNITS: f64 = 1e9;
+
+/// Timeouts and backoff of a link, in ms.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// A call without an answer for this long ends as unknown.
-    pub timeout: f64,
-    /// The first wait before connecting again; doubled with each failure.
-    pub first_wait: f64,
-    /// The longest wait before connecting again.
-    pub longest_wait: f64,
-    /// A connection on which nothing was answered for this long, with calls out, is replaced; so is one that is not
-    /// made by then.
-    pub dead_after: f64,
-    /// A connection without a call for this long is replaced before the counter closes it: a call written to one
-    /// that just closed may have been added. Infinity where the counter keeps idle connections.
-    pub idle_after: f64,
-}
-
-/// One call to the counter.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
-    /// The count's name.
-    pub name: u64,
-    /// What to add.
-    pub amount: f64,
-    /// How long a new name is kept, in ms.
-    pub keep: f64,
-}
-
-/// How a call ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
-    /// The total after the add.
-    Total(f64),
-    /// Nothing was added.
-    NotAdded,
-    /// It may have been added.
-    Unknown,
-    /// It was added; the reply does not tell the total.
-    Added,
-    /// A call that ended as unknown before.
-    Late {
-        /// Whether it was added.
-        added: bool,
-        /// The total after the add, where the reply tells it.
-        total: Option<f64>,
-    },
-}
-
-impl From<Ended> for CounterOutcome {
-    /// What the decisions hear. A call that was added without a total is unknown to them; a `Late` follows.
-    fn from(ended: Ended) -> Self {
-        match ended {
-            Ended::Total(total) => Self::Total(total),
-            Ended::NotAdded => Self::NotAdded,
-            Ended::Unknown | Ended::Added => Self::Unknown,
-            Ended::Late { added, total } => Self::Late { added, total },
-        }
-    }
+    /// A call without a reply for this long ends as unknown.
+    pub call_timeout: Millis,
+    /// The wait before the first reconnection; doubled with each failure.
+    pub initial_backoff: Millis,
+    /// The longest wait before a reconnection.
+    pub max_backoff: Millis,
+    /// A connection with calls in flight and no reply for this long is replaced; so is one that is not made by then.
+    pub unresponsive_timeout: Millis,
+    /// A connection without a call for this long is replaced, before the counter closes it: a call written to a
+    /// connection that was just closed may have been added. Infinite where the counter keeps idle connections.
+    pub idle_timeout: Millis,
 }
 
-/// The reply to one call.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reply {
-    /// What it says of the call.
-    pub ended: Ended,
-    /// Whether nothing more is to be read from the connection.
-    pub last: bool,
-}
-
-/// How calls look on the wire.
-pub trait Codec {
-    /// A connection is made: forgets the last one and writes what comes before calls.
-    fn open(&mut self, out: &mut Vec<u8>);
-    /// Writes one call.
-    fn call(&mut self, call: &Call, out: &mut Vec<u8>);
-    /// Whether a reply is to come before the first call's.
-    fn waits(&self) -> bool;
-    /// Reads on: how many bytes were consumed, and the reply that they held.
-    ///
-    /// # Errors
-    /// When the bytes are of no meaning: the connection is of no further use.
-    fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), String>;
-}
-
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
-    /// Open a connection; then tell `connected` or `lost`.
+    /// Open a connection, then report [`CounterLink::connection_opened`] or [`CounterLink::connection_lost`].
     Connect,
-    /// Close the connection, also one that is not made yet; no `lost` follows.
+    /// Close the connection, made or not; `connection_lost` is not reported for it.
     Close,
-    /// A call ended.
-    End {
-        /// The count's name.
-        name: u64,
-        /// How.
-        ended: Ended,
-        /// How long it took, in ms.
-        latency: f64,
+    /// Pass the outcome of a call to the decisions.
+    CallEnded {
+        /// The counter's name.
+        counter: u64,
+        /// The outcome.
+        outcome: CallOutcome,
+        /// Time since the call was made, in ms.
+        latency: Millis,
+    },
+    /// Log that the counter replies on a connection, for the first time since it was unavailable.
+    LogAvailable,
+    /// Log that the connection was lost; repeated failures are logged once.
+    LogUnavailable {
+        /// Why it was lost.
+        reason: String,
     },
-    /// A line for the log: a change of state.
-    Log(String),
 }
 
 #[derive(Debug, PartialEq)]
-enum State {
-    Waiting { until: f64 },
-    Connecting { since: f64 },
+enum ConnectionState {
+    BackingOff { until: Millis },
+    Connecting { since: Millis },
     Ready,
 }
 
 #[derive(Debug)]
-struct Out {
-    call: Call,
-    at: f64,
-    /// Where the call ends among all bytes of the connection.
-    end: u64,
-    /// Whether the call was given up: its reply tells only whether it was added.
-    over: bool,
+struct InFlightCall {
+    call: CounterCall,
+    started_at: Millis,
+    /// Bytes of the connection up to and with the last of this call.
+    end_offset: u64,
+    /// Whether the call has ended as unknown: its reply only says whether it was added.
+    timed_out: bool,
 }
 
-/// The state of the link.
+impl InFlightCall {
+    fn ended(&self, now: Millis, outcome: CallOutcome) -> LinkAction {
+        LinkAction::CallEnded { counter: self.call.counter, outcome, latency: now - self.started_at }
+    }
+}
+
+/// The state of one connection to the counter.
 #[derive(Debug)]
-pub struct Link<C> {
+pub struct CounterLink<C> {
     settings: LinkSettings,
     codec: C,
-    state: State,
-    out: VecDeque<Out>,
-    /// Bytes to write.
-    pub output: Vec<u8>,
-    /// Bytes of this connection before those in `output`, and how many of all are not written.
-    passed: u64,
-    unwritten: u64,
+    state: ConnectionState,
+    /// Calls whose replies are due, in the order of the wire; timed-out calls among them.
+    calls: VecDeque<InFlightCall>,
+    /// Bytes for the host to take.
+    output: Vec<u8>,
+    /// Bytes of this connection that the host has taken.
+    taken_bytes: u64,
+    /// Bytes among those taken that are not written yet.
+    unwritten_bytes: u64,
     input: Vec<u8>,
-    wait: f64,
-    /// When something was answered last, or the first of the calls now out was made.
-    heard: f64,
-    up: bool,
+    /// The wait before the next reconnection.
+    backoff: Millis,
+    /// When the last reply came, the connection was opened, or the first of the calls in flight was made.
+    last_activity_at: Millis,
+    /// Whether a total was received since the connection was lost last.
+    is_available: bool,
 }
 
-/// The most that a call may add: the counter turns away more.
-const MOST: f64 = 1e9;
-
-impl<C: Codec> Link<C> {
-    /// A link that has never been connected.
+impl<C: CounterCodec> CounterLink<C> {
+    /// A link that has not been connected; its first [`handle_timeout`](Self::handle_timeout) connects.
     #[must_use]
     pub fn new(settings: LinkSettings, codec: C) -> Self {
-        let (wait, state) = (settings.first_wait, State::Waiting { until: f64::NEG_INFINITY });
-        let (out, output, input) = (VecDeque::new(), Vec::new(), Vec::new());
-        let (passed, unwritten, heard, up) = (0, 0, 0.0, false);
-        Self { settings, codec, state, out, output, passed, unwritten, input, wait, heard, up }
+        Self {
+            backoff: settings.initial_backoff,
+            settings,
+            codec,
+            state: ConnectionState::BackingOff { until: f64::NEG_INFINITY },
+            calls: VecDeque::new(),
+            output: Vec::new(),
+            taken_bytes: 0,
+            unwritten_bytes: 0,
+            input: Vec::new(),
+            last_activity_at: 0.0,
+            is_available: false,
+        }
     }
 
-    /// Calls out, those given up whose replies are still to come among them.
+    /// Calls whose replies are due, timed-out calls included.
     #[must_use]
-    pub fn load(&self) -> usize {
-        self.out.len()
+    pub fn in_flight(&self) -> usize {
+        self.calls.len()
     }
 
     /// Whether calls can be written.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.state == State::Ready
+        self.state == ConnectionState::Ready
     }
 
-    /// A call: written at once where there is a connection, else nothing was added. Holding it back would add
-    /// to a window that may be over by then.
-    pub fn call(&mut self, now: f64, call: Call, actions: &mut Vec<LinkAction>) {
-        // Not a number is no amount either.
-        if self.state != State::Ready || !matches!(call.amount.abs(), 0.0..=MOST) {
-            let (name, ended) = (call.name, Ended::NotAdded);
-            return actions.push(LinkAction::End { name, ended, latency: 0.0 });
+    /// Makes a call. It is encoded at once where there is a connection; else it ends as not added: a call that is held
+    /// back would add to a window that may have ended by then. An amount that the counter rejects ends so too.
+    pub fn call(&mut self, now: Millis, call: CounterCall, actions: &mut Vec<LinkAction>) {
+        // NaN is outside of the range.
+        let is_valid_amount = matches!(call.amount.abs(), 0.0..=MAX_AMOUNT_UNITS);
+        if !self.is_ready() || !is_valid_amount {
+            return actions.push(LinkAction::CallEnded {
+                counter: call.counter,
+                outcome: CallOutcome::NotAdded,
+                latency: 0.0,
+            });
         }
-        if self.out.is_empty() {
-            self.heard = now;
+        if self.calls.is_empty() {
+            self.last_activity_at = now;
         }
-        self.codec.call(&call, &mut self.output);
-        let end = self.passed + self.output.len() as u64;
-        self.out.push_back(Out { call, at: now, end, over: false });
+        self.codec.encode_call(&call, &mut self.output);
+        let end_offset = self.taken_bytes + self.output.len() as u64;
+        self.calls.push_back(InFlightCall { call, started_at: now, end_offset, timed_out: false });
     }
 
-    /// The host takes the bytes to write.
+    /// Takes the bytes to write.
     pub fn take_output(&mut self) -> Vec<u8> {
-        self.passed += self.output.len() as u64;
+        self.taken_bytes += self.output.len() as u64;
         std::mem::take(&mut self.output)
     }
 
-    /// How many of the bytes taken are not written yet; a call whose last byte is among them was not made.
-    pub fn unwritten(&mut self, bytes: usize) {
-        self.unwritten = bytes as u64;
+    /// Reports how many of the bytes taken are not written yet. A call whose last byte is among them cannot have been
+    /// added.
+    pub fn set_unwritten_bytes(&mut self, bytes: usize) {
+        self.unwritten_bytes = bytes as u64;
     }
 
-    /// Time passes: calls are given up, dead connections replaced. Answers when to come again at the latest.
-    pub fn tick(&mut self, now: f64, actions: &mut Vec<LinkAction>) -> f64 {
-        let timeout = self.settings.timeout;
-        for out in self.out.iter_mut().filter(|o| !o.over && now >= o.at + timeout) {
-            out.over = true;
-            let (name, latency) = (out.call.name, now - out.at);
-            actions.push(LinkAction::End { name, ended: Ended::Unknown, latency });
-        }
-        let asked = !self.out.is_empty() || self.codec.waits();
-        let due = match self.state {
-            State::Waiting { until } => until,
-            State::Connecting { since } => since + self.settings.dead_after,
-            State::Ready if asked => self.heard + self.settings.dead_after,
-            State::Ready => self.heard + self.settings.idle_after,
-        };
-        if now < due {
-            let first = self.out.iter().find(|o| !o.over).map_or(f64::INFINITY, |o| o.at + timeout);
-            return first.min(due);
+    /// Times out calls, and replaces a connection that is unresponsive or idle for too long. Returns when it is due
+    /// again at the latest.
+    pub fn handle_timeout(&mut self, now: Millis, actions: &mut Vec<LinkAction>) -> Millis {
+        self.time_out_calls(now, actions);
+        let deadline = self.connection_deadline();
+        if now < deadline {
+            return self.next_call_timeout().min(deadline);
         }
+        let is_idle = self.is_ready() && !self.awaits_reply();
         match self.state {
-            State::Ready if !asked => actions.push(LinkAction::Close),
-            State::Ready | State::Connecting { .. } => {
+            ConnectionState::Ready if is_idle => actions.push(LinkAction::Close),
+            ConnectionState::Ready | ConnectionState::Connecting { .. } => {
                 actions.push(LinkAction::Close);
-                self.lost(now, "nothing answered", actions);
-                let State::Waiting { until } = self.state else { return now };
-                return until;
+                return self.back_off(now, "nothing answered", actions);
             }
-            State::Waiting { .. } => {}
+            ConnectionState::BackingOff { .. } => {}
         }
-        self.state = State::Connecting { since: now };
+        self.state = ConnectionState::Connecting { since: now };
         actions.push(LinkAction::Connect);
-        now + self.settings.dead_after
+        now + self.settings.unresponsive_timeout
+    }
+
+    fn time_out_calls(&mut self, now: Millis, actions: &mut Vec<LinkAction>) {
+        let timeout = self.settings.call_timeout;
+        for call in self.calls.iter_mut().filter(|call| !call.timed_out && now >= call.started_at + timeout) {
+            call.timed_out = true;
+            actions.push(call.ended(now, CallOutcome::Unknown));
+        }
     }
 
-    /// The connection that was asked for is there.
-    pub fn connected(&mut self, now: f64) {
-        (self.state, self.heard) = (State::Ready, now);
-        (self.passed, self.unwritten) = (0, 0);
+    fn next_call_timeout(&self) -> Millis {
+        let first = self.calls.iter().find(|call| !call.timed_out);
+        first.map_or(f64::INFINITY, |call| call.started_at + self.settings.call_timeout)
+    }
+
+    /// When the state of the connection changes unless something is received.
+    fn connection_deadline(&self) -> Millis {
+        match self.state {
+            ConnectionState::BackingOff { until } => until,
+            ConnectionState::Connecting { since } => since + self.settings.unresponsive_timeout,
+            ConnectionState::Ready if self.awaits_reply() => {
+                self.last_activity_at + self.settings.unresponsive_timeout
+            }
+            ConnectionState::Ready => self.last_activity_at + self.settings.idle_timeout,
+        }
+    }
+
+    fn awaits_reply(&self) -> bool {
+        !self.calls.is_empty() || self.codec.awaits_greeting()
+    }
+
+    /// The connection that was asked for is open.
+    pub fn connection_opened(&mut self, now: Millis) {
+        self.state = ConnectionState::Ready;
+        self.last_activity_at = now;
+        self.taken_bytes = 0;
+        self.unwritten_bytes = 0;
         self.input.clear();
         self.output.clear();
-        self.codec.open(&mut self.output);
+        self.codec.connection_opened(&mut self.output);
     }
 
-    /// The connection broke or was never made. Calls that were written whole may have been added.
-    pub fn lost(&mut self, now: f64, why: &str, actions: &mut Vec<LinkAction>) {
-        let written = self.passed.saturating_sub(self.unwritten);
-        for out in self.out.drain(..).filter(|o| !o.over) {
-            let (name, latency) = (out.call.name, now - out.at);
-            let ended = if out.end > written { Ended::NotAdded } else { Ended::Unknown };
-            actions.push(LinkAction::End { name, ended, latency });
+    /// The connection broke or could not be made. A call that was written to its last byte may have been added; the
+    /// others were not.
+    pub fn connection_lost(&mut self, now: Millis, reason: &str, actions: &mut Vec<LinkAction>) {
+        self.back_off(now, reason, actions);
+    }
+
+    /// Ends all calls and waits before the next connection; returns the end of that wait.
+    fn back_off(&mut self, now: Millis, reason: &str, actions: &mut Vec<LinkAction>) -> Millis {
+        let written_bytes = self.taken_bytes.saturating_sub(self.unwritten_bytes);
+        for call in self.calls.drain(..).filter(|call| !call.timed_out) {
+            let fully_written = call.end_offset <= written_bytes;
+            let outcome = if fully_written { CallOutcome::Unknown } else { CallOutcome::NotAdded };
+            actions.push(call.ended(now, outcome));
         }
         self.output.clear();
-        if std::mem::take(&mut self.up) || self.wait == self.settings.first_wait {
-            actions.push(LinkAction::Log(format!("counter connection lost: {why}")));
+        let was_available = std::mem::take(&mut self.is_available);
+        let is_first_failure = self.backoff == self.settings.initial_backoff;
+        if was_available || is_first_failure {
+            actions.push(LinkAction::LogUnavailable { reason: reason.to_owned() });
         }
-        self.state = State::Waiting { until: now + self.wait };
-        self.wait = (self.wait * 2.0).min(self.settings.longest_wait);
+        let until = now + self.backoff;
+        self.state = ConnectionState::BackingOff { until };
+        self.backoff = (self.backoff * 2.0).min(self.settings.max_backoff);
+        until
     }
 
-    /// Bytes came in.
-    pub fn input(&mut self, now: f64, bytes: &[u8], actions: &mut Vec<LinkAction>) {
-        if self.state != State::Ready {
+    /// Bytes were received.
+    pub fn handle_input(&mut self, now: Millis, bytes: &[u8], actions: &mut Vec<LinkAction>) {
+        if !self.is_ready() {
             return;
         }
         self.input.extend_from_slice(bytes);
         let mut used = 0;
-        let broken = loop {
-            match self.codec.read(&self.input[used..]) {
-                Ok((took, reply)) => {
-                    used += took;
+        let failure = loop {
+            match self.codec.decode_reply(&self.input[used..]) {
+                Ok((length, reply)) => {
+                    used += length;
                     let Some(reply) = reply else { break None };
-                    if let Some(why) = self.reply(now, reply, actions) {
-                        break Some(why);
+                    if let Err(reason) = self.handle_reply(now, reply, actions) {
+                        break Some(reason.to_owned());
                     }
                 }
-                Err(why) => break Some(why),
+                Err(error) => break Some(error.to_string()),
             }
         };
-        if let Some(why) = broken {
+        if let Some(reason) = failure {
             actions.push(LinkAction::Close);
-            return self.lost(now, &why, actions);
+            return self.connection_lost(now, &reason, actions);
         }
         self.input.drain(..used);
     }
 
-    /// One reply; a reason where the connection is of no further use.
-    fn reply(&mut self, now: f64, reply: Reply, actions: &mut Vec<LinkAction>) -> Option<String> {
-        let Some(out) = self.out.pop_front() else { return Some("a reply to no call".into()) };
-        self.heard = now;
-        if matches!(reply.ended, Ended::Total(_)) {
-            self.wait = self.settings.first_wait;
-            if !std::mem::replace(&mut self.up, true) {
-                actions.push(LinkAction::Log("counter connection up".into()));
+    /// Matches a reply to the oldest call in flight. The error is the reason why the connection is of no further use.
+    fn handle_reply(
+        &mut self, now: Millis, reply: CounterReply, actions: &mut Vec<LinkAction>,
+    ) -> Result<(), &'static str> {
+        let Some(call) = self.calls.pop_front() else { return Err("a reply to no call") };
+        self.last_activity_at = now;
+        if matches!(reply.outcome, CallOutcome::Total(_)) {
+            self.backoff = self.settings.initial_backoff;
+            if !std::mem::replace(&mut self.is_available, true) {
+                actions.push(LinkAction::LogAvailable);
             }
         }
-        let (name, latency) = (out.call.name, now - out.at);
-        let mut end = |ended| actions.push(LinkAction::End { name, ended, latency });
-        let word = match reply.ended {
-            Ended::Total(total) => Some((true, Some(total))),
-            Ended::Added => Some((true, None)),
-            Ended::NotAdded => Some((false, None)),
-            Ended::Unknown | Ended::Late { .. } => None,
-        };
-        if !out.over {
-            end(if reply.ended == Ended::Added { Ended::Unknown } else { reply.ended });
+        let added_without_total = reply.outcome == CallOutcome::AddedWithoutTotal;
+        if !call.timed_out {
+            let outcome = if added_without_total { CallOutcome::Unknown } else { reply.outcome };
+            actions.push(call.ended(now, outcome));
         }
-        if let Some((added, total)) = word.filter(|_| out.over || reply.ended == Ended::Added) {
-            end(Ended::Late { added, total });
+        if call.timed_out || added_without_total {
+            actions.extend(late_outcome(reply.outcome).map(|late| call.ended(now, late)));
         }
-        reply.last.then(|| "its last reply came".into())
+        if reply.closes_connection { Err("its last reply came") } else { Ok(()) }
     }
 }
 
+/// What a reply says of a call that had ended as unknown; `None` where it says nothing.
+fn late_outcome(outcome: CallOutcome) -> Option<CallOutcome> {
+    let (added, total) = match outcome {
+        CallOutcome::Total(total) => (true, Some(total)),
+        CallOutcome::AddedWithoutTotal => (true, None),
+        CallOutcome::NotAdded => (false, None),
+        CallOutcome::Unknown | CallOutcome::Late { .. } => return None,
+    };
+    Some(CallOutcome::Late { added, total })
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -1,82 +1,90 @@
-//! Calls as RESP transactions: the add and the life of a new name come or fail together.
+//! Encodes counter calls as RESP transactions, so that the addition and the expiry of a new counter succeed or fail
+//! together.
 
-use crate::link::{Call, Codec, Ended, Reply};
+use crate::call::{CallOutcome, CounterCall, CounterReply};
+use crate::codec::{CodecError, CounterCodec};
 use doorcourse_resp::{Value, command, decode};
 
-/// Replies of one call: MULTI, two times QUEUED, EXEC's own.
-const REPLIES: u32 = 4;
+/// Replies to one call: MULTI, QUEUED twice, EXEC.
+const REPLIES_PER_CALL: u32 = 4;
 
 /// The codec of a counter that speaks RESP.
 #[derive(Clone, Debug, Default)]
 pub struct RespCodec {
     password: Option<String>,
-    /// Whether the reply to AUTH is still to come.
-    greeting: bool,
-    /// Replies of the first call's transaction so far.
-    step: u32,
+    /// Whether the reply to AUTH is still due.
+    awaits_auth_reply: bool,
+    /// Replies read so far of the oldest call's transaction.
+    replies_read: u32,
 }
 
 impl RespCodec {
-    /// A codec that sends AUTH with a password, where one is needed.
+    /// A codec that sends AUTH with this password, where there is one.
     #[must_use]
     pub fn new(password: Option<String>) -> Self {
         Self { password, ..Self::default() }
     }
 }
 
-impl Codec for RespCodec {
-    fn open(&mut self, out: &mut Vec<u8>) {
-        (self.step, self.greeting) = (0, self.password.is_some());
+impl CounterCodec for RespCodec {
+    fn connection_opened(&mut self, output: &mut Vec<u8>) {
+        self.replies_read = 0;
+        self.awaits_auth_reply = self.password.is_some();
         if let Some(password) = &self.password {
-            command(out, &["AUTH", password]);
+            command(output, &["AUTH", password]);
         }
     }
 
-    fn call(&mut self, call: &Call, out: &mut Vec<u8>) {
-        let (name, amount) = (format!("doorcourse:{:x}", call.name), call.amount.to_string());
-        let keep = (call.keep.ceil().max(1.0) as u64).to_string();
-        // The expiry is set only where there is none (NX): a window's name must not live on by being used.
-        command(out, &["MULTI"]);
-        command(out, &["INCRBYFLOAT", &name, &amount]);
-        command(out, &["PEXPIRE", &name, &keep, "NX"]);
-        command(out, &["EXEC"]);
+    fn encode_call(&mut self, call: &CounterCall, output: &mut Vec<u8>) {
+        let key = format!("doorcourse:{:x}", call.counter);
+        let amount = call.amount.to_string();
+        let time_to_live_ms = (call.time_to_live.ceil().max(1.0) as u64).to_string();
+        command(output, &["MULTI"]);
+        command(output, &["INCRBYFLOAT", &key, &amount]);
+        // NX sets the expiry only where there is none: use must not extend the life of a window's counter.
+        command(output, &["PEXPIRE", &key, &time_to_live_ms, "NX"]);
+        command(output, &["EXEC"]);
     }
 
-    fn waits(&self) -> bool {
-        self.greeting
+    fn awaits_greeting(&self) -> bool {
+        self.awaits_auth_reply
     }
 
-    fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), String> {
+    fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError> {
         let mut used = 0;
         loop {
-            let Some((value, took)) = decode(&input[used..]).map_err(|e| e.to_string())? else {
+            let next = decode(&input[used..]).map_err(|error| CodecError::InvalidReply(error.to_string()))?;
+            let Some((value, length)) = next else {
                 return Ok((used, None));
             };
-            used += took;
-            if std::mem::take(&mut self.greeting) {
+            used += length;
+            if std::mem::take(&mut self.awaits_auth_reply) {
                 if let Value::Error(error) = value {
-                    return Err(format!("authentication refused: {error}"));
+                    return Err(CodecError::AuthenticationRefused(error));
                 }
                 continue;
             }
-            self.step += 1;
-            if self.step < REPLIES {
-                // An error here shows again in the transaction's own reply (EXECABORT).
+            self.replies_read += 1;
+            if self.replies_read < REPLIES_PER_CALL {
+                // An error here shows again in the reply to EXEC (EXECABORT).
                 continue;
             }
-            self.step = 0;
-            let total = match &value {
-                Value::Array(values) => values.first().and_then(Value::number),
-                _ => None,
-            };
-            let ended = match (total, &value) {
-                (Some(total), _) => Ended::Total(total),
-                // The transaction was refused whole: nothing of it ran.
-                (None, Value::Error(_) | Value::Null) => Ended::NotAdded,
-                (None, Value::Array(v)) if matches!(v.first(), Some(Value::Error(_))) => Ended::NotAdded,
-                _ => Ended::Unknown,
-            };
-            return Ok((used, Some(Reply { ended, last: false })));
+            self.replies_read = 0;
+            let reply = CounterReply { outcome: exec_outcome(&value), closes_connection: false };
+            return Ok((used, Some(reply)));
         }
     }
 }
+
+/// What the reply to EXEC says of the call.
+fn exec_outcome(reply: &Value) -> CallOutcome {
+    match reply {
+        // The transaction was refused as a whole: none of its commands ran.
+        Value::Error(_) | Value::Null => CallOutcome::NotAdded,
+        Value::Array(values) => match values.first() {
+            Some(Value::Error(_)) => CallOutcome::NotAdded,
+            first => first.and_then(Value::number).map_or(CallOutcome::Unknown, CallOutcome::Total),
+        },
+        _ => CallOutcome::Unknown,
+    }
+}
--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -4,7 +4,7 @@
 use crate::io::{Io, Token};
 use doorcourse::{CounterOutcome, Event};
 use doorcourse_config::Counter as Settings;
-use doorcourse_counter::{Call, Ended, Link, LinkAction, LinkSettings, RespCodec};
+use doorcourse_counter::{CallOutcome, CounterCall, CounterLink, LinkAction, LinkSettings, RespCodec};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
 
 use std::collections::HashMap;
@@ -21,14 +21,14 @@
 
 impl Own {
     /// Adds and answers the total. A name's life is set when it is new, as the shared counter does.
-    fn add(&mut self, now: f64, call: Call) -> f64 {
+    fn add(&mut self, now: f64, call: CounterCall) -> f64 {
         if now >= self.swept + SWEEP {
             self.counts.retain(|_, (_, until)| *until > now);
             self.swept = now;
         }
-        let entry = self.counts.entry(call.name).or_insert((0.0, now + call.keep));
+        let entry = self.counts.entry(call.counter).or_insert((0.0, now + call.time_to_live));
         if entry.1 <= now {
-            *entry = (0.0, now + call.keep);
+            *entry = (0.0, now + call.time_to_live);
         }
         entry.0 += call.amount;
         entry.0
@@ -44,7 +44,7 @@
 
 enum Side {
     Own(Own),
-    Shared { settings: Settings, link: Box<Link<RespCodec>>, connection: Option<Connection> },
+    Shared { settings: Settings, link: Box<CounterLink<RespCodec>>, connection: Option<Connection> },
 }
 
 pub(crate) struct Counter {
@@ -59,25 +59,25 @@
             None => Side::Own(Own::default()),
             Some(settings) => {
                 let wanted = LinkSettings {
-                    timeout: settings.timeout,
-                    first_wait: settings.first_wait(),
-                    longest_wait: settings.longest_wait,
-                    dead_after: settings.dead_after,
-                    idle_after: f64::INFINITY,
+                    call_timeout: settings.timeout,
+                    initial_backoff: settings.first_wait(),
+                    max_backoff: settings.longest_wait,
+                    unresponsive_timeout: settings.dead_after,
+                    idle_timeout: f64::INFINITY,
                 };
-                let link = Link::new(wanted, RespCodec::new(settings.password.clone()));
+                let link = CounterLink::new(wanted, RespCodec::new(settings.password.clone()));
                 Side::Shared { settings: settings.clone(), link: Box::new(link), connection: None }
             }
         };
         Self { side, out: 0 }
     }
 
-    pub fn call(&mut self, io: &mut Io, call: Call) {
+    pub fn call(&mut self, io: &mut Io, call: CounterCall) {
         let now = io.now();
         self.out += 1;
         match &mut self.side {
             Side::Own(own) => {
-                let (name, outcome) = (call.name, CounterOutcome::Total(own.add(now, call)));
+                let (name, outcome) = (call.counter, CounterOutcome::Total(own.add(now, call)));
                 self.end(io, Event::CounterCallEnded { counter: name, outcome, latency: 0.0 });
             }
             Side::Shared { link, .. } => {
@@ -92,7 +92,7 @@
     pub fn tick(&mut self, io: &mut Io) -> f64 {
         let Side::Shared { link, .. } = &mut self.side else { return f64::INFINITY };
         let mut actions = Vec::new();
-        let due = link.tick(io.now(), &mut actions);
+        let due = link.handle_timeout(io.now(), &mut actions);
         self.carry_out(io, actions);
         self.flush(io);
         due
@@ -107,7 +107,7 @@
             match made.socket.finish_connect() {
                 Ok(()) => {
                     made.connected = true;
-                    link.connected(now);
+                    link.connection_opened(now);
                 }
                 Err(error) => lost = Some(error.to_string()),
             }
@@ -116,7 +116,7 @@
             let (_, flow) = made.socket.read();
             let input = std::mem::take(&mut made.socket.input);
             if !input.is_empty() {
-                link.input(now, &input, &mut actions);
+                link.handle_input(now, &input, &mut actions);
             }
             if flow != Flow::Open && !actions.contains(&LinkAction::Close) {
                 lost = Some("closed by the counter".into());
@@ -124,7 +124,7 @@
         }
         if let Some(why) = lost {
             *connection = None;
-            link.lost(now, &why, &mut actions);
+            link.connection_lost(now, &why, &mut actions);
         }
         self.carry_out(io, actions);
         self.flush(io);
@@ -144,12 +144,16 @@
                         *connection = None;
                     }
                 }
-                LinkAction::Log(line) => tracing::info!(target: "doorcourse::counter", "{line}"),
-                LinkAction::End { name, ended, latency } => {
-                    let outcome = ended.into();
-                    let event = Event::CounterCallEnded { counter: name, outcome, latency };
+                LinkAction::LogAvailable => {
+                    tracing::info!(target: "doorcourse::counter", "counter connection up");
+                }
+                LinkAction::LogUnavailable { reason } => {
+                    tracing::info!(target: "doorcourse::counter", reason, "counter connection lost");
+                }
+                LinkAction::CallEnded { counter, outcome, latency } => {
+                    let event = Event::CounterCallEnded { counter, outcome: outcome.into(), latency };
                     // What is told late belongs to a call that has ended.
-                    if matches!(ended, Ended::Late { .. }) {
+                    if matches!(outcome, CallOutcome::Late { .. }) {
                         io.events.push_back(event)
                     } else {
                         self.end(io, event)
@@ -171,7 +175,7 @@
             Ok(made) => *connection = Some(made),
             Err(error) => {
                 let mut actions = Vec::new();
-                link.lost(now, &error.to_string(), &mut actions);
+                link.connection_lost(now, &error.to_string(), &mut actions);
                 self.carry_out(io, actions);
             }
         }
@@ -183,11 +187,11 @@
         let Some(made) = connection.as_mut().filter(|c| c.connected) else { return };
         made.socket.output().extend_from_slice(&link.take_output());
         let flow = made.socket.flush();
-        link.unwritten(made.socket.pending());
+        link.set_unwritten_bytes(made.socket.pending());
         if flow == Flow::Broken {
             *connection = None;
             let mut actions = Vec::new();
-            link.lost(now, "broken while writing", &mut actions);
+            link.connection_lost(now, "broken while writing", &mut actions);
             return self.carry_out(io, actions);
         }
         let interest = Interest::of(true, made.socket.pending() > 0);
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -16,7 +16,7 @@
 use anyhow::Context;
 use doorcourse::{Action, BackendState, Event, Name, RequestId};
 use doorcourse_config::{Change, Config, Node};
-use doorcourse_counter::Call;
+use doorcourse_counter::CounterCall;
 use doorcourse_event_loop::{Interest, Ready, listen};
 use doorcourse_fail_points::rule_disabled;
 use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, ManualDrains, needs_repoll};
@@ -438,8 +438,8 @@
             }
             Action::Fail { id } => self.exchanges.tell(now, id, Tell::Failed),
             Action::SetTimer { after, token } => self.io.timers.set(now + after, Alarm::Decision(token)),
-            Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
-                self.counter.call(&mut self.io, Call { name, amount, keep });
+            Action::AddToCounter { counter, amount, time_to_live } => {
+                self.counter.call(&mut self.io, CounterCall { counter, amount, time_to_live });
             }
             Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
             // The settings allow none of these: no peers, no probes, no calling off, a list that is pushed.
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -3,7 +3,7 @@
 
 use crate::io::{Io, Kind, Token, Watched};
 use doorcourse::{CounterOutcome, Event};
-use doorcourse_counter::{Call, HttpCodec, Link, LinkAction, LinkSettings};
+use doorcourse_counter::{CounterCall, CounterLink, HttpCodec, LinkAction, LinkSettings};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use slab::Slab;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 struct Side {
     address: SocketAddr,
-    link: Link<HttpCodec>,
+    link: CounterLink<HttpCodec>,
     socket: Option<Watched>,
     connected: bool,
     /// Ends by then: its address was given up.
@@ -48,14 +48,14 @@
 
     fn open(&mut self, address: SocketAddr) {
         let settings = LinkSettings {
-            timeout: self.timeout,
-            first_wait: FIRST_WAIT,
-            longest_wait: LONGEST_WAIT,
-            dead_after: self.timeout * DEAD,
-            idle_after: IDLE,
+            call_timeout: self.timeout,
+            initial_backoff: FIRST_WAIT,
+            max_backoff: LONGEST_WAIT,
+            unresponsive_timeout: self.timeout * DEAD,
+            idle_timeout: IDLE,
         };
         for _ in 0..LINKS {
-            let link = Link::new(settings.clone(), HttpCodec::new(&address.to_string()));
+            let link = CounterLink::new(settings.clone(), HttpCodec::new(&address.to_string()));
             let (socket, connected, until, due, dirty) = (None, false, None, f64::NEG_INFINITY, false);
             self.sides.insert(Side { address, link, socket, connected, until, due, dirty });
         }
@@ -77,11 +77,11 @@
         }
     }
 
-    pub fn call(&mut self, io: &mut Io, call: Call, events: &mut Vec<Event>) {
-        let order = |side: &Side| (side.until.is_some(), side.link.load());
+    pub fn call(&mut self, io: &mut Io, call: CounterCall, events: &mut Vec<Event>) {
+        let order = |side: &Side| (side.until.is_some(), side.link.in_flight());
         let ready = self.sides.iter().filter(|(_, side)| side.link.is_ready());
         let Some((at, _)) = ready.min_by_key(|(_, side)| order(side)) else {
-            let (name, outcome) = (call.name, CounterOutcome::NotAdded);
+            let (name, outcome) = (call.counter, CounterOutcome::NotAdded);
             return events.push(Event::CounterCallEnded { counter: name, outcome, latency: 0.0 });
         };
         let (side, mut actions) = (&mut self.sides[at], Vec::new());
@@ -100,12 +100,13 @@
             let Some(side) = self.sides.get_mut(at).filter(|side| io.now >= side.due) else { continue };
             let mut actions = Vec::new();
             if side.until.is_some_and(|until| io.now >= until) {
-                side.link.lost(io.now, "its address was given up", &mut actions);
+                side.link.connection_lost(io.now, "its address was given up", &mut actions);
                 self.carry_out(io, at, actions, events);
                 self.sides.remove(at);
                 continue;
             }
-            side.due = side.link.tick(io.now, &mut actions).min(side.until.unwrap_or(f64::INFINITY));
+            side.due =
+                side.link.handle_timeout(io.now, &mut actions).min(side.until.unwrap_or(f64::INFINITY));
             self.carry_out(io, at, actions, events);
         }
     }
@@ -118,7 +119,7 @@
             match socket.socket.finish_connect() {
                 Ok(()) => {
                     side.connected = true;
-                    side.link.connected(io.now);
+                    side.link.connection_opened(io.now);
                     socket.want(io, true, false);
                 }
                 Err(error) => lost = Some(error.to_string()),
@@ -128,7 +129,7 @@
             let (_, flow) = socket.socket.read();
             let input = std::mem::take(&mut socket.socket.input);
             if !input.is_empty() {
-                side.link.input(io.now, &input, &mut actions);
+                side.link.handle_input(io.now, &input, &mut actions);
             }
             if flow != Flow::Open && !actions.contains(&LinkAction::Close) {
                 lost = Some("closed by the counter".into());
@@ -137,7 +138,7 @@
         side.dirty |= ready.write;
         if let Some(why) = lost {
             side.socket = None;
-            side.link.lost(io.now, &why, &mut actions);
+            side.link.connection_lost(io.now, &why, &mut actions);
         }
         side.due = f64::NEG_INFINITY;
         self.carry_out(io, token.at, actions, events);
@@ -149,10 +150,14 @@
             match action {
                 LinkAction::Connect => self.dial(io, at, events),
                 LinkAction::Close => (side.socket, side.connected) = (None, false),
-                LinkAction::Log(line) => tracing::info!(target: "doorcourse::counter", "{line}"),
-                LinkAction::End { name, ended, latency } => {
-                    let outcome = ended.into();
-                    events.push(Event::CounterCallEnded { counter: name, outcome, latency });
+                LinkAction::LogAvailable => {
+                    tracing::info!(target: "doorcourse::counter", "counter connection up");
+                }
+                LinkAction::LogUnavailable { reason } => {
+                    tracing::info!(target: "doorcourse::counter", reason, "counter connection lost");
+                }
+                LinkAction::CallEnded { counter, outcome, latency } => {
+                    events.push(Event::CounterCallEnded { counter, outcome: outcome.into(), latency });
                 }
             }
         }
@@ -167,7 +172,7 @@
             Ok(made) => side.socket = Some(made),
             Err(error) => {
                 let mut actions = Vec::new();
-                side.link.lost(io.now, &error.to_string(), &mut actions);
+                side.link.connection_lost(io.now, &error.to_string(), &mut actions);
                 side.due = f64::NEG_INFINITY;
                 self.carry_out(io, at, actions, events);
             }
@@ -184,12 +189,12 @@
             made.socket.output().extend_from_slice(&output);
             let flow = made.socket.flush();
             let pending = made.socket.pending();
-            side.link.unwritten(pending);
+            side.link.set_unwritten_bytes(pending);
             made.want(io, true, pending > 0);
             if flow == Flow::Broken {
                 side.socket = None;
                 let mut actions = Vec::new();
-                side.link.lost(io.now, "broken while writing", &mut actions);
+                side.link.connection_lost(io.now, "broken while writing", &mut actions);
                 side.due = f64::NEG_INFINITY;
                 self.carry_out(io, at, actions, events);
             }
--- a/crates/resp-gateway/src/run.rs
+++ b/crates/resp-gateway/src/run.rs
@@ -12,7 +12,7 @@
 use crate::watch::Watch;
 use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::DescriptorBudget;
-use doorcourse_counter::Call;
+use doorcourse_counter::CounterCall;
 use doorcourse_deployment::Site;
 use doorcourse_discovery::Readiness;
 use doorcourse_event_loop::{Interest, Ready, listen, most_descriptors};
@@ -457,8 +457,12 @@
                 let wait = self.site.host.dial_timeout.max(self.site.settings.tick);
                 self.io.timers.set(self.io.now + wait, Alarm::Probe(id));
             }
-            Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
-                self.counter.call(&mut self.io, Call { name, amount, keep }, &mut self.counted);
+            Action::AddToCounter { counter, amount, time_to_live } => {
+                self.counter.call(
+                    &mut self.io,
+                    CounterCall { counter, amount, time_to_live },
+                    &mut self.counted,
+                );
             }
             // Gateways have no way to each other here, and the watch is always on.
             Action::Gossip { .. } | Action::WatchBackends => {}
