--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -2,9 +2,9 @@
 //! last taken first. Between the decision and the first byte lies the dial: what waits for a connection is taken back
 //! when its backend must not have it any more.
 
-use crate::ask::Passed;
-use crate::io::{Io, Kind, Token, Watched};
-use crate::members::Members;
+use crate::endpoints::Members;
+use crate::reactor::{Io, Kind, Token, Watched};
+use crate::request::Passed;
 use doorcourse::{BackendState, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::{ConnectionPool, idle_limit};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
--- a/crates/resp-gateway/src/backends/tests.rs
+++ b/crates/resp-gateway/src/backends/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ask::{self, Said};
+use crate::request::{self, Said};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 
@@ -20,7 +20,7 @@
         places.push(input.len()..input.len() + word.len());
         input.extend_from_slice(word.as_bytes());
     }
-    let Ok(Said::Request(ask)) = ask::read(&site, &input, &places) else { panic!("a good request") };
+    let Ok(Said::Request(ask)) = request::read(&site, &input, &places) else { panic!("a good request") };
     Arc::new(ask.passed)
 }
 
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! The room of the clients: connections, their commands, and answers in the order of the commands. Who is let in and who
 //! has to go is decided by `doorcourse_connection_limits`.
 
-use crate::ask::{self, Ask, Wrong};
-use crate::io::{Io, Kind, Token, Watched};
+use crate::reactor::{Io, Kind, Token, Watched};
+use crate::request::{self, Ask, Wrong};
 use doorcourse::RequestId;
 use doorcourse_connection_limits::{ConnectionActivity, ConnectionTimeouts, fault_backoff};
 use doorcourse_deployment::Site;
@@ -322,13 +322,13 @@
                 Ok(Some((words, took))) => {
                     used += took;
                     conn.held.partial_request_since = None;
-                    let said = ask::read(site, rest, &words);
+                    let said = request::read(site, rest, &words);
                     if said.is_ok() {
                         conn.held.last_request_at = Some(io.now);
                     }
                     match said {
-                        Ok(ask::Said::Ping) => told.push(Told::Ping(conn.push(Slot::Waits(None)))),
-                        Ok(ask::Said::Request(ask)) => {
+                        Ok(request::Said::Ping) => told.push(Told::Ping(conn.push(Slot::Waits(None)))),
+                        Ok(request::Said::Request(ask)) => {
                             told.push(Told::Asked(conn.push(Slot::Waits(None)), ask));
                         }
                         Err(wrong) => {
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! The platform's file: who the gateway is, where the others are, its limits, and the settings object.
 
-use crate::members::Members;
+use crate::endpoints::Members;
 use anyhow::Context;
 use doorcourse_deployment::Site;
 use serde_json::Value;
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,7 +1,7 @@
 //! The room of the counter: a few connections, calls one behind another on each. A name has one call out at a time, so
 //! whichever connection has the fewest takes the next.
 
-use crate::io::{Io, Kind, Token, Watched};
+use crate::reactor::{Io, Kind, Token, Watched};
 use doorcourse::{CounterOutcome, Event};
 use doorcourse_counter::{CounterCall, CounterLink, HttpCodec, LinkAction, LinkSettings};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
--- a/crates/resp-gateway/src/watch.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -4,8 +4,8 @@
 use crate::backends::Backends;
 use crate::clients::Clients;
 use crate::counter::Counter;
-use crate::exchanges::Exchanges;
-use crate::io::Io;
+use crate::reactor::Io;
+use crate::requests::Exchanges;
 use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The room of discovery: the watch of the list of backends. What it hears is passed on as lists; whatever cannot be
 //! followed (a line that cannot be read, a version that steps back) is answered by asking for the whole list.
 
-use crate::io::{Io, Kind, Token, Watched};
-use crate::members::Members;
+use crate::endpoints::Members;
+use crate::reactor::{Io, Kind, Token, Watched};
 use doorcourse_discovery::{DiscoveryWatch, WatchAction};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
--- a/crates/resp-gateway/src/run.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -5,11 +5,11 @@
 use crate::clients::{Clients, Given, Told};
 use crate::config::Config;
 use crate::counter::Counter;
+use crate::diagnostics::Watch;
 use crate::discovery::Discovery;
-use crate::exchanges::{Begun, Do, Exchanges};
-use crate::io::{Alarm, Io, Kind, Token};
-use crate::members::Members;
-use crate::watch::Watch;
+use crate::endpoints::Members;
+use crate::reactor::{Alarm, Io, Kind, Token};
+use crate::requests::{Begun, Do, Exchanges};
 use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::DescriptorBudget;
 use doorcourse_counter::CounterCall;
@@ -415,7 +415,7 @@
                         self.io.timers.set(until, Alarm::TimeUp(id));
                         return self.events.push_back(event);
                     }
-                    Begun::Twice => Given::Wrong(crate::ask::Wrong::Open),
+                    Begun::Twice => Given::Wrong(crate::request::Wrong::Open),
                     Begun::NoTime => Given::Failed("no time is left"),
                     // Another gateway takes it at once: there is nothing to wait for.
                     Begun::Leaving => Given::Busy(None),
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -2,22 +2,22 @@
 //! translates between sockets and the decisions: who is let in, where a request goes, when it is repeated and how it
 //! ends is decided in `doorcourse`, what bytes mean for one request in `doorcourse-request-lifecycle`.
 //!
-//! [`Platform`] is the loop over the rooms; each room owns its state and speaks in values. [`ask`] and [`members`] read
+//! [`Platform`] is the loop over the rooms; each room owns its state and speaks in values. [`request`] and [`endpoints`] read
 //! what clients and discovery send, without I/O.
 
 #![forbid(unsafe_code)]
 
-pub mod ask;
 mod backends;
 mod clients;
 mod config;
 mod counter;
+mod diagnostics;
 mod discovery;
-mod exchanges;
-mod io;
-pub mod members;
-mod run;
-mod watch;
+pub mod endpoints;
+mod gateway;
+mod reactor;
+pub mod request;
+mod requests;
 
 pub use config::{Config, Limits};
-pub use run::{Platform, Signals, Stopper};
+pub use gateway::{Platform, Signals, Stopper};
--- a/crates/resp-gateway/src/exchanges.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -1,9 +1,9 @@
 //! The room of the open requests: between the decisions and the sockets, one exchange each. What becomes of a request is
 //! decided by `doorcourse_request_lifecycle`; this room keeps what belongs to it and says what is to be done.
 
-use crate::ask::{Ask, Passed};
 use crate::backends::Heard;
 use crate::clients::{Given, Place};
+use crate::request::{Ask, Passed};
 use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
 use doorcourse_deployment::Site;
 use doorcourse_graceful_shutdown::{Admission, GracefulShutdown};
