--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -2,9 +2,9 @@
 //! last taken first. Between the decision and the first byte lies the dial: what waits for a connection is taken back
 //! when its backend must not have it any more.
 
-use crate::endpoints::Members;
-use crate::reactor::{Io, Kind, Token, Watched};
-use crate::request::Passed;
+use crate::endpoints::EndpointList;
+use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
+use crate::request::ForwardedCommand;
 use doorcourse::{BackendState, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::{ConnectionPool, idle_limit};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
@@ -45,7 +45,7 @@
 }
 
 struct Conn {
-    watched: Watched,
+    watched: RegisteredSocket,
     backend: Name,
     /// The incarnation of its backend that it was made for.
     incarnation: u64,
@@ -69,7 +69,7 @@
 /// What a connection is used for.
 #[derive(Clone)]
 enum What {
-    Request(Arc<Passed>),
+    Request(Arc<ForwardedCommand>),
     /// A probe for the load.
     Probe,
 }
@@ -118,15 +118,15 @@
     }
 
     /// A list came; the decisions have heard it already.
-    pub fn list(&mut self, list: &Members, said: &mut Vec<(RequestId, Heard)>) {
-        if list.whole {
+    pub fn list(&mut self, list: &EndpointList, said: &mut Vec<(RequestId, Heard)>) {
+        if list.complete {
             self.peers.values_mut().for_each(|p| p.listed = false);
         }
-        for member in &list.members {
+        for member in &list.endpoints {
             let entry = &member.entry;
             let ready = entry.state == BackendState::Ready;
             let listed = entry.state != BackendState::Removed;
-            match (self.peers.get_mut(&entry.name), member.dial) {
+            match (self.peers.get_mut(&entry.name), member.address) {
                 (Some(peer), dial) => {
                     let moved = dial.is_some_and(|d| d != peer.address) || peer.started != entry.started;
                     (peer.ready, peer.listed, peer.started) = (ready, listed, entry.started);
@@ -203,14 +203,16 @@
 
     /// An attempt begins.
     pub fn send(
-        &mut self, io: &mut Io, request: RequestId, backend: &Name, passed: Arc<Passed>, until: f64,
-        said: &mut Vec<(RequestId, Heard)>,
+        &mut self, io: &mut Reactor, request: RequestId, backend: &Name, passed: Arc<ForwardedCommand>,
+        until: f64, said: &mut Vec<(RequestId, Heard)>,
     ) {
         self.begin(io, request, backend, What::Request(passed), until, said);
     }
 
     /// A probe begins; it ends as an attempt does, under the number that is answered.
-    pub fn probe(&mut self, io: &mut Io, backend: &Name, said: &mut Vec<(RequestId, Heard)>) -> RequestId {
+    pub fn probe(
+        &mut self, io: &mut Reactor, backend: &Name, said: &mut Vec<(RequestId, Heard)>,
+    ) -> RequestId {
         self.probes += 1;
         let id = PROBES | self.probes;
         self.begin(io, id, backend, What::Probe, f64::INFINITY, said);
@@ -223,7 +225,7 @@
     }
 
     fn begin(
-        &mut self, io: &mut Io, request: RequestId, backend: &Name, what: What, until: f64,
+        &mut self, io: &mut Reactor, request: RequestId, backend: &Name, what: What, until: f64,
         said: &mut Vec<(RequestId, Heard)>,
     ) {
         let Some(peer) = self.peers.get_mut(backend).filter(|p| p.ready) else {
@@ -248,7 +250,7 @@
         self.dial(io, backend, said);
     }
 
-    fn write(&mut self, io: &Io, at: usize, request: RequestId, said: &mut Vec<(RequestId, Heard)>) {
+    fn write(&mut self, io: &Reactor, at: usize, request: RequestId, said: &mut Vec<(RequestId, Heard)>) {
         let (Some(attempt), Some(conn)) = (self.attempts.get_mut(&request), self.conns.get_mut(at)) else {
             return;
         };
@@ -267,7 +269,7 @@
     }
 
     /// As many connections as attempts wait for, within the bounds.
-    fn dial(&mut self, io: &mut Io, name: &Name, said: &mut Vec<(RequestId, Heard)>) {
+    fn dial(&mut self, io: &mut Reactor, name: &Name, said: &mut Vec<(RequestId, Heard)>) {
         loop {
             if self.conns.len() >= self.most {
                 self.retire_oldest();
@@ -277,13 +279,14 @@
                 return;
             }
             let full = self.conns.len() >= self.most;
-            let token = Token { kind: Kind::Backend, serial: io.serial(), at: self.conns.vacant_key() };
+            let token =
+                Token { kind: TokenKind::Backend, serial: io.next_serial(), index: self.conns.vacant_key() };
             let interest = Interest::BOTH;
             let made = if full {
                 Err(None)
             } else {
                 connect(peer.address)
-                    .and_then(|s| Watched::new(io, s, token, interest))
+                    .and_then(|s| RegisteredSocket::new(io, s, token, interest))
                     .map_err(|e| Some(e.kind()))
             };
             match made {
@@ -354,8 +357,10 @@
         self.attempts.get(&request).is_some_and(|a| a.conn.is_none())
     }
 
-    pub fn ready(&mut self, io: &mut Io, token: Token, ready: Ready, said: &mut Vec<(RequestId, Heard)>) {
-        let at = token.at;
+    pub fn ready(
+        &mut self, io: &mut Reactor, token: Token, ready: Ready, said: &mut Vec<(RequestId, Heard)>,
+    ) {
+        let at = token.index;
         let Some(conn) = self.conns.get_mut(at).filter(|c| c.watched.token == token) else { return };
         match conn.state {
             State::Dialing { .. } => {
@@ -364,7 +369,7 @@
                 }
                 match conn.watched.socket.finish_connect() {
                     Ok(()) => {
-                        conn.watched.want(io, true, false);
+                        conn.watched.set_interest(io, true, false);
                         self.rest(io, at, said);
                     }
                     Err(_) => {
@@ -423,7 +428,7 @@
     }
 
     /// A connection is free: for who waits, else it is kept.
-    fn rest(&mut self, io: &Io, at: usize, said: &mut Vec<(RequestId, Heard)>) {
+    fn rest(&mut self, io: &Reactor, at: usize, said: &mut Vec<(RequestId, Heard)>) {
         let Some(conn) = self.conns.get_mut(at) else { return };
         let fits = |p: &&mut Peer| p.ready && p.pool.incarnation() == conn.incarnation;
         let Some(peer) = self.peers.get_mut(&conn.backend).filter(fits) else { return self.close(at) };
@@ -438,14 +443,14 @@
     }
 
     /// Writes what the turn left to write.
-    pub fn flush(&mut self, io: &mut Io, said: &mut Vec<(RequestId, Heard)>) {
+    pub fn flush(&mut self, io: &mut Reactor, said: &mut Vec<(RequestId, Heard)>) {
         for at in std::mem::take(&mut self.dirty) {
             let Some(conn) = self.conns.get_mut(at).filter(|c| c.dirty) else { continue };
             conn.dirty = false;
             let State::Busy { request, written: false } = conn.state else { continue };
             let flow = conn.watched.socket.flush();
             let pending = conn.watched.socket.pending() > 0;
-            conn.watched.want(io, true, pending);
+            conn.watched.set_interest(io, true, pending);
             if flow == Flow::Broken {
                 self.attempts.remove(&request);
                 self.close(at);
@@ -462,7 +467,7 @@
     }
 
     /// Connections that never came up, and those idle for too long.
-    pub fn tick(&mut self, io: &mut Io) {
+    pub fn tick(&mut self, io: &mut Reactor) {
         if io.now < self.swept + SWEEP {
             return;
         }
--- a/crates/resp-gateway/src/backends/tests.rs
+++ b/crates/resp-gateway/src/backends/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::request::{self, Said};
+use crate::request::{self, ClientCommand};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 
-fn list(health: &str, address: SocketAddr, born: u64) -> Members {
+fn list(health: &str, address: SocketAddr, born: u64) -> EndpointList {
     let text = format!(
         r#"{{"seq":1,"whole":false,"hosts":[{{"host":"b0","dial":"{address}","health":"{health}","born_ms":{born}}}]}}"#
     );
-    Members::read(text.as_bytes()).unwrap()
+    EndpointList::read(text.as_bytes()).unwrap()
 }
 
-fn passed() -> Arc<Passed> {
+fn passed() -> Arc<ForwardedCommand> {
     let settings =
         r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
     let site = doorcourse_deployment::parse(settings).unwrap();
@@ -20,8 +20,10 @@
         places.push(input.len()..input.len() + word.len());
         input.extend_from_slice(word.as_bytes());
     }
-    let Ok(Said::Request(ask)) = request::read(&site, &input, &places) else { panic!("a good request") };
-    Arc::new(ask.passed)
+    let Ok(ClientCommand::Request(ask)) = request::parse(&site, &input, &places) else {
+        panic!("a good request")
+    };
+    Arc::new(ask.forwarded)
 }
 
 #[test]
@@ -29,7 +31,7 @@
     for (health, born) in [("leaving", 0), ("left", 0), ("active", 7)] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (mut io, mut said) = (Io::new().unwrap(), Vec::new());
+        let (mut io, mut said) = (Reactor::new().unwrap(), Vec::new());
         let mut backends = Backends::new(8, 250.0, 30_000.0);
         backends.list(&list("active", address, 0), &mut said);
         let until = io.now + 1000.0;
@@ -58,7 +60,7 @@
 fn a_backend_that_left_is_forgotten_with_its_last_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (mut io, mut said) = (Io::new().unwrap(), Vec::new());
+    let (mut io, mut said) = (Reactor::new().unwrap(), Vec::new());
     let mut backends = Backends::new(8, 250.0, 30_000.0);
     for life in 0..100 {
         backends.list(&list("active", address, life), &mut said);
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! The room of the clients: connections, their commands, and answers in the order of the commands. Who is let in and who
 //! has to go is decided by `doorcourse_connection_limits`.
 
-use crate::reactor::{Io, Kind, Token, Watched};
-use crate::request::{self, Ask, Wrong};
+use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
+use crate::request::{self, ClientCommand, Request, RequestError};
 use doorcourse::RequestId;
 use doorcourse_connection_limits::{ConnectionActivity, ConnectionTimeouts, fault_backoff};
 use doorcourse_deployment::Site;
@@ -43,7 +43,7 @@
     /// Refused: when to come again, in ms, where clients may be told.
     Busy(Option<u64>),
     Failed(&'static str),
-    Wrong(Wrong),
+    Wrong(RequestError),
     Unreadable(Fault),
     Pong,
     /// Not ready to serve yet.
@@ -86,13 +86,13 @@
 /// What clients say.
 pub(crate) enum Told {
     Ping(Place),
-    Asked(Place, Box<Ask>),
+    Asked(Place, Box<Request>),
     /// The client of this request is gone.
     Gone(RequestId),
 }
 
 struct Conn {
-    watched: Watched,
+    watched: RegisteredSocket,
     commands: Commands,
     slots: VecDeque<Slot>,
     /// The number of the first slot.
@@ -113,7 +113,7 @@
         self.slots.push_back(slot);
         self.held.open_requests = self.slots.len();
         let number = self.first + self.slots.len() as u64 - 1;
-        Place { at: self.watched.token.at, serial: self.watched.token.serial, number }
+        Place { at: self.watched.token.index, serial: self.watched.token.serial, number }
     }
 
     fn reads(&self, now: f64) -> bool {
@@ -155,7 +155,7 @@
     if rule_disabled("poll-peer-close") { Interest::READ } else { Interest::READ.with_end() }
 }
 
-const LISTENER: Token = Token { kind: Kind::Listener, serial: 0, at: 0 };
+const LISTENER: Token = Token { kind: TokenKind::Listener, serial: 0, index: 0 };
 
 pub(crate) struct Clients {
     listener: Option<TcpListener>,
@@ -168,14 +168,14 @@
 }
 
 impl Clients {
-    pub fn new(io: &mut Io, listener: TcpListener, most: usize) -> std::io::Result<Self> {
+    pub fn new(io: &mut Reactor, listener: TcpListener, most: usize) -> std::io::Result<Self> {
         io.poller.add(&listener, LISTENER.pack(), Interest::READ)?;
         let (conns, dirty, swept) = (Slab::new(), Vec::new(), io.now);
         Ok(Self { listener: Some(listener), listening: true, conns, most, dirty, swept })
     }
 
     /// Whether the poller is to tell of who waits at the door.
-    fn listen(&mut self, io: &Io, listening: bool) {
+    fn listen(&mut self, io: &Reactor, listening: bool) {
         if let Some(listener) = self.listener.as_ref().filter(|_| self.listening != listening) {
             let _ = io.poller.change(listener, LISTENER.pack(), Interest::of(listening, false));
             self.listening = listening;
@@ -184,12 +184,12 @@
 
     /// Takes in who waits at the door. A connection that there is no room for is closed at once: left in the
     /// listener's queue it would wake the loop for ever.
-    pub fn accept(&mut self, io: &mut Io, site: &Site, told: &mut Vec<Told>) {
+    pub fn accept(&mut self, io: &mut Reactor, site: &Site, told: &mut Vec<Told>) {
         self.let_in(io, site, ACCEPTS, told);
     }
 
     /// Lets in so many at most; true where nobody is left at the door.
-    fn let_in(&mut self, io: &mut Io, site: &Site, most: usize, told: &mut Vec<Told>) -> bool {
+    fn let_in(&mut self, io: &mut Reactor, site: &Site, most: usize, told: &mut Vec<Told>) -> bool {
         for let_in in 0..most {
             let Some(listener) = &self.listener else { return true };
             let stream = match listener.accept() {
@@ -214,8 +214,9 @@
                 turn_away(socket);
                 continue;
             }
-            let token = Token { kind: Kind::Client, serial: io.serial(), at: self.conns.vacant_key() };
-            let Ok(watched) = Watched::new(io, socket, token, interest()) else { continue };
+            let token =
+                Token { kind: TokenKind::Client, serial: io.next_serial(), index: self.conns.vacant_key() };
+            let Ok(watched) = RegisteredSocket::new(io, socket, token, interest()) else { continue };
             let held = ConnectionActivity::new(io.now);
             let (commands, slots) = (Commands::new(LIMITS), VecDeque::new());
             let at = self.conns.insert(Conn {
@@ -242,7 +243,7 @@
 
     /// Closes the connection that matters least; false where all matter. One on which a request has just come matters:
     /// it is seen by the last look, and another has to go.
-    fn make_room(&mut self, io: &mut Io, site: &Site, told: &mut Vec<Told>) -> bool {
+    fn make_room(&mut self, io: &mut Reactor, site: &Site, told: &mut Vec<Told>) -> bool {
         loop {
             let ranked = self.conns.iter().filter_map(|(at, conn)| Some((conn.held.eviction_rank()?, at)));
             let first = ranked.min_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -260,7 +261,7 @@
     /// taken. What comes later is read over and never begun: its client sees the end and asks elsewhere. False where
     /// the connection goes on.
     fn end(
-        &mut self, io: &mut Io, site: &Site, at: usize, ends: impl Fn(&ConnectionActivity) -> bool,
+        &mut self, io: &mut Reactor, site: &Site, at: usize, ends: impl Fn(&ConnectionActivity) -> bool,
         told: &mut Vec<Told>,
     ) -> bool {
         if !rule_disabled("last-read-before-close") {
@@ -280,23 +281,23 @@
         true
     }
 
-    pub fn ready(&mut self, io: &mut Io, site: &Site, token: Token, ready: Ready, told: &mut Vec<Told>) {
-        let Some(conn) = self.conns.get_mut(token.at).filter(|c| c.watched.token == token) else { return };
+    pub fn ready(&mut self, io: &mut Reactor, site: &Site, token: Token, ready: Ready, told: &mut Vec<Told>) {
+        let Some(conn) = self.conns.get_mut(token.index).filter(|c| c.watched.token == token) else { return };
         if ready.ended {
             // The page's word for it: a client that closes has gone, whatever it left unread.
-            return self.remove(token.at, told);
+            return self.remove(token.index, told);
         }
         if ready.write {
             mark(&mut self.dirty, conn);
         }
         if ready.read && conn.reads(io.now) {
-            self.read(io, site, token.at, told);
+            self.read(io, site, token.index, told);
         } else {
-            self.rest(io, token.at);
+            self.rest(io, token.index);
         }
     }
 
-    fn read(&mut self, io: &mut Io, site: &Site, at: usize, told: &mut Vec<Told>) {
+    fn read(&mut self, io: &mut Reactor, site: &Site, at: usize, told: &mut Vec<Told>) {
         let Some(conn) = self.conns.get_mut(at) else { return };
         let (count, flow) = conn.watched.socket.read();
         if conn.held.lingering_close_until.is_some() {
@@ -311,7 +312,7 @@
     }
 
     /// Takes the commands that are whole.
-    fn take(&mut self, io: &mut Io, site: &Site, at: usize, told: &mut Vec<Told>) {
+    fn take(&mut self, io: &mut Reactor, site: &Site, at: usize, told: &mut Vec<Told>) {
         let Some(conn) = self.conns.get_mut(at) else { return };
         let input = std::mem::take(&mut conn.watched.socket.input);
         let mut used = 0;
@@ -322,13 +323,13 @@
                 Ok(Some((words, took))) => {
                     used += took;
                     conn.held.partial_request_since = None;
-                    let said = request::read(site, rest, &words);
+                    let said = request::parse(site, rest, &words);
                     if said.is_ok() {
                         conn.held.last_request_at = Some(io.now);
                     }
                     match said {
-                        Ok(request::Said::Ping) => told.push(Told::Ping(conn.push(Slot::Waits(None)))),
-                        Ok(request::Said::Request(ask)) => {
+                        Ok(ClientCommand::Ping) => told.push(Told::Ping(conn.push(Slot::Waits(None)))),
+                        Ok(ClientCommand::Request(ask)) => {
                             told.push(Told::Asked(conn.push(Slot::Waits(None)), ask));
                         }
                         Err(wrong) => {
@@ -405,7 +406,7 @@
 
     /// Writes what the turn left to write; commands that waited for room to answer are taken then.
     /// Once the gateway leaves, a connection on which nothing is open then ends.
-    pub fn flush(&mut self, io: &mut Io, site: &Site, leave: &GracefulShutdown, told: &mut Vec<Told>) {
+    pub fn flush(&mut self, io: &mut Reactor, site: &Site, leave: &GracefulShutdown, told: &mut Vec<Told>) {
         let now = io.now;
         // Commands that are taken here may be answered at once: it ends because each round takes some of the input.
         while let Some(at) = self.dirty.pop() {
@@ -438,10 +439,10 @@
     }
 
     /// Registers for what is of use now.
-    fn rest(&mut self, io: &Io, at: usize) {
+    fn rest(&mut self, io: &Reactor, at: usize) {
         let Some(conn) = self.conns.get_mut(at) else { return };
         let (read, write) = (conn.reads(io.now), conn.watched.socket.pending() > 0);
-        conn.watched.want(io, read, write);
+        conn.watched.set_interest(io, read, write);
     }
 
     pub fn due(&self) -> f64 {
@@ -449,7 +450,7 @@
     }
 
     /// Ages, and pauses that are over.
-    pub fn tick(&mut self, io: &mut Io, site: &Site, told: &mut Vec<Told>) {
+    pub fn tick(&mut self, io: &mut Reactor, site: &Site, told: &mut Vec<Told>) {
         if io.now < self.swept + SWEEP {
             return;
         }
@@ -470,7 +471,7 @@
 
     /// The last call: who waits at the door is let in, as far as the system's queue goes, and the door is closed. Each
     /// connection is looked at in the next flush, which ends those that owe nothing.
-    pub fn last_call(&mut self, io: &mut Io, site: &Site, told: &mut Vec<Told>) {
+    pub fn last_call(&mut self, io: &mut Reactor, site: &Site, told: &mut Vec<Told>) {
         let rounds = if rule_disabled("drain-accept-queue") { 0 } else { QUEUE.div_ceil(ACCEPTS) };
         for _ in 0..rounds {
             if self.let_in(io, site, ACCEPTS, told) {
@@ -509,7 +510,7 @@
 
 fn mark(dirty: &mut Vec<usize>, conn: &mut Conn) {
     if !std::mem::replace(&mut conn.dirty, true) {
-        dirty.push(conn.watched.token.at);
+        dirty.push(conn.watched.token.index);
     }
 }
 
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -6,8 +6,8 @@
     r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
 
 /// A room with one client that has asked, and the place of its request.
-fn asked(most: usize) -> (Io, Site, Clients, Place, TcpStream) {
-    let (mut io, site) = (Io::new().unwrap(), doorcourse_deployment::parse(SETTINGS).unwrap());
+fn asked(most: usize) -> (Reactor, Site, Clients, Place, TcpStream) {
+    let (mut io, site) = (Reactor::new().unwrap(), doorcourse_deployment::parse(SETTINGS).unwrap());
     let listener = doorcourse_event_loop::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let words = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
@@ -25,7 +25,7 @@
     (io, site, clients, place, client)
 }
 
-fn answer_of(mut clients: Clients, mut io: Io, site: &Site, mut client: TcpStream) -> String {
+fn answer_of(mut clients: Clients, mut io: Reactor, site: &Site, mut client: TcpStream) -> String {
     clients.flush(&mut io, site, &GracefulShutdown::default(), &mut Vec::new());
     drop(clients);
     let mut text = String::new();
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -1,39 +1,44 @@
-//! The platform's file: who the gateway is, where the others are, its limits, and the settings object.
+//! Reads the configuration file: the gateway's name and addresses, the machine's limits and the settings.
 
-use crate::endpoints::Members;
+use crate::endpoints::EndpointList;
 use anyhow::Context;
 use doorcourse_deployment::Site;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the machine allows.
+/// Memory where the file states none, in MiB.
+const DEFAULT_MEMORY_MIB: u64 = 128;
+/// Descriptors where the file states none.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+
+/// What the machine allows the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct MachineLimits {
     /// Memory in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// File descriptors.
-    pub sockets: usize,
+    pub descriptors: usize,
 }
 
-/// The file as it was read.
+/// The configuration file as it was read.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The gateway's name, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery's agent is.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where the counter is.
+    /// The address of the shared counter; `None` for a deployment without one.
     pub counter: Option<SocketAddr>,
-    /// The seed of the decisions, new with each start.
+    /// The seed of the decisions' random generator, new with each start.
     pub seed: u64,
     /// What the machine allows.
-    pub limits: Limits,
-    /// The list of backends as this gateway last had it.
-    pub known: Option<Members>,
-    /// The settings object.
+    pub limits: MachineLimits,
+    /// The endpoint list that this gateway had last.
+    pub known_endpoints: Option<EndpointList>,
+    /// The settings of the deployment.
     pub site: Site,
 }
 
@@ -48,48 +53,57 @@
         Self::read(&text).map_err(|fault| anyhow::anyhow!("{shown}: {fault}"))
     }
 
-    /// Reads the file's text.
+    /// Reads the text of the file.
     ///
     /// # Errors
     /// A line that names the field at fault.
     pub fn read(text: &[u8]) -> Result<Self, String> {
         let root: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let text = |key: &str| match root.get(key) {
-            Some(Value::String(text)) => Ok(text.as_str()),
-            Some(_) => Err(format!("{key}: not a text")),
-            None => Err(format!("{key}: missing")),
-        };
-        let address = |key: &str| {
-            let text = text(key)?;
-            text.parse::<SocketAddr>().map_err(|_| format!("{key}: not an address with a port: {text}"))
-        };
-        let seed = text("seed")?;
+        let seed = string(&root, "seed")?;
         let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: not 16 hex digits: {seed}"))?;
-        let limit = |key: &str, missing: u64| match root.get("limits").and_then(|l| l.get(key)) {
-            None => Ok(missing),
-            Some(v) => {
-                v.as_f64().filter(|n| *n >= 1.0).map(|n| n as u64).ok_or(format!("limits.{key}: too small"))
-            }
+        let descriptors = limit(&root, "sockets", DEFAULT_DESCRIPTORS)?;
+        let limits = MachineLimits {
+            memory_bytes: limit(&root, "memory_mb", DEFAULT_MEMORY_MIB)? << 20,
+            descriptors: usize::try_from(descriptors).map_err(|e| format!("limits.sockets: {e}"))?,
         };
-        let limits = Limits {
-            memory: limit("memory_mb", 128)? << 20,
-            sockets: usize::try_from(limit("sockets", 1024)?).map_err(|e| format!("limits.sockets: {e}"))?,
-        };
-        let known = match root.get("known") {
+        let known_endpoints = match root.get("known") {
             None | Some(Value::Null) => None,
-            Some(known) => Some(Members::from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
+            Some(known) => Some(EndpointList::from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
         };
         let site = doorcourse_deployment::read(root.get("settings").ok_or("settings: missing")?)?;
-        let counter = if site.settings.has_counter { Some(address("counter")?) } else { None };
+        let counter = if site.settings.has_counter { Some(address(&root, "counter")?) } else { None };
         Ok(Self {
-            name: text("name")?.to_owned(),
-            listen: address("listen")?,
-            discovery: address("discovery")?,
+            name: string(&root, "name")?.to_owned(),
+            listen: address(&root, "listen")?,
+            discovery: address(&root, "discovery")?,
             counter,
             seed,
             limits,
-            known,
+            known_endpoints,
             site,
         })
     }
 }
+
+fn string<'a>(root: &'a Value, key: &str) -> Result<&'a str, String> {
+    match root.get(key) {
+        Some(Value::String(text)) => Ok(text),
+        Some(_) => Err(format!("{key}: not a text")),
+        None => Err(format!("{key}: missing")),
+    }
+}
+
+fn address(root: &Value, key: &str) -> Result<SocketAddr, String> {
+    let text = string(root, key)?;
+    text.parse().map_err(|_| format!("{key}: not an address with a port: {text}"))
+}
+
+fn limit(root: &Value, key: &str, default: u64) -> Result<u64, String> {
+    match root.get("limits").and_then(|limits| limits.get(key)) {
+        None => Ok(default),
+        Some(value) => {
+            let number = value.as_f64().filter(|number| *number >= 1.0);
+            number.map(|number| number as u64).ok_or_else(|| format!("limits.{key}: too small"))
+        }
+    }
+}
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,7 +1,7 @@
 //! The room of the counter: a few connections, calls one behind another on each. A name has one call out at a time, so
 //! whichever connection has the fewest takes the next.
 
-use crate::reactor::{Io, Kind, Token, Watched};
+use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
 use doorcourse::{CounterOutcome, Event};
 use doorcourse_counter::{CounterCall, CounterLink, HttpCodec, LinkAction, LinkSettings};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
@@ -23,7 +23,7 @@
 struct Side {
     address: SocketAddr,
     link: CounterLink<HttpCodec>,
-    socket: Option<Watched>,
+    socket: Option<RegisteredSocket>,
     connected: bool,
     /// Ends by then: its address was given up.
     until: Option<f64>,
@@ -62,7 +62,7 @@
     }
 
     /// Another address takes over as soon as it can be reached; calls out on the old one end there.
-    pub fn move_to(&mut self, io: &Io, address: Option<SocketAddr>, timeout: f64) {
+    pub fn move_to(&mut self, io: &Reactor, address: Option<SocketAddr>, timeout: f64) {
         self.timeout = timeout;
         let same = |side: &Side| side.until.is_none() && Some(side.address) == address;
         if self.sides.iter().any(|(_, side)| same(side)) {
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn call(&mut self, io: &mut Io, call: CounterCall, events: &mut Vec<Event>) {
+    pub fn call(&mut self, io: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
         let order = |side: &Side| (side.until.is_some(), side.link.in_flight());
         let ready = self.sides.iter().filter(|(_, side)| side.link.is_ready());
         let Some((at, _)) = ready.min_by_key(|(_, side)| order(side)) else {
@@ -95,7 +95,7 @@
         self.sides.iter().map(|(_, side)| side.due).fold(f64::INFINITY, f64::min)
     }
 
-    pub fn tick(&mut self, io: &mut Io, events: &mut Vec<Event>) {
+    pub fn tick(&mut self, io: &mut Reactor, events: &mut Vec<Event>) {
         for at in 0..self.sides.capacity() {
             let Some(side) = self.sides.get_mut(at).filter(|side| io.now >= side.due) else { continue };
             let mut actions = Vec::new();
@@ -111,8 +111,8 @@
         }
     }
 
-    pub fn ready(&mut self, io: &mut Io, token: Token, ready: Ready, events: &mut Vec<Event>) {
-        let Some(side) = self.sides.get_mut(token.at) else { return };
+    pub fn ready(&mut self, io: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>) {
+        let Some(side) = self.sides.get_mut(token.index) else { return };
         let Some(socket) = side.socket.as_mut().filter(|s| s.token == token) else { return };
         let (mut actions, mut lost) = (Vec::new(), None);
         if !side.connected && (ready.write || ready.broken) {
@@ -120,7 +120,7 @@
                 Ok(()) => {
                     side.connected = true;
                     side.link.connection_opened(io.now);
-                    socket.want(io, true, false);
+                    socket.set_interest(io, true, false);
                 }
                 Err(error) => lost = Some(error.to_string()),
             }
@@ -141,10 +141,10 @@
             side.link.connection_lost(io.now, &why, &mut actions);
         }
         side.due = f64::NEG_INFINITY;
-        self.carry_out(io, token.at, actions, events);
+        self.carry_out(io, token.index, actions, events);
     }
 
-    fn carry_out(&mut self, io: &mut Io, at: usize, actions: Vec<LinkAction>, events: &mut Vec<Event>) {
+    fn carry_out(&mut self, io: &mut Reactor, at: usize, actions: Vec<LinkAction>, events: &mut Vec<Event>) {
         for action in actions {
             let side = &mut self.sides[at];
             match action {
@@ -163,12 +163,12 @@
         }
     }
 
-    fn dial(&mut self, io: &mut Io, at: usize, events: &mut Vec<Event>) {
-        let token = Token { kind: Kind::Counter, serial: io.serial(), at };
+    fn dial(&mut self, io: &mut Reactor, at: usize, events: &mut Vec<Event>) {
+        let token = Token { kind: TokenKind::Counter, serial: io.next_serial(), index: at };
         let interest = Interest::BOTH;
         let side = &mut self.sides[at];
         side.connected = false;
-        match connect(side.address).and_then(|socket| Watched::new(io, socket, token, interest)) {
+        match connect(side.address).and_then(|socket| RegisteredSocket::new(io, socket, token, interest)) {
             Ok(made) => side.socket = Some(made),
             Err(error) => {
                 let mut actions = Vec::new();
@@ -180,7 +180,7 @@
     }
 
     /// Writes what the turn left to write.
-    pub fn flush(&mut self, io: &mut Io, events: &mut Vec<Event>) {
+    pub fn flush(&mut self, io: &mut Reactor, events: &mut Vec<Event>) {
         for at in 0..self.sides.capacity() {
             let Some(side) = self.sides.get_mut(at).filter(|side| side.dirty) else { continue };
             side.dirty = false;
@@ -190,7 +190,7 @@
             let flow = made.socket.flush();
             let pending = made.socket.pending();
             side.link.set_unwritten_bytes(pending);
-            made.want(io, true, pending > 0);
+            made.set_interest(io, true, pending > 0);
             if flow == Flow::Broken {
                 side.socket = None;
                 let mut actions = Vec::new();
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -4,7 +4,7 @@
 use crate::backends::Backends;
 use crate::clients::Clients;
 use crate::counter::Counter;
-use crate::reactor::Io;
+use crate::reactor::Reactor;
 use crate::requests::Exchanges;
 use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -122,8 +122,8 @@
     }
 
     pub fn tick(
-        &mut self, io: &Io, gateway: &Gateway, backends: &Backends, clients: &Clients, counter: &Counter,
-        exchanges: &Exchanges,
+        &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &Clients,
+        counter: &Counter, exchanges: &Exchanges,
     ) {
         if !self.on || io.now < self.at + EVERY {
             return;
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The room of discovery: the watch of the list of backends. What it hears is passed on as lists; whatever cannot be
 //! followed (a line that cannot be read, a version that steps back) is answered by asking for the whole list.
 
-use crate::endpoints::Members;
-use crate::reactor::{Io, Kind, Token, Watched};
+use crate::endpoints::EndpointList;
+use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
 use doorcourse_discovery::{DiscoveryWatch, WatchAction};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
@@ -15,15 +15,15 @@
 
 enum State {
     Closed,
-    Connecting { link: Watched },
-    Open { link: Watched, decoder: Decoder },
+    Connecting { link: RegisteredSocket },
+    Open { link: RegisteredSocket, decoder: Decoder },
 }
 
 pub(crate) struct Discovery {
     address: SocketAddr,
     state: State,
     /// A call that was not answered at once, and may be yet.
-    aside: Option<(Watched, Decoder)>,
+    aside: Option<(RegisteredSocket, Decoder)>,
     follow: DiscoveryWatch,
     /// A line of the watch, or a whole list, as far as it has come.
     line: Vec<u8>,
@@ -51,7 +51,7 @@
         self.follow.next_timeout()
     }
 
-    pub fn tick(&mut self, io: &mut Io) {
+    pub fn tick(&mut self, io: &mut Reactor) {
         while let Some(due) = self.follow.handle_timeout(io.now) {
             match due {
                 WatchAction::Connect => self.dial(io),
@@ -66,16 +66,16 @@
         }
     }
 
-    fn dial(&mut self, io: &mut Io) {
-        let token = Token { kind: Kind::Discovery, serial: io.serial(), at: 0 };
+    fn dial(&mut self, io: &mut Reactor) {
+        let token = Token { kind: TokenKind::Discovery, serial: io.next_serial(), index: 0 };
         let interest = Interest::BOTH;
-        match connect(self.address).and_then(|socket| Watched::new(io, socket, token, interest)) {
+        match connect(self.address).and_then(|socket| RegisteredSocket::new(io, socket, token, interest)) {
             Ok(link) => self.state = State::Connecting { link },
             Err(error) => self.lost(io, &error.to_string()),
         }
     }
 
-    fn lost(&mut self, io: &Io, why: &str) {
+    fn lost(&mut self, io: &Reactor, why: &str) {
         if self.follow.connection_lost(io.now) {
             tracing::info!(target: "doorcourse::discovery", "discovery lost: {why}");
         }
@@ -83,7 +83,7 @@
     }
 
     /// Begins a message on a fresh connection.
-    fn ask(&mut self, io: &Io, mut link: Watched) {
+    fn ask(&mut self, io: &Reactor, mut link: RegisteredSocket) {
         let from = self.follow.request_sent(io.now);
         let _ = match from {
             Some(seq) => write!(link.socket.output(), "GET /catalog/members?watch=1&from={seq} HTTP/1.1\r\n"),
@@ -99,17 +99,17 @@
             return self.lost(io, "broken while asking");
         }
         let pending = link.socket.pending() > 0;
-        link.want(io, true, pending);
+        link.set_interest(io, true, pending);
         self.state = State::Open { link, decoder };
     }
 
     /// Something is told of the call that was set aside: where it is the answer, it takes the place of the one that is out.
-    fn aside(&mut self, io: &mut Io, ready: Ready) {
+    fn aside(&mut self, io: &mut Reactor, ready: Ready) {
         let Some((mut link, decoder)) = self.aside.take() else { return };
         if ready.write {
             let _ = link.socket.flush();
             let pending = link.socket.pending() > 0;
-            link.want(io, true, pending);
+            link.set_interest(io, true, pending);
         }
         if !ready.read {
             self.aside = Some((link, decoder));
@@ -132,7 +132,7 @@
         }
     }
 
-    pub fn ready(&mut self, io: &mut Io, token: Token, ready: Ready, told: &mut Vec<Members>) {
+    pub fn ready(&mut self, io: &mut Reactor, token: Token, ready: Ready, told: &mut Vec<EndpointList>) {
         if self.aside.as_ref().is_some_and(|(link, _)| link.token == token) {
             self.aside(io, ready);
         }
@@ -146,7 +146,7 @@
                 if ready.write {
                     let _ = link.socket.flush();
                     let pending = link.socket.pending() > 0;
-                    link.want(io, true, pending);
+                    link.set_interest(io, true, pending);
                 }
                 let (_, flow) = link.socket.read();
                 let input = std::mem::take(&mut link.socket.input);
@@ -193,7 +193,10 @@
                 ended |= flow == Flow::Ended && fault.is_none() && decoder.closed(rest).unwrap_or(false);
                 if fault.is_none() && ended && !self.watching {
                     let whole = std::mem::take(&mut self.line);
-                    fault = Members::read(&whole).and_then(|list| self.take(list, told)).err();
+                    fault = EndpointList::read(&whole)
+                        .map_err(|e| e.to_string())
+                        .and_then(|list| self.take(list, told))
+                        .err();
                     if fault.is_none() && flow == Flow::Open {
                         // The list is in: the watch goes on from it, on the same connection.
                         return self.ask(io, link);
@@ -213,27 +216,27 @@
     }
 
     /// Takes the lists that are whole; a fault where one cannot be followed.
-    fn lists(&mut self, told: &mut Vec<Members>) -> Option<String> {
+    fn lists(&mut self, told: &mut Vec<EndpointList>) -> Option<String> {
         let held = std::mem::take(&mut self.line);
         let (mut from, mut fault) = (0, None);
         while fault.is_none() {
             from += held[from..].iter().take_while(|b| b.is_ascii_whitespace()).count();
-            match Members::read_first(&held[from..]) {
+            match EndpointList::read_first(&held[from..]) {
                 Ok(None) => break,
                 Ok(Some((list, took))) => {
                     from += took;
                     fault = self.take(list, told).err();
                 }
-                Err(why) => fault = Some(why),
+                Err(why) => fault = Some(why.to_string()),
             }
         }
         self.line = held[from..].to_vec();
         fault
     }
 
-    fn take(&mut self, list: Members, told: &mut Vec<Members>) -> Result<(), String> {
-        if self.follow.apply_version(list.seq, list.whole)? {
-            tracing::info!(target: "doorcourse::discovery", version = list.seq, "discovery up");
+    fn take(&mut self, list: EndpointList, told: &mut Vec<EndpointList>) -> Result<(), String> {
+        if self.follow.apply_version(list.version, list.complete)? {
+            tracing::info!(target: "doorcourse::discovery", version = list.version, "discovery up");
         }
         told.push(list);
         Ok(())
--- a/crates/resp-gateway/src/endpoints.rs
+++ b/crates/resp-gateway/src/endpoints.rs
@@ -1,105 +1,152 @@
-//! Discovery's lists of backends, whole or changes, as JSON objects.
+//! Reads the endpoint lists of the discovery service, complete lists and changes, from JSON.
 
-use doorcourse::{BackendEntry, BackendState, Name, Placement};
+use doorcourse::{BackendEntry, BackendState, Millis, Name, Placement};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-#[derive(Deserialize)]
-struct Wire {
-    seq: u64,
-    whole: bool,
-    hosts: Vec<Host>,
-}
-
-#[derive(Deserialize)]
-struct Host {
-    host: String,
-    dial: String,
-    #[serde(default)]
-    site: String,
-    #[serde(default)]
-    block: u64,
-    health: String,
-    #[serde(default)]
-    born_ms: f64,
-}
-
-/// One backend: what the decisions hear, and where it listens.
+/// One backend of a list.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// What the decisions hear.
+pub struct Endpoint {
+    /// What the decisions receive.
     pub entry: BackendEntry,
-    /// Its address for this gateway; one that has left needs none.
-    pub dial: Option<SocketAddr>,
+    /// The address to connect to; a removed backend may have none.
+    pub address: Option<SocketAddr>,
 }
 
-/// One list.
+/// A complete list of endpoints, or the changes to one.
 #[derive(Clone, Debug)]
-pub struct Members {
-    /// Its version.
-    pub seq: u64,
-    /// Whether what it lacks is gone.
-    pub whole: bool,
+pub struct EndpointList {
+    /// The version of the list.
+    pub version: u64,
+    /// Whether backends that it lacks are removed; otherwise it holds changes.
+    pub complete: bool,
     /// The backends.
-    pub members: Vec<Member>,
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// Why an endpoint list cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointListError {
+    /// Not the JSON of a list.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A backend's state is unknown.
+    #[error("hosts: {host}: unknown health {health:?}")]
+    UnknownHealth {
+        /// The backend.
+        host: String,
+        /// Its state as the list names it.
+        health: String,
+    },
+    /// A backend that is not removed has no usable address.
+    #[error("hosts: {host}: dial is no address: {dial:?}")]
+    InvalidAddress {
+        /// The backend.
+        host: String,
+        /// Its address as the list names it.
+        dial: String,
+    },
 }
 
-impl Members {
+impl EndpointList {
     /// Reads a list from its bytes.
     ///
     /// # Errors
-    /// A line that names the fault.
-    pub fn read(bytes: &[u8]) -> Result<Self, String> {
-        serde_json::from_slice(bytes).map_err(|e| e.to_string()).and_then(Self::of)
+    /// When the bytes are not a list that can be used.
+    pub fn read(bytes: &[u8]) -> Result<Self, EndpointListError> {
+        Self::try_from(serde_json::from_slice::<WireList>(bytes)?)
     }
 
-    /// Reads the first of the lists that a watch says one after another, with the bytes that it took; `None` where it has
-    /// not come whole. A list may run over several lines, none of them empty: an empty line within says that the rest of
-    /// it will not come.
+    /// Reads the first of the lists that a watch sends one after another, with the number of its bytes; `None` where it
+    /// has not been received completely. A list may run over several lines, none of them empty: an empty line within a
+    /// list shows that its rest will not be sent.
     ///
     /// # Errors
-    /// A line that names the fault.
-    pub fn read_first(bytes: &[u8]) -> Result<Option<(Self, usize)>, String> {
-        let mut lists = serde_json::Deserializer::from_slice(bytes).into_iter::<Wire>();
+    /// When the bytes cannot become a list that can be used.
+    pub fn read_first(bytes: &[u8]) -> Result<Option<(Self, usize)>, EndpointListError> {
+        let mut lists = serde_json::Deserializer::from_slice(bytes).into_iter::<WireList>();
         match lists.next() {
             None => Ok(None),
-            Some(Ok(wire)) => Self::of(wire).map(|list| Some((list, lists.byte_offset()))),
-            Some(Err(e)) if e.is_eof() && !bytes.windows(2).any(|pair| pair == b"\n\n") => Ok(None),
-            Some(Err(e)) => Err(e.to_string()),
+            Some(Ok(list)) => Self::try_from(list).map(|list| Some((list, lists.byte_offset()))),
+            Some(Err(error)) if error.is_eof() && !has_empty_line(bytes) => Ok(None),
+            Some(Err(error)) => Err(error.into()),
         }
     }
 
     /// Reads a list from a JSON value.
     ///
     /// # Errors
-    /// A line that names the fault.
-    pub fn from_value(value: serde_json::Value) -> Result<Self, String> {
-        serde_json::from_value(value).map_err(|e| e.to_string()).and_then(Self::of)
+    /// When the value is not a list that can be used.
+    pub fn from_value(value: serde_json::Value) -> Result<Self, EndpointListError> {
+        Self::try_from(serde_json::from_value::<WireList>(value)?)
     }
+}
+
+fn has_empty_line(bytes: &[u8]) -> bool {
+    bytes.windows(2).any(|pair| pair == b"\n\n")
+}
+
+/// A list as discovery writes it.
+#[derive(Deserialize)]
+struct WireList {
+    seq: u64,
+    whole: bool,
+    hosts: Vec<WireHost>,
+}
+
+/// A backend as discovery writes it.
+#[derive(Deserialize)]
+struct WireHost {
+    host: String,
+    dial: String,
+    #[serde(default)]
+    site: String,
+    #[serde(default)]
+    block: u64,
+    health: String,
+    /// Start of the backend in ms since the Unix epoch; 0 where it is unknown.
+    #[serde(default)]
+    born_ms: Millis,
+}
+
+impl TryFrom<WireList> for EndpointList {
+    type Error = EndpointListError;
 
-    fn of(wire: Wire) -> Result<Self, String> {
-        let members = wire.hosts.into_iter().map(member).collect::<Result<_, _>>()?;
-        Ok(Self { seq: wire.seq, whole: wire.whole, members })
+    fn try_from(list: WireList) -> Result<Self, EndpointListError> {
+        let endpoints = list.hosts.into_iter().map(Endpoint::try_from).collect::<Result<_, _>>()?;
+        Ok(Self { version: list.seq, complete: list.whole, endpoints })
     }
 }
 
-fn member(host: Host) -> Result<Member, String> {
-    let state = match host.health.as_str() {
-        "active" => BackendState::Ready,
-        "leaving" => BackendState::Draining,
-        "left" => BackendState::Removed,
-        other => return Err(format!("hosts: {}: unknown health {other:?}", host.host)),
-    };
-    let dial = match host.dial.parse() {
-        Ok(dial) => Some(dial),
-        Err(_) if state == BackendState::Removed => None,
-        Err(_) => return Err(format!("hosts: {}: dial is no address: {:?}", host.host, host.dial)),
-    };
-    let started = Some(host.born_ms).filter(|at| at.is_finite() && *at > 0.0);
-    let (name, zone) = (Name::from(host.host), Name::from(host.site));
-    let entry =
-        BackendEntry { name, zone, cell: host.block, state, started, placement: Placement::default() };
-    Ok(Member { entry, dial })
+impl TryFrom<WireHost> for Endpoint {
+    type Error = EndpointListError;
+
+    fn try_from(host: WireHost) -> Result<Self, EndpointListError> {
+        let state = match host.health.as_str() {
+            "active" => BackendState::Ready,
+            "leaving" => BackendState::Draining,
+            "left" => BackendState::Removed,
+            _ => {
+                return Err(EndpointListError::UnknownHealth { host: host.host, health: host.health });
+            }
+        };
+        let address = match host.dial.parse() {
+            Ok(address) => Some(address),
+            Err(_) if state == BackendState::Removed => None,
+            Err(_) => {
+                return Err(EndpointListError::InvalidAddress { host: host.host, dial: host.dial });
+            }
+        };
+        let entry = BackendEntry {
+            name: Name::from(host.host),
+            zone: Name::from(host.site),
+            cell: host.block,
+            state,
+            started: Some(host.born_ms).filter(|started| started.is_finite() && *started > 0.0),
+            placement: Placement::default(),
+        };
+        Ok(Self { entry, address })
+    }
 }
 
 #[cfg(test)]
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -7,8 +7,8 @@
 use crate::counter::Counter;
 use crate::diagnostics::Watch;
 use crate::discovery::Discovery;
-use crate::endpoints::Members;
-use crate::reactor::{Alarm, Io, Kind, Token};
+use crate::endpoints::EndpointList;
+use crate::reactor::{Reactor, Timer, Token, TokenKind};
 use crate::requests::{Begun, Do, Exchanges};
 use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::DescriptorBudget;
@@ -30,7 +30,7 @@
 
 /// A running gateway.
 pub struct Platform {
-    io: Io,
+    io: Reactor,
     path: PathBuf,
     site: Site,
     gateway: Gateway,
@@ -105,26 +105,27 @@
     /// # Errors
     /// When the settings cannot be used or the address cannot be had.
     pub fn new(path: PathBuf, config: Config) -> anyhow::Result<Self> {
-        let mut io = Io::new()?;
-        let Config { listen: address, discovery, counter, seed, limits, known, site, name } = config;
+        let mut io = Reactor::new()?;
+        let Config { listen: address, discovery, counter, seed, limits, known_endpoints: known, site, name } =
+            config;
         let gateway = Gateway::new(site.settings.clone(), seed)?;
         let listener = listen(address).map_err(|e| anyhow::anyhow!("cannot listen on {address}: {e}"))?;
         let address = listener.local_addr()?;
         // The file may promise more than the system allows.
-        let shares = DescriptorBudget::for_limit(limits.sockets.min(most_descriptors()));
+        let shares = DescriptorBudget::for_limit(limits.descriptors.min(most_descriptors()));
         let clients = Clients::new(&mut io, listener, shares.clients)?;
         let host = &site.host;
         tracing::debug!(settings = ?site.settings, ?host, "settings");
         let backends = Backends::new(shares.backends, host.dial_timeout, host.keepalive);
         let counter = Counter::new(counter, site.settings.counter_timeout);
-        let discovery = Discovery::new(discovery, known.as_ref().map(|k| k.seq), host.drain_grace);
+        let discovery = Discovery::new(discovery, known.as_ref().map(|k| k.version), host.drain_grace);
         let (wake, signal) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
-        let token = Token { kind: Kind::Signal, serial: io.serial(), at: 0 };
+        let token = Token { kind: TokenKind::Signal, serial: io.next_serial(), index: 0 };
         io.poller.add(&signal, token.pack(), Interest::READ)?;
         let (start, watch) = (Readiness::new(io.now), Watch::new(io.now));
-        tracing::info!(%name, %address, ?shares, known = known.as_ref().map(|k| k.members.len()),
+        tracing::info!(%name, %address, ?shares, known = known.as_ref().map(|k| k.endpoints.len()),
             keepalive = host.keepalive, dial_timeout = host.dial_timeout, "started");
         let mut new = Self {
             io,
@@ -153,7 +154,7 @@
             doing: Vec::new(),
         };
         if let Some(mut known) = known {
-            known.whole = true;
+            known.complete = true;
             new.take_list(known);
             new.settle();
         }
@@ -172,7 +173,8 @@
     /// When the system refuses.
     pub fn heed(&mut self, signals: Signals) -> std::io::Result<()> {
         for (ours, byte) in signals.0 {
-            let token = Token { kind: Kind::Signal, serial: self.io.serial(), at: self.signals.len() };
+            let token =
+                Token { kind: TokenKind::Signal, serial: self.io.next_serial(), index: self.signals.len() };
             self.io.poller.add(&ours, token.pack(), Interest::READ)?;
             self.signals.push((ours, Some(byte)));
         }
@@ -222,11 +224,11 @@
 
     fn turn(&mut self, ready: &mut [Ready]) {
         // Clients that have gone come before all that could begin an attempt for them.
-        let client = |r: &Ready| r.token >> 56 == Kind::Client as u64;
+        let client = |r: &Ready| r.token >> 56 == TokenKind::Client as u64;
         ready.sort_unstable_by_key(|r| (!(r.ended && client(r)), r.token));
         let gone = ready.iter().take_while(|r| r.ended && client(r)).count();
         let (gone, ready) = ready.split_at(gone);
-        let inside = ready.iter().take_while(|r| r.token >> 56 < Kind::Listener as u64).count();
+        let inside = ready.iter().take_while(|r| r.token >> 56 < TokenKind::Listener as u64).count();
         let (inside, clients) = ready.split_at(inside);
         for ready in gone.iter().chain(inside) {
             self.one(*ready);
@@ -261,8 +263,8 @@
     fn one(&mut self, ready: Ready) {
         let Some(token) = Token::unpack(ready.token) else { return };
         match token.kind {
-            Kind::Signal => self.signalled(token.at),
-            Kind::Discovery => {
+            TokenKind::Signal => self.signalled(token.index),
+            TokenKind::Discovery => {
                 let mut lists = Vec::new();
                 self.discovery.ready(&mut self.io, token, ready, &mut lists);
                 if !lists.is_empty() {
@@ -270,10 +272,10 @@
                 }
                 lists.into_iter().for_each(|list| self.take_list(list));
             }
-            Kind::Counter => self.counter.ready(&mut self.io, token, ready, &mut self.counted),
-            Kind::Backend => self.backends.ready(&mut self.io, token, ready, &mut self.said),
-            Kind::Listener => self.clients.accept(&mut self.io, &self.site, &mut self.told),
-            Kind::Client => self.clients.ready(&mut self.io, &self.site, token, ready, &mut self.told),
+            TokenKind::Counter => self.counter.ready(&mut self.io, token, ready, &mut self.counted),
+            TokenKind::Backend => self.backends.ready(&mut self.io, token, ready, &mut self.said),
+            TokenKind::Listener => self.clients.accept(&mut self.io, &self.site, &mut self.told),
+            TokenKind::Client => self.clients.ready(&mut self.io, &self.site, token, ready, &mut self.told),
         }
         self.settle();
     }
@@ -285,19 +287,19 @@
         self.settle();
         while let Some(alarm) = self.io.timers.due(self.io.now) {
             match alarm {
-                Alarm::Decision(token) => self.events.push_back(Event::TimerExpired { token }),
-                Alarm::TimeUp(id) => self.input(id, LifecycleEvent::DeadlineExpired),
-                Alarm::Probe(id) => {
+                Timer::Decision { token } => self.events.push_back(Event::TimerExpired { token }),
+                Timer::RequestDeadline { request: id } => self.input(id, LifecycleEvent::DeadlineExpired),
+                Timer::HealthCheckTimeout { check: id } => {
                     self.backends.abandon(id);
                     self.probed(id, AttemptOutcome::TimedOut, None);
                 }
-                Alarm::Dial(id, attempt) => {
+                Timer::ConnectTimeout { request: id, attempt } => {
                     if self.exchanges.is_out(id, attempt) && self.backends.dial_is_due(id) {
                         self.backends.abandon(id);
                         self.said.push((id, Heard::Lost));
                     }
                 }
-                Alarm::Window(id, attempt) => {
+                Timer::WriteDeadline { request: id, attempt } => {
                     if self.exchanges.is_out(id, attempt) {
                         self.input(id, LifecycleEvent::Withdrawn);
                     }
@@ -412,10 +414,10 @@
                 let given = match self.exchanges.begin(self.io.now, &self.site, &self.leave, place, *ask) {
                     Begun::Taken { id, until, event } => {
                         self.clients.begun(place, id);
-                        self.io.timers.set(until, Alarm::TimeUp(id));
+                        self.io.timers.set(until, Timer::RequestDeadline { request: id });
                         return self.events.push_back(event);
                     }
-                    Begun::Twice => Given::Wrong(crate::request::Wrong::Open),
+                    Begun::Twice => Given::Wrong(crate::request::RequestError::DuplicateId),
                     Begun::NoTime => Given::Failed("no time is left"),
                     // Another gateway takes it at once: there is nothing to wait for.
                     Begun::Leaving => Given::Busy(None),
@@ -431,16 +433,21 @@
             Action::SendAttempt { id, backend, timeout, must_be_written_within: window } => {
                 let Some(out) = self.exchanges.send(self.io.now, id, &backend) else { return };
                 if let Some(timeout) = timeout {
-                    self.io.timers.set(self.io.now + timeout, Alarm::TimeUp(id));
+                    self.io.timers.set(self.io.now + timeout, Timer::RequestDeadline { request: id });
                 }
                 let (limit, until) = (self.site.host.dial_timeout, out.until);
                 let dial = connect_timeout(limit, until - out.began, self.io.now - out.began);
                 self.backends.send(&mut self.io, id, &backend, out.passed, until, &mut self.said);
                 if self.backends.dial_is_due(id) && limit > 0.0 {
-                    self.io.timers.set(self.io.now + dial, Alarm::Dial(id, out.attempt));
+                    self.io
+                        .timers
+                        .set(self.io.now + dial, Timer::ConnectTimeout { request: id, attempt: out.attempt });
                 }
                 if let Some(window) = window {
-                    self.io.timers.set(self.io.now + window, Alarm::Window(id, out.attempt));
+                    self.io.timers.set(
+                        self.io.now + window,
+                        Timer::WriteDeadline { request: id, attempt: out.attempt },
+                    );
                 }
             }
             Action::Reject { id, retry_after, reason: why } => {
@@ -449,13 +456,13 @@
             Action::Fail { id } => self.input(id, LifecycleEvent::Failed),
             Action::CancelAttempt { id, .. } => self.input(id, LifecycleEvent::Cancelled),
             Action::SetTimer { after, token } => {
-                self.io.timers.set(self.io.now + after, Alarm::Decision(token));
+                self.io.timers.set(self.io.now + after, Timer::Decision { token });
             }
             Action::CheckHealth { backend } => {
                 let id = self.backends.probe(&mut self.io, &backend, &mut self.said);
                 self.probes.insert(id, (backend, self.io.now));
                 let wait = self.site.host.dial_timeout.max(self.site.settings.tick);
-                self.io.timers.set(self.io.now + wait, Alarm::Probe(id));
+                self.io.timers.set(self.io.now + wait, Timer::HealthCheckTimeout { check: id });
             }
             Action::AddToCounter { counter, amount, time_to_live } => {
                 self.counter.call(
@@ -470,9 +477,9 @@
         }
     }
 
-    fn take_list(&mut self, list: Members) {
-        let entries = list.members.iter().map(|m| m.entry.clone()).collect();
-        self.events.push_back(if list.whole {
+    fn take_list(&mut self, list: EndpointList) {
+        let entries = list.endpoints.iter().map(|m| m.entry.clone()).collect();
+        self.events.push_back(if list.complete {
             Event::BackendList(entries)
         } else {
             Event::BackendChanges(entries)
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -19,5 +19,5 @@
 pub mod request;
 mod requests;
 
-pub use config::{Config, Limits};
+pub use config::{Config, MachineLimits};
 pub use gateway::{Platform, Signals, Stopper};
--- a/crates/resp-gateway/src/reactor.rs
+++ b/crates/resp-gateway/src/reactor.rs
@@ -1,10 +1,12 @@
-//! What the rooms need of the loop: the poller, the time of this turn, and the names of descriptors.
+//! What every component needs of the event loop: the poller, the time of the iteration, timers and descriptor tokens.
 
+use doorcourse::{Millis, RequestId};
 use doorcourse_event_loop::{Clock, Interest, Poller, Socket, Timers};
 
-/// Whose a descriptor is. The order is that of a turn: what was told is taken in before anything new is begun.
+/// Which component owns a descriptor. The order is the order of an iteration: what was received is processed before
+/// anything new begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Kind {
+pub(crate) enum TokenKind {
     Signal,
     Discovery,
     Counter,
@@ -13,89 +15,109 @@
     Client,
 }
 
-const KINDS: [Kind; 6] =
-    [Kind::Signal, Kind::Discovery, Kind::Counter, Kind::Backend, Kind::Listener, Kind::Client];
+const TOKEN_KINDS: [TokenKind; 6] = [
+    TokenKind::Signal,
+    TokenKind::Discovery,
+    TokenKind::Counter,
+    TokenKind::Backend,
+    TokenKind::Listener,
+    TokenKind::Client,
+];
 
-/// A descriptor's name: whose it is, its place there, and a serial number, so that what is told of a descriptor that
-/// was closed is not taken for one that has its place now.
+/// Serial numbers fit into the 24 bits of a packed token.
+const SERIALS: u32 = 1 << 24;
+
+/// Identifies a descriptor in the poller. The serial number keeps an event of a closed descriptor apart from the
+/// descriptor that has its index now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Token {
-    pub kind: Kind,
+    pub kind: TokenKind,
     pub serial: u32,
-    pub at: usize,
+    /// Index in the table of the component that owns the descriptor.
+    pub index: usize,
 }
 
-const SERIALS: u32 = 1 << 24;
-
 impl Token {
+    /// Packs the token: kind in bits 56 to 63, serial in 32 to 55, index in 0 to 31.
     pub fn pack(self) -> u64 {
         let serial = u64::from(self.serial % SERIALS);
-        (self.kind as u64) << 56 | serial << 32 | (self.at as u64 & 0xffff_ffff)
+        (self.kind as u64) << 56 | serial << 32 | (self.index as u64 & 0xffff_ffff)
     }
 
     pub fn unpack(token: u64) -> Option<Self> {
-        let kind = *KINDS.get((token >> 56) as usize)?;
-        Some(Self { kind, serial: (token >> 32) as u32 % SERIALS, at: (token & 0xffff_ffff) as usize })
+        Some(Self {
+            kind: Self::kind_of(token)?,
+            serial: (token >> 32) as u32 % SERIALS,
+            index: (token & 0xffff_ffff) as usize,
+        })
+    }
+
+    /// The kind of a packed token.
+    pub fn kind_of(token: u64) -> Option<TokenKind> {
+        TOKEN_KINDS.get((token >> 56) as usize).copied()
     }
 }
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Alarm {
+pub(crate) enum Timer {
     /// The decisions asked for it.
-    Decision(u64),
-    /// A request's time is up.
-    TimeUp(u64),
-    /// An attempt's connection should be up: the request and the number of its attempt.
-    Dial(u64, u32),
-    /// The time is over in which an attempt is dropped as a repeat: it must not be written any more.
-    Window(u64, u32),
-    /// A probe should be answered.
-    Probe(u64),
+    Decision { token: u64 },
+    /// The request's deadline.
+    RequestDeadline { request: RequestId },
+    /// The attempt's connection has to be made by then.
+    ConnectTimeout { request: RequestId, attempt: u32 },
+    /// The attempt must not be written after this: the idempotency window in which backends drop it as a duplicate ends.
+    WriteDeadline { request: RequestId, attempt: u32 },
+    /// The reply to a health check is due.
+    HealthCheckTimeout { check: RequestId },
 }
 
-pub(crate) struct Io {
+/// The poller, the clock, the timers and the serial numbers of descriptors.
+pub(crate) struct Reactor {
     pub poller: Poller,
     pub clock: Clock,
-    /// The time of this turn, read once.
-    pub now: f64,
-    pub timers: Timers<Alarm>,
-    serial: u32,
+    /// The time of this iteration, read once.
+    pub now: Millis,
+    pub timers: Timers<Timer>,
+    last_serial: u32,
 }
 
-impl Io {
+impl Reactor {
     pub fn new() -> std::io::Result<Self> {
         let clock = Clock::default();
-        let (poller, now) = (Poller::new()?, clock.now());
-        Ok(Self { poller, clock, now, timers: Timers::default(), serial: 0 })
+        let poller = Poller::new()?;
+        let now = clock.now();
+        Ok(Self { poller, clock, now, timers: Timers::default(), last_serial: 0 })
     }
 
-    pub fn serial(&mut self) -> u32 {
-        self.serial = (self.serial + 1) % SERIALS;
-        self.serial
+    /// The serial number of a descriptor that is about to be registered.
+    pub fn next_serial(&mut self) -> u32 {
+        self.last_serial = (self.last_serial + 1) % SERIALS;
+        self.last_serial
     }
 }
 
-/// A socket in the poller, with what it is registered for.
-pub(crate) struct Watched {
+/// A socket that is registered with the poller.
+pub(crate) struct RegisteredSocket {
     pub socket: Socket,
     pub token: Token,
     interest: Interest,
 }
 
-impl Watched {
-    pub fn new(io: &Io, socket: Socket, token: Token, interest: Interest) -> std::io::Result<Self> {
-        io.poller.add(&socket, token.pack(), interest)?;
+impl RegisteredSocket {
+    pub fn new(reactor: &Reactor, socket: Socket, token: Token, interest: Interest) -> std::io::Result<Self> {
+        reactor.poller.add(&socket, token.pack(), interest)?;
         Ok(Self { socket, token, interest })
     }
 
-    /// Changes the registration where it differs.
-    pub fn want(&mut self, io: &Io, read: bool, write: bool) {
+    /// Changes which readiness is reported, where it differs from the registration.
+    pub fn set_interest(&mut self, reactor: &Reactor, read: bool, write: bool) {
         let interest = Interest { read, write, ..self.interest };
         if interest != self.interest {
             self.interest = interest;
-            // It fails only for descriptors that are gone, which nothing is told of any more.
-            let _ = io.poller.change(&self.socket, self.token.pack(), interest);
+            // This fails only for a descriptor that is closed, and a closed one reports nothing.
+            let _ = reactor.poller.change(&self.socket, self.token.pack(), interest);
         }
     }
 }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -1,32 +1,36 @@
-//! What a client asks: a command's words checked against the settings and the protocol, and the same command as it goes
-//! to a backend.
+//! Parses a client's command and checks it against the protocol and the settings, without I/O.
 
-use doorcourse::{Idempotency, Millis, Name};
+mod fields;
+mod forwarded;
+
+pub use forwarded::ForwardedCommand;
+
+use doorcourse::{Idempotency, Millis, Name, Settings};
 use doorcourse_deployment::Site;
-use std::io::Write;
+use fields::RequestFields;
 use std::ops::Range;
 
-/// Whatever customer numbers may not reach.
-const CUSTOMERS: u64 = 1 << 33;
-/// The longest key in bytes.
-const KEY: usize = 64;
+/// Customer numbers are below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// The longest idempotency key in bytes.
+const MAX_KEY_BYTES: usize = 64;
 
-/// A command whose framing is good and whose content is not: answered with an error, and the connection goes on.
+/// Why a command with good framing is rejected with an error; the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum RequestError {
     /// No such command.
     #[error("unknown command")]
-    Command,
-    /// Too few or too many words.
+    UnknownCommand,
+    /// Too few or too many arguments.
     #[error("wrong number of arguments")]
-    Words,
+    ArgumentCount,
     /// The customer is not 16 hex digits of a number below 2^33.
     #[error("invalid customer")]
     Customer,
-    /// The id is not 16 hex digits.
+    /// The request id is not 16 hex digits.
     #[error("invalid request id")]
-    Id,
-    /// The list of names and values cannot be read.
+    RequestId,
+    /// The list of fields cannot be parsed.
     #[error("invalid list of fields")]
     Fields,
     /// No such class, or the class belongs to the other command.
@@ -38,216 +42,158 @@
     /// The units are missing or out of range.
     #[error("invalid units")]
     Units,
-    /// The customer's set is missing or out of range.
+    /// The customer's set of gateways is missing or out of range.
     #[error("invalid set of gateways")]
-    Set,
-    /// The time for the answer is missing or not a number of milliseconds.
+    GatewaySet,
+    /// The deadline is missing or not a positive number of ms.
     #[error("invalid deadline")]
     Deadline,
-    /// A keyed class without a key, or a key elsewhere.
+    /// The class needs an idempotency key and has none, or the reverse.
     #[error("invalid key")]
-    Key,
+    IdempotencyKey,
     /// A request with this id is open.
     #[error("a request with this id is open")]
-    Open,
-}
-
-/// A request as it goes to a backend: all as it came, but for the time, which is what is left.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Passed {
-    head: Box<[u8]>,
-    before: Box<str>,
-    after: Box<str>,
-    body: Option<Box<[u8]>>,
-}
-
-impl Passed {
-    /// Appends the command with the time that is left for its answer.
-    pub fn encode(&self, left: Millis, out: &mut Vec<u8>) {
-        let mut digits = [0; 12];
-        let mut room = &mut digits[..];
-        let _ = write!(room, "{}", left.clamp(1.0, 1e9) as u64);
-        let unused = room.len();
-        let digits = &digits[..12 - unused];
-        let words = 4 + usize::from(self.body.is_some());
-        let list = self.before.len() + digits.len() + self.after.len();
-        let _ = write!(out, "*{words}\r\n");
-        out.extend_from_slice(&self.head);
-        let _ = write!(out, "${list}\r\n{}", self.before);
-        out.extend_from_slice(digits);
-        let _ = write!(out, "{}\r\n", self.after);
-        if let Some(body) = &self.body {
-            let _ = write!(out, "${}\r\n", body.len());
-            out.extend_from_slice(body);
-            out.extend_from_slice(b"\r\n");
-        }
-    }
+    DuplicateId,
 }
 
-/// A request.
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
-    /// The id that its client gave it.
+pub struct Request {
+    /// The id that the client gave it.
     pub id: u64,
-    /// Whose it is.
+    /// The customer.
     pub customer: Name,
-    /// Where its class stands among the settings'.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Where its plan stands among the settings'.
+    /// Index of the plan in the settings.
     pub plan: usize,
-    /// The units it draws.
+    /// The units that it uses.
     pub units: f64,
-    /// The customer's set of gateways.
-    pub spread: u32,
-    /// The first of them.
-    pub first: u32,
-    /// For how long its client waits.
-    pub deadline: Millis,
-    /// Whether its client marks it as a retry.
-    pub repeat: bool,
-    /// The command for backends.
-    pub passed: Passed,
+    /// How many gateways serve the customer.
+    pub gateway_count: u32,
+    /// Index of the first of them.
+    pub first_gateway: u32,
+    /// How long the client waits, in ms.
+    pub timeout: Millis,
+    /// Whether the client marks it as a retry.
+    pub client_retry: bool,
+    /// The command to send to backends.
+    pub forwarded: ForwardedCommand,
 }
 
-/// What a command is.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum ClientCommand {
     /// `PING`
     Ping,
-    /// `Q.ASK` and `Q.DO`
-    Request(Box<Ask>),
+    /// `Q.ASK` or `Q.DO`
+    Request(Box<Request>),
 }
 
-/// Reads a command.
+/// Parses a command whose arguments are at these ranges of `input`; the first argument is the command's name.
 ///
 /// # Errors
-/// When it is none that can be taken.
-pub fn read(site: &Site, input: &[u8], words: &[Range<usize>]) -> Result<Said, Wrong> {
-    let word = |at: usize| &input[words[at].clone()];
-    let command = word(0);
+/// When the command cannot be accepted.
+pub fn parse(site: &Site, input: &[u8], arguments: &[Range<usize>]) -> Result<ClientCommand, RequestError> {
+    let argument = |index: usize| &input[arguments[index].clone()];
+    let command = argument(0);
     if command.eq_ignore_ascii_case(b"PING") {
-        return if words.len() == 1 { Ok(Said::Ping) } else { Err(Wrong::Words) };
+        return if arguments.len() == 1 { Ok(ClientCommand::Ping) } else { Err(RequestError::ArgumentCount) };
     }
-    let safe = match command {
+    let is_idempotent_command = match command {
         b"Q.ASK" => true,
         b"Q.DO" => false,
-        _ => return Err(Wrong::Command),
+        _ => return Err(RequestError::UnknownCommand),
     };
-    if !(4..=5).contains(&words.len()) {
-        return Err(Wrong::Words);
+    if !(4..=5).contains(&arguments.len()) {
+        return Err(RequestError::ArgumentCount);
     }
-    hex(word(1)).filter(|n| *n < CUSTOMERS).ok_or(Wrong::Customer)?;
-    let id = hex(word(2)).ok_or(Wrong::Id)?;
-    let list = std::str::from_utf8(word(3)).map_err(|_| Wrong::Fields)?;
-    let fields = Fields::read(list)?;
+    parse_hex(argument(1)).filter(|number| *number < CUSTOMER_LIMIT).ok_or(RequestError::Customer)?;
+    let id = parse_hex(argument(2)).ok_or(RequestError::RequestId)?;
+    let list = std::str::from_utf8(argument(3)).map_err(|_| RequestError::Fields)?;
+    let fields = RequestFields::parse(list)?;
     let settings = &site.settings;
-    let class = settings.classes.iter().position(|c| Some(&*c.name) == fields.class).ok_or(Wrong::Class)?;
-    let effect = settings.classes[class].idempotency;
-    if (effect == Idempotency::Idempotent) != safe {
-        return Err(Wrong::Class);
-    }
-    let plan = settings.plans.iter().position(|p| Some(&*p.name) == fields.plan).ok_or(Wrong::Plan)?;
-    let most = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
-    let units = fields.units.and_then(decimal).filter(|u| *u > 0.0 && *u <= most).ok_or(Wrong::Units)?;
-    let whole =
-        |text: Option<&str>| text.filter(|t| t.len() < 10).and_then(|t| digits(t).then(|| t.parse().ok())?);
-    let spread =
-        whole(fields.spread).filter(|s| (1..=settings.gateway_count).contains(s)).ok_or(Wrong::Set)?;
-    let first = whole(fields.first).filter(|f| *f < settings.gateway_count).ok_or(Wrong::Set)?;
-    let deadline = fields.deadline.and_then(decimal).filter(|d| *d > 0.0).ok_or(Wrong::Deadline)?;
-    let key_is_good = match fields.key {
-        None => effect != Idempotency::WithKey,
-        Some(key) => {
-            let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-            effect == Idempotency::WithKey && !key.is_empty() && key.len() <= KEY && key.bytes().all(plain)
-        }
-    };
-    if !key_is_good {
-        return Err(Wrong::Key);
-    }
-    let mut head = Vec::with_capacity(64);
-    for at in 0..3 {
-        let _ = write!(head, "${}\r\n", word(at).len());
-        head.extend_from_slice(word(at));
-        head.extend_from_slice(b"\r\n");
-    }
-    let (before, after) = fields.around;
-    let body = (words.len() == 5).then(|| word(4).into());
-    let passed = Passed { head: head.into(), before: before.into(), after: after.into(), body };
-    let customer = Name::from(std::str::from_utf8(word(1)).map_err(|_| Wrong::Customer)?);
-    let repeat = fields.repeat;
-    Ok(Said::Request(Box::new(Ask {
+    let class = parse_class(settings, &fields, is_idempotent_command)?;
+    let plan = settings.plans.iter().position(|plan| Some(&*plan.name) == fields.plan);
+    let plan = plan.ok_or(RequestError::Plan)?;
+    let units = parse_units(settings, &fields)?;
+    let (gateway_count, first_gateway) = parse_gateway_set(settings, &fields)?;
+    let timeout = fields.deadline.and_then(parse_decimal).filter(|timeout| *timeout > 0.0);
+    let timeout = timeout.ok_or(RequestError::Deadline)?;
+    check_key(settings.classes[class].idempotency, fields.key)?;
+    let forwarded = ForwardedCommand::new(input, arguments, &fields);
+    let customer = Name::from(std::str::from_utf8(argument(1)).map_err(|_| RequestError::Customer)?);
+    Ok(ClientCommand::Request(Box::new(Request {
         id,
         customer,
         class,
         plan,
         units,
-        spread,
-        first,
-        deadline,
-        repeat,
-        passed,
+        gateway_count,
+        first_gateway,
+        timeout,
+        client_retry: fields.client_retry,
+        forwarded,
     })))
 }
 
-fn hex(word: &[u8]) -> Option<u64> {
-    let plain = word.len() == 16 && word.iter().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(b));
-    if plain { u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok() } else { None }
+/// The index of the class, which has to belong to the command: `Q.ASK` for idempotent classes, `Q.DO` for the others.
+fn parse_class(
+    settings: &Settings, fields: &RequestFields, is_idempotent_command: bool,
+) -> Result<usize, RequestError> {
+    let class = settings.classes.iter().position(|class| Some(&*class.name) == fields.class);
+    let class = class.ok_or(RequestError::Class)?;
+    let is_idempotent_class = settings.classes[class].idempotency == Idempotency::Idempotent;
+    if is_idempotent_class == is_idempotent_command { Ok(class) } else { Err(RequestError::Class) }
 }
 
-fn digits(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())
+fn parse_units(settings: &Settings, fields: &RequestFields) -> Result<f64, RequestError> {
+    let max = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
+    let units = fields.units.and_then(parse_decimal).filter(|units| *units > 0.0 && *units <= max);
+    units.ok_or(RequestError::Units)
 }
 
-/// A number without a sign or an exponent: what Rust reads beside it (inf, nan, 1e9) is no number here.
-fn decimal(text: &str) -> Option<f64> {
-    let plain = text.len() <= 20 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    if plain { text.parse().ok() } else { None }
+/// How many gateways serve the customer, and the first of them.
+fn parse_gateway_set(settings: &Settings, fields: &RequestFields) -> Result<(u32, u32), RequestError> {
+    let count = parse_integer(fields.gateway_count)
+        .filter(|count| (1..=settings.gateway_count).contains(count))
+        .ok_or(RequestError::GatewaySet)?;
+    let first = parse_integer(fields.first_gateway)
+        .filter(|first| *first < settings.gateway_count)
+        .ok_or(RequestError::GatewaySet)?;
+    Ok((count, first))
 }
 
-/// The list of names and values, each once; what stands before and behind the time's value.
-#[derive(Default)]
-struct Fields<'a> {
-    class: Option<&'a str>,
-    plan: Option<&'a str>,
-    deadline: Option<&'a str>,
-    key: Option<&'a str>,
-    units: Option<&'a str>,
-    spread: Option<&'a str>,
-    first: Option<&'a str>,
-    repeat: bool,
-    around: (&'a str, &'a str),
+/// A key is required exactly where the class is idempotent by key.
+fn check_key(idempotency: Idempotency, key: Option<&str>) -> Result<(), RequestError> {
+    let needs_key = idempotency == Idempotency::WithKey;
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    let is_valid = match key {
+        None => !needs_key,
+        Some(key) => {
+            needs_key && !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(is_allowed)
+        }
+    };
+    if is_valid { Ok(()) } else { Err(RequestError::IdempotencyKey) }
 }
 
-impl<'a> Fields<'a> {
-    fn read(list: &'a str) -> Result<Self, Wrong> {
-        let mut fields = Self::default();
-        let mut at = 0;
-        for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(Wrong::Fields)?;
-            let place = match name {
-                "c" => &mut fields.class,
-                "t" => &mut fields.plan,
-                "d" => {
-                    fields.around = (&list[..at + 2], &list[at + pair.len()..]);
-                    &mut fields.deadline
-                }
-                "k" => &mut fields.key,
-                "units" => &mut fields.units,
-                "spread" => &mut fields.spread,
-                "first" => &mut fields.first,
-                "r" if !fields.repeat && matches!(value, "0" | "1") => {
-                    fields.repeat = value == "1";
-                    at += pair.len() + 1;
-                    continue;
-                }
-                _ => return Err(Wrong::Fields),
-            };
-            if place.replace(value).is_some() {
-                return Err(Wrong::Fields);
-            }
-            at += pair.len() + 1;
-        }
-        Ok(fields)
+/// Exactly 16 hex digits in lower case.
+fn parse_hex(argument: &[u8]) -> Option<u64> {
+    let is_digit = |byte: &u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(byte);
+    if argument.len() != 16 || !argument.iter().all(is_digit) {
+        return None;
     }
+    u64::from_str_radix(std::str::from_utf8(argument).ok()?, 16).ok()
+}
+
+/// One to nine decimal digits.
+fn parse_integer(text: Option<&str>) -> Option<u32> {
+    let text = text.filter(|text| (1..10).contains(&text.len()))?;
+    if text.bytes().all(|byte| byte.is_ascii_digit()) { text.parse().ok() } else { None }
+}
+
+/// A number without sign and exponent: what Rust accepts beyond it (inf, nan, 1e9) is invalid here.
+fn parse_decimal(text: &str) -> Option<f64> {
+    let is_plain = text.len() <= 20 && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    if is_plain { text.parse().ok() } else { None }
 }
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -3,7 +3,7 @@
 
 use crate::backends::Heard;
 use crate::clients::{Given, Place};
-use crate::request::{Ask, Passed};
+use crate::request::{ForwardedCommand, Request};
 use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
 use doorcourse_deployment::Site;
 use doorcourse_graceful_shutdown::{Admission, GracefulShutdown};
@@ -45,7 +45,7 @@
     exchange: RequestLifecycle,
     id: u64,
     place: Place,
-    passed: Arc<Passed>,
+    passed: Arc<ForwardedCommand>,
     began: f64,
     until: f64,
     backend: Name,
@@ -56,7 +56,7 @@
 
 /// An attempt as it goes out.
 pub(crate) struct Outgoing {
-    pub passed: Arc<Passed>,
+    pub passed: Arc<ForwardedCommand>,
     pub began: f64,
     pub until: f64,
     pub attempt: u32,
@@ -74,14 +74,14 @@
 impl Exchanges {
     /// Takes a request on, where its id, its time and a gateway that may be leaving allow it.
     pub fn begin(
-        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: Place, ask: Ask,
+        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: Place, ask: Request,
     ) -> Begun {
         if self.ids.contains_key(&ask.id) {
             return Begun::Twice;
         }
         let longest =
             site.host.patience.get(ask.class).copied().filter(|p| *p > 0.0).unwrap_or(f64::INFINITY);
-        let Some(patience) = request_timeout(longest, Some(ask.deadline), longest, MARGIN) else {
+        let Some(patience) = request_timeout(longest, Some(ask.timeout), longest, MARGIN) else {
             tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "no time is left");
             return Begun::NoTime;
         };
@@ -100,13 +100,13 @@
             plan: site.settings.plans[ask.plan].name.clone(),
             class: site.settings.classes[ask.class].name.clone(),
             units: ask.units,
-            client_retry: ask.repeat,
+            client_retry: ask.client_retry,
             timeout: patience,
-            first_gateway: ask.first,
-            gateway_count: ask.spread,
+            first_gateway: ask.first_gateway,
+            gateway_count: ask.gateway_count,
             sticky_route: Name::default(),
         };
-        let (until, passed) = (now + patience, Arc::new(ask.passed));
+        let (until, passed) = (now + patience, Arc::new(ask.forwarded));
         let exchange = RequestLifecycle::new(usize::MAX);
         let (backend, value) = (Name::default(), Vec::new());
         let began = now;
