--- /dev/null
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -0,0 +1,268 @@
+//! One client connection: its commands, and its responses in the order of the commands.
+
+use super::ClientEvent;
+use super::response::Response;
+use crate::reactor::{Reactor, RegisteredSocket};
+use crate::request::{self, ClientCommand, RequestError};
+use doorcourse::{Millis, RequestId};
+use doorcourse_connection_limits::{ConnectionActivity, fault_backoff};
+use doorcourse_deployment::Site;
+use doorcourse_event_loop::{Flow, Socket};
+use doorcourse_fail_points::rule_disabled;
+use doorcourse_resp::{CommandLimits, Commands};
+use std::collections::VecDeque;
+
+/// A value is 64 KiB at most; the other arguments are short.
+pub(super) const COMMAND_LIMITS: CommandLimits = CommandLimits { words: 8, word: 64 << 10, bytes: 66 << 10 };
+/// Commands of one connection whose responses are due; reading stops there.
+const MAX_PIPELINED_COMMANDS: usize = 64;
+/// Bytes of responses that one connection may leave unread; reading stops beyond.
+const MAX_UNREAD_BYTES: usize = 128 << 10;
+/// How long a connection stays open after its last response, in ms. The client has to read that response, and a close
+/// over unread bytes resets the connection and discards it (RFC 9112 section 9.6 says the same of HTTP).
+const LINGER_MS: Millis = 250.0;
+/// Bytes discarded during the lingering close; a client that sends more is not read any further.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
+
+/// Identifies a command of a connection, to match its response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CommandId {
+    /// Index of the connection in the client table.
+    pub(super) connection: usize,
+    /// Serial number of the connection's descriptor.
+    pub(super) serial: u32,
+    /// Number of the command on its connection.
+    pub(super) sequence: u64,
+}
+
+/// The response to one command, in the order of the commands.
+pub(super) enum ResponseSlot {
+    /// It is due; the request that the command became, once it is open.
+    Pending(Option<RequestId>),
+    Ready(Response),
+}
+
+/// The state of one client connection.
+pub(super) struct ClientConnection {
+    pub registered: RegisteredSocket,
+    commands: Commands,
+    slots: VecDeque<ResponseSlot>,
+    /// Sequence number of the first slot.
+    first_sequence: u64,
+    pub activity: ConnectionActivity,
+    /// Commands so far that could not be accepted.
+    faults: u32,
+    /// Nothing is read before then.
+    read_resumes_at: Millis,
+    /// No command follows: the framing is lost, or this side is closed.
+    input_closed: bool,
+    /// Bytes discarded during the lingering close.
+    discarded_bytes: usize,
+    /// Whether the table's next flush handles this connection.
+    pub flush_scheduled: bool,
+}
+
+impl ClientConnection {
+    pub fn new(registered: RegisteredSocket, now: Millis) -> Self {
+        Self {
+            registered,
+            commands: Commands::new(COMMAND_LIMITS),
+            slots: VecDeque::new(),
+            first_sequence: 0,
+            activity: ConnectionActivity::new(now),
+            faults: 0,
+            read_resumes_at: f64::NEG_INFINITY,
+            input_closed: false,
+            discarded_bytes: 0,
+            flush_scheduled: false,
+        }
+    }
+
+    pub fn index(&self) -> usize {
+        self.registered.token.index
+    }
+
+    /// Whether bytes of the client are read now.
+    pub fn reads_input(&self, now: Millis) -> bool {
+        if self.activity.lingering_close_until.is_some() {
+            return self.discarded_bytes < MAX_DISCARDED_BYTES;
+        }
+        let has_capacity =
+            self.slots.len() < MAX_PIPELINED_COMMANDS && self.registered.socket.pending() <= MAX_UNREAD_BYTES;
+        has_capacity && !self.input_closed && now >= self.read_resumes_at
+    }
+
+    /// Whether commands may still come.
+    pub fn accepts_commands(&self) -> bool {
+        !self.input_closed
+    }
+
+    /// Whether the client has sent commands that could not be accepted, so that reading may be backed off.
+    pub fn has_faults(&self) -> bool {
+        self.faults > 0
+    }
+
+    /// Reads once. Bytes that come during the lingering close are discarded.
+    pub fn read(&mut self) -> Flow {
+        let (count, flow) = self.registered.socket.read();
+        if self.activity.lingering_close_until.is_some() {
+            self.discarded_bytes += count;
+            self.registered.socket.input = Vec::new();
+        }
+        flow
+    }
+
+    /// Processes the commands that have been received completely; whether bytes were consumed.
+    pub fn process_commands(&mut self, now: Millis, site: &Site, events: &mut Vec<ClientEvent>) -> bool {
+        let input = std::mem::take(&mut self.registered.socket.input);
+        let mut used = 0;
+        while used < input.len() && self.reads_input(now) {
+            let rest = &input[used..];
+            match self.commands.read(rest) {
+                Ok(None) => break,
+                Ok(Some((arguments, length))) => {
+                    used += length;
+                    self.activity.partial_request_since = None;
+                    self.process_command(now, request::parse(site, rest, &arguments), events);
+                }
+                Err(fault) => {
+                    // The error is written behind the responses that are still due, and nothing follows it.
+                    self.input_closed = true;
+                    self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(fault)));
+                    used = input.len();
+                }
+            }
+        }
+        self.registered.socket.input = input;
+        self.registered.socket.consume(used);
+        if self.registered.socket.input.is_empty() {
+            self.activity.partial_request_since = None;
+        } else {
+            self.activity.partial_request_since.get_or_insert(now);
+        }
+        if used > 0 {
+            self.encode_ready_responses(now);
+        }
+        used > 0
+    }
+
+    fn process_command(
+        &mut self, now: Millis, command: Result<ClientCommand, RequestError>, events: &mut Vec<ClientEvent>,
+    ) {
+        if command.is_ok() {
+            self.activity.last_request_at = Some(now);
+        }
+        match command {
+            Ok(ClientCommand::Ping) => {
+                let command = self.push_slot(ResponseSlot::Pending(None));
+                events.push(ClientEvent::PingReceived { command });
+            }
+            Ok(ClientCommand::Request(request)) => {
+                let command = self.push_slot(ResponseSlot::Pending(None));
+                events.push(ClientEvent::RequestReceived { command, request });
+            }
+            Err(error) => {
+                self.push_slot(ResponseSlot::Ready(Response::InvalidRequest(error)));
+                self.record_fault(now);
+            }
+        }
+    }
+
+    fn push_slot(&mut self, slot: ResponseSlot) -> CommandId {
+        self.slots.push_back(slot);
+        self.activity.open_requests = self.slots.len();
+        CommandId {
+            connection: self.index(),
+            serial: self.registered.token.serial,
+            sequence: self.first_sequence + self.slots.len() as u64 - 1,
+        }
+    }
+
+    /// The slot of a command whose response is not encoded yet.
+    pub fn slot_mut(&mut self, sequence: u64) -> Option<&mut ResponseSlot> {
+        let offset = sequence.checked_sub(self.first_sequence)?;
+        self.slots.get_mut(usize::try_from(offset).ok()?)
+    }
+
+    /// Backs off from reading after a command that could not be accepted.
+    pub fn record_fault(&mut self, now: Millis) {
+        self.faults += 1;
+        self.read_resumes_at = now + fault_backoff(self.faults);
+    }
+
+    /// Moves the responses that are next in order to the output. From here on they are unread, also while they are not
+    /// written yet: nothing that looks at the connection before the iteration's flush may take it for idle.
+    pub fn encode_ready_responses(&mut self, now: Millis) {
+        while let Some(ResponseSlot::Ready(response)) = self.slots.front() {
+            response.encode(self.registered.socket.output());
+            self.slots.pop_front();
+            self.first_sequence += 1;
+            if !rule_disabled("track-written-responses") {
+                self.activity.last_response_at = Some(now);
+            }
+        }
+        self.activity.open_requests = self.slots.len();
+        if self.registered.socket.pending() > 0 && !rule_disabled("track-written-responses") {
+            self.activity.unread_response_since.get_or_insert(now);
+        }
+    }
+
+    /// Writes as much as the client takes, and ends this side behind the error of a lost framing.
+    pub fn flush(&mut self, now: Millis) -> Flow {
+        let pending_before = self.registered.socket.pending();
+        if self.registered.socket.flush() == Flow::Broken {
+            return Flow::Broken;
+        }
+        let pending = self.registered.socket.pending();
+        if pending == 0 {
+            self.activity.unread_response_since = None;
+        } else if pending < pending_before || self.activity.unread_response_since.is_none() {
+            self.activity.unread_response_since = Some(now);
+        }
+        let is_lingering = self.activity.lingering_close_until.is_some();
+        if self.input_closed && pending == 0 && self.slots.is_empty() && !is_lingering {
+            self.begin_lingering_close(now);
+        }
+        Flow::Open
+    }
+
+    /// Ends this side after the last response. Bytes that still come are discarded, so that nothing is unread when the
+    /// connection closes.
+    pub fn begin_lingering_close(&mut self, now: Millis) {
+        self.registered.socket.end_writing();
+        self.registered.socket.input = Vec::new();
+        self.input_closed = true;
+        self.activity.lingering_close_until = Some(now + LINGER_MS);
+    }
+
+    /// Registers for the readiness that is of use now.
+    pub fn update_interest(&mut self, reactor: &Reactor) {
+        let read = self.reads_input(reactor.now);
+        let write = self.registered.socket.pending() > 0;
+        self.registered.set_interest(reactor, read, write);
+    }
+
+    /// The requests whose responses are due.
+    pub fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
+        self.slots.into_iter().filter_map(|slot| match slot {
+            ResponseSlot::Pending(request) => request,
+            ResponseSlot::Ready(_) => None,
+        })
+    }
+}
+
+/// Rejects the commands on a connection that exceeds the table and closes it: a rejection is safe to retry elsewhere,
+/// where a close over unread bytes would tell the client nothing.
+pub(super) fn reject_connection(mut socket: Socket) {
+    socket.read();
+    let input = std::mem::take(&mut socket.input);
+    let mut used = 0;
+    let mut commands = Commands::new(COMMAND_LIMITS);
+    while let Ok(Some((_, length))) = commands.read(&input[used..]) {
+        used += length;
+        Response::Rejected { retry_after_ms: None }.encode(socket.output());
+    }
+    // What is read at once makes few responses: they fit into the system's buffer of a new connection.
+    socket.flush();
+    socket.end_writing();
+}
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -1,32 +1,36 @@
 use super::*;
-use std::io::Read;
+use std::io::{Read, Write};
 use std::net::TcpStream;
 
 const SETTINGS: &str =
     r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
 
-/// A room with one client that has asked, and the place of its request.
-fn asked(most: usize) -> (Reactor, Site, Clients, Place, TcpStream) {
-    let (mut io, site) = (Reactor::new().unwrap(), doorcourse_deployment::parse(SETTINGS).unwrap());
+/// A table with one client that has sent a request, and the id of its command.
+fn table_with_request(max_connections: usize) -> (Reactor, Site, ClientTable, CommandId, TcpStream) {
+    let mut reactor = Reactor::new().unwrap();
+    let site = doorcourse_deployment::parse(SETTINGS).unwrap();
     let listener = doorcourse_event_loop::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let words = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
     let mut bytes = Vec::new();
     doorcourse_resp::command(&mut bytes, &words);
     client.write_all(&bytes).unwrap();
-    let (mut clients, mut told) = (Clients::new(&mut io, listener, most).unwrap(), Vec::new());
-    while told.is_empty() {
-        clients.accept(&mut io, &site, &mut told);
-        for at in 0..clients.conns.len() {
-            clients.read(&mut io, &site, at, &mut told);
+    let mut clients = ClientTable::new(&mut reactor, listener, max_connections).unwrap();
+    let mut events = Vec::new();
+    while events.is_empty() {
+        clients.accept(&mut reactor, &site, &mut events);
+        for index in 0..clients.connections.len() {
+            clients.read(&mut reactor, &site, index, &mut events);
         }
     }
-    let Some(Told::Asked(place, _)) = told.pop() else { panic!("a good request") };
-    (io, site, clients, place, client)
+    let Some(ClientEvent::RequestReceived { command, .. }) = events.pop() else { panic!("a good request") };
+    (reactor, site, clients, command, client)
 }
 
-fn answer_of(mut clients: Clients, mut io: Reactor, site: &Site, mut client: TcpStream) -> String {
-    clients.flush(&mut io, site, &GracefulShutdown::default(), &mut Vec::new());
+fn written_response(
+    mut clients: ClientTable, mut reactor: Reactor, site: &Site, mut client: TcpStream,
+) -> String {
+    clients.flush(&mut reactor, site, &GracefulShutdown::default(), &mut Vec::new());
     drop(clients);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
@@ -34,52 +38,60 @@
 }
 
 #[test]
-fn an_answer_given_long_after_its_command_is_written_before_any_age_counts() {
-    let (mut io, site, mut clients, place, client) = asked(8);
-    io.now += 2.0 * AGES.idle_timeout;
-    clients.answer(io.now, place, Given::Failed("no answer in time"));
-    // The sweep of ages comes before the flush of the same turn.
-    clients.tick(&mut io, &site, &mut Vec::new());
-    assert_eq!(answer_of(clients, io, &site, client), "-ERR failed: no answer in time\r\n");
+fn response_sent_long_after_its_command_is_written_before_the_idle_timeout_closes() {
+    let (mut reactor, site, mut clients, command, client) = table_with_request(8);
+    reactor.now += 2.0 * CONNECTION_TIMEOUTS.idle_timeout;
+    clients.respond(reactor.now, command, Response::Failed(RequestFailure::DeadlineExpired));
+    // Timeouts are checked before the flush of the same iteration.
+    clients.handle_timeout(&mut reactor, &site, &mut Vec::new());
+    assert_eq!(written_response(clients, reactor, &site, client), "-ERR failed: no answer in time\r\n");
 }
 
 #[test]
-fn a_connection_with_an_answer_to_write_is_not_the_one_that_makes_room() {
-    let (mut io, site, mut clients, place, client) = asked(1);
-    clients.answer(io.now, place, Given::Busy(None));
-    assert!(!clients.make_room(&mut io, &site, &mut Vec::new()));
-    assert_eq!(answer_of(clients, io, &site, client), "-BUSY\r\n");
+fn connection_with_an_unwritten_response_is_not_evicted() {
+    let (mut reactor, site, mut clients, command, client) = table_with_request(1);
+    clients.respond(reactor.now, command, Response::Rejected { retry_after_ms: None });
+    assert!(!clients.evict_connection(&mut reactor, &site, &mut Vec::new()));
+    assert_eq!(written_response(clients, reactor, &site, client), "-BUSY\r\n");
 }
 
 #[test]
-fn a_request_that_has_just_come_is_seen_before_its_connection_ends() {
-    for why in ["age", "room", "leaving"] {
-        let (mut io, site, mut clients, place, mut client) = asked(1);
-        clients.answer(io.now, place, Given::Busy(None));
-        clients.flush(&mut io, &site, &GracefulShutdown::default(), &mut Vec::new());
+fn command_received_just_before_the_close_is_served() {
+    for cause in ["idle timeout", "eviction", "shutdown"] {
+        let (mut reactor, site, mut clients, command, mut client) = table_with_request(1);
+        clients.respond(reactor.now, command, Response::Rejected { retry_after_ms: None });
+        clients.flush(&mut reactor, &site, &GracefulShutdown::default(), &mut Vec::new());
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-        let (mut told, mut leave) = (Vec::new(), GracefulShutdown::default());
-        io.now += 2.0 * AGES.idle_timeout;
-        match why {
-            "age" => clients.tick(&mut io, &site, &mut told),
-            "room" => assert!(!clients.make_room(&mut io, &site, &mut told), "{why}"),
+        let mut events = Vec::new();
+        let mut shutdown = GracefulShutdown::default();
+        reactor.now += 2.0 * CONNECTION_TIMEOUTS.idle_timeout;
+        match cause {
+            "idle timeout" => clients.handle_timeout(&mut reactor, &site, &mut events),
+            "eviction" => assert!(!clients.evict_connection(&mut reactor, &site, &mut events), "{cause}"),
             _ => {
-                leave.begin(0.0, 1000.0);
-                clients.look_at_all();
-                clients.flush(&mut io, &site, &leave, &mut told);
+                shutdown.begin(0.0, 1000.0);
+                clients.schedule_flush_of_all();
+                clients.flush(&mut reactor, &site, &shutdown, &mut events);
             }
         }
-        let Some(Told::Ping(place)) = told.pop() else { panic!("{why}: it was not seen") };
-        clients.answer(io.now, place, Given::Pong);
-        clients.flush(&mut io, &site, &leave, &mut told);
+        let Some(ClientEvent::PingReceived { command }) = events.pop() else {
+            panic!("{cause}: the command was lost")
+        };
+        clients.respond(reactor.now, command, Response::Pong);
+        clients.flush(&mut reactor, &site, &shutdown, &mut events);
         let mut text = String::new();
-        if why == "leaving" {
-            // Its end comes while the room still stands: this side is ended, and what still comes is read over.
+        if cause == "shutdown" {
+            // The connection lingers: this side is closed, and bytes that still come are discarded.
             client.read_to_string(&mut text).unwrap();
-            assert!(clients.conns.iter().all(|(_, conn)| conn.held.lingering_close_until.is_some()));
+            assert!(
+                clients
+                    .connections
+                    .iter()
+                    .all(|(_, connection)| connection.activity.lingering_close_until.is_some())
+            );
         } else {
-            text = answer_of(clients, io, &site, client);
+            text = written_response(clients, reactor, &site, client);
         }
-        assert_eq!(text, "-BUSY\r\n+PONG\r\n", "{why}");
+        assert_eq!(text, "-BUSY\r\n+PONG\r\n", "{cause}");
     }
 }
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -2,7 +2,7 @@
 //! level `debug` of `doorcourse::watch`. It holds and counts; nothing is decided by it.
 
 use crate::backends::Backends;
-use crate::clients::Clients;
+use crate::clients::ClientTable;
 use crate::counter::Counter;
 use crate::reactor::Reactor;
 use crate::requests::Exchanges;
@@ -122,7 +122,7 @@
     }
 
     pub fn tick(
-        &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &Clients,
+        &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &ClientTable,
         counter: &Counter, exchanges: &Exchanges,
     ) {
         if !self.on || io.now < self.at + EVERY {
@@ -144,7 +144,7 @@
         tracing::debug!(
             target: "doorcourse::watch",
             open,
-            clients = clients.connections(),
+            clients = clients.connection_count(),
             backends = backends.connections(),
             dialed = backends.dialed,
             counter = counter.connections(),
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -2,7 +2,7 @@
 //! timers and clients, carries out what the decisions answer, and writes each socket once.
 
 use crate::backends::{Backends, Heard};
-use crate::clients::{Clients, Given, Told};
+use crate::clients::{ClientEvent, ClientTable, RequestFailure, Response};
 use crate::config::Config;
 use crate::counter::Counter;
 use crate::diagnostics::Watch;
@@ -34,7 +34,7 @@
     path: PathBuf,
     site: Site,
     gateway: Gateway,
-    clients: Clients,
+    clients: ClientTable,
     backends: Backends,
     exchanges: Exchanges,
     counter: Counter,
@@ -55,7 +55,7 @@
     events: VecDeque<Event>,
     actions: Vec<Action>,
     said: Vec<(RequestId, Heard)>,
-    told: Vec<Told>,
+    told: Vec<ClientEvent>,
     counted: Vec<Event>,
     doing: Vec<Do>,
 }
@@ -113,7 +113,7 @@
         let address = listener.local_addr()?;
         // The file may promise more than the system allows.
         let shares = DescriptorBudget::for_limit(limits.descriptors.min(most_descriptors()));
-        let clients = Clients::new(&mut io, listener, shares.clients)?;
+        let clients = ClientTable::new(&mut io, listener, shares.clients)?;
         let host = &site.host;
         tracing::debug!(settings = ?site.settings, ?host, "settings");
         let backends = Backends::new(shares.backends, host.dial_timeout, host.keepalive);
@@ -195,7 +195,7 @@
     /// When the system fails.
     pub fn run(&mut self) -> anyhow::Result<()> {
         let mut ready = Vec::new();
-        while !self.leave.is_finished(self.io.now, self.clients.connections()) {
+        while !self.leave.is_finished(self.io.now, self.clients.connection_count()) {
             let due = self.due();
             let wait = (due < f64::INFINITY).then(|| self.io.clock.until(due));
             self.io.poller.wait(wait, &mut ready)?;
@@ -215,7 +215,7 @@
             self.discovery.due(),
             self.counter.due(),
             self.backends.due(),
-            self.clients.due(),
+            self.clients.next_timeout(),
             self.io.timers.first().unwrap_or(f64::INFINITY),
             self.leave.next_timeout(self.io.now),
         ];
@@ -223,7 +223,7 @@
     }
 
     fn turn(&mut self, ready: &mut [Ready]) {
-        // Clients that have gone come before all that could begin an attempt for them.
+        // ClientTable that have gone come before all that could begin an attempt for them.
         let client = |r: &Ready| r.token >> 56 == TokenKind::Client as u64;
         ready.sort_unstable_by_key(|r| (!(r.ended && client(r)), r.token));
         let gone = ready.iter().take_while(|r| r.ended && client(r)).count();
@@ -237,12 +237,12 @@
         for ready in clients {
             self.one(*ready);
         }
-        self.clients.tick(&mut self.io, &self.site, &mut self.told);
+        self.clients.handle_timeout(&mut self.io, &self.site, &mut self.told);
         if self.leave.is_draining(self.io.now) {
             if std::mem::replace(&mut self.closed, true) {
-                self.clients.look_at_all();
+                self.clients.schedule_flush_of_all();
             } else {
-                self.clients.last_call(&mut self.io, &self.site, &mut self.told);
+                self.clients.stop_accepting(&mut self.io, &self.site, &mut self.told);
             }
         }
         self.settle();
@@ -275,7 +275,9 @@
             TokenKind::Counter => self.counter.ready(&mut self.io, token, ready, &mut self.counted),
             TokenKind::Backend => self.backends.ready(&mut self.io, token, ready, &mut self.said),
             TokenKind::Listener => self.clients.accept(&mut self.io, &self.site, &mut self.told),
-            TokenKind::Client => self.clients.ready(&mut self.io, &self.site, token, ready, &mut self.told),
+            TokenKind::Client => {
+                self.clients.handle_readiness(&mut self.io, &self.site, token, ready, &mut self.told)
+            }
         }
         self.settle();
     }
@@ -395,36 +397,36 @@
         for what in doing.drain(..) {
             match what {
                 Do::Tell(event) => self.events.push_back(event),
-                Do::Give(place, given) => self.clients.answer(self.io.now, place, given),
+                Do::Give(place, given) => self.clients.respond(self.io.now, place, given),
                 Do::Abandon(id) => self.backends.abandon(id),
             }
         }
         self.doing = doing;
     }
 
-    fn take(&mut self, told: Told) {
-        match told {
-            Told::Ping(place) => {
-                let given = if self.start.is_ready(self.io.now) { Given::Pong } else { Given::Loading };
-                self.clients.answer(self.io.now, place, given);
+    fn take(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::PingReceived { command: place } => {
+                let given = if self.start.is_ready(self.io.now) { Response::Pong } else { Response::Loading };
+                self.clients.respond(self.io.now, place, given);
             }
             // Its client has gone in the moment in which it was read.
-            Told::Asked(place, _) if !self.clients.waits(place) => {}
-            Told::Asked(place, ask) => {
+            ClientEvent::RequestReceived { command: place, .. } if !self.clients.is_connected(place) => {}
+            ClientEvent::RequestReceived { command: place, request: ask } => {
                 let given = match self.exchanges.begin(self.io.now, &self.site, &self.leave, place, *ask) {
                     Begun::Taken { id, until, event } => {
-                        self.clients.begun(place, id);
+                        self.clients.request_started(place, id);
                         self.io.timers.set(until, Timer::RequestDeadline { request: id });
                         return self.events.push_back(event);
                     }
-                    Begun::Twice => Given::Wrong(crate::request::RequestError::DuplicateId),
-                    Begun::NoTime => Given::Failed("no time is left"),
+                    Begun::Twice => Response::InvalidRequest(crate::request::RequestError::DuplicateId),
+                    Begun::NoTime => Response::Failed(RequestFailure::DeadlineTooShort),
                     // Another gateway takes it at once: there is nothing to wait for.
-                    Begun::Leaving => Given::Busy(None),
+                    Begun::Leaving => Response::Rejected { retry_after_ms: None },
                 };
-                self.clients.answer(self.io.now, place, given);
+                self.clients.respond(self.io.now, place, given);
             }
-            Told::Gone(id) => self.input(id, LifecycleEvent::ClientDisconnected),
+            ClientEvent::Disconnected { request: id } => self.input(id, LifecycleEvent::ClientDisconnected),
         }
     }
 
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -2,7 +2,7 @@
 //! decided by `doorcourse_request_lifecycle`; this room keeps what belongs to it and says what is to be done.
 
 use crate::backends::Heard;
-use crate::clients::{Given, Place};
+use crate::clients::{CommandId, RequestFailure, Response};
 use crate::request::{ForwardedCommand, Request};
 use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
 use doorcourse_deployment::Site;
@@ -24,7 +24,7 @@
     /// Tell the decisions.
     Tell(Event),
     /// Give its client the answer.
-    Give(Place, Given),
+    Give(CommandId, Response),
     /// Its attempt is not waited for any more.
     Abandon(RequestId),
 }
@@ -44,7 +44,7 @@
 struct Open {
     exchange: RequestLifecycle,
     id: u64,
-    place: Place,
+    place: CommandId,
     passed: Arc<ForwardedCommand>,
     began: f64,
     until: f64,
@@ -74,7 +74,7 @@
 impl Exchanges {
     /// Takes a request on, where its id, its time and a gateway that may be leaving allow it.
     pub fn begin(
-        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: Place, ask: Request,
+        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: CommandId, ask: Request,
     ) -> Begun {
         if self.ids.contains_key(&ask.id) {
             return Begun::Twice;
@@ -188,7 +188,7 @@
                 LifecycleAction::ClientDisconnected => out.push(Do::Tell(Event::ClientDisconnected { id })),
                 LifecycleAction::Respond(answer) => out.push(Do::Give(open.place, given(answer, advice))),
                 LifecycleAction::ForwardResponse => {
-                    out.push(Do::Give(open.place, Given::Value(std::mem::take(&mut open.value))))
+                    out.push(Do::Give(open.place, Response::Value(std::mem::take(&mut open.value))))
                 }
                 LifecycleAction::DiscardResponse => open.value = Vec::new(),
                 LifecycleAction::CloseBackendConnection => out.push(Do::Abandon(id)),
@@ -215,13 +215,19 @@
     }
 }
 
-fn given(answer: FinalResponse, advice: bool) -> Given {
+fn given(answer: FinalResponse, advice: bool) -> Response {
     match answer {
-        FinalResponse::Rejected { retry_after, .. } => {
-            Given::Busy((advice && retry_after > 0.0).then(|| retry_after.ceil() as u64))
+        FinalResponse::Rejected { retry_after, .. } => Response::Rejected {
+            retry_after_ms: (advice && retry_after > 0.0).then(|| retry_after.ceil() as u64),
+        },
+        FinalResponse::Failed(FailureReason::DeadlineExpired) => {
+            Response::Failed(RequestFailure::DeadlineExpired)
+        }
+        FinalResponse::Failed(FailureReason::BackendFailed) => {
+            Response::Failed(RequestFailure::BackendFailed)
+        }
+        FinalResponse::Failed(FailureReason::NoBackendReached) => {
+            Response::Failed(RequestFailure::NoBackendReached)
         }
-        FinalResponse::Failed(FailureReason::DeadlineExpired) => Given::Failed("no answer in time"),
-        FinalResponse::Failed(FailureReason::BackendFailed) => Given::Failed("the backend failed"),
-        FinalResponse::Failed(FailureReason::NoBackendReached) => Given::Failed("no backend took it"),
     }
 }
