--- a/crates/resp-gateway/src/watch.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -2,10 +2,10 @@
 //! level `debug` of `doorcourse::watch`. It holds and counts; nothing is decided by it.
 
 use crate::backends::Backends;
-use crate::clients::Clients;
+use crate::clients::ClientTable;
 use crate::counter::Counter;
-use crate::exchanges::Exchanges;
-use crate::io::Io;
+use crate::reactor::Reactor;
+use crate::requests::Exchanges;
 use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
@@ -122,8 +122,8 @@
     }
 
     pub fn tick(
-        &mut self, io: &Io, gateway: &Gateway, backends: &Backends, clients: &Clients, counter: &Counter,
-        exchanges: &Exchanges,
+        &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &ClientTable,
+        counter: &Counter, exchanges: &Exchanges,
     ) {
         if !self.on || io.now < self.at + EVERY {
             return;
@@ -144,7 +144,7 @@
         tracing::debug!(
             target: "doorcourse::watch",
             open,
-            clients = clients.connections(),
+            clients = clients.connection_count(),
             backends = backends.connections(),
             dialed = backends.dialed,
             counter = counter.connections(),
--- /dev/null
+++ b/crates/resp-gateway/src/endpoints.rs
@@ -0,0 +1,153 @@
+//! Reads the endpoint lists of the discovery service, complete lists and changes, from JSON.
+
+use doorcourse::{BackendEntry, BackendState, Millis, Name, Placement};
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// One backend of a list.
+#[derive(Clone, Debug)]
+pub struct Endpoint {
+    /// What the decisions receive.
+    pub entry: BackendEntry,
+    /// The address to connect to; a removed backend may have none.
+    pub address: Option<SocketAddr>,
+}
+
+/// A complete list of endpoints, or the changes to one.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    /// The version of the list.
+    pub version: u64,
+    /// Whether backends that it lacks are removed; otherwise it holds changes.
+    pub complete: bool,
+    /// The backends.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// Why an endpoint list cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointListError {
+    /// Not the JSON of a list.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A backend's state is unknown.
+    #[error("hosts: {host}: unknown health {health:?}")]
+    UnknownHealth {
+        /// The backend.
+        host: String,
+        /// Its state as the list names it.
+        health: String,
+    },
+    /// A backend that is not removed has no usable address.
+    #[error("hosts: {host}: dial is no address: {dial:?}")]
+    InvalidAddress {
+        /// The backend.
+        host: String,
+        /// Its address as the list names it.
+        dial: String,
+    },
+}
+
+impl EndpointList {
+    /// Reads a list from its bytes.
+    ///
+    /// # Errors
+    /// When the bytes are not a list that can be used.
+    pub fn read(bytes: &[u8]) -> Result<Self, EndpointListError> {
+        Self::try_from(serde_json::from_slice::<WireList>(bytes)?)
+    }
+
+    /// Reads the first of the lists that a watch sends one after another, with the number of its bytes; `None` where it
+    /// has not been received completely. A list may run over several lines, none of them empty: an empty line within a
+    /// list shows that its rest will not be sent.
+    ///
+    /// # Errors
+    /// When the bytes cannot become a list that can be used.
+    pub fn read_first(bytes: &[u8]) -> Result<Option<(Self, usize)>, EndpointListError> {
+        let mut lists = serde_json::Deserializer::from_slice(bytes).into_iter::<WireList>();
+        match lists.next() {
+            None => Ok(None),
+            Some(Ok(list)) => Self::try_from(list).map(|list| Some((list, lists.byte_offset()))),
+            Some(Err(error)) if error.is_eof() && !has_empty_line(bytes) => Ok(None),
+            Some(Err(error)) => Err(error.into()),
+        }
+    }
+
+    /// Reads a list from a JSON value.
+    ///
+    /// # Errors
+    /// When the value is not a list that can be used.
+    pub fn from_value(value: serde_json::Value) -> Result<Self, EndpointListError> {
+        Self::try_from(serde_json::from_value::<WireList>(value)?)
+    }
+}
+
+fn has_empty_line(bytes: &[u8]) -> bool {
+    bytes.windows(2).any(|pair| pair == b"\n\n")
+}
+
+/// A list as discovery writes it.
+#[derive(Deserialize)]
+struct WireList {
+    seq: u64,
+    whole: bool,
+    hosts: Vec<WireHost>,
+}
+
+/// A backend as discovery writes it.
+#[derive(Deserialize)]
+struct WireHost {
+    host: String,
+    dial: String,
+    #[serde(default)]
+    site: String,
+    #[serde(default)]
+    block: u64,
+    health: String,
+    /// Start of the backend in ms since the Unix epoch; 0 where it is unknown.
+    #[serde(default)]
+    born_ms: Millis,
+}
+
+impl TryFrom<WireList> for EndpointList {
+    type Error = EndpointListError;
+
+    fn try_from(list: WireList) -> Result<Self, EndpointListError> {
+        let endpoints = list.hosts.into_iter().map(Endpoint::try_from).collect::<Result<_, _>>()?;
+        Ok(Self { version: list.seq, complete: list.whole, endpoints })
+    }
+}
+
+impl TryFrom<WireHost> for Endpoint {
+    type Error = EndpointListError;
+
+    fn try_from(host: WireHost) -> Result<Self, EndpointListError> {
+        let state = match host.health.as_str() {
+            "active" => BackendState::Ready,
+            "leaving" => BackendState::Draining,
+            "left" => BackendState::Removed,
+            _ => {
+                return Err(EndpointListError::UnknownHealth { host: host.host, health: host.health });
+            }
+        };
+        let address = match host.dial.parse() {
+            Ok(address) => Some(address),
+            Err(_) if state == BackendState::Removed => None,
+            Err(_) => {
+                return Err(EndpointListError::InvalidAddress { host: host.host, dial: host.dial });
+            }
+        };
+        let entry = BackendEntry {
+            name: Name::from(host.host),
+            zone: Name::from(host.site),
+            cell: host.block,
+            state,
+            started: Some(host.born_ms).filter(|started| started.is_finite() && *started > 0.0),
+            placement: Placement::default(),
+        };
+        Ok(Self { entry, address })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/resp-gateway/src/reactor.rs
@@ -0,0 +1,123 @@
+//! What every component needs of the event loop: the poller, the time of the iteration, timers and descriptor tokens.
+
+use doorcourse::{Millis, RequestId};
+use doorcourse_event_loop::{Clock, Interest, Poller, Socket, Timers};
+
+/// Which component owns a descriptor. The order is the order of an iteration: what was received is processed before
+/// anything new begins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum TokenKind {
+    Signal,
+    Discovery,
+    Counter,
+    Backend,
+    Listener,
+    Client,
+}
+
+const TOKEN_KINDS: [TokenKind; 6] = [
+    TokenKind::Signal,
+    TokenKind::Discovery,
+    TokenKind::Counter,
+    TokenKind::Backend,
+    TokenKind::Listener,
+    TokenKind::Client,
+];
+
+/// Serial numbers fit into the 24 bits of a packed token.
+const SERIALS: u32 = 1 << 24;
+
+/// Identifies a descriptor in the poller. The serial number keeps an event of a closed descriptor apart from the
+/// descriptor that has its index now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Token {
+    pub kind: TokenKind,
+    pub serial: u32,
+    /// Index in the table of the component that owns the descriptor.
+    pub index: usize,
+}
+
+impl Token {
+    /// Packs the token: kind in bits 56 to 63, serial in 32 to 55, index in 0 to 31.
+    pub fn pack(self) -> u64 {
+        let serial = u64::from(self.serial % SERIALS);
+        (self.kind as u64) << 56 | serial << 32 | (self.index as u64 & 0xffff_ffff)
+    }
+
+    pub fn unpack(token: u64) -> Option<Self> {
+        Some(Self {
+            kind: Self::kind_of(token)?,
+            serial: (token >> 32) as u32 % SERIALS,
+            index: (token & 0xffff_ffff) as usize,
+        })
+    }
+
+    /// The kind of a packed token.
+    pub fn kind_of(token: u64) -> Option<TokenKind> {
+        TOKEN_KINDS.get((token >> 56) as usize).copied()
+    }
+}
+
+/// What a timer is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Timer {
+    /// The decisions asked for it.
+    Decision { token: u64 },
+    /// The request's deadline.
+    RequestDeadline { request: RequestId },
+    /// The attempt's connection has to be made by then.
+    ConnectTimeout { request: RequestId, attempt: u32 },
+    /// The attempt must not be written after this: the idempotency window in which backends drop it as a duplicate ends.
+    WriteDeadline { request: RequestId, attempt: u32 },
+    /// The reply to a health check is due.
+    HealthCheckTimeout { check: RequestId },
+}
+
+/// The poller, the clock, the timers and the serial numbers of descriptors.
+pub(crate) struct Reactor {
+    pub poller: Poller,
+    pub clock: Clock,
+    /// The time of this iteration, read once.
+    pub now: Millis,
+    pub timers: Timers<Timer>,
+    last_serial: u32,
+}
+
+impl Reactor {
+    pub fn new() -> std::io::Result<Self> {
+        let clock = Clock::default();
+        let poller = Poller::new()?;
+        let now = clock.now();
+        Ok(Self { poller, clock, now, timers: Timers::default(), last_serial: 0 })
+    }
+
+    /// The serial number of a descriptor that is about to be registered.
+    pub fn next_serial(&mut self) -> u32 {
+        self.last_serial = (self.last_serial + 1) % SERIALS;
+        self.last_serial
+    }
+}
+
+/// A socket that is registered with the poller.
+pub(crate) struct RegisteredSocket {
+    pub socket: Socket,
+    pub token: Token,
+    interest: Interest,
+}
+
+impl RegisteredSocket {
+    pub fn new(reactor: &Reactor, socket: Socket, token: Token, interest: Interest) -> std::io::Result<Self> {
+        reactor.poller.add(&socket, token.pack(), interest)?;
+        Ok(Self { socket, token, interest })
+    }
+
+    /// Changes which readiness is reported, where it differs from the registration.
+    pub fn set_interest(&mut self, reactor: &Reactor, read: bool, write: bool) {
+        let interest = Interest { read, write, ..self.interest };
+        if interest != self.interest {
+            self.interest = interest;
+            // This fails only for a descriptor that is closed, and a closed one reports nothing.
+            let _ = reactor.poller.change(&self.socket, self.token.pack(), interest);
+        }
+    }
+}
