--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -20,7 +20,7 @@
 use doorcourse_event_loop::{Interest, Ready, listen};
 use doorcourse_fail_points::rule_disabled;
 use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, ManualDrains, needs_repoll};
-use doorcourse_lifecycle::{Input, Life, Out, Output};
+use doorcourse_lifecycle::{LifecycleSettings, PendingWork, ProcessAction, ProcessEvent, ProcessLifecycle};
 use doorcourse_request_lifecycle::LifecycleEvent as Tell;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     listed: Vec<Node>,
     drained: ManualDrains,
     decision: doorcourse::Gateway,
-    life: Life,
+    life: ProcessLifecycle,
     /// What the decisions answer, kept for its room.
     actions: Vec<Action>,
     /// This process's name in the names of requests.
@@ -163,7 +163,7 @@
             listed: Vec::new(),
             drained: ManualDrains::default(),
             decision,
-            life: Life::new(times(&config)),
+            life: ProcessLifecycle::new(times(&config)),
             actions: Vec::new(),
             name: format!("g{number}-{:x}", io.now() as u64),
             signal,
@@ -231,7 +231,7 @@
         if let Some(address) = self.health_address() {
             tracing::info!(%address, "watchers are answered");
         }
-        self.life(Input::Ready);
+        self.life(ProcessEvent::Started);
         if let Some(old) = self.old.take() {
             crate::admin::taken_over(old)?;
         }
@@ -248,8 +248,14 @@
             let (requests, clients, calls) = (self.exchanges.count(), self.clients.count(), self.counter.out);
             let quiet = self.io.now() - self.clients.spoke_at;
             // All connections are looked through only where an end waits for them.
-            let midway = if self.life.wants_clients() { 0 } else { self.clients.midway() };
-            self.life(Input::Tick(Out { requests, clients, midway, calls, quiet }));
+            let midway = if self.life.is_ready() { 0 } else { self.clients.midway() };
+            self.life(ProcessEvent::Tick(PendingWork {
+                requests,
+                connections: clients,
+                busy_connections: midway,
+                counter_calls: calls,
+                idle_for: quiet,
+            }));
             self.pump();
             if self.ended {
                 self.save_state();
@@ -260,7 +266,7 @@
                 tracing::info!(requests, reads, writes, waits, changes, connects, "stopped");
                 return Ok(());
             }
-            let life_due = self.life.due(self.io.now());
+            let life_due = self.life.next_timeout(self.io.now());
             let first = self.io.timers.first().unwrap_or(f64::INFINITY).min(counter_due).min(life_due);
             let fleet = self.fleet.as_ref().map_or(f64::INFINITY, Fleet::due);
             let wait = if first.is_finite() { self.io.clock.until(first) } else { Duration::from_secs(3600) };
@@ -335,16 +341,16 @@
                 let mut bytes = [0; 16];
                 // Each signal is one byte: two that come together are two.
                 while let Ok(n @ 1..) = std::io::Read::read(&mut self.signal, &mut bytes) {
-                    (0..n).for_each(|_| self.life(Input::Terminate));
+                    (0..n).for_each(|_| self.life(ProcessEvent::TerminateSignal));
                 }
             }
             Token::Reload => {
                 let heard = self.reload.ready(&self.config);
                 if heard.asked {
-                    self.life(Input::Reload);
+                    self.life(ProcessEvent::ReloadRequested);
                 }
                 if heard.read {
-                    self.life(Input::ReloadRead);
+                    self.life(ProcessEvent::SettingsRead);
                     self.reload.read_again(&self.config);
                 }
             }
@@ -538,43 +544,43 @@
 
     // ---- The life of the process ----
 
-    fn life(&mut self, input: Input) {
+    fn life(&mut self, input: ProcessEvent) {
         let mut outputs = Vec::new();
-        self.life.handle(self.io.now(), input, &mut outputs);
+        self.life.handle_event(self.io.now(), input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Ready(ready) => tracing::info!(ready, "readiness"),
-                Output::ClientsGo => {
+                ProcessAction::SetReady(ready) => tracing::info!(ready, "readiness"),
+                ProcessAction::AnnounceClose => {
                     self.clients.going = true;
                     if let Some(fleet) = &mut self.fleet {
                         fleet.leave(&mut self.io);
                     }
                 }
-                Output::CloseListeners => self.clients.last_call(&mut self.io, &self.config),
-                Output::Reload => self.reload.start(&self.config),
-                Output::TakeSettings => self.take_settings(),
-                Output::RefuseReload(why) => self.reload.refuse(why.to_string()),
-                Output::Pass { peer } => {
+                ProcessAction::CloseListeners => self.clients.last_call(&mut self.io, &self.config),
+                ProcessAction::ReadSettings => self.reload.start(&self.config),
+                ProcessAction::ApplySettings => self.take_settings(),
+                ProcessAction::RefuseReload(why) => self.reload.refuse(why.to_string()),
+                ProcessAction::PassListeners { peer } => {
                     if let Some(admin) = &mut self.admin {
                         let watched = self.health.as_ref().map(Health::listener);
                         let all: Vec<_> = self.clients.listeners().iter().chain(watched).collect();
                         admin.pass_listeners(peer, &all);
                     }
                 }
-                Output::RefuseTakeover { peer, why } => {
+                ProcessAction::RefuseTakeover { peer, reason: why } => {
                     if let Some(admin) = &mut self.admin {
                         admin.refuse_takeover(peer, &why.to_string());
                     }
                 }
-                Output::DropPeer { peer } => {
+                ProcessAction::DisconnectPeer { peer } => {
                     if let Some(admin) = &mut self.admin {
                         admin.drop_peer(peer);
                     }
                 }
-                Output::Leave => self.io.events.push_back(Event::ShutdownStarted),
-                Output::AnswerAll => self.answer_all(),
-                Output::End => self.ended = true,
-                Output::Changed(state) => tracing::info!(
+                ProcessAction::ReleaseLeases => self.io.events.push_back(Event::ShutdownStarted),
+                ProcessAction::FinishRequests => self.answer_all(),
+                ProcessAction::Exit => self.ended = true,
+                ProcessAction::StateChanged(state) => tracing::info!(
                     state = state.name(),
                     requests = self.exchanges.count(),
                     clients = self.clients.count(),
@@ -610,7 +616,7 @@
             config.set_routing(routing);
         }
         self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
-        self.life.change(times(&config));
+        self.life.update_settings(times(&config));
         if let (Some(list), Some((_, poll))) = (&mut self.list, &config.node_list) {
             list.poll = *poll;
         }
@@ -773,7 +779,7 @@
                 json!({"node": name})
             }
             Asked::Drain => {
-                self.life(Input::Drain);
+                self.life(ProcessEvent::DrainRequested);
                 json!({"state": self.life.state().name()})
             }
             Asked::Reload { dry_run } => {
@@ -783,16 +789,16 @@
                 if dry_run {
                     self.reload.start(&self.config)
                 } else {
-                    self.life(Input::Reload)
+                    self.life(ProcessEvent::ReloadRequested)
                 }
                 return;
             }
-            Asked::TakeOver => return self.life(Input::TakeoverAsked { peer: slot as u64 }),
+            Asked::TakeOver => return self.life(ProcessEvent::TakeoverRequested { peer: slot as u64 }),
             Asked::TookOver => {
-                self.life(Input::TakeoverReady { peer: slot as u64 });
+                self.life(ProcessEvent::TakeoverReady { peer: slot as u64 });
                 json!({"state": self.life.state().name()})
             }
-            Asked::TakeoverLost => return self.life(Input::TakeoverLost { peer: slot as u64 }),
+            Asked::TakeoverLost => return self.life(ProcessEvent::TakeoverFailed { peer: slot as u64 }),
         };
         if let Some(admin) = &mut self.admin {
             admin.answer(slot, &id, answer);
@@ -810,7 +816,7 @@
             (b.name.to_string(), b.concurrency_limit, b.in_flight, b.ready && b.ejected_until <= time)
         };
         Now {
-            ready: self.life.wants_clients(),
+            ready: self.life.is_ready(),
             requests: self.exchanges.count(),
             clients: self.clients.count(),
             bytes: self.clients.accounts.bytes(),
@@ -824,7 +830,7 @@
     fn status(&self) -> Value {
         json!({
             "state": self.life.state().name(),
-            "ready": self.life.wants_clients(),
+            "ready": self.life.is_ready(),
             "name": self.name,
             "number": self.config.decisions.gateway_index,
             "gateways": self.config.decisions.gateway_count,
@@ -861,9 +867,15 @@
     ready.ended && matches!(Token::unpack(ready.token), Token::Client(..))
 }
 
-fn times(config: &Config) -> doorcourse_lifecycle::Settings {
+fn times(config: &Config) -> LifecycleSettings {
     let doorcourse_config::Life { notice, drain, handover, give_back, quiet } = config.life;
-    doorcourse_lifecycle::Settings { notice, drain, handover, give_back, quiet }
+    LifecycleSettings {
+        readiness_notice: notice,
+        drain_timeout: drain,
+        takeover_timeout: handover,
+        release_timeout: give_back,
+        idle_period: quiet,
+    }
 }
 
 fn chance() -> u64 {
