--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -19,7 +19,7 @@
 
 /// What a call asks for.
 #[derive(Debug)]
-pub(crate) enum Asked {
+pub(crate) enum AdminRequest {
     Status,
     Nodes,
     Customers,
@@ -45,15 +45,15 @@
 
 /// A call, and where its answer goes.
 #[derive(Debug)]
-pub(crate) struct Called {
+pub(crate) struct AdminCall {
     pub slot: usize,
     pub id: Value,
-    pub asked: Asked,
+    pub asked: AdminRequest,
 }
 
 /// One connection of a person or of a process that takes over.
 #[derive(Debug)]
-pub(crate) struct Peer {
+pub(crate) struct AdminConnection {
     stream: UnixStream,
     generation: u32,
     held: Vec<u8>,
@@ -64,7 +64,7 @@
 
 /// Who waits for settings to be read.
 #[derive(Debug)]
-pub(crate) struct Asker {
+pub(crate) struct ReloadWaiter {
     slot: usize,
     generation: u32,
     id: Value,
@@ -77,9 +77,9 @@
 pub(crate) struct Admin {
     listener: UnixListener,
     path: PathBuf,
-    peers: slab::Slab<Peer>,
+    peers: slab::Slab<AdminConnection>,
     /// Calls that wait to be carried out.
-    pub calls: VecDeque<Called>,
+    pub calls: VecDeque<AdminCall>,
     /// Another process has bound the path since: it is not ours to remove.
     pub passed_on: bool,
 }
@@ -148,7 +148,7 @@
         let token = Token::Peer(entry.key(), generation).pack();
         if io.poller.add(&stream, token, Interest::READ).is_ok() {
             let (held, waiting) = (Vec::new(), Value::Null);
-            entry.insert(Peer { stream, generation, held, waiting, takes_over: false });
+            entry.insert(AdminConnection { stream, generation, held, waiting, takes_over: false });
         }
     }
 
@@ -175,51 +175,51 @@
     fn call(&mut self, slot: usize, call: &Value) {
         let (id, parameters) = (call["id"].clone(), &call["params"]);
         let asked = match call["method"].as_str().unwrap_or("") {
-            "status" => Asked::Status,
-            "nodes" => Asked::Nodes,
-            "customers" => Asked::Customers,
+            "status" => AdminRequest::Status,
+            "nodes" => AdminRequest::Nodes,
+            "customers" => AdminRequest::Customers,
             "node.drain" | "node.undrain" => {
                 let Some(name) = parameters["name"].as_str() else {
                     let text = "params.name is needed, a node's name";
                     return self.write(slot, &error(&id, BAD_PARAMETERS, text));
                 };
-                Asked::DrainNode { name: name.to_owned(), drain: call["method"] == "node.drain" }
+                AdminRequest::DrainNode { name: name.to_owned(), drain: call["method"] == "node.drain" }
             }
-            "drain" => Asked::Drain,
-            "peers" => Asked::Peers,
-            "leases" => Asked::Leases,
+            "drain" => AdminRequest::Drain,
+            "peers" => AdminRequest::Peers,
+            "leases" => AdminRequest::Leases,
             "lease.hand_over" => {
                 let to = parameters["to"].as_u64().and_then(|to| u32::try_from(to).ok());
                 let (Some(task), Some(to)) = (parameters["task"].as_str(), to) else {
                     let text = "params.task and params.to are needed, a task's name and a gateway's number";
                     return self.write(slot, &error(&id, BAD_PARAMETERS, text));
                 };
-                Asked::HandOver { task: task.to_owned(), to }
+                AdminRequest::HandOver { task: task.to_owned(), to }
             }
-            "reload" => Asked::Reload { dry_run: parameters["dry_run"] == true },
+            "reload" => AdminRequest::Reload { dry_run: parameters["dry_run"] == true },
             "takeover" => {
                 if let Some(peer) = self.peers.get_mut(slot) {
                     (peer.waiting, peer.takes_over) = (id.clone(), true);
                 }
-                Asked::TakeOver
+                AdminRequest::TakeOver
             }
             "takeover.ready" => {
                 // The path is the new process's from now on.
                 self.passed_on = true;
-                Asked::TookOver
+                AdminRequest::TookOver
             }
             other => {
                 let text = format!("there is no method `{other}`");
                 return self.write(slot, &error(&id, NO_METHOD, &text));
             }
         };
-        self.calls.push_back(Called { slot, id, asked });
+        self.calls.push_back(AdminCall { slot, id, asked });
     }
 
     fn gone(&mut self, slot: usize) {
         let Some(peer) = self.peers.try_remove(slot) else { return };
         if peer.takes_over {
-            self.calls.push_back(Called { slot, id: Value::Null, asked: Asked::TakeoverLost });
+            self.calls.push_back(AdminCall { slot, id: Value::Null, asked: AdminRequest::TakeoverLost });
         }
     }
 
@@ -252,12 +252,12 @@
     }
 
     /// Who waits on a connection for settings to be read.
-    pub fn asker(&self, slot: usize, id: Value, dry_run: bool) -> Option<Asker> {
+    pub fn asker(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.peers.get(slot)?.generation;
-        Some(Asker { slot, generation, id, dry_run })
+        Some(ReloadWaiter { slot, generation, id, dry_run })
     }
 
-    pub fn answer_reload(&mut self, asker: &Asker, told: &Result<Change, String>) {
+    pub fn answer_reload(&mut self, asker: &ReloadWaiter, told: &Result<Change, String>) {
         if self.peers.get(asker.slot).is_none_or(|p| p.generation != asker.generation) {
             return;
         }
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! The room of the clients: listeners and connections. Bytes in, calls out: what a front makes of the bytes is its own
 //! affair, what becomes of a call is decided elsewhere and comes back as `reply`, `pass` and their like.
 
-use crate::front::{self, Caller, Reply};
-use crate::io::{Alarm, Io, Token};
+use crate::front::{self, RequestHead, Response};
+use crate::io::{Io, Timer, Token};
 use doorcourse::{Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_connection_limits::{ClientBudget, ClientLimits, ConnectionUsage, DescriptorBudget};
@@ -14,11 +14,11 @@
 
 /// Where a client's connection stands.
 #[derive(Debug)]
-enum Phase {
+enum ConnectionPhase {
     /// Between requests, or in a head.
     Head,
     /// In a body.
-    Body(Box<Caller>),
+    Body(Box<RequestHead>),
     /// A call is given out, and nobody said yet what becomes of it.
     Asked,
     /// A request is with the decisions, or its answer on the way.
@@ -28,11 +28,11 @@
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientConnection {
     socket: Socket,
     generation: u32,
     decoder: Decoder,
-    phase: Phase,
+    phase: ConnectionPhase,
     body: Vec<u8>,
     /// When the head of the present request came.
     head_at: f64,
@@ -54,38 +54,38 @@
     closing: bool,
 }
 
-impl Client {
+impl ClientConnection {
     /// Whether a request has begun to come and is not whole.
     fn is_in_request(&self) -> bool {
         match self.phase {
-            Phase::Head => !self.closing && self.decoder.in_message(!self.socket.input.is_empty()),
-            Phase::Body(_) => true,
-            Phase::Asked | Phase::Answering(_) | Phase::Lingering => false,
+            ConnectionPhase::Head => !self.closing && self.decoder.in_message(!self.socket.input.is_empty()),
+            ConnectionPhase::Body(_) => true,
+            ConnectionPhase::Asked | ConnectionPhase::Answering(_) | ConnectionPhase::Lingering => false,
         }
     }
 
     /// Whether either side is owed something: the rest of a request, or the rest of an answer. Who has had a last word
     /// is owed the time to read it: a close over bytes that were not read takes it away.
     fn is_midway(&self) -> bool {
-        let last_word = matches!(self.phase, Phase::Lingering) || self.closing;
+        let last_word = matches!(self.phase, ConnectionPhase::Lingering) || self.closing;
         last_word || self.socket.pending() > 0 || self.is_in_request()
     }
 }
 
 /// What the clients' side has to say.
 #[derive(Debug)]
-pub(crate) enum Said {
+pub(crate) enum ClientEvent {
     /// A whole request: `answering` or `reply` must follow.
-    Call { slot: usize, caller: Box<Caller>, body: Vec<u8>, head_at: f64 },
+    RequestReceived { slot: usize, caller: Box<RequestHead>, body: Vec<u8>, head_at: f64 },
     /// The client of a request is gone.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// The client of a request has read enough for more of its answer.
-    Drained(RequestId),
+    ReadyForMore(RequestId),
 }
 
 /// The head of an answer that is passed on.
 #[derive(Debug)]
-pub(crate) struct PassedHead {
+pub(crate) struct ForwardedHead {
     pub status: u16,
     pub content_type: String,
     /// As the node framed it, or of a length once it is whole.
@@ -95,14 +95,14 @@
 
 pub(crate) struct Clients {
     listeners: Vec<TcpListener>,
-    connections: Slab<Client>,
-    pub accounts: ClientBudget,
+    connections: Slab<ClientConnection>,
+    pub budget: ClientBudget,
     /// What is to be told, in its order.
-    pub said: VecDeque<Said>,
+    pub events: VecDeque<ClientEvent>,
     /// When a client's byte was heard last.
-    pub spoke_at: f64,
+    pub last_input_at: f64,
     /// Clients are told to go with their next answer.
-    pub going: bool,
+    pub announce_close: bool,
     spare: Option<std::fs::File>,
 }
 
@@ -126,16 +126,16 @@
         Ok(Self {
             listeners,
             connections: Slab::new(),
-            accounts: ClientBudget::new(bounds(config)),
-            said: VecDeque::new(),
-            spoke_at: io.now(),
-            going: false,
+            budget: ClientBudget::new(bounds(config)),
+            events: VecDeque::new(),
+            last_input_at: io.now(),
+            announce_close: false,
             spare: std::fs::File::open("/dev/null").ok(),
         })
     }
 
     pub fn take_settings(&mut self, config: &Config) {
-        self.accounts.set_limits(bounds(config));
+        self.budget.set_limits(bounds(config));
     }
 
     pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
@@ -167,7 +167,7 @@
         }
         if self.connections.len() > before {
             // They are about to speak, if they have not done so.
-            self.spoke_at = io.now();
+            self.last_input_at = io.now();
         }
         self.close_listeners();
     }
@@ -191,7 +191,7 @@
                 Err(_) => continue,
             };
             let Ok(mut socket) = Socket::new(stream) else { continue };
-            if let Err(full) = self.accounts.check_connection(self.connections.len()) {
+            if let Err(full) = self.budget.check_connection(self.connections.len()) {
                 front::write(socket.output(), &front::full(full.message()), false, None);
                 socket.flush();
                 continue;
@@ -205,11 +205,11 @@
                 continue;
             }
             let until = io.now() + limits.idle_time.min(limits.head_time);
-            entry.insert(Client {
+            entry.insert(ClientConnection {
                 socket,
                 generation,
                 decoder,
-                phase: Phase::Head,
+                phase: ConnectionPhase::Head,
                 body: Vec::new(),
                 head_at: 0.0,
                 keep_alive: true,
@@ -223,7 +223,7 @@
                 cut_alarm: f64::INFINITY,
                 closing: false,
             });
-            io.timers.set(until, Alarm::Client(slot, generation));
+            io.timers.set(until, Timer::Client(slot, generation));
         }
         false
     }
@@ -235,7 +235,7 @@
         let sooner = until < client.until;
         client.until = until;
         if sooner {
-            io.timers.set(until, Alarm::Client(slot, client.generation));
+            io.timers.set(until, Timer::Client(slot, client.generation));
         }
     }
 
@@ -246,7 +246,7 @@
         let Some(client) = known else { return };
         if client.cut_alarm <= now {
             client.cut_alarm = f64::INFINITY;
-            let cut = self.accounts.reset_at(&client.held);
+            let cut = self.budget.reset_at(&client.held);
             if cut <= now {
                 tracing::debug!(customer = client.customer.as_deref(), "cut: its client does not read");
                 client.socket.reset_on_close();
@@ -254,18 +254,18 @@
             }
             if cut.is_finite() {
                 client.cut_alarm = cut;
-                io.timers.set(cut, Alarm::Client(slot, generation));
+                io.timers.set(cut, Timer::Client(slot, generation));
             }
         }
-        if matches!(client.phase, Phase::Answering(_) | Phase::Asked) {
+        if matches!(client.phase, ConnectionPhase::Answering(_) | ConnectionPhase::Asked) {
             // The request's own time rules; look again when it can be over.
             client.until = now + config.limits.idle_time;
         }
         if client.until > now {
-            return io.timers.set(client.until, Alarm::Client(slot, generation));
+            return io.timers.set(client.until, Timer::Client(slot, generation));
         }
         match client.phase {
-            Phase::Head | Phase::Body(_) if client.is_in_request() => {
+            ConnectionPhase::Head | ConnectionPhase::Body(_) if client.is_in_request() => {
                 self.reply(io, config, slot, &front::too_slow(), None)
             }
             _ => self.drop(slot),
@@ -280,7 +280,7 @@
             return self.gone(slot);
         }
         if ready.read {
-            if let Phase::Lingering = client.phase {
+            if let ConnectionPhase::Lingering = client.phase {
                 client.socket.input.clear();
             }
             let idle = client.socket.input.is_empty();
@@ -289,9 +289,9 @@
                 return self.gone(slot);
             }
             if count > 0 {
-                self.spoke_at = io.now();
+                self.last_input_at = io.now();
             }
-            if count > 0 && idle && matches!(client.phase, Phase::Head) {
+            if count > 0 && idle && matches!(client.phase, ConnectionPhase::Head) {
                 self.until(io, slot, config.limits.head_time);
             }
             self.input(io, config, slot);
@@ -307,15 +307,15 @@
     /// The client is gone: whoever has its request is told.
     fn gone(&mut self, slot: usize) {
         let Some(client) = self.connections.get(slot) else { return };
-        if let Phase::Answering(id) = client.phase {
-            self.said.push_back(Said::Gone(id));
+        if let ConnectionPhase::Answering(id) = client.phase {
+            self.events.push_back(ClientEvent::Disconnected(id));
         }
         self.drop(slot);
     }
 
     fn drop(&mut self, slot: usize) {
         if let Some(client) = self.connections.try_remove(slot) {
-            self.accounts.remove_connection(&client.held);
+            self.budget.remove_connection(&client.held);
         }
     }
 
@@ -331,12 +331,12 @@
         for slot in slots {
             let Some(client) = self.connections.get_mut(slot) else { continue };
             match client.phase {
-                Phase::Answering(_) | Phase::Asked => self.cut(slot),
-                Phase::Head | Phase::Body(_) if client.is_in_request() => {
+                ConnectionPhase::Answering(_) | ConnectionPhase::Asked => self.cut(slot),
+                ConnectionPhase::Head | ConnectionPhase::Body(_) if client.is_in_request() => {
                     self.reply(io, config, slot, &front::full("the gateway is stopping"), None);
                 }
                 _ if !client.is_midway() => self.drop(slot),
-                Phase::Lingering => {}
+                ConnectionPhase::Lingering => {}
                 _ => {
                     client.closing = true;
                     self.settle(io, slot);
@@ -349,12 +349,16 @@
     fn input(&mut self, io: &mut Io, config: &Config, slot: usize) {
         loop {
             let Some(client) = self.connections.get_mut(slot) else { return };
-            if client.closing || matches!(client.phase, Phase::Answering(_) | Phase::Asked | Phase::Lingering)
+            if client.closing
+                || matches!(
+                    client.phase,
+                    ConnectionPhase::Answering(_) | ConnectionPhase::Asked | ConnectionPhase::Lingering
+                )
             {
                 return;
             }
-            if matches!(client.phase, Phase::Head)
-                && !self.accounts.may_start_request(client.socket.pending())
+            if matches!(client.phase, ConnectionPhase::Head)
+                && !self.budget.may_start_request(client.socket.pending())
             {
                 return;
             }
@@ -373,10 +377,11 @@
                 }
                 Some(Part::Head(head)) => {
                     client.socket.consume(used);
-                    client.keep_alive = head.keep_alive && !self.going;
+                    client.keep_alive = head.keep_alive && !self.announce_close;
                     (client.minor, client.head_at) = (head.minor, io.now());
                     let wants_word = head.expects_continue() && head.framing != Framing::None;
-                    let read_on = |caller: Caller| match self.accounts.check_buffers(&caller.customer.name) {
+                    let read_on = |caller: RequestHead| match self.budget.check_buffers(&caller.customer.name)
+                    {
                         Ok(()) => Ok(caller),
                         Err(full) => Err(front::full(full.message())),
                     };
@@ -385,7 +390,7 @@
                         Err(reply) => return self.reply(io, config, slot, &reply, None),
                     };
                     client.customer = Some(caller.customer.name.clone());
-                    client.phase = Phase::Body(Box::new(caller));
+                    client.phase = ConnectionPhase::Body(Box::new(caller));
                     if wants_word && client.socket.input.is_empty() {
                         client.socket.output().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                         client.socket.flush();
@@ -395,11 +400,13 @@
                 Some(Part::End) => {
                     client.socket.consume(used);
                     let (body, head_at) = (std::mem::take(&mut client.body), client.head_at);
-                    let Phase::Body(caller) = std::mem::replace(&mut client.phase, Phase::Asked) else {
-                        client.phase = Phase::Head;
+                    let ConnectionPhase::Body(caller) =
+                        std::mem::replace(&mut client.phase, ConnectionPhase::Asked)
+                    else {
+                        client.phase = ConnectionPhase::Head;
                         continue;
                     };
-                    self.said.push_back(Said::Call { slot, caller, body, head_at });
+                    self.events.push_back(ClientEvent::RequestReceived { slot, caller, body, head_at });
                 }
             }
         }
@@ -408,13 +415,15 @@
     /// A call is taken on as this request.
     pub fn answering(&mut self, slot: usize, id: RequestId) {
         if let Some(client) = self.connections.get_mut(slot) {
-            client.phase = Phase::Answering(id);
+            client.phase = ConnectionPhase::Answering(id);
         }
     }
 
     /// Writes an answer of the gateway's own and makes the connection ready for what comes next.
-    pub fn reply(&mut self, io: &mut Io, config: &Config, slot: usize, reply: &Reply, name: Option<&Name>) {
-        let going = self.going;
+    pub fn reply(
+        &mut self, io: &mut Io, config: &Config, slot: usize, reply: &Response, name: Option<&Name>,
+    ) {
+        let going = self.announce_close;
         let Some(client) = self.connections.get_mut(slot) else { return };
         client.keep_alive &= !going;
         front::write(client.socket.output(), reply, client.keep_alive, name);
@@ -424,10 +433,10 @@
 
     /// Writes bytes of an answer that is passed on, with its head in front of the first; how many wait to be read.
     pub fn pass(
-        &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<PassedHead>, name: &Name,
+        &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<ForwardedHead>, name: &Name,
         bytes: &[u8],
     ) -> usize {
-        let going = self.going;
+        let going = self.announce_close;
         let Some(client) = self.connections.get_mut(slot) else { return 0 };
         if let Some(head) = head {
             let framing = match head.framing {
@@ -476,7 +485,7 @@
     /// A whole answer is in the connection's output.
     fn answered(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
-        client.phase = Phase::Head;
+        client.phase = ConnectionPhase::Head;
         client.closing = !client.keep_alive;
         self.until(io, slot, config.limits.idle_time);
         self.flush(config, slot);
@@ -498,38 +507,43 @@
         if flow == Flow::Broken {
             return self.gone(slot);
         }
-        if let (true, Phase::Answering(id)) =
+        if let (true, ConnectionPhase::Answering(id)) =
             (client.socket.pending() <= config.limits.client_buffer / 2, &client.phase)
         {
-            self.said.push_back(Said::Drained(*id));
+            self.events.push_back(ClientEvent::ReadyForMore(*id));
         }
     }
 
     /// Brings the connection's registration and accounts in line with its state.
     fn settle(&mut self, io: &mut Io, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
-        if client.closing && client.socket.pending() == 0 && !matches!(client.phase, Phase::Lingering) {
+        if client.closing
+            && client.socket.pending() == 0
+            && !matches!(client.phase, ConnectionPhase::Lingering)
+        {
             // Closing with input unread would reset the connection and could destroy our answer on its way
             // (RFC 9112 section 9.6): end our side, and read over what comes for a while.
-            client.phase = Phase::Lingering;
+            client.phase = ConnectionPhase::Lingering;
             client.socket.end_writing();
             client.socket.input = Vec::new();
             self.until(io, slot, LINGER);
         }
         let Some(client) = self.connections.get_mut(slot) else { return };
         let unread = client.socket.pending();
-        let waits = matches!(client.phase, Phase::Head) && !self.accounts.may_start_request(unread);
-        let answering = matches!(client.phase, Phase::Answering(_) | Phase::Asked) || client.closing || waits;
-        let lingering = matches!(client.phase, Phase::Lingering);
+        let waits = matches!(client.phase, ConnectionPhase::Head) && !self.budget.may_start_request(unread);
+        let answering = matches!(client.phase, ConnectionPhase::Answering(_) | ConnectionPhase::Asked)
+            || client.closing
+            || waits;
+        let lingering = matches!(client.phase, ConnectionPhase::Lingering);
         let read = lingering || !answering || client.socket.input.len() < PIPELINED;
         let interest = Interest::of(read, unread > 0).with_end();
         let bytes = (client.socket.input.len() + client.body.len() + unread) as u64;
         let taken = std::mem::take(&mut client.taken);
-        self.accounts.update(io.now(), &mut client.held, client.customer.as_ref(), bytes, unread, taken);
-        let cut = self.accounts.reset_at(&client.held);
+        self.budget.update(io.now(), &mut client.held, client.customer.as_ref(), bytes, unread, taken);
+        let cut = self.budget.reset_at(&client.held);
         if cut.is_finite() && client.cut_alarm.is_infinite() {
             client.cut_alarm = cut;
-            io.timers.set(cut, Alarm::Client(slot, client.generation));
+            io.timers.set(cut, Timer::Client(slot, client.generation));
         }
         if interest != client.interest {
             client.interest = interest;
--- a/crates/http-gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/exchanges.rs
@@ -1,9 +1,9 @@
 //! The room of the requests: each one's exchange, what is held of its answer, and where its client and its attempt are.
-//! It knows neither sockets nor fronts' bytes: what is to be done goes out as `Do`, in order.
+//! It knows neither sockets nor fronts' bytes: what is to be done goes out as `RequestCommand`, in order.
 
-use crate::clients::PassedHead;
-use crate::front::{Ask, Media, REQUEST_ID_FIELD, code_of};
-use crate::nodes::{Heard, Wire};
+use crate::clients::ForwardedHead;
+use crate::front::{MediaType, REQUEST_ID_FIELD, Request, code_of};
+use crate::nodes::{AttemptEvent, BackendRequest};
 use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_graphql::Scan;
@@ -23,14 +23,14 @@
 
 /// One request that is with the decisions or whose attempt is still out.
 #[derive(Debug)]
-struct Request {
+struct InFlightRequest {
     client: Option<usize>,
     plan: Name,
     class: Name,
     began: f64,
     name: Name,
     exchange: RequestLifecycle,
-    media: Media,
+    media: MediaType,
     body: Vec<u8>,
     pass: Vec<(String, String)>,
     keyed: bool,
@@ -48,45 +48,56 @@
     passing: bool,
 }
 
-impl Request {
-    fn done(&self, now: f64, code: &'static str) -> Do {
-        Do::Done { code, plan: self.plan.clone(), class: self.class.clone(), time: now - self.began }
+impl InFlightRequest {
+    fn done(&self, now: f64, code: &'static str) -> RequestCommand {
+        RequestCommand::RecordFinalResponse {
+            code,
+            plan: self.plan.clone(),
+            class: self.class.clone(),
+            time: now - self.began,
+        }
     }
 }
 
 /// What is to be done for a request.
 #[derive(Debug)]
-pub(crate) enum Do {
+pub(crate) enum RequestCommand {
     /// Tell the decisions.
-    Tell(Event),
+    NotifyDecisions(Event),
     /// Give a client this answer.
-    Answer { client: usize, media: Media, answer: FinalResponse, name: Name },
+    Respond { client: usize, media: MediaType, answer: FinalResponse, name: Name },
     /// Pass bytes of a node's answer on to a client, behind a head where one is given.
-    Pass { client: usize, head: Option<PassedHead>, name: Name, bytes: Vec<u8>, node: Option<usize> },
+    ForwardResponse {
+        client: usize,
+        head: Option<ForwardedHead>,
+        name: Name,
+        bytes: Vec<u8>,
+        node: Option<usize>,
+    },
     /// The answer that is passed on is at its end.
-    PassEnd { client: usize },
+    EndResponse { client: usize },
     /// Break a client's connection.
-    Cut { client: usize },
+    ResetClient { client: usize },
     /// Close a node's connection.
-    LetGo { node: usize },
+    CloseBackendConnection { node: usize },
     /// Read a node on that was stopped for its client.
-    Resume { node: usize },
+    ResumeBackend { node: usize },
     /// A request has its final answer, after so many ms.
-    Done { code: &'static str, plan: Name, class: Name, time: f64 },
+    RecordFinalResponse { code: &'static str, plan: Name, class: Name, time: f64 },
     /// The request is over; so many bytes are let go.
-    Over { bytes: u64 },
+    ReleaseBytes { bytes: u64 },
 }
 
 #[derive(Default)]
-pub(crate) struct Exchanges {
-    requests: HashMap<RequestId, Request>,
+pub(crate) struct Requests {
+    requests: HashMap<RequestId, InFlightRequest>,
     /// How many there were so far.
-    pub so_far: RequestId,
+    pub total: RequestId,
     claims_told: HashSet<Name>,
-    pub todo: VecDeque<Do>,
+    pub commands: VecDeque<RequestCommand>,
 }
 
-impl Exchanges {
+impl Requests {
     pub fn count(&self) -> usize {
         self.requests.len()
     }
@@ -97,11 +108,11 @@
 
     /// Takes a request on: its number, what the decisions are told, and how many bytes it holds.
     pub fn begin(
-        &mut self, now: f64, config: &Config, client: usize, process: &str, ask: Ask,
+        &mut self, now: f64, config: &Config, client: usize, process: &str, ask: Request,
     ) -> (IncomingRequest, u64) {
-        let Ask { customer, media, class, units, patience, body, pass, prepared, bound } = ask;
-        self.so_far += 1;
-        let id = self.so_far;
+        let Request { customer, media, class, units, patience, body, pass, prepared, bound } = ask;
+        self.total += 1;
+        let id = self.total;
         let told = pass.iter().find(|(n, _)| n == REQUEST_ID_FIELD).map(|(_, v)| v.as_str());
         let name = told.map_or_else(|| format!("{process}-{id}").into(), Name::from);
         let decisions = &config.decisions;
@@ -119,7 +130,7 @@
             sticky_route: bound,
         };
         let bytes = body.len() as u64;
-        let request = Request {
+        let request = InFlightRequest {
             client: Some(client),
             plan: arrival.plan.clone(),
             class: arrival.class.clone(),
@@ -158,7 +169,7 @@
 
     /// The time is over in which an attempt is dropped as a repeat: it is withdrawn unless it is written.
     pub fn window_over(&mut self, now: f64, id: RequestId, attempt: u32) {
-        let out = |r: &Request| r.exchange.has_attempt() && r.exchange.attempts() == attempt;
+        let out = |r: &InFlightRequest| r.exchange.has_attempt() && r.exchange.attempts() == attempt;
         if self.requests.get(&id).is_some_and(out) {
             self.tell(now, id, LifecycleEvent::Withdrawn);
         }
@@ -166,14 +177,14 @@
 
     /// Only these nodes may still get what is not written yet; other attempts that are not are withdrawn.
     pub fn withdraw_except(&mut self, now: f64, nodes: &HashSet<Name>) {
-        let out = |r: &Request| r.exchange.has_attempt() && !nodes.contains(&r.backend);
+        let out = |r: &InFlightRequest| r.exchange.has_attempt() && !nodes.contains(&r.backend);
         let ids: Vec<_> = self.requests.iter().filter(|(_, r)| out(r)).map(|(id, _)| *id).collect();
         for id in ids {
             self.tell(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
-    pub fn wire<'a>(&'a self, id: RequestId, path: &'a str) -> Option<Wire<'a>> {
+    pub fn wire<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
         let request = self.requests.get(&id)?;
         let mut fields: Vec<(&str, &str)> = vec![
             ("content-type", "application/json"),
@@ -188,7 +199,7 @@
             // Without a key of the client's the request's own name makes our repeats known as such.
             fields.push(("idempotency-key", &request.name));
         }
-        Some(Wire { path, fields, body: &request.body })
+        Some(BackendRequest { path, fields, body: &request.body })
     }
 
     /// The attempt is out on this connection.
@@ -199,17 +210,17 @@
     }
 
     /// Something was heard of a request's attempt.
-    pub fn heard(&mut self, now: f64, sticky: bool, id: RequestId, heard: Heard) {
+    pub fn heard(&mut self, now: f64, sticky: bool, id: RequestId, heard: AttemptEvent) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let input = match heard {
-            Heard::Connected => LifecycleEvent::Connected,
-            Heard::Written => LifecycleEvent::BytesWritten,
-            Heard::Broken => LifecycleEvent::InvalidResponse,
-            Heard::Lost => {
+            AttemptEvent::Connected => LifecycleEvent::Connected,
+            AttemptEvent::BytesWritten => LifecycleEvent::BytesWritten,
+            AttemptEvent::InvalidResponse => LifecycleEvent::InvalidResponse,
+            AttemptEvent::ConnectionLost => {
                 request.node = None;
                 LifecycleEvent::ConnectionLost
             }
-            Heard::Head(head) => {
+            AttemptEvent::Head(head) => {
                 let content_type = head.field("content-type").unwrap_or("application/json").to_owned();
                 let set = head.fields.iter().filter(|(n, _)| sticky && n == "set-cookie");
                 let cookies = set.map(|(_, v)| v.clone()).collect();
@@ -217,7 +228,7 @@
                 request.head = Some(AnswerHead { status, content_type, framing, cookies });
                 LifecycleEvent::ResponseHead { status }
             }
-            Heard::Data(mut data) => {
+            AttemptEvent::Data(mut data) => {
                 request.scan.feed(&data);
                 let bytes = data.len();
                 if request.held.is_empty() {
@@ -227,7 +238,7 @@
                 }
                 LifecycleEvent::ResponseData { bytes }
             }
-            Heard::End => {
+            AttemptEvent::End => {
                 let counted = request.scan.counted();
                 (request.whole, request.node) = (true, None);
                 if let Some(claim) = counted.claim.filter(|c| (c - counted.units).abs() > 1e-6) {
@@ -256,16 +267,16 @@
     /// The client of a request has read enough.
     pub fn drained(&mut self, id: RequestId) {
         if let Some((node, _)) = self.requests.get(&id).and_then(|r| r.node) {
-            self.todo.push_back(Do::Resume { node });
+            self.commands.push_back(RequestCommand::ResumeBackend { node });
         }
     }
 
     /// What is left of a request's client is cut, and the request forgotten: at a stop that would not end else.
     pub fn forget(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
-        self.todo.extend(request.client.map(|client| Do::Cut { client }));
-        self.todo.extend(request.node.map(|(node, _)| Do::LetGo { node }));
-        self.todo.push_back(Do::Over { bytes: request.body.len() as u64 });
+        self.commands.extend(request.client.map(|client| RequestCommand::ResetClient { client }));
+        self.commands.extend(request.node.map(|(node, _)| RequestCommand::CloseBackendConnection { node }));
+        self.commands.push_back(RequestCommand::ReleaseBytes { bytes: request.body.len() as u64 });
     }
 
     /// Tells a request's exchange, and gives out what follows.
@@ -283,7 +294,7 @@
         match output {
             LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished } => {
                 request.node = None;
-                self.todo.push_back(Do::Tell(Event::AttemptEnded(AttemptEnd {
+                self.commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt: request.exchange.attempts() - 1,
                     backend: request.backend.clone(),
@@ -295,34 +306,44 @@
                 })));
             }
             LifecycleAction::ClientDisconnected => {
-                self.todo.push_back(request.done(now, "CLIENT_LEFT"));
-                self.todo.push_back(Do::Tell(Event::ClientDisconnected { id }));
+                self.commands.push_back(request.done(now, "CLIENT_LEFT"));
+                self.commands.push_back(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }));
             }
             LifecycleAction::Respond(answer) => {
                 let (media, name) = (request.media, request.name.clone());
-                self.todo.push_back(request.done(now, code_of(answer)));
+                self.commands.push_back(request.done(now, code_of(answer)));
                 let client = request.client.take();
-                self.todo.extend(client.map(|client| Do::Answer { client, media, answer, name }));
+                self.commands.extend(client.map(|client| RequestCommand::Respond {
+                    client,
+                    media,
+                    answer,
+                    name,
+                }));
             }
             LifecycleAction::ForwardResponse => self.pass(id),
             LifecycleAction::EndResponse => {
-                self.todo.push_back(request.done(now, "SERVED"));
-                self.todo.extend(request.client.take().map(|client| Do::PassEnd { client }));
+                self.commands.push_back(request.done(now, "SERVED"));
+                self.commands
+                    .extend(request.client.take().map(|client| RequestCommand::EndResponse { client }));
             }
             LifecycleAction::DiscardResponse => {
                 request.held.clear();
                 request.head = None;
             }
             LifecycleAction::ResetClient => {
-                self.todo.push_back(request.done(now, "CUT"));
-                self.todo.extend(request.client.take().map(|client| Do::Cut { client }));
+                self.commands.push_back(request.done(now, "CUT"));
+                self.commands
+                    .extend(request.client.take().map(|client| RequestCommand::ResetClient { client }));
             }
             LifecycleAction::CloseBackendConnection => {
-                self.todo.extend(request.node.take().map(|(node, _)| Do::LetGo { node }));
+                self.commands.extend(
+                    request.node.take().map(|(node, _)| RequestCommand::CloseBackendConnection { node }),
+                );
             }
             LifecycleAction::Finished => {
                 if let Some(request) = self.requests.remove(&id) {
-                    self.todo.push_back(Do::Over { bytes: request.body.len() as u64 });
+                    self.commands
+                        .push_back(RequestCommand::ReleaseBytes { bytes: request.body.len() as u64 });
                 }
             }
         }
@@ -339,11 +360,11 @@
                 if request.whole { Framing::Length(request.held.len() as u64) } else { known.framing };
             let (status, content_type, cookies) =
                 (known.status, known.content_type.clone(), known.cookies.clone());
-            head = Some(PassedHead { status, content_type, framing, cookies });
+            head = Some(ForwardedHead { status, content_type, framing, cookies });
             request.passing = true;
         }
         let (bytes, name) = (std::mem::take(&mut request.held), request.name.clone());
         let node = request.node.map(|(node, _)| node);
-        self.todo.push_back(Do::Pass { client, head, name, bytes, node });
+        self.commands.push_back(RequestCommand::ForwardResponse { client, head, name, bytes, node });
     }
 }
--- a/crates/http-gateway/src/front.rs
+++ b/crates/http-gateway/src/front.rs
@@ -19,12 +19,12 @@
 
 /// The two media types of GraphQL over HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Media {
+pub(crate) enum MediaType {
     Response,
     Json,
 }
 
-impl Media {
+impl MediaType {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Response => "application/graphql-response+json; charset=utf-8",
@@ -35,7 +35,7 @@
 
 /// An answer that the gateway gives itself.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct Response {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
@@ -45,9 +45,9 @@
 
 /// What is known of a request once its head is read.
 #[derive(Debug)]
-pub(crate) struct Caller {
+pub(crate) struct RequestHead {
     pub customer: Arc<Customer>,
-    pub media: Media,
+    pub media: MediaType,
     pub get: bool,
     /// The deadline stated, in ms.
     pub deadline: Option<f64>,
@@ -60,9 +60,9 @@
 
 /// A request ready for the decisions.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     pub customer: Arc<Customer>,
-    pub media: Media,
+    pub media: MediaType,
     pub class: usize,
     pub units: f64,
     /// How long the decisions have, in ms.
@@ -77,37 +77,37 @@
 const PASSED_ON: [&str; 4] = ["idempotency-key", REQUEST_ID_FIELD, "traceparent", "tracestate"];
 
 /// One error with a stable code, in the shape of a GraphQL response.
-fn error(media: Media, status: u16, code: &str, message: &str) -> Reply {
+fn error(media: MediaType, status: u16, code: &str, message: &str) -> Response {
     let body = json!({"errors": [{"message": message, "extensions": {"code": code}}]});
     let fields = vec![("content-type", media.name().to_owned())];
-    Reply { status, fields, body: body.to_string().into_bytes(), close: false }
+    Response { status, fields, body: body.to_string().into_bytes(), close: false }
 }
 
-fn closing(mut reply: Reply) -> Reply {
+fn closing(mut reply: Response) -> Response {
     reply.close = true;
     reply
 }
 
 /// An answer to bytes that are no HTTP.
-pub(crate) fn malformed(fault: doorcourse_http::Error) -> Reply {
-    closing(error(Media::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
+pub(crate) fn malformed(fault: doorcourse_http::Error) -> Response {
+    closing(error(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
 }
 
 /// An answer to a request that took too long to arrive.
-pub(crate) fn too_slow() -> Reply {
-    closing(error(Media::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
+pub(crate) fn too_slow() -> Response {
+    closing(error(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
 }
 
 /// An answer where the gateway itself is full: nothing of the request was read on.
-pub(crate) fn full(what: &str) -> Reply {
-    let mut reply = closing(error(Media::Json, 503, "GATEWAY_FULL", what));
+pub(crate) fn full(what: &str) -> Response {
+    let mut reply = closing(error(MediaType::Json, 503, "GATEWAY_FULL", what));
     reply.fields.push(("retry-after", "1".into()));
     reply
 }
 
 /// Checks a request's head: who asks, and whether the body is worth reading.
-pub(crate) fn caller(config: &Config, head: &Head) -> Result<Caller, Reply> {
-    let refuse = |status, code: &str, text: &str| Err(closing(error(Media::Json, status, code, text)));
+pub(crate) fn caller(config: &Config, head: &Head) -> Result<RequestHead, Response> {
+    let refuse = |status, code: &str, text: &str| Err(closing(error(MediaType::Json, status, code, text)));
     let target = origin_form(&head.target);
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let sticky = &config.routing;
@@ -117,7 +117,8 @@
     }
     let get = head.method == "GET";
     if !get && head.method != "POST" {
-        let mut reply = closing(error(Media::Json, 405, "METHOD_NOT_ALLOWED", "GET and POST are allowed"));
+        let mut reply =
+            closing(error(MediaType::Json, 405, "METHOD_NOT_ALLOWED", "GET and POST are allowed"));
         reply.fields.push(("allow", "GET, POST".into()));
         if head.method == "HEAD" {
             reply.body.clear();
@@ -129,7 +130,7 @@
     let key = given.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
     let Some(customer) = key.and_then(|k| config.customer(k.as_bytes())) else {
         let text = "a known key is needed in Authorization: Bearer";
-        let mut reply = closing(error(Media::Json, 401, "UNAUTHENTICATED", text));
+        let mut reply = closing(error(MediaType::Json, 401, "UNAUTHENTICATED", text));
         reply.fields.push(("www-authenticate", "Bearer".into()));
         return Err(reply);
     };
@@ -166,7 +167,7 @@
     let bound = session.map(sticky_route).unwrap_or_default().into();
     let own = |pair: &&str| sticky.parameter.is_empty() || parameter(&sticky.parameter, pair, '&').is_none();
     let query = get.then(|| query.split('&').filter(own).collect::<Vec<_>>().join("&"));
-    Ok(Caller { customer: Arc::clone(customer), media, get, deadline, pass, bound, query })
+    Ok(RequestHead { customer: Arc::clone(customer), media, get, deadline, pass, bound, query })
 }
 
 /// The target without scheme and authority: a server takes the absolute form too (RFC 9112 section 3.2.2).
@@ -182,17 +183,17 @@
 }
 
 /// The media type to answer in: without a word of the client's, the older one (GraphQL over HTTP, "Legacy").
-fn accepted(head: &Head) -> Option<Media> {
+fn accepted(head: &Head) -> Option<MediaType> {
     let mut values = head.fields.iter().filter(|(n, _)| n == "accept").peekable();
     if values.peek().is_none() {
-        return Some(Media::Json);
+        return Some(MediaType::Json);
     }
-    let mut best: Option<(f64, Media)> = None;
+    let mut best: Option<(f64, MediaType)> = None;
     for word in values.flat_map(|(_, v)| v.split(',')) {
         let mut parts = word.split(';').map(|p| p.trim().to_ascii_lowercase());
         let media = match parts.next().as_deref() {
-            Some("application/graphql-response+json") => Media::Response,
-            Some("application/json" | "application/*" | "*/*") => Media::Json,
+            Some("application/graphql-response+json") => MediaType::Response,
+            Some("application/json" | "application/*" | "*/*") => MediaType::Json,
             _ => continue,
         };
         let weight = parts.find_map(|p| p.strip_prefix("q=").map(str::to_owned));
@@ -207,7 +208,7 @@
 /// The parameters of a request: query, operationName, variables, extensions.
 type Parameters = Map<String, Value>;
 
-fn parameters(caller: &Caller, body: &[u8]) -> Result<Parameters, Reply> {
+fn parameters(caller: &RequestHead, body: &[u8]) -> Result<Parameters, Response> {
     let media = caller.media;
     let bad = |text: &str| error(media, 400, "BAD_REQUEST", text);
     let Some(query) = &caller.query else {
@@ -256,9 +257,9 @@
     String::from_utf8(bytes).ok()
 }
 
-fn faults(media: Media, code: &str, faults: &[QueryError]) -> Reply {
+fn faults(media: MediaType, code: &str, faults: &[QueryError]) -> Response {
     // A well-formed request whose operation is refused: 200 in the older media type, 400 in the newer one.
-    let status = if media == Media::Json { 200 } else { 400 };
+    let status = if media == MediaType::Json { 200 } else { 400 };
     let one = |fault: &QueryError| match fault.at {
         Some(at) => json!({"message": fault.message, "extensions": {"code": code},
             "locations": [{"line": at.line, "column": at.column}]}),
@@ -266,12 +267,14 @@
     };
     let body = json!({"errors": faults.iter().map(one).collect::<Vec<_>>()});
     let fields = vec![("content-type", media.name().to_owned())];
-    Reply { status, fields, body: body.to_string().into_bytes(), close: false }
+    Response { status, fields, body: body.to_string().into_bytes(), close: false }
 }
 
 /// From a whole request to an ask: the operation checked, priced and given its class.
 /// `spent` is how long ago its head came, in ms: the client's deadline runs from then.
-pub(crate) fn ask(config: &Config, caller: Caller, body: Vec<u8>, spent: f64) -> Result<Ask, Reply> {
+pub(crate) fn ask(
+    config: &Config, caller: RequestHead, body: Vec<u8>, spent: f64,
+) -> Result<Request, Response> {
     let media = caller.media;
     let bad = |text: &str| error(media, 400, "BAD_REQUEST", text);
     let parameters = parameters(&caller, &body)?;
@@ -327,8 +330,8 @@
         .filter(|p| *p > 0.0)
         .ok_or_else(|| error(media, 504, "DEADLINE_PASSED", "no time is left for an answer"))?;
     let body = if caller.get { Value::Object(parameters).to_string().into_bytes() } else { body };
-    let Caller { customer, pass, bound, .. } = caller;
-    Ok(Ask { customer, media, class, units, patience, body, pass, prepared, bound })
+    let RequestHead { customer, pass, bound, .. } = caller;
+    Ok(Request { customer, media, class, units, patience, body, pass, prepared, bound })
 }
 
 /// The stable code of a final answer of the gateway's own.
@@ -343,7 +346,7 @@
 }
 
 /// The HTTP form of a final answer of the gateway's own.
-pub(crate) fn last_word(media: Media, answer: FinalResponse) -> Reply {
+pub(crate) fn last_word(media: MediaType, answer: FinalResponse) -> Response {
     let code = code_of(answer);
     match answer {
         FinalResponse::Rejected { retry_after, reason: why } => {
@@ -370,7 +373,7 @@
 }
 
 /// Appends a reply to a connection's output.
-pub(crate) fn write(out: &mut Vec<u8>, reply: &Reply, keep_alive: bool, request: Option<&Name>) {
+pub(crate) fn write(out: &mut Vec<u8>, reply: &Response, keep_alive: bool, request: Option<&Name>) {
     let mut fields: Vec<(&str, &str)> = reply.fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
     if !keep_alive || reply.close {
         fields.push(("connection", "close"));
--- a/crates/http-gateway/src/health.rs
+++ b/crates/http-gateway/src/health.rs
@@ -87,7 +87,7 @@
 
 /// What is looked up when somebody reads.
 #[derive(Debug, Default)]
-pub(crate) struct Now {
+pub(crate) struct Snapshot {
     pub ready: bool,
     pub requests: usize,
     pub clients: usize,
@@ -203,7 +203,7 @@
         }
     }
 
-    fn text(&self, now: &Now) -> String {
+    fn text(&self, now: &Snapshot) -> String {
         let whole = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         self.requests.set(whole(now.requests));
         self.clients.set(whole(now.clients));
@@ -232,7 +232,7 @@
     }
 }
 
-struct Watcher {
+struct MonitoringConnection {
     socket: Socket,
     generation: u32,
     decoder: Decoder,
@@ -244,7 +244,7 @@
 
 /// What a watcher wants to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wants {
+enum Page {
     Live,
     Ready,
     Metrics,
@@ -252,20 +252,20 @@
 
 /// A question that waits for `answer`.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct PageRequest {
     slot: usize,
-    wants: Wants,
+    wants: Page,
     keep_alive: bool,
 }
 
-pub(crate) struct Health {
+pub(crate) struct Monitoring {
     listener: TcpListener,
-    watchers: Slab<Watcher>,
+    watchers: Slab<MonitoringConnection>,
     metrics: Metrics,
-    pub questions: VecDeque<Question>,
+    pub questions: VecDeque<PageRequest>,
 }
 
-impl Health {
+impl Monitoring {
     pub fn new(io: &Io, listener: TcpListener) -> std::io::Result<Self> {
         io.poller.add(&listener, Token::Health.pack(), Interest::READ)?;
         Ok(Self { listener, watchers: Slab::new(), metrics: Metrics::new(), questions: VecDeque::new() })
@@ -303,7 +303,7 @@
         if io.poller.add(&socket, token, Interest::READ).is_ok() {
             let decoder = Decoder::new(Role::Requests, LIMITS);
             let (interest, closing, spoke) = (Interest::READ, false, io.now());
-            entry.insert(Watcher { socket, generation, decoder, interest, closing, spoke });
+            entry.insert(MonitoringConnection { socket, generation, decoder, interest, closing, spoke });
         }
     }
 
@@ -347,9 +347,9 @@
             let Some((method, target, keep_alive)) = head else { continue };
             let path = target.split('?').next().unwrap_or("");
             let wants = match path {
-                "/live" => Wants::Live,
-                "/ready" => Wants::Ready,
-                "/metrics" => Wants::Metrics,
+                "/live" => Page::Live,
+                "/ready" => Page::Ready,
+                "/metrics" => Page::Metrics,
                 _ => {
                     respond(
                         watcher,
@@ -362,7 +362,7 @@
                 }
             };
             if method == "GET" {
-                self.questions.push_back(Question { slot, wants, keep_alive });
+                self.questions.push_back(PageRequest { slot, wants, keep_alive });
             } else {
                 respond(watcher, 405, "text/plain; charset=utf-8", "GET is allowed\n", keep_alive);
             }
@@ -370,16 +370,16 @@
     }
 
     /// Answers a question with what is so now.
-    pub fn answer(&mut self, io: &Io, question: &Question, now: &Now) {
+    pub fn answer(&mut self, io: &Io, question: &PageRequest, now: &Snapshot) {
         let Some(watcher) = self.watchers.get_mut(question.slot) else { return };
         let plain = "text/plain; charset=utf-8";
         match question.wants {
-            Wants::Live => respond(watcher, 200, plain, "live\n", question.keep_alive),
-            Wants::Ready if now.ready => respond(watcher, 200, plain, "ready\n", question.keep_alive),
-            Wants::Ready => {
+            Page::Live => respond(watcher, 200, plain, "live\n", question.keep_alive),
+            Page::Ready if now.ready => respond(watcher, 200, plain, "ready\n", question.keep_alive),
+            Page::Ready => {
                 respond(watcher, 503, plain, "not ready: send no new clients\n", question.keep_alive)
             }
-            Wants::Metrics => {
+            Page::Metrics => {
                 let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
                 respond(watcher, 200, kind, &self.metrics.text(now), question.keep_alive);
             }
@@ -404,7 +404,7 @@
     }
 }
 
-fn respond(watcher: &mut Watcher, status: u16, kind: &str, body: &str, keep_alive: bool) {
+fn respond(watcher: &mut MonitoringConnection, status: u16, kind: &str, body: &str, keep_alive: bool) {
     let mut fields = vec![("content-type", kind)];
     if !keep_alive {
         fields.push(("connection", "close"));
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Alarm {
+pub(crate) enum Timer {
     Decision(u64),
     TimeUp(RequestId),
     /// The time is over in which an attempt is dropped as a repeat: the request and the number of its attempt.
@@ -78,7 +78,7 @@
 /// Readiness, timers, the clock, and the events on their way to the decisions, in their order.
 pub(crate) struct Io {
     pub poller: Poller,
-    pub timers: Timers<Alarm>,
+    pub timers: Timers<Timer>,
     pub clock: Clock,
     pub events: VecDeque<Event>,
     generation: u32,
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -16,5 +16,5 @@
 mod state;
 
 pub use front::{DEADLINE_FIELD, REQUEST_ID_FIELD};
-pub use reload::Reread;
+pub use reload::ReadSettings;
 pub use run::{Gateway, Start, Stopper};
--- a/crates/http-gateway/src/list.rs
+++ b/crates/http-gateway/src/list.rs
@@ -6,7 +6,7 @@
 
 /// A list file that is read again when it changes.
 #[derive(Debug)]
-pub(crate) struct ListFile {
+pub(crate) struct EndpointList {
     path: PathBuf,
     pub poll: f64,
     seen: Option<(SystemTime, u64)>,
@@ -14,7 +14,7 @@
     pub routing: Option<Routing>,
 }
 
-impl ListFile {
+impl EndpointList {
     pub fn new(path: PathBuf, poll: f64) -> Self {
         Self { path, poll, seen: None, routing: None }
     }
--- a/crates/http-gateway/src/nodes.rs
+++ b/crates/http-gateway/src/nodes.rs
@@ -1,7 +1,7 @@
 //! The room of the nodes: their connections, and a pool of idle ones for each. What is heard on a connection is given out
 //! piece by piece (`hear`), so that whoever listens may let the connection go between two pieces.
 
-use crate::io::{Alarm, Io, Token};
+use crate::io::{Io, Timer, Token};
 use doorcourse::{Name, RequestId};
 use doorcourse_config::{Limits, Node};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug)]
-struct Connection {
+struct BackendConnection {
     socket: Socket,
     generation: u32,
     node: Name,
@@ -49,7 +49,7 @@
     keep_alive: bool,
 }
 
-impl Connection {
+impl BackendConnection {
     /// Lets go of the input that was looked at, once for all pieces of a reading.
     fn consume(&mut self) {
         let at = std::mem::take(&mut self.at);
@@ -59,38 +59,38 @@
 
 /// One piece of what is heard of an attempt.
 #[derive(Debug)]
-pub(crate) enum Heard {
+pub(crate) enum AttemptEvent {
     /// The connection is made.
     Connected,
     /// The system took bytes of the request.
-    Written,
+    BytesWritten,
     Head(Box<Head>),
     Data(Vec<u8>),
     /// The answer is at its end; the connection is free again or gone.
     End,
     /// The connection is gone.
-    Lost,
+    ConnectionLost,
     /// The answer breaks the protocol or a limit.
-    Broken,
+    InvalidResponse,
 }
 
 /// What a request is to be on the wire.
-pub(crate) struct Wire<'a> {
+pub(crate) struct BackendRequest<'a> {
     pub path: &'a str,
     pub fields: Vec<(&'a str, &'a str)>,
     pub body: &'a [u8],
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Nodes {
-    connections: Slab<Connection>,
+pub(crate) struct Backends {
+    connections: Slab<BackendConnection>,
     pools: BTreeMap<Name, Pool>,
 }
 
-impl Nodes {
+impl Backends {
     /// Takes a list over; idle connections to what is gone are closed. Names the nodes that are where they were: what is
     /// not written yet to any other is to be taken back.
-    pub fn update(&mut self, nodes: &[Node]) -> Vec<Name> {
+    pub fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
         let (mut old, mut same) = (std::mem::take(&mut self.pools), Vec::new());
         let mut gone = Vec::new();
         for node in nodes {
@@ -109,13 +109,13 @@
             self.pools.insert(name, pool);
         }
         gone.extend(old.into_values().flat_map(|pool| pool.idle));
-        gone.into_iter().for_each(|slot| self.let_go(slot));
+        gone.into_iter().for_each(|slot| self.close(slot));
         same
     }
 
     /// Begins an attempt: on an idle connection, else on a new one. `None` where none can even be begun.
     pub fn send(
-        &mut self, io: &mut Io, limits: &Limits, id: RequestId, node: &Name, wire: &Wire,
+        &mut self, io: &mut Io, limits: &Limits, id: RequestId, node: &Name, wire: &BackendRequest,
     ) -> Option<(usize, u32)> {
         let pool = self.pools.get_mut(node)?;
         let endpoint = pool.endpoint;
@@ -144,7 +144,7 @@
         io.poller.add(&socket, Token::Node(slot, generation).pack(), interest)?;
         let limits =
             HttpLimits { line: limits.line, head: limits.head, fields: limits.fields, body: limits.answer };
-        entry.insert(Connection {
+        entry.insert(BackendConnection {
             socket,
             generation,
             node: node.clone(),
@@ -186,20 +186,20 @@
             let (count, flow) = connection.socket.read();
             if connection.request.is_none() && (count > 0 || flow != Flow::Open) {
                 // An idle connection that ends, or speaks unasked, is of no further use.
-                return self.let_go(slot);
+                return self.close(slot);
             }
             (connection.flow, connection.news) = (flow, connection.news || count > 0 || flow != Flow::Open);
         }
     }
 
     /// The next piece of what is heard on a connection, and of which request. `None`: nothing more for now.
-    pub fn hear(
+    pub fn next_event(
         &mut self, io: &mut Io, limits: &Limits, slot: usize, generation: u32,
-    ) -> Option<(RequestId, Heard)> {
+    ) -> Option<(RequestId, AttemptEvent)> {
         let connection = self.connections.get_mut(slot).filter(|c| c.generation == generation)?;
         if let Some(id) = connection.request {
             if std::mem::take(&mut connection.made) {
-                return Some((id, Heard::Connected));
+                return Some((id, AttemptEvent::Connected));
             }
             if std::mem::take(&mut connection.writes) {
                 let before = connection.socket.pending();
@@ -207,7 +207,7 @@
                     (connection.flow, connection.news) = (Flow::Broken, true);
                 }
                 if connection.socket.pending() < before {
-                    return Some((id, Heard::Written));
+                    return Some((id, AttemptEvent::BytesWritten));
                 }
             }
             if connection.news
@@ -217,14 +217,14 @@
             }
         } else if connection.news && !connection.socket.input.is_empty() {
             // More than the answer: nothing on it can be trusted.
-            self.let_go(slot);
+            self.close(slot);
         }
         self.settle(io, slot);
         None
     }
 
     /// The next piece of an answer out of what was read.
-    fn answer(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<Heard> {
+    fn answer(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<AttemptEvent> {
         let connection = self.connections.get_mut(slot)?;
         if !connection.connecting {
             // Also without a byte at hand: a message may be at its end.
@@ -232,18 +232,18 @@
             let (used, heard) = match connection.decoder.decode(input) {
                 Err(_) => {
                     connection.news = false;
-                    return Some(Heard::Broken);
+                    return Some(AttemptEvent::InvalidResponse);
                 }
                 Ok((used, None)) => (used, None),
                 Ok((used, Some(Part::Head(head)))) => {
                     connection.keep_alive = head.keep_alive;
-                    (used, Some(Heard::Head(head)))
+                    (used, Some(AttemptEvent::Head(head)))
                 }
-                Ok((used, Some(Part::Data(data)))) => (used, Some(Heard::Data(data.to_vec()))),
-                Ok((used, Some(Part::End))) => (used, Some(Heard::End)),
+                Ok((used, Some(Part::Data(data)))) => (used, Some(AttemptEvent::Data(data.to_vec()))),
+                Ok((used, Some(Part::End))) => (used, Some(AttemptEvent::End)),
             };
             connection.at += used;
-            if let Some(Heard::End) = heard {
+            if let Some(AttemptEvent::End) = heard {
                 self.free(io, limits, slot);
             }
             if heard.is_some() {
@@ -258,8 +258,8 @@
         }
         let rest = !connection.socket.input.is_empty();
         let whole = connection.flow == Flow::Ended && connection.decoder.closed(rest).unwrap_or(false);
-        self.let_go(slot);
-        Some(if whole { Heard::End } else { Heard::Lost })
+        self.close(slot);
+        Some(if whole { AttemptEvent::End } else { AttemptEvent::ConnectionLost })
     }
 
     /// An answer is at its end: the connection goes back to its pool where it may carry another request.
@@ -278,24 +278,25 @@
                 if keep && (pool.endpoint == connection.endpoint || rule_disabled("pool-per-endpoint")) =>
             {
                 pool.idle.push(slot);
-                let alarm = Alarm::NodeIdle(slot, connection.generation);
+                let alarm = Timer::NodeIdle(slot, connection.generation);
                 io.timers.set(connection.idle_until, alarm);
             }
-            _ => self.let_go(slot),
+            _ => self.close(slot),
         }
     }
 
     /// An idle connection's time may be over.
-    pub fn idle_over(&mut self, io: &Io, slot: usize, generation: u32) {
+    pub fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
         let now = io.now();
-        let over = |c: &Connection| c.generation == generation && c.request.is_none() && c.idle_until <= now;
+        let over =
+            |c: &BackendConnection| c.generation == generation && c.request.is_none() && c.idle_until <= now;
         if self.connections.get(slot).is_some_and(over) {
-            self.let_go(slot);
+            self.close(slot);
         }
     }
 
     /// Closes a connection, whatever it carries.
-    pub fn let_go(&mut self, slot: usize) {
+    pub fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         if let Some(pool) = self.pools.get_mut(&connection.node) {
             pool.idle.retain(|s| *s != slot);
@@ -303,7 +304,7 @@
     }
 
     /// Stops reading an answer until its client has read, or goes on.
-    pub fn pause(&mut self, io: &Io, slot: usize, paused: bool) {
+    pub fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.paused = paused;
         }
--- a/crates/http-gateway/src/reload.rs
+++ b/crates/http-gateway/src/reload.rs
@@ -1,14 +1,14 @@
 //! The room of the settings' reading: beside the loop, in a thread of its own, for those who asked. Whether what was read
 //! is taken is the life cycle's affair.
 
-use crate::admin::Asker;
+use crate::admin::ReloadWaiter;
 use doorcourse_config::{Change, Config, compare};
 use std::collections::VecDeque;
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, mpsc};
 
 /// Reads the settings again, or says every fault.
-pub type Reread = Arc<dyn Fn() -> Result<Config, String> + Send + Sync>;
+pub type ReadSettings = Arc<dyn Fn() -> Result<Config, String> + Send + Sync>;
 
 /// Settings that were read beside the loop, and the difference that they make.
 type Read = Result<(Config, Change), String>;
@@ -16,35 +16,35 @@
 /// What the reading thread writes to the pipe of SIGHUP; signals and `Stopper` write other bytes.
 const READ: u8 = 0xff;
 
-pub(crate) struct Reload {
-    reread: Option<Reread>,
+pub(crate) struct SettingsReload {
+    reread: Option<ReadSettings>,
     /// Settings being read; whoever asked meanwhile has them read once more behind that.
     reading: Option<mpsc::Receiver<Read>>,
     again: bool,
     /// What was read and waits for the life cycle's word.
     read: Option<(Config, Change)>,
     /// Who waits for this reading, and for the next.
-    askers: Vec<Asker>,
-    next_askers: Vec<Asker>,
+    askers: Vec<ReloadWaiter>,
+    next_askers: Vec<ReloadWaiter>,
     /// Shared with the reading thread: a clone of its own would need a descriptor, and without one nobody would hear that
     /// the settings are read.
     wake: Arc<UnixStream>,
     signal: UnixStream,
     /// Answers for those who asked.
-    pub told: VecDeque<(Asker, Result<Change, String>)>,
+    pub told: VecDeque<(ReloadWaiter, Result<Change, String>)>,
 }
 
 /// What the pipe had to say.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Heard {
+pub(crate) struct ReloadEvents {
     /// Somebody wants a reload: a signal, or another thread.
     pub asked: bool,
     /// Settings are read and wait for the life cycle's word.
     pub read: bool,
 }
 
-impl Reload {
-    pub fn new(reread: Option<Reread>) -> anyhow::Result<Self> {
+impl SettingsReload {
+    pub fn new(reread: Option<ReadSettings>) -> anyhow::Result<Self> {
         let (wake, signal) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
@@ -64,16 +64,16 @@
     }
 
     /// The pipe speaks.
-    pub fn ready(&mut self, config: &Arc<Config>) -> Heard {
+    pub fn ready(&mut self, config: &Arc<Config>) -> ReloadEvents {
         let (mut bytes, mut asked) = ([0; 16], false);
         while let Ok(n @ 1..) = std::io::Read::read(&mut self.signal, &mut bytes) {
             asked |= bytes[..n].iter().any(|b| *b != READ);
         }
-        Heard { asked, read: self.finish(config) }
+        ReloadEvents { asked, read: self.finish(config) }
     }
 
     /// Somebody on the admin socket waits for settings to be read.
-    pub fn ask(&mut self, asker: Asker) {
+    pub fn ask(&mut self, asker: ReloadWaiter) {
         if self.reading.is_some() { self.next_askers.push(asker) } else { self.askers.push(asker) }
     }
 
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/run.rs
@@ -1,17 +1,17 @@
 //! The loop: a thin room over the others. It waits, hands each descriptor and alarm to the room that it belongs to, and
 //! carries what one room has to say to the next.
 
-use crate::admin::{Admin, Asked, Called};
-use crate::clients::{Clients, Said};
+use crate::admin::{Admin, AdminCall, AdminRequest};
+use crate::clients::{ClientEvent, Clients};
 use crate::counter::Counter;
-use crate::exchanges::{Do, Exchanges};
+use crate::exchanges::{RequestCommand, Requests};
 use crate::fleet::Fleet;
 use crate::front;
-use crate::health::{Health, Now};
-use crate::io::{Alarm, Io, Token};
-use crate::list::ListFile;
-use crate::nodes::{Heard, Nodes};
-use crate::reload::{Reload, Reread};
+use crate::health::{Monitoring, Snapshot};
+use crate::io::{Io, Timer, Token};
+use crate::list::EndpointList;
+use crate::nodes::{AttemptEvent, Backends};
+use crate::reload::{ReadSettings, SettingsReload};
 use crate::state::StateFile;
 use anyhow::Context;
 use doorcourse::{Action, BackendState, Event, Name, RequestId};
@@ -38,7 +38,7 @@
     /// The seed of the decisions; `None` takes one by chance.
     pub seed: Option<u64>,
     /// Reads the settings again; without it there is no reload.
-    pub reread: Option<Reread>,
+    pub reread: Option<ReadSettings>,
     /// Take the listening sockets over from the process that serves at the admin socket.
     pub take_over: bool,
 }
@@ -48,14 +48,14 @@
     config: Arc<Config>,
     io: Io,
     clients: Clients,
-    nodes: Nodes,
-    exchanges: Exchanges,
+    nodes: Backends,
+    exchanges: Requests,
     counter: Counter,
     fleet: Option<Fleet>,
     admin: Option<Admin>,
-    health: Option<Health>,
-    reload: Reload,
-    list: Option<ListFile>,
+    health: Option<Monitoring>,
+    reload: SettingsReload,
+    list: Option<EndpointList>,
     listed: Vec<Node>,
     drained: ManualDrains,
     decision: doorcourse::Gateway,
@@ -126,19 +126,19 @@
         }
         let clients = Clients::new(&io, &config, listeners)?;
         let health = match (watched, config.health) {
-            (Some(passed), _) => Some(Health::new(&io, passed)?),
+            (Some(passed), _) => Some(Monitoring::new(&io, passed)?),
             (None, None) => None,
             (None, Some(address)) => {
                 let made = listen(address)
                     .map_err(|e| anyhow::anyhow!("health.listen: cannot listen on {address}: {e}"))?;
-                Some(Health::new(&io, made)?)
+                Some(Monitoring::new(&io, made)?)
             }
         };
         let admin = admin_path.map(|path| Admin::bind(&path, take_over)).transpose()?;
         if let Some(admin) = &admin {
             io.poller.add(admin.fd(), Token::Admin.pack(), Interest::READ)?;
         }
-        let reload = Reload::new(reread)?;
+        let reload = SettingsReload::new(reread)?;
         io.poller.add(reload.signal(), Token::Reload.pack(), Interest::READ)?;
         let (wake, signal) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
@@ -151,15 +151,15 @@
         });
         let mut gateway = Self {
             clients,
-            nodes: Nodes::default(),
-            exchanges: Exchanges::default(),
+            nodes: Backends::default(),
+            exchanges: Requests::default(),
             counter: Counter::new(config.counter.as_ref()),
             // Never the seed of the decisions: two starts must not look like one.
             fleet: Fleet::new(&io, &config, chance(), old.is_some())?,
             admin,
             health,
             reload,
-            list: config.node_list.as_ref().map(|(file, poll)| ListFile::new(folder.join(file), *poll)),
+            list: config.node_list.as_ref().map(|(file, poll)| EndpointList::new(folder.join(file), *poll)),
             listed: Vec::new(),
             drained: ManualDrains::default(),
             decision,
@@ -246,7 +246,7 @@
             self.suspects();
             self.pump();
             let (requests, clients, calls) = (self.exchanges.count(), self.clients.count(), self.counter.out);
-            let quiet = self.io.now() - self.clients.spoke_at;
+            let quiet = self.io.now() - self.clients.last_input_at;
             // All connections are looked through only where an end waits for them.
             let midway = if self.life.is_ready() { 0 } else { self.clients.midway() };
             self.life(ProcessEvent::Tick(PendingWork {
@@ -262,7 +262,7 @@
                 let c = doorcourse_event_loop::counts();
                 let (reads, writes, waits, changes, connects) =
                     (c.reads, c.writes, c.waits, c.changes, c.connects);
-                let requests = self.exchanges.so_far;
+                let requests = self.exchanges.total;
                 tracing::info!(requests, reads, writes, waits, changes, connects, "stopped");
                 return Ok(());
             }
@@ -377,21 +377,21 @@
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm) {
+    fn alarm(&mut self, alarm: Timer) {
         match alarm {
-            Alarm::Decision(token) => self.io.events.push_back(Event::TimerExpired { token }),
-            Alarm::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::DeadlineExpired),
-            Alarm::Window(id, attempt) => self.exchanges.window_over(self.io.now(), id, attempt),
-            Alarm::Client(slot, generation) => {
+            Timer::Decision(token) => self.io.events.push_back(Event::TimerExpired { token }),
+            Timer::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::DeadlineExpired),
+            Timer::Window(id, attempt) => self.exchanges.window_over(self.io.now(), id, attempt),
+            Timer::Client(slot, generation) => {
                 self.clients.time(&mut self.io, &self.config, slot, generation);
             }
-            Alarm::NodeIdle(slot, generation) => self.nodes.idle_over(&self.io, slot, generation),
-            Alarm::NodeList => {
+            Timer::NodeIdle(slot, generation) => self.nodes.handle_idle_timeout(&self.io, slot, generation),
+            Timer::NodeList => {
                 if let Err(error) = self.look_at_list() {
                     tracing::error!(%error, "node list not taken, the last one holds");
                 }
             }
-            Alarm::State => self.save_state(),
+            Timer::State => self.save_state(),
         }
     }
 
@@ -401,9 +401,9 @@
     /// decisions are told all that happened in its order.
     fn pump(&mut self) {
         loop {
-            if let Some(todo) = self.exchanges.todo.pop_front() {
+            if let Some(todo) = self.exchanges.commands.pop_front() {
                 self.carry_out(todo);
-            } else if let Some(said) = self.clients.said.pop_front() {
+            } else if let Some(said) = self.clients.events.pop_front() {
                 self.said(said);
             } else if let Some(event) = self.io.events.pop_front() {
                 self.decide(event);
@@ -443,7 +443,7 @@
                 self.exchanges.tell(now, id, Tell::Rejected { retry_after, reason: why });
             }
             Action::Fail { id } => self.exchanges.tell(now, id, Tell::Failed),
-            Action::SetTimer { after, token } => self.io.timers.set(now + after, Alarm::Decision(token)),
+            Action::SetTimer { after, token } => self.io.timers.set(now + after, Timer::Decision(token)),
             Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
                 self.counter.call(&mut self.io, Call { name, amount, keep });
             }
@@ -459,7 +459,7 @@
     fn send(&mut self, id: RequestId, backend: &Name, window: Option<f64>) {
         let attempt = self.exchanges.sent(self.io.now(), id, backend.clone());
         if let Some(window) = window {
-            self.io.timers.set(self.io.now() + window, Alarm::Window(id, attempt));
+            self.io.timers.set(self.io.now() + window, Timer::Window(id, attempt));
         }
         let Some(wire) = self.exchanges.wire(id, &self.config.path) else { return };
         match self.nodes.send(&mut self.io, &self.config.limits, id, backend, &wire) {
@@ -468,67 +468,69 @@
                 self.hear(connection.0, connection.1);
             }
             // Gone from the list since, or no descriptor left: no connection was made.
-            None => self.exchanges.heard(self.io.now(), false, id, Heard::Lost),
+            None => self.exchanges.heard(self.io.now(), false, id, AttemptEvent::ConnectionLost),
         }
     }
 
     /// Hears a node's connection out. What follows of a piece is done before the next one is heard: it may let go.
     fn hear(&mut self, slot: usize, generation: u32) {
         let sticky = !self.config.routing.cookie.is_empty();
-        while let Some((id, heard)) = self.nodes.hear(&mut self.io, &self.config.limits, slot, generation) {
+        while let Some((id, heard)) =
+            self.nodes.next_event(&mut self.io, &self.config.limits, slot, generation)
+        {
             self.exchanges.heard(self.io.now(), sticky, id, heard);
-            while let Some(todo) = self.exchanges.todo.pop_front() {
+            while let Some(todo) = self.exchanges.commands.pop_front() {
                 self.carry_out(todo);
             }
         }
     }
 
-    fn carry_out(&mut self, todo: Do) {
+    fn carry_out(&mut self, todo: RequestCommand) {
         let (io, config) = (&mut self.io, &self.config);
         match todo {
-            Do::Tell(event) => io.events.push_back(event),
-            Do::Answer { client, media, answer, name } => {
+            RequestCommand::NotifyDecisions(event) => io.events.push_back(event),
+            RequestCommand::Respond { client, media, answer, name } => {
                 self.clients.reply(io, config, client, &front::last_word(media, answer), Some(&name));
                 self.clients.next(io, config, client);
             }
-            Do::Pass { client, head, name, bytes, node } => {
+            RequestCommand::ForwardResponse { client, head, name, bytes, node } => {
                 let pending = self.clients.pass(io, config, client, head, &name, &bytes);
                 // Back pressure: a client that reads slowly stops its node, not this process's memory.
                 if let Some(node) = node.filter(|_| pending > config.limits.client_buffer) {
-                    self.nodes.pause(io, node, true);
+                    self.nodes.set_paused(io, node, true);
                 }
             }
-            Do::PassEnd { client } => {
+            RequestCommand::EndResponse { client } => {
                 self.clients.pass_end(io, config, client);
                 self.clients.next(io, config, client);
             }
-            Do::Cut { client } => self.clients.cut(client),
-            Do::LetGo { node } => self.nodes.let_go(node),
-            Do::Resume { node } => self.nodes.pause(io, node, false),
-            Do::Done { code, plan, class, time } => {
+            RequestCommand::ResetClient { client } => self.clients.cut(client),
+            RequestCommand::CloseBackendConnection { node } => self.nodes.close(node),
+            RequestCommand::ResumeBackend { node } => self.nodes.set_paused(io, node, false),
+            RequestCommand::RecordFinalResponse { code, plan, class, time } => {
                 if let Some(health) = &self.health {
                     health.answered(code, &plan, &class, time);
                 }
             }
-            Do::Over { bytes } => self.clients.accounts.release(bytes),
+            RequestCommand::ReleaseBytes { bytes } => self.clients.budget.release(bytes),
         }
     }
 
-    fn said(&mut self, said: Said) {
+    fn said(&mut self, said: ClientEvent) {
         let (io, config) = (&mut self.io, &self.config);
         match said {
-            Said::Call { slot, caller, body, head_at } => {
+            ClientEvent::RequestReceived { slot, caller, body, head_at } => {
                 let spent = io.now() - head_at;
-                let ask = match self.clients.accounts.check_request(self.exchanges.count()) {
+                let ask = match self.clients.budget.check_request(self.exchanges.count()) {
                     Ok(()) => front::ask(config, *caller, body, spent),
                     Err(full) => Err(front::full(full.message())),
                 };
                 match ask {
                     Ok(ask) => {
                         let (arrival, bytes) = self.exchanges.begin(io.now(), config, slot, &self.name, ask);
-                        self.clients.accounts.reserve(bytes);
+                        self.clients.budget.reserve(bytes);
                         self.clients.answering(slot, arrival.id);
-                        io.timers.set(io.clock.now() + arrival.timeout, Alarm::TimeUp(arrival.id));
+                        io.timers.set(io.clock.now() + arrival.timeout, Timer::TimeUp(arrival.id));
                         io.events.push_back(Event::RequestReceived(arrival));
                     }
                     Err(reply) => {
@@ -537,8 +539,8 @@
                     }
                 }
             }
-            Said::Gone(id) => self.exchanges.client_gone(io.now(), id),
-            Said::Drained(id) => self.exchanges.drained(id),
+            ClientEvent::Disconnected(id) => self.exchanges.client_gone(io.now(), id),
+            ClientEvent::ReadyForMore(id) => self.exchanges.drained(id),
         }
     }
 
@@ -551,7 +553,7 @@
             match output {
                 ProcessAction::SetReady(ready) => tracing::info!(ready, "readiness"),
                 ProcessAction::AnnounceClose => {
-                    self.clients.going = true;
+                    self.clients.announce_close = true;
                     if let Some(fleet) = &mut self.fleet {
                         fleet.leave(&mut self.io);
                     }
@@ -562,7 +564,7 @@
                 ProcessAction::RefuseReload(why) => self.reload.refuse(why.to_string()),
                 ProcessAction::PassListeners { peer } => {
                     if let Some(admin) = &mut self.admin {
-                        let watched = self.health.as_ref().map(Health::listener);
+                        let watched = self.health.as_ref().map(Monitoring::listener);
                         let all: Vec<_> = self.clients.listeners().iter().chain(watched).collect();
                         admin.pass_listeners(peer, &all);
                     }
@@ -640,7 +642,7 @@
     fn remember(&mut self) {
         let now = self.io.now();
         let Some((file, every)) = &self.state_file else { return };
-        self.io.timers.set(now + every, Alarm::State);
+        self.io.timers.set(now + every, Timer::State);
         match file.read(now) {
             Ok(Some(nodes)) => {
                 tracing::info!(nodes = nodes.len(), "state file taken");
@@ -654,7 +656,7 @@
     fn save_state(&mut self) {
         let now = self.io.now();
         let Some((file, every)) = &self.state_file else { return };
-        self.io.timers.set(now + every, Alarm::State);
+        self.io.timers.set(now + every, Timer::State);
         let failed = file.write(now, self.decision.backends()).err();
         // Told once for each change: a full disk stops nothing but this file.
         if failed.is_some() != std::mem::replace(&mut self.state_fails, failed.is_some()) {
@@ -669,7 +671,7 @@
 
     fn look_at_list(&mut self) -> anyhow::Result<()> {
         let Some(list) = &mut self.list else { return Ok(()) };
-        self.io.timers.set(self.io.clock.now() + list.poll, Alarm::NodeList);
+        self.io.timers.set(self.io.clock.now() + list.poll, Timer::NodeList);
         let file = match list.look() {
             None => return Ok(()),
             Some(read) => read.map_err(|e| anyhow::anyhow!(e))?,
@@ -687,7 +689,7 @@
     }
 
     fn take_list(&mut self, nodes: &[Node]) {
-        let same = self.nodes.update(nodes);
+        let same = self.nodes.update_endpoints(nodes);
         self.listed = nodes.to_vec();
         self.tell_list(|name| same.contains(name));
     }
@@ -749,15 +751,15 @@
 
     // ---- The admin socket's calls ----
 
-    fn called(&mut self, called: Called) {
-        let Called { slot, id, asked } = called;
+    fn called(&mut self, called: AdminCall) {
+        let AdminCall { slot, id, asked } = called;
         let answer = match asked {
-            Asked::Status => self.status(),
-            Asked::Nodes => self.node_views(),
-            Asked::Customers => self.customer_views(),
-            Asked::Peers => self.fleet.as_ref().map_or(Value::Null, Fleet::peers),
-            Asked::Leases => self.fleet.as_ref().map_or(Value::Null, Fleet::leases),
-            Asked::HandOver { task, to } => {
+            AdminRequest::Status => self.status(),
+            AdminRequest::Nodes => self.node_views(),
+            AdminRequest::Customers => self.customer_views(),
+            AdminRequest::Peers => self.fleet.as_ref().map_or(Value::Null, Fleet::peers),
+            AdminRequest::Leases => self.fleet.as_ref().map_or(Value::Null, Fleet::leases),
+            AdminRequest::HandOver { task, to } => {
                 let none = || Err("the settings have no fleet.link".to_owned());
                 let done = self.fleet.as_mut().map_or_else(none, |f| f.hand_over(&mut self.io, &task, to));
                 if let Err(why) = done {
@@ -768,7 +770,7 @@
                 }
                 json!({"task": task, "to": to})
             }
-            Asked::DrainNode { name, drain } => {
+            AdminRequest::DrainNode { name, drain } => {
                 if !self.drain_node(&name, drain) {
                     let why = format!("`{name}` is no node of the list");
                     if let Some(admin) = &mut self.admin {
@@ -778,11 +780,11 @@
                 }
                 json!({"node": name})
             }
-            Asked::Drain => {
+            AdminRequest::Drain => {
                 self.life(ProcessEvent::DrainRequested);
                 json!({"state": self.life.state().name()})
             }
-            Asked::Reload { dry_run } => {
+            AdminRequest::Reload { dry_run } => {
                 let asker = self.admin.as_ref().and_then(|a| a.asker(slot, id, dry_run));
                 let Some(asker) = asker else { return };
                 self.reload.ask(asker);
@@ -793,12 +795,16 @@
                 }
                 return;
             }
-            Asked::TakeOver => return self.life(ProcessEvent::TakeoverRequested { peer: slot as u64 }),
-            Asked::TookOver => {
+            AdminRequest::TakeOver => {
+                return self.life(ProcessEvent::TakeoverRequested { peer: slot as u64 });
+            }
+            AdminRequest::TookOver => {
                 self.life(ProcessEvent::TakeoverReady { peer: slot as u64 });
                 json!({"state": self.life.state().name()})
             }
-            Asked::TakeoverLost => return self.life(ProcessEvent::TakeoverFailed { peer: slot as u64 }),
+            AdminRequest::TakeoverLost => {
+                return self.life(ProcessEvent::TakeoverFailed { peer: slot as u64 });
+            }
         };
         if let Some(admin) = &mut self.admin {
             admin.answer(slot, &id, answer);
@@ -806,7 +812,7 @@
     }
 
     /// What is so now, for who watches.
-    fn now(&self) -> Now {
+    fn now(&self) -> Snapshot {
         let time = self.io.now();
         let mut leases = std::collections::BTreeMap::<String, f64>::new();
         for customer in self.decision.customers() {
@@ -815,11 +821,11 @@
         let node = |b: doorcourse::BackendStatus| {
             (b.name.to_string(), b.concurrency_limit, b.in_flight, b.ready && b.ejected_until <= time)
         };
-        Now {
+        Snapshot {
             ready: self.life.is_ready(),
             requests: self.exchanges.count(),
             clients: self.clients.count(),
-            bytes: self.clients.accounts.bytes(),
+            bytes: self.clients.budget.bytes(),
             silent: self.decision.is_counter_silent(),
             leases: leases.into_iter().collect(),
             nodes: self.decision.backends().map(node).collect(),
@@ -839,8 +845,8 @@
             "clients": self.clients.count(),
             "counter_calls": self.counter.out,
             "counter_silent": self.decision.is_counter_silent(),
-            "requests_so_far": self.exchanges.so_far,
-            "buffered_bytes": self.clients.accounts.bytes(),
+            "requests_so_far": self.exchanges.total,
+            "buffered_bytes": self.clients.budget.bytes(),
         })
     }
 
--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use doorcourse_emulators::CATALOGUE;
-use doorcourse_http_gateway::{Gateway, Reread, Start, Stopper};
+use doorcourse_http_gateway::{Gateway, ReadSettings, Start, Stopper};
 use sha2::{Digest, Sha256};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -79,7 +79,7 @@
         format!("{CLASSES}{nodes}{}{}", customer("ten"), customer("free"))
     }
 
-    fn start(config: doorcourse_config::Config, reread: Option<Reread>) -> Self {
+    fn start(config: doorcourse_config::Config, reread: Option<ReadSettings>) -> Self {
         let start = Start { config, folder: Path::new("."), seed: Some(7), reread, take_over: false };
         let mut gateway = Gateway::new(start).expect("a gateway");
         let address = gateway.addresses().expect("addresses")[0];
