--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -1,7 +1,7 @@
 //! The room of the clients: listeners and connections. Bytes in, calls out: what a front makes of the bytes is its own
 //! affair, what becomes of a call is decided elsewhere and comes back as `reply`, `pass` and their like.
 
-use crate::front::{self, RequestHead, Response};
+use crate::graphql_front::{self as front, RequestHead, Response};
 use crate::io::{Io, Timer, Token};
 use doorcourse::{Name, RequestId};
 use doorcourse_config::Config;
--- a/crates/http-gateway/src/run.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -2,17 +2,17 @@
 //! carries what one room has to say to the next.
 
 use crate::admin::{Admin, AdminCall, AdminRequest};
+use crate::backends::{AttemptEvent, Backends};
 use crate::clients::{ClientEvent, Clients};
 use crate::counter::Counter;
-use crate::exchanges::{RequestCommand, Requests};
+use crate::endpoint_list::EndpointList;
 use crate::fleet::Fleet;
-use crate::front;
-use crate::health::{Monitoring, Snapshot};
+use crate::graphql_front as front;
 use crate::io::{Io, Timer, Token};
-use crate::list::EndpointList;
-use crate::nodes::{AttemptEvent, Backends};
-use crate::reload::{ReadSettings, SettingsReload};
-use crate::state::StateFile;
+use crate::monitoring::{Monitoring, Snapshot};
+use crate::requests::{RequestCommand, Requests};
+use crate::settings_reload::{ReadSettings, SettingsReload};
+use crate::state_file::StateFile;
 use anyhow::Context;
 use doorcourse::{Action, BackendState, Event, Name, RequestId};
 use doorcourse_config::{Change, Config, Node};
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -2,19 +2,19 @@
 //! decision library and of a request's exchange, and their actions into bytes. It decides nothing itself.
 
 mod admin;
+mod backends;
 mod clients;
 mod counter;
-mod exchanges;
+mod endpoint_list;
 mod fleet;
-mod front;
-mod health;
+mod gateway;
+mod graphql_front;
 mod io;
-mod list;
-mod nodes;
-mod reload;
-mod run;
-mod state;
+mod monitoring;
+mod requests;
+mod settings_reload;
+mod state_file;
 
-pub use front::{DEADLINE_FIELD, REQUEST_ID_FIELD};
-pub use reload::ReadSettings;
-pub use run::{Gateway, Start, Stopper};
+pub use gateway::{Gateway, Start, Stopper};
+pub use graphql_front::{DEADLINE_FIELD, REQUEST_ID_FIELD};
+pub use settings_reload::ReadSettings;
--- a/crates/http-gateway/src/exchanges.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -1,9 +1,9 @@
 //! The room of the requests: each one's exchange, what is held of its answer, and where its client and its attempt are.
 //! It knows neither sockets nor fronts' bytes: what is to be done goes out as `RequestCommand`, in order.
 
+use crate::backends::{AttemptEvent, BackendRequest};
 use crate::clients::ForwardedHead;
-use crate::front::{MediaType, REQUEST_ID_FIELD, Request, code_of};
-use crate::nodes::{AttemptEvent, BackendRequest};
+use crate::graphql_front::{MediaType, REQUEST_ID_FIELD, Request, code_of};
 use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_graphql::Scan;
