--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -48,7 +48,7 @@
 pub(crate) struct AdminCall {
     pub slot: usize,
     pub id: Value,
-    pub asked: AdminRequest,
+    pub request: AdminRequest,
 }
 
 /// One connection of a person or of a process that takes over.
@@ -116,7 +116,7 @@
         })
     }
 
-    pub fn fd(&self) -> &UnixListener {
+    pub fn listener_fd(&self) -> &UnixListener {
         &self.listener
     }
 }
@@ -145,7 +145,7 @@
             return;
         }
         let entry = self.peers.vacant_entry();
-        let token = Token::Peer(entry.key(), generation).pack();
+        let token = Token::AdminConnection(entry.key(), generation).pack();
         if io.poller.add(&stream, token, Interest::READ).is_ok() {
             let (held, waiting) = (Vec::new(), Value::Null);
             entry.insert(AdminConnection { stream, generation, held, waiting, takes_over: false });
@@ -153,13 +153,13 @@
     }
 
     /// Reads calls of a connection; those that can be carried out wait in `calls`.
-    pub fn ready(&mut self, slot: usize, generation: u32) {
+    pub fn handle_readiness(&mut self, slot: usize, generation: u32) {
         let Some(peer) = self.peers.get_mut(slot).filter(|p| p.generation == generation) else { return };
         let mut bytes = [0; 4096];
         match peer.stream.read(&mut bytes) {
             Ok(n) if n > 0 && peer.held.len() + n <= LINE => peer.held.extend_from_slice(&bytes[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            _ => return self.gone(slot),
+            _ => return self.handle_disconnect(slot),
         }
         loop {
             let Some(peer) = self.peers.get_mut(slot) else { return };
@@ -213,17 +213,17 @@
                 return self.write(slot, &error(&id, NO_METHOD, &text));
             }
         };
-        self.calls.push_back(AdminCall { slot, id, asked });
+        self.calls.push_back(AdminCall { slot, id, request: asked });
     }
 
-    fn gone(&mut self, slot: usize) {
+    fn handle_disconnect(&mut self, slot: usize) {
         let Some(peer) = self.peers.try_remove(slot) else { return };
         if peer.takes_over {
-            self.calls.push_back(AdminCall { slot, id: Value::Null, asked: AdminRequest::TakeoverLost });
+            self.calls.push_back(AdminCall { slot, id: Value::Null, request: AdminRequest::TakeoverLost });
         }
     }
 
-    pub fn drop_peer(&mut self, peer: u64) {
+    pub fn disconnect(&mut self, peer: u64) {
         drop(self.peers.try_remove(peer as usize));
     }
 
@@ -237,27 +237,27 @@
         let written = peer.stream.write_all(&line);
         let _ = peer.stream.set_nonblocking(true);
         if written.is_err() {
-            self.gone(slot);
+            self.handle_disconnect(slot);
         }
     }
 
     /// Answers a call.
-    pub fn answer(&mut self, slot: usize, id: &Value, value: Value) {
+    pub fn reply(&mut self, slot: usize, id: &Value, value: Value) {
         self.write(slot, &result(id, value));
     }
 
     /// A call's parameters name nothing that is there.
-    pub fn bad_parameters(&mut self, slot: usize, id: &Value, why: &str) {
+    pub fn reply_invalid_params(&mut self, slot: usize, id: &Value, why: &str) {
         self.write(slot, &error(id, BAD_PARAMETERS, why));
     }
 
     /// Who waits on a connection for settings to be read.
-    pub fn asker(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
+    pub fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.peers.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
     }
 
-    pub fn answer_reload(&mut self, asker: &ReloadWaiter, told: &Result<Change, String>) {
+    pub fn reply_reload(&mut self, asker: &ReloadWaiter, told: &Result<Change, String>) {
         if self.peers.get(asker.slot).is_none_or(|p| p.generation != asker.generation) {
             return;
         }
@@ -289,7 +289,7 @@
         let sent =
             rustix::net::sendmsg(&known.stream, &[IoSlice::new(&line)], &mut ancillary, SendFlags::empty());
         if !fits || !sent.is_ok_and(|n| n == line.len()) {
-            self.gone(slot);
+            self.handle_disconnect(slot);
         }
     }
 }
--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -29,19 +29,19 @@
 struct BackendConnection {
     socket: Socket,
     generation: u32,
-    node: Name,
+    backend: Name,
     endpoint: Endpoint,
     decoder: Decoder,
     request: Option<RequestId>,
     connecting: bool,
     /// What is to be said of the connection and of bytes to write before anything that was read.
-    made: bool,
-    writes: bool,
+    connected_pending: bool,
+    write_ready: bool,
     /// How reading goes, and whether bytes or an end wait to be looked at.
     flow: Flow,
-    news: bool,
+    input_pending: bool,
     /// How much of the input is looked at.
-    at: usize,
+    decoded: usize,
     /// Whether the client of its answer must read first.
     paused: bool,
     interest: Interest,
@@ -52,7 +52,7 @@
 impl BackendConnection {
     /// Lets go of the input that was looked at, once for all pieces of a reading.
     fn consume(&mut self) {
-        let at = std::mem::take(&mut self.at);
+        let at = std::mem::take(&mut self.decoded);
         self.socket.consume(at);
     }
 }
@@ -114,7 +114,7 @@
     }
 
     /// Begins an attempt: on an idle connection, else on a new one. `None` where none can even be begun.
-    pub fn send(
+    pub fn send_request(
         &mut self, io: &mut Io, limits: &Limits, id: RequestId, node: &Name, wire: &BackendRequest,
     ) -> Option<(usize, u32)> {
         let pool = self.pools.get_mut(node)?;
@@ -129,7 +129,8 @@
         fields.extend_from_slice(&wire.fields);
         request(connection.socket.output(), "POST", wire.path, &fields, wire.body);
         (connection.request, connection.idle_until) = (Some(id), f64::INFINITY);
-        (connection.made, connection.writes) = (!connection.connecting, !connection.connecting);
+        (connection.connected_pending, connection.write_ready) =
+            (!connection.connecting, !connection.connecting);
         Some((slot, connection.generation))
     }
 
@@ -141,22 +142,22 @@
         let entry = self.connections.vacant_entry();
         let slot = entry.key();
         let interest = Interest::BOTH;
-        io.poller.add(&socket, Token::Node(slot, generation).pack(), interest)?;
+        io.poller.add(&socket, Token::Backend(slot, generation).pack(), interest)?;
         let limits =
             HttpLimits { line: limits.line, head: limits.head, fields: limits.fields, body: limits.answer };
         entry.insert(BackendConnection {
             socket,
             generation,
-            node: node.clone(),
+            backend: node.clone(),
             endpoint,
             decoder: Decoder::new(Role::Responses, limits),
             request: None,
             connecting: true,
-            made: false,
-            writes: false,
+            connected_pending: false,
+            write_ready: false,
             flow: Flow::Open,
-            news: false,
-            at: 0,
+            input_pending: false,
+            decoded: 0,
             paused: false,
             interest,
             idle_until: f64::INFINITY,
@@ -166,7 +167,7 @@
     }
 
     /// Reads and notes what a connection is ready for; `hear` tells of it.
-    pub fn ready(&mut self, slot: usize, generation: u32, ready: Ready) {
+    pub fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
         if connection.connecting {
@@ -174,21 +175,22 @@
                 return;
             }
             if connection.socket.finish_connect().is_err() {
-                (connection.flow, connection.news) = (Flow::Broken, true);
+                (connection.flow, connection.input_pending) = (Flow::Broken, true);
                 return;
             }
             connection.connecting = false;
-            (connection.made, connection.writes) = (true, true);
+            (connection.connected_pending, connection.write_ready) = (true, true);
             return;
         }
-        connection.writes |= ready.write;
+        connection.write_ready |= ready.write;
         if ready.read && (!connection.paused || ready.broken) {
             let (count, flow) = connection.socket.read();
             if connection.request.is_none() && (count > 0 || flow != Flow::Open) {
                 // An idle connection that ends, or speaks unasked, is of no further use.
                 return self.close(slot);
             }
-            (connection.flow, connection.news) = (flow, connection.news || count > 0 || flow != Flow::Open);
+            (connection.flow, connection.input_pending) =
+                (flow, connection.input_pending || count > 0 || flow != Flow::Open);
         }
     }
 
@@ -198,24 +200,24 @@
     ) -> Option<(RequestId, AttemptEvent)> {
         let connection = self.connections.get_mut(slot).filter(|c| c.generation == generation)?;
         if let Some(id) = connection.request {
-            if std::mem::take(&mut connection.made) {
+            if std::mem::take(&mut connection.connected_pending) {
                 return Some((id, AttemptEvent::Connected));
             }
-            if std::mem::take(&mut connection.writes) {
+            if std::mem::take(&mut connection.write_ready) {
                 let before = connection.socket.pending();
                 if connection.socket.flush() == Flow::Broken {
-                    (connection.flow, connection.news) = (Flow::Broken, true);
+                    (connection.flow, connection.input_pending) = (Flow::Broken, true);
                 }
                 if connection.socket.pending() < before {
                     return Some((id, AttemptEvent::BytesWritten));
                 }
             }
-            if connection.news
+            if connection.input_pending
                 && let Some(heard) = self.answer(io, limits, slot)
             {
                 return Some((id, heard));
             }
-        } else if connection.news && !connection.socket.input.is_empty() {
+        } else if connection.input_pending && !connection.socket.input.is_empty() {
             // More than the answer: nothing on it can be trusted.
             self.close(slot);
         }
@@ -228,10 +230,10 @@
         let connection = self.connections.get_mut(slot)?;
         if !connection.connecting {
             // Also without a byte at hand: a message may be at its end.
-            let input = &connection.socket.input[connection.at..];
+            let input = &connection.socket.input[connection.decoded..];
             let (used, heard) = match connection.decoder.decode(input) {
                 Err(_) => {
-                    connection.news = false;
+                    connection.input_pending = false;
                     return Some(AttemptEvent::InvalidResponse);
                 }
                 Ok((used, None)) => (used, None),
@@ -242,7 +244,7 @@
                 Ok((used, Some(Part::Data(data)))) => (used, Some(AttemptEvent::Data(data.to_vec()))),
                 Ok((used, Some(Part::End))) => (used, Some(AttemptEvent::End)),
             };
-            connection.at += used;
+            connection.decoded += used;
             if let Some(AttemptEvent::End) = heard {
                 self.free(io, limits, slot);
             }
@@ -251,7 +253,7 @@
             }
         }
         let connection = self.connections.get_mut(slot)?;
-        connection.news = false;
+        connection.input_pending = false;
         connection.consume();
         if connection.flow == Flow::Open {
             return None;
@@ -271,14 +273,14 @@
             && connection.socket.pending() == 0
             && connection.socket.input.is_empty()
             && connection.flow == Flow::Open;
-        connection.news = false;
+        connection.input_pending = false;
         connection.idle_until = io.now() + limits.node_idle_time;
-        match self.pools.get_mut(&connection.node) {
+        match self.pools.get_mut(&connection.backend) {
             Some(pool)
                 if keep && (pool.endpoint == connection.endpoint || rule_disabled("pool-per-endpoint")) =>
             {
                 pool.idle.push(slot);
-                let alarm = Timer::NodeIdle(slot, connection.generation);
+                let alarm = Timer::BackendIdle(slot, connection.generation);
                 io.timers.set(connection.idle_until, alarm);
             }
             _ => self.close(slot),
@@ -298,7 +300,7 @@
     /// Closes a connection, whatever it carries.
     pub fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
-        if let Some(pool) = self.pools.get_mut(&connection.node) {
+        if let Some(pool) = self.pools.get_mut(&connection.backend) {
             pool.idle.retain(|s| *s != slot);
         }
     }
@@ -318,7 +320,7 @@
         let interest = Interest::of(!connection.paused, write);
         if interest != connection.interest {
             connection.interest = interest;
-            let token = Token::Node(slot, connection.generation).pack();
+            let token = Token::Backend(slot, connection.generation).pack();
             let _ = io.poller.change(&connection.socket, token, interest);
         }
     }
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -16,13 +16,13 @@
 #[derive(Debug)]
 enum ConnectionPhase {
     /// Between requests, or in a head.
-    Head,
+    ReadingHead,
     /// In a body.
-    Body(Box<RequestHead>),
+    ReadingBody(Box<RequestHead>),
     /// A call is given out, and nobody said yet what becomes of it.
-    Asked,
+    AwaitingAdmission,
     /// A request is with the decisions, or its answer on the way.
-    Answering(RequestId),
+    Responding(RequestId),
     /// Everything was said; what the client still sends is read over, so that it reads our last words.
     Lingering,
 }
@@ -35,21 +35,21 @@
     phase: ConnectionPhase,
     body: Vec<u8>,
     /// When the head of the present request came.
-    head_at: f64,
+    head_received_at: f64,
     /// Whether the connection may carry another request after this one.
     keep_alive: bool,
     minor: u8,
     /// How the answer that is being passed on is framed.
     framing: Framing,
     /// When the connection's patience with the client ends.
-    until: f64,
+    timeout_at: f64,
     interest: Interest,
     /// What it holds, for the accounts; whose it is; whether its client took some since they were told.
-    held: ConnectionUsage,
+    usage: ConnectionUsage,
     customer: Option<Name>,
-    taken: bool,
+    progressed: bool,
     /// When it is looked at whether its client still reads.
-    cut_alarm: f64,
+    unread_check_at: f64,
     /// Close once all is written.
     closing: bool,
 }
@@ -58,15 +58,19 @@
     /// Whether a request has begun to come and is not whole.
     fn is_in_request(&self) -> bool {
         match self.phase {
-            ConnectionPhase::Head => !self.closing && self.decoder.in_message(!self.socket.input.is_empty()),
-            ConnectionPhase::Body(_) => true,
-            ConnectionPhase::Asked | ConnectionPhase::Answering(_) | ConnectionPhase::Lingering => false,
+            ConnectionPhase::ReadingHead => {
+                !self.closing && self.decoder.in_message(!self.socket.input.is_empty())
+            }
+            ConnectionPhase::ReadingBody(_) => true,
+            ConnectionPhase::AwaitingAdmission
+            | ConnectionPhase::Responding(_)
+            | ConnectionPhase::Lingering => false,
         }
     }
 
     /// Whether either side is owed something: the rest of a request, or the rest of an answer. Who has had a last word
     /// is owed the time to read it: a close over bytes that were not read takes it away.
-    fn is_midway(&self) -> bool {
+    fn is_busy(&self) -> bool {
         let last_word = matches!(self.phase, ConnectionPhase::Lingering) || self.closing;
         last_word || self.socket.pending() > 0 || self.is_in_request()
     }
@@ -134,7 +138,7 @@
         })
     }
 
-    pub fn take_settings(&mut self, config: &Config) {
+    pub fn update_limits(&mut self, config: &Config) {
         self.budget.set_limits(bounds(config));
     }
 
@@ -155,7 +159,7 @@
     }
 
     /// Closes the doors behind who waits there already: the system has let them in, and their requests may be written.
-    pub fn last_call(&mut self, io: &mut Io, config: &Config) {
+    pub fn drain_accept_queues(&mut self, io: &mut Io, config: &Config) {
         let before = self.connections.len();
         for at in 0..self.listeners.len() {
             // As many as the system's queue holds; a crowd that goes on coming ends there.
@@ -209,75 +213,77 @@
                 socket,
                 generation,
                 decoder,
-                phase: ConnectionPhase::Head,
+                phase: ConnectionPhase::ReadingHead,
                 body: Vec::new(),
-                head_at: 0.0,
+                head_received_at: 0.0,
                 keep_alive: true,
                 minor: 1,
                 framing: Framing::None,
-                until,
+                timeout_at: until,
                 interest: CLIENT,
-                held: ConnectionUsage::default(),
+                usage: ConnectionUsage::default(),
                 customer: None,
-                taken: false,
-                cut_alarm: f64::INFINITY,
+                progressed: false,
+                unread_check_at: f64::INFINITY,
                 closing: false,
             });
-            io.timers.set(until, Timer::Client(slot, generation));
+            io.timers.set(until, Timer::ClientTimeout(slot, generation));
         }
         false
     }
 
     /// Sets when the connection's patience ends. An earlier alarm finds the later time and sets itself again.
-    fn until(&mut self, io: &mut Io, slot: usize, after: f64) {
+    fn set_timeout(&mut self, io: &mut Io, slot: usize, after: f64) {
         let until = io.now() + after;
         let Some(client) = self.connections.get_mut(slot) else { return };
-        let sooner = until < client.until;
-        client.until = until;
+        let sooner = until < client.timeout_at;
+        client.timeout_at = until;
         if sooner {
-            io.timers.set(until, Timer::Client(slot, client.generation));
+            io.timers.set(until, Timer::ClientTimeout(slot, client.generation));
         }
     }
 
     /// A connection's alarm.
-    pub fn time(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
+    pub fn handle_timeout(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
         let now = io.now();
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(client) = known else { return };
-        if client.cut_alarm <= now {
-            client.cut_alarm = f64::INFINITY;
-            let cut = self.budget.reset_at(&client.held);
+        if client.unread_check_at <= now {
+            client.unread_check_at = f64::INFINITY;
+            let cut = self.budget.reset_at(&client.usage);
             if cut <= now {
                 tracing::debug!(customer = client.customer.as_deref(), "cut: its client does not read");
                 client.socket.reset_on_close();
-                return self.gone(slot);
+                return self.handle_disconnect(slot);
             }
             if cut.is_finite() {
-                client.cut_alarm = cut;
-                io.timers.set(cut, Timer::Client(slot, generation));
+                client.unread_check_at = cut;
+                io.timers.set(cut, Timer::ClientTimeout(slot, generation));
             }
         }
-        if matches!(client.phase, ConnectionPhase::Answering(_) | ConnectionPhase::Asked) {
+        if matches!(client.phase, ConnectionPhase::Responding(_) | ConnectionPhase::AwaitingAdmission) {
             // The request's own time rules; look again when it can be over.
-            client.until = now + config.limits.idle_time;
+            client.timeout_at = now + config.limits.idle_time;
         }
-        if client.until > now {
-            return io.timers.set(client.until, Timer::Client(slot, generation));
+        if client.timeout_at > now {
+            return io.timers.set(client.timeout_at, Timer::ClientTimeout(slot, generation));
         }
         match client.phase {
-            ConnectionPhase::Head | ConnectionPhase::Body(_) if client.is_in_request() => {
-                self.reply(io, config, slot, &front::too_slow(), None)
+            ConnectionPhase::ReadingHead | ConnectionPhase::ReadingBody(_) if client.is_in_request() => {
+                self.respond(io, config, slot, &front::too_slow(), None)
             }
-            _ => self.drop(slot),
+            _ => self.remove(slot),
         }
     }
 
-    pub fn ready(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32, ready: Ready) {
+    pub fn handle_readiness(
+        &mut self, io: &mut Io, config: &Config, slot: usize, generation: u32, ready: Ready,
+    ) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(client) = known else { return };
         if ready.ended {
             // A client that ends its side is taken as gone: it is how a tool that gives up looks.
-            return self.gone(slot);
+            return self.handle_disconnect(slot);
         }
         if ready.read {
             if let ConnectionPhase::Lingering = client.phase {
@@ -286,85 +292,87 @@
             let idle = client.socket.input.is_empty();
             let (count, flow) = client.socket.read();
             if flow != Flow::Open {
-                return self.gone(slot);
+                return self.handle_disconnect(slot);
             }
             if count > 0 {
                 self.last_input_at = io.now();
             }
-            if count > 0 && idle && matches!(client.phase, ConnectionPhase::Head) {
-                self.until(io, slot, config.limits.head_time);
+            if count > 0 && idle && matches!(client.phase, ConnectionPhase::ReadingHead) {
+                self.set_timeout(io, slot, config.limits.head_time);
             }
-            self.input(io, config, slot);
+            self.decode_input(io, config, slot);
         }
         if ready.write {
             self.flush(config, slot);
             // A request that waited until its client has read on.
-            self.input(io, config, slot);
+            self.decode_input(io, config, slot);
         }
-        self.settle(io, slot);
+        self.update_registration(io, slot);
     }
 
     /// The client is gone: whoever has its request is told.
-    fn gone(&mut self, slot: usize) {
+    fn handle_disconnect(&mut self, slot: usize) {
         let Some(client) = self.connections.get(slot) else { return };
-        if let ConnectionPhase::Answering(id) = client.phase {
+        if let ConnectionPhase::Responding(id) = client.phase {
             self.events.push_back(ClientEvent::Disconnected(id));
         }
-        self.drop(slot);
+        self.remove(slot);
     }
 
-    fn drop(&mut self, slot: usize) {
+    fn remove(&mut self, slot: usize) {
         if let Some(client) = self.connections.try_remove(slot) {
-            self.budget.remove_connection(&client.held);
+            self.budget.remove_connection(&client.usage);
         }
     }
 
     /// How many connections are midway: in a request that has not come whole, or in an answer that is not read whole.
-    pub fn midway(&self) -> usize {
-        self.connections.iter().filter(|(_, client)| client.is_midway()).count()
+    pub fn busy_count(&self) -> usize {
+        self.connections.iter().filter(|(_, client)| client.is_busy()).count()
     }
 
     /// All is answered: who rests is closed, half a request has its last word, and last answers go on to be read. An
     /// answer that broke off is reset, so that its client cannot take it for whole.
-    pub fn end_all(&mut self, io: &mut Io, config: &Config) {
+    pub fn finish_all(&mut self, io: &mut Io, config: &Config) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             let Some(client) = self.connections.get_mut(slot) else { continue };
             match client.phase {
-                ConnectionPhase::Answering(_) | ConnectionPhase::Asked => self.cut(slot),
-                ConnectionPhase::Head | ConnectionPhase::Body(_) if client.is_in_request() => {
-                    self.reply(io, config, slot, &front::full("the gateway is stopping"), None);
+                ConnectionPhase::Responding(_) | ConnectionPhase::AwaitingAdmission => self.reset(slot),
+                ConnectionPhase::ReadingHead | ConnectionPhase::ReadingBody(_) if client.is_in_request() => {
+                    self.respond(io, config, slot, &front::full("the gateway is stopping"), None);
                 }
-                _ if !client.is_midway() => self.drop(slot),
+                _ if !client.is_busy() => self.remove(slot),
                 ConnectionPhase::Lingering => {}
                 _ => {
                     client.closing = true;
-                    self.settle(io, slot);
+                    self.update_registration(io, slot);
                 }
             }
         }
     }
 
     /// Reads on in what a client sent, until a request is whole or more is needed.
-    fn input(&mut self, io: &mut Io, config: &Config, slot: usize) {
+    fn decode_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
         loop {
             let Some(client) = self.connections.get_mut(slot) else { return };
             if client.closing
                 || matches!(
                     client.phase,
-                    ConnectionPhase::Answering(_) | ConnectionPhase::Asked | ConnectionPhase::Lingering
+                    ConnectionPhase::Responding(_)
+                        | ConnectionPhase::AwaitingAdmission
+                        | ConnectionPhase::Lingering
                 )
             {
                 return;
             }
-            if matches!(client.phase, ConnectionPhase::Head)
+            if matches!(client.phase, ConnectionPhase::ReadingHead)
                 && !self.budget.may_start_request(client.socket.pending())
             {
                 return;
             }
             let (used, part) = match client.decoder.decode(&client.socket.input) {
                 Ok(found) => found,
-                Err(fault) => return self.reply(io, config, slot, &front::malformed(fault), None),
+                Err(fault) => return self.respond(io, config, slot, &front::malformed(fault), None),
             };
             match part {
                 None => {
@@ -378,7 +386,7 @@
                 Some(Part::Head(head)) => {
                     client.socket.consume(used);
                     client.keep_alive = head.keep_alive && !self.announce_close;
-                    (client.minor, client.head_at) = (head.minor, io.now());
+                    (client.minor, client.head_received_at) = (head.minor, io.now());
                     let wants_word = head.expects_continue() && head.framing != Framing::None;
                     let read_on = |caller: RequestHead| match self.budget.check_buffers(&caller.customer.name)
                     {
@@ -387,23 +395,23 @@
                     };
                     let caller = match front::caller(config, &head).and_then(read_on) {
                         Ok(caller) => caller,
-                        Err(reply) => return self.reply(io, config, slot, &reply, None),
+                        Err(reply) => return self.respond(io, config, slot, &reply, None),
                     };
                     client.customer = Some(caller.customer.name.clone());
-                    client.phase = ConnectionPhase::Body(Box::new(caller));
+                    client.phase = ConnectionPhase::ReadingBody(Box::new(caller));
                     if wants_word && client.socket.input.is_empty() {
                         client.socket.output().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                         client.socket.flush();
                     }
-                    self.until(io, slot, config.limits.body_time);
+                    self.set_timeout(io, slot, config.limits.body_time);
                 }
                 Some(Part::End) => {
                     client.socket.consume(used);
-                    let (body, head_at) = (std::mem::take(&mut client.body), client.head_at);
-                    let ConnectionPhase::Body(caller) =
-                        std::mem::replace(&mut client.phase, ConnectionPhase::Asked)
+                    let (body, head_at) = (std::mem::take(&mut client.body), client.head_received_at);
+                    let ConnectionPhase::ReadingBody(caller) =
+                        std::mem::replace(&mut client.phase, ConnectionPhase::AwaitingAdmission)
                     else {
-                        client.phase = ConnectionPhase::Head;
+                        client.phase = ConnectionPhase::ReadingHead;
                         continue;
                     };
                     self.events.push_back(ClientEvent::RequestReceived { slot, caller, body, head_at });
@@ -413,14 +421,14 @@
     }
 
     /// A call is taken on as this request.
-    pub fn answering(&mut self, slot: usize, id: RequestId) {
+    pub fn request_admitted(&mut self, slot: usize, id: RequestId) {
         if let Some(client) = self.connections.get_mut(slot) {
-            client.phase = ConnectionPhase::Answering(id);
+            client.phase = ConnectionPhase::Responding(id);
         }
     }
 
     /// Writes an answer of the gateway's own and makes the connection ready for what comes next.
-    pub fn reply(
+    pub fn respond(
         &mut self, io: &mut Io, config: &Config, slot: usize, reply: &Response, name: Option<&Name>,
     ) {
         let going = self.announce_close;
@@ -428,11 +436,11 @@
         client.keep_alive &= !going;
         front::write(client.socket.output(), reply, client.keep_alive, name);
         client.keep_alive &= !reply.close;
-        self.answered(io, config, slot);
+        self.finish_response(io, config, slot);
     }
 
     /// Writes bytes of an answer that is passed on, with its head in front of the first; how many wait to be read.
-    pub fn pass(
+    pub fn forward(
         &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<ForwardedHead>, name: &Name,
         bytes: &[u8],
     ) -> usize {
@@ -461,41 +469,41 @@
         }
         let pending = client.socket.pending();
         self.flush(config, slot);
-        self.settle(io, slot);
+        self.update_registration(io, slot);
         pending
     }
 
     /// The answer that was passed on is at its end.
-    pub fn pass_end(&mut self, io: &mut Io, config: &Config, slot: usize) {
+    pub fn end_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         if client.framing == Framing::Chunked {
             chunk_end(client.socket.output());
         }
-        self.answered(io, config, slot);
+        self.finish_response(io, config, slot);
     }
 
     /// Breaks the connection, so that its client cannot take what it has for the whole.
-    pub fn cut(&mut self, slot: usize) {
+    pub fn reset(&mut self, slot: usize) {
         if let Some(client) = self.connections.get(slot) {
             client.socket.reset_on_close();
         }
-        self.drop(slot);
+        self.remove(slot);
     }
 
     /// A whole answer is in the connection's output.
-    fn answered(&mut self, io: &mut Io, config: &Config, slot: usize) {
+    fn finish_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
-        client.phase = ConnectionPhase::Head;
+        client.phase = ConnectionPhase::ReadingHead;
         client.closing = !client.keep_alive;
-        self.until(io, slot, config.limits.idle_time);
+        self.set_timeout(io, slot, config.limits.idle_time);
         self.flush(config, slot);
-        self.settle(io, slot);
+        self.update_registration(io, slot);
     }
 
     /// Goes on with what a client sent behind the request that was answered.
-    pub fn next(&mut self, io: &mut Io, config: &Config, slot: usize) {
-        self.input(io, config, slot);
-        self.settle(io, slot);
+    pub fn resume_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
+        self.decode_input(io, config, slot);
+        self.update_registration(io, slot);
     }
 
     /// Writes what waits; tells when the client has taken enough for more.
@@ -503,11 +511,11 @@
         let Some(client) = self.connections.get_mut(slot) else { return };
         let before = client.socket.pending();
         let flow = client.socket.flush();
-        client.taken |= client.socket.pending() < before;
+        client.progressed |= client.socket.pending() < before;
         if flow == Flow::Broken {
-            return self.gone(slot);
+            return self.handle_disconnect(slot);
         }
-        if let (true, ConnectionPhase::Answering(id)) =
+        if let (true, ConnectionPhase::Responding(id)) =
             (client.socket.pending() <= config.limits.client_buffer / 2, &client.phase)
         {
             self.events.push_back(ClientEvent::ReadyForMore(*id));
@@ -515,7 +523,7 @@
     }
 
     /// Brings the connection's registration and accounts in line with its state.
-    fn settle(&mut self, io: &mut Io, slot: usize) {
+    fn update_registration(&mut self, io: &mut Io, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         if client.closing
             && client.socket.pending() == 0
@@ -526,24 +534,26 @@
             client.phase = ConnectionPhase::Lingering;
             client.socket.end_writing();
             client.socket.input = Vec::new();
-            self.until(io, slot, LINGER);
+            self.set_timeout(io, slot, LINGER);
         }
         let Some(client) = self.connections.get_mut(slot) else { return };
         let unread = client.socket.pending();
-        let waits = matches!(client.phase, ConnectionPhase::Head) && !self.budget.may_start_request(unread);
-        let answering = matches!(client.phase, ConnectionPhase::Answering(_) | ConnectionPhase::Asked)
-            || client.closing
-            || waits;
+        let waits =
+            matches!(client.phase, ConnectionPhase::ReadingHead) && !self.budget.may_start_request(unread);
+        let answering =
+            matches!(client.phase, ConnectionPhase::Responding(_) | ConnectionPhase::AwaitingAdmission)
+                || client.closing
+                || waits;
         let lingering = matches!(client.phase, ConnectionPhase::Lingering);
         let read = lingering || !answering || client.socket.input.len() < PIPELINED;
         let interest = Interest::of(read, unread > 0).with_end();
         let bytes = (client.socket.input.len() + client.body.len() + unread) as u64;
-        let taken = std::mem::take(&mut client.taken);
-        self.budget.update(io.now(), &mut client.held, client.customer.as_ref(), bytes, unread, taken);
-        let cut = self.budget.reset_at(&client.held);
-        if cut.is_finite() && client.cut_alarm.is_infinite() {
-            client.cut_alarm = cut;
-            io.timers.set(cut, Timer::Client(slot, client.generation));
+        let taken = std::mem::take(&mut client.progressed);
+        self.budget.update(io.now(), &mut client.usage, client.customer.as_ref(), bytes, unread, taken);
+        let cut = self.budget.reset_at(&client.usage);
+        if cut.is_finite() && client.unread_check_at.is_infinite() {
+            client.unread_check_at = cut;
+            io.timers.set(cut, Timer::ClientTimeout(slot, client.generation));
         }
         if interest != client.interest {
             client.interest = interest;
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub(crate) struct EndpointList {
     path: PathBuf,
-    pub poll: f64,
+    pub poll_interval: f64,
     seen: Option<(SystemTime, u64)>,
     /// The routing that the list read last states.
     pub routing: Option<Routing>,
@@ -16,11 +16,11 @@
 
 impl EndpointList {
     pub fn new(path: PathBuf, poll: f64) -> Self {
-        Self { path, poll, seen: None, routing: None }
+        Self { path, poll_interval: poll, seen: None, routing: None }
     }
 
     /// The list, if the file changed since it was read last; an error changes nothing and is told once.
-    pub fn look(&mut self) -> Option<Result<NodeFile, String>> {
+    pub fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
         let stamp = std::fs::metadata(&self.path).and_then(|m| Ok((m.modified()?, m.len())));
         let stamp = match stamp {
             Ok(stamp) => stamp,
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -136,7 +136,7 @@
         };
         let admin = admin_path.map(|path| Admin::bind(&path, take_over)).transpose()?;
         if let Some(admin) = &admin {
-            io.poller.add(admin.fd(), Token::Admin.pack(), Interest::READ)?;
+            io.poller.add(admin.listener_fd(), Token::Admin.pack(), Interest::READ)?;
         }
         let reload = SettingsReload::new(reread)?;
         io.poller.add(reload.signal(), Token::Reload.pack(), Interest::READ)?;
@@ -147,7 +147,7 @@
         let number = config.decisions.gateway_index;
         let state_file = config.state.as_ref().map(|s| {
             let (path, longest_age) = (folder.join(&s.file), s.longest_age);
-            (StateFile { path, longest_age, number }, s.every)
+            (StateFile { path, max_age: longest_age, gateway_index: number }, s.every)
         });
         let mut gateway = Self {
             clients,
@@ -248,7 +248,7 @@
             let (requests, clients, calls) = (self.exchanges.count(), self.clients.count(), self.counter.out);
             let quiet = self.io.now() - self.clients.last_input_at;
             // All connections are looked through only where an end waits for them.
-            let midway = if self.life.is_ready() { 0 } else { self.clients.midway() };
+            let midway = if self.life.is_ready() { 0 } else { self.clients.busy_count() };
             self.life(ProcessEvent::Tick(PendingWork {
                 requests,
                 connections: clients,
@@ -320,10 +320,10 @@
         match Token::unpack(ready.token) {
             Token::Listener(at) => drop(self.clients.accept(&mut self.io, &self.config, at)),
             Token::Client(slot, generation) => {
-                self.clients.ready(&mut self.io, &self.config, slot, generation, ready);
+                self.clients.handle_readiness(&mut self.io, &self.config, slot, generation, ready);
             }
-            Token::Node(slot, generation) => {
-                self.nodes.ready(slot, generation, ready);
+            Token::Backend(slot, generation) => {
+                self.nodes.handle_readiness(slot, generation, ready);
                 self.hear(slot, generation);
             }
             Token::Link => {
@@ -345,23 +345,23 @@
                 }
             }
             Token::Reload => {
-                let heard = self.reload.ready(&self.config);
-                if heard.asked {
+                let heard = self.reload.handle_readiness(&self.config);
+                if heard.requested {
                     self.life(ProcessEvent::ReloadRequested);
                 }
-                if heard.read {
+                if heard.settings_read {
                     self.life(ProcessEvent::SettingsRead);
-                    self.reload.read_again(&self.config);
+                    self.reload.restart_if_requested(&self.config);
                 }
             }
-            Token::Health => {
+            Token::MonitoringListener => {
                 if let Some(health) = &mut self.health {
                     health.accept(&mut self.io);
                 }
             }
-            Token::Watcher(slot, generation) => {
+            Token::Monitoring(slot, generation) => {
                 if let Some(health) = &mut self.health {
-                    health.ready(&self.io, slot, generation, ready);
+                    health.handle_readiness(&self.io, slot, generation, ready);
                 }
             }
             Token::Admin => {
@@ -369,9 +369,9 @@
                     admin.accept(&mut self.io);
                 }
             }
-            Token::Peer(slot, generation) => {
+            Token::AdminConnection(slot, generation) => {
                 if let Some(admin) = &mut self.admin {
-                    admin.ready(slot, generation);
+                    admin.handle_readiness(slot, generation);
                 }
             }
         }
@@ -380,18 +380,24 @@
     fn alarm(&mut self, alarm: Timer) {
         match alarm {
             Timer::Decision(token) => self.io.events.push_back(Event::TimerExpired { token }),
-            Timer::TimeUp(id) => self.exchanges.tell(self.io.now(), id, Tell::DeadlineExpired),
-            Timer::Window(id, attempt) => self.exchanges.window_over(self.io.now(), id, attempt),
-            Timer::Client(slot, generation) => {
-                self.clients.time(&mut self.io, &self.config, slot, generation);
+            Timer::RequestDeadline(id) => {
+                self.exchanges.handle_event(self.io.now(), id, Tell::DeadlineExpired)
             }
-            Timer::NodeIdle(slot, generation) => self.nodes.handle_idle_timeout(&self.io, slot, generation),
-            Timer::NodeList => {
+            Timer::RetryDeadline(id, attempt) => {
+                self.exchanges.handle_retry_deadline(self.io.now(), id, attempt)
+            }
+            Timer::ClientTimeout(slot, generation) => {
+                self.clients.handle_timeout(&mut self.io, &self.config, slot, generation);
+            }
+            Timer::BackendIdle(slot, generation) => {
+                self.nodes.handle_idle_timeout(&self.io, slot, generation)
+            }
+            Timer::EndpointListPoll => {
                 if let Err(error) = self.look_at_list() {
                     tracing::error!(%error, "node list not taken, the last one holds");
                 }
             }
-            Timer::State => self.save_state(),
+            Timer::StateFileSave => self.save_state(),
         }
     }
 
@@ -409,14 +415,14 @@
                 self.decide(event);
             } else if let Some(called) = self.admin.as_mut().and_then(|a| a.calls.pop_front()) {
                 self.called(called);
-            } else if let Some(question) = self.health.as_mut().and_then(|h| h.questions.pop_front()) {
+            } else if let Some(question) = self.health.as_mut().and_then(|h| h.page_requests.pop_front()) {
                 let now = self.now();
                 if let Some(health) = &mut self.health {
-                    health.answer(&self.io, &question, &now);
+                    health.respond(&self.io, &question, &now);
                 }
-            } else if let Some((asker, told)) = self.reload.told.pop_front() {
+            } else if let Some((asker, told)) = self.reload.replies.pop_front() {
                 if let Some(admin) = &mut self.admin {
-                    admin.answer_reload(&asker, &told);
+                    admin.reply_reload(&asker, &told);
                 }
             } else {
                 return;
@@ -440,9 +446,9 @@
                 self.send(id, &backend, window)
             }
             Action::Reject { id, retry_after, reason: why } => {
-                self.exchanges.tell(now, id, Tell::Rejected { retry_after, reason: why });
+                self.exchanges.handle_event(now, id, Tell::Rejected { retry_after, reason: why });
             }
-            Action::Fail { id } => self.exchanges.tell(now, id, Tell::Failed),
+            Action::Fail { id } => self.exchanges.handle_event(now, id, Tell::Failed),
             Action::SetTimer { after, token } => self.io.timers.set(now + after, Timer::Decision(token)),
             Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
                 self.counter.call(&mut self.io, Call { name, amount, keep });
@@ -457,18 +463,20 @@
     }
 
     fn send(&mut self, id: RequestId, backend: &Name, window: Option<f64>) {
-        let attempt = self.exchanges.sent(self.io.now(), id, backend.clone());
+        let attempt = self.exchanges.attempt_started(self.io.now(), id, backend.clone());
         if let Some(window) = window {
-            self.io.timers.set(self.io.now() + window, Timer::Window(id, attempt));
+            self.io.timers.set(self.io.now() + window, Timer::RetryDeadline(id, attempt));
         }
-        let Some(wire) = self.exchanges.wire(id, &self.config.path) else { return };
-        match self.nodes.send(&mut self.io, &self.config.limits, id, backend, &wire) {
+        let Some(wire) = self.exchanges.backend_request(id, &self.config.path) else { return };
+        match self.nodes.send_request(&mut self.io, &self.config.limits, id, backend, &wire) {
             Some(connection) => {
-                self.exchanges.on(id, connection);
+                self.exchanges.set_connection(id, connection);
                 self.hear(connection.0, connection.1);
             }
             // Gone from the list since, or no descriptor left: no connection was made.
-            None => self.exchanges.heard(self.io.now(), false, id, AttemptEvent::ConnectionLost),
+            None => {
+                self.exchanges.handle_attempt_event(self.io.now(), false, id, AttemptEvent::ConnectionLost)
+            }
         }
     }
 
@@ -478,7 +486,7 @@
         while let Some((id, heard)) =
             self.nodes.next_event(&mut self.io, &self.config.limits, slot, generation)
         {
-            self.exchanges.heard(self.io.now(), sticky, id, heard);
+            self.exchanges.handle_attempt_event(self.io.now(), sticky, id, heard);
             while let Some(todo) = self.exchanges.commands.pop_front() {
                 self.carry_out(todo);
             }
@@ -490,26 +498,26 @@
         match todo {
             RequestCommand::NotifyDecisions(event) => io.events.push_back(event),
             RequestCommand::Respond { client, media, answer, name } => {
-                self.clients.reply(io, config, client, &front::last_word(media, answer), Some(&name));
-                self.clients.next(io, config, client);
+                self.clients.respond(io, config, client, &front::last_word(media, answer), Some(&name));
+                self.clients.resume_input(io, config, client);
             }
             RequestCommand::ForwardResponse { client, head, name, bytes, node } => {
-                let pending = self.clients.pass(io, config, client, head, &name, &bytes);
+                let pending = self.clients.forward(io, config, client, head, &name, &bytes);
                 // Back pressure: a client that reads slowly stops its node, not this process's memory.
                 if let Some(node) = node.filter(|_| pending > config.limits.client_buffer) {
                     self.nodes.set_paused(io, node, true);
                 }
             }
             RequestCommand::EndResponse { client } => {
-                self.clients.pass_end(io, config, client);
-                self.clients.next(io, config, client);
+                self.clients.end_response(io, config, client);
+                self.clients.resume_input(io, config, client);
             }
-            RequestCommand::ResetClient { client } => self.clients.cut(client),
+            RequestCommand::ResetClient { client } => self.clients.reset(client),
             RequestCommand::CloseBackendConnection { node } => self.nodes.close(node),
             RequestCommand::ResumeBackend { node } => self.nodes.set_paused(io, node, false),
             RequestCommand::RecordFinalResponse { code, plan, class, time } => {
                 if let Some(health) = &self.health {
-                    health.answered(code, &plan, &class, time);
+                    health.record_final_response(code, &plan, &class, time);
                 }
             }
             RequestCommand::ReleaseBytes { bytes } => self.clients.budget.release(bytes),
@@ -527,20 +535,20 @@
                 };
                 match ask {
                     Ok(ask) => {
-                        let (arrival, bytes) = self.exchanges.begin(io.now(), config, slot, &self.name, ask);
+                        let (arrival, bytes) = self.exchanges.admit(io.now(), config, slot, &self.name, ask);
                         self.clients.budget.reserve(bytes);
-                        self.clients.answering(slot, arrival.id);
-                        io.timers.set(io.clock.now() + arrival.timeout, Timer::TimeUp(arrival.id));
+                        self.clients.request_admitted(slot, arrival.id);
+                        io.timers.set(io.clock.now() + arrival.timeout, Timer::RequestDeadline(arrival.id));
                         io.events.push_back(Event::RequestReceived(arrival));
                     }
                     Err(reply) => {
-                        self.clients.reply(io, config, slot, &reply, None);
-                        self.clients.next(io, config, slot);
+                        self.clients.respond(io, config, slot, &reply, None);
+                        self.clients.resume_input(io, config, slot);
                     }
                 }
             }
-            ClientEvent::Disconnected(id) => self.exchanges.client_gone(io.now(), id),
-            ClientEvent::ReadyForMore(id) => self.exchanges.drained(id),
+            ClientEvent::Disconnected(id) => self.exchanges.handle_client_disconnect(io.now(), id),
+            ClientEvent::ReadyForMore(id) => self.exchanges.handle_client_ready(id),
         }
     }
 
@@ -558,7 +566,7 @@
                         fleet.leave(&mut self.io);
                     }
                 }
-                ProcessAction::CloseListeners => self.clients.last_call(&mut self.io, &self.config),
+                ProcessAction::CloseListeners => self.clients.drain_accept_queues(&mut self.io, &self.config),
                 ProcessAction::ReadSettings => self.reload.start(&self.config),
                 ProcessAction::ApplySettings => self.take_settings(),
                 ProcessAction::RefuseReload(why) => self.reload.refuse(why.to_string()),
@@ -576,7 +584,7 @@
                 }
                 ProcessAction::DisconnectPeer { peer } => {
                     if let Some(admin) = &mut self.admin {
-                        admin.drop_peer(peer);
+                        admin.disconnect(peer);
                     }
                 }
                 ProcessAction::ReleaseLeases => self.io.events.push_back(Event::ShutdownStarted),
@@ -597,22 +605,23 @@
         self.clients.close_listeners();
         let mut rounds = FinalRounds::new(self.config.decisions.max_attempts);
         loop {
-            match rounds.next(self.exchanges.open()) {
+            match rounds.next(self.exchanges.open_ids()) {
                 FinalRound::ExpireAttempts(open) => {
                     let now = self.io.now();
-                    open.into_iter().for_each(|id| self.exchanges.tell(now, id, Tell::DeadlineExpired));
+                    open.into_iter()
+                        .for_each(|id| self.exchanges.handle_event(now, id, Tell::DeadlineExpired));
                 }
-                FinalRound::ResetClients(left) => left.into_iter().for_each(|id| self.exchanges.forget(id)),
+                FinalRound::ResetClients(left) => left.into_iter().for_each(|id| self.exchanges.abort(id)),
                 FinalRound::Finished => break,
             }
             self.pump();
         }
-        self.clients.end_all(&mut self.io, &self.config);
+        self.clients.finish_all(&mut self.io, &self.config);
     }
 
     /// Takes the settings that were read. A request under way keeps the schema that it was priced with.
     fn take_settings(&mut self) {
-        let Some((mut config, change)) = self.reload.take() else { return };
+        let Some((mut config, change)) = self.reload.take_settings() else { return };
         let start = self.io.now();
         if let Some(routing) = self.list.as_ref().and_then(|l| l.routing.clone()) {
             config.set_routing(routing);
@@ -620,10 +629,10 @@
         self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
         self.life.update_settings(times(&config));
         if let (Some(list), Some((_, poll))) = (&mut self.list, &config.node_list) {
-            list.poll = *poll;
+            list.poll_interval = *poll;
         }
         let nodes = config.nodes.clone();
-        self.clients.take_settings(&config);
+        self.clients.update_limits(&config);
         if let Some(fleet) = &mut self.fleet {
             fleet.configure(&mut self.io, &config);
         }
@@ -635,14 +644,14 @@
         let stopped_ms = self.io.now() - start;
         let Change { lines, .. } = &change;
         tracing::info!(changes = lines.join("; "), stopped_ms, "settings reloaded");
-        self.reload.over(Ok(change));
+        self.reload.finish(Ok(change));
     }
 
     /// Takes up what an earlier process of this gateway had learnt.
     fn remember(&mut self) {
         let now = self.io.now();
         let Some((file, every)) = &self.state_file else { return };
-        self.io.timers.set(now + every, Timer::State);
+        self.io.timers.set(now + every, Timer::StateFileSave);
         match file.read(now) {
             Ok(Some(nodes)) => {
                 tracing::info!(nodes = nodes.len(), "state file taken");
@@ -656,7 +665,7 @@
     fn save_state(&mut self) {
         let now = self.io.now();
         let Some((file, every)) = &self.state_file else { return };
-        self.io.timers.set(now + every, Timer::State);
+        self.io.timers.set(now + every, Timer::StateFileSave);
         let failed = file.write(now, self.decision.backends()).err();
         // Told once for each change: a full disk stops nothing but this file.
         if failed.is_some() != std::mem::replace(&mut self.state_fails, failed.is_some()) {
@@ -671,8 +680,8 @@
 
     fn look_at_list(&mut self) -> anyhow::Result<()> {
         let Some(list) = &mut self.list else { return Ok(()) };
-        self.io.timers.set(self.io.clock.now() + list.poll, Timer::NodeList);
-        let file = match list.look() {
+        self.io.timers.set(self.io.clock.now() + list.poll_interval, Timer::EndpointListPoll);
+        let file = match list.read_if_changed() {
             None => return Ok(()),
             Some(read) => read.map_err(|e| anyhow::anyhow!(e))?,
         };
@@ -702,7 +711,7 @@
         let fit = fit.map(|e| e.name.clone()).collect();
         self.io.events.push_back(Event::BackendList(list));
         if !rule_disabled("withdraw-unwritten-attempts") {
-            self.exchanges.withdraw_except(self.io.now(), &fit);
+            self.exchanges.withdraw_unwritten_except(self.io.now(), &fit);
         }
     }
 
@@ -752,7 +761,7 @@
     // ---- The admin socket's calls ----
 
     fn called(&mut self, called: AdminCall) {
-        let AdminCall { slot, id, asked } = called;
+        let AdminCall { slot, id, request: asked } = called;
         let answer = match asked {
             AdminRequest::Status => self.status(),
             AdminRequest::Nodes => self.node_views(),
@@ -764,7 +773,7 @@
                 let done = self.fleet.as_mut().map_or_else(none, |f| f.hand_over(&mut self.io, &task, to));
                 if let Err(why) = done {
                     if let Some(admin) = &mut self.admin {
-                        admin.bad_parameters(slot, &id, &why);
+                        admin.reply_invalid_params(slot, &id, &why);
                     }
                     return;
                 }
@@ -774,7 +783,7 @@
                 if !self.drain_node(&name, drain) {
                     let why = format!("`{name}` is no node of the list");
                     if let Some(admin) = &mut self.admin {
-                        admin.bad_parameters(slot, &id, &why);
+                        admin.reply_invalid_params(slot, &id, &why);
                     }
                     return;
                 }
@@ -785,9 +794,9 @@
                 json!({"state": self.life.state().name()})
             }
             AdminRequest::Reload { dry_run } => {
-                let asker = self.admin.as_ref().and_then(|a| a.asker(slot, id, dry_run));
+                let asker = self.admin.as_ref().and_then(|a| a.reload_waiter(slot, id, dry_run));
                 let Some(asker) = asker else { return };
-                self.reload.ask(asker);
+                self.reload.add_waiter(asker);
                 if dry_run {
                     self.reload.start(&self.config)
                 } else {
@@ -807,7 +816,7 @@
             }
         };
         if let Some(admin) = &mut self.admin {
-            admin.answer(slot, &id, answer);
+            admin.reply(slot, &id, answer);
         }
     }
 
--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -20,14 +20,14 @@
 /// The two media types of GraphQL over HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MediaType {
-    Response,
+    GraphqlResponse,
     Json,
 }
 
 impl MediaType {
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Self::Response => "application/graphql-response+json; charset=utf-8",
+            Self::GraphqlResponse => "application/graphql-response+json; charset=utf-8",
             Self::Json => "application/json; charset=utf-8",
         }
     }
@@ -52,9 +52,9 @@
     /// The deadline stated, in ms.
     pub deadline: Option<f64>,
     /// Fields that go on to the node.
-    pub pass: Vec<(String, String)>,
+    pub forwarded_fields: Vec<(String, String)>,
     /// The route that the client's session names; empty for none.
-    bound: Name,
+    sticky_route: Name,
     query: Option<String>,
 }
 
@@ -66,12 +66,12 @@
     pub class: usize,
     pub units: f64,
     /// How long the decisions have, in ms.
-    pub patience: f64,
+    pub timeout: f64,
     /// The body for the node.
     pub body: Vec<u8>,
-    pub pass: Vec<(String, String)>,
+    pub forwarded_fields: Vec<(String, String)>,
     pub prepared: Prepared,
-    pub bound: Name,
+    pub sticky_route: Name,
 }
 
 const PASSED_ON: [&str; 4] = ["idempotency-key", REQUEST_ID_FIELD, "traceparent", "tracestate"];
@@ -167,7 +167,15 @@
     let bound = session.map(sticky_route).unwrap_or_default().into();
     let own = |pair: &&str| sticky.parameter.is_empty() || parameter(&sticky.parameter, pair, '&').is_none();
     let query = get.then(|| query.split('&').filter(own).collect::<Vec<_>>().join("&"));
-    Ok(RequestHead { customer: Arc::clone(customer), media, get, deadline, pass, bound, query })
+    Ok(RequestHead {
+        customer: Arc::clone(customer),
+        media,
+        get,
+        deadline,
+        forwarded_fields: pass,
+        sticky_route: bound,
+        query,
+    })
 }
 
 /// The target without scheme and authority: a server takes the absolute form too (RFC 9112 section 3.2.2).
@@ -192,7 +200,7 @@
     for word in values.flat_map(|(_, v)| v.split(',')) {
         let mut parts = word.split(';').map(|p| p.trim().to_ascii_lowercase());
         let media = match parts.next().as_deref() {
-            Some("application/graphql-response+json") => MediaType::Response,
+            Some("application/graphql-response+json") => MediaType::GraphqlResponse,
             Some("application/json" | "application/*" | "*/*") => MediaType::Json,
             _ => continue,
         };
@@ -330,8 +338,18 @@
         .filter(|p| *p > 0.0)
         .ok_or_else(|| error(media, 504, "DEADLINE_PASSED", "no time is left for an answer"))?;
     let body = if caller.get { Value::Object(parameters).to_string().into_bytes() } else { body };
-    let RequestHead { customer, pass, bound, .. } = caller;
-    Ok(Request { customer, media, class, units, patience, body, pass, prepared, bound })
+    let RequestHead { customer, forwarded_fields: pass, sticky_route: bound, .. } = caller;
+    Ok(Request {
+        customer,
+        media,
+        class,
+        units,
+        timeout: patience,
+        body,
+        forwarded_fields: pass,
+        prepared,
+        sticky_route: bound,
+    })
 }
 
 /// The stable code of a final answer of the gateway's own.
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -9,14 +9,14 @@
 pub(crate) enum Token {
     Listener(usize),
     Client(usize, u32),
-    Node(usize, u32),
+    Backend(usize, u32),
     Counter(u32),
     Signal,
     Reload,
     Admin,
-    Peer(usize, u32),
-    Health,
-    Watcher(usize, u32),
+    AdminConnection(usize, u32),
+    MonitoringListener,
+    Monitoring(usize, u32),
     Link,
     Call(usize, u32),
 }
@@ -30,14 +30,14 @@
         let (kind, slot, generation) = match self {
             Self::Listener(slot) => (1, slot, 0),
             Self::Client(slot, generation) => (2, slot, generation),
-            Self::Node(slot, generation) => (3, slot, generation),
+            Self::Backend(slot, generation) => (3, slot, generation),
             Self::Counter(generation) => (4, 0, generation),
             Self::Signal => (5, 0, 0),
             Self::Reload => (6, 0, 0),
             Self::Admin => (7, 0, 0),
-            Self::Peer(slot, generation) => (8, slot, generation),
-            Self::Health => (9, 0, 0),
-            Self::Watcher(slot, generation) => (10, slot, generation),
+            Self::AdminConnection(slot, generation) => (8, slot, generation),
+            Self::MonitoringListener => (9, 0, 0),
+            Self::Monitoring(slot, generation) => (10, slot, generation),
             Self::Link => (11, 0, 0),
             Self::Call(slot, generation) => (12, slot, generation),
         };
@@ -49,13 +49,13 @@
         match token >> 60 {
             1 => Self::Listener(slot),
             2 => Self::Client(slot, generation),
-            3 => Self::Node(slot, generation),
+            3 => Self::Backend(slot, generation),
             4 => Self::Counter(generation),
             6 => Self::Reload,
             7 => Self::Admin,
-            8 => Self::Peer(slot, generation),
-            9 => Self::Health,
-            10 => Self::Watcher(slot, generation),
+            8 => Self::AdminConnection(slot, generation),
+            9 => Self::MonitoringListener,
+            10 => Self::Monitoring(slot, generation),
             11 => Self::Link,
             12 => Self::Call(slot, generation),
             _ => Self::Signal,
@@ -66,13 +66,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
     Decision(u64),
-    TimeUp(RequestId),
+    RequestDeadline(RequestId),
     /// The time is over in which an attempt is dropped as a repeat: the request and the number of its attempt.
-    Window(u64, u32),
-    Client(usize, u32),
-    NodeIdle(usize, u32),
-    NodeList,
-    State,
+    RetryDeadline(u64, u32),
+    ClientTimeout(usize, u32),
+    BackendIdle(usize, u32),
+    EndpointListPoll,
+    StateFileSave,
 }
 
 /// Readiness, timers, the clock, and the events on their way to the decisions, in their order.
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -260,15 +260,20 @@
 
 pub(crate) struct Monitoring {
     listener: TcpListener,
-    watchers: Slab<MonitoringConnection>,
+    connections: Slab<MonitoringConnection>,
     metrics: Metrics,
-    pub questions: VecDeque<PageRequest>,
+    pub page_requests: VecDeque<PageRequest>,
 }
 
 impl Monitoring {
     pub fn new(io: &Io, listener: TcpListener) -> std::io::Result<Self> {
-        io.poller.add(&listener, Token::Health.pack(), Interest::READ)?;
-        Ok(Self { listener, watchers: Slab::new(), metrics: Metrics::new(), questions: VecDeque::new() })
+        io.poller.add(&listener, Token::MonitoringListener.pack(), Interest::READ)?;
+        Ok(Self {
+            listener,
+            connections: Slab::new(),
+            metrics: Metrics::new(),
+            page_requests: VecDeque::new(),
+        })
     }
 
     pub fn address(&self) -> std::io::Result<SocketAddr> {
@@ -280,7 +285,7 @@
     }
 
     /// A request has its final answer: which, of which plan and class, and after how long in ms.
-    pub fn answered(&self, code: &str, plan: &str, class: &str, time: f64) {
+    pub fn record_final_response(&self, code: &str, plan: &str, class: &str, time: f64) {
         let (code, plan, class) = (code.to_owned(), plan.to_owned(), class.to_owned());
         if code == "SERVED" {
             self.metrics.served.get_or_create(&ByClass { class }).observe(time / 1000.0);
@@ -291,15 +296,15 @@
     pub fn accept(&mut self, io: &mut Io) {
         let Ok((stream, _)) = self.listener.accept() else { return };
         let Ok(socket) = Socket::new(stream) else { return };
-        if self.watchers.len() >= CONNECTIONS {
+        if self.connections.len() >= CONNECTIONS {
             // Whoever was silent for longest goes: connections left open must not shut out who asks now.
             let oldest =
-                self.watchers.iter().min_by(|a, b| a.1.spoke.total_cmp(&b.1.spoke)).map(|(slot, _)| slot);
-            oldest.into_iter().for_each(|slot| drop(self.watchers.remove(slot)));
+                self.connections.iter().min_by(|a, b| a.1.spoke.total_cmp(&b.1.spoke)).map(|(slot, _)| slot);
+            oldest.into_iter().for_each(|slot| drop(self.connections.remove(slot)));
         }
         let generation = io.generation();
-        let entry = self.watchers.vacant_entry();
-        let token = Token::Watcher(entry.key(), generation).pack();
+        let entry = self.connections.vacant_entry();
+        let token = Token::Monitoring(entry.key(), generation).pack();
         if io.poller.add(&socket, token, Interest::READ).is_ok() {
             let decoder = Decoder::new(Role::Requests, LIMITS);
             let (interest, closing, spoke) = (Interest::READ, false, io.now());
@@ -307,12 +312,12 @@
         }
     }
 
-    pub fn ready(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
-        let known = self.watchers.get_mut(slot).filter(|w| w.generation == generation);
+    pub fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
+        let known = self.connections.get_mut(slot).filter(|w| w.generation == generation);
         let Some(watcher) = known else { return };
         watcher.spoke = io.now();
         if ready.read && watcher.socket.read().1 != Flow::Open {
-            drop(self.watchers.remove(slot));
+            drop(self.connections.remove(slot));
             return;
         }
         self.input(slot);
@@ -320,7 +325,7 @@
     }
 
     fn input(&mut self, slot: usize) {
-        let Some(watcher) = self.watchers.get_mut(slot) else { return };
+        let Some(watcher) = self.connections.get_mut(slot) else { return };
         if watcher.closing {
             return watcher.socket.input.clear();
         }
@@ -362,7 +367,7 @@
                 }
             };
             if method == "GET" {
-                self.questions.push_back(PageRequest { slot, wants, keep_alive });
+                self.page_requests.push_back(PageRequest { slot, wants, keep_alive });
             } else {
                 respond(watcher, 405, "text/plain; charset=utf-8", "GET is allowed\n", keep_alive);
             }
@@ -370,8 +375,8 @@
     }
 
     /// Answers a question with what is so now.
-    pub fn answer(&mut self, io: &Io, question: &PageRequest, now: &Snapshot) {
-        let Some(watcher) = self.watchers.get_mut(question.slot) else { return };
+    pub fn respond(&mut self, io: &Io, question: &PageRequest, now: &Snapshot) {
+        let Some(watcher) = self.connections.get_mut(question.slot) else { return };
         let plain = "text/plain; charset=utf-8";
         match question.wants {
             Page::Live => respond(watcher, 200, plain, "live\n", question.keep_alive),
@@ -388,17 +393,17 @@
     }
 
     fn flush(&mut self, io: &Io, slot: usize) {
-        let Some(watcher) = self.watchers.get_mut(slot) else { return };
+        let Some(watcher) = self.connections.get_mut(slot) else { return };
         let broken = watcher.socket.flush() == Flow::Broken;
         let pending = watcher.socket.pending() > 0;
         if broken || watcher.closing && !pending {
-            drop(self.watchers.remove(slot));
+            drop(self.connections.remove(slot));
             return;
         }
         let interest = Interest::of(!pending, pending);
         if interest != watcher.interest {
             watcher.interest = interest;
-            let token = Token::Watcher(slot, watcher.generation).pack();
+            let token = Token::Monitoring(slot, watcher.generation).pack();
             let _ = io.poller.change(&watcher.socket, token, interest);
         }
     }
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -27,25 +27,25 @@
     client: Option<usize>,
     plan: Name,
     class: Name,
-    began: f64,
+    received_at: f64,
     name: Name,
-    exchange: RequestLifecycle,
+    lifecycle: RequestLifecycle,
     media: MediaType,
     body: Vec<u8>,
-    pass: Vec<(String, String)>,
-    keyed: bool,
+    forwarded_fields: Vec<(String, String)>,
+    needs_idempotency_key: bool,
     units: f64,
     scan: Scan,
     /// The connection of the attempt that is out, its node, and when it was sent.
-    node: Option<(usize, u32)>,
+    connection: Option<(usize, u32)>,
     backend: Name,
     sent_at: f64,
     head: Option<AnswerHead>,
     /// What of the answer is not passed on yet.
     held: Vec<u8>,
     /// Whether the held bytes are the whole answer.
-    whole: bool,
-    passing: bool,
+    response_complete: bool,
+    forwarding: bool,
 }
 
 impl InFlightRequest {
@@ -54,7 +54,7 @@
             code,
             plan: self.plan.clone(),
             class: self.class.clone(),
-            time: now - self.began,
+            time: now - self.received_at,
         }
     }
 }
@@ -93,7 +93,7 @@
     requests: HashMap<RequestId, InFlightRequest>,
     /// How many there were so far.
     pub total: RequestId,
-    claims_told: HashSet<Name>,
+    logged_cost_claims: HashSet<Name>,
     pub commands: VecDeque<RequestCommand>,
 }
 
@@ -102,15 +102,25 @@
         self.requests.len()
     }
 
-    pub fn open(&self) -> Vec<RequestId> {
+    pub fn open_ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
     /// Takes a request on: its number, what the decisions are told, and how many bytes it holds.
-    pub fn begin(
+    pub fn admit(
         &mut self, now: f64, config: &Config, client: usize, process: &str, ask: Request,
     ) -> (IncomingRequest, u64) {
-        let Request { customer, media, class, units, patience, body, pass, prepared, bound } = ask;
+        let Request {
+            customer,
+            media,
+            class,
+            units,
+            timeout: patience,
+            body,
+            forwarded_fields: pass,
+            prepared,
+            sticky_route: bound,
+        } = ask;
         self.total += 1;
         let id = self.total;
         let told = pass.iter().find(|(n, _)| n == REQUEST_ID_FIELD).map(|(_, v)| v.as_str());
@@ -134,68 +144,68 @@
             client: Some(client),
             plan: arrival.plan.clone(),
             class: arrival.class.clone(),
-            began: now,
+            received_at: now,
             name,
-            exchange: RequestLifecycle::new(config.limits.held_answer),
+            lifecycle: RequestLifecycle::new(config.limits.held_answer),
             media,
             body,
-            pass,
-            keyed: class.idempotency == Idempotency::WithKey,
+            forwarded_fields: pass,
+            needs_idempotency_key: class.idempotency == Idempotency::WithKey,
             units,
             scan: prepared.scan(config.answer_depth),
-            node: None,
+            connection: None,
             backend: Name::default(),
             sent_at: 0.0,
             head: None,
             held: Vec::new(),
-            whole: false,
-            passing: false,
+            response_complete: false,
+            forwarding: false,
         };
         self.requests.insert(id, request);
         (arrival, bytes)
     }
 
     /// The decisions send a request to a node; the number of the attempt.
-    pub fn sent(&mut self, now: f64, id: RequestId, backend: Name) -> u32 {
+    pub fn attempt_started(&mut self, now: f64, id: RequestId, backend: Name) -> u32 {
         let Some(request) = self.requests.get_mut(&id) else { return 0 };
         (request.backend, request.sent_at) = (backend, now);
         // Nothing of an earlier attempt's answer may colour this one's.
-        (request.head, request.whole) = (None, false);
+        (request.head, request.response_complete) = (None, false);
         request.held.clear();
         request.scan.reset();
-        request.exchange.handle(LifecycleEvent::AttemptStarted, &mut Vec::new());
-        request.exchange.attempts()
+        request.lifecycle.handle(LifecycleEvent::AttemptStarted, &mut Vec::new());
+        request.lifecycle.attempts()
     }
 
     /// The time is over in which an attempt is dropped as a repeat: it is withdrawn unless it is written.
-    pub fn window_over(&mut self, now: f64, id: RequestId, attempt: u32) {
-        let out = |r: &InFlightRequest| r.exchange.has_attempt() && r.exchange.attempts() == attempt;
+    pub fn handle_retry_deadline(&mut self, now: f64, id: RequestId, attempt: u32) {
+        let out = |r: &InFlightRequest| r.lifecycle.has_attempt() && r.lifecycle.attempts() == attempt;
         if self.requests.get(&id).is_some_and(out) {
-            self.tell(now, id, LifecycleEvent::Withdrawn);
+            self.handle_event(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
     /// Only these nodes may still get what is not written yet; other attempts that are not are withdrawn.
-    pub fn withdraw_except(&mut self, now: f64, nodes: &HashSet<Name>) {
-        let out = |r: &InFlightRequest| r.exchange.has_attempt() && !nodes.contains(&r.backend);
+    pub fn withdraw_unwritten_except(&mut self, now: f64, nodes: &HashSet<Name>) {
+        let out = |r: &InFlightRequest| r.lifecycle.has_attempt() && !nodes.contains(&r.backend);
         let ids: Vec<_> = self.requests.iter().filter(|(_, r)| out(r)).map(|(id, _)| *id).collect();
         for id in ids {
-            self.tell(now, id, LifecycleEvent::Withdrawn);
+            self.handle_event(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
-    pub fn wire<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
+    pub fn backend_request<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
         let request = self.requests.get(&id)?;
         let mut fields: Vec<(&str, &str)> = vec![
             ("content-type", "application/json"),
             ("accept", "application/graphql-response+json, application/json;q=0.9"),
         ];
-        fields.extend(request.pass.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-        let has = |name: &str| request.pass.iter().any(|(n, _)| n == name);
+        fields.extend(request.forwarded_fields.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+        let has = |name: &str| request.forwarded_fields.iter().any(|(n, _)| n == name);
         if !has(REQUEST_ID_FIELD) {
             fields.push((REQUEST_ID_FIELD, &request.name));
         }
-        if request.keyed && !has("idempotency-key") {
+        if request.needs_idempotency_key && !has("idempotency-key") {
             // Without a key of the client's the request's own name makes our repeats known as such.
             fields.push(("idempotency-key", &request.name));
         }
@@ -203,21 +213,21 @@
     }
 
     /// The attempt is out on this connection.
-    pub fn on(&mut self, id: RequestId, connection: (usize, u32)) {
+    pub fn set_connection(&mut self, id: RequestId, connection: (usize, u32)) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.node = Some(connection);
+            request.connection = Some(connection);
         }
     }
 
     /// Something was heard of a request's attempt.
-    pub fn heard(&mut self, now: f64, sticky: bool, id: RequestId, heard: AttemptEvent) {
+    pub fn handle_attempt_event(&mut self, now: f64, sticky: bool, id: RequestId, heard: AttemptEvent) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let input = match heard {
             AttemptEvent::Connected => LifecycleEvent::Connected,
             AttemptEvent::BytesWritten => LifecycleEvent::BytesWritten,
             AttemptEvent::InvalidResponse => LifecycleEvent::InvalidResponse,
             AttemptEvent::ConnectionLost => {
-                request.node = None;
+                request.connection = None;
                 LifecycleEvent::ConnectionLost
             }
             AttemptEvent::Head(head) => {
@@ -240,63 +250,64 @@
             }
             AttemptEvent::End => {
                 let counted = request.scan.counted();
-                (request.whole, request.node) = (true, None);
+                (request.response_complete, request.connection) = (true, None);
                 if let Some(claim) = counted.claim.filter(|c| (c - counted.units).abs() > 1e-6) {
                     // Compared and told, never believed: what the account ends with is counted here.
                     let (node, counted, priced) = (&request.backend, counted.units, request.units);
                     tracing::debug!(%node, claim, counted, "node claims another cost");
-                    if self.claims_told.insert(node.clone()) {
+                    if self.logged_cost_claims.insert(node.clone()) {
                         tracing::warn!(%node, claim, counted, priced, "node claims another cost; told once");
                     }
                 }
                 LifecycleEvent::ResponseEnd { complete: counted.whole, units: counted.units }
             }
         };
-        self.tell(now, id, input);
+        self.handle_event(now, id, input);
     }
 
     /// The client of a request is gone.
-    pub fn client_gone(&mut self, now: f64, id: RequestId) {
+    pub fn handle_client_disconnect(&mut self, now: f64, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.client = None;
         }
-        self.tell(now, id, LifecycleEvent::ClientDisconnected);
-        self.drained(id);
+        self.handle_event(now, id, LifecycleEvent::ClientDisconnected);
+        self.handle_client_ready(id);
     }
 
     /// The client of a request has read enough.
-    pub fn drained(&mut self, id: RequestId) {
-        if let Some((node, _)) = self.requests.get(&id).and_then(|r| r.node) {
+    pub fn handle_client_ready(&mut self, id: RequestId) {
+        if let Some((node, _)) = self.requests.get(&id).and_then(|r| r.connection) {
             self.commands.push_back(RequestCommand::ResumeBackend { node });
         }
     }
 
     /// What is left of a request's client is cut, and the request forgotten: at a stop that would not end else.
-    pub fn forget(&mut self, id: RequestId) {
+    pub fn abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.commands.extend(request.client.map(|client| RequestCommand::ResetClient { client }));
-        self.commands.extend(request.node.map(|(node, _)| RequestCommand::CloseBackendConnection { node }));
+        self.commands
+            .extend(request.connection.map(|(node, _)| RequestCommand::CloseBackendConnection { node }));
         self.commands.push_back(RequestCommand::ReleaseBytes { bytes: request.body.len() as u64 });
     }
 
     /// Tells a request's exchange, and gives out what follows.
-    pub fn tell(&mut self, now: f64, id: RequestId, input: LifecycleEvent) {
+    pub fn handle_event(&mut self, now: f64, id: RequestId, input: LifecycleEvent) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let mut outputs = Vec::new();
-        request.exchange.handle(input, &mut outputs);
+        request.lifecycle.handle(input, &mut outputs);
         for output in outputs {
-            self.give(now, id, output);
+            self.execute_action(now, id, output);
         }
     }
 
-    fn give(&mut self, now: f64, id: RequestId, output: LifecycleAction) {
+    fn execute_action(&mut self, now: f64, id: RequestId, output: LifecycleAction) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match output {
             LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished } => {
-                request.node = None;
+                request.connection = None;
                 self.commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(AttemptEnd {
                     id,
-                    attempt: request.exchange.attempts() - 1,
+                    attempt: request.lifecycle.attempts() - 1,
                     backend: request.backend.clone(),
                     outcome,
                     latency: now - request.sent_at,
@@ -320,7 +331,7 @@
                     name,
                 }));
             }
-            LifecycleAction::ForwardResponse => self.pass(id),
+            LifecycleAction::ForwardResponse => self.forward_held(id),
             LifecycleAction::EndResponse => {
                 self.commands.push_back(request.done(now, "SERVED"));
                 self.commands
@@ -337,7 +348,10 @@
             }
             LifecycleAction::CloseBackendConnection => {
                 self.commands.extend(
-                    request.node.take().map(|(node, _)| RequestCommand::CloseBackendConnection { node }),
+                    request
+                        .connection
+                        .take()
+                        .map(|(node, _)| RequestCommand::CloseBackendConnection { node }),
                 );
             }
             LifecycleAction::Finished => {
@@ -350,21 +364,24 @@
     }
 
     /// Passes on what is held of an answer, with its head where that has not gone yet.
-    fn pass(&mut self, id: RequestId) {
+    fn forward_held(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(client) = request.client else { return request.held.clear() };
         let mut head = None;
-        if !request.passing {
+        if !request.forwarding {
             let Some(known) = &request.head else { return };
-            let framing =
-                if request.whole { Framing::Length(request.held.len() as u64) } else { known.framing };
+            let framing = if request.response_complete {
+                Framing::Length(request.held.len() as u64)
+            } else {
+                known.framing
+            };
             let (status, content_type, cookies) =
                 (known.status, known.content_type.clone(), known.cookies.clone());
             head = Some(ForwardedHead { status, content_type, framing, cookies });
-            request.passing = true;
+            request.forwarding = true;
         }
         let (bytes, name) = (std::mem::take(&mut request.held), request.name.clone());
-        let node = request.node.map(|(node, _)| node);
+        let node = request.connection.map(|(node, _)| node);
         self.commands.push_back(RequestCommand::ForwardResponse { client, head, name, bytes, node });
     }
 }
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -24,23 +24,23 @@
     /// What was read and waits for the life cycle's word.
     read: Option<(Config, Change)>,
     /// Who waits for this reading, and for the next.
-    askers: Vec<ReloadWaiter>,
-    next_askers: Vec<ReloadWaiter>,
+    waiters: Vec<ReloadWaiter>,
+    next_waiters: Vec<ReloadWaiter>,
     /// Shared with the reading thread: a clone of its own would need a descriptor, and without one nobody would hear that
     /// the settings are read.
-    wake: Arc<UnixStream>,
-    signal: UnixStream,
+    sender: Arc<UnixStream>,
+    pipe: UnixStream,
     /// Answers for those who asked.
-    pub told: VecDeque<(ReloadWaiter, Result<Change, String>)>,
+    pub replies: VecDeque<(ReloadWaiter, Result<Change, String>)>,
 }
 
 /// What the pipe had to say.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReloadEvents {
     /// Somebody wants a reload: a signal, or another thread.
-    pub asked: bool,
+    pub requested: bool,
     /// Settings are read and wait for the life cycle's word.
-    pub read: bool,
+    pub settings_read: bool,
 }
 
 impl SettingsReload {
@@ -50,31 +50,41 @@
         wake.set_nonblocking(true)?;
         let (askers, next_askers, told) = (Vec::new(), Vec::new(), VecDeque::new());
         let wake = Arc::new(wake);
-        Ok(Self { reread, reading: None, again: false, read: None, askers, next_askers, wake, signal, told })
+        Ok(Self {
+            reread,
+            reading: None,
+            again: false,
+            read: None,
+            waiters: askers,
+            next_waiters: next_askers,
+            sender: wake,
+            pipe: signal,
+            replies: told,
+        })
     }
 
     /// The end of the pipe that is waited on.
     pub fn signal(&self) -> &UnixStream {
-        &self.signal
+        &self.pipe
     }
 
     /// An end of the pipe for signals and other threads.
     pub fn wake(&self) -> std::io::Result<UnixStream> {
-        self.wake.try_clone()
+        self.sender.try_clone()
     }
 
     /// The pipe speaks.
-    pub fn ready(&mut self, config: &Arc<Config>) -> ReloadEvents {
+    pub fn handle_readiness(&mut self, config: &Arc<Config>) -> ReloadEvents {
         let (mut bytes, mut asked) = ([0; 16], false);
-        while let Ok(n @ 1..) = std::io::Read::read(&mut self.signal, &mut bytes) {
+        while let Ok(n @ 1..) = std::io::Read::read(&mut self.pipe, &mut bytes) {
             asked |= bytes[..n].iter().any(|b| *b != READ);
         }
-        ReloadEvents { asked, read: self.finish(config) }
+        ReloadEvents { requested: asked, settings_read: self.receive_settings(config) }
     }
 
     /// Somebody on the admin socket waits for settings to be read.
-    pub fn ask(&mut self, asker: ReloadWaiter) {
-        if self.reading.is_some() { self.next_askers.push(asker) } else { self.askers.push(asker) }
+    pub fn add_waiter(&mut self, asker: ReloadWaiter) {
+        if self.reading.is_some() { self.next_waiters.push(asker) } else { self.waiters.push(asker) }
     }
 
     /// Reads and compares in a thread of its own: thousands of customers must not stop the loop.
@@ -84,10 +94,10 @@
             return;
         }
         let Some(reread) = self.reread.clone() else {
-            return self.over(Err("this gateway cannot read its settings again".into()));
+            return self.finish(Err("this gateway cannot read its settings again".into()));
         };
         let (told, receiver) = mpsc::channel();
-        let (old, wake) = (Arc::clone(config), Arc::clone(&self.wake));
+        let (old, wake) = (Arc::clone(config), Arc::clone(&self.sender));
         let started = std::thread::Builder::new().name("settings".into()).spawn(move || {
             let read = reread().map(|config| {
                 let change = compare(&old, &config);
@@ -99,25 +109,25 @@
         });
         match started {
             Ok(_) => self.reading = Some(receiver),
-            Err(error) => self.over(Err(error.to_string())),
+            Err(error) => self.finish(Err(error.to_string())),
         }
     }
 
     /// The settings may be read; whether they wait for the life cycle's word.
-    fn finish(&mut self, config: &Arc<Config>) -> bool {
+    fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
         let Some(read) = self.reading.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
         self.reading = None;
         let waits = match read {
             Err(why) => {
-                self.over(Err(why));
+                self.finish(Err(why));
                 false
             }
             Ok((_, change)) if self.is_dry() => {
-                self.over(Ok(change));
+                self.finish(Ok(change));
                 false
             }
             Ok((_, change)) if !change.refused.is_empty() => {
-                self.over(Err(change.refused.join("; ")));
+                self.finish(Err(change.refused.join("; ")));
                 false
             }
             Ok(read) => {
@@ -127,42 +137,42 @@
         };
         // What is asked for next is read behind the word on this one.
         if !waits {
-            self.read_again(config);
+            self.restart_if_requested(config);
         }
         waits
     }
 
     /// Reads once more where somebody asked meanwhile.
-    pub fn read_again(&mut self, config: &Arc<Config>) {
+    pub fn restart_if_requested(&mut self, config: &Arc<Config>) {
         if std::mem::take(&mut self.again) {
-            self.askers = std::mem::take(&mut self.next_askers);
+            self.waiters = std::mem::take(&mut self.next_waiters);
             self.start(config);
         }
     }
 
     /// What was read, once the life cycle allows it.
-    pub fn take(&mut self) -> Option<(Config, Change)> {
+    pub fn take_settings(&mut self) -> Option<(Config, Change)> {
         self.read.take()
     }
 
     /// The life cycle refuses: all who wait are told.
     pub fn refuse(&mut self, why: String) {
-        let mut waiting = std::mem::take(&mut self.next_askers);
-        self.askers.append(&mut waiting);
-        self.over(Err(why));
+        let mut waiting = std::mem::take(&mut self.next_waiters);
+        self.waiters.append(&mut waiting);
+        self.finish(Err(why));
     }
 
     fn is_dry(&self) -> bool {
-        !self.askers.is_empty() && self.askers.iter().all(|a| a.dry_run)
+        !self.waiters.is_empty() && self.waiters.iter().all(|a| a.dry_run)
     }
 
     /// A reading is over: all who waited for it are told.
-    pub fn over(&mut self, told: Result<Change, String>) {
+    pub fn finish(&mut self, told: Result<Change, String>) {
         if let (Err(why), false) = (&told, self.is_dry()) {
             tracing::error!(why, "settings not reloaded, the old ones hold");
         }
         self.read = None;
-        let askers = std::mem::take(&mut self.askers);
-        self.told.extend(askers.into_iter().map(|a| (a, told.clone())));
+        let askers = std::mem::take(&mut self.waiters);
+        self.replies.extend(askers.into_iter().map(|a| (a, told.clone())));
     }
 }
--- a/crates/http-gateway/src/state_file.rs
+++ b/crates/http-gateway/src/state_file.rs
@@ -17,8 +17,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StateFile {
     pub path: PathBuf,
-    pub longest_age: f64,
-    pub number: u32,
+    pub max_age: f64,
+    pub gateway_index: u32,
 }
 
 /// Where a file is written before it is moved to its place.
@@ -40,7 +40,7 @@
                 "started": b.started})
         };
         let body = json!({"nodes": nodes.map(node).collect::<Vec<_>>()}).to_string();
-        let head = json!({"doorcourse_state": VERSION, "number": self.number, "written_ms": now, "sha256": digest(&body)});
+        let head = json!({"doorcourse_state": VERSION, "number": self.gateway_index, "written_ms": now, "sha256": digest(&body)});
         let beside = beside(&self.path);
         let mut file = std::fs::File::create(&beside)?;
         file.write_all(format!("{head}\n{body}\n").as_bytes())?;
@@ -71,15 +71,15 @@
         if head["sha256"].as_str() != Some(&digest(body)) {
             return Err("torn: its checksum does not fit".into());
         }
-        if head["number"].as_u64() != Some(self.number.into()) {
-            return Err(format!("of gateway {}, this is {}", head["number"], self.number));
+        if head["number"].as_u64() != Some(self.gateway_index.into()) {
+            return Err(format!("of gateway {}, this is {}", head["number"], self.gateway_index));
         }
         let age = now - head["written_ms"].as_f64().unwrap_or(f64::NAN);
         if age.is_nan() || age < -AHEAD {
             return Err("written by a clock that is ahead".into());
         }
-        if age > self.longest_age {
-            return Err(format!("{:.0} s old, at most {:.0}", age / 1000.0, self.longest_age / 1000.0));
+        if age > self.max_age {
+            return Err(format!("{:.0} s old, at most {:.0}", age / 1000.0, self.max_age / 1000.0));
         }
         let body: Value = serde_json::from_str(body).map_err(|e| e.to_string())?;
         let node = |v: &Value| {
@@ -123,7 +123,7 @@
     fn file(name: &str) -> StateFile {
         let folder = std::env::temp_dir().join(format!("doorcourse-state-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        StateFile { path: folder.join("state"), longest_age: 60_000.0, number: 2 }
+        StateFile { path: folder.join("state"), max_age: 60_000.0, gateway_index: 2 }
     }
 
     #[test]
@@ -159,7 +159,9 @@
         let told = |file: &StateFile, now| file.read(now).expect_err("left aside");
         assert!(told(&file, 62_000.0).contains("61 s old, at most 60"));
         assert!(told(&file, -5000.0).contains("clock that is ahead"));
-        assert!(told(&StateFile { number: 1, ..file.clone() }, 2000.0).contains("of gateway 2, this is 1"));
+        assert!(
+            told(&StateFile { gateway_index: 1, ..file.clone() }, 2000.0).contains("of gateway 2, this is 1")
+        );
         let text = std::fs::read_to_string(&file.path).expect("read");
         std::fs::write(&file.path, text.replace("\"doorcourse_state\":1", "\"doorcourse_state\":9"))
             .expect("write");
