--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -102,7 +102,7 @@
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
         }
         // Bound beside its place and moved there: who asks finds the old socket or the new one.
-        let beside = crate::state_file::beside(path);
+        let beside = crate::state_file::temporary_path(path);
         let _ = std::fs::remove_file(&beside);
         let listener = UnixListener::bind(&beside).with_context(|| beside.display().to_string())?;
         std::fs::rename(&beside, path).with_context(|| path.display().to_string())?;
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -1,36 +1,51 @@
-//! The node list as a file that is read again when it changes.
+//! The endpoint list as a file that is read again when it changes.
 
+use doorcourse::Millis;
 use doorcourse_config::{NodeFile, Routing, read_nodes};
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// A list file that is read again when it changes.
+/// What tells one version of the file from another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FileVersion {
+    Present {
+        modified: SystemTime,
+        bytes: u64,
+    },
+    /// The file cannot be examined; logged once.
+    Unavailable,
+}
+
+/// An endpoint list file.
 #[derive(Debug)]
 pub(crate) struct EndpointList {
     path: PathBuf,
-    pub poll_interval: f64,
-    seen: Option<(SystemTime, u64)>,
+    /// How often the file is examined.
+    pub poll_interval: Millis,
+    last_version: Option<FileVersion>,
     /// The routing that the list read last states.
     pub routing: Option<Routing>,
 }
 
 impl EndpointList {
-    pub fn new(path: PathBuf, poll: f64) -> Self {
-        Self { path, poll_interval: poll, seen: None, routing: None }
+    pub fn new(path: PathBuf, poll_interval: Millis) -> Self {
+        Self { path, poll_interval, last_version: None, routing: None }
     }
 
-    /// The list, if the file changed since it was read last; an error changes nothing and is told once.
+    /// The list, if the file has changed since it was last read.
+    ///
+    /// # Errors
+    /// Why a changed file cannot be used; once for each version.
     pub fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
-        let stamp = std::fs::metadata(&self.path).and_then(|m| Ok((m.modified()?, m.len())));
-        let stamp = match stamp {
-            Ok(stamp) => stamp,
-            Err(_) if self.seen.is_some_and(|(at, _)| at == SystemTime::UNIX_EPOCH) => return None,
+        let version = match self.examine() {
+            Ok(version) => version,
+            Err(_) if self.last_version == Some(FileVersion::Unavailable) => return None,
             Err(error) => {
-                self.seen = Some((SystemTime::UNIX_EPOCH, 0));
+                self.last_version = Some(FileVersion::Unavailable);
                 return Some(Err(format!("{}: {error}", self.path.display())));
             }
         };
-        if self.seen.replace(stamp) == Some(stamp) {
+        if self.last_version.replace(version) == Some(version) {
             return None;
         }
         let shown = self.path.display().to_string();
@@ -43,4 +58,9 @@
                 .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
         )
     }
+
+    fn examine(&self) -> std::io::Result<FileVersion> {
+        let metadata = std::fs::metadata(&self.path)?;
+        Ok(FileVersion::Present { modified: metadata.modified()?, bytes: metadata.len() })
+    }
 }
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -658,7 +658,7 @@
                 self.io.events.push_back(Event::StateRestored(nodes));
             }
             Ok(None) => {}
-            Err(why) => tracing::warn!(file = %file.path.display(), why, "state file left aside"),
+            Err(why) => tracing::warn!(file = %file.path.display(), %why, "state file left aside"),
         }
     }
 
