--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -1,49 +1,35 @@
-//! The room of the admin socket: JSON-RPC 2.0 over a local socket, one object a line. It translates; what is done about
-//! a call is the life cycle's and the decisions' affair.
+//! The admin socket: JSON-RPC 2.0 over a Unix socket, one object a line. It parses calls and writes replies; what a call
+//! does is the event loop's concern.
+
+mod protocol;
+
+pub(crate) use protocol::AdminRequest;
 
 use crate::io::{Io, Token};
+use crate::settings_reload::ReloadReply;
 use anyhow::Context;
-use doorcourse_config::Change;
 use doorcourse_event_loop::Interest;
-use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags,
-};
+use protocol::{ErrorCode, error_reply, result_reply};
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
-use std::io::{BufRead, BufReader, IoSlice, IoSliceMut, Read, Write};
+use std::io::{IoSlice, Read, Write};
 use std::net::TcpListener;
-use std::os::fd::{AsFd, OwnedFd};
+use std::os::fd::AsFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
-/// What a call asks for.
-#[derive(Debug)]
-pub(crate) enum AdminRequest {
-    Status,
-    Nodes,
-    Customers,
-    DrainNode {
-        name: String,
-        drain: bool,
-    },
-    Drain,
-    Peers,
-    Leases,
-    HandOver {
-        task: String,
-        to: u32,
-    },
-    Reload {
-        dry_run: bool,
-    },
-    TakeOver,
-    TookOver,
-    /// The process that was to take over is gone.
-    TakeoverLost,
-}
+/// The longest line of a call, in bytes.
+const MAX_LINE_BYTES: usize = 64 << 10;
+/// Bytes read from a connection at a time.
+const READ_BYTES: usize = 4096;
+/// The most listening sockets that a takeover passes.
+pub(crate) const MAX_PASSED_LISTENERS: usize = 32;
+/// How long the loop waits for a client that does not read its reply.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A call, and where its answer goes.
+/// A call, and where its reply goes.
 #[derive(Debug)]
 pub(crate) struct AdminCall {
     pub slot: usize,
@@ -51,18 +37,19 @@
     pub request: AdminRequest,
 }
 
-/// One connection of a person or of a process that takes over.
+/// One connection of an operator, or of a process that takes over.
 #[derive(Debug)]
-pub(crate) struct AdminConnection {
+struct AdminConnection {
     stream: UnixStream,
     generation: u32,
-    held: Vec<u8>,
-    /// The id of the call that is answered later.
-    waiting: Value,
+    input: Vec<u8>,
+    /// The id of the takeover call, which is answered later.
+    takeover_id: Value,
+    /// Whether the end of this connection ends a takeover.
     takes_over: bool,
 }
 
-/// Who waits for settings to be read.
+/// One who waits for the settings to be read.
 #[derive(Debug)]
 pub(crate) struct ReloadWaiter {
     slot: usize,
@@ -72,263 +59,204 @@
     pub dry_run: bool,
 }
 
-/// The socket and its path.
+/// The admin socket and its connections.
 #[derive(Debug)]
 pub(crate) struct Admin {
     listener: UnixListener,
     path: PathBuf,
-    peers: slab::Slab<AdminConnection>,
+    connections: slab::Slab<AdminConnection>,
     /// Calls that wait to be carried out.
     pub calls: VecDeque<AdminCall>,
-    /// Another process has bound the path since: it is not ours to remove.
-    pub passed_on: bool,
+    /// A new process has bound the path since: it is not ours to remove.
+    handed_over: bool,
 }
 
-/// A call's longest line, and the most listeners that are passed.
-const LINE: usize = 64 << 10;
-const LISTENERS: usize = 32;
-/// JSON-RPC 2.0, section 5.1.
-const PARSE: i64 = -32700;
-const NO_METHOD: i64 = -32601;
-const BAD_PARAMETERS: i64 = -32602;
-/// Ours: asked for and not done.
-const REFUSED: i64 = -32000;
-
 impl Admin {
-    /// Binds the path. One that is left over from a dead process is removed; one that answers is not.
+    /// Binds the socket.
+    ///
+    /// # Errors
+    /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it. A
+    /// socket that is left over from a dead process is replaced.
     pub fn bind(path: &Path, taking_over: bool) -> anyhow::Result<Self> {
         if path.exists() {
             let alive = UnixStream::connect(path).is_ok();
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
         }
-        // Bound beside its place and moved there: who asks finds the old socket or the new one.
-        let beside = crate::state_file::temporary_path(path);
-        let _ = std::fs::remove_file(&beside);
-        let listener = UnixListener::bind(&beside).with_context(|| beside.display().to_string())?;
-        std::fs::rename(&beside, path).with_context(|| path.display().to_string())?;
+        // Bound at another path and renamed: a client finds the old socket or the new one.
+        let temporary = crate::state_file::temporary_path(path);
+        let _ = std::fs::remove_file(&temporary);
+        let listener = UnixListener::bind(&temporary).with_context(|| temporary.display().to_string())?;
+        std::fs::rename(&temporary, path).with_context(|| path.display().to_string())?;
         listener.set_nonblocking(true)?;
         Ok(Self {
             listener,
             path: path.to_owned(),
-            peers: slab::Slab::new(),
+            connections: slab::Slab::new(),
             calls: VecDeque::new(),
-            passed_on: false,
+            handed_over: false,
         })
     }
 
-    pub fn listener_fd(&self) -> &UnixListener {
+    pub fn listener(&self) -> &UnixListener {
         &self.listener
     }
-}
-
-impl Drop for Admin {
-    fn drop(&mut self) {
-        if !self.passed_on {
-            let _ = std::fs::remove_file(&self.path);
-        }
-    }
-}
-
-fn error(id: &Value, code: i64, message: &str) -> Value {
-    json!({"jsonrpc": "2.0", "id": id, "error": {"code": code, "message": message}})
-}
-
-fn result(id: &Value, result: Value) -> Value {
-    json!({"jsonrpc": "2.0", "id": id, "result": result})
-}
 
-impl Admin {
     pub fn accept(&mut self, io: &mut Io) {
         let generation = io.generation();
         let Ok((stream, _)) = self.listener.accept() else { return };
         if stream.set_nonblocking(true).is_err() {
             return;
         }
-        let entry = self.peers.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let token = Token::AdminConnection(entry.key(), generation).pack();
         if io.poller.add(&stream, token, Interest::READ).is_ok() {
-            let (held, waiting) = (Vec::new(), Value::Null);
-            entry.insert(AdminConnection { stream, generation, held, waiting, takes_over: false });
+            entry.insert(AdminConnection {
+                stream,
+                generation,
+                input: Vec::new(),
+                takeover_id: Value::Null,
+                takes_over: false,
+            });
         }
     }
 
-    /// Reads calls of a connection; those that can be carried out wait in `calls`.
+    /// Reads the calls of a connection; those that are valid wait in `calls`.
     pub fn handle_readiness(&mut self, slot: usize, generation: u32) {
-        let Some(peer) = self.peers.get_mut(slot).filter(|p| p.generation == generation) else { return };
-        let mut bytes = [0; 4096];
-        match peer.stream.read(&mut bytes) {
-            Ok(n) if n > 0 && peer.held.len() + n <= LINE => peer.held.extend_from_slice(&bytes[..n]),
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
+        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = known else { return };
+        let mut bytes = [0; READ_BYTES];
+        match connection.stream.read(&mut bytes) {
+            Ok(count) if count > 0 && connection.input.len() + count <= MAX_LINE_BYTES => {
+                connection.input.extend_from_slice(&bytes[..count]);
+            }
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
             _ => return self.handle_disconnect(slot),
         }
-        loop {
-            let Some(peer) = self.peers.get_mut(slot) else { return };
-            let Some(end) = peer.held.iter().position(|b| *b == b'\n') else { return };
-            let line: Vec<u8> = peer.held.drain(..=end).collect();
+        while let Some(line) = self.take_line(slot) {
             match serde_json::from_slice::<Value>(&line) {
-                Err(fault) => self.write(slot, &error(&Value::Null, PARSE, &fault.to_string())),
-                Ok(call) => self.call(slot, &call),
+                Ok(call) => self.handle_call(slot, &call),
+                Err(error) => {
+                    self.write(slot, &error_reply(&Value::Null, ErrorCode::ParseError, &error.to_string()));
+                }
             }
         }
     }
 
-    fn call(&mut self, slot: usize, call: &Value) {
-        let (id, parameters) = (call["id"].clone(), &call["params"]);
-        let asked = match call["method"].as_str().unwrap_or("") {
-            "status" => AdminRequest::Status,
-            "nodes" => AdminRequest::Nodes,
-            "customers" => AdminRequest::Customers,
-            "node.drain" | "node.undrain" => {
-                let Some(name) = parameters["name"].as_str() else {
-                    let text = "params.name is needed, a node's name";
-                    return self.write(slot, &error(&id, BAD_PARAMETERS, text));
-                };
-                AdminRequest::DrainNode { name: name.to_owned(), drain: call["method"] == "node.drain" }
-            }
-            "drain" => AdminRequest::Drain,
-            "peers" => AdminRequest::Peers,
-            "leases" => AdminRequest::Leases,
-            "lease.hand_over" => {
-                let to = parameters["to"].as_u64().and_then(|to| u32::try_from(to).ok());
-                let (Some(task), Some(to)) = (parameters["task"].as_str(), to) else {
-                    let text = "params.task and params.to are needed, a task's name and a gateway's number";
-                    return self.write(slot, &error(&id, BAD_PARAMETERS, text));
-                };
-                AdminRequest::HandOver { task: task.to_owned(), to }
-            }
-            "reload" => AdminRequest::Reload { dry_run: parameters["dry_run"] == true },
-            "takeover" => {
-                if let Some(peer) = self.peers.get_mut(slot) {
-                    (peer.waiting, peer.takes_over) = (id.clone(), true);
-                }
-                AdminRequest::TakeOver
-            }
-            "takeover.ready" => {
-                // The path is the new process's from now on.
-                self.passed_on = true;
-                AdminRequest::TookOver
-            }
-            other => {
-                let text = format!("there is no method `{other}`");
-                return self.write(slot, &error(&id, NO_METHOD, &text));
-            }
+    fn take_line(&mut self, slot: usize) -> Option<Vec<u8>> {
+        let connection = self.connections.get_mut(slot)?;
+        let end = connection.input.iter().position(|byte| *byte == b'\n')?;
+        Some(connection.input.drain(..=end).collect())
+    }
+
+    fn handle_call(&mut self, slot: usize, call: &Value) {
+        let id = call["id"].clone();
+        let request = match protocol::parse(call) {
+            Ok(request) => request,
+            Err(error) => return self.write(slot, &error_reply(&id, error.code(), &error.to_string())),
         };
-        self.calls.push_back(AdminCall { slot, id, request: asked });
+        if request == AdminRequest::TakeOver
+            && let Some(connection) = self.connections.get_mut(slot)
+        {
+            connection.takeover_id = id.clone();
+            connection.takes_over = true;
+        }
+        if request == AdminRequest::TakeoverReady {
+            self.handed_over = true;
+        }
+        self.calls.push_back(AdminCall { slot, id, request });
     }
 
     fn handle_disconnect(&mut self, slot: usize) {
-        let Some(peer) = self.peers.try_remove(slot) else { return };
-        if peer.takes_over {
-            self.calls.push_back(AdminCall { slot, id: Value::Null, request: AdminRequest::TakeoverLost });
+        let Some(connection) = self.connections.try_remove(slot) else { return };
+        if connection.takes_over {
+            let request = AdminRequest::TakeoverFailed;
+            self.calls.push_back(AdminCall { slot, id: Value::Null, request });
         }
     }
 
+    /// Closes the connection of a process that did not become ready.
     pub fn disconnect(&mut self, peer: u64) {
-        drop(self.peers.try_remove(peer as usize));
+        drop(self.connections.try_remove(peer as usize));
     }
 
     fn write(&mut self, slot: usize, reply: &Value) {
-        let Some(peer) = self.peers.get_mut(slot) else { return };
-        let mut line = reply.to_string().into_bytes();
-        line.push(b'\n');
-        // A person's terminal reads at once; one that does not is not waited for.
-        let _ = peer.stream.set_nonblocking(false);
-        let _ = peer.stream.set_write_timeout(Some(std::time::Duration::from_millis(200)));
-        let written = peer.stream.write_all(&line);
-        let _ = peer.stream.set_nonblocking(true);
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        let line = line_of(reply);
+        // A terminal reads at once; a client that does not is waited for only briefly.
+        let _ = connection.stream.set_nonblocking(false);
+        let _ = connection.stream.set_write_timeout(Some(WRITE_TIMEOUT));
+        let written = connection.stream.write_all(&line);
+        let _ = connection.stream.set_nonblocking(true);
         if written.is_err() {
             self.handle_disconnect(slot);
         }
     }
 
-    /// Answers a call.
+    /// Replies to a call.
     pub fn reply(&mut self, slot: usize, id: &Value, value: Value) {
-        self.write(slot, &result(id, value));
+        self.write(slot, &result_reply(id, value));
     }
 
-    /// A call's parameters name nothing that is there.
-    pub fn reply_invalid_params(&mut self, slot: usize, id: &Value, why: &str) {
-        self.write(slot, &error(id, BAD_PARAMETERS, why));
+    /// Replies that the parameters of a call name nothing that exists.
+    pub fn reply_invalid_params(&mut self, slot: usize, id: &Value, message: &str) {
+        self.write(slot, &error_reply(id, ErrorCode::InvalidParams, message));
     }
 
-    /// Who waits on a connection for settings to be read.
+    /// One who waits on a connection for the settings to be read.
     pub fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
-        let generation = self.peers.get(slot)?.generation;
+        let generation = self.connections.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
     }
 
-    pub fn reply_reload(&mut self, asker: &ReloadWaiter, told: &Result<Change, String>) {
-        if self.peers.get(asker.slot).is_none_or(|p| p.generation != asker.generation) {
+    /// Replies to a call for a reload, if its connection is still open.
+    pub fn reply_reload(&mut self, reload: &ReloadReply) {
+        let ReloadWaiter { slot, generation, id, .. } = &reload.waiter;
+        if self.connections.get(*slot).is_none_or(|c| c.generation != *generation) {
             return;
         }
-        let reply = match told {
-            Ok(change) => result(&asker.id, json!({"refused": change.refused, "changes": change.lines})),
-            Err(why) => error(&asker.id, REFUSED, why),
+        let reply = match &reload.outcome {
+            Ok(change) => result_reply(id, json!({"refused": change.refused, "changes": change.lines})),
+            Err(message) => error_reply(id, ErrorCode::Refused, message),
         };
-        self.write(asker.slot, &reply);
+        self.write(*slot, &reply);
     }
 
-    pub fn refuse_takeover(&mut self, peer: u64, why: &str) {
+    pub fn refuse_takeover(&mut self, peer: u64, message: &str) {
         let slot = peer as usize;
-        let Some(known) = self.peers.get_mut(slot) else { return };
-        known.takes_over = false;
-        let reply = error(&known.waiting.clone(), REFUSED, why);
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        connection.takes_over = false;
+        let reply = error_reply(&connection.takeover_id, ErrorCode::Refused, message);
         self.write(slot, &reply);
     }
 
-    /// Passes the listening sockets with the first byte of the reply.
+    /// Passes the listening sockets (SCM_RIGHTS) with the reply to a takeover call.
     pub fn pass_listeners(&mut self, peer: u64, listeners: &[&TcpListener]) {
         let slot = peer as usize;
-        let Some(known) = self.peers.get_mut(slot) else { return };
-        let mut line = result(&known.waiting, json!({"listeners": listeners.len()})).to_string().into_bytes();
-        line.push(b'\n');
-        let fds: Vec<_> = listeners.iter().map(|l| l.as_fd()).collect();
-        let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        let line = line_of(&result_reply(&connection.takeover_id, json!({"listeners": listeners.len()})));
+        let descriptors: Vec<_> = listeners.iter().map(|listener| listener.as_fd()).collect();
+        let mut space =
+            [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_LISTENERS))];
         let mut ancillary = SendAncillaryBuffer::new(&mut space);
-        let fits = ancillary.push(SendAncillaryMessage::ScmRights(&fds));
-        let sent =
-            rustix::net::sendmsg(&known.stream, &[IoSlice::new(&line)], &mut ancillary, SendFlags::empty());
-        if !fits || !sent.is_ok_and(|n| n == line.len()) {
+        let fits = ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+        let data = [IoSlice::new(&line)];
+        let sent = rustix::net::sendmsg(&connection.stream, &data, &mut ancillary, SendFlags::empty());
+        if !fits || !sent.is_ok_and(|count| count == line.len()) {
             self.handle_disconnect(slot);
         }
     }
 }
 
-/// Asks the process that serves for its listening sockets. The stream is kept: the old process takes its end as
-/// the end of the new one, and `ready` is told on it.
-pub(crate) fn take_over(path: &Path) -> anyhow::Result<(Vec<TcpListener>, UnixStream)> {
-    let mut stream =
-        UnixStream::connect(path).with_context(|| format!("{}: nobody to take over from", path.display()))?;
-    stream.set_read_timeout(Some(std::time::Duration::from_secs(10)))?;
-    stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"takeover\"}\n")?;
-    let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
-    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-    let mut bytes = [0; 4096];
-    let got = rustix::net::recvmsg(
-        &stream,
-        &mut [IoSliceMut::new(&mut bytes)],
-        &mut ancillary,
-        RecvFlags::CMSG_CLOEXEC,
-    )?;
-    let reply: Value = serde_json::from_slice(&bytes[..got.bytes]).unwrap_or_default();
-    let mut fds: Vec<OwnedFd> = Vec::new();
-    for message in ancillary.drain() {
-        if let RecvAncillaryMessage::ScmRights(passed) = message {
-            fds.extend(passed);
+impl Drop for Admin {
+    fn drop(&mut self) {
+        if !self.handed_over {
+            let _ = std::fs::remove_file(&self.path);
         }
     }
-    if let Some(why) = reply["error"]["message"].as_str() {
-        anyhow::bail!("takeover refused: {why}");
-    }
-    anyhow::ensure!(!fds.is_empty(), "takeover: no listening socket came");
-    Ok((fds.into_iter().map(TcpListener::from).collect(), stream))
 }
 
-/// Tells the old process that this one serves.
-pub(crate) fn taken_over(mut stream: UnixStream) -> anyhow::Result<()> {
-    stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"takeover.ready\"}\n")?;
-    let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line)?;
-    anyhow::ensure!(line.contains("\"result\""), "takeover: the old process did not let go: {line}");
-    Ok(())
+fn line_of(reply: &Value) -> Vec<u8> {
+    let mut line = reply.to_string().into_bytes();
+    line.push(b'\n');
+    line
 }
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -107,7 +107,7 @@
         let (mut listeners, mut watched, mut old) = (Vec::new(), None, None);
         if take_over {
             let path = admin_path.as_ref().context("to take over, the settings must have admin.socket")?;
-            let (mut passed, stream) = crate::admin::take_over(path)?;
+            let (mut passed, stream) = crate::takeover::request_listeners(path)?;
             let wanted = config.listen.len() + usize::from(config.health.is_some());
             anyhow::ensure!(
                 passed.len() == wanted,
@@ -136,10 +136,10 @@
         };
         let admin = admin_path.map(|path| Admin::bind(&path, take_over)).transpose()?;
         if let Some(admin) = &admin {
-            io.poller.add(admin.listener_fd(), Token::Admin.pack(), Interest::READ)?;
+            io.poller.add(admin.listener(), Token::Admin.pack(), Interest::READ)?;
         }
         let reload = SettingsReload::new(reread)?;
-        io.poller.add(reload.signal(), Token::Reload.pack(), Interest::READ)?;
+        io.poller.add(reload.receiver(), Token::Reload.pack(), Interest::READ)?;
         let (wake, signal) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
@@ -194,7 +194,7 @@
         for number in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
             signal_hook::low_level::pipe::register(number, self.wake.try_clone()?)?;
         }
-        signal_hook::low_level::pipe::register(signal_hook::consts::SIGHUP, self.reload.wake()?)?;
+        signal_hook::low_level::pipe::register(signal_hook::consts::SIGHUP, self.reload.sender()?)?;
         Ok(())
     }
 
@@ -203,7 +203,7 @@
     /// # Errors
     /// When the system has no descriptor left.
     pub fn stopper(&self) -> std::io::Result<Stopper> {
-        Ok(Stopper { stop: self.wake.try_clone()?, reload: self.reload.wake()? })
+        Ok(Stopper { stop: self.wake.try_clone()?, reload: self.reload.sender()? })
     }
 
     /// Where clients are served.
@@ -233,7 +233,7 @@
         }
         self.life(ProcessEvent::Started);
         if let Some(old) = self.old.take() {
-            crate::admin::taken_over(old)?;
+            crate::takeover::confirm(old)?;
         }
         let mut ready = Vec::new();
         loop {
@@ -420,9 +420,9 @@
                 if let Some(health) = &mut self.health {
                     health.respond(&self.io, &question, &now);
                 }
-            } else if let Some((asker, told)) = self.reload.replies.pop_front() {
+            } else if let Some(reply) = self.reload.replies.pop_front() {
                 if let Some(admin) = &mut self.admin {
-                    admin.reply_reload(&asker, &told);
+                    admin.reply_reload(&reply);
                 }
             } else {
                 return;
@@ -779,7 +779,7 @@
                 }
                 json!({"task": task, "to": to})
             }
-            AdminRequest::DrainNode { name, drain } => {
+            AdminRequest::SetManualDrain { name, drain } => {
                 if !self.drain_node(&name, drain) {
                     let why = format!("`{name}` is no node of the list");
                     if let Some(admin) = &mut self.admin {
@@ -807,11 +807,11 @@
             AdminRequest::TakeOver => {
                 return self.life(ProcessEvent::TakeoverRequested { peer: slot as u64 });
             }
-            AdminRequest::TookOver => {
+            AdminRequest::TakeoverReady => {
                 self.life(ProcessEvent::TakeoverReady { peer: slot as u64 });
                 json!({"state": self.life.state().name()})
             }
-            AdminRequest::TakeoverLost => {
+            AdminRequest::TakeoverFailed => {
                 return self.life(ProcessEvent::TakeoverFailed { peer: slot as u64 });
             }
         };
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -14,6 +14,7 @@
 mod requests;
 mod settings_reload;
 mod state_file;
+mod takeover;
 
 pub use gateway::{Gateway, Start, Stopper};
 pub use graphql_front::{DEADLINE_FIELD, REQUEST_ID_FIELD};
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -1,178 +1,181 @@
-//! The room of the settings' reading: beside the loop, in a thread of its own, for those who asked. Whether what was read
-//! is taken is the life cycle's affair.
+//! Reading changed settings in a thread, so that thousands of customers do not stall the event loop. Whether the settings
+//! that were read are applied is the process life cycle's decision.
 
 use crate::admin::ReloadWaiter;
 use doorcourse_config::{Change, Config, compare};
 use std::collections::VecDeque;
+use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, mpsc};
 
-/// Reads the settings again, or says every fault.
+/// Reads the settings again; the error lists every fault.
 pub type ReadSettings = Arc<dyn Fn() -> Result<Config, String> + Send + Sync>;
 
-/// Settings that were read beside the loop, and the difference that they make.
-type Read = Result<(Config, Change), String>;
+/// Settings that were read, and how they differ from those in force.
+type ReadResult = Result<(Config, Change), String>;
 
-/// What the reading thread writes to the pipe of SIGHUP; signals and `Stopper` write other bytes.
-const READ: u8 = 0xff;
+/// What the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
+const READ_FINISHED: u8 = 0xff;
 
-pub(crate) struct SettingsReload {
-    reread: Option<ReadSettings>,
-    /// Settings being read; whoever asked meanwhile has them read once more behind that.
-    reading: Option<mpsc::Receiver<Read>>,
-    again: bool,
-    /// What was read and waits for the life cycle's word.
-    read: Option<(Config, Change)>,
-    /// Who waits for this reading, and for the next.
-    waiters: Vec<ReloadWaiter>,
-    next_waiters: Vec<ReloadWaiter>,
-    /// Shared with the reading thread: a clone of its own would need a descriptor, and without one nobody would hear that
-    /// the settings are read.
-    sender: Arc<UnixStream>,
-    pipe: UnixStream,
-    /// Answers for those who asked.
-    pub replies: VecDeque<(ReloadWaiter, Result<Change, String>)>,
+/// The reply to one who waits for a reload.
+#[derive(Debug)]
+pub(crate) struct ReloadReply {
+    pub waiter: ReloadWaiter,
+    /// The difference between the settings, or why they are not reloaded.
+    pub outcome: Result<Change, String>,
 }
 
-/// What the pipe had to say.
+/// What the pipe reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReloadEvents {
-    /// Somebody wants a reload: a signal, or another thread.
+    /// A signal or another thread asks for a reload.
     pub requested: bool,
-    /// Settings are read and wait for the life cycle's word.
+    /// Settings are read and wait for the life cycle's decision.
     pub settings_read: bool,
 }
 
+/// Reloads of the settings: one at a time, and at most one more that is requested meanwhile.
+pub(crate) struct SettingsReload {
+    read_settings: Option<ReadSettings>,
+    /// The result of the reading thread, while it runs.
+    reading: Option<mpsc::Receiver<ReadResult>>,
+    /// A reload was requested while the thread was running; it follows.
+    requested_again: bool,
+    /// Settings that were read and wait for the life cycle's decision.
+    read: Option<(Config, Change)>,
+    /// Who waits for the present reload, and who for the one that follows.
+    waiters: Vec<ReloadWaiter>,
+    next_waiters: Vec<ReloadWaiter>,
+    /// Shared with the reading thread: a clone would need a descriptor, and where none is left the loop would never
+    /// notice that the settings are read.
+    sender: Arc<UnixStream>,
+    receiver: UnixStream,
+    /// Replies to those who waited.
+    pub replies: VecDeque<ReloadReply>,
+}
+
 impl SettingsReload {
-    pub fn new(reread: Option<ReadSettings>) -> anyhow::Result<Self> {
-        let (wake, signal) = UnixStream::pair()?;
-        signal.set_nonblocking(true)?;
-        wake.set_nonblocking(true)?;
-        let (askers, next_askers, told) = (Vec::new(), Vec::new(), VecDeque::new());
-        let wake = Arc::new(wake);
+    pub fn new(read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
+        let (sender, receiver) = UnixStream::pair()?;
+        receiver.set_nonblocking(true)?;
+        sender.set_nonblocking(true)?;
         Ok(Self {
-            reread,
+            read_settings,
             reading: None,
-            again: false,
+            requested_again: false,
             read: None,
-            waiters: askers,
-            next_waiters: next_askers,
-            sender: wake,
-            pipe: signal,
-            replies: told,
+            waiters: Vec::new(),
+            next_waiters: Vec::new(),
+            sender: Arc::new(sender),
+            receiver,
+            replies: VecDeque::new(),
         })
     }
 
-    /// The end of the pipe that is waited on.
-    pub fn signal(&self) -> &UnixStream {
-        &self.pipe
+    /// The end of the pipe that the event loop polls.
+    pub fn receiver(&self) -> &UnixStream {
+        &self.receiver
     }
 
     /// An end of the pipe for signals and other threads.
-    pub fn wake(&self) -> std::io::Result<UnixStream> {
+    pub fn sender(&self) -> std::io::Result<UnixStream> {
         self.sender.try_clone()
     }
 
-    /// The pipe speaks.
+    /// The pipe is ready.
     pub fn handle_readiness(&mut self, config: &Arc<Config>) -> ReloadEvents {
-        let (mut bytes, mut asked) = ([0; 16], false);
-        while let Ok(n @ 1..) = std::io::Read::read(&mut self.pipe, &mut bytes) {
-            asked |= bytes[..n].iter().any(|b| *b != READ);
+        let mut bytes = [0; 16];
+        let mut requested = false;
+        while let Ok(count @ 1..) = self.receiver.read(&mut bytes) {
+            requested |= bytes[..count].iter().any(|byte| *byte != READ_FINISHED);
         }
-        ReloadEvents { requested: asked, settings_read: self.receive_settings(config) }
+        ReloadEvents { requested, settings_read: self.receive_settings(config) }
     }
 
-    /// Somebody on the admin socket waits for settings to be read.
-    pub fn add_waiter(&mut self, asker: ReloadWaiter) {
-        if self.reading.is_some() { self.next_waiters.push(asker) } else { self.waiters.push(asker) }
+    /// Adds one who waits for the reload that starts next.
+    pub fn add_waiter(&mut self, waiter: ReloadWaiter) {
+        if self.reading.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
     }
 
-    /// Reads and compares in a thread of its own: thousands of customers must not stop the loop.
+    /// Starts a thread that reads the settings and compares them with those in force; where one runs, another reload
+    /// follows it.
     pub fn start(&mut self, config: &Arc<Config>) {
         if self.reading.is_some() {
-            self.again = true;
+            self.requested_again = true;
             return;
         }
-        let Some(reread) = self.reread.clone() else {
+        let Some(read_settings) = self.read_settings.clone() else {
             return self.finish(Err("this gateway cannot read its settings again".into()));
         };
-        let (told, receiver) = mpsc::channel();
-        let (old, wake) = (Arc::clone(config), Arc::clone(&self.sender));
-        let started = std::thread::Builder::new().name("settings".into()).spawn(move || {
-            let read = reread().map(|config| {
-                let change = compare(&old, &config);
+        let (result_sender, result_receiver) = mpsc::channel();
+        let current = Arc::clone(config);
+        let pipe = Arc::clone(&self.sender);
+        let thread = std::thread::Builder::new().name("settings".into()).spawn(move || {
+            let result = read_settings().map(|config| {
+                let change = compare(&current, &config);
                 (config, change)
             });
-            let _ = told.send(read);
-            // An empty word: the loop looks at the channel whenever this pipe speaks.
-            let _ = std::io::Write::write(&mut &*wake, &[READ]);
+            let _ = result_sender.send(result);
+            // Wakes the loop, which then looks at the channel.
+            let _ = (&*pipe).write(&[READ_FINISHED]);
         });
-        match started {
-            Ok(_) => self.reading = Some(receiver),
+        match thread {
+            Ok(_) => self.reading = Some(result_receiver),
             Err(error) => self.finish(Err(error.to_string())),
         }
     }
 
-    /// The settings may be read; whether they wait for the life cycle's word.
+    /// Takes the result of the reading thread, if it is there; returns whether settings wait for the life cycle's
+    /// decision. A reload that follows starts only after that decision.
     fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
-        let Some(read) = self.reading.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
+        let Some(result) = self.reading.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
         self.reading = None;
-        let waits = match read {
-            Err(why) => {
-                self.finish(Err(why));
-                false
-            }
-            Ok((_, change)) if self.is_dry() => {
-                self.finish(Ok(change));
-                false
-            }
-            Ok((_, change)) if !change.refused.is_empty() => {
-                self.finish(Err(change.refused.join("; ")));
-                false
-            }
+        match result {
+            Err(message) => self.finish(Err(message)),
+            Ok((_, change)) if self.is_dry_run() => self.finish(Ok(change)),
+            Ok((_, change)) if !change.refused.is_empty() => self.finish(Err(change.refused.join("; "))),
             Ok(read) => {
                 self.read = Some(read);
-                true
+                return true;
             }
-        };
-        // What is asked for next is read behind the word on this one.
-        if !waits {
-            self.restart_if_requested(config);
         }
-        waits
+        self.restart_if_requested(config);
+        false
     }
 
-    /// Reads once more where somebody asked meanwhile.
+    /// Starts the reload that was requested while another one was running.
     pub fn restart_if_requested(&mut self, config: &Arc<Config>) {
-        if std::mem::take(&mut self.again) {
+        if std::mem::take(&mut self.requested_again) {
             self.waiters = std::mem::take(&mut self.next_waiters);
             self.start(config);
         }
     }
 
-    /// What was read, once the life cycle allows it.
+    /// The settings that were read, once the life cycle has decided to apply them.
     pub fn take_settings(&mut self) -> Option<(Config, Change)> {
         self.read.take()
     }
 
-    /// The life cycle refuses: all who wait are told.
-    pub fn refuse(&mut self, why: String) {
-        let mut waiting = std::mem::take(&mut self.next_waiters);
-        self.waiters.append(&mut waiting);
-        self.finish(Err(why));
+    /// The life cycle refuses the reload: all who wait get the reason.
+    pub fn refuse(&mut self, reason: String) {
+        let mut next_waiters = std::mem::take(&mut self.next_waiters);
+        self.waiters.append(&mut next_waiters);
+        self.finish(Err(reason));
     }
 
-    fn is_dry(&self) -> bool {
-        !self.waiters.is_empty() && self.waiters.iter().all(|a| a.dry_run)
+    /// Whether all who wait want the difference only.
+    fn is_dry_run(&self) -> bool {
+        !self.waiters.is_empty() && self.waiters.iter().all(|waiter| waiter.dry_run)
     }
 
-    /// A reading is over: all who waited for it are told.
-    pub fn finish(&mut self, told: Result<Change, String>) {
-        if let (Err(why), false) = (&told, self.is_dry()) {
-            tracing::error!(why, "settings not reloaded, the old ones hold");
+    /// Ends the present reload: all who waited for it get its outcome.
+    pub fn finish(&mut self, outcome: Result<Change, String>) {
+        if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
+            tracing::error!(reason, "settings not reloaded, the old ones hold");
         }
         self.read = None;
-        let askers = std::mem::take(&mut self.waiters);
-        self.replies.extend(askers.into_iter().map(|a| (a, told.clone())));
+        let waiters = std::mem::take(&mut self.waiters);
+        self.replies
+            .extend(waiters.into_iter().map(|waiter| ReloadReply { waiter, outcome: outcome.clone() }));
     }
 }
