--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -196,7 +196,7 @@
             };
             let Ok(mut socket) = Socket::new(stream) else { continue };
             if let Err(full) = self.budget.check_connection(self.connections.len()) {
-                front::write(socket.output(), &front::full(full.message()), false, None);
+                front::write(socket.output(), &front::gateway_full(full.message()), false, None);
                 socket.flush();
                 continue;
             }
@@ -270,7 +270,7 @@
         }
         match client.phase {
             ConnectionPhase::ReadingHead | ConnectionPhase::ReadingBody(_) if client.is_in_request() => {
-                self.respond(io, config, slot, &front::too_slow(), None)
+                self.respond(io, config, slot, &front::request_timeout_response(), None)
             }
             _ => self.remove(slot),
         }
@@ -339,7 +339,7 @@
             match client.phase {
                 ConnectionPhase::Responding(_) | ConnectionPhase::AwaitingAdmission => self.reset(slot),
                 ConnectionPhase::ReadingHead | ConnectionPhase::ReadingBody(_) if client.is_in_request() => {
-                    self.respond(io, config, slot, &front::full("the gateway is stopping"), None);
+                    self.respond(io, config, slot, &front::gateway_full("the gateway is stopping"), None);
                 }
                 _ if !client.is_busy() => self.remove(slot),
                 ConnectionPhase::Lingering => {}
@@ -391,9 +391,9 @@
                     let read_on = |caller: RequestHead| match self.budget.check_buffers(&caller.customer.name)
                     {
                         Ok(()) => Ok(caller),
-                        Err(full) => Err(front::full(full.message())),
+                        Err(full) => Err(front::gateway_full(full.message())),
                     };
-                    let caller = match front::caller(config, &head).and_then(read_on) {
+                    let caller = match front::check_head(config, &head).and_then(read_on) {
                         Ok(caller) => caller,
                         Err(reply) => return self.respond(io, config, slot, &reply, None),
                     };
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -498,7 +498,7 @@
         match todo {
             RequestCommand::NotifyDecisions(event) => io.events.push_back(event),
             RequestCommand::Respond { client, media, answer, name } => {
-                self.clients.respond(io, config, client, &front::last_word(media, answer), Some(&name));
+                self.clients.respond(io, config, client, &front::final_response(media, answer), Some(&name));
                 self.clients.resume_input(io, config, client);
             }
             RequestCommand::ForwardResponse { client, head, name, bytes, node } => {
@@ -530,8 +530,8 @@
             ClientEvent::RequestReceived { slot, caller, body, head_at } => {
                 let spent = io.now() - head_at;
                 let ask = match self.clients.budget.check_request(self.exchanges.count()) {
-                    Ok(()) => front::ask(config, *caller, body, spent),
-                    Err(full) => Err(front::full(full.message())),
+                    Ok(()) => front::request(config, *caller, body, spent),
+                    Err(full) => Err(front::gateway_full(full.message())),
                 };
                 match ask {
                     Ok(ask) => {
--- /dev/null
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -0,0 +1,99 @@
+//! The operation of a request: checked against the schema, priced, and given its class and timeout.
+
+use super::parameters::{self, OperationParameters};
+use super::response::{Response, error, query_errors};
+use super::{MediaType, Request, RequestHead};
+use doorcourse::Millis;
+use doorcourse_config::Config;
+use doorcourse_graphql::{OperationKind, Prepared};
+use doorcourse_request_lifecycle::{
+    ExceedsPlanCapacity, check_plan_capacity, operation_class, request_timeout,
+};
+use serde_json::Value;
+use std::sync::Arc;
+
+/// A request for the decisions out of a complete HTTP request. `elapsed`: time since its head arrived, which counts
+/// towards its deadline.
+///
+/// # Errors
+/// The response that rejects it.
+pub(crate) fn request(
+    config: &Config, head: RequestHead, body: Vec<u8>, elapsed: Millis,
+) -> Result<Request, Response> {
+    let parameters = parameters::read(&head, &body)?;
+    let operation = prepare(config, head.media, &parameters::check(head.media, &parameters)?)?;
+    check_kind(&head, operation.kind())?;
+    check_introspection(config, head.media, &operation)?;
+    let class = class(config, head.media, &operation)?;
+    let units = operation.cost().units;
+    check_cost(config, &head, units)?;
+    let timeout = timeout(config, &head, class, elapsed)?;
+    let body = if head.get { Value::Object(parameters).to_string().into_bytes() } else { body };
+    Ok(Request {
+        customer: head.customer,
+        media: head.media,
+        class,
+        units,
+        timeout,
+        body,
+        forwarded_fields: head.forwarded_fields,
+        prepared: operation,
+        sticky_route: head.sticky_route,
+    })
+}
+
+fn prepare(config: &Config, media: MediaType, operation: &OperationParameters) -> Result<Prepared, Response> {
+    let OperationParameters { query, operation_name, variables } = *operation;
+    let schema = Arc::clone(&config.schema);
+    Prepared::new(schema, query, operation_name, variables, config.query_limits)
+        .map_err(|errors| query_errors(media, "GRAPHQL_VALIDATION_FAILED", &errors))
+}
+
+fn check_kind(head: &RequestHead, kind: OperationKind) -> Result<(), Response> {
+    if kind == OperationKind::Subscription {
+        let message = "subscriptions are not served here";
+        return Err(error(head.media, 400, "SUBSCRIPTION_UNSUPPORTED", message));
+    }
+    if kind == OperationKind::Mutation && head.get {
+        let mut response = error(head.media, 405, "MUTATION_BY_GET", "a mutation needs POST");
+        response.fields.push(("allow", "POST".into()));
+        return Err(response);
+    }
+    Ok(())
+}
+
+fn check_introspection(config: &Config, media: MediaType, operation: &Prepared) -> Result<(), Response> {
+    let is_introspection = |field: &String| field.starts_with("__") && field != "__typename";
+    if !config.introspection && operation.root_fields().iter().any(is_introspection) {
+        let message = "introspection is not answered here";
+        return Err(error(media, 400, "INTROSPECTION_DISABLED", message));
+    }
+    Ok(())
+}
+
+/// The index of the operation's class: the strictest of its root fields.
+fn class(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
+    let kind = operation.kind();
+    let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
+    operation_class(&config.decisions.classes, classes)
+        .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
+}
+
+/// Rejects an operation that costs more than the customer's plan ever holds. There is no `Retry-After`: waiting does not
+/// help.
+fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
+    let plan = &config.decisions.plans[head.customer.plan];
+    check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
+        let message = format!("the operation costs {units} units, the plan never holds more than {capacity}");
+        error(head.media, 429, "COST_EXCEEDS_PLAN", &message)
+    })
+}
+
+/// How long the decisions have: by the class and the client's own deadline, less what has passed.
+fn timeout(config: &Config, head: &RequestHead, class: usize, elapsed: Millis) -> Result<Millis, Response> {
+    let limits = &config.limits;
+    request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
+        .map(|timeout| timeout - elapsed)
+        .filter(|timeout| *timeout > 0.0)
+        .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
+}
--- /dev/null
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -0,0 +1,128 @@
+//! Responses of the gateway's own, as HTTP. Codes and texts are a stable format.
+
+use super::{MediaType, REQUEST_ID_FIELD};
+use doorcourse::{Millis, Name, RejectReason};
+use doorcourse_graphql::Error as QueryError;
+use doorcourse_http::{Framing, response_head};
+use doorcourse_request_lifecycle::{FailureReason, FinalResponse};
+use serde_json::json;
+
+/// A response that the gateway gives itself.
+#[derive(Debug)]
+pub(crate) struct Response {
+    pub status: u16,
+    pub fields: Vec<(&'static str, String)>,
+    pub body: Vec<u8>,
+    /// Whether the connection cannot be used any further.
+    pub close: bool,
+}
+
+/// One error with a stable code, in the shape of a GraphQL response.
+pub(super) fn error(media: MediaType, status: u16, code: &str, message: &str) -> Response {
+    let body = json!({"errors": [{"message": message, "extensions": {"code": code}}]});
+    let fields = vec![("content-type", media.name().to_owned())];
+    Response { status, fields, body: body.to_string().into_bytes(), close: false }
+}
+
+/// The same response, after which the connection is closed.
+pub(super) fn closing(mut response: Response) -> Response {
+    response.close = true;
+    response
+}
+
+/// The response to a well-formed request whose operation is invalid: status 200 in the legacy media type, 400 in the
+/// newer one.
+pub(super) fn query_errors(media: MediaType, code: &str, errors: &[QueryError]) -> Response {
+    let status = if media == MediaType::Json { 200 } else { 400 };
+    let entry = |error: &QueryError| match error.at {
+        Some(at) => json!({"message": error.message, "extensions": {"code": code},
+            "locations": [{"line": at.line, "column": at.column}]}),
+        None => json!({"message": error.message, "extensions": {"code": code}}),
+    };
+    let body = json!({"errors": errors.iter().map(entry).collect::<Vec<_>>()});
+    let fields = vec![("content-type", media.name().to_owned())];
+    Response { status, fields, body: body.to_string().into_bytes(), close: false }
+}
+
+/// The response to bytes that are not HTTP.
+pub(crate) fn malformed(fault: doorcourse_http::Error) -> Response {
+    closing(error(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
+}
+
+/// The response to a request that took too long to arrive.
+pub(crate) fn request_timeout_response() -> Response {
+    closing(error(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
+}
+
+/// The response where the gateway itself has reached a limit; the rest of the request is not read.
+pub(crate) fn gateway_full(message: &str) -> Response {
+    let mut response = closing(error(MediaType::Json, 503, "GATEWAY_FULL", message));
+    response.fields.push(("retry-after", "1".into()));
+    response
+}
+
+/// The stable code of a final response of the gateway's own.
+pub(crate) fn response_code(response: FinalResponse) -> &'static str {
+    match response {
+        FinalResponse::Rejected { reason, .. } => rejection_code(reason),
+        FinalResponse::Failed(reason) => failure_code(reason),
+    }
+}
+
+fn rejection_code(reason: RejectReason) -> &'static str {
+    match reason {
+        RejectReason::QuotaExceeded => "QUOTA_EXCEEDED",
+        RejectReason::Overloaded => "BUSY",
+    }
+}
+
+fn failure_code(reason: FailureReason) -> &'static str {
+    match reason {
+        FailureReason::DeadlineExpired => "DEADLINE_EXCEEDED",
+        FailureReason::BackendFailed => "NODE_FAILED",
+        FailureReason::NoBackendReached => "NO_NODE",
+    }
+}
+
+/// A final response of the gateway's own, as HTTP.
+pub(crate) fn final_response(media: MediaType, response: FinalResponse) -> Response {
+    match response {
+        FinalResponse::Rejected { retry_after, reason } => rejection(media, reason, retry_after),
+        FinalResponse::Failed(reason) => failure(media, reason),
+    }
+}
+
+/// The operation was not executed.
+fn rejection(media: MediaType, reason: RejectReason, retry_after: Millis) -> Response {
+    let (status, message) = match reason {
+        RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
+        RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
+    };
+    let mut response = error(media, status, rejection_code(reason), message);
+    // Whole seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
+    let retry_after_seconds = (retry_after / 1000.0).ceil().max(1.0);
+    response.fields.push(("retry-after", retry_after_seconds.to_string()));
+    response
+}
+
+fn failure(media: MediaType, reason: FailureReason) -> Response {
+    let (status, message) = match reason {
+        FailureReason::DeadlineExpired => (504, "no answer came in time; the operation may have run"),
+        FailureReason::BackendFailed => (502, "a node failed; the operation may have run"),
+        FailureReason::NoBackendReached => (503, "no node could be reached; the operation did not run"),
+    };
+    error(media, status, failure_code(reason), message)
+}
+
+/// Appends a response to a connection's output.
+pub(crate) fn write(out: &mut Vec<u8>, response: &Response, keep_alive: bool, request_name: Option<&Name>) {
+    let mut fields: Vec<(&str, &str)> = response.fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
+    if !keep_alive || response.close {
+        fields.push(("connection", "close"));
+    }
+    if let Some(name) = request_name {
+        fields.push((REQUEST_ID_FIELD, name));
+    }
+    response_head(out, response.status, &fields, Framing::Length(response.body.len() as u64));
+    out.extend_from_slice(&response.body);
+}
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -3,7 +3,7 @@
 
 use crate::backends::{AttemptEvent, BackendRequest};
 use crate::clients::ForwardedHead;
-use crate::graphql_front::{MediaType, REQUEST_ID_FIELD, Request, code_of};
+use crate::graphql_front::{MediaType, REQUEST_ID_FIELD, Request, response_code};
 use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_graphql::Scan;
@@ -322,7 +322,7 @@
             }
             LifecycleAction::Respond(answer) => {
                 let (media, name) = (request.media, request.name.clone());
-                self.commands.push_back(request.done(now, code_of(answer)));
+                self.commands.push_back(request.done(now, response_code(answer)));
                 let client = request.client.take();
                 self.commands.extend(client.map(|client| RequestCommand::Respond {
                     client,
