--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -527,7 +527,7 @@
     fn said(&mut self, said: ClientEvent) {
         let (io, config) = (&mut self.io, &self.config);
         match said {
-            ClientEvent::RequestReceived { slot, caller, body, head_at } => {
+            ClientEvent::RequestReceived { client: slot, head: caller, body, head_received_at: head_at } => {
                 let spent = io.now() - head_at;
                 let ask = match self.clients.budget.check_request(self.exchanges.count()) {
                     Ok(()) => front::request(config, *caller, body, spent),
