--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use doorcourse_config::{Config, Fault};
-use doorcourse_http_gateway::{Gateway, Start};
+use doorcourse_http_gateway::{Gateway, GatewayOptions};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -57,7 +57,13 @@
         Ok(Err(faults)) => Err(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
         Err(error) => Err(format!("{error:#}")),
     });
-    let mut gateway = Gateway::new(Start { config, folder, seed, reread: Some(reread), take_over })?;
+    let mut gateway = Gateway::new(GatewayOptions {
+        config,
+        directory: folder,
+        seed,
+        read_settings: Some(reread),
+        take_over,
+    })?;
     gateway.stop_at_signals()?;
     gateway.run()?;
     Ok(ExitCode::SUCCESS)
--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -1,141 +1,92 @@
-//! The room of the nodes: their connections, and a pool of idle ones for each. What is heard on a connection is given out
-//! piece by piece (`hear`), so that whoever listens may let the connection go between two pieces.
+//! Connections to backends, with a pool of idle ones for each backend.
+//!
+//! What happens on a connection is read event by event ([`Backends::next_event`]), so that the reader may close the
+//! connection between two events.
+
+mod connection;
+
+pub(crate) use connection::{AttemptEvent, ConnectionId};
 
 use crate::io::{Io, Timer, Token};
-use doorcourse::{Name, RequestId};
+use connection::{BackendConnection, Decoded, EndpointIdentity};
+use doorcourse::{Millis, Name, RequestId};
 use doorcourse_config::{Limits, Node};
-use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
+use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_http::{Decoder, Head, Limits as HttpLimits, Part, Role, request};
+use doorcourse_http::{Decoder, Limits as HttpLimits, Role, request};
 use slab::Slab;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-
-/// A node as its connections are made for it: another start of it, or another address, has none of them.
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Endpoint {
-    address: SocketAddr,
-    started: Option<f64>,
-}
 
-/// Connections to one node that carry no request, the one used last at the end.
+/// The connections to one backend that carry no request, the one used last at the end.
 #[derive(Debug)]
-struct Pool {
-    endpoint: Endpoint,
+struct ConnectionPool {
+    endpoint: EndpointIdentity,
     idle: Vec<usize>,
 }
 
-#[derive(Debug)]
-struct BackendConnection {
-    socket: Socket,
-    generation: u32,
-    backend: Name,
-    endpoint: Endpoint,
-    decoder: Decoder,
-    request: Option<RequestId>,
-    connecting: bool,
-    /// What is to be said of the connection and of bytes to write before anything that was read.
-    connected_pending: bool,
-    write_ready: bool,
-    /// How reading goes, and whether bytes or an end wait to be looked at.
-    flow: Flow,
-    input_pending: bool,
-    /// How much of the input is looked at.
-    decoded: usize,
-    /// Whether the client of its answer must read first.
-    paused: bool,
-    interest: Interest,
-    idle_until: f64,
-    keep_alive: bool,
-}
-
-impl BackendConnection {
-    /// Lets go of the input that was looked at, once for all pieces of a reading.
-    fn consume(&mut self) {
-        let at = std::mem::take(&mut self.decoded);
-        self.socket.consume(at);
-    }
-}
-
-/// One piece of what is heard of an attempt.
-#[derive(Debug)]
-pub(crate) enum AttemptEvent {
-    /// The connection is made.
-    Connected,
-    /// The system took bytes of the request.
-    BytesWritten,
-    Head(Box<Head>),
-    Data(Vec<u8>),
-    /// The answer is at its end; the connection is free again or gone.
-    End,
-    /// The connection is gone.
-    ConnectionLost,
-    /// The answer breaks the protocol or a limit.
-    InvalidResponse,
-}
-
-/// What a request is to be on the wire.
+/// A request as it is written to a backend.
 pub(crate) struct BackendRequest<'a> {
     pub path: &'a str,
     pub fields: Vec<(&'a str, &'a str)>,
     pub body: &'a [u8],
 }
 
+/// The connections to all backends, and a pool for each listed one.
 #[derive(Debug, Default)]
 pub(crate) struct Backends {
     connections: Slab<BackendConnection>,
-    pools: BTreeMap<Name, Pool>,
+    pools: BTreeMap<Name, ConnectionPool>,
 }
 
 impl Backends {
-    /// Takes a list over; idle connections to what is gone are closed. Names the nodes that are where they were: what is
-    /// not written yet to any other is to be taken back.
+    /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the backends
+    /// whose endpoint is unchanged.
     pub fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
-        let (mut old, mut same) = (std::mem::take(&mut self.pools), Vec::new());
-        let mut gone = Vec::new();
+        let mut former = std::mem::take(&mut self.pools);
+        let mut unchanged = Vec::new();
+        let mut unlisted = Vec::new();
         for node in nodes {
             let name = node.entry.name.clone();
-            let endpoint = Endpoint { address: node.address, started: node.entry.started };
-            let pool = match old.remove(&name) {
+            let endpoint = EndpointIdentity { address: node.address, started: node.entry.started };
+            let pool = match former.remove(&name) {
                 Some(pool) if pool.endpoint == endpoint => {
-                    same.push(name.clone());
+                    unchanged.push(name.clone());
                     pool
                 }
-                moved => {
-                    gone.extend(moved.into_iter().flat_map(|pool| pool.idle));
-                    Pool { endpoint, idle: Vec::new() }
+                changed => {
+                    unlisted.extend(changed.into_iter().flat_map(|pool| pool.idle));
+                    ConnectionPool { endpoint, idle: Vec::new() }
                 }
             };
             self.pools.insert(name, pool);
         }
-        gone.extend(old.into_values().flat_map(|pool| pool.idle));
-        gone.into_iter().for_each(|slot| self.close(slot));
-        same
+        unlisted.extend(former.into_values().flat_map(|pool| pool.idle));
+        unlisted.into_iter().for_each(|slot| self.close(slot));
+        unchanged
     }
 
-    /// Begins an attempt: on an idle connection, else on a new one. `None` where none can even be begun.
+    /// Starts an attempt on an idle connection, or on a new one where none is idle. `None` where the backend is not listed
+    /// or no connection can be opened.
     pub fn send_request(
-        &mut self, io: &mut Io, limits: &Limits, id: RequestId, node: &Name, wire: &BackendRequest,
-    ) -> Option<(usize, u32)> {
-        let pool = self.pools.get_mut(node)?;
+        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, wire: &BackendRequest,
+    ) -> Option<ConnectionId> {
+        let pool = self.pools.get_mut(backend)?;
         let endpoint = pool.endpoint;
         let slot = match pool.idle.pop() {
             Some(slot) => slot,
-            None => self.open(io, limits, node, endpoint).ok()?,
+            None => self.open(io, limits, backend, endpoint).ok()?,
         };
         let connection = self.connections.get_mut(slot)?;
         let host = endpoint.address.to_string();
         let mut fields = vec![("host", host.as_str())];
         fields.extend_from_slice(&wire.fields);
         request(connection.socket.output(), "POST", wire.path, &fields, wire.body);
-        (connection.request, connection.idle_until) = (Some(id), f64::INFINITY);
-        (connection.connected_pending, connection.write_ready) =
-            (!connection.connecting, !connection.connecting);
-        Some((slot, connection.generation))
+        connection.start_request(id);
+        Some(ConnectionId { slot, generation: connection.generation })
     }
 
     fn open(
-        &mut self, io: &mut Io, limits: &Limits, node: &Name, endpoint: Endpoint,
+        &mut self, io: &mut Io, limits: &Limits, backend: &Name, endpoint: EndpointIdentity,
     ) -> std::io::Result<usize> {
         let socket = connect(endpoint.address)?;
         let generation = io.generation();
@@ -143,14 +94,12 @@
         let slot = entry.key();
         let interest = Interest::BOTH;
         io.poller.add(&socket, Token::Backend(slot, generation).pack(), interest)?;
-        let limits =
-            HttpLimits { line: limits.line, head: limits.head, fields: limits.fields, body: limits.answer };
         entry.insert(BackendConnection {
             socket,
             generation,
-            backend: node.clone(),
+            backend: backend.clone(),
             endpoint,
-            decoder: Decoder::new(Role::Responses, limits),
+            decoder: Decoder::new(Role::Responses, response_limits(limits)),
             request: None,
             connecting: true,
             connected_pending: false,
@@ -160,41 +109,22 @@
             decoded: 0,
             paused: false,
             interest,
-            idle_until: f64::INFINITY,
+            idle_until: Millis::INFINITY,
             keep_alive: false,
         });
         Ok(slot)
     }
 
-    /// Reads and notes what a connection is ready for; `hear` tells of it.
+    /// Reads what a connection is ready for; [`Self::next_event`] reports it.
     pub fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
-        if connection.connecting {
-            if !ready.write && !ready.broken {
-                return;
-            }
-            if connection.socket.finish_connect().is_err() {
-                (connection.flow, connection.input_pending) = (Flow::Broken, true);
-                return;
-            }
-            connection.connecting = false;
-            (connection.connected_pending, connection.write_ready) = (true, true);
-            return;
-        }
-        connection.write_ready |= ready.write;
-        if ready.read && (!connection.paused || ready.broken) {
-            let (count, flow) = connection.socket.read();
-            if connection.request.is_none() && (count > 0 || flow != Flow::Open) {
-                // An idle connection that ends, or speaks unasked, is of no further use.
-                return self.close(slot);
-            }
-            (connection.flow, connection.input_pending) =
-                (flow, connection.input_pending || count > 0 || flow != Flow::Open);
+        if connection.handle_readiness(ready) {
+            self.close(slot);
         }
     }
 
-    /// The next piece of what is heard on a connection, and of which request. `None`: nothing more for now.
+    /// The next event of a connection, and the request that it belongs to. `None`: no more for now.
     pub fn next_event(
         &mut self, io: &mut Io, limits: &Limits, slot: usize, generation: u32,
     ) -> Option<(RequestId, AttemptEvent)> {
@@ -203,96 +133,60 @@
             if std::mem::take(&mut connection.connected_pending) {
                 return Some((id, AttemptEvent::Connected));
             }
-            if std::mem::take(&mut connection.write_ready) {
-                let before = connection.socket.pending();
-                if connection.socket.flush() == Flow::Broken {
-                    (connection.flow, connection.input_pending) = (Flow::Broken, true);
-                }
-                if connection.socket.pending() < before {
-                    return Some((id, AttemptEvent::BytesWritten));
-                }
+            if std::mem::take(&mut connection.write_ready) && connection.flush_request() {
+                return Some((id, AttemptEvent::BytesWritten));
             }
             if connection.input_pending
-                && let Some(heard) = self.answer(io, limits, slot)
+                && let Some(event) = self.next_response_event(io, limits, slot)
             {
-                return Some((id, heard));
+                return Some((id, event));
             }
         } else if connection.input_pending && !connection.socket.input.is_empty() {
-            // More than the answer: nothing on it can be trusted.
+            // More bytes than the response has: nothing on this connection can be trusted.
             self.close(slot);
         }
-        self.settle(io, slot);
+        self.update_registration(io, slot);
         None
     }
 
-    /// The next piece of an answer out of what was read.
-    fn answer(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<AttemptEvent> {
-        let connection = self.connections.get_mut(slot)?;
-        if !connection.connecting {
-            // Also without a byte at hand: a message may be at its end.
-            let input = &connection.socket.input[connection.decoded..];
-            let (used, heard) = match connection.decoder.decode(input) {
-                Err(_) => {
-                    connection.input_pending = false;
-                    return Some(AttemptEvent::InvalidResponse);
-                }
-                Ok((used, None)) => (used, None),
-                Ok((used, Some(Part::Head(head)))) => {
-                    connection.keep_alive = head.keep_alive;
-                    (used, Some(AttemptEvent::Head(head)))
+    /// The next event of a response, out of the input read so far. A connection whose response is complete is released.
+    fn next_response_event(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<AttemptEvent> {
+        match self.connections.get_mut(slot)?.decode() {
+            Decoded::Event(event) => {
+                if matches!(event, AttemptEvent::End) {
+                    self.release(io, limits, slot);
                 }
-                Ok((used, Some(Part::Data(data)))) => (used, Some(AttemptEvent::Data(data.to_vec()))),
-                Ok((used, Some(Part::End))) => (used, Some(AttemptEvent::End)),
-            };
-            connection.decoded += used;
-            if let Some(AttemptEvent::End) = heard {
-                self.free(io, limits, slot);
+                Some(event)
             }
-            if heard.is_some() {
-                return heard;
+            Decoded::NeedsInput => None,
+            Decoded::Closed { response_complete } => {
+                self.close(slot);
+                Some(if response_complete { AttemptEvent::End } else { AttemptEvent::ConnectionLost })
             }
         }
-        let connection = self.connections.get_mut(slot)?;
-        connection.input_pending = false;
-        connection.consume();
-        if connection.flow == Flow::Open {
-            return None;
-        }
-        let rest = !connection.socket.input.is_empty();
-        let whole = connection.flow == Flow::Ended && connection.decoder.closed(rest).unwrap_or(false);
-        self.close(slot);
-        Some(if whole { AttemptEvent::End } else { AttemptEvent::ConnectionLost })
     }
 
-    /// An answer is at its end: the connection goes back to its pool where it may carry another request.
-    fn free(&mut self, io: &mut Io, limits: &Limits, slot: usize) {
+    /// Returns a connection to its pool where it may carry another request; closes it otherwise.
+    fn release(&mut self, io: &mut Io, limits: &Limits, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        connection.consume();
-        (connection.request, connection.paused) = (None, false);
-        let keep = connection.keep_alive
-            && connection.socket.pending() == 0
-            && connection.socket.input.is_empty()
-            && connection.flow == Flow::Open;
-        connection.input_pending = false;
-        connection.idle_until = io.now() + limits.node_idle_time;
+        let reusable = connection.finish_request(io.now() + limits.node_idle_time);
         match self.pools.get_mut(&connection.backend) {
             Some(pool)
-                if keep && (pool.endpoint == connection.endpoint || rule_disabled("pool-per-endpoint")) =>
+                if reusable
+                    && (pool.endpoint == connection.endpoint || rule_disabled("pool-per-endpoint")) =>
             {
                 pool.idle.push(slot);
-                let alarm = Timer::BackendIdle(slot, connection.generation);
-                io.timers.set(connection.idle_until, alarm);
+                let timer = Timer::BackendIdle(slot, connection.generation);
+                io.timers.set(connection.idle_until, timer);
             }
             _ => self.close(slot),
         }
     }
 
-    /// An idle connection's time may be over.
+    /// The idle timeout of a connection may have passed.
     pub fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
         let now = io.now();
-        let over =
-            |c: &BackendConnection| c.generation == generation && c.request.is_none() && c.idle_until <= now;
-        if self.connections.get(slot).is_some_and(over) {
+        if self.connections.get(slot).is_some_and(|c| c.is_idle_timeout(generation, now)) {
             self.close(slot);
         }
     }
@@ -305,23 +199,22 @@
         }
     }
 
-    /// Stops reading an answer until its client has read, or goes on.
+    /// Stops reading a response until its client has read, or resumes.
     pub fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.paused = paused;
         }
-        self.settle(io, slot);
+        self.update_registration(io, slot);
     }
 
-    /// Brings a registration in line with what the connection waits for.
-    fn settle(&mut self, io: &Io, slot: usize) {
-        let Some(connection) = self.connections.get_mut(slot) else { return };
-        let write = connection.connecting || connection.socket.pending() > 0;
-        let interest = Interest::of(!connection.paused, write);
-        if interest != connection.interest {
-            connection.interest = interest;
-            let token = Token::Backend(slot, connection.generation).pack();
-            let _ = io.poller.change(&connection.socket, token, interest);
+    fn update_registration(&mut self, io: &Io, slot: usize) {
+        if let Some(connection) = self.connections.get_mut(slot) {
+            connection.update_registration(io, slot);
         }
     }
 }
+
+/// The limits of a backend's response.
+fn response_limits(limits: &Limits) -> HttpLimits {
+    HttpLimits { line: limits.line, head: limits.head, fields: limits.fields, body: limits.answer }
+}
--- /dev/null
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -0,0 +1,174 @@
+//! Messages between the components: commands of requests, events of clients, events and actions of the decisions.
+
+use super::Gateway;
+use crate::backends::AttemptEvent;
+use crate::clients::ClientEvent;
+use crate::graphql_front as front;
+use crate::io::Timer;
+use crate::requests::RequestCommand;
+use doorcourse::{Action, Event, Millis, Name, RequestId};
+use doorcourse_counter::Call;
+use doorcourse_request_lifecycle::LifecycleEvent;
+
+impl Gateway {
+    /// Processes messages until none is left.
+    ///
+    /// Commands come before new events, and the decisions get their events in the order in which they happened.
+    pub(super) fn process_pending(&mut self) {
+        loop {
+            if let Some(command) = self.requests.commands.pop_front() {
+                self.execute_command(command);
+            } else if let Some(event) = self.clients.events.pop_front() {
+                self.handle_client_event(event);
+            } else if let Some(event) = self.io.events.pop_front() {
+                self.decide(event);
+            } else if let Some(call) = self.admin.as_mut().and_then(|a| a.calls.pop_front()) {
+                self.handle_admin_call(call);
+            } else if let Some(page) = self.monitoring.as_mut().and_then(|m| m.page_requests.pop_front()) {
+                let snapshot = self.snapshot();
+                if let Some(monitoring) = &mut self.monitoring {
+                    monitoring.respond(&self.io, &page, &snapshot);
+                }
+            } else if let Some(reply) = self.reload.replies.pop_front() {
+                if let Some(admin) = &mut self.admin {
+                    admin.reply_reload(&reply);
+                }
+            } else {
+                return;
+            }
+        }
+    }
+
+    /// Passes one event to the decisions and executes the actions that follow.
+    fn decide(&mut self, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.decisions.handle(self.io.now(), event, &mut actions);
+        for action in actions.drain(..) {
+            self.execute_action(action);
+        }
+        self.actions = actions;
+    }
+
+    fn execute_action(&mut self, action: Action) {
+        let now = self.io.now();
+        match action {
+            Action::SendAttempt { id, backend, timeout: _, must_be_written_within } => {
+                self.send_attempt(id, &backend, must_be_written_within);
+            }
+            Action::Reject { id, retry_after, reason } => {
+                self.requests.handle_event(now, id, LifecycleEvent::Rejected { retry_after, reason });
+            }
+            Action::Fail { id } => self.requests.handle_event(now, id, LifecycleEvent::Failed),
+            Action::SetTimer { after, token } => self.io.timers.set(now + after, Timer::Decision(token)),
+            Action::AddToCounter { counter, amount, time_to_live } => {
+                self.counter.call(&mut self.io, Call { name: counter, amount, keep: time_to_live });
+            }
+            Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
+            // The settings enable none of these: no gossip between decisions, no active health checks, no cancellation;
+            // the endpoint list is pushed.
+            Action::CancelAttempt { .. }
+            | Action::CheckHealth { .. }
+            | Action::Gossip { .. }
+            | Action::WatchBackends => {}
+        }
+    }
+
+    /// Starts an attempt. `write_window`: withdraw it unless its first byte is written within this time.
+    fn send_attempt(&mut self, id: RequestId, backend: &Name, write_window: Option<Millis>) {
+        let attempt = self.requests.attempt_started(self.io.now(), id, backend.clone());
+        if let Some(window) = write_window {
+            self.io.timers.set(self.io.now() + window, Timer::RetryDeadline(id, attempt));
+        }
+        let Some(request) = self.requests.backend_request(id, &self.config.path) else { return };
+        match self.backends.send_request(&mut self.io, &self.config.limits, id, backend, &request) {
+            Some(connection) => {
+                self.requests.set_connection(id, connection);
+                self.process_attempt_events(connection.slot, connection.generation);
+            }
+            // The backend was removed from the list, or no descriptor is left: no connection was made.
+            None => {
+                self.requests.handle_attempt_event(self.io.now(), false, id, AttemptEvent::ConnectionLost);
+            }
+        }
+    }
+
+    /// Processes the events of a backend connection. The commands that follow from one are executed before the next is
+    /// read: they may close the connection.
+    pub(super) fn process_attempt_events(&mut self, slot: usize, generation: u32) {
+        let forward_cookies = !self.config.routing.cookie.is_empty();
+        while let Some((id, event)) =
+            self.backends.next_event(&mut self.io, &self.config.limits, slot, generation)
+        {
+            self.requests.handle_attempt_event(self.io.now(), forward_cookies, id, event);
+            while let Some(command) = self.requests.commands.pop_front() {
+                self.execute_command(command);
+            }
+        }
+    }
+
+    fn execute_command(&mut self, command: RequestCommand) {
+        let io = &mut self.io;
+        let config = &self.config;
+        match command {
+            RequestCommand::NotifyDecisions(event) => io.events.push_back(event),
+            RequestCommand::Respond { client, media, response, request_name } => {
+                let response = front::final_response(media, response);
+                self.clients.respond(io, config, client, &response, Some(&request_name));
+                self.clients.resume_input(io, config, client);
+            }
+            RequestCommand::ForwardResponse { client, head, request_name, bytes, backend } => {
+                let unread = self.clients.forward(io, config, client, head, &request_name, &bytes);
+                // Back pressure: a client that reads slowly stops its backend, not this process's memory.
+                if let Some(slot) = backend.filter(|_| unread > config.limits.client_buffer) {
+                    self.backends.set_paused(io, slot, true);
+                }
+            }
+            RequestCommand::EndResponse { client } => {
+                self.clients.end_response(io, config, client);
+                self.clients.resume_input(io, config, client);
+            }
+            RequestCommand::ResetClient { client } => self.clients.reset(client),
+            RequestCommand::CloseBackendConnection { slot } => self.backends.close(slot),
+            RequestCommand::ResumeBackend { slot } => self.backends.set_paused(io, slot, false),
+            RequestCommand::RecordFinalResponse(record) => {
+                if let Some(monitoring) = &self.monitoring {
+                    monitoring.record_final_response(&record);
+                }
+            }
+            RequestCommand::ReleaseBytes(bytes) => self.clients.budget.release(bytes),
+        }
+    }
+
+    fn handle_client_event(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::RequestReceived { client, head, body, head_received_at } => {
+                let elapsed = self.io.now() - head_received_at;
+                let request = match self.clients.budget.check_request(self.requests.count()) {
+                    Ok(()) => front::request(&self.config, *head, body, elapsed),
+                    Err(limit) => Err(front::gateway_full(limit.message())),
+                };
+                match request {
+                    Ok(request) => self.admit(client, request),
+                    Err(response) => {
+                        self.clients.respond(&mut self.io, &self.config, client, &response, None);
+                        self.clients.resume_input(&mut self.io, &self.config, client);
+                    }
+                }
+            }
+            ClientEvent::Disconnected(id) => self.requests.handle_client_disconnect(self.io.now(), id),
+            ClientEvent::ReadyForMore(id) => self.requests.handle_client_ready(id),
+        }
+    }
+
+    /// Admits a request to the request table and reports it to the decisions.
+    fn admit(&mut self, client: usize, request: front::Request) {
+        let now = self.io.now();
+        let admitted = self.requests.admit(now, &self.config, client, &self.instance_name, request);
+        let incoming = admitted.incoming;
+        self.clients.budget.reserve(admitted.body_bytes);
+        self.clients.request_admitted(client, incoming.id);
+        let deadline = self.io.now() + incoming.timeout;
+        self.io.timers.set(deadline, Timer::RequestDeadline(incoming.id));
+        self.io.events.push_back(Event::RequestReceived(incoming));
+    }
+}
--- /dev/null
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -0,0 +1,65 @@
+//! Saving and restoring the state file, so that what was learnt of backends outlives the process.
+
+use super::Gateway;
+use crate::io::Timer;
+use crate::state_file::StateFile;
+use doorcourse::{Event, Millis};
+use std::path::Path;
+
+/// The state file and how it is kept.
+pub(super) struct StatePersistence {
+    file: StateFile,
+    save_interval: Millis,
+    /// Whether the last save failed: a failure is logged once, not at each save.
+    failing: bool,
+}
+
+impl StatePersistence {
+    pub(super) fn new(settings: &doorcourse_config::StateFile, directory: &Path, gateway_index: u32) -> Self {
+        let path = directory.join(&settings.file);
+        let file = StateFile { path, max_age: settings.longest_age, gateway_index };
+        Self { file, save_interval: settings.every, failing: false }
+    }
+
+    /// Logs the result of a save where it differs from that of the one before.
+    fn record_save(&mut self, result: std::io::Result<()>) {
+        let failed = result.is_err();
+        if std::mem::replace(&mut self.failing, failed) == failed {
+            return;
+        }
+        let file = self.file.path.display();
+        match result {
+            Err(error) => tracing::error!(%file, %error, "state file not written"),
+            Ok(()) => tracing::info!(%file, "state file written again"),
+        }
+    }
+}
+
+impl Gateway {
+    /// Restores what an earlier process of this gateway saved, and sets the timer of the first save.
+    pub(super) fn restore_state(&mut self) {
+        let now = self.io.now();
+        let Some(state) = &self.state else { return };
+        self.io.timers.set(now + state.save_interval, Timer::StateFileSave);
+        match state.file.read(now) {
+            Ok(Some(backends)) => {
+                tracing::info!(nodes = backends.len(), "state file taken");
+                self.io.events.push_back(Event::StateRestored(backends));
+            }
+            Ok(None) => {}
+            Err(error) => {
+                let file = state.file.path.display();
+                tracing::warn!(%file, why = %error, "state file left aside");
+            }
+        }
+    }
+
+    /// Saves the state file and sets the timer of the next save. A full disk stops nothing but this file.
+    pub(super) fn save_state(&mut self) {
+        let now = self.io.now();
+        let Some(state) = &mut self.state else { return };
+        self.io.timers.set(now + state.save_interval, Timer::StateFileSave);
+        let result = state.file.write(now, self.decisions.backends());
+        state.record_save(result);
+    }
+}
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -16,6 +16,6 @@
 mod state_file;
 mod takeover;
 
-pub use gateway::{Gateway, Start, Stopper};
+pub use gateway::{Gateway, GatewayOptions, Stopper};
 pub use graphql_front::{DEADLINE_FIELD, REQUEST_ID_FIELD};
 pub use settings_reload::ReadSettings;
--- /dev/null
+++ b/crates/http-gateway/src/monitoring/metrics.rs
@@ -0,0 +1,290 @@
+//! The metrics in OpenMetrics text. Names, labels and help texts are a stable format.
+
+use crate::fleet::Seen;
+use crate::requests::{FinalResponseRecord, SERVED};
+use prometheus_client::encoding::{EncodeLabelSet, text::encode};
+use prometheus_client::metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram};
+use prometheus_client::registry::{Metric, Registry};
+use std::sync::atomic::AtomicU64;
+
+/// Upper bounds of the response time buckets, in seconds.
+const RESPONSE_TIME_BUCKETS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
+/// How the calls of a task ended, in the order in which the fleet counts them.
+const CALL_ENDS: [&str; 3] = ["good", "failed", "kept_back"];
+/// Shown for a peer that was never heard from, in place of a time.
+const NEVER_HEARD: i64 = -1;
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct ClassLabels {
+    class: String,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct ResponseLabels {
+    code: String,
+    plan: String,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct BackendLabels {
+    node: String,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct PlanLabels {
+    plan: String,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct PeerLabels {
+    peer: u32,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct DropLabels {
+    cause: &'static str,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct TaskLabels {
+    task: String,
+}
+
+#[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
+struct CallLabels {
+    task: String,
+    end: &'static str,
+}
+
+type FloatGauge = Gauge<f64, AtomicU64>;
+
+/// The gauges of one backend.
+#[derive(Debug)]
+pub(crate) struct BackendGauges {
+    pub name: String,
+    pub concurrency_limit: f64,
+    pub in_flight: u32,
+    /// Listed as ready, and not ejected.
+    pub usable: bool,
+}
+
+/// The values that are read when the metrics are scraped.
+#[derive(Debug, Default)]
+pub(crate) struct Snapshot {
+    pub ready: bool,
+    pub requests: usize,
+    pub client_connections: usize,
+    pub buffered_bytes: u64,
+    pub counter_unavailable: bool,
+    /// Units of the quota leases held, by plan.
+    pub leased_units: Vec<(String, f64)>,
+    pub backends: Vec<BackendGauges>,
+    /// The link to the other gateways and the tasks.
+    pub fleet: Seen,
+}
+
+/// All metrics of a gateway. Responses are recorded as they happen, the gauges when they are scraped.
+pub(super) struct Metrics {
+    registry: Registry,
+    response_seconds: Family<ClassLabels, Histogram, fn() -> Histogram>,
+    responses: Family<ResponseLabels, Counter>,
+    process: ProcessGauges,
+    backends: BackendFamilies,
+    peers: PeerFamilies,
+    tasks: TaskFamilies,
+}
+
+struct ProcessGauges {
+    requests: Gauge,
+    client_connections: Gauge,
+    buffered_bytes: Gauge,
+    counter_unavailable: Gauge,
+    ready: Gauge,
+    leased_units: Family<PlanLabels, FloatGauge>,
+}
+
+struct BackendFamilies {
+    concurrency_limit: Family<BackendLabels, FloatGauge>,
+    in_flight: Family<BackendLabels, Gauge>,
+    usable: Family<BackendLabels, Gauge>,
+}
+
+struct PeerFamilies {
+    last_heard_ms: Family<PeerLabels, Gauge>,
+    round_trip_ms: Family<PeerLabels, FloatGauge>,
+    datagrams: Family<PeerLabels, Gauge>,
+    datagrams_lost: Family<PeerLabels, Gauge>,
+    clock_ahead_ms: Family<PeerLabels, FloatGauge>,
+    dropped: Family<DropLabels, Gauge>,
+}
+
+struct TaskFamilies {
+    held: Family<TaskLabels, Gauge>,
+    calls: Family<CallLabels, Gauge>,
+}
+
+/// Registers a metric; the order of registrations is the order of the text.
+fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
+    let metric = M::default();
+    registry.register(name, help, metric.clone());
+    metric
+}
+
+impl Metrics {
+    pub fn new() -> Self {
+        let mut registry = Registry::with_prefix("doorcourse");
+        let r = &mut registry;
+        let response_times: fn() -> Histogram = || Histogram::new(RESPONSE_TIME_BUCKETS);
+        let response_seconds = Family::new_with_constructor(response_times);
+        r.register("served_seconds", "Time to a node's whole answer, by class", response_seconds.clone());
+        let responses = register(r, "answers", "Final answers, by code (SERVED, or the error's) and plan");
+        let process = ProcessGauges::register(r);
+        let backends = BackendFamilies::register(r);
+        let peers = PeerFamilies::register(r);
+        let tasks = TaskFamilies::register(r);
+        Self { registry, response_seconds, responses, process, backends, peers, tasks }
+    }
+
+    /// Counts the final response of a request.
+    pub fn record_final_response(&self, record: &FinalResponseRecord) {
+        if record.code == SERVED {
+            let labels = ClassLabels { class: record.class.to_string() };
+            self.response_seconds.get_or_create(&labels).observe(record.elapsed / 1000.0);
+        }
+        let labels = ResponseLabels { code: record.code.to_owned(), plan: record.plan.to_string() };
+        self.responses.get_or_create(&labels).inc();
+    }
+
+    /// The text of all metrics, with the gauges as in `snapshot`.
+    pub fn text(&self, snapshot: &Snapshot) -> String {
+        self.process.set(snapshot);
+        self.backends.set(&snapshot.backends);
+        self.peers.set(&snapshot.fleet);
+        self.tasks.set(&snapshot.fleet);
+        let mut text = String::new();
+        // Writing to a string does not fail.
+        let _ = encode(&mut text, &self.registry);
+        text
+    }
+}
+
+impl ProcessGauges {
+    fn register(r: &mut Registry) -> Self {
+        Self {
+            requests: register(r, "requests_open", "Requests not answered yet"),
+            client_connections: register(r, "client_connections", "Client connections"),
+            buffered_bytes: register(r, "held_bytes", "Bytes held for clients"),
+            counter_unavailable: register(r, "counter_silent", "1 while the shared counter is silent"),
+            ready: register(r, "ready", "1 while new clients are wanted"),
+            leased_units: register(r, "lease_units", "Units of blocks in hand, by plan"),
+        }
+    }
+
+    fn set(&self, snapshot: &Snapshot) {
+        self.requests.set(saturating(snapshot.requests));
+        self.client_connections.set(saturating(snapshot.client_connections));
+        self.buffered_bytes.set(saturating(snapshot.buffered_bytes));
+        self.counter_unavailable.set(snapshot.counter_unavailable.into());
+        self.ready.set(snapshot.ready.into());
+        // Plans that are gone are reported no longer.
+        self.leased_units.clear();
+        for (plan, units) in &snapshot.leased_units {
+            self.leased_units.get_or_create(&PlanLabels { plan: plan.clone() }).inc_by(*units);
+        }
+    }
+}
+
+impl BackendFamilies {
+    fn register(r: &mut Registry) -> Self {
+        Self {
+            concurrency_limit: register(r, "node_room", "Attempts that a node is given at most"),
+            in_flight: register(r, "node_attempts", "Attempts out at a node"),
+            usable: register(r, "node_usable", "1 while a node is listed and not left alone"),
+        }
+    }
+
+    fn set(&self, backends: &[BackendGauges]) {
+        // Backends that are gone are reported no longer.
+        self.concurrency_limit.clear();
+        self.in_flight.clear();
+        self.usable.clear();
+        for backend in backends {
+            let labels = BackendLabels { node: backend.name.clone() };
+            self.concurrency_limit.get_or_create(&labels).set(backend.concurrency_limit);
+            self.in_flight.get_or_create(&labels).set(backend.in_flight.into());
+            self.usable.get_or_create(&labels).set(backend.usable.into());
+        }
+    }
+}
+
+impl PeerFamilies {
+    fn register(r: &mut Registry) -> Self {
+        Self {
+            last_heard_ms: register(r, "peer_heard_ms", "Since a peer gateway was heard last; -1 if never"),
+            round_trip_ms: register(r, "peer_round_trip_ms", "Round trip to a peer gateway"),
+            datagrams: register(r, "peer_datagrams", "Datagrams taken from a peer gateway"),
+            datagrams_lost: register(
+                r,
+                "peer_datagrams_lost",
+                "Datagrams that a peer numbered and that did not come",
+            ),
+            clock_ahead_ms: register(
+                r,
+                "peer_clock_ahead_ms",
+                "A peer gateway's wall clock beside this one's",
+            ),
+            dropped: register(r, "link_dropped", "Datagrams dropped, by cause"),
+        }
+    }
+
+    fn set(&self, seen: &Seen) {
+        self.last_heard_ms.clear();
+        self.round_trip_ms.clear();
+        self.datagrams.clear();
+        self.datagrams_lost.clear();
+        self.clock_ahead_ms.clear();
+        for peer in &seen.peers {
+            let labels = PeerLabels { peer: peer.number };
+            self.last_heard_ms.get_or_create(&labels).set(peer.heard.map_or(NEVER_HEARD, saturating));
+            self.datagrams.get_or_create(&labels).set(saturating(peer.taken));
+            self.datagrams_lost.get_or_create(&labels).set(saturating(peer.lost));
+            if let Some(ms) = peer.clock {
+                self.clock_ahead_ms.get_or_create(&labels).set(ms);
+            }
+            if let Some(ms) = peer.round_trip {
+                self.round_trip_ms.get_or_create(&labels).set(ms);
+            }
+        }
+        for (cause, count) in &seen.drops {
+            self.dropped.get_or_create(&DropLabels { cause }).set(saturating(*count));
+        }
+    }
+}
+
+impl TaskFamilies {
+    fn register(r: &mut Registry) -> Self {
+        Self {
+            held: register(r, "task_held", "1 while this gateway holds a task's lease"),
+            calls: register(r, "task_calls", "Calls of tasks, by end: good, failed, kept_back"),
+        }
+    }
+
+    fn set(&self, seen: &Seen) {
+        self.held.clear();
+        self.calls.clear();
+        for (task, held) in &seen.held {
+            self.held.get_or_create(&TaskLabels { task: task.clone() }).set((*held).into());
+        }
+        for (task, calls) in &seen.calls {
+            for (end, count) in CALL_ENDS.into_iter().zip(calls) {
+                let labels = CallLabels { task: task.clone(), end };
+                self.calls.get_or_create(&labels).set(saturating(*count));
+            }
+        }
+    }
+}
+
+/// A count as a gauge holds it.
+fn saturating(count: impl TryInto<i64>) -> i64 {
+    count.try_into().unwrap_or(i64::MAX)
+}
--- /dev/null
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -0,0 +1,142 @@
+//! The state of one request, from its admission to the end of its last attempt.
+
+use super::command::FinalResponseRecord;
+use crate::backends::ConnectionId;
+use crate::clients::ForwardedHead;
+use crate::graphql_front::MediaType;
+use doorcourse::{Millis, Name};
+use doorcourse_graphql::Scan;
+use doorcourse_http::{Framing, Head};
+use doorcourse_request_lifecycle::RequestLifecycle;
+
+/// One request that has no final response yet, or whose attempt is still in flight.
+#[derive(Debug)]
+pub(super) struct InFlightRequest {
+    /// The client's connection; `None` once it has its final response or has disconnected.
+    pub client: Option<usize>,
+    pub plan: Name,
+    pub class: Name,
+    pub received_at: Millis,
+    /// The request's id for people: the client's own, or one that the gateway made.
+    pub name: Name,
+    pub lifecycle: RequestLifecycle,
+    pub media: MediaType,
+    pub body: Vec<u8>,
+    pub forwarded_fields: Vec<(String, String)>,
+    /// Whether the operation is safe to retry only with an idempotency key.
+    pub needs_idempotency_key: bool,
+    /// The cost by which the request was admitted.
+    pub units: f64,
+    pub attempt: Attempt,
+    pub response: BufferedResponse,
+}
+
+impl InFlightRequest {
+    pub fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
+        let (plan, class) = (self.plan.clone(), self.class.clone());
+        FinalResponseRecord { code, plan, class, elapsed: now - self.received_at }
+    }
+
+    /// Whether an attempt with this number is in flight.
+    pub fn has_attempt(&self, number: u32) -> bool {
+        self.lifecycle.has_attempt() && self.lifecycle.attempts() == number
+    }
+}
+
+/// The attempt in flight, or the last one.
+#[derive(Debug, Default)]
+pub(super) struct Attempt {
+    /// Its connection; `None` once the response is complete or the connection is lost.
+    pub connection: Option<ConnectionId>,
+    pub backend: Name,
+    pub started_at: Millis,
+}
+
+/// The head of a backend's response, as far as it is forwarded.
+#[derive(Debug)]
+struct ResponseHead {
+    status: u16,
+    content_type: String,
+    framing: Framing,
+    /// `Set-Cookie` fields, forwarded where sessions are sticky.
+    cookies: Vec<String>,
+}
+
+/// A backend's response: buffered until it is complete or too long to buffer, and from then on forwarded as it comes.
+#[derive(Debug)]
+pub(super) struct BufferedResponse {
+    head: Option<ResponseHead>,
+    buffer: Vec<u8>,
+    /// Whether the buffer ends the response.
+    complete: bool,
+    /// Whether the head is forwarded already.
+    forwarding: bool,
+    /// Counts the cost of the response while it passes.
+    pub scan: Scan,
+}
+
+impl BufferedResponse {
+    pub fn new(scan: Scan) -> Self {
+        Self { head: None, buffer: Vec::new(), complete: false, forwarding: false, scan }
+    }
+
+    /// Starts over for a new attempt: nothing of an earlier attempt's response may mix with this one's.
+    pub fn reset(&mut self) {
+        self.discard();
+        self.complete = false;
+        self.scan.reset();
+    }
+
+    pub fn set_head(&mut self, head: &Head, forward_cookies: bool) {
+        let content_type = head.field("content-type").unwrap_or("application/json").to_owned();
+        let cookies = head.fields.iter().filter(|(name, _)| forward_cookies && name == "set-cookie");
+        self.head = Some(ResponseHead {
+            status: head.status,
+            content_type,
+            framing: head.framing,
+            cookies: cookies.map(|(_, value)| value.clone()).collect(),
+        });
+    }
+
+    pub fn append(&mut self, mut data: Vec<u8>) {
+        self.scan.feed(&data);
+        if self.buffer.is_empty() {
+            self.buffer = data;
+        } else {
+            self.buffer.append(&mut data);
+        }
+    }
+
+    pub fn set_complete(&mut self) {
+        self.complete = true;
+    }
+
+    /// Drops the bytes that are not forwarded yet.
+    pub fn clear_buffer(&mut self) {
+        self.buffer.clear();
+    }
+
+    /// Drops what is not forwarded yet of a response that must not reach the client.
+    pub fn discard(&mut self) {
+        self.buffer.clear();
+        self.head = None;
+    }
+
+    /// The bytes to forward next, with the head in front of the first; `None` where no head has come yet.
+    pub fn take_forwardable(&mut self) -> Option<(Option<ForwardedHead>, Vec<u8>)> {
+        let mut forwarded_head = None;
+        if !self.forwarding {
+            let head = self.head.as_ref()?;
+            let framing =
+                if self.complete { Framing::Length(self.buffer.len() as u64) } else { head.framing };
+            forwarded_head = Some(ForwardedHead {
+                status: head.status,
+                content_type: head.content_type.clone(),
+                framing,
+                cookies: head.cookies.clone(),
+            });
+            self.forwarding = true;
+        }
+        Some((forwarded_head, std::mem::take(&mut self.buffer)))
+    }
+}
--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use doorcourse_emulators::CATALOGUE;
-use doorcourse_http_gateway::{Gateway, ReadSettings, Start, Stopper};
+use doorcourse_http_gateway::{Gateway, GatewayOptions, ReadSettings, Stopper};
 use sha2::{Digest, Sha256};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -80,8 +80,14 @@
     }
 
     fn start(config: doorcourse_config::Config, reread: Option<ReadSettings>) -> Self {
-        let start = Start { config, folder: Path::new("."), seed: Some(7), reread, take_over: false };
-        let mut gateway = Gateway::new(start).expect("a gateway");
+        let options = GatewayOptions {
+            config,
+            directory: Path::new("."),
+            seed: Some(7),
+            read_settings: reread,
+            take_over: false,
+        };
+        let mut gateway = Gateway::new(options).expect("a gateway");
         let address = gateway.addresses().expect("addresses")[0];
         let health = gateway.health_address();
         let stopper = gateway.stopper().expect("a stopper");
