--- /dev/null
+++ b/crates/http-gateway/src/backends.rs
@@ -0,0 +1,220 @@
+//! Connections to backends, with a pool of idle ones for each backend.
+//!
+//! What happens on a connection is read event by event ([`Backends::next_event`]), so that the reader may close the
+//! connection between two events.
+
+mod connection;
+
+pub(crate) use connection::{AttemptEvent, ConnectionId};
+
+use crate::io::{Io, Timer, Token};
+use connection::{BackendConnection, Decoded, EndpointIdentity};
+use doorcourse::{Millis, Name, RequestId};
+use doorcourse_config::{Limits, Node};
+use doorcourse_event_loop::{Flow, Interest, Ready, connect};
+use doorcourse_fail_points::rule_disabled;
+use doorcourse_http::{Decoder, Limits as HttpLimits, Role, request};
+use slab::Slab;
+use std::collections::BTreeMap;
+
+/// The connections to one backend that carry no request, the one used last at the end.
+#[derive(Debug)]
+struct ConnectionPool {
+    endpoint: EndpointIdentity,
+    idle: Vec<usize>,
+}
+
+/// A request as it is written to a backend.
+pub(crate) struct BackendRequest<'a> {
+    pub path: &'a str,
+    pub fields: Vec<(&'a str, &'a str)>,
+    pub body: &'a [u8],
+}
+
+/// The connections to all backends, and a pool for each listed one.
+#[derive(Debug, Default)]
+pub(crate) struct Backends {
+    connections: Slab<BackendConnection>,
+    pools: BTreeMap<Name, ConnectionPool>,
+}
+
+impl Backends {
+    /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the backends
+    /// whose endpoint is unchanged.
+    pub fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
+        let mut former = std::mem::take(&mut self.pools);
+        let mut unchanged = Vec::new();
+        let mut unlisted = Vec::new();
+        for node in nodes {
+            let name = node.entry.name.clone();
+            let endpoint = EndpointIdentity { address: node.address, started: node.entry.started };
+            let pool = match former.remove(&name) {
+                Some(pool) if pool.endpoint == endpoint => {
+                    unchanged.push(name.clone());
+                    pool
+                }
+                changed => {
+                    unlisted.extend(changed.into_iter().flat_map(|pool| pool.idle));
+                    ConnectionPool { endpoint, idle: Vec::new() }
+                }
+            };
+            self.pools.insert(name, pool);
+        }
+        unlisted.extend(former.into_values().flat_map(|pool| pool.idle));
+        unlisted.into_iter().for_each(|slot| self.close(slot));
+        unchanged
+    }
+
+    /// Starts an attempt on an idle connection, or on a new one where none is idle. `None` where the backend is not listed
+    /// or no connection can be opened.
+    pub fn send_request(
+        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, wire: &BackendRequest,
+    ) -> Option<ConnectionId> {
+        let pool = self.pools.get_mut(backend)?;
+        let endpoint = pool.endpoint;
+        let slot = match pool.idle.pop() {
+            Some(slot) => slot,
+            None => self.open(io, limits, backend, endpoint).ok()?,
+        };
+        let connection = self.connections.get_mut(slot)?;
+        let host = endpoint.address.to_string();
+        let mut fields = vec![("host", host.as_str())];
+        fields.extend_from_slice(&wire.fields);
+        request(connection.socket.output(), "POST", wire.path, &fields, wire.body);
+        connection.start_request(id);
+        Some(ConnectionId { slot, generation: connection.generation })
+    }
+
+    fn open(
+        &mut self, io: &mut Io, limits: &Limits, backend: &Name, endpoint: EndpointIdentity,
+    ) -> std::io::Result<usize> {
+        let socket = connect(endpoint.address)?;
+        let generation = io.generation();
+        let entry = self.connections.vacant_entry();
+        let slot = entry.key();
+        let interest = Interest::BOTH;
+        io.poller.add(&socket, Token::Backend(slot, generation).pack(), interest)?;
+        entry.insert(BackendConnection {
+            socket,
+            generation,
+            backend: backend.clone(),
+            endpoint,
+            decoder: Decoder::new(Role::Responses, response_limits(limits)),
+            request: None,
+            connecting: true,
+            connected_pending: false,
+            write_ready: false,
+            flow: Flow::Open,
+            input_pending: false,
+            decoded: 0,
+            paused: false,
+            interest,
+            idle_until: Millis::INFINITY,
+            keep_alive: false,
+        });
+        Ok(slot)
+    }
+
+    /// Reads what a connection is ready for; [`Self::next_event`] reports it.
+    pub fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
+        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = known else { return };
+        if connection.handle_readiness(ready) {
+            self.close(slot);
+        }
+    }
+
+    /// The next event of a connection, and the request that it belongs to. `None`: no more for now.
+    pub fn next_event(
+        &mut self, io: &mut Io, limits: &Limits, slot: usize, generation: u32,
+    ) -> Option<(RequestId, AttemptEvent)> {
+        let connection = self.connections.get_mut(slot).filter(|c| c.generation == generation)?;
+        if let Some(id) = connection.request {
+            if std::mem::take(&mut connection.connected_pending) {
+                return Some((id, AttemptEvent::Connected));
+            }
+            if std::mem::take(&mut connection.write_ready) && connection.flush_request() {
+                return Some((id, AttemptEvent::BytesWritten));
+            }
+            if connection.input_pending
+                && let Some(event) = self.next_response_event(io, limits, slot)
+            {
+                return Some((id, event));
+            }
+        } else if connection.input_pending && !connection.socket.input.is_empty() {
+            // More bytes than the response has: nothing on this connection can be trusted.
+            self.close(slot);
+        }
+        self.update_registration(io, slot);
+        None
+    }
+
+    /// The next event of a response, out of the input read so far. A connection whose response is complete is released.
+    fn next_response_event(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<AttemptEvent> {
+        match self.connections.get_mut(slot)?.decode() {
+            Decoded::Event(event) => {
+                if matches!(event, AttemptEvent::End) {
+                    self.release(io, limits, slot);
+                }
+                Some(event)
+            }
+            Decoded::NeedsInput => None,
+            Decoded::Closed { response_complete } => {
+                self.close(slot);
+                Some(if response_complete { AttemptEvent::End } else { AttemptEvent::ConnectionLost })
+            }
+        }
+    }
+
+    /// Returns a connection to its pool where it may carry another request; closes it otherwise.
+    fn release(&mut self, io: &mut Io, limits: &Limits, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        let reusable = connection.finish_request(io.now() + limits.node_idle_time);
+        match self.pools.get_mut(&connection.backend) {
+            Some(pool)
+                if reusable
+                    && (pool.endpoint == connection.endpoint || rule_disabled("pool-per-endpoint")) =>
+            {
+                pool.idle.push(slot);
+                let timer = Timer::BackendIdle(slot, connection.generation);
+                io.timers.set(connection.idle_until, timer);
+            }
+            _ => self.close(slot),
+        }
+    }
+
+    /// The idle timeout of a connection may have passed.
+    pub fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
+        let now = io.now();
+        if self.connections.get(slot).is_some_and(|c| c.is_idle_timeout(generation, now)) {
+            self.close(slot);
+        }
+    }
+
+    /// Closes a connection, whatever it carries.
+    pub fn close(&mut self, slot: usize) {
+        let Some(connection) = self.connections.try_remove(slot) else { return };
+        if let Some(pool) = self.pools.get_mut(&connection.backend) {
+            pool.idle.retain(|s| *s != slot);
+        }
+    }
+
+    /// Stops reading a response until its client has read, or resumes.
+    pub fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
+        if let Some(connection) = self.connections.get_mut(slot) {
+            connection.paused = paused;
+        }
+        self.update_registration(io, slot);
+    }
+
+    fn update_registration(&mut self, io: &Io, slot: usize) {
+        if let Some(connection) = self.connections.get_mut(slot) {
+            connection.update_registration(io, slot);
+        }
+    }
+}
+
+/// The limits of a backend's response.
+fn response_limits(limits: &Limits) -> HttpLimits {
+    HttpLimits { line: limits.line, head: limits.head, fields: limits.fields, body: limits.answer }
+}
--- /dev/null
+++ b/crates/http-gateway/src/gateway.rs
@@ -0,0 +1,185 @@
+//! The event loop of `doorcourse serve`: one thread that waits for readiness and moves messages between the components.
+//!
+//! It decides nothing itself. What happens becomes events of the decision library, of a request's life cycle or of the
+//! process's life cycle; the actions that follow become bytes, timers and commands to the components.
+//!
+//! # Order of an iteration ([`Gateway::run`])
+//!
+//! 1. Process pending messages.
+//! 2. Fire the timers that are due. Before each, a stalled iteration polls again for clients that have disconnected.
+//! 3. Drive the counter link, then the link to the other gateways.
+//! 4. Exchange outlier reports with the other gateways; process pending messages.
+//! 5. Report the pending work to the process's life cycle; process pending messages. Exit where it says so.
+//! 6. Wait for readiness until the next timeout; poll once more if the wait ended late.
+//! 7. Handle disconnected clients first, then the timers that are due, then all other readiness, in the order of the
+//!    poll. Pending messages are processed after each.
+//!
+//! A client that disconnected before the wait ended is thus known to have left before any attempt is started for it.
+
+mod admin_calls;
+mod construction;
+mod endpoints;
+mod outliers;
+mod pending;
+mod process;
+mod readiness;
+mod settings;
+mod signals;
+mod state_persistence;
+mod status;
+
+pub use construction::GatewayOptions;
+pub use signals::Stopper;
+
+use crate::admin::Admin;
+use crate::backends::Backends;
+use crate::clients::Clients;
+use crate::counter::Counter;
+use crate::fleet::Fleet;
+use crate::io::Io;
+use crate::monitoring::Monitoring;
+use crate::requests::Requests;
+use crate::settings_reload::SettingsReload;
+use doorcourse::{Action, Millis};
+use doorcourse_config::Config;
+use doorcourse_event_loop::{Counts, Ready};
+use doorcourse_graceful_shutdown::needs_repoll;
+use doorcourse_lifecycle::{PendingWork, ProcessEvent, ProcessLifecycle};
+use endpoints::Endpoints;
+use signals::SignalPipe;
+use state_persistence::StatePersistence;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The longest wait of the loop where no timer is set, in ms.
+const MAX_WAIT: Millis = 3_600_000.0;
+
+/// A running gateway.
+pub struct Gateway {
+    config: Arc<Config>,
+    io: Io,
+    clients: Clients,
+    backends: Backends,
+    requests: Requests,
+    counter: Counter,
+    fleet: Option<Fleet>,
+    admin: Option<Admin>,
+    monitoring: Option<Monitoring>,
+    reload: SettingsReload,
+    endpoints: Endpoints,
+    decisions: doorcourse::Gateway,
+    /// The decisions' actions of one event; kept, so that no event allocates.
+    actions: Vec<Action>,
+    lifecycle: ProcessLifecycle,
+    /// Prefix of this process's request ids.
+    instance_name: String,
+    signals: SignalPipe,
+    state: Option<StatePersistence>,
+    /// The life cycle has asked for the exit.
+    exiting: bool,
+    last_poll_at: Millis,
+    /// The process from which this one takes over, until this one serves.
+    predecessor: Option<UnixStream>,
+}
+
+impl Gateway {
+    /// The addresses on which clients are served.
+    ///
+    /// # Errors
+    /// When the system cannot tell the address of a listener.
+    pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
+        self.clients.addresses()
+    }
+
+    /// The address of health checks and metrics, where one is set.
+    #[must_use]
+    pub fn health_address(&self) -> Option<SocketAddr> {
+        self.monitoring.as_ref().and_then(|m| m.address().ok())
+    }
+
+    /// Serves until a drain ends; the order of an iteration is in the module's documentation.
+    ///
+    /// # Errors
+    /// When waiting for readiness fails, or the predecessor does not hand over: nothing can be served then.
+    pub fn run(&mut self) -> anyhow::Result<()> {
+        self.start_serving()?;
+        let mut ready = Vec::new();
+        loop {
+            self.process_pending();
+            self.fire_timers()?;
+            let counter_due = self.counter.tick(&mut self.io);
+            self.tick_fleet();
+            self.exchange_outliers();
+            self.process_pending();
+            self.tick_lifecycle();
+            self.process_pending();
+            if self.exiting {
+                self.finish();
+                return Ok(());
+            }
+            self.wait_for_readiness(counter_due, &mut ready)?;
+            self.handle_ready(&mut ready)?;
+        }
+    }
+
+    fn start_serving(&mut self) -> anyhow::Result<()> {
+        for address in self.addresses()? {
+            tracing::info!(%address, name = self.instance_name, "serving");
+        }
+        if let Some(address) = self.health_address() {
+            tracing::info!(%address, "monitoring listener ready");
+        }
+        self.handle_process_event(ProcessEvent::Started);
+        if let Some(predecessor) = self.predecessor.take() {
+            crate::takeover::confirm(predecessor)?;
+        }
+        Ok(())
+    }
+
+    fn tick_fleet(&mut self) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.tick(&mut self.io);
+        }
+    }
+
+    fn tick_lifecycle(&mut self) {
+        let pending = PendingWork {
+            requests: self.requests.count(),
+            connections: self.clients.count(),
+            // Counted only in a drain: it looks at every connection.
+            busy_connections: if self.lifecycle.is_ready() { 0 } else { self.clients.busy_count() },
+            counter_calls: self.counter.out,
+            idle_for: self.io.now() - self.clients.last_input_at,
+        };
+        self.handle_process_event(ProcessEvent::Tick(pending));
+    }
+
+    /// Waits until a descriptor is ready or a timeout is due.
+    fn wait_for_readiness(&mut self, counter_due: Millis, ready: &mut Vec<Ready>) -> anyhow::Result<()> {
+        let lifecycle_due = self.lifecycle.next_timeout(self.io.now());
+        let due = self.io.timers.first().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
+        let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::due);
+        let wait = if due.is_finite() { self.io.clock.until(due) } else { duration(MAX_WAIT) };
+        let wait = wait.min(duration(fleet_due_in.min(MAX_WAIT)));
+        self.io.poller.wait(Some(wait), ready)?;
+        self.last_poll_at = self.io.now();
+        if needs_repoll(self.last_poll_at - due) {
+            // Readiness is level-triggered: what the first poll reported is reported again.
+            self.io.poller.wait(Some(Duration::ZERO), ready)?;
+        }
+        Ok(())
+    }
+
+    /// Logs the totals of the process, with a last copy of its state on disk.
+    fn finish(&mut self) {
+        self.save_state();
+        let Counts { reads, writes, waits, changes, connects } = doorcourse_event_loop::counts();
+        tracing::info!(requests = self.requests.total, reads, writes, waits, changes, connects, "stopped");
+    }
+}
+
+fn duration(ms: Millis) -> Duration {
+    Duration::from_secs_f64(ms / 1000.0)
+}
--- /dev/null
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -0,0 +1,79 @@
+//! GraphQL over HTTP: from an HTTP request to a request for the decisions, and from a final response to HTTP.
+//!
+//! Only this module knows the client's protocol; it holds no state and does no I/O. A request passes three steps: its head
+//! ([`check_head`]), before its body is read; its parameters; its operation ([`request`]), checked against the schema,
+//! priced, and given its class and timeout. Each step may end it with a [`Response`].
+
+mod head;
+mod operation;
+mod parameters;
+mod response;
+
+pub(crate) use head::check_head;
+pub(crate) use operation::request;
+pub(crate) use response::{
+    Response, final_response, gateway_full, malformed, request_timeout_response, response_code, write,
+};
+
+use doorcourse::{Millis, Name};
+use doorcourse_config::Customer;
+use doorcourse_graphql::Prepared;
+use std::sync::Arc;
+
+/// The client's deadline for its response, in ms from the arrival of the request's head: a number above 0.
+pub const DEADLINE_FIELD: &str = "doorcourse-deadline-ms";
+/// The client's own id of a request: forwarded to the backend and returned with the response.
+pub const REQUEST_ID_FIELD: &str = "x-request-id";
+
+/// The two media types of GraphQL over HTTP.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum MediaType {
+    GraphqlResponse,
+    /// The legacy type: errors of well-formed requests have status 200.
+    Json,
+}
+
+impl MediaType {
+    fn name(self) -> &'static str {
+        match self {
+            Self::GraphqlResponse => "application/graphql-response+json; charset=utf-8",
+            Self::Json => "application/json; charset=utf-8",
+        }
+    }
+}
+
+/// What is known of a request once its head is checked.
+#[derive(Debug)]
+pub(crate) struct RequestHead {
+    pub customer: Arc<Customer>,
+    media: MediaType,
+    get: bool,
+    /// The client's own deadline, from the arrival of the head.
+    deadline: Option<Millis>,
+    /// Fields that are forwarded to the backend.
+    forwarded_fields: Vec<(String, String)>,
+    /// The route that the client's session names; empty for none.
+    sticky_route: Name,
+    /// The query string of a GET request.
+    query: Option<String>,
+}
+
+/// A request that is ready for the decisions.
+#[derive(Debug)]
+pub(crate) struct Request {
+    pub customer: Arc<Customer>,
+    pub media: MediaType,
+    /// Index of the operation's class in the settings.
+    pub class: usize,
+    /// The cost of the operation by the schema.
+    pub units: f64,
+    /// How long the decisions have for a final response.
+    pub timeout: Millis,
+    /// The body for the backend.
+    pub body: Vec<u8>,
+    /// Fields that are forwarded to the backend.
+    pub forwarded_fields: Vec<(String, String)>,
+    pub prepared: Prepared,
+    /// The route that the client's session names; empty for none.
+    pub sticky_route: Name,
+}
--- /dev/null
+++ b/crates/http-gateway/src/requests.rs
@@ -0,0 +1,298 @@
+//! The request table: each admitted request's life cycle, what is buffered of its response, and where its client and its
+//! attempt are. It knows neither sockets nor the client's protocol: what is to be done goes out as [`RequestCommand`]s.
+
+mod command;
+mod in_flight;
+
+pub(crate) use command::{AdmittedRequest, FinalResponseRecord, RequestCommand, SERVED};
+
+use crate::backends::{AttemptEvent, BackendRequest, ConnectionId};
+use crate::graphql_front::{REQUEST_ID_FIELD, Request, response_code};
+use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Millis, Name, RequestId};
+use doorcourse_config::Config;
+use doorcourse_request_lifecycle::{LifecycleAction, LifecycleEvent, RequestLifecycle};
+use in_flight::{Attempt, BufferedResponse, InFlightRequest};
+use std::collections::{HashMap, HashSet, VecDeque};
+
+/// A backend's own cost claim that differs from the counted cost by more than this, in units, is logged.
+const CLAIM_TOLERANCE: f64 = 1e-6;
+
+/// All requests in flight.
+#[derive(Default)]
+pub(crate) struct Requests {
+    requests: HashMap<RequestId, InFlightRequest>,
+    /// The number of requests admitted so far; the last request's id.
+    pub total: RequestId,
+    /// Backends whose differing cost claim was logged as a warning.
+    logged_cost_claims: HashSet<Name>,
+    /// What the event loop has to do, in order.
+    pub commands: VecDeque<RequestCommand>,
+}
+
+impl Requests {
+    pub fn count(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub fn open_ids(&self) -> Vec<RequestId> {
+        self.requests.keys().copied().collect()
+    }
+
+    /// Adds a request. `instance_name`: prefix of the ids that this process makes.
+    pub fn admit(
+        &mut self, now: Millis, config: &Config, client: usize, instance_name: &str, request: Request,
+    ) -> AdmittedRequest {
+        self.total += 1;
+        let id = self.total;
+        let client_id = request.forwarded_fields.iter().find(|(field, _)| field == REQUEST_ID_FIELD);
+        let name =
+            client_id.map_or_else(|| format!("{instance_name}-{id}").into(), |(_, v)| v.as_str().into());
+        let incoming = incoming_request(config, id, &request);
+        let class = &config.decisions.classes[request.class];
+        let in_flight = InFlightRequest {
+            client: Some(client),
+            plan: incoming.plan.clone(),
+            class: incoming.class.clone(),
+            received_at: now,
+            name,
+            lifecycle: RequestLifecycle::new(config.limits.held_answer),
+            media: request.media,
+            body: request.body,
+            forwarded_fields: request.forwarded_fields,
+            needs_idempotency_key: class.idempotency == Idempotency::WithKey,
+            units: request.units,
+            attempt: Attempt::default(),
+            response: BufferedResponse::new(request.prepared.scan(config.answer_depth)),
+        };
+        let body_bytes = in_flight.body.len() as u64;
+        self.requests.insert(id, in_flight);
+        AdmittedRequest { incoming, body_bytes }
+    }
+
+    /// The decisions start an attempt at a backend; returns its number.
+    pub fn attempt_started(&mut self, now: Millis, id: RequestId, backend: Name) -> u32 {
+        let Some(request) = self.requests.get_mut(&id) else { return 0 };
+        request.attempt.backend = backend;
+        request.attempt.started_at = now;
+        request.response.reset();
+        request.lifecycle.handle(LifecycleEvent::AttemptStarted, &mut Vec::new());
+        request.lifecycle.attempts()
+    }
+
+    /// The retry deadline of an attempt has passed: it is withdrawn unless it is written.
+    pub fn handle_retry_deadline(&mut self, now: Millis, id: RequestId, attempt: u32) {
+        if self.requests.get(&id).is_some_and(|request| request.has_attempt(attempt)) {
+            self.handle_event(now, id, LifecycleEvent::Withdrawn);
+        }
+    }
+
+    /// Withdraws the attempts that are not written yet at all backends but these.
+    pub fn withdraw_unwritten_except(&mut self, now: Millis, backends: &HashSet<Name>) {
+        let elsewhere = |request: &InFlightRequest| {
+            request.lifecycle.has_attempt() && !backends.contains(&request.attempt.backend)
+        };
+        let ids: Vec<RequestId> =
+            self.requests.iter().filter(|(_, request)| elsewhere(request)).map(|(id, _)| *id).collect();
+        for id in ids {
+            self.handle_event(now, id, LifecycleEvent::Withdrawn);
+        }
+    }
+
+    /// The request as it is written to a backend.
+    pub fn backend_request<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
+        let request = self.requests.get(&id)?;
+        let mut fields: Vec<(&str, &str)> = vec![
+            ("content-type", "application/json"),
+            ("accept", "application/graphql-response+json, application/json;q=0.9"),
+        ];
+        fields.extend(request.forwarded_fields.iter().map(|(name, value)| (name.as_str(), value.as_str())));
+        let has = |wanted: &str| request.forwarded_fields.iter().any(|(name, _)| name == wanted);
+        if !has(REQUEST_ID_FIELD) {
+            fields.push((REQUEST_ID_FIELD, &request.name));
+        }
+        if request.needs_idempotency_key && !has("idempotency-key") {
+            // Without a key of the client's, the request's own id makes the gateway's retries known as such.
+            fields.push(("idempotency-key", &request.name));
+        }
+        Some(BackendRequest { path, fields, body: &request.body })
+    }
+
+    /// The attempt in flight uses this connection.
+    pub fn set_connection(&mut self, id: RequestId, connection: ConnectionId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempt.connection = Some(connection);
+        }
+    }
+
+    /// Handles an event of a request's attempt.
+    pub fn handle_attempt_event(
+        &mut self, now: Millis, forward_cookies: bool, id: RequestId, event: AttemptEvent,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let event = match event {
+            AttemptEvent::Connected => LifecycleEvent::Connected,
+            AttemptEvent::BytesWritten => LifecycleEvent::BytesWritten,
+            AttemptEvent::InvalidResponse => LifecycleEvent::InvalidResponse,
+            AttemptEvent::ConnectionLost => {
+                request.attempt.connection = None;
+                LifecycleEvent::ConnectionLost
+            }
+            AttemptEvent::Head(head) => {
+                request.response.set_head(&head, forward_cookies);
+                LifecycleEvent::ResponseHead { status: head.status }
+            }
+            AttemptEvent::Data(data) => {
+                let bytes = data.len();
+                request.response.append(data);
+                LifecycleEvent::ResponseData { bytes }
+            }
+            AttemptEvent::End => {
+                request.response.set_complete();
+                request.attempt.connection = None;
+                let counted = request.response.scan.counted();
+                log_cost_claim(&mut self.logged_cost_claims, request, counted.claim, counted.units);
+                LifecycleEvent::ResponseEnd { complete: counted.whole, units: counted.units }
+            }
+        };
+        self.handle_event(now, id, event);
+    }
+
+    /// The client of a request has disconnected.
+    pub fn handle_client_disconnect(&mut self, now: Millis, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.client = None;
+        }
+        self.handle_event(now, id, LifecycleEvent::ClientDisconnected);
+        self.handle_client_ready(id);
+    }
+
+    /// The client of a request has read enough for more of its response.
+    pub fn handle_client_ready(&mut self, id: RequestId) {
+        if let Some(connection) = self.requests.get(&id).and_then(|request| request.attempt.connection) {
+            self.commands.push_back(RequestCommand::ResumeBackend { slot: connection.slot });
+        }
+    }
+
+    /// Removes a request that does not end otherwise, at the end of a drain; its connections are closed.
+    pub fn abort(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        if let Some(client) = request.client {
+            self.commands.push_back(RequestCommand::ResetClient { client });
+        }
+        if let Some(connection) = request.attempt.connection {
+            self.commands.push_back(RequestCommand::CloseBackendConnection { slot: connection.slot });
+        }
+        self.commands.push_back(RequestCommand::ReleaseBytes(request.body.len() as u64));
+    }
+
+    /// Reports an event to a request's life cycle and executes the actions that follow.
+    pub fn handle_event(&mut self, now: Millis, id: RequestId, event: LifecycleEvent) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let mut actions = Vec::new();
+        request.lifecycle.handle(event, &mut actions);
+        for action in actions {
+            self.execute_action(now, id, action);
+        }
+    }
+
+    fn execute_action(&mut self, now: Millis, id: RequestId, action: LifecycleAction) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let commands = &mut self.commands;
+        match action {
+            LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent } => {
+                request.attempt.connection = None;
+                commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(AttemptEnd {
+                    id,
+                    attempt: request.lifecycle.attempts() - 1,
+                    backend: request.attempt.backend.clone(),
+                    outcome,
+                    latency: now - request.attempt.started_at,
+                    true_units,
+                    final_response_sent,
+                    load_report: None,
+                })));
+            }
+            LifecycleAction::ClientDisconnected => {
+                let record = request.record(now, "CLIENT_LEFT");
+                commands.push_back(RequestCommand::RecordFinalResponse(record));
+                commands.push_back(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }));
+            }
+            LifecycleAction::Respond(response) => {
+                let media = request.media;
+                let request_name = request.name.clone();
+                let record = request.record(now, response_code(response));
+                commands.push_back(RequestCommand::RecordFinalResponse(record));
+                if let Some(client) = request.client.take() {
+                    commands.push_back(RequestCommand::Respond { client, media, response, request_name });
+                }
+            }
+            LifecycleAction::ForwardResponse => self.forward_response(id),
+            LifecycleAction::EndResponse => {
+                commands.push_back(RequestCommand::RecordFinalResponse(request.record(now, SERVED)));
+                let client = request.client.take();
+                commands.extend(client.map(|client| RequestCommand::EndResponse { client }));
+            }
+            LifecycleAction::DiscardResponse => request.response.discard(),
+            LifecycleAction::ResetClient => {
+                commands.push_back(RequestCommand::RecordFinalResponse(request.record(now, "CUT")));
+                let client = request.client.take();
+                commands.extend(client.map(|client| RequestCommand::ResetClient { client }));
+            }
+            LifecycleAction::CloseBackendConnection => {
+                let connection = request.attempt.connection.take();
+                let close = |c: ConnectionId| RequestCommand::CloseBackendConnection { slot: c.slot };
+                commands.extend(connection.map(close));
+            }
+            LifecycleAction::Finished => {
+                if let Some(request) = self.requests.remove(&id) {
+                    commands.push_back(RequestCommand::ReleaseBytes(request.body.len() as u64));
+                }
+            }
+        }
+    }
+
+    /// Forwards what is buffered of a response, with its head where that is not forwarded yet.
+    fn forward_response(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(client) = request.client else { return request.response.clear_buffer() };
+        let Some((head, bytes)) = request.response.take_forwardable() else { return };
+        let request_name = request.name.clone();
+        let backend = request.attempt.connection.map(|connection| connection.slot);
+        self.commands.push_back(RequestCommand::ForwardResponse {
+            client,
+            head,
+            request_name,
+            bytes,
+            backend,
+        });
+    }
+}
+
+/// A request as it is reported to the decisions.
+fn incoming_request(config: &Config, id: RequestId, request: &Request) -> IncomingRequest {
+    let customer = &request.customer;
+    IncomingRequest {
+        id,
+        customer: customer.name.clone(),
+        plan: config.decisions.plans[customer.plan].name.clone(),
+        class: config.decisions.classes[request.class].name.clone(),
+        units: request.units,
+        client_retry: false,
+        timeout: request.timeout,
+        first_gateway: customer.first,
+        gateway_count: customer.spread,
+        sticky_route: request.sticky_route.clone(),
+    }
+}
+
+/// Logs a backend's own cost claim that differs from the counted cost; as a warning once for each backend. The claim is
+/// compared only: the customer is charged by the counted cost.
+fn log_cost_claim(logged: &mut HashSet<Name>, request: &InFlightRequest, claim: Option<f64>, counted: f64) {
+    let Some(claim) = claim.filter(|claim| (claim - counted).abs() > CLAIM_TOLERANCE) else { return };
+    let node = &request.attempt.backend;
+    let priced = request.units;
+    tracing::debug!(%node, claim, counted, "node claims another cost");
+    if logged.insert(node.clone()) {
+        tracing::warn!(%node, claim, counted, priced, "node claims another cost; told once");
+    }
+}
