--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::check::Check;
 use crate::raw;
-use doorcourse_lease::{Voters, task_of};
+use doorcourse_lease::{VoterConfiguration, task_of};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     /// How far clocks may be apart, in parts of a million.
     pub drift: u64,
     /// Who votes.
-    pub voters: Voters,
+    pub voters: VoterConfiguration,
     /// What is done.
     pub tasks: Vec<FleetTask>,
     /// Whether suspect nodes are tried for all.
@@ -166,13 +166,13 @@
     if now.is_empty() {
         now.clone_from(&all);
     }
-    let voters = Voters { version: raw.voters_version, now, before };
-    if (voters.version == 0) != voters.before.is_empty() {
+    let voters = VoterConfiguration { version: raw.voters_version, voters: now, previous_voters: before };
+    if (voters.version == 0) != voters.previous_voters.is_empty() {
         check.fault(
             "leases.voters_before",
             "who voted in the version before is needed above version 0, and only there",
         );
-    } else if voters.before.symmetric_difference(&voters.now).count() > 1 && voters.version > 0 {
+    } else if voters.previous_voters.symmetric_difference(&voters.voters).count() > 1 && voters.version > 0 {
         check.fault("leases.voters", "one voter may be added or removed in one version");
     }
     let suspects = raw.suspects.as_ref().map(|s| {
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -158,7 +158,7 @@
     assert_eq!(link.peers.keys().copied().collect::<Vec<_>>(), [0, 2], "this gateway is passed over");
     assert_eq!((link.silence, &*link.fleet, link.secrets.len()), (3000, "doorcourse", 1));
     assert!(!format!("{link:?}").contains("sixteen"), "no secret in any log");
-    assert_eq!((leases.length, leases.drift, leases.voters.now.len()), (400, 10_000, 3));
+    assert_eq!((leases.length, leases.drift, leases.voters.voters.len()), (400, 10_000, 3));
     let task = &leases.tasks[0];
     assert_eq!((task.every, task.needs, &*task.path), (1000, 100, "/"));
 }
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -6,8 +6,8 @@
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{
-    CallSettings, Calls, Input, Leases, Loss, Message, Needs, Output, Refusal, Settings as LeaseSettings,
-    Stage, Task, Time, View, decode, encode, task_of,
+    CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message, Millis, Needs,
+    Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
 };
 use doorcourse_outlier_gossip::{Seen as SeenNode, Suspects, Word};
 use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
@@ -22,16 +22,16 @@
 /// Datagrams read in one turn, so that peers do not hold up clients.
 const TURN: usize = 64;
 /// How often the socket is tried for while a process that hands over still has it, in ms.
-const RETRY: Time = 50;
+const RETRY: Millis = 50;
 /// An answer to a call has a short head; its body is read past.
 const ANSWER: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 1 << 20 };
 
 /// What a connection is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum What {
-    Task(Task),
+    Task(TaskId),
     /// A suspect node is tried, until then.
-    Trial(String, Time),
+    Trial(String, Millis),
 }
 
 struct Call {
@@ -59,16 +59,16 @@
     /// The path of the endpoint, where nodes are tried.
     path: String,
     socket: Option<UdpSocket>,
-    retry: Time,
+    retry: Millis,
     link: Link,
     leases: Option<Leases>,
-    tasks: BTreeMap<Task, FleetTask>,
-    calls: Calls,
+    tasks: BTreeMap<TaskId, FleetTask>,
+    calls: CallSchedule,
     out: slab::Slab<Call>,
     /// By task: calls answered with 2xx, answered otherwise or not at all, and not made because the lease was too short.
-    tally: BTreeMap<Task, [u64; 3]>,
+    tally: BTreeMap<TaskId, [u64; 3]>,
     suspects: Option<(Suspects, FleetSuspects)>,
-    next_look: Time,
+    next_look: Millis,
     /// Words on nodes, for the choice of nodes where the settings say so.
     pub hints: VecDeque<Word>,
     buffer: Vec<u8>,
@@ -93,7 +93,7 @@
             link,
             leases: None,
             tasks: BTreeMap::new(),
-            calls: Calls::default(),
+            calls: CallSchedule::default(),
             out: slab::Slab::new(),
             tally: BTreeMap::new(),
             suspects: None,
@@ -124,9 +124,10 @@
         Ok(())
     }
 
-    fn take_tasks(&mut self, now: Time, leases: &FleetLeases) {
+    fn take_tasks(&mut self, now: Millis, leases: &FleetLeases) {
         self.tasks = leases.tasks.iter().map(|t| (task_of(&t.name), t.clone())).collect();
-        let calls = |(task, t): (&Task, &FleetTask)| (*task, CallSettings { every: t.every, needs: t.needs });
+        let calls =
+            |(task, t): (&TaskId, &FleetTask)| (*task, CallSettings { interval: t.every, duration: t.needs });
         self.calls.configure(now, &self.tasks.iter().map(calls).collect::<Vec<_>>());
         self.tally.retain(|task, _| self.tasks.contains_key(task));
         let number = self.number;
@@ -150,15 +151,15 @@
             self.take_tasks(now, leases);
             let fleet = fleet(&self.settings, self.number);
             let tasks = tasks(leases);
-            self.tell(io, now, Input::Tasks { tasks, fleet });
-            self.tell(io, now, Input::Voters(leases.voters.clone()));
+            self.tell(io, now, Input::TasksChanged { tasks, gateways: fleet });
+            self.tell(io, now, Input::VotersChanged(leases.voters.clone()));
         }
     }
 
     /// The gateway leaves: what it holds is given back, and the socket is let go for who takes over.
     pub fn leave(&mut self, io: &mut Io) {
         if !std::mem::replace(&mut self.left, true) {
-            self.tell(io, awake_or_not(), Input::Leave);
+            self.tell(io, awake_or_not(), Input::ShutdownStarted);
             self.out.clear();
             self.socket = None;
         }
@@ -170,15 +171,18 @@
             return f64::INFINITY;
         }
         let now = awake_or_not();
-        let retry = if self.socket.is_none() { self.retry } else { Time::MAX };
-        let leases = self.leases.as_ref().map_or(Time::MAX, |l| l.due().min(self.calls.due(now, l)));
-        let look = if self.suspects.is_some() { self.next_look } else { Time::MAX };
+        let retry = if self.socket.is_none() { self.retry } else { Millis::MAX };
+        let leases = self
+            .leases
+            .as_ref()
+            .map_or(Millis::MAX, |l| l.next_timeout().min(self.calls.next_timeout(now, l)));
+        let look = if self.suspects.is_some() { self.next_look } else { Millis::MAX };
         let trial = self.out.iter().filter_map(|(_, c)| match c.what {
             What::Trial(_, until) => Some(until),
             What::Task(_) => None,
         });
-        let due = self.link.due().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Time::MAX));
-        if due == Time::MAX { f64::INFINITY } else { due.saturating_sub(now) as f64 }
+        let due = self.link.due().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Millis::MAX));
+        if due == Millis::MAX { f64::INFINITY } else { due.saturating_sub(now) as f64 }
     }
 
     pub fn tick(&mut self, io: &mut Io) {
@@ -193,60 +197,60 @@
         let mut told = Vec::new();
         self.link.tick(now, &mut told);
         told.into_iter().for_each(log);
-        if self.leases.as_ref().is_some_and(|l| l.due() <= now) {
+        if self.leases.as_ref().is_some_and(|l| l.next_timeout() <= now) {
             self.tell(io, now, Input::Tick);
         }
         for task in self.calls.overdue(now) {
             self.end(now, task, "not answered in time");
         }
         self.late_trials(now);
-        let begin = self.leases.as_ref().map(|l| self.calls.tick(now, l)).unwrap_or_default();
+        let begin = self.leases.as_ref().map(|l| self.calls.start_due(now, l)).unwrap_or_default();
         for permit in begin {
             self.begin(io, now, permit.task);
         }
     }
 
-    fn tell(&mut self, io: &mut Io, now: Time, input: Input) {
+    fn tell(&mut self, io: &mut Io, now: Millis, input: Input) {
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
         leases.handle(now, io.now() as u64, input, &mut outputs);
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send(io, now, to, &message),
-                Output::Gained(gain) => {
+                Output::Acquired(gain) => {
                     let (task, token) = (self.name(gain.task), gain.token);
                     tracing::info!(target: "doorcourse::fleet", task, token, "lease gained");
                 }
-                Output::Lost(Loss { task, token, given_back }) => {
+                Output::Lost(LostLease { task, token, released: given_back }) => {
                     let name = self.name(task);
                     tracing::info!(target: "doorcourse::fleet", task = name, token, given_back, "lease lost");
                     self.end(now, task, "the lease is lost");
                 }
-                Output::Failed { task, last } => {
+                Output::AcquisitionFailed { task, last_refusal: last } => {
                     let (task, by, why) = (self.name(task), last.map(|l| l.0), last.map(|l| l.1));
                     // That another has it is how things are.
-                    if matches!(why, Some(Refusal::Held { .. })) {
+                    if matches!(why, Some(Refusal::HeldByOther { .. })) {
                         tracing::debug!(target: "doorcourse::fleet", task, by, ?why, "lease refused");
                     } else {
                         tracing::info!(target: "doorcourse::fleet", task, by, ?why, "lease refused");
                     }
                 }
-                Output::Voters(version) => {
+                Output::VotersInForce(version) => {
                     tracing::info!(target: "doorcourse::fleet", version, "voters in force")
                 }
-                Output::Refused(fault) => {
+                Output::VotersRejected(fault) => {
                     tracing::error!(target: "doorcourse::fleet", %fault, "the old voters stay")
                 }
             }
         }
     }
 
-    fn name(&self, task: Task) -> &str {
+    fn name(&self, task: TaskId) -> &str {
         let own = if task == task_of(SUSPECTS) { SUSPECTS } else { "" };
         self.tasks.get(&task).map_or(own, |t| &t.name)
     }
 
-    fn send(&mut self, io: &Io, now: Time, to: Number, message: &Message) {
+    fn send(&mut self, io: &Io, now: Millis, to: Number, message: &Message) {
         let out = self.link.send(now, io.now() as u64, to, LEASES, encode(message));
         out.into_iter().for_each(|out| self.put(&out));
     }
@@ -288,7 +292,7 @@
                 match decode(&heard.payload) {
                     Ok(message) => {
                         let (from, incarnation) = (heard.from, heard.incarnation);
-                        self.tell(io, now, Input::Heard { from, incarnation, message });
+                        self.tell(io, now, Input::MessageReceived { from, incarnation, message });
                     }
                     Err(fault) => {
                         tracing::debug!(target: "doorcourse::fleet", from = heard.from, %fault, "dropped")
@@ -300,7 +304,7 @@
 
     // ---- Calls ----
 
-    fn begin(&mut self, io: &mut Io, now: Time, task: Task) {
+    fn begin(&mut self, io: &mut Io, now: Millis, task: TaskId) {
         let Some(address) = self.tasks.get(&task).map(|t| t.address) else { return };
         if !self.connect(io, address, What::Task(task)) {
             self.ended(now, task, "no connection");
@@ -340,7 +344,7 @@
                 What::Task(task) => *task,
                 What::Trial(..) => return self.write_trial(io, now, slot, generation, &what),
             };
-            let leaves = self.leases.as_ref().and_then(|l| self.calls.leaves(now, l, task));
+            let leaves = self.leases.as_ref().and_then(|l| self.calls.authorize_write(now, l, task));
             let Some((permit, until)) = leaves else {
                 self.tally.entry(task).or_default()[2] += 1;
                 return self.end(now, task, "the lease is too short");
@@ -401,7 +405,7 @@
         }
     }
 
-    fn over(&mut self, now: Time, what: &What, why: &str) {
+    fn over(&mut self, now: Millis, what: &What, why: &str) {
         match what {
             What::Task(task) => self.end(now, *task, why),
             What::Trial(node, _) => self.tried(now, node, why),
@@ -428,7 +432,7 @@
     }
 
     fn suspected(
-        &mut self, io: &mut Io, now: Time, outputs: Vec<doorcourse_outlier_gossip::Output>, nodes: &[Node],
+        &mut self, io: &mut Io, now: Millis, outputs: Vec<doorcourse_outlier_gossip::Output>, nodes: &[Node],
     ) {
         for output in outputs {
             match output {
@@ -460,7 +464,7 @@
     }
 
     /// A request that asks for nothing: whoever speaks HTTP answers it, and nothing is done.
-    fn write_trial(&mut self, io: &mut Io, now: Time, slot: usize, generation: u32, what: &What) {
+    fn write_trial(&mut self, io: &mut Io, now: Millis, slot: usize, generation: u32, what: &What) {
         let Some(call) = self.out.get_mut(slot) else { return };
         call.written = true;
         let body = "{\"query\":\"{__typename}\"}";
@@ -477,7 +481,7 @@
         let _ = io.poller.change(&call.socket, Token::Call(slot, generation).pack(), Interest::READ);
     }
 
-    fn tried(&mut self, now: Time, node: &str, why: &str) {
+    fn tried(&mut self, now: Millis, node: &str, why: &str) {
         let slot =
             self.out.iter().find(|(_, c)| matches!(&c.what, What::Trial(n, _) if n == node)).map(|(s, _)| s);
         slot.into_iter().for_each(|slot| drop(self.out.remove(slot)));
@@ -491,14 +495,14 @@
         self.next_look = now;
     }
 
-    fn late_trials(&mut self, now: Time) {
+    fn late_trials(&mut self, now: Millis) {
         let late = |c: &Call| matches!(c.what, What::Trial(_, until) if until <= now);
         let late: Vec<What> = self.out.iter().filter(|(_, c)| late(c)).map(|(_, c)| c.what.clone()).collect();
         late.iter().for_each(|what| self.over(now, what, "no answer in time"));
     }
 
     /// A call is over; without a cause it was good.
-    fn end(&mut self, now: Time, task: Task, why: &str) {
+    fn end(&mut self, now: Millis, task: TaskId, why: &str) {
         let slot = self.out.iter().find(|(_, c)| c.what == What::Task(task)).map(|(slot, _)| slot);
         if let Some(slot) = slot {
             self.out.remove(slot);
@@ -506,8 +510,8 @@
         }
     }
 
-    fn ended(&mut self, now: Time, task: Task, why: &str) {
-        self.calls.ended(now, task);
+    fn ended(&mut self, now: Millis, task: TaskId, why: &str) {
+        self.calls.finish(now, task);
         self.tally.entry(task).or_default()[usize::from(!why.is_empty())] += 1;
         if !why.is_empty() {
             tracing::info!(target: "doorcourse::fleet", task = self.name(task), why, "call failed");
@@ -520,10 +524,10 @@
     pub fn hand_over(&mut self, io: &mut Io, name: &str, to: Number) -> Result<(), String> {
         let now = awake_or_not();
         let task = task_of(name);
-        let held = self.leases.iter().flat_map(|l| l.views(now)).find(|v| v.task == task);
+        let held = self.leases.iter().flat_map(|l| l.statuses(now)).find(|v| v.task == task);
         match held.map(|v| v.stage) {
             None => return Err(format!("`{name}` is no task of the settings")),
-            Some(Stage::Held(_)) => {}
+            Some(LeaseStage::Held(_)) => {}
             Some(_) => {
                 return Err(format!("`{name}` is not held by this gateway: ask its holder (ctl leases)"));
             }
@@ -531,7 +535,7 @@
         if !self.settings.peers.contains_key(&to) {
             return Err(format!("gateway {to} is not among fleet.link.peers"));
         }
-        self.tell(io, now, Input::HandOver { task, to });
+        self.tell(io, now, Input::TransferRequested { task, to });
         Ok(())
     }
 
@@ -549,32 +553,32 @@
     pub fn leases(&self) -> Value {
         let now = awake_or_not();
         let Some(leases) = &self.leases else { return Value::Null };
-        let one = |view: View| {
+        let one = |view: LeaseStatus| {
             let name = self.name(view.task);
             let (stage, ms) = match view.stage {
-                Stage::Waiting(ms) => ("waiting", ms),
-                Stage::Asking(_) => ("asking", 0),
-                Stage::Held(ms) => ("held", ms),
+                LeaseStage::Waiting(ms) => ("waiting", ms),
+                LeaseStage::Acquiring(_) => ("asking", 0),
+                LeaseStage::Held(ms) => ("held", ms),
             };
             let [good, failed, kept_back] = self.tally.get(&view.task).copied().unwrap_or_default();
             // Tokens are beyond what JSON readers take for a whole number.
             json!({"task": name, "here": stage, "ms": ms, "token": view.token.map(|t| t.to_string()),
                 "granted_to": view.granted.map(|g| g.0), "granted_token": view.granted.map(|g| g.1.to_string()),
                 "granted_ms": view.granted.map(|g| g.2),
-                "refused_by": view.refused.map(|r| r.0), "refused": view.refused.map(|r| refusal_text(r.1)),
+                "refused_by": view.last_refusal.map(|r| r.0), "refused": view.last_refusal.map(|r| refusal_text(r.1)),
                 "calls_good": good, "calls_failed": failed, "calls_kept_back": kept_back})
         };
-        json!({"gateway": self.number, "votes": leases.votes(now), "voters_version": leases.version(),
-            "tasks": leases.views(now).map(one).collect::<Vec<_>>()})
+        json!({"gateway": self.number, "votes": leases.is_voting(now), "voters_version": leases.voters_version(),
+            "tasks": leases.statuses(now).map(one).collect::<Vec<_>>()})
     }
 
     pub fn seen(&self) -> Seen {
         let now = awake_or_not();
-        let held = |v: View| (self.name(v.task).to_owned(), matches!(v.stage, Stage::Held(_)));
+        let held = |v: LeaseStatus| (self.name(v.task).to_owned(), matches!(v.stage, LeaseStage::Held(_)));
         Seen {
             peers: self.link.views(now).collect(),
             drops: self.link.drops().by_name().collect(),
-            held: self.leases.iter().flat_map(|l| l.views(now)).map(held).collect(),
+            held: self.leases.iter().flat_map(|l| l.statuses(now)).map(held).collect(),
             calls: self.tally.iter().map(|(task, tally)| (self.name(*task).to_owned(), *tally)).collect(),
         }
     }
@@ -583,12 +587,12 @@
 /// A refusal as admin replies spell it.
 fn refusal_text(refusal: Refusal) -> String {
     match refusal {
-        Refusal::Silent => "Silent".into(),
-        Refusal::Version => "Version".into(),
-        Refusal::Held { by, left } => format!("Held {{ by: {by}, left: {left} }}"),
-        Refusal::Token => "Token".into(),
-        Refusal::Length => "Length".into(),
-        Refusal::Full => "Full".into(),
+        Refusal::NotVoting => "Silent".into(),
+        Refusal::VersionMismatch => "Version".into(),
+        Refusal::HeldByOther { holder: by, remaining: left } => format!("Held {{ by: {by}, left: {left} }}"),
+        Refusal::StaleToken => "Token".into(),
+        Refusal::LeaseTooLong => "Length".into(),
+        Refusal::TooManyTasks => "Full".into(),
     }
 }
 
@@ -608,7 +612,7 @@
     settings.peers.keys().copied().chain([number]).collect()
 }
 
-fn tasks(leases: &FleetLeases) -> Vec<Task> {
+fn tasks(leases: &FleetLeases) -> Vec<TaskId> {
     let own = leases.suspects.map(|_| task_of(SUSPECTS));
     leases.tasks.iter().map(|t| task_of(&t.name)).chain(own).collect()
 }
@@ -620,13 +624,13 @@
 
 fn lease_settings(leases: &FleetLeases, link: &FleetLink, number: Number, incarnation: u64) -> LeaseSettings {
     LeaseSettings {
-        number,
+        gateway: number,
         incarnation,
         seed: incarnation,
-        length: leases.length,
-        longest: leases.length,
-        drift: leases.drift,
-        fleet: fleet(link, number),
+        lease_duration: leases.length,
+        max_lease_duration: leases.length,
+        clock_drift_ppm: leases.drift,
+        gateways: fleet(link, number),
         voters: leases.voters.clone(),
         tasks: tasks(leases),
     }
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,6 +1,6 @@
 //! Messages as protobuf. What cannot be read is one fault; nothing of it is taken.
 
-use crate::{Ask, Item, Message, Refusal, Task};
+use crate::{Item, LeaseRequest, Message, Refusal, TaskId};
 use prost::Message as _;
 
 /// The most items that one message may hold.
@@ -8,15 +8,15 @@
 
 /// Bytes that are no message about leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct DecodeError;
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("no message about leases")
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct Wire {
@@ -33,7 +33,7 @@
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct WireItem {
     #[prost(fixed32, tag = "1")]
-    task: Task,
+    task: TaskId,
     /// 1 ask, 2 grant, 3 refuse, 4 release, 5 take.
     #[prost(uint32, tag = "2")]
     kind: u32,
@@ -56,24 +56,28 @@
     let item = |item: &Item| {
         let of = |task, kind, token| WireItem { task, kind, token, ..WireItem::default() };
         match *item {
-            Item::Ask(Ask { task, token, length }) => WireItem { ms: length, ..of(task, 1, token) },
+            Item::Request(LeaseRequest { task, token, duration: length }) => {
+                WireItem { ms: length, ..of(task, 1, token) }
+            }
             Item::Grant { task, token } => of(task, 2, token),
-            Item::Refuse { task, token, why } => {
+            Item::Refuse { task, token, reason: why } => {
                 let refused = |why| WireItem { why, ..of(task, 3, token) };
                 match why {
-                    Refusal::Silent => refused(1),
-                    Refusal::Version => refused(2),
-                    Refusal::Held { by, left } => WireItem { ms: left, gateway: Some(by), ..refused(3) },
-                    Refusal::Token => refused(4),
-                    Refusal::Length => refused(5),
-                    Refusal::Full => refused(6),
+                    Refusal::NotVoting => refused(1),
+                    Refusal::VersionMismatch => refused(2),
+                    Refusal::HeldByOther { holder: by, remaining: left } => {
+                        WireItem { ms: left, gateway: Some(by), ..refused(3) }
+                    }
+                    Refusal::StaleToken => refused(4),
+                    Refusal::LeaseTooLong => refused(5),
+                    Refusal::TooManyTasks => refused(6),
                 }
             }
-            Item::Release { task, token, to } => WireItem { gateway: to, ..of(task, 4, token) },
-            Item::Take { task } => of(task, 5, 0),
+            Item::Release { task, token, transfer_to: to } => WireItem { gateway: to, ..of(task, 4, token) },
+            Item::Transfer { task } => of(task, 5, 0),
         }
     };
-    let Message { version, highest, round, ref items } = *message;
+    let Message { voters_version: version, highest_token: highest, round, ref items } = *message;
     Wire { version, highest, round, items: items.iter().map(item).collect() }.encode_to_vec()
 }
 
@@ -81,36 +85,36 @@
 ///
 /// # Errors
 /// When the bytes are none.
-pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
-    let wire = Wire::decode(bytes).map_err(|_| Unreadable)?;
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+    let wire = Wire::decode(bytes).map_err(|_| DecodeError)?;
     if wire.items.len() > ITEMS {
-        return Err(Unreadable);
+        return Err(DecodeError);
     }
     let item = |item: &WireItem| {
         let WireItem { task, kind, token, ms, why, gateway } = *item;
         Ok(match kind {
-            1 => Item::Ask(Ask { task, token, length: ms }),
+            1 => Item::Request(LeaseRequest { task, token, duration: ms }),
             2 => Item::Grant { task, token },
             3 => {
                 let why = match why {
-                    1 => Refusal::Silent,
-                    2 => Refusal::Version,
-                    3 => Refusal::Held { by: gateway.ok_or(Unreadable)?, left: ms },
-                    4 => Refusal::Token,
-                    5 => Refusal::Length,
-                    6 => Refusal::Full,
-                    _ => return Err(Unreadable),
+                    1 => Refusal::NotVoting,
+                    2 => Refusal::VersionMismatch,
+                    3 => Refusal::HeldByOther { holder: gateway.ok_or(DecodeError)?, remaining: ms },
+                    4 => Refusal::StaleToken,
+                    5 => Refusal::LeaseTooLong,
+                    6 => Refusal::TooManyTasks,
+                    _ => return Err(DecodeError),
                 };
-                Item::Refuse { task, token, why }
+                Item::Refuse { task, token, reason: why }
             }
-            4 => Item::Release { task, token, to: gateway },
-            5 => Item::Take { task },
-            _ => return Err(Unreadable),
+            4 => Item::Release { task, token, transfer_to: gateway },
+            5 => Item::Transfer { task },
+            _ => return Err(DecodeError),
         })
     };
     let items = wire.items.iter().map(item).collect::<Result<_, _>>()?;
     let Wire { version, highest, round, .. } = wire;
-    Ok(Message { version, highest, round, items })
+    Ok(Message { voters_version: version, highest_token: highest, round, items })
 }
 
 #[cfg(test)]
@@ -120,20 +124,29 @@
 
     fn any_item() -> impl Strategy<Value = Item> {
         let why = prop_oneof![
-            Just(Refusal::Silent),
-            Just(Refusal::Version),
-            (any::<u32>(), any::<u64>()).prop_map(|(by, left)| Refusal::Held { by, left }),
-            Just(Refusal::Token),
-            Just(Refusal::Length),
-            Just(Refusal::Full),
+            Just(Refusal::NotVoting),
+            Just(Refusal::VersionMismatch),
+            (any::<u32>(), any::<u64>())
+                .prop_map(|(by, left)| Refusal::HeldByOther { holder: by, remaining: left }),
+            Just(Refusal::StaleToken),
+            Just(Refusal::LeaseTooLong),
+            Just(Refusal::TooManyTasks),
         ];
         let pair = (any::<u32>(), any::<u64>());
         prop_oneof![
-            (pair, any::<u64>()).prop_map(|((task, token), length)| Item::Ask(Ask { task, token, length })),
+            (pair, any::<u64>()).prop_map(|((task, token), length)| Item::Request(LeaseRequest {
+                task,
+                token,
+                duration: length
+            })),
             pair.prop_map(|(task, token)| Item::Grant { task, token }),
-            (pair, why).prop_map(|((task, token), why)| Item::Refuse { task, token, why }),
-            (pair, any::<Option<u32>>()).prop_map(|((task, token), to)| Item::Release { task, token, to }),
-            any::<u32>().prop_map(|task| Item::Take { task }),
+            (pair, why).prop_map(|((task, token), why)| Item::Refuse { task, token, reason: why }),
+            (pair, any::<Option<u32>>()).prop_map(|((task, token), to)| Item::Release {
+                task,
+                token,
+                transfer_to: to
+            }),
+            any::<u32>().prop_map(|task| Item::Transfer { task }),
         ]
     }
 
@@ -143,7 +156,7 @@
             version in any::<u64>(), highest in any::<u64>(), round in any::<u64>(),
             items in prop::collection::vec(any_item(), 0..20),
         ) {
-            let message = Message { version, highest, round, items };
+            let message = Message { voters_version: version, highest_token: highest, round, items };
             prop_assert_eq!(decode(&encode(&message)), Ok(message));
         }
 
@@ -155,8 +168,10 @@
 
     #[test]
     fn a_thousand_renewals_fit_one_datagram() {
-        let items = (0..1000).map(|task| Item::Ask(Ask { task, token: 1 << 55, length: 600_000 })).collect();
-        let message = Message { version: 9, highest: 1 << 55, round: 1 << 40, items };
+        let items = (0..1000)
+            .map(|task| Item::Request(LeaseRequest { task, token: 1 << 55, duration: 600_000 }))
+            .collect();
+        let message = Message { voters_version: 9, highest_token: 1 << 55, round: 1 << 40, items };
         assert!(encode(&message).len() < 30_000, "{}", encode(&message).len());
     }
 }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -1,22 +1,22 @@
 //! One gateway's leases: its word as a voter, its own seat at each task, and when its list of voters may move on.
 
 use crate::{
-    Ask, Fault, Item, Message, Needs, Number, Permit, Refusal, Settings, Spoil, Stop, Task, Time, Token,
-    Voter, Voters,
+    DisabledRule, FencingToken, GatewayNumber, GuardError, Item, LeaseRequest, Message, Millis, Needs,
+    Permit, Refusal, Settings, SettingsError, TaskId, Voter, VoterConfiguration,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A holder renews after this part of what it may believe, and asks again this often until a majority has answered.
-const RENEW: Time = 3;
-const AGAIN: Time = 8;
+const RENEW: Millis = 3;
+const AGAIN: Millis = 8;
 /// Renewals due within this part of the lease go together.
-const TOGETHER: Time = 8;
+const TOGETHER: Millis = 8;
 /// A candidate that got neither a majority nor refusals waits for answers this part of the lease.
-const PATIENCE: Time = 4;
+const PATIENCE: Millis = 4;
 /// Candidates wait up to this part of the lease by chance, so that they do not ask at once again and again.
-const SPREAD: Time = 4;
+const SPREAD: Millis = 4;
 /// Whoever has nothing to say says so this often in a lease: versions and tokens are heard of then.
-const BEATS: Time = 2;
+const BEATS: Millis = 2;
 /// Bits of a token that tell who made it, so that no two gateways make the same.
 const MAKER: u32 = 14;
 
@@ -26,32 +26,32 @@
     /// Time went by.
     Tick,
     /// A message came from another gateway.
-    Heard {
+    MessageReceived {
         /// Who sent it.
-        from: Number,
+        from: GatewayNumber,
         /// Which start of it.
         incarnation: u64,
         /// What it says.
         message: Message,
     },
     /// The settings have this list of voters.
-    Voters(Voters),
+    VotersChanged(VoterConfiguration),
     /// The settings have these tasks and gateways; tasks that are missing are given back.
-    Tasks {
+    TasksChanged {
         /// What this gateway would do.
-        tasks: Vec<Task>,
+        tasks: Vec<TaskId>,
         /// All gateways.
-        fleet: BTreeSet<Number>,
+        gateways: BTreeSet<GatewayNumber>,
     },
     /// A person wants a task to go to another gateway.
-    HandOver {
+    TransferRequested {
         /// The task.
-        task: Task,
+        task: TaskId,
         /// Who is to take it.
-        to: Number,
+        to: GatewayNumber,
     },
     /// The gateway leaves: everything is given back and nothing is sought.
-    Leave,
+    ShutdownStarted,
 }
 
 /// What is to be done.
@@ -60,90 +60,90 @@
     /// Send a message; it may be lost.
     Send {
         /// To whom.
-        to: Number,
+        to: GatewayNumber,
         /// What.
         message: Message,
     },
     /// The task is this gateway's.
-    Gained(Gain),
+    Acquired(AcquiredLease),
     /// It is not any more: nothing is done in its name from here on.
-    Lost(Loss),
+    Lost(LostLease),
     /// A task was asked for in vain; who refused last, and why, where anybody said so.
-    Failed {
+    AcquisitionFailed {
         /// The task.
-        task: Task,
+        task: TaskId,
         /// The last refusal.
-        last: Option<(Number, Refusal)>,
+        last_refusal: Option<(GatewayNumber, Refusal)>,
     },
     /// The list of voters in force.
-    Voters(u64),
+    VotersInForce(u64),
     /// A list that cannot be taken, or not yet.
-    Refused(Fault),
+    VotersRejected(SettingsError),
 }
 
 /// A task gained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Gain {
+pub struct AcquiredLease {
     /// The task.
-    pub task: Task,
+    pub task: TaskId,
     /// Its token.
-    pub token: Token,
+    pub token: FencingToken,
     /// Until when it may be believed, on this gateway's clock, if nothing is renewed.
-    pub until: Time,
+    pub expires_at: Millis,
 }
 
 /// A task lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Loss {
+pub struct LostLease {
     /// The task.
-    pub task: Task,
+    pub task: TaskId,
     /// The token it was held under.
-    pub token: Token,
+    pub token: FencingToken,
     /// Whether it was given back: by a person, at a drain, or because the settings have it no more. Else no majority
     /// answered in time.
-    pub given_back: bool,
+    pub released: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
+struct QuorumRound {
     number: u64,
-    sent: Time,
-    granted: BTreeSet<Number>,
+    started_at: Millis,
+    grants: BTreeSet<GatewayNumber>,
     /// Who refused, and of those that have granted it to another: to whom, for how long yet.
-    refused: BTreeMap<Number, Option<(Number, Time)>>,
+    refusals: BTreeMap<GatewayNumber, Option<(GatewayNumber, Millis)>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Seat {
-    Idle { next: Time },
-    Seeking { token: Token, round: Round, until: Time },
-    Holding { token: Token, round: Round, until: Time, renew: Time },
+enum LeaseState {
+    Idle { next_attempt_at: Millis },
+    Acquiring { token: FencingToken, round: QuorumRound, deadline: Millis },
+    Held { token: FencingToken, round: QuorumRound, expires_at: Millis, renew_at: Millis },
 }
 
 /// Where a task stands at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum LeaseStage {
     /// Another gateway's, or nobody's; sought again after so many ms.
-    Waiting(Time),
+    Waiting(Millis),
     /// Asked for, with so many grants.
-    Asking(usize),
+    Acquiring(usize),
     /// Held for so many ms yet, if nothing is renewed.
-    Held(Time),
+    Held(Millis),
 }
 
 /// A task as people see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct LeaseStatus {
     /// The task.
-    pub task: Task,
+    pub task: TaskId,
     /// Where it stands here.
-    pub stage: Stage,
+    pub stage: LeaseStage,
     /// The token, asked for or held under.
-    pub token: Option<Token>,
+    pub token: Option<FencingToken>,
     /// Who has it by this gateway's word as a voter, under which token, for so many ms yet.
-    pub granted: Option<(Number, Token, Time)>,
+    pub granted: Option<(GatewayNumber, FencingToken, Millis)>,
     /// Why it was refused last, and by whom.
-    pub refused: Option<(Number, Refusal)>,
+    pub last_refusal: Option<(GatewayNumber, Refusal)>,
 }
 
 /// All leases of one gateway.
@@ -151,29 +151,29 @@
 pub struct Leases {
     settings: Settings,
     voter: Voter,
-    seats: BTreeMap<Task, Seat>,
-    refusals: BTreeMap<Task, (Number, Refusal)>,
+    states: BTreeMap<TaskId, LeaseState>,
+    last_refusals: BTreeMap<TaskId, (GatewayNumber, Refusal)>,
     /// Nothing is promised before this: another start of this gateway may have.
-    silent_until: Time,
+    voting_from: Millis,
     /// The list that is to follow once this one is settled.
-    pending: Option<Voters>,
+    next_voters: Option<VoterConfiguration>,
     /// Whether the list in force may be voted and asked by.
-    climbed: bool,
+    voters_in_force: bool,
     /// The newest version heard of each gateway, and since when a majority has been at the one that matters.
-    versions: BTreeMap<Number, u64>,
-    settled_since: Option<Time>,
-    highest: Token,
-    rounds: u64,
-    draws: u64,
-    beat: Time,
-    leaving: bool,
+    reported_versions: BTreeMap<GatewayNumber, u64>,
+    majority_reached_at: Option<Millis>,
+    highest_token: FencingToken,
+    round_number: u64,
+    random_draws: u64,
+    next_heartbeat_at: Millis,
+    shutting_down: bool,
     /// What goes to all voters, and whether a round has begun in it: no number stands for two moments.
-    asks: Vec<Item>,
-    asking: bool,
-    spoil: Spoil,
+    outgoing_items: Vec<Item>,
+    round_open: bool,
+    disabled_rule: DisabledRule,
     /// What was ever held: a guard that is left out goes by it.
     #[cfg(feature = "spoilt-guard")]
-    ever: BTreeMap<Task, Token>,
+    ever: BTreeMap<TaskId, FencingToken>,
 }
 
 impl Leases {
@@ -181,8 +181,8 @@
     ///
     /// # Errors
     /// Settings that cannot be used.
-    pub fn new(now: Time, settings: Settings) -> Result<Self, Fault> {
-        Self::build(now, settings, Spoil::Nothing)
+    pub fn new(now: Millis, settings: Settings) -> Result<Self, SettingsError> {
+        Self::build(now, settings, DisabledRule::None)
     }
 
     /// The same with a rule left out, for tests that must catch it.
@@ -190,60 +190,63 @@
     /// # Errors
     /// Settings that cannot be used.
     #[cfg(feature = "spoilt")]
-    pub fn spoilt(now: Time, settings: Settings, spoil: Spoil) -> Result<Self, Fault> {
+    pub fn spoilt(now: Millis, settings: Settings, spoil: DisabledRule) -> Result<Self, SettingsError> {
         Self::build(now, settings, spoil)
     }
 
-    fn build(now: Time, settings: Settings, spoil: Spoil) -> Result<Self, Fault> {
-        settings.check()?;
-        let silent_until = if spoil == Spoil::NoWait { now } else { now + settings.silence() };
-        let climbed = settings.voters.before.is_empty() || spoil == Spoil::OldVoters;
+    fn build(now: Millis, settings: Settings, spoil: DisabledRule) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        let silent_until =
+            if spoil == DisabledRule::StartupWait { now } else { now + settings.startup_wait() };
+        let climbed = settings.voters.previous_voters.is_empty() || spoil == DisabledRule::VoterVersions;
         let mut new = Self {
-            spoil,
+            disabled_rule: spoil,
             #[cfg(feature = "spoilt-guard")]
             ever: BTreeMap::new(),
             voter: Voter::default(),
-            seats: BTreeMap::new(),
-            refusals: BTreeMap::new(),
-            silent_until,
-            pending: None,
-            climbed,
-            versions: BTreeMap::new(),
-            settled_since: None,
-            highest: 0,
-            rounds: 0,
-            draws: 0,
-            beat: now,
-            leaving: false,
-            asks: Vec::new(),
-            asking: false,
+            states: BTreeMap::new(),
+            last_refusals: BTreeMap::new(),
+            voting_from: silent_until,
+            next_voters: None,
+            voters_in_force: climbed,
+            reported_versions: BTreeMap::new(),
+            majority_reached_at: None,
+            highest_token: 0,
+            round_number: 0,
+            random_draws: 0,
+            next_heartbeat_at: now,
+            shutting_down: false,
+            outgoing_items: Vec::new(),
+            round_open: false,
             settings,
         };
         for task in new.settings.tasks.clone() {
             let next = new.later(silent_until);
-            new.seats.insert(task, Seat::Idle { next });
+            new.states.insert(task, LeaseState::Idle { next_attempt_at: next });
         }
         Ok(new)
     }
 
     /// Takes one thing in. `now` is the monotonic clock in ms; `wall` the system's in ms since the Unix epoch, which
     /// only lifts tokens over those of a fleet that has forgotten all.
-    pub fn handle(&mut self, now: Time, wall: u64, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, now: Millis, wall: u64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
-            Input::Heard { from, incarnation, message } => self.heard(now, from, incarnation, &message, out),
-            Input::Voters(voters) => self.take_voters(now, voters, out),
-            Input::Tasks { tasks, fleet } => self.take_tasks(now, tasks, fleet, out),
-            Input::HandOver { task, to } => {
+            Input::MessageReceived { from, incarnation, message } => {
+                self.heard(now, from, incarnation, &message, out)
+            }
+            Input::VotersChanged(voters) => self.take_voters(now, voters, out),
+            Input::TasksChanged { tasks, gateways: fleet } => self.take_tasks(now, tasks, fleet, out),
+            Input::TransferRequested { task, to } => {
                 if self.give_back(now, task, Some(to), out) {
-                    let message = Message { items: vec![Item::Take { task }], ..self.message(0) };
+                    let message = Message { items: vec![Item::Transfer { task }], ..self.message(0) };
                     // The voters are to hear of the release first.
                     self.flush(now, out);
                     out.push(Output::Send { to, message });
                 }
             }
-            Input::Leave => {
-                self.leaving = true;
+            Input::ShutdownStarted => {
+                self.shutting_down = true;
                 for task in self.settings.tasks.clone() {
                     self.give_back(now, task, None, out);
                 }
@@ -256,42 +259,45 @@
 
     /// When something is due.
     #[must_use]
-    pub fn due(&self) -> Time {
-        let seat = |seat: &Seat| match seat {
-            Seat::Idle { next } if self.leaving || !self.may_seek() => (*next).max(self.beat),
-            Seat::Idle { next } => *next,
-            Seat::Seeking { until, .. } => *until,
-            Seat::Holding { until, renew, .. } => (*until).min(*renew),
+    pub fn next_timeout(&self) -> Millis {
+        let seat = |seat: &LeaseState| match seat {
+            LeaseState::Idle { next_attempt_at: next } if self.shutting_down || !self.may_seek() => {
+                (*next).max(self.next_heartbeat_at)
+            }
+            LeaseState::Idle { next_attempt_at: next } => *next,
+            LeaseState::Acquiring { deadline: until, .. } => *until,
+            LeaseState::Held { expires_at: until, renew_at: renew, .. } => (*until).min(*renew),
         };
-        let silent = if self.beat < self.silent_until { self.silent_until } else { self.beat };
-        self.seats.values().map(seat).fold(self.beat.min(silent), Time::min)
+        let silent =
+            if self.next_heartbeat_at < self.voting_from { self.voting_from } else { self.next_heartbeat_at };
+        self.states.values().map(seat).fold(self.next_heartbeat_at.min(silent), Millis::min)
     }
 
     /// Whether it may act for a task now, with what the act needs. To be asked again right before bytes leave.
     ///
     /// # Errors
     /// Why not.
-    pub fn may_act(&self, now: Time, task: Task, needs: Needs) -> Result<Permit, Stop> {
+    pub fn may_act(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
         #[cfg(feature = "spoilt-guard")]
         return self
             .ever
             .get(&task)
-            .map(|t| Permit { task, token: *t, until: now + needs.time })
-            .ok_or(Stop::NotHeld);
+            .map(|t| Permit { task, token: *t, expires_at: now + needs.time })
+            .ok_or(GuardError::NotHeld);
         #[cfg(not(feature = "spoilt-guard"))]
         self.guard(now, task, needs)
     }
 
     #[cfg_attr(feature = "spoilt-guard", expect(dead_code, reason = "this is what is left out"))]
-    fn guard(&self, now: Time, task: Task, needs: Needs) -> Result<Permit, Stop> {
-        let Some(Seat::Holding { token, until, .. }) = self.seats.get(&task) else {
-            return Err(Stop::NotHeld);
+    fn guard(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
+        let Some(LeaseState::Held { token, expires_at: until, .. }) = self.states.get(&task) else {
+            return Err(GuardError::NotHeld);
         };
         // One ms more: `now` was cut to whole ms.
         if now + 1 + needs.time > *until {
-            Err(Stop::TooShort)
+            Err(GuardError::LeaseTooShort)
         } else {
-            Ok(Permit { task, token: *token, until: *until })
+            Ok(Permit { task, token: *token, expires_at: *until })
         }
     }
 
@@ -299,9 +305,9 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn still(&self, now: Time, permit: &Permit, needs: Needs) -> Result<Permit, Stop> {
+    pub fn revalidate(&self, now: Millis, permit: &Permit, needs: Needs) -> Result<Permit, GuardError> {
         self.may_act(now, permit.task, needs)
-            .and_then(|p| if p.token == permit.token { Ok(p) } else { Err(Stop::NotHeld) })
+            .and_then(|p| if p.token == permit.token { Ok(p) } else { Err(GuardError::NotHeld) })
     }
 
     /// Its word as a voter.
@@ -312,61 +318,75 @@
 
     /// The version of the list of voters in force.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn voters_version(&self) -> u64 {
         self.settings.voters.version
     }
 
     /// Whether it votes by now.
     #[must_use]
-    pub fn votes(&self, now: Time) -> bool {
-        now >= self.silent_until && self.climbed
+    pub fn is_voting(&self, now: Millis) -> bool {
+        now >= self.voting_from && self.voters_in_force
     }
 
     /// All tasks, for people.
-    pub fn views(&self, now: Time) -> impl Iterator<Item = View> {
-        self.seats.iter().map(move |(task, seat)| {
+    pub fn statuses(&self, now: Millis) -> impl Iterator<Item = LeaseStatus> {
+        self.states.iter().map(move |(task, seat)| {
             let (stage, token) = match seat {
-                Seat::Idle { next } => (Stage::Waiting(next.saturating_sub(now)), None),
-                Seat::Seeking { token, round, .. } => (Stage::Asking(round.granted.len()), Some(*token)),
-                Seat::Holding { token, until, .. } => (Stage::Held(until.saturating_sub(now)), Some(*token)),
+                LeaseState::Idle { next_attempt_at: next } => {
+                    (LeaseStage::Waiting(next.saturating_sub(now)), None)
+                }
+                LeaseState::Acquiring { token, round, .. } => {
+                    (LeaseStage::Acquiring(round.grants.len()), Some(*token))
+                }
+                LeaseState::Held { token, expires_at: until, .. } => {
+                    (LeaseStage::Held(until.saturating_sub(now)), Some(*token))
+                }
             };
-            let (granted, refused) = (self.voter.granted(now, *task), self.refusals.get(task).copied());
-            View { task: *task, stage, token, granted, refused }
+            let (granted, refused) = (self.voter.granted(now, *task), self.last_refusals.get(task).copied());
+            LeaseStatus { task: *task, stage, token, granted, last_refusal: refused }
         })
     }
 
     // ---- Seats ----
 
     fn may_seek(&self) -> bool {
-        !self.leaving && self.climbed
+        !self.shutting_down && self.voters_in_force
     }
 
-    fn seats(&mut self, now: Time, wall: u64, out: &mut Vec<Output>) {
-        if now < self.silent_until {
+    fn seats(&mut self, now: Millis, wall: u64, out: &mut Vec<Output>) {
+        if now < self.voting_from {
             return;
         }
-        let (length, together) = (self.settings.length, self.settings.length / TOGETHER);
-        let renewing = self.seats.values().any(|s| matches!(s, Seat::Holding { renew, .. } if *renew <= now));
-        for task in self.seats.keys().copied().collect::<Vec<_>>() {
-            match self.seats.get(&task) {
-                Some(Seat::Idle { next }) if *next <= now && self.may_seek() => {
+        let (length, together) = (self.settings.lease_duration, self.settings.lease_duration / TOGETHER);
+        let renewing = self
+            .states
+            .values()
+            .any(|s| matches!(s, LeaseState::Held { renew_at: renew, .. } if *renew <= now));
+        for task in self.states.keys().copied().collect::<Vec<_>>() {
+            match self.states.get(&task) {
+                Some(LeaseState::Idle { next_attempt_at: next }) if *next <= now && self.may_seek() => {
                     let token = self.make_token(task, wall);
                     let round = self.round(now);
                     let until = now + length / PATIENCE;
-                    self.seats.insert(task, Seat::Seeking { token, round, until });
-                    self.ask(now, Ask { task, token, length }, out);
+                    self.states.insert(task, LeaseState::Acquiring { token, round, deadline: until });
+                    self.ask(now, LeaseRequest { task, token, duration: length }, out);
                 }
-                Some(Seat::Seeking { until, .. }) if *until <= now => self.give_up(now, task, out),
-                Some(Seat::Holding { token, until, .. }) if *until <= now => {
-                    out.push(Output::Lost(Loss { task, token: *token, given_back: false }));
+                Some(LeaseState::Acquiring { deadline: until, .. }) if *until <= now => {
+                    self.give_up(now, task, out)
+                }
+                Some(LeaseState::Held { token, expires_at: until, .. }) if *until <= now => {
+                    out.push(Output::Lost(LostLease { task, token: *token, released: false }));
                     let next = self.later(now + 1);
-                    self.seats.insert(task, Seat::Idle { next });
+                    self.states.insert(task, LeaseState::Idle { next_attempt_at: next });
                 }
-                Some(Seat::Holding { token, until, renew, .. }) if renewing && *renew <= now + together => {
+                Some(LeaseState::Held { token, expires_at: until, renew_at: renew, .. })
+                    if renewing && *renew <= now + together =>
+                {
                     let (token, until) = (*token, *until);
                     let (round, renew) = (self.round(now), now + (length / AGAIN).max(1));
-                    self.seats.insert(task, Seat::Holding { token, round, until, renew });
-                    self.ask(now, Ask { task, token, length }, out);
+                    self.states
+                        .insert(task, LeaseState::Held { token, round, expires_at: until, renew_at: renew });
+                    self.ask(now, LeaseRequest { task, token, duration: length }, out);
                 }
                 _ => {}
             }
@@ -374,40 +394,45 @@
     }
 
     /// Asks all voters, this gateway's own word among them.
-    fn ask(&mut self, now: Time, ask: Ask, out: &mut Vec<Output>) {
-        self.asks.push(Item::Ask(ask));
+    fn ask(&mut self, now: Millis, ask: LeaseRequest, out: &mut Vec<Output>) {
+        self.outgoing_items.push(Item::Request(ask));
         let (own, me) = (
-            self.vote(now, self.version(), (self.settings.number, self.settings.incarnation), &ask),
-            self.settings.number,
+            self.vote(now, self.voters_version(), (self.settings.gateway, self.settings.incarnation), &ask),
+            self.settings.gateway,
         );
-        if self.settings.voters.now.contains(&me) {
-            self.answered(now, me, self.rounds, ask.task, ask.token, own, out);
+        if self.settings.voters.voters.contains(&me) {
+            self.answered(now, me, self.round_number, ask.task, ask.token, own, out);
         }
     }
 
     /// All asks of one moment are one round.
-    fn round(&mut self, now: Time) -> Round {
-        if !std::mem::replace(&mut self.asking, true) {
-            self.rounds += 1;
+    fn round(&mut self, now: Millis) -> QuorumRound {
+        if !std::mem::replace(&mut self.round_open, true) {
+            self.round_number += 1;
+        }
+        QuorumRound {
+            number: self.round_number,
+            started_at: now,
+            grants: BTreeSet::new(),
+            refusals: BTreeMap::new(),
         }
-        Round { number: self.rounds, sent: now, granted: BTreeSet::new(), refused: BTreeMap::new() }
     }
 
-    fn make_token(&mut self, task: Task, wall: u64) -> Token {
-        if self.is(Spoil::TokenReused) {
-            return Token::from(task) + 1;
+    fn make_token(&mut self, task: TaskId, wall: u64) -> FencingToken {
+        if self.is(DisabledRule::TokenUniqueness) {
+            return FencingToken::from(task) + 1;
         }
-        let base = (self.highest >> MAKER).saturating_add(1).max(wall);
-        self.highest = base << MAKER | Token::from(self.settings.number);
-        self.highest
+        let base = (self.highest_token >> MAKER).saturating_add(1).max(wall);
+        self.highest_token = base << MAKER | FencingToken::from(self.settings.gateway);
+        self.highest_token
     }
 
     /// No majority can come: what was granted is given back, so that it is in nobody's way. Where a majority names one
     /// holder, its grants are waited out; else candidates only met, and another try by chance comes soon.
-    fn give_up(&mut self, now: Time, task: Task, out: &mut Vec<Output>) {
-        let Some(Seat::Seeking { token, round, .. }) = self.seats.get(&task) else { return };
-        let mut holders = BTreeMap::<Number, (usize, Time)>::new();
-        for (by, left) in round.refused.values().flatten() {
+    fn give_up(&mut self, now: Millis, task: TaskId, out: &mut Vec<Output>) {
+        let Some(LeaseState::Acquiring { token, round, .. }) = self.states.get(&task) else { return };
+        let mut holders = BTreeMap::<GatewayNumber, (usize, Millis)>::new();
+        for (by, left) in round.refusals.values().flatten() {
             let held = holders.entry(*by).or_default();
             *held = (held.0 + 1, held.1.max(*left));
         }
@@ -415,27 +440,29 @@
         let wait =
             holders.values().find(|(count, _)| voters.is_majority(*count)).map_or(0, |(_, left)| *left);
         let token = *token;
-        out.push(Output::Failed { task, last: self.refusals.get(&task).copied() });
+        out.push(Output::AcquisitionFailed { task, last_refusal: self.last_refusals.get(&task).copied() });
         let next = self.later(now + 1 + wait);
-        self.seats.insert(task, Seat::Idle { next });
+        self.states.insert(task, LeaseState::Idle { next_attempt_at: next });
         self.release(now, task, token, None);
     }
 
-    fn release(&mut self, now: Time, task: Task, token: Token, to: Option<Number>) {
-        self.voter.release(now, (self.settings.number, self.settings.incarnation), task, token, to);
-        self.asks.push(Item::Release { task, token, to });
+    fn release(&mut self, now: Millis, task: TaskId, token: FencingToken, to: Option<GatewayNumber>) {
+        self.voter.release(now, (self.settings.gateway, self.settings.incarnation), task, token, to);
+        self.outgoing_items.push(Item::Release { task, token, transfer_to: to });
     }
 
     /// Gives a task back where it is held or sought; whether it was held.
-    fn give_back(&mut self, now: Time, task: Task, to: Option<Number>, out: &mut Vec<Output>) -> bool {
-        let held = match self.seats.get(&task) {
-            Some(Seat::Holding { token, .. }) => {
+    fn give_back(
+        &mut self, now: Millis, task: TaskId, to: Option<GatewayNumber>, out: &mut Vec<Output>,
+    ) -> bool {
+        let held = match self.states.get(&task) {
+            Some(LeaseState::Held { token, .. }) => {
                 let token = *token;
-                out.push(Output::Lost(Loss { task, token, given_back: true }));
+                out.push(Output::Lost(LostLease { task, token, released: true }));
                 self.release(now, task, token, to);
                 true
             }
-            Some(Seat::Seeking { token, .. }) => {
+            Some(LeaseState::Acquiring { token, .. }) => {
                 let token = *token;
                 self.release(now, task, token, to);
                 false
@@ -443,55 +470,61 @@
             _ => return false,
         };
         // Who gives back does not take again at once.
-        self.seats.insert(task, Seat::Idle { next: now + 1 + self.settings.length });
+        self.states
+            .insert(task, LeaseState::Idle { next_attempt_at: now + 1 + self.settings.lease_duration });
         held
     }
 
     /// A moment by chance after one, on a grid of this gateway's own: what waits for about the same moment goes in one
     /// message, and no two gateways have the same moments.
-    fn later(&mut self, from: Time) -> Time {
-        let grid = (self.settings.length / TOGETHER).max(1);
-        let own = u64::from(self.settings.number) * grid / (self.settings.fleet.len() as u64).max(1) % grid;
-        (from + self.draw(self.settings.length / SPREAD)).saturating_sub(own).div_ceil(grid) * grid + own
+    fn later(&mut self, from: Millis) -> Millis {
+        let grid = (self.settings.lease_duration / TOGETHER).max(1);
+        let own =
+            u64::from(self.settings.gateway) * grid / (self.settings.gateways.len() as u64).max(1) % grid;
+        (from + self.draw(self.settings.lease_duration / SPREAD)).saturating_sub(own).div_ceil(grid) * grid
+            + own
     }
 
-    fn is(&self, spoil: Spoil) -> bool {
-        self.spoil == spoil
+    fn is(&self, spoil: DisabledRule) -> bool {
+        self.disabled_rule == spoil
     }
 
-    fn draw(&mut self, most: Time) -> Time {
-        self.draws += 1;
-        let seed = self.settings.seed ^ u64::from(self.settings.number) << 32;
-        xxhash_rust::xxh64::xxh64(&self.draws.to_le_bytes(), seed) % most.max(1)
+    fn draw(&mut self, most: Millis) -> Millis {
+        self.random_draws += 1;
+        let seed = self.settings.seed ^ u64::from(self.settings.gateway) << 32;
+        xxhash_rust::xxh64::xxh64(&self.random_draws.to_le_bytes(), seed) % most.max(1)
     }
 
     // ---- What others say ----
 
-    fn heard(&mut self, now: Time, from: Number, incarnation: u64, message: &Message, out: &mut Vec<Output>) {
-        self.highest = self.highest.max(message.highest);
-        self.versions.insert(from, message.version);
+    fn heard(
+        &mut self, now: Millis, from: GatewayNumber, incarnation: u64, message: &Message,
+        out: &mut Vec<Output>,
+    ) {
+        self.highest_token = self.highest_token.max(message.highest_token);
+        self.reported_versions.insert(from, message.voters_version);
         let mut replies = Vec::new();
         for item in &message.items {
             match *item {
-                Item::Ask(ask) => {
+                Item::Request(ask) => {
                     let (task, token) = (ask.task, ask.token);
-                    replies.push(match self.vote(now, message.version, (from, incarnation), &ask) {
+                    replies.push(match self.vote(now, message.voters_version, (from, incarnation), &ask) {
                         Ok(()) => Item::Grant { task, token },
-                        Err(why) => Item::Refuse { task, token, why },
+                        Err(why) => Item::Refuse { task, token, reason: why },
                     });
                 }
                 Item::Grant { task, token } => {
                     self.answered(now, from, message.round, task, token, Ok(()), out)
                 }
-                Item::Refuse { task, token, why } => {
+                Item::Refuse { task, token, reason: why } => {
                     self.answered(now, from, message.round, task, token, Err(why), out)
                 }
-                Item::Release { task, token, to } => {
+                Item::Release { task, token, transfer_to: to } => {
                     self.voter.release(now, (from, incarnation), task, token, to)
                 }
-                Item::Take { task } => {
-                    let soon = now + (self.settings.length / (2 * PATIENCE)).max(1);
-                    if let Some(Seat::Idle { next }) = self.seats.get_mut(&task) {
+                Item::Transfer { task } => {
+                    let soon = now + (self.settings.lease_duration / (2 * PATIENCE)).max(1);
+                    if let Some(LeaseState::Idle { next_attempt_at: next }) = self.states.get_mut(&task) {
                         *next = soon;
                     }
                 }
@@ -506,52 +539,56 @@
     }
 
     /// This gateway's word on an ask.
-    fn vote(&mut self, now: Time, version: u64, holder: (Number, u64), ask: &Ask) -> Result<(), Refusal> {
-        if !self.votes(now) {
-            return Err(Refusal::Silent);
+    fn vote(
+        &mut self, now: Millis, version: u64, holder: (GatewayNumber, u64), ask: &LeaseRequest,
+    ) -> Result<(), Refusal> {
+        if !self.is_voting(now) {
+            return Err(Refusal::NotVoting);
         }
-        let own = self.version();
-        if version != own && version != own + 1 && !self.is(Spoil::OldVoters) {
-            return Err(Refusal::Version);
+        let own = self.voters_version();
+        if version != own && version != own + 1 && !self.is(DisabledRule::VoterVersions) {
+            return Err(Refusal::VersionMismatch);
         }
-        self.highest = self.highest.max(ask.token);
-        let again = self.is(Spoil::TokenReused);
-        self.voter.ask(now, self.settings.longest, holder, ask, again)
+        self.highest_token = self.highest_token.max(ask.token);
+        let again = self.is(DisabledRule::TokenUniqueness);
+        self.voter.request(now, self.settings.max_lease_duration, holder, ask, again)
     }
 
     #[allow(clippy::too_many_arguments, reason = "an answer is all of these")]
     fn answered(
-        &mut self, now: Time, from: Number, number: u64, task: Task, asked: Token, said: Result<(), Refusal>,
-        out: &mut Vec<Output>,
+        &mut self, now: Millis, from: GatewayNumber, number: u64, task: TaskId, asked: FencingToken,
+        said: Result<(), Refusal>, out: &mut Vec<Output>,
     ) {
         let voters = &self.settings.voters;
-        let of_round = |t: Token, r: &Round| t == asked && r.number == number && voters.now.contains(&from);
+        let of_round = |t: FencingToken, r: &QuorumRound| {
+            t == asked && r.number == number && voters.voters.contains(&from)
+        };
         // Of this gateway's own tasks alone: what others say must not grow what is held here.
         if let Err(why) = said
-            && self.seats.contains_key(&task)
+            && self.states.contains_key(&task)
         {
-            self.refusals.insert(task, (from, why));
+            self.last_refusals.insert(task, (from, why));
         }
-        match self.seats.get_mut(&task) {
-            Some(Seat::Seeking { token, round, .. }) if of_round(*token, round) => {
+        match self.states.get_mut(&task) {
+            Some(LeaseState::Acquiring { token, round, .. }) if of_round(*token, round) => {
                 match said {
-                    Ok(()) => drop(round.granted.insert(from)),
-                    Err(Refusal::Held { by, left }) => {
-                        round.refused.insert(from, Some((by, left.min(self.settings.longest))));
+                    Ok(()) => drop(round.grants.insert(from)),
+                    Err(Refusal::HeldByOther { holder: by, remaining: left }) => {
+                        round.refusals.insert(from, Some((by, left.min(self.settings.max_lease_duration))));
                     }
-                    Err(_) => drop(round.refused.insert(from, None)),
+                    Err(_) => drop(round.refusals.insert(from, None)),
                 }
-                let (token, left) = (*token, voters.now.len() - round.refused.len());
-                if voters.is_majority(round.granted.len()) {
+                let (token, left) = (*token, voters.voters.len() - round.refusals.len());
+                if voters.is_majority(round.grants.len()) {
                     self.hold(now, task, token, out);
                 } else if !voters.is_majority(left) {
                     self.give_up(now, task, out);
                 }
             }
-            Some(Seat::Holding { token, round, .. }) if said.is_ok() && of_round(*token, round) => {
-                round.granted.insert(from);
+            Some(LeaseState::Held { token, round, .. }) if said.is_ok() && of_round(*token, round) => {
+                round.grants.insert(from);
                 let token = *token;
-                if voters.is_majority(round.granted.len()) {
+                if voters.is_majority(round.grants.len()) {
                     self.hold(now, task, token, out);
                 }
             }
@@ -560,126 +597,140 @@
     }
 
     /// A majority has granted the round in hand: the lease counts from before it was sent.
-    fn hold(&mut self, now: Time, task: Task, token: Token, out: &mut Vec<Output>) {
-        let Some(Seat::Seeking { round, .. } | Seat::Holding { round, .. }) = self.seats.get(&task) else {
+    fn hold(&mut self, now: Millis, task: TaskId, token: FencingToken, out: &mut Vec<Output>) {
+        let Some(LeaseState::Acquiring { round, .. } | LeaseState::Held { round, .. }) =
+            self.states.get(&task)
+        else {
             return;
         };
-        let believed = self.settings.believed(self.settings.length);
-        let from = if self.is(Spoil::FromAnswer) { now } else { round.sent };
-        let (round, until, renew) = (round.clone(), from + believed, round.sent + believed / RENEW);
+        let believed = self.settings.holder_duration(self.settings.lease_duration);
+        let from = if self.is(DisabledRule::ExpiryFromRequest) { now } else { round.started_at };
+        let (round, until, renew) = (round.clone(), from + believed, round.started_at + believed / RENEW);
         if until <= now {
             return;
         }
-        if !matches!(self.seats.get(&task), Some(Seat::Holding { .. })) {
+        if !matches!(self.states.get(&task), Some(LeaseState::Held { .. })) {
             #[cfg(feature = "spoilt-guard")]
             self.ever.insert(task, token);
-            out.push(Output::Gained(Gain { task, token, until }));
+            out.push(Output::Acquired(AcquiredLease { task, token, expires_at: until }));
         }
-        self.refusals.remove(&task);
-        self.seats.insert(task, Seat::Holding { token, round, until, renew });
+        self.last_refusals.remove(&task);
+        self.states.insert(task, LeaseState::Held { token, round, expires_at: until, renew_at: renew });
     }
 
     // ---- Who votes ----
 
     /// A list one version on waits until this one is settled. A gateway that has missed versions begins as after a start:
     /// it gives all back and promises nothing until what it promised has run out.
-    fn take_voters(&mut self, now: Time, voters: Voters, out: &mut Vec<Output>) {
+    fn take_voters(&mut self, now: Millis, voters: VoterConfiguration, out: &mut Vec<Output>) {
         if voters == self.settings.voters {
             return;
         }
-        let missed = voters.version > self.version() + 1 && voters.check().is_ok();
+        let missed = voters.version > self.voters_version() + 1 && voters.validate().is_ok();
         match self.settings.voters.may_follow(&voters) {
-            _ if missed && !self.is(Spoil::OldVoters) => {
+            _ if missed && !self.is(DisabledRule::VoterVersions) => {
                 for task in self.settings.tasks.clone() {
                     self.give_back(now, task, None, out);
                 }
                 self.flush(now, out);
                 self.settings.voters = voters;
-                (self.climbed, self.pending, self.settled_since) = (false, None, None);
-                self.silent_until = now + self.settings.silence();
+                (self.voters_in_force, self.next_voters, self.majority_reached_at) = (false, None, None);
+                self.voting_from = now + self.settings.startup_wait();
             }
-            Err(fault) if !self.is(Spoil::OldVoters) => out.push(Output::Refused(fault)),
-            _ => self.pending = Some(voters),
+            Err(fault) if !self.is(DisabledRule::VoterVersions) => out.push(Output::VotersRejected(fault)),
+            _ => self.next_voters = Some(voters),
         }
     }
 
     /// Moves on to the next list where a majority of this one has long left those before it.
-    fn settle(&mut self, now: Time, out: &mut Vec<Output>) {
-        let spoilt = self.is(Spoil::OldVoters);
-        let (list, version) = match (self.climbed, &self.pending) {
+    fn settle(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let spoilt = self.is(DisabledRule::VoterVersions);
+        let (list, version) = match (self.voters_in_force, &self.next_voters) {
             (true, None) => return,
-            (true, Some(_)) => (&self.settings.voters.now, self.version()),
-            (false, _) => (&self.settings.voters.before, self.version() - 1),
+            (true, Some(_)) => (&self.settings.voters.voters, self.voters_version()),
+            (false, _) => (&self.settings.voters.previous_voters, self.voters_version() - 1),
         };
-        let at = |number: &&Number| {
-            **number == self.settings.number || self.versions.get(number).is_some_and(|v| *v >= version)
+        let at = |number: &&GatewayNumber| {
+            **number == self.settings.gateway
+                || self.reported_versions.get(number).is_some_and(|v| *v >= version)
         };
         if list.iter().filter(at).count() * 2 <= list.len() && !spoilt {
-            self.settled_since = None;
+            self.majority_reached_at = None;
             return;
         }
-        let since = *self.settled_since.get_or_insert(now);
-        if now < since + self.settings.silence() && !spoilt {
+        let since = *self.majority_reached_at.get_or_insert(now);
+        if now < since + self.settings.startup_wait() && !spoilt {
             return;
         }
-        self.settled_since = None;
-        if !self.climbed {
-            self.climbed = true;
-        } else if let Some(next) = self.pending.take() {
+        self.majority_reached_at = None;
+        if !self.voters_in_force {
+            self.voters_in_force = true;
+        } else if let Some(next) = self.next_voters.take() {
             self.settings.voters = next;
             // Answers of voters of the old list count for nothing any more.
-            for seat in self.seats.values_mut() {
+            for seat in self.states.values_mut() {
                 match seat {
-                    Seat::Seeking { round, until, .. } => {
+                    LeaseState::Acquiring { round, deadline: until, .. } => {
                         (round.number, *until) = (0, now);
                     }
-                    Seat::Holding { round, renew, .. } => (round.number, *renew) = (0, now),
-                    Seat::Idle { .. } => {}
+                    LeaseState::Held { round, renew_at: renew, .. } => (round.number, *renew) = (0, now),
+                    LeaseState::Idle { .. } => {}
                 }
             }
         }
-        out.push(Output::Voters(self.version()));
+        out.push(Output::VotersInForce(self.voters_version()));
     }
 
-    fn take_tasks(&mut self, now: Time, tasks: Vec<Task>, fleet: BTreeSet<Number>, out: &mut Vec<Output>) {
-        self.settings.fleet = fleet;
+    fn take_tasks(
+        &mut self, now: Millis, tasks: Vec<TaskId>, fleet: BTreeSet<GatewayNumber>, out: &mut Vec<Output>,
+    ) {
+        self.settings.gateways = fleet;
         for task in std::mem::replace(&mut self.settings.tasks, tasks) {
             if !self.settings.tasks.contains(&task) {
                 self.give_back(now, task, None, out);
-                self.seats.remove(&task);
+                self.states.remove(&task);
             }
         }
         for task in self.settings.tasks.clone() {
             let next = self.later(now);
-            self.seats.entry(task).or_insert(Seat::Idle { next });
+            self.states.entry(task).or_insert(LeaseState::Idle { next_attempt_at: next });
         }
     }
 
     // ---- What is said ----
 
     fn message(&self, round: u64) -> Message {
-        Message { version: self.version(), highest: self.highest, round, items: Vec::new() }
+        Message {
+            voters_version: self.voters_version(),
+            highest_token: self.highest_token,
+            round,
+            items: Vec::new(),
+        }
     }
 
-    fn flush(&mut self, now: Time, out: &mut Vec<Output>) {
-        let items = std::mem::take(&mut self.asks);
-        self.asking = false;
-        let beat = now >= self.beat;
+    fn flush(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let items = std::mem::take(&mut self.outgoing_items);
+        self.round_open = false;
+        let beat = now >= self.next_heartbeat_at;
         if beat {
-            self.beat = now + (self.settings.length / BEATS).max(1);
-            self.voter.tidy(now);
+            self.next_heartbeat_at = now + (self.settings.lease_duration / BEATS).max(1);
+            self.voter.remove_expired(now);
         }
-        let me = self.settings.number;
+        let me = self.settings.gateway;
         let voters = &self.settings.voters;
-        let to: BTreeSet<Number> = match (items.is_empty(), beat) {
+        let to: BTreeSet<GatewayNumber> = match (items.is_empty(), beat) {
             (true, false) => return,
-            (false, false) => voters.now.union(&voters.before).copied().collect(),
-            (_, true) => {
-                voters.now.iter().chain(&voters.before).chain(&self.settings.fleet).copied().collect()
-            }
+            (false, false) => voters.voters.union(&voters.previous_voters).copied().collect(),
+            (_, true) => voters
+                .voters
+                .iter()
+                .chain(&voters.previous_voters)
+                .chain(&self.settings.gateways)
+                .copied()
+                .collect(),
         };
         for to in to.into_iter().filter(|to| *to != me) {
-            let message = Message { items: items.clone(), ..self.message(self.rounds) };
+            let message = Message { items: items.clone(), ..self.message(self.round_number) };
             out.push(Output::Send { to, message });
         }
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -19,26 +19,26 @@
 mod voter;
 mod voters;
 
-pub use act::{Needs, Permit, Stop};
-pub use calls::{CallSettings, Calls};
-pub use codec::{ITEMS, Unreadable, decode, encode};
-pub use lease::{Gain, Input, Leases, Loss, Output, Stage, View};
-pub use message::{Ask, Item, Message, Refusal};
-pub use settings::{Fault, Settings, Spoil};
+pub use act::{GuardError, Needs, Permit};
+pub use calls::{CallSchedule, CallSettings};
+pub use codec::{DecodeError, ITEMS, decode, encode};
+pub use lease::{AcquiredLease, Input, LeaseStage, LeaseStatus, Leases, LostLease, Output};
+pub use message::{Item, LeaseRequest, Message, Refusal};
+pub use settings::{DisabledRule, Settings, SettingsError};
 pub use voter::Voter;
-pub use voters::Voters;
+pub use voters::VoterConfiguration;
 
 /// A gateway's number.
-pub type Number = u32;
+pub type GatewayNumber = u32;
 /// A task's number: a hash of its name, so that gateways agree without a list.
-pub type Task = u32;
+pub type TaskId = u32;
 /// Ms on a gateway's monotonic clock. Only differences on one clock mean anything.
-pub type Time = u64;
+pub type Millis = u64;
 /// A fencing token; see `docs/leases.md` for what it grows by.
-pub type Token = u64;
+pub type FencingToken = u64;
 
 /// The number of a task by its name.
 #[must_use]
-pub fn task_of(name: &str) -> Task {
+pub fn task_of(name: &str) -> TaskId {
     xxhash_rust::xxh32::xxh32(name.as_bytes(), 0)
 }
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,14 +1,14 @@
 //! What gateways say to each other about leases. Messages may be lost, doubled, late and out of order.
 
-use crate::{Number, Task, Time, Token};
+use crate::{FencingToken, GatewayNumber, Millis, TaskId};
 
 /// One message: items of one sender at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Message {
     /// The sender's list of voters.
-    pub version: u64,
+    pub voters_version: u64,
     /// The highest token the sender knows of.
-    pub highest: Token,
+    pub highest_token: FencingToken,
     /// The sender's round: answers name the round of the ask that they answer.
     pub round: u64,
     /// What is said.
@@ -17,49 +17,49 @@
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// The task.
-    pub task: Task,
+    pub task: TaskId,
     /// The token that it is to be held under.
-    pub token: Token,
+    pub token: FencingToken,
     /// For how long, in ms.
-    pub length: Time,
+    pub duration: Millis,
 }
 
 /// One thing said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Item {
     /// A candidate or holder asks a voter.
-    Ask(Ask),
+    Request(LeaseRequest),
     /// The voter grants it.
     Grant {
         /// The task.
-        task: Task,
+        task: TaskId,
         /// Its token.
-        token: Token,
+        token: FencingToken,
     },
     /// The voter does not.
     Refuse {
         /// The task.
-        task: Task,
+        task: TaskId,
         /// The token that was asked for.
-        token: Token,
+        token: FencingToken,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// A holder or candidate gives back what it was granted.
     Release {
         /// The task.
-        task: Task,
+        task: TaskId,
         /// Its token.
-        token: Token,
+        token: FencingToken,
         /// Who is to have it next, where that is settled.
-        to: Option<Number>,
+        transfer_to: Option<GatewayNumber>,
     },
     /// A holder has given the task back and would have the receiver take it.
-    Take {
+    Transfer {
         /// The task.
-        task: Task,
+        task: TaskId,
     },
 }
 
@@ -67,20 +67,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
     /// It was started too short a time ago, or its list is not settled.
-    Silent,
+    NotVoting,
     /// The asker's list of voters is not this voter's, nor the next after it.
-    Version,
+    VersionMismatch,
     /// Another gateway has it, for so long at most, in ms.
-    Held {
+    HeldByOther {
         /// Who.
-        by: Number,
+        holder: GatewayNumber,
         /// The rest of its grant.
-        left: Time,
+        remaining: Millis,
     },
     /// A token as high was granted before.
-    Token,
+    StaleToken,
     /// The length is beyond what voters honour.
-    Length,
+    LeaseTooLong,
     /// It knows of too many tasks.
-    Full,
+    TooManyTasks,
 }
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -18,7 +18,7 @@
     pub gateways: u32,
     pub voters: u32,
     pub tasks: u32,
-    pub length: Time,
+    pub length: Millis,
     /// Parts of a million that clocks may be apart by the settings, and that they are.
     pub drift: u64,
     pub loss: f64,
@@ -28,7 +28,7 @@
     /// Mean time between faults; none when 0.
     pub faults: Real,
     pub reloads: bool,
-    pub spoil: Spoil,
+    pub spoil: DisabledRule,
 }
 
 impl Default for Rough {
@@ -44,14 +44,14 @@
             delay: 5 * MS,
             faults: 0,
             reloads: false,
-            spoil: Spoil::Nothing,
+            spoil: DisabledRule::None,
         }
     }
 }
 
 enum What {
     Wake,
-    Message { from: Number, incarnation: u64, message: Message },
+    Message { from: GatewayNumber, incarnation: u64, message: Message },
     Fault,
 }
 
@@ -65,36 +65,36 @@
     paused_until: Real,
     wake: Real,
     /// The list of voters in its settings file.
-    file: Voters,
+    file: VoterConfiguration,
 }
 
 pub struct World {
     pub rough: Rough,
     pub now: Real,
     dice: ChaCha8Rng,
-    nodes: BTreeMap<Number, Node>,
+    nodes: BTreeMap<GatewayNumber, Node>,
     queue: BinaryHeap<Reverse<(Real, u64)>>,
-    what: BTreeMap<u64, (Number, What)>,
+    what: BTreeMap<u64, (GatewayNumber, What)>,
     order: u64,
-    cuts: BTreeSet<(Number, Number)>,
+    cuts: BTreeSet<(GatewayNumber, GatewayNumber)>,
     /// The newest list that a person has written, and the settings files not yet read again.
-    list: Voters,
-    unread: Vec<Number>,
+    list: VoterConfiguration,
+    unread: Vec<GatewayNumber>,
     /// Of each task: who holds it, and the highest token under which it was held.
-    pub holders: BTreeMap<Task, BTreeSet<Number>>,
-    pub highest: BTreeMap<Task, Token>,
+    pub holders: BTreeMap<TaskId, BTreeSet<GatewayNumber>>,
+    pub highest: BTreeMap<TaskId, FencingToken>,
     pub gains: u64,
     pub faults: Vec<String>,
     pub sent: u64,
     /// Since when each task has nobody, and the longest such time that ended.
-    pub free: BTreeMap<Task, Real>,
+    pub free: BTreeMap<TaskId, Real>,
     pub longest_free: Real,
 }
 
 impl World {
     pub fn new(rough: Rough, seed: u64) -> Self {
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
-        let list = Voters::first(0..rough.voters);
+        let list = VoterConfiguration::first(0..rough.voters);
         let mut nodes = BTreeMap::new();
         for number in 0..rough.gateways {
             let rate = 1_000_000 + dice.random_range(0..=rough.drift);
@@ -141,19 +141,19 @@
         world
     }
 
-    fn push(&mut self, at: Real, to: Number, what: What) {
+    fn push(&mut self, at: Real, to: GatewayNumber, what: What) {
         self.order += 1;
         self.queue.push(Reverse((at, self.order)));
         self.what.insert(self.order, (to, what));
     }
 
     /// A gateway's own clock in ms.
-    pub fn local(&self, number: Number) -> Time {
+    pub fn local(&self, number: GatewayNumber) -> Millis {
         let node = &self.nodes[&number];
         (node.offset + self.now * node.rate / 1_000_000) / MS
     }
 
-    pub fn start(&mut self, number: Number) {
+    pub fn start(&mut self, number: GatewayNumber) {
         let now = self.local(number);
         let seed = self.dice.random();
         let tasks = (0..self.rough.tasks).map(|t| t + 1).collect();
@@ -162,13 +162,13 @@
         let Some(node) = self.nodes.get_mut(&number) else { return };
         node.incarnation += 1;
         let settings = Settings {
-            number,
+            gateway: number,
             incarnation: node.incarnation,
             seed,
-            length,
-            longest: length,
-            drift,
-            fleet: (0..gateways).collect(),
+            lease_duration: length,
+            max_lease_duration: length,
+            clock_drift_ppm: drift,
+            gateways: (0..gateways).collect(),
             voters: node.file.clone(),
             tasks,
         };
@@ -176,24 +176,24 @@
         self.tell(number, Input::Tick);
     }
 
-    pub fn kill(&mut self, number: Number) {
+    pub fn kill(&mut self, number: GatewayNumber) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.leases = None;
         }
         self.look();
     }
 
-    pub fn is_up(&self, number: Number) -> bool {
+    pub fn is_up(&self, number: GatewayNumber) -> bool {
         self.nodes[&number].leases.is_some()
     }
 
-    pub fn pause(&mut self, number: Number, span: Real) {
+    pub fn pause(&mut self, number: GatewayNumber, span: Real) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.paused_until = self.now + span;
         }
     }
 
-    pub fn cut(&mut self, from: Number, to: Number, cut: bool) {
+    pub fn cut(&mut self, from: GatewayNumber, to: GatewayNumber, cut: bool) {
         if cut {
             self.cuts.insert((from, to))
         } else {
@@ -201,14 +201,15 @@
         };
     }
 
-    pub fn tell(&mut self, number: Number, input: Input) {
+    pub fn tell(&mut self, number: GatewayNumber, input: Input) {
         let (now, real) = (self.local(number), self.now);
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let Some(leases) = node.leases.as_mut() else { return };
         let wall = (1_000_000 + (real / MS) as i64 + node.wall) as u64;
         let mut out = Vec::new();
         leases.handle(now, wall, input, &mut out);
-        let (incarnation, due, rate, offset) = (node.incarnation, leases.due(), node.rate, node.offset);
+        let (incarnation, due, rate, offset) =
+            (node.incarnation, leases.next_timeout(), node.rate, node.offset);
         let due = due.max(now + 1);
         // The first moment at which its clock shows that.
         let at = ((due * MS - offset) * 1_000_000).div_ceil(rate).max(real + 1);
@@ -219,7 +220,7 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(number, incarnation, to, message),
-                Output::Gained(gain) => {
+                Output::Acquired(gain) => {
                     self.gains += 1;
                     let highest = self.highest.entry(gain.task).or_default();
                     if gain.token <= *highest {
@@ -231,13 +232,16 @@
                     }
                     *highest = (*highest).max(gain.token);
                 }
-                Output::Lost(_) | Output::Voters(_) | Output::Refused(_) | Output::Failed { .. } => {}
+                Output::Lost(_)
+                | Output::VotersInForce(_)
+                | Output::VotersRejected(_)
+                | Output::AcquisitionFailed { .. } => {}
             }
         }
         self.look();
     }
 
-    fn send(&mut self, from: Number, incarnation: u64, to: Number, message: Message) {
+    fn send(&mut self, from: GatewayNumber, incarnation: u64, to: GatewayNumber, message: Message) {
         self.sent += 1;
         if self.cuts.contains(&(from, to)) || self.dice.random_bool(self.rough.loss) {
             return;
@@ -277,7 +281,7 @@
         }
     }
 
-    pub fn holder(&self, task: Task) -> Option<Number> {
+    pub fn holder(&self, task: TaskId) -> Option<GatewayNumber> {
         self.holders.get(&task)?.first().copied()
     }
 
@@ -305,7 +309,7 @@
                     }
                 }
                 What::Message { from, incarnation, message } => {
-                    self.tell(to, Input::Heard { from, incarnation, message });
+                    self.tell(to, Input::MessageReceived { from, incarnation, message });
                 }
             }
         }
@@ -316,11 +320,12 @@
 
     /// What a person looks at before the next list is written: a majority of the newest one's voters vote by it.
     fn is_in_force(&self) -> bool {
-        let by_it = |number: &&Number| {
+        let by_it = |number: &&GatewayNumber| {
             let leases = self.nodes[number].leases.as_ref();
-            leases.is_some_and(|l| l.version() == self.list.version && l.votes(self.local(**number)))
+            leases
+                .is_some_and(|l| l.voters_version() == self.list.version && l.is_voting(self.local(**number)))
         };
-        self.list.is_majority(self.list.now.iter().filter(by_it).count())
+        self.list.is_majority(self.list.voters.iter().filter(by_it).count())
     }
 
     fn fault(&mut self) {
@@ -359,16 +364,16 @@
             }
             8 | 9 => self.cuts.clear(),
             10 if self.rough.reloads && self.unread.is_empty() && self.is_in_force() => {
-                let mut next = self.list.now.clone();
+                let mut next = self.list.voters.clone();
                 if !next.remove(&number) || next.is_empty() {
                     next.insert(number);
                 }
-                self.list = self.list.next(next);
+                self.list = self.list.with_voters(next);
                 self.unread = self.nodes.keys().copied().collect();
             }
             _ => {
                 if let Some(holder) = self.holder(1) {
-                    self.tell(holder, Input::HandOver { task: 1, to: other });
+                    self.tell(holder, Input::TransferRequested { task: 1, to: other });
                 }
             }
         }
@@ -379,7 +384,7 @@
                 if let Some(node) = self.nodes.get_mut(&number) {
                     node.file = list.clone();
                 }
-                self.tell(number, Input::Voters(list));
+                self.tell(number, Input::VotersChanged(list));
             }
         }
         let at = self.now + self.dice.random_range(0..self.rough.faults * 2);
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use doorcourse_lease::Spoil;
+use doorcourse_lease::DisabledRule;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -24,7 +24,7 @@
     }
 }
 
-fn play(seed: u64, spoil: Spoil) -> World {
+fn play(seed: u64, spoil: DisabledRule) -> World {
     let mut world = World::new(Rough { spoil, ..rough(seed) }, seed);
     world.run(8_000 * MS);
     world
@@ -43,7 +43,7 @@
         let worker = |first: u64| {
             scope.spawn(move || {
                 (first..count).step_by(threads as usize).fold(0, |gains, seed| {
-                    let world = play(seed, Spoil::Nothing);
+                    let world = play(seed, DisabledRule::None);
                     assert!(world.faults.is_empty(), "seed {seed}: {:?}", world.faults);
                     gains + world.gains
                 })
@@ -59,7 +59,12 @@
 /// Each rule that is left out must show: a test that cannot fail proves nothing.
 #[test]
 fn every_rule_left_out_is_caught() {
-    for spoil in [Spoil::NoWait, Spoil::FromAnswer, Spoil::OldVoters, Spoil::TokenReused] {
+    for spoil in [
+        DisabledRule::StartupWait,
+        DisabledRule::ExpiryFromRequest,
+        DisabledRule::VoterVersions,
+        DisabledRule::TokenUniqueness,
+    ] {
         let caught = (0..3_000).find_map(|seed| Some((seed, play(seed, spoil).faults.first()?.clone())));
         let (seed, fault) = caught.unwrap_or_else(|| panic!("{spoil:?} is never caught"));
         println!("{spoil:?}: seed {seed}: {fault}");
@@ -120,7 +125,7 @@
     world.run_while(5_000 * MS, |w| w.holder(1).is_none());
     let (from, at) = (world.holder(1).expect("held"), world.now);
     let to = (from + 2) % 5;
-    world.tell(from, doorcourse_lease::Input::HandOver { task: 1, to });
+    world.tell(from, doorcourse_lease::Input::TransferRequested { task: 1, to });
     assert_eq!(world.holder(1), None, "given back at once");
     world.run_while(at + 5_000 * MS, |w| w.holder(1).is_none());
     assert_eq!((world.holder(1), world.faults.is_empty()), (Some(to), true));
@@ -130,14 +135,16 @@
 /// Whatever a peer that knows the secret says, what is held of it is bounded.
 #[test]
 fn what_a_peer_makes_up_is_bounded() {
-    use doorcourse_lease::{Ask, Input, Item, Leases, Message, Refusal, Settings, Voters};
-    let (voters, fleet) = (Voters::first(0..3), (0..3).collect());
+    use doorcourse_lease::{
+        Input, Item, LeaseRequest, Leases, Message, Refusal, Settings, VoterConfiguration,
+    };
+    let (voters, fleet) = (VoterConfiguration::first(0..3), (0..3).collect());
     let settings = Settings {
-        number: 0,
+        gateway: 0,
         incarnation: 1,
-        length: 100,
-        longest: 100,
-        fleet,
+        lease_duration: 100,
+        max_lease_duration: 100,
+        gateways: fleet,
         voters,
         tasks: vec![1],
         ..Settings::default()
@@ -146,12 +153,12 @@
     let mut out = Vec::new();
     let mut tell = |items: Vec<Item>| {
         out.clear();
-        let message = Message { version: 0, highest: 9, round: 1, items };
-        leases.handle(1_000, 0, Input::Heard { from: 1, incarnation: 5, message }, &mut out);
+        let message = Message { voters_version: 0, highest_token: 9, round: 1, items };
+        leases.handle(1_000, 0, Input::MessageReceived { from: 1, incarnation: 5, message }, &mut out);
         format!("{:?}", leases.clone()).len()
     };
-    let ask = |task| Item::Ask(Ask { task, token: 10, length: 100 });
-    let refuse = |task| Item::Refuse { task, token: 10, why: Refusal::Silent };
+    let ask = |task| Item::Request(LeaseRequest { task, token: 10, duration: 100 });
+    let refuse = |task| Item::Refuse { task, token: 10, reason: Refusal::NotVoting };
     for round in 0..20 {
         tell((round * 2_000..(round + 1) * 2_000).map(ask).collect());
         tell((round * 2_000..(round + 1) * 2_000).map(refuse).collect());
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -6,19 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shortest lease there is, clocks up to two fifths apart, and steps of real time that a lease has few of.
-const LENGTH: Time = 20;
+const LENGTH: Millis = 20;
 const DRIFT: u64 = 400_000;
-const STEP: Time = 10;
-const TASKS: [Task; 2] = [1, 2];
+const STEP: Millis = 10;
+const TASKS: [TaskId; 2] = [1, 2];
 
 /// One way to begin.
 #[derive(Clone)]
 struct Fleet {
-    spoil: Spoil,
+    spoil: DisabledRule,
     /// The lists of voters in the files, by gateway.
-    files: [Voters; 3],
+    files: [VoterConfiguration; 3],
     /// Who would do the tasks.
-    candidates: Vec<Number>,
+    candidates: Vec<GatewayNumber>,
     /// How many steps of time, starts and doubled messages there may be.
     steps: u64,
     starts: u8,
@@ -33,52 +33,52 @@
     starts: u8,
     doubles: u8,
     /// On their way: from, which start of it, to, what.
-    net: BTreeSet<(Number, u64, Number, Message)>,
+    net: BTreeSet<(GatewayNumber, u64, GatewayNumber, Message)>,
     /// The highest token that each task was held under, and whether one ever came that was not higher.
-    tokens: BTreeMap<Task, Token>,
+    tokens: BTreeMap<TaskId, FencingToken>,
     fell: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Time,
-    Tick(Number),
-    Deliver(Number, u64, Number, Message),
-    Double(Number, u64, Number, Message),
-    Start(Number),
+    Tick(GatewayNumber),
+    Deliver(GatewayNumber, u64, GatewayNumber, Message),
+    Double(GatewayNumber, u64, GatewayNumber, Message),
+    Start(GatewayNumber),
 }
 
 impl Fleet {
-    fn settings(&self, number: Number, incarnation: u64) -> Settings {
+    fn settings(&self, number: GatewayNumber, incarnation: u64) -> Settings {
         let tasks = if self.candidates.contains(&number) { TASKS.to_vec() } else { Vec::new() };
         let voters = self.files[number as usize].clone();
         let fleet = (0..3).collect();
         let drift = DRIFT;
         Settings {
-            number,
+            gateway: number,
             incarnation,
             seed: 7,
-            length: LENGTH,
-            longest: LENGTH,
-            drift,
-            fleet,
+            lease_duration: LENGTH,
+            max_lease_duration: LENGTH,
+            clock_drift_ppm: drift,
+            gateways: fleet,
             voters,
             tasks,
         }
     }
 
     /// The clock of a gateway: the second runs fast by all that is allowed.
-    fn local(&self, number: Number, time: u64) -> Time {
+    fn local(&self, number: GatewayNumber, time: u64) -> Millis {
         let real = 1_000 + time * STEP;
         if number == 1 { real * (1_000_000 + DRIFT) / 1_000_000 } else { real }
     }
 
-    fn start(&self, number: Number, incarnation: u64, now: Time) -> Leases {
+    fn start(&self, number: GatewayNumber, incarnation: u64, now: Millis) -> Leases {
         Leases::spoilt(now, self.settings(number, incarnation), self.spoil)
             .expect("settings that can be used")
     }
 
-    fn tell(&self, state: &mut State, number: Number, input: Input) {
+    fn tell(&self, state: &mut State, number: GatewayNumber, input: Input) {
         let now = self.local(number, state.time);
         let (leases, incarnation) = &mut state.nodes[number as usize];
         let mut out = Vec::new();
@@ -90,7 +90,7 @@
                 Output::Send { to, message } if !message.items.is_empty() => {
                     state.net.insert((number, *incarnation, to, message));
                 }
-                Output::Gained(gain) => {
+                Output::Acquired(gain) => {
                     let highest = state.tokens.entry(gain.task).or_default();
                     state.fell |= gain.token <= *highest;
                     *highest = (*highest).max(gain.token);
@@ -100,8 +100,8 @@
         }
     }
 
-    fn holders(&self, state: &State, task: Task) -> usize {
-        let holds = |number: &Number| {
+    fn holders(&self, state: &State, task: TaskId) -> usize {
+        let holds = |number: &GatewayNumber| {
             let now = self.local(*number, state.time);
             state.nodes[*number as usize].0.may_act(now, task, Needs { time: 0 }).is_ok()
         };
@@ -144,11 +144,11 @@
             Action::Tick(number) => self.tell(&mut state, number, Input::Tick),
             Action::Deliver(from, incarnation, to, message) => {
                 state.net.remove(&(from, incarnation, to, message.clone()));
-                self.tell(&mut state, to, Input::Heard { from, incarnation, message });
+                self.tell(&mut state, to, Input::MessageReceived { from, incarnation, message });
             }
             Action::Double(from, incarnation, to, message) => {
                 state.doubles += 1;
-                self.tell(&mut state, to, Input::Heard { from, incarnation, message });
+                self.tell(&mut state, to, Input::MessageReceived { from, incarnation, message });
             }
             Action::Start(number) => {
                 state.starts += 1;
@@ -171,15 +171,15 @@
     }
 }
 
-fn fleet(spoil: Spoil) -> Fleet {
-    let files = [(); 3].map(|()| Voters::first(0..3));
+fn fleet(spoil: DisabledRule) -> Fleet {
+    let files = [(); 3].map(|()| VoterConfiguration::first(0..3));
     Fleet { spoil, files, candidates: vec![0, 1], steps: 5, starts: 1, doubles: 1 }
 }
 
 /// The first gateway knows the list of one voter only; the others were started with lists two versions on.
-fn lists(spoil: Spoil) -> Fleet {
-    let first = Voters::first([0]);
-    let third = first.next([0, 1]).next([0, 1, 2]);
+fn lists(spoil: DisabledRule) -> Fleet {
+    let first = VoterConfiguration::first([0]);
+    let third = first.with_voters([0, 1]).with_voters([0, 1, 2]);
     Fleet { files: [first, third.clone(), third], starts: 0, doubles: 0, ..fleet(spoil) }
 }
 
@@ -201,7 +201,8 @@
 
 #[test]
 fn one_holder_and_growing_tokens_in_all_courses() {
-    for (what, fleet) in [("three voters", fleet(Spoil::Nothing)), ("lists of voters", lists(Spoil::Nothing))]
+    for (what, fleet) in
+        [("three voters", fleet(DisabledRule::None)), ("lists of voters", lists(DisabledRule::None))]
     {
         let (states, broken) = check(&fleet, depth());
         println!("{what}: {states} states to depth {}", depth());
@@ -212,25 +213,27 @@
 
 #[test]
 fn no_waiting_after_a_start_is_caught() {
-    let (_, broken) = check(&Fleet { doubles: 0, ..fleet(Spoil::NoWait) }, 12);
+    let (_, broken) = check(&Fleet { doubles: 0, ..fleet(DisabledRule::StartupWait) }, 12);
     assert!(broken.contains_key("one holder"), "{broken:?}");
 }
 
 #[test]
 fn a_lease_counted_from_the_answer_is_caught() {
-    let (_, broken) = check(&Fleet { starts: 0, doubles: 0, ..fleet(Spoil::FromAnswer) }, 12);
+    let (_, broken) = check(&Fleet { starts: 0, doubles: 0, ..fleet(DisabledRule::ExpiryFromRequest) }, 12);
     assert!(broken.contains_key("one holder"), "{broken:?}");
 }
 
 #[test]
 fn a_majority_of_an_older_list_is_caught() {
-    let (_, broken) = check(&lists(Spoil::OldVoters), 12);
+    let (_, broken) = check(&lists(DisabledRule::VoterVersions), 12);
     assert!(broken.contains_key("one holder"), "{broken:?}");
 }
 
 #[test]
 fn a_token_used_again_is_caught() {
-    let (_, broken) =
-        check(&Fleet { candidates: vec![0], starts: 0, doubles: 0, ..fleet(Spoil::TokenReused) }, 14);
+    let (_, broken) = check(
+        &Fleet { candidates: vec![0], starts: 0, doubles: 0, ..fleet(DisabledRule::TokenUniqueness) },
+        14,
+    );
     assert!(broken.contains_key("tokens grow"), "{broken:?}");
 }
