--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -167,7 +167,7 @@
     for _ in 0..options.faults {
         play.fault(&mut dice)?;
         play.pass(dice.random_range(0.4..2.5));
-        // A build with `halts` stops itself between check and write: it goes on a while later, as others have moved on.
+        // A build with `pause-before-write` stops itself between check and write: it is resumed after others have moved on.
         play.wake()?;
     }
     play.heal()?;
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -364,7 +364,7 @@
             );
             call.written = true;
             call.socket.output().extend_from_slice(head.as_bytes());
-            #[cfg(feature = "halts")]
+            #[cfg(feature = "pause-before-write")]
             if permit.token.wrapping_add(u64::from(generation)).is_multiple_of(40) {
                 let _ =
                     rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::STOP);
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -172,7 +172,7 @@
     round_open: bool,
     disabled_rule: DisabledRule,
     /// What was ever held: a guard that is left out goes by it.
-    #[cfg(feature = "spoilt-guard")]
+    #[cfg(feature = "disable-lease-check")]
     ever: BTreeMap<TaskId, FencingToken>,
 }
 
@@ -189,9 +189,11 @@
     ///
     /// # Errors
     /// Settings that cannot be used.
-    #[cfg(feature = "spoilt")]
-    pub fn spoilt(now: Millis, settings: Settings, spoil: DisabledRule) -> Result<Self, SettingsError> {
-        Self::build(now, settings, spoil)
+    #[cfg(feature = "fault-injection")]
+    pub fn with_disabled_rule(
+        now: Millis, settings: Settings, rule: DisabledRule,
+    ) -> Result<Self, SettingsError> {
+        Self::build(now, settings, rule)
     }
 
     fn build(now: Millis, settings: Settings, spoil: DisabledRule) -> Result<Self, SettingsError> {
@@ -201,7 +203,7 @@
         let climbed = settings.voters.previous_voters.is_empty() || spoil == DisabledRule::VoterVersions;
         let mut new = Self {
             disabled_rule: spoil,
-            #[cfg(feature = "spoilt-guard")]
+            #[cfg(feature = "disable-lease-check")]
             ever: BTreeMap::new(),
             voter: Voter::default(),
             states: BTreeMap::new(),
@@ -278,17 +280,17 @@
     /// # Errors
     /// Why not.
     pub fn may_act(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
-        #[cfg(feature = "spoilt-guard")]
+        #[cfg(feature = "disable-lease-check")]
         return self
             .ever
             .get(&task)
             .map(|t| Permit { task, token: *t, expires_at: now + needs.time })
             .ok_or(GuardError::NotHeld);
-        #[cfg(not(feature = "spoilt-guard"))]
+        #[cfg(not(feature = "disable-lease-check"))]
         self.guard(now, task, needs)
     }
 
-    #[cfg_attr(feature = "spoilt-guard", expect(dead_code, reason = "this is what is left out"))]
+    #[cfg_attr(feature = "disable-lease-check", expect(dead_code, reason = "this is what is left out"))]
     fn guard(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
         let Some(LeaseState::Held { token, expires_at: until, .. }) = self.states.get(&task) else {
             return Err(GuardError::NotHeld);
@@ -610,7 +612,7 @@
             return;
         }
         if !matches!(self.states.get(&task), Some(LeaseState::Held { .. })) {
-            #[cfg(feature = "spoilt-guard")]
+            #[cfg(feature = "disable-lease-check")]
             self.ever.insert(task, token);
             out.push(Output::Acquired(AcquiredLease { task, token, expires_at: until }));
         }
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -26,7 +26,7 @@
     pub tasks: Vec<TaskId>,
 }
 
-/// Rules that tests leave out; without the feature `spoilt` nobody can.
+/// Rules that tests leave out; without the feature `fault-injection` nobody can.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum DisabledRule {
     /// None: the product.
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -172,7 +172,8 @@
             voters: node.file.clone(),
             tasks,
         };
-        node.leases = Some(Leases::spoilt(now, settings, spoil).expect("settings that can be used"));
+        node.leases =
+            Some(Leases::with_disabled_rule(now, settings, spoil).expect("settings that can be used"));
         self.tell(number, Input::Tick);
     }
 
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -74,7 +74,7 @@
     }
 
     fn start(&self, number: GatewayNumber, incarnation: u64, now: Millis) -> Leases {
-        Leases::spoilt(now, self.settings(number, incarnation), self.spoil)
+        Leases::with_disabled_rule(now, self.settings(number, incarnation), self.spoil)
             .expect("settings that can be used")
     }
 
