--- /dev/null
+++ b/crates/lease/src/calls/tests.rs
@@ -0,0 +1,49 @@
+use super::*;
+use crate::{Input, Settings, VoterConfiguration};
+
+/// A fleet of one voter holds its task at once.
+fn alone(now: Millis) -> Leases {
+    let (voters, fleet) = (VoterConfiguration::first([0]), [0].into());
+    let settings = Settings {
+        incarnation: 1,
+        lease_duration: 100,
+        max_lease_duration: 100,
+        gateways: fleet,
+        voters,
+        tasks: vec![7],
+        ..Settings::default()
+    };
+    let mut leases = Leases::new(now, settings).expect("usable");
+    leases.handle(now + 200, 0, Input::Tick, &mut Vec::new());
+    leases
+}
+
+#[test]
+fn one_call_at_a_time_and_none_the_lease_does_not_outlast() {
+    let leases = alone(0);
+    let mut calls = CallSchedule::default();
+    calls.configure(200, &[(7, CallSettings { interval: 10, duration: 30 })]);
+    assert_eq!(calls.start_due(200, &leases).len(), 1);
+    assert!(calls.start_due(205, &leases).is_empty(), "one is out");
+    let (permit, until) = calls.authorize_write(210, &leases, 7).expect("it may leave");
+    assert!(until == 240 && until <= permit.expires_at);
+    assert_eq!(calls.next_timeout(211, &leases), 240);
+    calls.finish(220, 7);
+    assert!(calls.start_due(229, &leases).is_empty());
+    // The lease of 100 ms from 200 on is too short for 30 ms from 270 on, and nothing renewed it.
+    assert!(calls.start_due(270, &leases).is_empty());
+    assert_eq!(calls.next_timeout(270, &leases), Millis::MAX);
+}
+
+#[test]
+fn a_call_that_was_held_up_does_not_leave_and_is_not_waited_for() {
+    let leases = alone(0);
+    let mut calls = CallSchedule::default();
+    calls.configure(200, &[(7, CallSettings { interval: 10, duration: 30 })]);
+    calls.start_due(200, &leases);
+    // The process was stopped between check and write.
+    assert_eq!(calls.authorize_write(500, &leases, 7), None);
+    assert_eq!(calls.overdue(500), [7]);
+    calls.finish(500, 7);
+    assert!(calls.overdue(500).is_empty());
+}
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -10,23 +10,27 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod act;
 mod calls;
 mod codec;
-mod lease;
+mod events;
+mod leases;
 mod message;
+mod permit;
 mod settings;
+mod status;
 mod voter;
-mod voters;
+mod voter_configuration;
 
-pub use act::{GuardError, Needs, Permit};
 pub use calls::{CallSchedule, CallSettings};
 pub use codec::{DecodeError, ITEMS, decode, encode};
-pub use lease::{AcquiredLease, Input, LeaseStage, LeaseStatus, Leases, LostLease, Output};
+pub use events::{AcquiredLease, Input, LostLease, Output};
+pub use leases::Leases;
 pub use message::{Item, LeaseRequest, Message, Refusal};
+pub use permit::{GuardError, Needs, Permit};
 pub use settings::{DisabledRule, Settings, SettingsError};
+pub use status::{LeaseStage, LeaseStatus};
 pub use voter::Voter;
-pub use voters::VoterConfiguration;
+pub use voter_configuration::VoterConfiguration;
 
 /// A gateway's number.
 pub type GatewayNumber = u32;
