--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -6,8 +6,8 @@
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{
-    CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message, Millis, Needs,
-    Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
+    AuthorizedCall, CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message,
+    Millis, Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
 };
 use doorcourse_outlier_gossip::{Seen as SeenNode, Suspects, Word};
 use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
@@ -128,7 +128,7 @@
         self.tasks = leases.tasks.iter().map(|t| (task_of(&t.name), t.clone())).collect();
         let calls =
             |(task, t): (&TaskId, &FleetTask)| (*task, CallSettings { interval: t.every, duration: t.needs });
-        self.calls.configure(now, &self.tasks.iter().map(calls).collect::<Vec<_>>());
+        self.calls.configure(now, &self.tasks.iter().map(calls).collect());
         self.tally.retain(|task, _| self.tasks.contains_key(task));
         let number = self.number;
         self.suspects = leases.suspects.map(|s| {
@@ -227,7 +227,7 @@
                     self.end(now, task, "the lease is lost");
                 }
                 Output::AcquisitionFailed { task, last_refusal: last } => {
-                    let (task, by, why) = (self.name(task), last.map(|l| l.0), last.map(|l| l.1));
+                    let (task, by, why) = (self.name(task), last.map(|l| l.voter), last.map(|l| l.reason));
                     // That another has it is how things are.
                     if matches!(why, Some(Refusal::HeldByOther { .. })) {
                         tracing::debug!(target: "doorcourse::fleet", task, by, ?why, "lease refused");
@@ -345,7 +345,7 @@
                 What::Trial(..) => return self.write_trial(io, now, slot, generation, &what),
             };
             let leaves = self.leases.as_ref().and_then(|l| self.calls.authorize_write(now, l, task));
-            let Some((permit, until)) = leaves else {
+            let Some(AuthorizedCall { permit, deadline: until }) = leaves else {
                 self.tally.entry(task).or_default()[2] += 1;
                 return self.end(now, task, "the lease is too short");
             };
@@ -424,7 +424,7 @@
         let now = awake_or_not();
         let Some((suspects, settings)) = &mut self.suspects else { return };
         self.next_look = now + (settings.every / 2).max(10);
-        let needs = Needs { time: settings.timeout };
+        let needs = settings.timeout;
         let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(SUSPECTS), needs).ok());
         let (mut outputs, held) = (Vec::new(), held.map(|p| p.token));
         suspects.handle(now, doorcourse_outlier_gossip::Input::Tick { seen, held }, &mut outputs);
@@ -563,9 +563,9 @@
             let [good, failed, kept_back] = self.tally.get(&view.task).copied().unwrap_or_default();
             // Tokens are beyond what JSON readers take for a whole number.
             json!({"task": name, "here": stage, "ms": ms, "token": view.token.map(|t| t.to_string()),
-                "granted_to": view.granted.map(|g| g.0), "granted_token": view.granted.map(|g| g.1.to_string()),
-                "granted_ms": view.granted.map(|g| g.2),
-                "refused_by": view.last_refusal.map(|r| r.0), "refused": view.last_refusal.map(|r| refusal_text(r.1)),
+                "granted_to": view.granted.map(|g| g.holder), "granted_token": view.granted.map(|g| g.token.to_string()),
+                "granted_ms": view.granted.map(|g| g.remaining),
+                "refused_by": view.last_refusal.map(|r| r.voter), "refused": view.last_refusal.map(|r| refusal_text(r.reason)),
                 "calls_good": good, "calls_failed": failed, "calls_kept_back": kept_back})
         };
         json!({"gateway": self.number, "votes": leases.is_voting(now), "voters_version": leases.voters_version(),
--- a/crates/lease/src/calls.rs
+++ b/crates/lease/src/calls.rs
@@ -1,96 +1,103 @@
-//! When the calls of a task are made by its holder: one at a time, none without a permit, the permit looked at again right
-//! before bytes leave, and none waited for beyond it.
+//! Schedules the calls that a holder makes for its tasks: one at a time, only with a permit, which is checked again right
+//! before the call is written, and none is awaited beyond its deadline.
 
-use crate::{Leases, Millis, Needs, Permit, TaskId};
+use crate::{Leases, Millis, Permit, TaskId};
 use std::collections::BTreeMap;
 
-/// How a task's calls are made. Times in ms.
+/// How the calls of a task are made. Times in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallSettings {
-    /// From the end of a call to the next.
+    /// From the end of a call to the start of the next.
     pub interval: Millis,
-    /// How long a call takes with its effect.
+    /// How long a call takes, with its effect at the receiver.
     pub duration: Millis,
 }
 
+/// A call that may be made: its permit, and when its effect must be over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AuthorizedCall {
+    /// The permit.
+    pub permit: Permit,
+    /// When the call must be over, on this gateway's clock.
+    pub deadline: Millis,
+}
+
 #[derive(Clone, Copy, Debug)]
-struct Call {
+struct TaskCalls {
     settings: CallSettings,
     next_call_at: Millis,
-    /// The call that is out, and by when it must be over.
-    in_flight: Option<(Permit, Millis)>,
+    in_flight: Option<AuthorizedCall>,
 }
 
 /// The calls of one gateway.
 #[derive(Clone, Debug, Default)]
-pub struct CallSchedule(BTreeMap<TaskId, Call>);
+pub struct CallSchedule {
+    tasks: BTreeMap<TaskId, TaskCalls>,
+}
 
 impl CallSchedule {
-    /// Takes settings; what is out of a task that stays goes on.
-    pub fn configure(&mut self, now: Millis, tasks: &[(TaskId, CallSettings)]) {
-        self.0.retain(|task, _| tasks.iter().any(|(t, _)| t == task));
+    /// Changes the tasks and their settings. A call in flight of a task that stays goes on.
+    pub fn configure(&mut self, now: Millis, tasks: &BTreeMap<TaskId, CallSettings>) {
+        self.tasks.retain(|task, _| tasks.contains_key(task));
         for (task, settings) in tasks {
-            self.0
-                .entry(*task)
-                .or_insert(Call { settings: *settings, next_call_at: now, in_flight: None })
-                .settings = *settings;
+            let new = TaskCalls { settings: *settings, next_call_at: now, in_flight: None };
+            self.tasks.entry(*task).or_insert(new).settings = *settings;
         }
     }
 
-    /// Calls to begin now.
+    /// The permits of the calls to start now, which are in flight from here on.
     pub fn start_due(&mut self, now: Millis, leases: &Leases) -> Vec<Permit> {
-        let mut begin = Vec::new();
-        for (task, call) in &mut self.0 {
-            if call.in_flight.is_some() || now < call.next_call_at {
+        let mut started = Vec::new();
+        for (task, calls) in &mut self.tasks {
+            if calls.in_flight.is_some() || now < calls.next_call_at {
                 continue;
             }
-            let needs = call.settings.duration;
-            if let Ok(permit) = leases.may_act(now, *task, Needs { time: needs }) {
-                call.in_flight = Some((permit, now + needs));
-                begin.push(permit);
+            let duration = calls.settings.duration;
+            if let Ok(permit) = leases.may_act(now, *task, duration) {
+                calls.in_flight = Some(AuthorizedCall { permit, deadline: now + duration });
+                started.push(permit);
             }
         }
-        begin
+        started
     }
 
-    /// The connection is there and the call is about to be written: the permit as it is now and by when the call's
-    /// effect must be over, or nothing if it must not be made any more.
-    pub fn authorize_write(
-        &mut self, now: Millis, leases: &Leases, task: TaskId,
-    ) -> Option<(Permit, Millis)> {
-        let call = self.0.get_mut(&task)?;
-        let (permit, _) = call.in_flight?;
-        let needs = Needs { time: call.settings.duration };
-        let out = leases.revalidate(now, &permit, needs).ok().map(|permit| (permit, now + needs.time));
-        call.in_flight = out.or(call.in_flight);
-        out
+    /// Checks the lease again when the connection is established and the call is about to be written. `None`: the call
+    /// must not be made any more.
+    pub fn authorize_write(&mut self, now: Millis, leases: &Leases, task: TaskId) -> Option<AuthorizedCall> {
+        let calls = self.tasks.get_mut(&task)?;
+        let started = calls.in_flight?;
+        let duration = calls.settings.duration;
+        let permit = leases.revalidate(now, &started.permit, duration).ok()?;
+        let call = AuthorizedCall { permit, deadline: now + duration };
+        calls.in_flight = Some(call);
+        Some(call)
     }
 
-    /// A call is over, however it ended.
+    /// Records that a call is over, with or without success.
     pub fn finish(&mut self, now: Millis, task: TaskId) {
-        if let Some(call) = self.0.get_mut(&task) {
-            (call.in_flight, call.next_call_at) = (None, now + call.settings.interval);
+        if let Some(calls) = self.tasks.get_mut(&task) {
+            calls.in_flight = None;
+            calls.next_call_at = now + calls.settings.interval;
         }
     }
 
-    /// Calls that are out beyond their time: nobody waits for them any more.
+    /// The tasks whose call in flight has passed its deadline.
     #[must_use]
     pub fn overdue(&self, now: Millis) -> Vec<TaskId> {
-        let late = |call: &Call| call.in_flight.is_some_and(|(_, until)| until <= now);
-        self.0.iter().filter(|(_, call)| late(call)).map(|(task, _)| *task).collect()
+        let overdue = |calls: &TaskCalls| calls.in_flight.is_some_and(|call| call.deadline <= now);
+        self.tasks.iter().filter(|(_, calls)| overdue(calls)).map(|(task, _)| *task).collect()
     }
 
-    /// When something is due, as far as calls go; a task that is not held is looked at when it is gained.
+    /// When a call is to start or to be given up. A task that is not held has no such time: it is looked at when its lease
+    /// is acquired.
     #[must_use]
     pub fn next_timeout(&self, now: Millis, leases: &Leases) -> Millis {
-        let one = |(task, call): (&TaskId, &Call)| match call.in_flight {
-            Some((_, until)) => until,
-            None if leases.may_act(now, *task, Needs { time: call.settings.duration }).is_ok() => {
-                call.next_call_at
-            }
+        let timeout = |(task, calls): (&TaskId, &TaskCalls)| match calls.in_flight {
+            Some(call) => call.deadline,
+            None if leases.may_act(now, *task, calls.settings.duration).is_ok() => calls.next_call_at,
             None => Millis::MAX,
         };
-        self.0.iter().map(one).min().unwrap_or(Millis::MAX)
+        self.tasks.iter().map(timeout).min().unwrap_or(Millis::MAX)
     }
 }
 
--- a/crates/lease/src/calls/tests.rs
+++ b/crates/lease/src/calls/tests.rs
@@ -22,11 +22,11 @@
 fn one_call_at_a_time_and_none_the_lease_does_not_outlast() {
     let leases = alone(0);
     let mut calls = CallSchedule::default();
-    calls.configure(200, &[(7, CallSettings { interval: 10, duration: 30 })]);
+    calls.configure(200, &BTreeMap::from([(7, CallSettings { interval: 10, duration: 30 })]));
     assert_eq!(calls.start_due(200, &leases).len(), 1);
     assert!(calls.start_due(205, &leases).is_empty(), "one is out");
-    let (permit, until) = calls.authorize_write(210, &leases, 7).expect("it may leave");
-    assert!(until == 240 && until <= permit.expires_at);
+    let call = calls.authorize_write(210, &leases, 7).expect("it may leave");
+    assert!(call.deadline == 240 && call.deadline <= call.permit.expires_at);
     assert_eq!(calls.next_timeout(211, &leases), 240);
     calls.finish(220, 7);
     assert!(calls.start_due(229, &leases).is_empty());
@@ -39,7 +39,7 @@
 fn a_call_that_was_held_up_does_not_leave_and_is_not_waited_for() {
     let leases = alone(0);
     let mut calls = CallSchedule::default();
-    calls.configure(200, &[(7, CallSettings { interval: 10, duration: 30 })]);
+    calls.configure(200, &BTreeMap::from([(7, CallSettings { interval: 10, duration: 30 })]));
     calls.start_due(200, &leases);
     // The process was stopped between check and write.
     assert_eq!(calls.authorize_write(500, &leases, 7), None);
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,29 +1,38 @@
-//! Messages as protobuf. What cannot be read is one fault; nothing of it is taken.
+//! The encoding of messages as protobuf. A message that is invalid in any part is rejected whole.
 
 use crate::{Item, LeaseRequest, Message, Refusal, TaskId};
 use prost::Message as _;
+use thiserror::Error;
 
-/// The most items that one message may hold.
-pub const ITEMS: usize = 2048;
+/// The most items that one message may have.
+pub const MAX_MESSAGE_ITEMS: usize = 2048;
 
-/// Bytes that are no message about leases.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DecodeError;
-
-impl std::fmt::Display for DecodeError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("no message about leases")
-    }
+/// Why bytes are no valid message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The bytes are not protobuf of this form.
+    #[error("not a lease message")]
+    Malformed,
+    /// More items than one message may have.
+    #[error("a lease message with {0} items, more than {MAX_MESSAGE_ITEMS}")]
+    TooManyItems(usize),
+    /// An item of a kind that is not known.
+    #[error("a lease message with an item of unknown kind {0}")]
+    UnknownItemKind(u32),
+    /// A refusal for a reason that is not known.
+    #[error("a lease message with a refusal for unknown reason {0}")]
+    UnknownRefusalReason(u32),
+    /// A refusal because of another holder that does not name it.
+    #[error("a lease message with a refusal that does not name the holder")]
+    MissingHolder,
 }
 
-impl std::error::Error for DecodeError {}
-
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Wire {
+struct WireMessage {
     #[prost(uint64, tag = "1")]
-    version: u64,
+    voters_version: u64,
     #[prost(uint64, tag = "3")]
-    highest: u64,
+    highest_token: u64,
     #[prost(uint64, tag = "4")]
     round: u64,
     #[prost(message, repeated, tag = "5")]
@@ -34,87 +43,128 @@
 struct WireItem {
     #[prost(fixed32, tag = "1")]
     task: TaskId,
-    /// 1 ask, 2 grant, 3 refuse, 4 release, 5 take.
+    /// One of `item_kind`.
     #[prost(uint32, tag = "2")]
     kind: u32,
     #[prost(uint64, tag = "3")]
     token: u64,
-    /// Ask: its length. Refused as held: what is left.
+    /// Request: its duration. Refusal because of another holder: how long its grant lasts. In ms.
     #[prost(uint64, tag = "4")]
-    ms: u64,
-    /// Refuse: 1 silent, 2 version, 3 held, 4 token, 5 length, 6 full.
+    duration_ms: u64,
+    /// Refusal: one of `refusal_reason`.
     #[prost(uint32, tag = "5")]
-    why: u32,
-    /// Refused as held: by whom. Release: whose it is to be next.
+    reason: u32,
+    /// Refusal because of another holder: that gateway. Release: the gateway it is transferred to.
     #[prost(uint32, optional, tag = "6")]
     gateway: Option<u32>,
 }
 
-/// A message's bytes.
+/// The numbers of the kinds of items.
+mod item_kind {
+    pub(super) const REQUEST: u32 = 1;
+    pub(super) const GRANT: u32 = 2;
+    pub(super) const REFUSE: u32 = 3;
+    pub(super) const RELEASE: u32 = 4;
+    pub(super) const TRANSFER: u32 = 5;
+}
+
+/// The numbers of the reasons of a refusal.
+mod refusal_reason {
+    pub(super) const NOT_VOTING: u32 = 1;
+    pub(super) const VERSION_MISMATCH: u32 = 2;
+    pub(super) const HELD_BY_OTHER: u32 = 3;
+    pub(super) const STALE_TOKEN: u32 = 4;
+    pub(super) const LEASE_TOO_LONG: u32 = 5;
+    pub(super) const TOO_MANY_TASKS: u32 = 6;
+}
+
+/// Encodes a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
-    let item = |item: &Item| {
-        let of = |task, kind, token| WireItem { task, kind, token, ..WireItem::default() };
-        match *item {
-            Item::Request(LeaseRequest { task, token, duration: length }) => {
-                WireItem { ms: length, ..of(task, 1, token) }
-            }
-            Item::Grant { task, token } => of(task, 2, token),
-            Item::Refuse { task, token, reason: why } => {
-                let refused = |why| WireItem { why, ..of(task, 3, token) };
-                match why {
-                    Refusal::NotVoting => refused(1),
-                    Refusal::VersionMismatch => refused(2),
-                    Refusal::HeldByOther { holder: by, remaining: left } => {
-                        WireItem { ms: left, gateway: Some(by), ..refused(3) }
-                    }
-                    Refusal::StaleToken => refused(4),
-                    Refusal::LeaseTooLong => refused(5),
-                    Refusal::TooManyTasks => refused(6),
-                }
-            }
-            Item::Release { task, token, transfer_to: to } => WireItem { gateway: to, ..of(task, 4, token) },
-            Item::Transfer { task } => of(task, 5, 0),
+    WireMessage {
+        voters_version: message.voters_version,
+        highest_token: message.highest_token,
+        round: message.round,
+        items: message.items.iter().map(encode_item).collect(),
+    }
+    .encode_to_vec()
+}
+
+fn encode_item(item: &Item) -> WireItem {
+    let wire = |kind, task, token| WireItem { kind, task, token, ..WireItem::default() };
+    match *item {
+        Item::Request(LeaseRequest { task, token, duration }) => {
+            WireItem { duration_ms: duration, ..wire(item_kind::REQUEST, task, token) }
+        }
+        Item::Grant { task, token } => wire(item_kind::GRANT, task, token),
+        Item::Refuse { task, token, reason } => encode_refusal(reason, wire(item_kind::REFUSE, task, token)),
+        Item::Release { task, token, transfer_to } => {
+            WireItem { gateway: transfer_to, ..wire(item_kind::RELEASE, task, token) }
         }
-    };
-    let Message { voters_version: version, highest_token: highest, round, ref items } = *message;
-    Wire { version, highest, round, items: items.iter().map(item).collect() }.encode_to_vec()
+        Item::Transfer { task } => wire(item_kind::TRANSFER, task, 0),
+    }
+}
+
+/// Adds the reason of a refusal to its item.
+fn encode_refusal(refusal: Refusal, item: WireItem) -> WireItem {
+    match refusal {
+        Refusal::NotVoting => WireItem { reason: refusal_reason::NOT_VOTING, ..item },
+        Refusal::VersionMismatch => WireItem { reason: refusal_reason::VERSION_MISMATCH, ..item },
+        Refusal::HeldByOther { holder, remaining } => WireItem {
+            reason: refusal_reason::HELD_BY_OTHER,
+            duration_ms: remaining,
+            gateway: Some(holder),
+            ..item
+        },
+        Refusal::StaleToken => WireItem { reason: refusal_reason::STALE_TOKEN, ..item },
+        Refusal::LeaseTooLong => WireItem { reason: refusal_reason::LEASE_TOO_LONG, ..item },
+        Refusal::TooManyTasks => WireItem { reason: refusal_reason::TOO_MANY_TASKS, ..item },
+    }
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
-/// When the bytes are none.
+/// The first part of the bytes that is invalid.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
-    let wire = Wire::decode(bytes).map_err(|_| DecodeError)?;
-    if wire.items.len() > ITEMS {
-        return Err(DecodeError);
+    let wire = WireMessage::decode(bytes).map_err(|_| DecodeError::Malformed)?;
+    if wire.items.len() > MAX_MESSAGE_ITEMS {
+        return Err(DecodeError::TooManyItems(wire.items.len()));
+    }
+    Ok(Message {
+        voters_version: wire.voters_version,
+        highest_token: wire.highest_token,
+        round: wire.round,
+        items: wire.items.iter().map(decode_item).collect::<Result<_, _>>()?,
+    })
+}
+
+fn decode_item(wire: &WireItem) -> Result<Item, DecodeError> {
+    let task = wire.task;
+    let token = wire.token;
+    match wire.kind {
+        item_kind::REQUEST => Ok(Item::Request(LeaseRequest { task, token, duration: wire.duration_ms })),
+        item_kind::GRANT => Ok(Item::Grant { task, token }),
+        item_kind::REFUSE => Ok(Item::Refuse { task, token, reason: decode_refusal(wire)? }),
+        item_kind::RELEASE => Ok(Item::Release { task, token, transfer_to: wire.gateway }),
+        item_kind::TRANSFER => Ok(Item::Transfer { task }),
+        unknown => Err(DecodeError::UnknownItemKind(unknown)),
+    }
+}
+
+fn decode_refusal(wire: &WireItem) -> Result<Refusal, DecodeError> {
+    match wire.reason {
+        refusal_reason::NOT_VOTING => Ok(Refusal::NotVoting),
+        refusal_reason::VERSION_MISMATCH => Ok(Refusal::VersionMismatch),
+        refusal_reason::HELD_BY_OTHER => {
+            let holder = wire.gateway.ok_or(DecodeError::MissingHolder)?;
+            Ok(Refusal::HeldByOther { holder, remaining: wire.duration_ms })
+        }
+        refusal_reason::STALE_TOKEN => Ok(Refusal::StaleToken),
+        refusal_reason::LEASE_TOO_LONG => Ok(Refusal::LeaseTooLong),
+        refusal_reason::TOO_MANY_TASKS => Ok(Refusal::TooManyTasks),
+        unknown => Err(DecodeError::UnknownRefusalReason(unknown)),
     }
-    let item = |item: &WireItem| {
-        let WireItem { task, kind, token, ms, why, gateway } = *item;
-        Ok(match kind {
-            1 => Item::Request(LeaseRequest { task, token, duration: ms }),
-            2 => Item::Grant { task, token },
-            3 => {
-                let why = match why {
-                    1 => Refusal::NotVoting,
-                    2 => Refusal::VersionMismatch,
-                    3 => Refusal::HeldByOther { holder: gateway.ok_or(DecodeError)?, remaining: ms },
-                    4 => Refusal::StaleToken,
-                    5 => Refusal::LeaseTooLong,
-                    6 => Refusal::TooManyTasks,
-                    _ => return Err(DecodeError),
-                };
-                Item::Refuse { task, token, reason: why }
-            }
-            4 => Item::Release { task, token, transfer_to: gateway },
-            5 => Item::Transfer { task },
-            _ => return Err(DecodeError),
-        })
-    };
-    let items = wire.items.iter().map(item).collect::<Result<_, _>>()?;
-    let Wire { version, highest, round, .. } = wire;
-    Ok(Message { voters_version: version, highest_token: highest, round, items })
 }
 
 #[cfg(test)]
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -1,90 +1,90 @@
-//! What the leases are told and what they ask for.
+//! The inputs and outputs of the lease state machine.
 
 use crate::{
-    FencingToken, GatewayNumber, Message, Millis, Refusal, SettingsError, TaskId, VoterConfiguration,
+    FencingToken, GatewayNumber, LastRefusal, Message, Millis, SettingsError, TaskId, VoterConfiguration,
 };
 use std::collections::BTreeSet;
 
-/// What a gateway's leases are told.
+/// What happens to a gateway's leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time went by.
+    /// Time has passed.
     Tick,
-    /// A message came from another gateway.
+    /// A message was received from another gateway.
     MessageReceived {
-        /// Who sent it.
+        /// The sender.
         from: GatewayNumber,
-        /// Which start of it.
+        /// Which start of the sender's process.
         incarnation: u64,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// The settings have this list of voters.
+    /// The settings have this voter configuration.
     VotersChanged(VoterConfiguration),
-    /// The settings have these tasks and gateways; tasks that are missing are given back.
+    /// The settings have these tasks and gateways; leases of tasks that are missing are released.
     TasksChanged {
-        /// What this gateway would do.
+        /// The tasks that this gateway is a candidate for.
         tasks: Vec<TaskId>,
-        /// All gateways.
+        /// All gateways of the fleet.
         gateways: BTreeSet<GatewayNumber>,
     },
-    /// A person wants a task to go to another gateway.
+    /// An operator wants a lease transferred to another gateway.
     TransferRequested {
         /// The task.
         task: TaskId,
-        /// Who is to take it.
+        /// The gateway that is to acquire it.
         to: GatewayNumber,
     },
-    /// The gateway leaves: everything is given back and nothing is sought.
+    /// The gateway shuts down: every lease is released and none is acquired.
     ShutdownStarted,
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message; it may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: GatewayNumber,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// The task is this gateway's.
+    /// This gateway holds the lease of a task now.
     Acquired(AcquiredLease),
-    /// It is not any more: nothing is done in its name from here on.
+    /// This gateway no longer holds the lease: nothing is done for the task from here on.
     Lost(LostLease),
-    /// A task was asked for in vain; who refused last, and why, where anybody said so.
+    /// A lease was requested and not granted.
     AcquisitionFailed {
         /// The task.
         task: TaskId,
-        /// The last refusal.
-        last_refusal: Option<(GatewayNumber, Refusal)>,
+        /// The last refusal, if any voter replied with one.
+        last_refusal: Option<LastRefusal>,
     },
-    /// The list of voters in force.
+    /// The voter configuration of this version is in force.
     VotersInForce(u64),
-    /// A list that cannot be taken, or not yet.
+    /// A voter configuration that was not accepted; the one before stays.
     VotersRejected(SettingsError),
 }
 
-/// A task gained.
+/// A lease that was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AcquiredLease {
     /// The task.
     pub task: TaskId,
-    /// Its token.
+    /// The fencing token it is held under.
     pub token: FencingToken,
-    /// Until when it may be believed, on this gateway's clock, if nothing is renewed.
+    /// When it expires on this gateway's clock if it is not renewed.
     pub expires_at: Millis,
 }
 
-/// A task lost.
+/// A lease that was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LostLease {
     /// The task.
     pub task: TaskId,
-    /// The token it was held under.
+    /// The fencing token it was held under.
     pub token: FencingToken,
-    /// Whether it was given back: by a person, at a drain, or because the settings have it no more. Else no majority
-    /// answered in time.
+    /// Whether it was released: for a transfer, at shutdown, or because the settings no longer have the task. Otherwise it
+    /// expired, as no majority replied in time.
     pub released: bool,
 }
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,16 @@
-//! One gateway's leases: its word as a voter, its own seat at each task, and when its list of voters may move on.
+//! The leases of one gateway: a candidate or holder of each of its tasks, and a voter for those of all gateways.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `acquisition` | acquires, renews and expires leases; fencing tokens |
+//! | `quorum` | counts the votes of a round |
+//! | `voting` | messages of other gateways, and the vote on their requests |
+//! | `release` | releases and transfers leases; changes of the tasks |
+//! | `reconfiguration` | when a new voter configuration comes into force |
+//! | `guard` | whether the holder may act |
+//! | `outbox` | batches requests and releases to the voters; heartbeats |
+//! | `timing` | intervals and jitter |
+//! | `state` | the state of one lease |
 
 mod acquisition;
 mod guard;
@@ -10,54 +22,55 @@
 mod timing;
 mod voting;
 
-use crate::*;
-use state::{LeaseState, QuorumRound};
-use std::collections::{BTreeMap, BTreeSet};
-use timing::*;
+use crate::{
+    DisabledRule, FencingToken, GatewayNumber, Input, LastRefusal, LeaseStage, LeaseStatus, Millis, Output,
+    Settings, SettingsError, TaskId, Voter,
+};
+use outbox::Outbox;
+use reconfiguration::Reconfiguration;
+use state::LeaseState;
+use std::collections::BTreeMap;
 
 /// All leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
     settings: Settings,
+    /// What this gateway has granted as a voter.
     voter: Voter,
+    /// The state of each task that this gateway is a candidate for.
     states: BTreeMap<TaskId, LeaseState>,
-    last_refusals: BTreeMap<TaskId, (GatewayNumber, Refusal)>,
-    /// Nothing is promised before this: another start of this gateway may have.
+    last_refusals: BTreeMap<TaskId, LastRefusal>,
+    /// No vote and no request before this: an earlier start of this gateway may have granted leases.
     voting_from: Millis,
-    /// The list that is to follow once this one is settled.
-    next_voters: Option<VoterConfiguration>,
-    /// Whether the list in force may be voted and asked by.
-    voters_in_force: bool,
-    /// The newest version heard of each gateway, and since when a majority has been at the one that matters.
+    reconfiguration: Reconfiguration,
+    /// The newest version of the voter configuration that each gateway has reported.
     reported_versions: BTreeMap<GatewayNumber, u64>,
-    majority_reached_at: Option<Millis>,
+    /// The highest fencing token that this gateway knows of.
     highest_token: FencingToken,
-    round_number: u64,
-    random_draws: u64,
+    outbox: Outbox,
+    /// How many jitters were drawn: the input of the next one.
+    jitter_draws: u64,
     next_heartbeat_at: Millis,
     shutting_down: bool,
-    /// What goes to all voters, and whether a round has begun in it: no number stands for two moments.
-    outgoing_items: Vec<Item>,
-    round_open: bool,
     disabled_rule: DisabledRule,
-    /// What was ever held: a guard that is left out goes by it.
+    /// The token of each task that was ever held: all that a build without the lease check goes by.
     #[cfg(feature = "disable-lease-check")]
-    ever: BTreeMap<TaskId, FencingToken>,
+    ever_held: BTreeMap<TaskId, FencingToken>,
 }
 
 impl Leases {
-    /// The leases of a gateway that was just started at `now`.
+    /// The leases of a gateway that was started at `now`.
     ///
     /// # Errors
-    /// Settings that cannot be used.
+    /// Settings that are out of range.
     pub fn new(now: Millis, settings: Settings) -> Result<Self, SettingsError> {
         Self::build(now, settings, DisabledRule::None)
     }
 
-    /// The same with a rule left out, for tests that must catch it.
+    /// The same with one rule disabled, for tests that must catch it.
     ///
     /// # Errors
-    /// Settings that cannot be used.
+    /// Settings that are out of range.
     #[cfg(feature = "fault-injection")]
     pub fn with_disabled_rule(
         now: Millis, settings: Settings, rule: DisabledRule,
@@ -65,123 +78,115 @@
         Self::build(now, settings, rule)
     }
 
-    fn build(now: Millis, settings: Settings, spoil: DisabledRule) -> Result<Self, SettingsError> {
+    fn build(now: Millis, settings: Settings, disabled_rule: DisabledRule) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let silent_until =
-            if spoil == DisabledRule::StartupWait { now } else { now + settings.startup_wait() };
-        let climbed = settings.voters.previous_voters.is_empty() || spoil == DisabledRule::VoterVersions;
-        let mut new = Self {
-            disabled_rule: spoil,
-            #[cfg(feature = "disable-lease-check")]
-            ever: BTreeMap::new(),
+        let startup_wait =
+            if disabled_rule == DisabledRule::StartupWait { 0 } else { settings.startup_wait() };
+        let in_force =
+            settings.voters.previous_voters.is_empty() || disabled_rule == DisabledRule::VoterVersions;
+        let mut leases = Self {
             voter: Voter::default(),
             states: BTreeMap::new(),
             last_refusals: BTreeMap::new(),
-            voting_from: silent_until,
-            next_voters: None,
-            voters_in_force: climbed,
+            voting_from: now + startup_wait,
+            reconfiguration: if in_force { Reconfiguration::InForce } else { Reconfiguration::unconfirmed() },
             reported_versions: BTreeMap::new(),
-            majority_reached_at: None,
             highest_token: 0,
-            round_number: 0,
-            random_draws: 0,
+            outbox: Outbox::default(),
+            jitter_draws: 0,
             next_heartbeat_at: now,
             shutting_down: false,
-            outgoing_items: Vec::new(),
-            round_open: false,
+            disabled_rule,
+            #[cfg(feature = "disable-lease-check")]
+            ever_held: BTreeMap::new(),
             settings,
         };
-        for task in new.settings.tasks.clone() {
-            let next = new.later(silent_until);
-            new.states.insert(task, LeaseState::Idle { next_attempt_at: next });
+        for task in leases.settings.tasks.clone() {
+            let next_attempt_at = leases.jittered(leases.voting_from);
+            leases.states.insert(task, LeaseState::Idle { next_attempt_at });
         }
-        Ok(new)
+        Ok(leases)
     }
 
-    /// Takes one thing in. `now` is the monotonic clock in ms; `wall` the system's in ms since the Unix epoch, which
-    /// only lifts tokens over those of a fleet that has forgotten all.
-    pub fn handle(&mut self, now: Millis, wall: u64, input: Input, out: &mut Vec<Output>) {
+    /// Processes one input and appends what is to be done to `outputs`. `now` is the monotonic clock; `wall_clock` is the
+    /// system's, in ms since the Unix epoch, which only raises fencing tokens above those of a fleet that lost all state.
+    pub fn handle(&mut self, now: Millis, wall_clock: Millis, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
             Input::MessageReceived { from, incarnation, message } => {
-                self.heard(now, from, incarnation, &message, out)
-            }
-            Input::VotersChanged(voters) => self.take_voters(now, voters, out),
-            Input::TasksChanged { tasks, gateways: fleet } => self.take_tasks(now, tasks, fleet, out),
-            Input::TransferRequested { task, to } => {
-                if self.give_back(now, task, Some(to), out) {
-                    let message = Message { items: vec![Item::Transfer { task }], ..self.message(0) };
-                    // The voters are to hear of the release first.
-                    self.flush(now, out);
-                    out.push(Output::Send { to, message });
-                }
+                self.receive_message(now, from, incarnation, &message, outputs);
             }
+            Input::VotersChanged(voters) => self.change_voters(now, voters, outputs),
+            Input::TasksChanged { tasks, gateways } => self.change_tasks(now, tasks, gateways, outputs),
+            Input::TransferRequested { task, to } => self.transfer(now, task, to, outputs),
             Input::ShutdownStarted => {
                 self.shutting_down = true;
-                for task in self.settings.tasks.clone() {
-                    self.give_back(now, task, None, out);
-                }
+                self.give_up_all(now, outputs);
             }
         }
-        self.settle(now, out);
-        self.seats(now, wall, out);
-        self.flush(now, out);
+        self.advance_reconfiguration(now, outputs);
+        self.advance_leases(now, wall_clock, outputs);
+        self.flush(now, outputs);
     }
 
-    /// When something is due.
+    /// When to call [`Leases::handle`] next if nothing else happens.
     #[must_use]
     pub fn next_timeout(&self) -> Millis {
-        let seat = |seat: &LeaseState| match seat {
-            LeaseState::Idle { next_attempt_at: next } if self.shutting_down || !self.may_seek() => {
-                (*next).max(self.next_heartbeat_at)
+        let timeout = |state: &LeaseState| match state {
+            LeaseState::Idle { next_attempt_at } if !self.may_acquire() => {
+                (*next_attempt_at).max(self.next_heartbeat_at)
             }
-            LeaseState::Idle { next_attempt_at: next } => *next,
-            LeaseState::Acquiring { deadline: until, .. } => *until,
-            LeaseState::Held { expires_at: until, renew_at: renew, .. } => (*until).min(*renew),
+            LeaseState::Idle { next_attempt_at } => *next_attempt_at,
+            LeaseState::Acquiring { deadline, .. } => *deadline,
+            LeaseState::Held { expires_at, renew_at, .. } => (*expires_at).min(*renew_at),
         };
-        let silent =
-            if self.next_heartbeat_at < self.voting_from { self.voting_from } else { self.next_heartbeat_at };
-        self.states.values().map(seat).fold(self.next_heartbeat_at.min(silent), Millis::min)
+        self.states.values().map(timeout).fold(self.next_heartbeat_at, Millis::min)
     }
 
-    /// Its word as a voter.
+    /// What this gateway has granted as a voter.
     #[must_use]
     pub fn voter(&self) -> &Voter {
         &self.voter
     }
 
-    /// The version of the list of voters in force.
+    /// The version of the voter configuration that this gateway is at.
     #[must_use]
     pub fn voters_version(&self) -> u64 {
         self.settings.voters.version
     }
 
-    /// Whether it votes by now.
+    /// Whether this gateway votes: the wait after its start is over, and its voter configuration is in force.
     #[must_use]
     pub fn is_voting(&self, now: Millis) -> bool {
-        now >= self.voting_from && self.voters_in_force
+        now >= self.voting_from && self.reconfiguration.is_in_force()
     }
 
-    /// All tasks, for people.
+    /// The status of each task, for operators.
     pub fn statuses(&self, now: Millis) -> impl Iterator<Item = LeaseStatus> {
-        self.states.iter().map(move |(task, seat)| {
-            let (stage, token) = match seat {
-                LeaseState::Idle { next_attempt_at: next } => {
-                    (LeaseStage::Waiting(next.saturating_sub(now)), None)
-                }
-                LeaseState::Acquiring { token, round, .. } => {
-                    (LeaseStage::Acquiring(round.grants.len()), Some(*token))
-                }
-                LeaseState::Held { token, expires_at: until, .. } => {
-                    (LeaseStage::Held(until.saturating_sub(now)), Some(*token))
+        self.states.iter().map(move |(task, state)| {
+            let stage = match state {
+                LeaseState::Idle { next_attempt_at } => {
+                    LeaseStage::Waiting(next_attempt_at.saturating_sub(now))
                 }
+                LeaseState::Acquiring { round, .. } => LeaseStage::Acquiring(round.grants.len()),
+                LeaseState::Held { expires_at, .. } => LeaseStage::Held(expires_at.saturating_sub(now)),
             };
-            let (granted, refused) = (self.voter.granted(now, *task), self.last_refusals.get(task).copied());
-            LeaseStatus { task: *task, stage, token, granted, last_refusal: refused }
+            LeaseStatus {
+                task: *task,
+                stage,
+                token: state.token(),
+                granted: self.voter.granted(now, *task),
+                last_refusal: self.last_refusals.get(task).copied(),
+            }
         })
     }
 
-    fn is(&self, spoil: DisabledRule) -> bool {
-        self.disabled_rule == spoil
+    /// Whether this gateway requests leases that it does not hold.
+    fn may_acquire(&self) -> bool {
+        !self.shutting_down && self.reconfiguration.is_in_force()
+    }
+
+    fn is_disabled(&self, rule: DisabledRule) -> bool {
+        self.disabled_rule == rule
     }
 }
--- a/crates/lease/src/leases/acquisition.rs
+++ b/crates/lease/src/leases/acquisition.rs
@@ -1,92 +1,112 @@
-//! Acquisition, renewal and expiry.
+//! Acquires, renews and expires leases.
 
-use super::*;
+use super::Leases;
+use super::quorum::{Vote, VoteReply};
+use super::state::{DueStep, LeaseState};
+use super::timing::{BATCHING_FRACTION, RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, REPLY_TIMEOUT_FRACTION};
+use crate::{
+    AcquiredLease, DisabledRule, FencingToken, GatewayNumber, Item, LeaseRequest, LostLease, Millis, Output,
+    TaskId,
+};
 
-impl Leases {
-    pub(super) fn may_seek(&self) -> bool {
-        !self.shutting_down && self.voters_in_force
-    }
+/// The low bits of a fencing token, which have the number of the gateway that made it: no two gateways make the same one.
+const TOKEN_GATEWAY_BITS: u32 = 14;
 
-    pub(super) fn seats(&mut self, now: Millis, wall: u64, out: &mut Vec<Output>) {
+impl Leases {
+    /// Does what is due for each task.
+    pub(super) fn advance_leases(&mut self, now: Millis, wall_clock: Millis, outputs: &mut Vec<Output>) {
         if now < self.voting_from {
             return;
         }
-        let (length, together) = (self.settings.lease_duration, self.settings.lease_duration / TOGETHER);
-        let renewing = self
-            .states
-            .values()
-            .any(|s| matches!(s, LeaseState::Held { renew_at: renew, .. } if *renew <= now));
-        for task in self.states.keys().copied().collect::<Vec<_>>() {
-            match self.states.get(&task) {
-                Some(LeaseState::Idle { next_attempt_at: next }) if *next <= now && self.may_seek() => {
-                    let token = self.make_token(task, wall);
-                    let round = self.round(now);
-                    let until = now + length / PATIENCE;
-                    self.states.insert(task, LeaseState::Acquiring { token, round, deadline: until });
-                    self.ask(now, LeaseRequest { task, token, duration: length }, out);
-                }
-                Some(LeaseState::Acquiring { deadline: until, .. }) if *until <= now => {
-                    self.give_up(now, task, out)
-                }
-                Some(LeaseState::Held { token, expires_at: until, .. }) if *until <= now => {
-                    out.push(Output::Lost(LostLease { task, token: *token, released: false }));
-                    let next = self.later(now + 1);
-                    self.states.insert(task, LeaseState::Idle { next_attempt_at: next });
-                }
-                Some(LeaseState::Held { token, expires_at: until, renew_at: renew, .. })
-                    if renewing && *renew <= now + together =>
-                {
-                    let (token, until) = (*token, *until);
-                    let (round, renew) = (self.round(now), now + (length / AGAIN).max(1));
-                    self.states
-                        .insert(task, LeaseState::Held { token, round, expires_at: until, renew_at: renew });
-                    self.ask(now, LeaseRequest { task, token, duration: length }, out);
-                }
-                _ => {}
+        let renewal_due = self.states.values().any(|state| state.is_renewal_due(now));
+        let batch_end = now + self.settings.lease_duration / BATCHING_FRACTION;
+        let renew_until = renewal_due.then_some(batch_end);
+        let tasks: Vec<TaskId> = self.states.keys().copied().collect();
+        for task in tasks {
+            let may_acquire = self.may_acquire();
+            let due = |state: &LeaseState| state.due_step(now, may_acquire, renew_until);
+            match self.states.get(&task).and_then(due) {
+                Some(DueStep::Acquire) => self.acquire(now, wall_clock, task, outputs),
+                Some(DueStep::AbandonAttempt) => self.abandon_attempt(now, task, outputs),
+                Some(DueStep::Expire) => self.expire(now, task, outputs),
+                Some(DueStep::Renew) => self.renew(now, task, outputs),
+                None => {}
             }
         }
     }
 
-    /// Asks all voters, this gateway's own word among them.
-    pub(super) fn ask(&mut self, now: Millis, ask: LeaseRequest, out: &mut Vec<Output>) {
-        self.outgoing_items.push(Item::Request(ask));
-        let (own, me) = (
-            self.vote(now, self.voters_version(), (self.settings.gateway, self.settings.incarnation), &ask),
-            self.settings.gateway,
-        );
-        if self.settings.voters.voters.contains(&me) {
-            self.answered(now, me, self.round_number, ask.task, ask.token, own, out);
+    fn acquire(&mut self, now: Millis, wall_clock: Millis, task: TaskId, outputs: &mut Vec<Output>) {
+        let token = self.next_token(task, wall_clock);
+        let round = self.open_round(now);
+        let deadline = now + self.settings.lease_duration / REPLY_TIMEOUT_FRACTION;
+        self.states.insert(task, LeaseState::Acquiring { token, round, deadline });
+        self.request_votes(now, task, token, outputs);
+    }
+
+    fn renew(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
+        let Some(LeaseState::Held { token, expires_at, .. }) = self.states.get(&task) else { return };
+        let token = *token;
+        let expires_at = *expires_at;
+        let round = self.open_round(now);
+        let renew_at = now + (self.settings.lease_duration / RENEWAL_RETRY_FRACTION).max(1);
+        self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
+        self.request_votes(now, task, token, outputs);
+    }
+
+    fn expire(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
+        if let Some(token) = self.states.get(&task).and_then(LeaseState::token) {
+            outputs.push(Output::Lost(LostLease { task, token, released: false }));
         }
+        let next_attempt_at = self.jittered(now + 1);
+        self.states.insert(task, LeaseState::Idle { next_attempt_at });
     }
 
-    pub(super) fn make_token(&mut self, task: TaskId, wall: u64) -> FencingToken {
-        if self.is(DisabledRule::TokenUniqueness) {
+    /// Requests a lease of all voters, of this gateway at once where it is one.
+    fn request_votes(&mut self, now: Millis, task: TaskId, token: FencingToken, outputs: &mut Vec<Output>) {
+        let request = LeaseRequest { task, token, duration: self.settings.lease_duration };
+        self.outbox.push(Item::Request(request));
+        let vote = Vote::from(self.vote(now, self.voters_version(), self.settings.holder_id(), &request));
+        let voter = self.settings.gateway;
+        if self.settings.voters.voters.contains(&voter) {
+            let round = self.outbox.round_number();
+            self.record_vote(now, VoteReply { voter, round, task, token, vote }, outputs);
+        }
+    }
+
+    /// A new token, above all that this gateway knows of.
+    fn next_token(&mut self, task: TaskId, wall_clock: Millis) -> FencingToken {
+        if self.is_disabled(DisabledRule::TokenUniqueness) {
             return FencingToken::from(task) + 1;
         }
-        let base = (self.highest_token >> MAKER).saturating_add(1).max(wall);
-        self.highest_token = base << MAKER | FencingToken::from(self.settings.gateway);
+        self.highest_token = token_after(self.highest_token, wall_clock, self.settings.gateway);
         self.highest_token
     }
 
-    /// A majority has granted the round in hand: the lease counts from before it was sent.
-    pub(super) fn hold(&mut self, now: Millis, task: TaskId, token: FencingToken, out: &mut Vec<Output>) {
-        let Some(LeaseState::Acquiring { round, .. } | LeaseState::Held { round, .. }) =
-            self.states.get(&task)
-        else {
-            return;
-        };
-        let believed = self.settings.holder_duration(self.settings.lease_duration);
-        let from = if self.is(DisabledRule::ExpiryFromRequest) { now } else { round.started_at };
-        let (round, until, renew) = (round.clone(), from + believed, round.started_at + believed / RENEW);
-        if until <= now {
+    /// A majority has granted the newest round of a task: its lease is held, counted from before the round was sent.
+    pub(super) fn hold(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
+        let Some(state) = self.states.get(&task) else { return };
+        let (Some(token), Some(round)) = (state.token(), state.round().cloned()) else { return };
+        let was_held = state.is_held();
+        let duration = self.settings.holder_duration(self.settings.lease_duration);
+        let counted_from =
+            if self.is_disabled(DisabledRule::ExpiryFromRequest) { now } else { round.started_at };
+        let expires_at = counted_from + duration;
+        if expires_at <= now {
             return;
         }
-        if !matches!(self.states.get(&task), Some(LeaseState::Held { .. })) {
+        if !was_held {
             #[cfg(feature = "disable-lease-check")]
-            self.ever.insert(task, token);
-            out.push(Output::Acquired(AcquiredLease { task, token, expires_at: until }));
+            self.ever_held.insert(task, token);
+            outputs.push(Output::Acquired(AcquiredLease { task, token, expires_at }));
         }
         self.last_refusals.remove(&task);
-        self.states.insert(task, LeaseState::Held { token, round, expires_at: until, renew_at: renew });
+        let renew_at = round.started_at + duration / RENEWAL_FRACTION;
+        self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
     }
 }
+
+/// The first token of `gateway` above `highest` and not below the wall clock, in ms since the Unix epoch.
+fn token_after(highest: FencingToken, wall_clock: Millis, gateway: GatewayNumber) -> FencingToken {
+    let base = (highest >> TOKEN_GATEWAY_BITS).saturating_add(1).max(wall_clock);
+    base << TOKEN_GATEWAY_BITS | FencingToken::from(gateway)
+}
--- a/crates/lease/src/leases/guard.rs
+++ b/crates/lease/src/leases/guard.rs
@@ -1,42 +1,53 @@
-//! The guard before an act.
+//! The check before an act: whether the lease is held and outlasts the act.
 
-use super::*;
+use super::Leases;
+#[cfg(not(feature = "disable-lease-check"))]
+use super::state::LeaseState;
+use crate::{GuardError, Millis, Permit, TaskId};
+
+/// Added to the duration of an act: `now` was cut to whole ms.
+#[cfg(not(feature = "disable-lease-check"))]
+const ROUNDING_MS: Millis = 1;
 
 impl Leases {
-    /// Whether it may act for a task now, with what the act needs. To be asked again right before bytes leave.
+    /// Whether this gateway may act for a task now, where the act takes `duration` ms from this check to the end of its
+    /// effect. To be checked again with [`Leases::revalidate`] right before the act.
     ///
     /// # Errors
-    /// Why not.
-    pub fn may_act(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
-        #[cfg(feature = "disable-lease-check")]
-        return self
-            .ever
-            .get(&task)
-            .map(|t| Permit { task, token: *t, expires_at: now + needs.time })
-            .ok_or(GuardError::NotHeld);
-        #[cfg(not(feature = "disable-lease-check"))]
-        self.guard(now, task, needs)
-    }
-
-    #[cfg_attr(feature = "disable-lease-check", expect(dead_code, reason = "this is what is left out"))]
-    fn guard(&self, now: Millis, task: TaskId, needs: Needs) -> Result<Permit, GuardError> {
-        let Some(LeaseState::Held { token, expires_at: until, .. }) = self.states.get(&task) else {
-            return Err(GuardError::NotHeld);
+    /// Why the act must not begin.
+    #[cfg(not(feature = "disable-lease-check"))]
+    pub fn may_act(&self, now: Millis, task: TaskId, duration: Millis) -> Result<Permit, GuardError> {
+        let Some(LeaseState::Held { token, expires_at, .. }) = self.states.get(&task) else {
+            return Err(GuardError::NotHeld { task });
         };
-        // One ms more: `now` was cut to whole ms.
-        if now + 1 + needs.time > *until {
-            Err(GuardError::LeaseTooShort)
-        } else {
-            Ok(Permit { task, token: *token, expires_at: *until })
+        let required = duration + ROUNDING_MS;
+        if now + required > *expires_at {
+            let remaining = expires_at.saturating_sub(now);
+            return Err(GuardError::LeaseTooShort { task, required, remaining });
         }
+        Ok(Permit { task, token: *token, expires_at: *expires_at })
+    }
+
+    /// Without the check: a permit for any task that was ever held, which a test must catch.
+    ///
+    /// # Errors
+    /// The task was never held.
+    #[cfg(feature = "disable-lease-check")]
+    pub fn may_act(&self, now: Millis, task: TaskId, duration: Millis) -> Result<Permit, GuardError> {
+        let token = self.ever_held.get(&task).ok_or(GuardError::NotHeld { task })?;
+        Ok(Permit { task, token: *token, expires_at: now + duration })
     }
 
-    /// Whether a permit still holds right before its act: the task was not lost and gained again in between.
+    /// Checks a permit again right before its act: the lease outlasts the act and was not lost and acquired again.
     ///
     /// # Errors
-    /// Why not.
-    pub fn revalidate(&self, now: Millis, permit: &Permit, needs: Needs) -> Result<Permit, GuardError> {
-        self.may_act(now, permit.task, needs)
-            .and_then(|p| if p.token == permit.token { Ok(p) } else { Err(GuardError::NotHeld) })
+    /// Why the act must not begin.
+    pub fn revalidate(&self, now: Millis, permit: &Permit, duration: Millis) -> Result<Permit, GuardError> {
+        let current = self.may_act(now, permit.task, duration)?;
+        if current.token == permit.token {
+            Ok(current)
+        } else {
+            Err(GuardError::NotHeld { task: permit.task })
+        }
     }
 }
--- a/crates/lease/src/leases/outbox.rs
+++ b/crates/lease/src/leases/outbox.rs
@@ -1,41 +1,77 @@
-//! What is said to all.
+//! What goes to all voters in one message, and heartbeats.
 
-use super::*;
+use super::timing::HEARTBEATS_PER_LEASE;
+use super::{Leases, Output};
+use crate::{GatewayNumber, Item, Message, Millis};
+use std::collections::BTreeSet;
 
-impl Leases {
-    pub(super) fn message(&self, round: u64) -> Message {
-        Message {
-            voters_version: self.voters_version(),
-            highest_token: self.highest_token,
-            round,
-            items: Vec::new(),
+/// The items of the next message to the voters.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Outbox {
+    items: Vec<Item>,
+    /// Whether a request among the items has opened a round.
+    round_open: bool,
+    round_number: u64,
+}
+
+impl Outbox {
+    pub(super) fn push(&mut self, item: Item) {
+        self.items.push(item);
+    }
+
+    /// The number of the round that requests of this message belong to. The first request of a message opens a round, so
+    /// that no number stands for two points in time.
+    pub(super) fn open_round(&mut self) -> u64 {
+        if !self.round_open {
+            self.round_open = true;
+            self.round_number += 1;
         }
+        self.round_number
     }
 
-    pub(super) fn flush(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let items = std::mem::take(&mut self.outgoing_items);
+    /// The number of the newest round.
+    pub(super) fn round_number(&self) -> u64 {
+        self.round_number
+    }
+
+    /// Takes the items and closes the round.
+    fn take_items(&mut self) -> Vec<Item> {
         self.round_open = false;
-        let beat = now >= self.next_heartbeat_at;
-        if beat {
-            self.next_heartbeat_at = now + (self.settings.lease_duration / BEATS).max(1);
+        std::mem::take(&mut self.items)
+    }
+}
+
+impl Leases {
+    /// A message of this gateway.
+    pub(super) fn message(&self, round: u64, items: Vec<Item>) -> Message {
+        Message { voters_version: self.voters_version(), highest_token: self.highest_token, round, items }
+    }
+
+    /// Sends the outbox to the voters of this configuration and the one before, and, when a heartbeat is due, to all
+    /// gateways.
+    pub(super) fn flush(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+        let items = self.outbox.take_items();
+        let heartbeat_due = now >= self.next_heartbeat_at;
+        if heartbeat_due {
+            self.next_heartbeat_at = now + (self.settings.lease_duration / HEARTBEATS_PER_LEASE).max(1);
             self.voter.remove_expired(now);
         }
-        let me = self.settings.gateway;
+        if items.is_empty() && !heartbeat_due {
+            return;
+        }
+        for to in self.receivers(heartbeat_due) {
+            let message = self.message(self.outbox.round_number(), items.clone());
+            outputs.push(Output::Send { to, message });
+        }
+    }
+
+    fn receivers(&self, heartbeat: bool) -> BTreeSet<GatewayNumber> {
         let voters = &self.settings.voters;
-        let to: BTreeSet<GatewayNumber> = match (items.is_empty(), beat) {
-            (true, false) => return,
-            (false, false) => voters.voters.union(&voters.previous_voters).copied().collect(),
-            (_, true) => voters
-                .voters
-                .iter()
-                .chain(&voters.previous_voters)
-                .chain(&self.settings.gateways)
-                .copied()
-                .collect(),
-        };
-        for to in to.into_iter().filter(|to| *to != me) {
-            let message = Message { items: items.clone(), ..self.message(self.round_number) };
-            out.push(Output::Send { to, message });
+        let mut receivers: BTreeSet<_> = voters.voters.union(&voters.previous_voters).copied().collect();
+        if heartbeat {
+            receivers.extend(&self.settings.gateways);
         }
+        receivers.remove(&self.settings.gateway);
+        receivers
     }
 }
--- a/crates/lease/src/leases/quorum.rs
+++ b/crates/lease/src/leases/quorum.rs
@@ -1,79 +1,181 @@
-//! Rounds of requests and their answers.
+//! Quorum rounds: the votes on one request for a lease, and what a majority of them decides.
 
-use super::*;
+use super::Leases;
+use super::state::LeaseState;
+use crate::voter_configuration::is_majority;
+use crate::{FencingToken, GatewayNumber, LastRefusal, Millis, Output, Refusal, TaskId, VoterConfiguration};
+use std::collections::{BTreeMap, BTreeSet};
 
-impl Leases {
-    /// All asks of one moment are one round.
-    pub(super) fn round(&mut self, now: Millis) -> QuorumRound {
-        if !std::mem::replace(&mut self.round_open, true) {
-            self.round_number += 1;
+/// The number of a round that no reply has.
+const INVALID_ROUND: u64 = 0;
+
+/// A voter's decision on a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Vote {
+    /// The lease is granted.
+    Granted,
+    /// The lease is refused.
+    Refused(Refusal),
+}
+
+impl From<Result<(), Refusal>> for Vote {
+    fn from(decision: Result<(), Refusal>) -> Self {
+        match decision {
+            Ok(()) => Self::Granted,
+            Err(reason) => Self::Refused(reason),
+        }
+    }
+}
+
+/// A voter's reply to a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct VoteReply {
+    pub(super) voter: GatewayNumber,
+    /// The round of the request.
+    pub(super) round: u64,
+    pub(super) task: TaskId,
+    /// The token of the request.
+    pub(super) token: FencingToken,
+    pub(super) vote: Vote,
+}
+
+/// Another gateway's lease, as a voter reports it with its refusal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct CompetingLease {
+    holder: GatewayNumber,
+    /// How long it lasts at most, in ms.
+    remaining: Millis,
+}
+
+/// One round of requests to the voters, and their votes.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct QuorumRound {
+    number: u64,
+    /// When the requests were made, on this gateway's clock: the lease counts from then.
+    pub(super) started_at: Millis,
+    pub(super) grants: BTreeSet<GatewayNumber>,
+    /// The voters that refused, with the competing lease where that is the reason.
+    refusals: BTreeMap<GatewayNumber, Option<CompetingLease>>,
+}
+
+/// What the votes of a round decide.
+enum RoundOutcome {
+    Open,
+    Granted,
+    /// So many voters refused that no majority can grant it any more.
+    Rejected,
+}
+
+impl QuorumRound {
+    fn accepts(&self, reply: &VoteReply, token: FencingToken, voters: &VoterConfiguration) -> bool {
+        reply.token == token && reply.round == self.number && voters.voters.contains(&reply.voter)
+    }
+
+    /// Makes replies to this round count for nothing.
+    pub(super) fn invalidate(&mut self) {
+        self.number = INVALID_ROUND;
+    }
+
+    /// Records a refusal. `max_lease_duration` bounds what a voter can claim.
+    fn record_refusal(&mut self, voter: GatewayNumber, reason: Refusal, max_lease_duration: Millis) {
+        let competing = match reason {
+            Refusal::HeldByOther { holder, remaining } => {
+                Some(CompetingLease { holder, remaining: remaining.min(max_lease_duration) })
+            }
+            _ => None,
+        };
+        self.refusals.insert(voter, competing);
+    }
+
+    fn outcome(&self, voters: &VoterConfiguration) -> RoundOutcome {
+        let not_refused = voters.voters.len() - self.refusals.len();
+        if voters.is_majority(self.grants.len()) {
+            RoundOutcome::Granted
+        } else if voters.is_majority(not_refused) {
+            RoundOutcome::Open
+        } else {
+            RoundOutcome::Rejected
+        }
+    }
+
+    /// How long the lease of a holder that a majority names still lasts, in ms. 0 where a majority names none: candidates
+    /// only competed with each other.
+    fn competing_lease_remaining(&self, voters: &VoterConfiguration) -> Millis {
+        let mut reports = BTreeMap::<GatewayNumber, Vec<Millis>>::new();
+        for competing in self.refusals.values().flatten() {
+            reports.entry(competing.holder).or_default().push(competing.remaining);
         }
+        let holder =
+            reports.into_values().find(|remaining| is_majority(remaining.len(), voters.voters.len()));
+        holder.and_then(|remaining| remaining.into_iter().max()).unwrap_or(0)
+    }
+}
+
+impl Leases {
+    /// The round of requests made at `now`. All requests of one message are one round.
+    pub(super) fn open_round(&mut self, now: Millis) -> QuorumRound {
         QuorumRound {
-            number: self.round_number,
+            number: self.outbox.open_round(),
             started_at: now,
             grants: BTreeSet::new(),
             refusals: BTreeMap::new(),
         }
     }
 
-    #[allow(clippy::too_many_arguments, reason = "an answer is all of these")]
-    pub(super) fn answered(
-        &mut self, now: Millis, from: GatewayNumber, number: u64, task: TaskId, asked: FencingToken,
-        said: Result<(), Refusal>, out: &mut Vec<Output>,
-    ) {
+    /// Records a voter's reply and follows what its round decides.
+    pub(super) fn record_vote(&mut self, now: Millis, reply: VoteReply, outputs: &mut Vec<Output>) {
+        self.note_refusal(&reply);
         let voters = &self.settings.voters;
-        let of_round = |t: FencingToken, r: &QuorumRound| {
-            t == asked && r.number == number && voters.voters.contains(&from)
-        };
-        // Of this gateway's own tasks alone: what others say must not grow what is held here.
-        if let Err(why) = said
-            && self.states.contains_key(&task)
-        {
-            self.last_refusals.insert(task, (from, why));
-        }
-        match self.states.get_mut(&task) {
-            Some(LeaseState::Acquiring { token, round, .. }) if of_round(*token, round) => {
-                match said {
-                    Ok(()) => drop(round.grants.insert(from)),
-                    Err(Refusal::HeldByOther { holder: by, remaining: left }) => {
-                        round.refusals.insert(from, Some((by, left.min(self.settings.max_lease_duration))));
+        match (self.states.get_mut(&reply.task), reply.vote) {
+            (Some(LeaseState::Acquiring { token, round, .. }), vote)
+                if round.accepts(&reply, *token, voters) =>
+            {
+                match vote {
+                    Vote::Granted => {
+                        round.grants.insert(reply.voter);
+                    }
+                    Vote::Refused(reason) => {
+                        round.record_refusal(reply.voter, reason, self.settings.max_lease_duration);
                     }
-                    Err(_) => drop(round.refusals.insert(from, None)),
                 }
-                let (token, left) = (*token, voters.voters.len() - round.refusals.len());
-                if voters.is_majority(round.grants.len()) {
-                    self.hold(now, task, token, out);
-                } else if !voters.is_majority(left) {
-                    self.give_up(now, task, out);
+                match round.outcome(voters) {
+                    RoundOutcome::Granted => self.hold(now, reply.task, outputs),
+                    RoundOutcome::Rejected => self.abandon_attempt(now, reply.task, outputs),
+                    RoundOutcome::Open => {}
                 }
             }
-            Some(LeaseState::Held { token, round, .. }) if said.is_ok() && of_round(*token, round) => {
-                round.grants.insert(from);
-                let token = *token;
+            (Some(LeaseState::Held { token, round, .. }), Vote::Granted)
+                if round.accepts(&reply, *token, voters) =>
+            {
+                round.grants.insert(reply.voter);
                 if voters.is_majority(round.grants.len()) {
-                    self.hold(now, task, token, out);
+                    self.hold(now, reply.task, outputs);
                 }
             }
             _ => {}
         }
     }
 
-    /// No majority can come: what was granted is given back, so that it is in nobody's way. Where a majority names one
-    /// holder, its grants are waited out; else candidates only met, and another try by chance comes soon.
-    pub(super) fn give_up(&mut self, now: Millis, task: TaskId, out: &mut Vec<Output>) {
-        let Some(LeaseState::Acquiring { token, round, .. }) = self.states.get(&task) else { return };
-        let mut holders = BTreeMap::<GatewayNumber, (usize, Millis)>::new();
-        for (by, left) in round.refusals.values().flatten() {
-            let held = holders.entry(*by).or_default();
-            *held = (held.0 + 1, held.1.max(*left));
+    /// Keeps the last refusal of each of this gateway's own tasks. Others are not kept: a peer must not grow what this
+    /// gateway holds.
+    fn note_refusal(&mut self, reply: &VoteReply) {
+        if let Vote::Refused(reason) = reply.vote
+            && self.states.contains_key(&reply.task)
+        {
+            self.last_refusals.insert(reply.task, LastRefusal { voter: reply.voter, reason });
         }
-        let voters = &self.settings.voters;
-        let wait =
-            holders.values().find(|(count, _)| voters.is_majority(*count)).map_or(0, |(_, left)| *left);
+    }
+
+    /// Ends an attempt that no majority granted. The grants are released, so that they block no other candidate. Where a
+    /// majority names one holder, the next attempt is after its lease; otherwise soon, with jitter.
+    pub(super) fn abandon_attempt(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
+        let Some(LeaseState::Acquiring { token, round, .. }) = self.states.get(&task) else { return };
         let token = *token;
-        out.push(Output::AcquisitionFailed { task, last_refusal: self.last_refusals.get(&task).copied() });
-        let next = self.later(now + 1 + wait);
-        self.states.insert(task, LeaseState::Idle { next_attempt_at: next });
-        self.release(now, task, token, None);
+        let wait = round.competing_lease_remaining(&self.settings.voters);
+        let last_refusal = self.last_refusals.get(&task).copied();
+        outputs.push(Output::AcquisitionFailed { task, last_refusal });
+        let next_attempt_at = self.jittered(now + 1 + wait);
+        self.states.insert(task, LeaseState::Idle { next_attempt_at });
+        self.release_grants(now, task, token, None);
     }
 }
--- a/crates/lease/src/leases/release.rs
+++ b/crates/lease/src/leases/release.rs
@@ -1,52 +1,71 @@
-//! Release and transfer.
+//! Releases and transfers leases, and follows changes of the tasks.
 
-use super::*;
+use super::Leases;
+use super::state::LeaseState;
+use crate::{FencingToken, GatewayNumber, Item, LostLease, Millis, Output, TaskId};
+use std::collections::BTreeSet;
 
 impl Leases {
-    pub(super) fn release(
-        &mut self, now: Millis, task: TaskId, token: FencingToken, to: Option<GatewayNumber>,
+    /// Releases a lease for another gateway and tells that one to acquire it. The release is sent first, so that the
+    /// voters receive it before the next holder's request.
+    pub(super) fn transfer(
+        &mut self, now: Millis, task: TaskId, to: GatewayNumber, outputs: &mut Vec<Output>,
     ) {
-        self.voter.release(now, (self.settings.gateway, self.settings.incarnation), task, token, to);
-        self.outgoing_items.push(Item::Release { task, token, transfer_to: to });
+        if self.give_up(now, task, Some(to), outputs) {
+            let message = self.message(0, vec![Item::Transfer { task }]);
+            self.flush(now, outputs);
+            outputs.push(Output::Send { to, message });
+        }
+    }
+
+    /// Gives up all tasks of the settings.
+    pub(super) fn give_up_all(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+        for task in self.settings.tasks.clone() {
+            self.give_up(now, task, None, outputs);
+        }
     }
 
-    /// Gives a task back where it is held or sought; whether it was held.
-    pub(super) fn give_back(
-        &mut self, now: Millis, task: TaskId, to: Option<GatewayNumber>, out: &mut Vec<Output>,
+    /// Releases a task that is held or requested. Returns whether it was held.
+    pub(super) fn give_up(
+        &mut self, now: Millis, task: TaskId, transfer_to: Option<GatewayNumber>, outputs: &mut Vec<Output>,
     ) -> bool {
-        let held = match self.states.get(&task) {
-            Some(LeaseState::Held { token, .. }) => {
-                let token = *token;
-                out.push(Output::Lost(LostLease { task, token, released: true }));
-                self.release(now, task, token, to);
-                true
-            }
-            Some(LeaseState::Acquiring { token, .. }) => {
-                let token = *token;
-                self.release(now, task, token, to);
-                false
-            }
-            _ => return false,
-        };
-        // Who gives back does not take again at once.
-        self.states
-            .insert(task, LeaseState::Idle { next_attempt_at: now + 1 + self.settings.lease_duration });
-        held
+        let Some(state) = self.states.get(&task) else { return false };
+        let Some(token) = state.token() else { return false };
+        let was_held = state.is_held();
+        if was_held {
+            outputs.push(Output::Lost(LostLease { task, token, released: true }));
+        }
+        self.release_grants(now, task, token, transfer_to);
+        // Not acquired again at once: others are to have their chance.
+        let next_attempt_at = now + 1 + self.settings.lease_duration;
+        self.states.insert(task, LeaseState::Idle { next_attempt_at });
+        was_held
+    }
+
+    /// Releases what voters have granted, this gateway's own vote among them.
+    pub(super) fn release_grants(
+        &mut self, now: Millis, task: TaskId, token: FencingToken, transfer_to: Option<GatewayNumber>,
+    ) {
+        self.voter.release(now, self.settings.holder_id(), task, token, transfer_to);
+        self.outbox.push(Item::Release { task, token, transfer_to });
     }
 
-    pub(super) fn take_tasks(
-        &mut self, now: Millis, tasks: Vec<TaskId>, fleet: BTreeSet<GatewayNumber>, out: &mut Vec<Output>,
+    /// Releases tasks that the settings no longer have, and becomes a candidate for new ones.
+    pub(super) fn change_tasks(
+        &mut self, now: Millis, tasks: Vec<TaskId>, gateways: BTreeSet<GatewayNumber>,
+        outputs: &mut Vec<Output>,
     ) {
-        self.settings.gateways = fleet;
+        self.settings.gateways = gateways;
         for task in std::mem::replace(&mut self.settings.tasks, tasks) {
             if !self.settings.tasks.contains(&task) {
-                self.give_back(now, task, None, out);
+                self.give_up(now, task, None, outputs);
                 self.states.remove(&task);
             }
         }
         for task in self.settings.tasks.clone() {
-            let next = self.later(now);
-            self.states.entry(task).or_insert(LeaseState::Idle { next_attempt_at: next });
+            // Drawn for tasks that stay as well: the draws keep their order.
+            let next_attempt_at = self.jittered(now);
+            self.states.entry(task).or_insert(LeaseState::Idle { next_attempt_at });
         }
     }
 }
--- a/crates/lease/src/leases/timing.rs
+++ b/crates/lease/src/leases/timing.rs
@@ -1,35 +1,48 @@
-//! Intervals and jitter.
+//! The intervals of the protocol, as fractions of a lease, and the jitter that keeps candidates apart.
 
-use super::*;
+use super::Leases;
+use crate::{GatewayNumber, Millis};
 
-/// A holder renews after this part of what it may believe, and asks again this often until a majority has answered.
-pub(super) const RENEW: Millis = 3;
-pub(super) const AGAIN: Millis = 8;
-/// Renewals due within this part of the lease go together.
-pub(super) const TOGETHER: Millis = 8;
-/// A candidate that got neither a majority nor refusals waits for answers this part of the lease.
-pub(super) const PATIENCE: Millis = 4;
-/// Candidates wait up to this part of the lease by chance, so that they do not ask at once again and again.
-pub(super) const SPREAD: Millis = 4;
-/// Whoever has nothing to say says so this often in a lease: versions and tokens are heard of then.
-pub(super) const BEATS: Millis = 2;
-/// Bits of a token that tell who made it, so that no two gateways make the same.
-pub(super) const MAKER: u32 = 14;
+/// A holder renews after this fraction (1/n) of its lease.
+pub(super) const RENEWAL_FRACTION: Millis = 3;
+/// A renewal is requested again each this fraction (1/n) of a lease until a majority has granted it.
+pub(super) const RENEWAL_RETRY_FRACTION: Millis = 8;
+/// Renewals and attempts that are due within this fraction (1/n) of a lease go into one message.
+pub(super) const BATCHING_FRACTION: Millis = 8;
+/// An attempt without a majority and without refusals is abandoned after this fraction (1/n) of a lease.
+pub(super) const REPLY_TIMEOUT_FRACTION: Millis = 4;
+/// After a transfer the next holder requests the task after this fraction (1/n) of a lease: the voters receive the release
+/// first.
+pub(super) const TRANSFER_DELAY_FRACTION: Millis = 8;
+/// The jitter of an attempt is at most this fraction (1/n) of a lease.
+const JITTER_FRACTION: Millis = 4;
+/// Heartbeats a lease: they carry voter versions and fencing tokens when there is nothing else to send.
+pub(super) const HEARTBEATS_PER_LEASE: Millis = 2;
 
 impl Leases {
-    /// A moment by chance after one, on a grid of this gateway's own: what waits for about the same moment goes in one
-    /// message, and no two gateways have the same moments.
-    pub(super) fn later(&mut self, from: Millis) -> Millis {
-        let grid = (self.settings.lease_duration / TOGETHER).max(1);
-        let own =
-            u64::from(self.settings.gateway) * grid / (self.settings.gateways.len() as u64).max(1) % grid;
-        (from + self.draw(self.settings.lease_duration / SPREAD)).saturating_sub(own).div_ceil(grid) * grid
-            + own
-    }
-
-    pub(super) fn draw(&mut self, most: Millis) -> Millis {
-        self.random_draws += 1;
+    /// A time after `earliest` with jitter, in this gateway's own slots.
+    pub(super) fn jittered(&mut self, earliest: Millis) -> Millis {
+        let lease = self.settings.lease_duration;
+        self.jitter_draws += 1;
         let seed = self.settings.seed ^ u64::from(self.settings.gateway) << 32;
-        xxhash_rust::xxh64::xxh64(&self.random_draws.to_le_bytes(), seed) % most.max(1)
+        let jitter = random_below(lease / JITTER_FRACTION, seed, self.jitter_draws);
+        let spacing = (lease / BATCHING_FRACTION).max(1);
+        let offset = slot_offset(self.settings.gateway, self.settings.gateways.len() as u64, spacing);
+        next_slot(earliest + jitter, spacing, offset)
     }
 }
+
+/// A pseudo-random number below `bound`, and 0 where `bound` is 0: the `draw`-th of this seed.
+fn random_below(bound: Millis, seed: u64, draw: u64) -> Millis {
+    xxhash_rust::xxh64::xxh64(&draw.to_le_bytes(), seed) % bound.max(1)
+}
+
+/// Where a gateway's slots lie within each `spacing` ms: no two gateways share one.
+fn slot_offset(gateway: GatewayNumber, gateway_count: u64, spacing: Millis) -> Millis {
+    u64::from(gateway) * spacing / gateway_count.max(1) % spacing
+}
+
+/// The first slot at or after `time`. Attempts in one slot go into one message.
+fn next_slot(time: Millis, spacing: Millis, offset: Millis) -> Millis {
+    time.saturating_sub(offset).div_ceil(spacing) * spacing + offset
+}
--- a/crates/lease/src/leases/voting.rs
+++ b/crates/lease/src/leases/voting.rs
@@ -1,62 +1,87 @@
-//! What others say, and this gateway's vote.
+//! Processes messages of other gateways, and votes on their requests.
 
-use super::*;
+use super::Leases;
+use super::quorum::{Vote, VoteReply};
+use super::state::LeaseState;
+use super::timing::TRANSFER_DELAY_FRACTION;
+use crate::{
+    DisabledRule, FencingToken, GatewayNumber, HolderId, Item, LeaseRequest, Message, Millis, Output,
+    Refusal, TaskId,
+};
 
 impl Leases {
-    pub(super) fn heard(
+    /// Processes a message and replies to its requests.
+    pub(super) fn receive_message(
         &mut self, now: Millis, from: GatewayNumber, incarnation: u64, message: &Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         self.highest_token = self.highest_token.max(message.highest_token);
         self.reported_versions.insert(from, message.voters_version);
+        let sender = HolderId { gateway: from, incarnation };
+        let reply = |task: TaskId, token: FencingToken, vote: Vote| VoteReply {
+            voter: from,
+            round: message.round,
+            task,
+            token,
+            vote,
+        };
         let mut replies = Vec::new();
         for item in &message.items {
             match *item {
-                Item::Request(ask) => {
-                    let (task, token) = (ask.task, ask.token);
-                    replies.push(match self.vote(now, message.voters_version, (from, incarnation), &ask) {
-                        Ok(()) => Item::Grant { task, token },
-                        Err(why) => Item::Refuse { task, token, reason: why },
-                    });
+                Item::Request(request) => {
+                    replies.push(self.answer(now, message.voters_version, sender, &request));
                 }
                 Item::Grant { task, token } => {
-                    self.answered(now, from, message.round, task, token, Ok(()), out)
+                    self.record_vote(now, reply(task, token, Vote::Granted), outputs);
                 }
-                Item::Refuse { task, token, reason: why } => {
-                    self.answered(now, from, message.round, task, token, Err(why), out)
+                Item::Refuse { task, token, reason } => {
+                    self.record_vote(now, reply(task, token, Vote::Refused(reason)), outputs);
                 }
-                Item::Release { task, token, transfer_to: to } => {
-                    self.voter.release(now, (from, incarnation), task, token, to)
-                }
-                Item::Transfer { task } => {
-                    let soon = now + (self.settings.lease_duration / (2 * PATIENCE)).max(1);
-                    if let Some(LeaseState::Idle { next_attempt_at: next }) = self.states.get_mut(&task) {
-                        *next = soon;
-                    }
+                Item::Release { task, token, transfer_to } => {
+                    self.voter.release(now, sender, task, token, transfer_to);
                 }
+                Item::Transfer { task } => self.accept_transfer(now, task),
             }
         }
         if !replies.is_empty() {
-            out.push(Output::Send {
-                to: from,
-                message: Message { items: replies, ..self.message(message.round) },
-            });
+            let message = self.message(message.round, replies);
+            outputs.push(Output::Send { to: from, message });
+        }
+    }
+
+    /// The reply to a request.
+    fn answer(
+        &mut self, now: Millis, voters_version: u64, requester: HolderId, request: &LeaseRequest,
+    ) -> Item {
+        let LeaseRequest { task, token, .. } = *request;
+        match self.vote(now, voters_version, requester, request) {
+            Ok(()) => Item::Grant { task, token },
+            Err(reason) => Item::Refuse { task, token, reason },
         }
     }
 
-    /// This gateway's word on an ask.
+    /// This gateway's vote on a request of a gateway at `voters_version`.
     pub(super) fn vote(
-        &mut self, now: Millis, version: u64, holder: (GatewayNumber, u64), ask: &LeaseRequest,
+        &mut self, now: Millis, voters_version: u64, requester: HolderId, request: &LeaseRequest,
     ) -> Result<(), Refusal> {
         if !self.is_voting(now) {
             return Err(Refusal::NotVoting);
         }
         let own = self.voters_version();
-        if version != own && version != own + 1 && !self.is(DisabledRule::VoterVersions) {
+        let is_neighbour = voters_version == own || voters_version == own + 1;
+        if !is_neighbour && !self.is_disabled(DisabledRule::VoterVersions) {
             return Err(Refusal::VersionMismatch);
         }
-        self.highest_token = self.highest_token.max(ask.token);
-        let again = self.is(DisabledRule::TokenUniqueness);
-        self.voter.request(now, self.settings.max_lease_duration, holder, ask, again)
+        self.highest_token = self.highest_token.max(request.token);
+        let allow_reused_token = self.is_disabled(DisabledRule::TokenUniqueness);
+        self.voter.grant(now, self.settings.max_lease_duration, requester, request, allow_reused_token)
+    }
+
+    /// A holder has released a task for this gateway: it is requested soon.
+    fn accept_transfer(&mut self, now: Millis, task: TaskId) {
+        let delay = (self.settings.lease_duration / TRANSFER_DELAY_FRACTION).max(1);
+        if let Some(LeaseState::Idle { next_attempt_at }) = self.states.get_mut(&task) {
+            *next_attempt_at = now + delay;
+        }
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,11 +1,14 @@
-//! Leases for fleet-wide tasks: at most one gateway believes that it holds a task at any moment of real time. Decisions
-//! without I/O and without a clock; `docs/leases.md` has the design, the proof and the options that were weighed.
+//! Leases for fleet-wide tasks: at most one gateway believes that it holds a task at any moment of real time.
 //!
-//! A voter grants a task to one gateway at a time, for a length counted on its own clock from when the ask arrived. Who
-//! has a majority's grants of one ask holds the task for that length, less what clocks may run apart, counted on its own
-//! clock from before the ask was sent. Two majorities share a voter, and that voter's second grant came after its first
-//! had run out: so did the first holder's belief. Nothing is written to disk: a voter that was started again stays silent
-//! for the longest lease, in which all that it promised runs out.
+//! A state machine without I/O and without a clock: [`Leases::handle`] takes an [`Input`] with the current time and
+//! appends [`Output`]s; [`Leases::next_timeout`] says when to call it next. `docs/leases.md` has the design, the proof and
+//! the alternatives that were weighed.
+//!
+//! A voter grants a task to one holder at a time, for a duration counted on its own clock from the arrival of the request.
+//! A candidate with the grants of a majority for one request holds the lease for that duration, less the allowed clock
+//! drift, counted on its own clock from before the request was sent. Two majorities share a voter, and that voter's second
+//! grant came after its first had expired, so the first holder's lease was over as well. Nothing is written to disk: a
+//! voter that was restarted does not vote for the longest lease, in which every grant of its last start expires.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -21,27 +24,38 @@
 mod voter;
 mod voter_configuration;
 
-pub use calls::{CallSchedule, CallSettings};
-pub use codec::{DecodeError, ITEMS, decode, encode};
+pub use calls::{AuthorizedCall, CallSchedule, CallSettings};
+pub use codec::{DecodeError, MAX_MESSAGE_ITEMS, decode, encode};
 pub use events::{AcquiredLease, Input, LostLease, Output};
 pub use leases::Leases;
 pub use message::{Item, LeaseRequest, Message, Refusal};
-pub use permit::{GuardError, Needs, Permit};
+pub use permit::{GuardError, Permit};
 pub use settings::{DisabledRule, Settings, SettingsError};
-pub use status::{LeaseStage, LeaseStatus};
-pub use voter::Voter;
+pub use status::{LastRefusal, LeaseStage, LeaseStatus};
+pub use voter::{ActiveGrant, Voter};
 pub use voter_configuration::VoterConfiguration;
 
-/// A gateway's number.
+/// A gateway's number in the fleet.
 pub type GatewayNumber = u32;
-/// A task's number: a hash of its name, so that gateways agree without a list.
+/// A task's number: a hash of its name, so that gateways agree on it without a list.
 pub type TaskId = u32;
-/// Ms on a gateway's monotonic clock. Only differences on one clock mean anything.
+/// Milliseconds: a duration, or a point in time on one gateway's monotonic clock. Points on different clocks are never
+/// compared.
 pub type Millis = u64;
-/// A fencing token; see `docs/leases.md` for what it grows by.
+/// A fencing token; `docs/leases.md` says what it grows by.
 pub type FencingToken = u64;
 
-/// The number of a task by its name.
+/// One start of a gateway's process. Two starts of a gateway are two holders: the second one knows nothing of the leases
+/// of the first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct HolderId {
+    /// The gateway.
+    pub gateway: GatewayNumber,
+    /// Identifies the start of its process.
+    pub incarnation: u64,
+}
+
+/// The id of a task by its name.
 #[must_use]
 pub fn task_of(name: &str) -> TaskId {
     xxhash_rust::xxh32::xxh32(name.as_bytes(), 0)
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,86 +1,86 @@
-//! What gateways say to each other about leases. Messages may be lost, doubled, late and out of order.
+//! The messages between candidates, holders and voters. Messages may be lost, duplicated, delayed and reordered.
 
 use crate::{FencingToken, GatewayNumber, Millis, TaskId};
 
-/// One message: items of one sender at one moment.
+/// One message: items that its sender sends together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Message {
-    /// The sender's list of voters.
+    /// The version of the sender's voter configuration.
     pub voters_version: u64,
-    /// The highest token the sender knows of.
+    /// The highest fencing token that the sender knows of.
     pub highest_token: FencingToken,
-    /// The sender's round: answers name the round of the ask that they answer.
+    /// The sender's quorum round; a reply has the round of the request that it answers.
     pub round: u64,
-    /// What is said.
+    /// The items.
     pub items: Vec<Item>,
 }
 
-/// What is asked for.
+/// A request for a lease, or for its renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseRequest {
     /// The task.
     pub task: TaskId,
-    /// The token that it is to be held under.
+    /// The fencing token that the lease is to be held under.
     pub token: FencingToken,
-    /// For how long, in ms.
+    /// The duration of the lease, in ms.
     pub duration: Millis,
 }
 
-/// One thing said.
+/// One item of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Item {
-    /// A candidate or holder asks a voter.
+    /// A candidate or holder requests a lease of a voter.
     Request(LeaseRequest),
     /// The voter grants it.
     Grant {
         /// The task.
         task: TaskId,
-        /// Its token.
+        /// The token of the request.
         token: FencingToken,
     },
-    /// The voter does not.
+    /// The voter refuses it.
     Refuse {
         /// The task.
         task: TaskId,
-        /// The token that was asked for.
+        /// The token of the request.
         token: FencingToken,
         /// Why.
         reason: Refusal,
     },
-    /// A holder or candidate gives back what it was granted.
+    /// A holder or candidate releases what it was granted.
     Release {
         /// The task.
         task: TaskId,
-        /// Its token.
+        /// The token of the grant.
         token: FencingToken,
-        /// Who is to have it next, where that is settled.
+        /// The gateway for which voters reserve the task, at a transfer.
         transfer_to: Option<GatewayNumber>,
     },
-    /// A holder has given the task back and would have the receiver take it.
+    /// A holder has released the task for the receiver, which is to acquire it.
     Transfer {
         /// The task.
         task: TaskId,
     },
 }
 
-/// Why a voter refuses.
+/// Why a voter refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// It was started too short a time ago, or its list is not settled.
+    /// The voter was started too short a time ago, or its voter configuration is not in force.
     NotVoting,
-    /// The asker's list of voters is not this voter's, nor the next after it.
+    /// The version of the requester's voter configuration is neither the voter's nor the next.
     VersionMismatch,
-    /// Another gateway has it, for so long at most, in ms.
+    /// The task is granted to, or reserved for, another gateway.
     HeldByOther {
-        /// Who.
+        /// That gateway.
         holder: GatewayNumber,
-        /// The rest of its grant.
+        /// How long the grant or reservation lasts at most, in ms.
         remaining: Millis,
     },
-    /// A token as high was granted before.
+    /// A token at least as high was granted before.
     StaleToken,
-    /// The length is beyond what voters honour.
+    /// The duration is longer than voters grant.
     LeaseTooLong,
-    /// It knows of too many tasks.
+    /// The voter knows of too many tasks.
     TooManyTasks,
 }
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -1,103 +1,128 @@
-//! What leases are set up with, and what of it cannot be.
+//! The settings of one gateway's leases and their validation.
 
-use crate::{GatewayNumber, Millis, TaskId, VoterConfiguration};
+use crate::{GatewayNumber, HolderId, Millis, TaskId, VoterConfiguration};
 use std::collections::BTreeSet;
+use thiserror::Error;
+
+/// The shortest lease in ms.
+const MIN_LEASE_MS: Millis = 20;
+/// The longest lease in ms.
+const MAX_LEASE_MS: Millis = 600_000;
+/// The clock drift must be below this, in parts per million.
+const CLOCK_DRIFT_LIMIT_PPM: u64 = 500_000;
+/// Parts per million.
+const MILLION: u64 = 1_000_000;
+/// Added to a wait because times are sent in whole ms: one ms for each of the two clocks.
+const ROUNDING_MS: Millis = 2;
 
 /// The settings of one gateway's leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// This gateway.
     pub gateway: GatewayNumber,
-    /// Tells this start of the process from others of the same gateway: two starts are two holders.
+    /// Identifies this start of the process: two starts of a gateway are two holders.
     pub incarnation: u64,
-    /// Seeds the waits that keep candidates apart.
+    /// Seeds the jitter that keeps candidates apart.
     pub seed: u64,
-    /// The lease, in ms: 20 to 600,000. The same in the whole fleet or not longer than what voters honour.
+    /// The duration of a lease, in ms: 20 to 600,000. The same in the whole fleet, or not longer than voters grant.
     pub lease_duration: Millis,
-    /// What a voter honours at most, and how long it promises nothing after a start: at least `length`.
+    /// The longest lease that this gateway grants as a voter, and how long it does not vote after a start, in ms: from
+    /// `lease_duration` to 600,000.
     pub max_lease_duration: Millis,
-    /// How far the rates of two clocks may be apart, in parts of a million: below 500,000.
+    /// By how much the rates of two clocks may differ, in parts per million: below 500,000.
     pub clock_drift_ppm: u64,
-    /// All gateways that are told of anything, this one among them or not.
+    /// All gateways that receive heartbeats; this gateway may be among them.
     pub gateways: BTreeSet<GatewayNumber>,
     /// Who votes.
     pub voters: VoterConfiguration,
-    /// The tasks that this gateway would do.
+    /// The tasks that this gateway is a candidate for.
     pub tasks: Vec<TaskId>,
 }
 
-/// Rules that tests leave out; without the feature `fault-injection` nobody can.
+/// A rule of the protocol that a test disables to see that it is caught. Only the feature `fault-injection` can set one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum DisabledRule {
-    /// None: the product.
+    /// All rules are in force: the product.
     #[default]
     None,
-    /// A voter answers at once after a start.
+    /// A voter does not vote for the longest lease after a start.
     StartupWait,
-    /// A lease counts from the answer.
+    /// A lease expires counted from before its request was sent, not from the reply.
     ExpiryFromRequest,
-    /// A majority of an older list of voters is good enough, and lists may be skipped.
+    /// Only a majority of the present voter configuration counts, and no version is skipped.
     VoterVersions,
-    /// A voter grants a token that it granted before, and a candidate uses its last one again.
+    /// A voter grants no token twice, and a candidate never reuses one.
     TokenUniqueness,
 }
 
 /// Settings that cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The lease is out of range.
-    LeaseDuration,
-    /// The longest lease is shorter than the lease.
-    MaxLeaseDuration,
-    /// The drift is out of range.
-    ClockDrift,
-    /// Nobody votes.
+    /// The duration of a lease is out of range.
+    #[error("the lease must be {MIN_LEASE_MS} to {MAX_LEASE_MS} ms, not {0} ms")]
+    LeaseDuration(Millis),
+    /// The longest lease is shorter than the lease, or out of range.
+    #[error(
+        "the longest lease must be at least the lease, {lease} ms, and at most {MAX_LEASE_MS} ms, not {longest} ms"
+    )]
+    MaxLeaseDuration {
+        /// The duration of a lease, in ms.
+        lease: Millis,
+        /// The longest lease that was configured, in ms.
+        longest: Millis,
+    },
+    /// The clock drift is out of range.
+    #[error("the drift must be below {CLOCK_DRIFT_LIMIT_PPM} parts of a million, not {0}")]
+    ClockDrift(u64),
+    /// The voter configuration has no voter.
+    #[error("at least one gateway must vote")]
     NoVoters,
-    /// The list before this one differs by more than one voter.
-    VoterStep,
+    /// A voter configuration differs by more than one voter from the one before, or skips a version.
+    #[error("one voter may be added or removed in one version (version {version}: {changed} changed)")]
+    VoterStep {
+        /// The version of the configuration.
+        version: u64,
+        /// How many voters were added or removed.
+        changed: usize,
+    },
 }
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Self::LeaseDuration => "the lease must be 20 to 600000 ms",
-            Self::MaxLeaseDuration => "the longest lease must be at least the lease, and at most 600000 ms",
-            Self::ClockDrift => "the drift must be below 500000 parts of a million",
-            Self::NoVoters => "at least one gateway must vote",
-            Self::VoterStep => "one voter may be added or removed in one version",
-        })
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
 impl Settings {
-    /// Finds what cannot be.
+    /// Checks the ranges of all settings.
     ///
     /// # Errors
-    /// The first fault.
+    /// The first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let most = 600_000;
-        match () {
-            () if !(20..=most).contains(&self.lease_duration) => Err(SettingsError::LeaseDuration),
-            () if self.max_lease_duration < self.lease_duration || self.max_lease_duration > most => {
-                Err(SettingsError::MaxLeaseDuration)
-            }
-            () if self.clock_drift_ppm >= 500_000 => Err(SettingsError::ClockDrift),
-            () => self.voters.validate(),
+        if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&self.lease_duration) {
+            return Err(SettingsError::LeaseDuration(self.lease_duration));
         }
+        if !(self.lease_duration..=MAX_LEASE_MS).contains(&self.max_lease_duration) {
+            return Err(SettingsError::MaxLeaseDuration {
+                lease: self.lease_duration,
+                longest: self.max_lease_duration,
+            });
+        }
+        if self.clock_drift_ppm >= CLOCK_DRIFT_LIMIT_PPM {
+            return Err(SettingsError::ClockDrift(self.clock_drift_ppm));
+        }
+        self.voters.validate()
     }
 
-    /// For how long a holder may believe in a grant of `length`: a voter's clock may run faster than its own.
+    /// How long a holder may believe in a grant of `duration` ms: a voter's clock may run faster than its own.
     #[must_use]
-    pub fn holder_duration(&self, length: Millis) -> Millis {
-        length * 1_000_000 / (1_000_000 + self.clock_drift_ppm)
+    pub fn holder_duration(&self, duration: Millis) -> Millis {
+        duration * MILLION / (MILLION + self.clock_drift_ppm)
     }
 
-    /// How long a voter waits for all that another start of it promised: its clock may run faster than a holder's, and
-    /// times are told in whole ms.
+    /// How long a voter does not vote after a start, in ms, so that every grant of an earlier start expires. Its clock may
+    /// run faster than a holder's.
     #[must_use]
     pub fn startup_wait(&self) -> Millis {
-        self.max_lease_duration * (1_000_000 + self.clock_drift_ppm) / 1_000_000 + 2
+        self.max_lease_duration * (MILLION + self.clock_drift_ppm) / MILLION + ROUNDING_MS
+    }
+
+    /// This gateway as the holder of a lease.
+    pub(crate) fn holder_id(&self) -> HolderId {
+        HolderId { gateway: self.gateway, incarnation: self.incarnation }
     }
 }
--- a/crates/lease/src/status.rs
+++ b/crates/lease/src/status.rs
@@ -1,29 +1,38 @@
-//! A task as people see it.
+//! The status of a task's lease at one gateway, for operators.
 
-use crate::{FencingToken, GatewayNumber, Millis, Refusal, TaskId};
+use crate::{ActiveGrant, FencingToken, GatewayNumber, Millis, Refusal, TaskId};
 
-/// Where a task stands at this gateway.
+/// How far this gateway is with the lease of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStage {
-    /// Another gateway's, or nobody's; sought again after so many ms.
+    /// Held by another gateway or by none; requested again after so many ms.
     Waiting(Millis),
-    /// Asked for, with so many grants.
+    /// Requested, with the grants of so many voters.
     Acquiring(usize),
-    /// Held for so many ms yet, if nothing is renewed.
+    /// Held for so many ms unless it is renewed.
     Held(Millis),
 }
 
-/// A task as people see it.
+/// The last refusal that was received for a task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct LastRefusal {
+    /// The voter that refused.
+    pub voter: GatewayNumber,
+    /// Its reason.
+    pub reason: Refusal,
+}
+
+/// The status of one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     /// The task.
     pub task: TaskId,
-    /// Where it stands here.
+    /// How far this gateway is with its lease.
     pub stage: LeaseStage,
-    /// The token, asked for or held under.
+    /// The fencing token requested or held.
     pub token: Option<FencingToken>,
-    /// Who has it by this gateway's word as a voter, under which token, for so many ms yet.
-    pub granted: Option<(GatewayNumber, FencingToken, Millis)>,
-    /// Why it was refused last, and by whom.
-    pub last_refusal: Option<(GatewayNumber, Refusal)>,
+    /// What this gateway has granted as a voter.
+    pub granted: Option<ActiveGrant>,
+    /// The last refusal that this gateway received.
+    pub last_refusal: Option<LastRefusal>,
 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,86 +1,122 @@
-//! What one voter has granted. It knows no majorities: it keeps its own word and nothing else.
+//! The grants of one voter. It knows no majorities: it only keeps its own promises.
 
-use crate::{FencingToken, GatewayNumber, LeaseRequest, Millis, Refusal, TaskId};
+use crate::{FencingToken, GatewayNumber, HolderId, LeaseRequest, Millis, Refusal, TaskId};
 use std::collections::BTreeMap;
 
-/// So many tasks are known of at most: four times what one link is made for.
-const TASKS: usize = 4096;
+/// The most tasks that a voter knows of: four times the most tasks that the settings allow.
+const MAX_TASKS: usize = 4096;
+/// Added to the duration of a grant: the time of the request was cut to whole ms, and a grant must not expire early.
+const ROUNDING_MS: Millis = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grant {
-    holder: (GatewayNumber, u64),
+    holder: HolderId,
     token: FencingToken,
     expires_at: Millis,
 }
 
-/// The grants of one voter.
+/// A task that was released for a transfer, and the gateway that alone is granted it meanwhile.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Reservation {
+    gateway: GatewayNumber,
+    expires_at: Millis,
+}
+
+/// A grant in force, for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ActiveGrant {
+    /// The gateway it was granted to.
+    pub holder: GatewayNumber,
+    /// The fencing token it was granted under.
+    pub token: FencingToken,
+    /// How long it lasts, in ms.
+    pub remaining: Millis,
+}
+
+/// The grants of one voter. All times are on this voter's own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     grants: BTreeMap<TaskId, Grant>,
-    /// Who is to have a task that was handed over: for so long it is kept for it.
-    reservations: BTreeMap<TaskId, (GatewayNumber, Millis)>,
-    /// The highest token granted of each task: none is granted twice to two.
+    reservations: BTreeMap<TaskId, Reservation>,
+    /// The highest token granted of each task: no token is granted to two holders.
     highest_tokens: BTreeMap<TaskId, FencingToken>,
 }
 
 impl Voter {
-    /// Grants an ask of a gateway's start, or says why not. `now` is this voter's own clock; `again` is a rule left out.
-    pub(crate) fn request(
-        &mut self, now: Millis, longest: Millis, holder: (GatewayNumber, u64), ask: &LeaseRequest,
-        again: bool,
+    /// Grants a request, or says why not. `allow_reused_token` disables a rule for a test.
+    pub(crate) fn grant(
+        &mut self, now: Millis, max_lease_duration: Millis, holder: HolderId, request: &LeaseRequest,
+        allow_reused_token: bool,
     ) -> Result<(), Refusal> {
-        if ask.duration > longest {
+        if request.duration > max_lease_duration {
             return Err(Refusal::LeaseTooLong);
         }
-        if self.highest_tokens.len() >= TASKS && !self.highest_tokens.contains_key(&ask.task) {
+        if self.highest_tokens.len() >= MAX_TASKS && !self.highest_tokens.contains_key(&request.task) {
             return Err(Refusal::TooManyTasks);
         }
-        let live = self.grants.get(&ask.task).filter(|g| g.expires_at > now);
-        if let Some(other) = live.filter(|g| g.holder != holder) {
-            return Err(Refusal::HeldByOther { holder: other.holder.0, remaining: other.expires_at - now });
+        self.check_not_held_by_other(now, holder, request.task)?;
+        let highest = self.highest_tokens.get(&request.task).copied().unwrap_or_default();
+        if !self.is_renewal(now, request) && request.token <= highest && !allow_reused_token {
+            return Err(Refusal::StaleToken);
         }
-        if let Some((by, until)) =
-            self.reservations.get(&ask.task).filter(|(to, until)| *until > now && *to != holder.0)
-        {
-            return Err(Refusal::HeldByOther { holder: *by, remaining: *until - now });
+        let expires_at = now + request.duration + ROUNDING_MS;
+        self.grants.insert(request.task, Grant { holder, token: request.token, expires_at });
+        self.highest_tokens.insert(request.task, highest.max(request.token));
+        Ok(())
+    }
+
+    /// Refuses a task that is granted to another holder or reserved for another gateway.
+    fn check_not_held_by_other(&self, now: Millis, holder: HolderId, task: TaskId) -> Result<(), Refusal> {
+        if let Some(other) = self.active(now, task).filter(|grant| grant.holder != holder) {
+            return Err(Refusal::HeldByOther {
+                holder: other.holder.gateway,
+                remaining: other.expires_at - now,
+            });
         }
-        let renewed = live.is_some_and(|g| g.token == ask.token);
-        let highest = self.highest_tokens.get(&ask.task).copied().unwrap_or_default();
-        if !renewed && ask.token <= highest && !again {
-            return Err(Refusal::StaleToken);
+        let reservation = self.reservations.get(&task).filter(|reserved| reserved.expires_at > now);
+        if let Some(other) = reservation.filter(|reserved| reserved.gateway != holder.gateway) {
+            return Err(Refusal::HeldByOther { holder: other.gateway, remaining: other.expires_at - now });
         }
-        // One ms more: `now` was cut to whole ms, and a promise must not run out early.
-        let grant = Grant { holder, token: ask.token, expires_at: now + ask.duration + 1 };
-        self.grants.insert(ask.task, grant);
-        self.highest_tokens.insert(ask.task, highest.max(ask.token));
         Ok(())
     }
 
-    /// A gateway gives back what it was granted. A release that is late names a token that is not granted any more.
-    /// One that hands over keeps the task for the next holder, for no longer than the grant had left.
+    /// Whether the task is granted under the token of the request.
+    fn is_renewal(&self, now: Millis, request: &LeaseRequest) -> bool {
+        self.active(now, request.task).is_some_and(|grant| grant.token == request.token)
+    }
+
+    fn active(&self, now: Millis, task: TaskId) -> Option<&Grant> {
+        self.grants.get(&task).filter(|grant| grant.expires_at > now)
+    }
+
+    /// Ends the grant of a holder that releases it. A delayed release names a token that is no longer granted and changes
+    /// nothing. At a transfer the task is reserved for the next holder for as long as the grant would have lasted.
     pub(crate) fn release(
-        &mut self, now: Millis, holder: (GatewayNumber, u64), task: TaskId, token: FencingToken,
-        to: Option<GatewayNumber>,
+        &mut self, now: Millis, holder: HolderId, task: TaskId, token: FencingToken,
+        transfer_to: Option<GatewayNumber>,
     ) {
-        let Some(grant) = self.grants.get(&task).filter(|g| g.holder == holder && g.token == token) else {
-            return;
-        };
-        if let Some(to) = to.filter(|_| grant.expires_at > now) {
-            self.reservations.insert(task, (to, grant.expires_at));
+        let granted = |grant: &&Grant| grant.holder == holder && grant.token == token;
+        let Some(grant) = self.grants.get(&task).filter(granted) else { return };
+        let expires_at = grant.expires_at;
+        if let Some(gateway) = transfer_to.filter(|_| expires_at > now) {
+            self.reservations.insert(task, Reservation { gateway, expires_at });
         }
         self.grants.remove(&task);
     }
 
-    /// Forgets the grants of tasks long over; the highest tokens stay.
+    /// Forgets grants and reservations that have expired; the highest tokens stay.
     pub(crate) fn remove_expired(&mut self, now: Millis) {
-        self.grants.retain(|_, g| g.expires_at > now);
-        self.reservations.retain(|_, (_, until)| *until > now);
+        self.grants.retain(|_, grant| grant.expires_at > now);
+        self.reservations.retain(|_, reserved| reserved.expires_at > now);
     }
 
-    /// Who has a task by this voter, under which token, and for how long yet.
+    /// The grant of a task that is in force.
     #[must_use]
-    pub fn granted(&self, now: Millis, task: TaskId) -> Option<(GatewayNumber, FencingToken, Millis)> {
-        let grant = self.grants.get(&task).filter(|g| g.expires_at > now)?;
-        Some((grant.holder.0, grant.token, grant.expires_at - now))
+    pub fn granted(&self, now: Millis, task: TaskId) -> Option<ActiveGrant> {
+        self.active(now, task).map(|grant| ActiveGrant {
+            holder: grant.holder.gateway,
+            token: grant.token,
+            remaining: grant.expires_at - now,
+        })
     }
 }
--- a/crates/lease/src/voter_configuration.rs
+++ b/crates/lease/src/voter_configuration.rs
@@ -1,63 +1,71 @@
-//! Who votes. Lists have versions, each one voter away from the one before, so that majorities of neighbours share a
-//! voter; nobody goes two versions on before a majority has left the first.
+//! Who votes. Configurations have versions; each differs by at most one voter from the one before, so that majorities of
+//! neighbouring versions share a voter.
 
 use crate::{GatewayNumber, SettingsError};
 use std::collections::BTreeSet;
 
-/// A list of voters and the one before it.
+/// The voters of one version and those of the version before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VoterConfiguration {
-    /// Counts the changes of the list.
+    /// Counts the changes of the configuration.
     pub version: u64,
-    /// Those who vote.
+    /// The voters of this version.
     pub voters: BTreeSet<GatewayNumber>,
-    /// Those who voted in the version before; empty where there was none.
+    /// The voters of the version before; empty where there was none.
     pub previous_voters: BTreeSet<GatewayNumber>,
 }
 
 impl VoterConfiguration {
-    /// The first list.
+    /// The first version.
     #[must_use]
-    pub fn first(now: impl IntoIterator<Item = GatewayNumber>) -> Self {
-        Self { version: 0, voters: now.into_iter().collect(), previous_voters: BTreeSet::new() }
+    pub fn first(voters: impl IntoIterator<Item = GatewayNumber>) -> Self {
+        Self { version: 0, voters: voters.into_iter().collect(), previous_voters: BTreeSet::new() }
     }
 
-    /// The list after this one.
+    /// The next version, with these voters.
     #[must_use]
-    pub fn with_voters(&self, now: impl IntoIterator<Item = GatewayNumber>) -> Self {
+    pub fn with_voters(&self, voters: impl IntoIterator<Item = GatewayNumber>) -> Self {
         Self {
             version: self.version + 1,
-            voters: now.into_iter().collect(),
+            voters: voters.into_iter().collect(),
             previous_voters: self.voters.clone(),
         }
     }
 
-    /// Whether so many of them are a majority.
+    /// Whether so many of the voters are a majority.
     #[must_use]
     pub fn is_majority(&self, count: usize) -> bool {
-        count * 2 > self.voters.len()
+        is_majority(count, self.voters.len())
     }
 
+    /// Checks this version by itself.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.voters.is_empty() {
             return Err(SettingsError::NoVoters);
         }
-        let step = self.voters.symmetric_difference(&self.previous_voters).count();
-        if self.previous_voters.is_empty() || step <= 1 { Ok(()) } else { Err(SettingsError::VoterStep) }
+        let changed = self.voters.symmetric_difference(&self.previous_voters).count();
+        if self.previous_voters.is_empty() || changed <= 1 { Ok(()) } else { Err(self.step_error(changed)) }
     }
 
-    /// Whether another list may follow: the next version, one voter away.
+    /// Whether `next` may follow this configuration: the same again, or the next version with at most one voter added or
+    /// removed.
     ///
     /// # Errors
-    /// What stands against it.
+    /// Why it may not.
     pub fn may_follow(&self, next: &Self) -> Result<(), SettingsError> {
         next.validate()?;
-        let step = self.voters.symmetric_difference(&next.voters).count();
-        let same = next.version == self.version && step == 0;
-        if same || next.version == self.version + 1 && step <= 1 {
-            Ok(())
-        } else {
-            Err(SettingsError::VoterStep)
-        }
+        let changed = self.voters.symmetric_difference(&next.voters).count();
+        let unchanged = next.version == self.version && changed == 0;
+        let one_step = next.version == self.version + 1 && changed <= 1;
+        if unchanged || one_step { Ok(()) } else { Err(next.step_error(changed)) }
+    }
+
+    fn step_error(&self, changed: usize) -> SettingsError {
+        SettingsError::VoterStep { version: self.version, changed }
     }
 }
+
+/// Whether `count` of `total` voters are a majority.
+pub(crate) fn is_majority(count: usize, total: usize) -> bool {
+    count * 2 > total
+}
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -266,7 +266,7 @@
             for number in self.nodes.keys() {
                 let now = self.local(*number);
                 let Some(leases) = &self.nodes[number].leases else { continue };
-                if leases.may_act(now, task, Needs { time: 0 }).is_ok() {
+                if leases.may_act(now, task, 0).is_ok() {
                     holders.insert(*number);
                 }
             }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -103,7 +103,7 @@
     fn holders(&self, state: &State, task: TaskId) -> usize {
         let holds = |number: &GatewayNumber| {
             let now = self.local(*number, state.time);
-            state.nodes[*number as usize].0.may_act(now, task, Needs { time: 0 }).is_ok()
+            state.nodes[*number as usize].0.may_act(now, task, 0).is_ok()
         };
         (0..3).filter(holds).count()
     }
