--- a/crates/lease/src/calls/tests.rs
+++ b/crates/lease/src/calls/tests.rs
@@ -1,15 +1,14 @@
 use super::*;
 use crate::{Input, Settings, VoterConfiguration};
 
-/// A fleet of one voter holds its task at once.
-fn alone(now: Millis) -> Leases {
-    let (voters, fleet) = (VoterConfiguration::first([0]), [0].into());
+/// A fleet of one voter acquires its task at once.
+fn single_voter(now: Millis) -> Leases {
     let settings = Settings {
         incarnation: 1,
         lease_duration: 100,
         max_lease_duration: 100,
-        gateways: fleet,
-        voters,
+        gateways: [0].into(),
+        voters: VoterConfiguration::first([0]),
         tasks: vec![7],
         ..Settings::default()
     };
@@ -19,13 +18,13 @@
 }
 
 #[test]
-fn one_call_at_a_time_and_none_the_lease_does_not_outlast() {
-    let leases = alone(0);
+fn one_call_is_in_flight_and_none_starts_that_outlasts_the_lease() {
+    let leases = single_voter(0);
     let mut calls = CallSchedule::default();
     calls.configure(200, &BTreeMap::from([(7, CallSettings { interval: 10, duration: 30 })]));
     assert_eq!(calls.start_due(200, &leases).len(), 1);
-    assert!(calls.start_due(205, &leases).is_empty(), "one is out");
-    let call = calls.authorize_write(210, &leases, 7).expect("it may leave");
+    assert!(calls.start_due(205, &leases).is_empty(), "one is in flight");
+    let call = calls.authorize_write(210, &leases, 7).expect("the write is authorized");
     assert!(call.deadline == 240 && call.deadline <= call.permit.expires_at);
     assert_eq!(calls.next_timeout(211, &leases), 240);
     calls.finish(220, 7);
@@ -36,12 +35,12 @@
 }
 
 #[test]
-fn a_call_that_was_held_up_does_not_leave_and_is_not_waited_for() {
-    let leases = alone(0);
+fn a_delayed_call_is_not_written_and_is_overdue() {
+    let leases = single_voter(0);
     let mut calls = CallSchedule::default();
     calls.configure(200, &BTreeMap::from([(7, CallSettings { interval: 10, duration: 30 })]));
     calls.start_due(200, &leases);
-    // The process was stopped between check and write.
+    // The process was paused between the check and the write.
     assert_eq!(calls.authorize_write(500, &leases, 7), None);
     assert_eq!(calls.overdue(500), [7]);
     calls.finish(500, 7);
--- a/crates/lease/src/codec/tests.rs
+++ b/crates/lease/src/codec/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 fn any_item() -> impl Strategy<Value = Item> {
-    let why = prop_oneof![
+    let reason = prop_oneof![
         Just(Refusal::NotVoting),
         Just(Refusal::VersionMismatch),
         (any::<u32>(), any::<u64>())
@@ -19,7 +19,7 @@
             duration: length
         })),
         pair.prop_map(|(task, token)| Item::Grant { task, token }),
-        (pair, why).prop_map(|((task, token), why)| Item::Refuse { task, token, reason: why }),
+        (pair, reason).prop_map(|((task, token), reason)| Item::Refuse { task, token, reason }),
         (pair, any::<Option<u32>>()).prop_map(|((task, token), to)| Item::Release {
             task,
             token,
@@ -31,7 +31,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(
+    fn an_encoded_message_decodes_to_itself(
         version in any::<u64>(), highest in any::<u64>(), round in any::<u64>(),
         items in prop::collection::vec(any_item(), 0..20),
     ) {
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn no_bytes_break_it(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes);
     }
 }
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Gateways with leases in simulated time: clocks that run apart, a network that loses, doubles, delays and is cut by
-//! pairs and ways, pauses and starts. Who believes to hold a task is looked at at every step.
+//! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages and
+//! is partitioned by pairs and directions, processes that pause and restart. Who believes to hold a task is checked at every
+//! step.
 #![allow(dead_code)]
 
 use doorcourse_lease::*;
@@ -9,29 +10,32 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// Microseconds of real time.
-pub type Real = u64;
-pub const MS: Real = 1000;
+pub type Micros = u64;
+pub const MS: Micros = 1000;
 
-/// How rough a history is.
+/// The conditions of a history.
 #[derive(Clone, Debug)]
-pub struct Rough {
+pub struct Scenario {
     pub gateways: u32,
     pub voters: u32,
     pub tasks: u32,
+    /// The lease in ms.
     pub length: Millis,
-    /// Parts of a million that clocks may be apart by the settings, and that they are.
+    /// By how much the rates of clocks may differ by the settings, and do, in parts per million.
     pub drift: u64,
+    /// Probabilities that a message is lost, and duplicated.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     /// The longest delay of a message.
-    pub delay: Real,
-    /// Mean time between faults; none when 0.
-    pub faults: Real,
+    pub delay: Micros,
+    /// Mean time between injected faults; none when 0.
+    pub fault_interval: Micros,
+    /// Whether the voter configuration changes.
     pub reloads: bool,
-    pub spoil: DisabledRule,
+    pub disabled_rule: DisabledRule,
 }
 
-impl Default for Rough {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             gateways: 5,
@@ -40,16 +44,16 @@
             length: 300,
             drift: 10_000,
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: 5 * MS,
-            faults: 0,
+            fault_interval: 0,
             reloads: false,
-            spoil: DisabledRule::None,
+            disabled_rule: DisabledRule::None,
         }
     }
 }
 
-enum What {
+enum Event {
     Wake,
     Message { from: GatewayNumber, incarnation: u64, message: Message },
     Fault,
@@ -58,93 +62,95 @@
 struct Node {
     leases: Option<Leases>,
     incarnation: u64,
-    /// Its clock: where it stood at the start, and parts of a million that it runs fast.
-    offset: Real,
+    /// Its clock: its offset at the start, and its rate in parts per million.
+    offset: Micros,
     rate: u64,
-    wall: i64,
-    paused_until: Real,
-    wake: Real,
-    /// The list of voters in its settings file.
-    file: VoterConfiguration,
+    /// Its wall clock is off by so many ms.
+    wall_offset: i64,
+    paused_until: Micros,
+    wake_at: Micros,
+    /// The voters in its settings file.
+    configured_voters: VoterConfiguration,
 }
 
 pub struct World {
-    pub rough: Rough,
-    pub now: Real,
-    dice: ChaCha8Rng,
+    pub scenario: Scenario,
+    pub now: Micros,
+    rng: ChaCha8Rng,
     nodes: BTreeMap<GatewayNumber, Node>,
-    queue: BinaryHeap<Reverse<(Real, u64)>>,
-    what: BTreeMap<u64, (GatewayNumber, What)>,
-    order: u64,
-    cuts: BTreeSet<(GatewayNumber, GatewayNumber)>,
-    /// The newest list that a person has written, and the settings files not yet read again.
-    list: VoterConfiguration,
-    unread: Vec<GatewayNumber>,
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: BTreeMap<u64, (GatewayNumber, Event)>,
+    sequence: u64,
+    cut_links: BTreeSet<(GatewayNumber, GatewayNumber)>,
+    /// The newest voters that an operator has configured, and the gateways that have not reloaded them.
+    newest_voters: VoterConfiguration,
+    not_reloaded: Vec<GatewayNumber>,
     /// Of each task: who holds it, and the highest token under which it was held.
     pub holders: BTreeMap<TaskId, BTreeSet<GatewayNumber>>,
     pub highest: BTreeMap<TaskId, FencingToken>,
-    pub gains: u64,
-    pub faults: Vec<String>,
+    pub acquisitions: u64,
+    /// Every way in which the rules were violated.
+    pub violations: Vec<String>,
     pub sent: u64,
-    /// Since when each task has nobody, and the longest such time that ended.
-    pub free: BTreeMap<TaskId, Real>,
-    pub longest_free: Real,
+    /// Since when each task has no holder, and the longest such time that ended.
+    pub without_holder: BTreeMap<TaskId, Micros>,
+    pub longest_without_holder: Micros,
 }
 
 impl World {
-    pub fn new(rough: Rough, seed: u64) -> Self {
-        let mut dice = ChaCha8Rng::seed_from_u64(seed);
-        let list = VoterConfiguration::first(0..rough.voters);
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let newest_voters = VoterConfiguration::first(0..scenario.voters);
         let mut nodes = BTreeMap::new();
-        for number in 0..rough.gateways {
-            let rate = 1_000_000 + dice.random_range(0..=rough.drift);
-            let offset = dice.random_range(0..1_000_000) * MS;
-            let wall = dice.random_range(-20..=20);
+        for number in 0..scenario.gateways {
+            let rate = 1_000_000 + rng.random_range(0..=scenario.drift);
+            let offset = rng.random_range(0..1_000_000) * MS;
+            let wall_offset = rng.random_range(-20..=20);
             let node = Node {
                 leases: None,
                 incarnation: 0,
                 offset,
                 rate,
-                wall,
+                wall_offset,
                 paused_until: 0,
-                wake: 0,
-                file: list.clone(),
+                wake_at: 0,
+                configured_voters: newest_voters.clone(),
             };
             nodes.insert(number, node);
         }
         let mut world = Self {
             now: 0,
-            dice,
+            rng,
             nodes,
             queue: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            order: 0,
-            cuts: BTreeSet::new(),
-            list,
-            unread: Vec::new(),
+            events: BTreeMap::new(),
+            sequence: 0,
+            cut_links: BTreeSet::new(),
+            newest_voters,
+            not_reloaded: Vec::new(),
             holders: BTreeMap::new(),
             highest: BTreeMap::new(),
-            gains: 0,
-            faults: Vec::new(),
+            acquisitions: 0,
+            violations: Vec::new(),
             sent: 0,
-            free: BTreeMap::new(),
-            longest_free: 0,
-            rough,
+            without_holder: BTreeMap::new(),
+            longest_without_holder: 0,
+            scenario,
         };
-        for number in 0..world.rough.gateways {
+        for number in 0..world.scenario.gateways {
             world.start(number);
         }
-        if world.rough.faults > 0 {
-            let at = world.dice.random_range(0..world.rough.faults * 2);
-            world.push(at, 0, What::Fault);
+        if world.scenario.fault_interval > 0 {
+            let at = world.rng.random_range(0..world.scenario.fault_interval * 2);
+            world.push(at, 0, Event::Fault);
         }
         world
     }
 
-    fn push(&mut self, at: Real, to: GatewayNumber, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order)));
-        self.what.insert(self.order, (to, what));
+    fn push(&mut self, at: Micros, to: GatewayNumber, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence)));
+        self.events.insert(self.sequence, (to, event));
     }
 
     /// A gateway's own clock in ms.
@@ -155,40 +161,41 @@
 
     pub fn start(&mut self, number: GatewayNumber) {
         let now = self.local(number);
-        let seed = self.dice.random();
-        let tasks = (0..self.rough.tasks).map(|t| t + 1).collect();
-        let (gateways, length, drift, spoil) =
-            (self.rough.gateways, self.rough.length, self.rough.drift, self.rough.spoil);
+        let seed = self.rng.random();
+        let tasks = (0..self.scenario.tasks).map(|t| t + 1).collect();
+        let scenario = self.scenario.clone();
         let Some(node) = self.nodes.get_mut(&number) else { return };
         node.incarnation += 1;
         let settings = Settings {
             gateway: number,
             incarnation: node.incarnation,
             seed,
-            lease_duration: length,
-            max_lease_duration: length,
-            clock_drift_ppm: drift,
-            gateways: (0..gateways).collect(),
-            voters: node.file.clone(),
+            lease_duration: scenario.length,
+            max_lease_duration: scenario.length,
+            clock_drift_ppm: scenario.drift,
+            gateways: (0..scenario.gateways).collect(),
+            voters: node.configured_voters.clone(),
             tasks,
         };
-        node.leases =
-            Some(Leases::with_disabled_rule(now, settings, spoil).expect("settings that can be used"));
-        self.tell(number, Input::Tick);
+        node.leases = Some(
+            Leases::with_disabled_rule(now, settings, scenario.disabled_rule)
+                .expect("settings that can be used"),
+        );
+        self.handle(number, Input::Tick);
     }
 
     pub fn kill(&mut self, number: GatewayNumber) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.leases = None;
         }
-        self.look();
+        self.check_holders();
     }
 
     pub fn is_up(&self, number: GatewayNumber) -> bool {
         self.nodes[&number].leases.is_some()
     }
 
-    pub fn pause(&mut self, number: GatewayNumber, span: Real) {
+    pub fn pause(&mut self, number: GatewayNumber, span: Micros) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.paused_until = self.now + span;
         }
@@ -196,42 +203,42 @@
 
     pub fn cut(&mut self, from: GatewayNumber, to: GatewayNumber, cut: bool) {
         if cut {
-            self.cuts.insert((from, to))
+            self.cut_links.insert((from, to))
         } else {
-            self.cuts.remove(&(from, to))
+            self.cut_links.remove(&(from, to))
         };
     }
 
-    pub fn tell(&mut self, number: GatewayNumber, input: Input) {
+    pub fn handle(&mut self, number: GatewayNumber, input: Input) {
         let (now, real) = (self.local(number), self.now);
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let Some(leases) = node.leases.as_mut() else { return };
-        let wall = (1_000_000 + (real / MS) as i64 + node.wall) as u64;
+        let wall = (1_000_000 + (real / MS) as i64 + node.wall_offset) as u64;
         let mut out = Vec::new();
         leases.handle(now, wall, input, &mut out);
         let (incarnation, due, rate, offset) =
             (node.incarnation, leases.next_timeout(), node.rate, node.offset);
         let due = due.max(now + 1);
-        // The first moment at which its clock shows that.
+        // The first point of real time at which its clock shows that.
         let at = ((due * MS - offset) * 1_000_000).div_ceil(rate).max(real + 1);
-        if at < node.wake || node.wake <= real {
-            node.wake = at;
-            self.push(at, number, What::Wake);
+        if at < node.wake_at || node.wake_at <= real {
+            node.wake_at = at;
+            self.push(at, number, Event::Wake);
         }
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(number, incarnation, to, message),
-                Output::Acquired(gain) => {
-                    self.gains += 1;
-                    let highest = self.highest.entry(gain.task).or_default();
-                    if gain.token <= *highest {
+                Output::Acquired(lease) => {
+                    self.acquisitions += 1;
+                    let highest = self.highest.entry(lease.task).or_default();
+                    if lease.token <= *highest {
                         let text = format!(
-                            "{} us: task {} gained by {number} under {}, not above {highest}",
-                            real, gain.task, gain.token
+                            "{} us: task {} acquired by {number} under {}, not above {highest}",
+                            real, lease.task, lease.token
                         );
-                        self.faults.push(text);
+                        self.violations.push(text);
                     }
-                    *highest = (*highest).max(gain.token);
+                    *highest = (*highest).max(lease.token);
                 }
                 Output::Lost(_)
                 | Output::VotersInForce(_)
@@ -239,29 +246,29 @@
                 | Output::AcquisitionFailed { .. } => {}
             }
         }
-        self.look();
+        self.check_holders();
     }
 
     fn send(&mut self, from: GatewayNumber, incarnation: u64, to: GatewayNumber, message: Message) {
         self.sent += 1;
-        if self.cuts.contains(&(from, to)) || self.dice.random_bool(self.rough.loss) {
+        if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.scenario.loss) {
             return;
         }
-        let copies = 1 + u32::from(self.dice.random_bool(self.rough.doubled));
+        let copies = 1 + u32::from(self.rng.random_bool(self.scenario.duplication));
         for _ in 0..copies {
-            let mut delay = self.dice.random_range(1..=self.rough.delay.max(1));
-            // Now and then one is late by far.
-            if self.rough.loss > 0.0 && self.dice.random_bool(0.01) {
-                delay += self.dice.random_range(0..self.rough.length * MS * 2);
+            let mut delay = self.rng.random_range(1..=self.scenario.delay.max(1));
+            // Occasionally a message is delayed by up to two leases.
+            if self.scenario.loss > 0.0 && self.rng.random_bool(0.01) {
+                delay += self.rng.random_range(0..self.scenario.length * MS * 2);
             }
             let message = message.clone();
-            self.push(self.now + delay, to, What::Message { from, incarnation, message });
+            self.push(self.now + delay, to, Event::Message { from, incarnation, message });
         }
     }
 
-    /// Who believes to hold what, at this moment of real time.
-    fn look(&mut self) {
-        for task in 1..=self.rough.tasks {
+    /// Records who believes to hold each task at this point of real time.
+    fn check_holders(&mut self) {
+        for task in 1..=self.scenario.tasks {
             let mut holders = BTreeSet::new();
             for number in self.nodes.keys() {
                 let now = self.local(*number);
@@ -271,12 +278,12 @@
                 }
             }
             if holders.len() > 1 {
-                self.faults.push(format!("{} us: task {task} held by {holders:?}", self.now));
+                self.violations.push(format!("{} us: task {task} held by {holders:?}", self.now));
             }
             if holders.is_empty() {
-                self.free.entry(task).or_insert(self.now);
-            } else if let Some(since) = self.free.remove(&task) {
-                self.longest_free = self.longest_free.max(self.now - since);
+                self.without_holder.entry(task).or_insert(self.now);
+            } else if let Some(since) = self.without_holder.remove(&task) {
+                self.longest_without_holder = self.longest_without_holder.max(self.now - since);
             }
             self.holders.insert(task, holders);
         }
@@ -286,109 +293,111 @@
         self.holders.get(&task)?.first().copied()
     }
 
-    /// Lets time go by until a moment, or until something is wrong.
-    pub fn run(&mut self, until: Real) {
+    /// Advances time to `until`, or to the first violation.
+    pub fn run(&mut self, until: Micros) {
         self.run_while(until, |_| true);
     }
 
-    pub fn run_while(&mut self, until: Real, on: impl Fn(&Self) -> bool) {
-        while self.faults.is_empty() && on(self) {
-            let Some(Reverse((at, order))) = self.queue.peek().copied().filter(|r| r.0.0 <= until) else {
+    pub fn run_while(&mut self, until: Micros, on: impl Fn(&Self) -> bool) {
+        while self.violations.is_empty() && on(self) {
+            let Some(Reverse((at, sequence))) = self.queue.peek().copied().filter(|r| r.0.0 <= until) else {
                 break;
             };
             self.queue.pop();
             self.now = self.now.max(at);
-            let Some((to, what)) = self.what.remove(&order) else { continue };
+            let Some((to, event)) = self.events.remove(&sequence) else { continue };
             let paused = self.nodes[&to].paused_until;
-            match what {
-                What::Fault => self.fault(),
-                // A process that is stopped gets all of it when it goes on.
-                what if paused > self.now => self.push(paused, to, what),
-                What::Wake => {
-                    if self.nodes[&to].wake <= self.now {
-                        self.tell(to, Input::Tick);
+            match event {
+                Event::Fault => self.inject_fault(),
+                // A paused process receives everything when it resumes.
+                event if paused > self.now => self.push(paused, to, event),
+                Event::Wake => {
+                    if self.nodes[&to].wake_at <= self.now {
+                        self.handle(to, Input::Tick);
                     }
                 }
-                What::Message { from, incarnation, message } => {
-                    self.tell(to, Input::MessageReceived { from, incarnation, message });
+                Event::Message { from, incarnation, message } => {
+                    self.handle(to, Input::MessageReceived { from, incarnation, message });
                 }
             }
         }
-        if self.faults.is_empty() {
+        if self.violations.is_empty() {
             self.now = self.now.max(until.min(self.queue.peek().map_or(until, |r| r.0.0)));
         }
     }
 
-    /// What a person looks at before the next list is written: a majority of the newest one's voters vote by it.
+    /// What an operator checks before the next voters are configured: a majority of the newest ones vote.
     fn is_in_force(&self) -> bool {
         let by_it = |number: &&GatewayNumber| {
             let leases = self.nodes[number].leases.as_ref();
-            leases
-                .is_some_and(|l| l.voters_version() == self.list.version && l.is_voting(self.local(**number)))
+            leases.is_some_and(|l| {
+                l.voters_version() == self.newest_voters.version && l.is_voting(self.local(**number))
+            })
         };
-        self.list.is_majority(self.list.voters.iter().filter(by_it).count())
+        self.newest_voters.is_majority(self.newest_voters.voters.iter().filter(by_it).count())
     }
 
-    fn fault(&mut self) {
-        let length = self.rough.length * MS;
-        let number = self.dice.random_range(0..self.rough.gateways);
-        let other = self.dice.random_range(0..self.rough.gateways);
-        match self.dice.random_range(0..12) {
+    /// Injects one fault at random, and lets up to three gateways reload their settings.
+    fn inject_fault(&mut self) {
+        let length = self.scenario.length * MS;
+        let number = self.rng.random_range(0..self.scenario.gateways);
+        let other = self.rng.random_range(0..self.scenario.gateways);
+        match self.rng.random_range(0..12) {
             0 | 1 => {
                 self.kill(number);
                 self.start(number);
             }
             2 => {
-                let span = self.dice.random_range(length / 4..length * 5);
+                let span = self.rng.random_range(length / 4..length * 5);
                 self.pause(number, span);
             }
             3 => {
-                // The holder, wherever it is.
-                let span = self.dice.random_range(length / 2..length * 3);
+                // The holder, whichever gateway it is.
+                let span = self.rng.random_range(length / 2..length * 3);
                 if let Some(holder) = self.holder(1) {
                     self.pause(holder, span);
                 }
             }
             4 | 5 => self.cut(number, other, true),
             6 => {
-                for peer in 0..self.rough.gateways {
+                for peer in 0..self.scenario.gateways {
                     self.cut(number, peer, true);
                     self.cut(peer, number, true);
                 }
             }
             7 => {
-                for a in 0..self.rough.gateways {
-                    for b in 0..self.rough.gateways {
+                for a in 0..self.scenario.gateways {
+                    for b in 0..self.scenario.gateways {
                         self.cut(a, b, (a < number) != (b < number));
                     }
                 }
             }
-            8 | 9 => self.cuts.clear(),
-            10 if self.rough.reloads && self.unread.is_empty() && self.is_in_force() => {
-                let mut next = self.list.voters.clone();
+            8 | 9 => self.cut_links.clear(),
+            10 if self.scenario.reloads && self.not_reloaded.is_empty() && self.is_in_force() => {
+                let mut next = self.newest_voters.voters.clone();
                 if !next.remove(&number) || next.is_empty() {
                     next.insert(number);
                 }
-                self.list = self.list.with_voters(next);
-                self.unread = self.nodes.keys().copied().collect();
+                self.newest_voters = self.newest_voters.with_voters(next);
+                self.not_reloaded = self.nodes.keys().copied().collect();
             }
             _ => {
                 if let Some(holder) = self.holder(1) {
-                    self.tell(holder, Input::TransferRequested { task: 1, to: other });
+                    self.handle(holder, Input::TransferRequested { task: 1, to: other });
                 }
             }
         }
-        // A person goes round with the new settings.
+        // An operator reloads the settings at some gateways.
         for _ in 0..3 {
-            if let Some(number) = self.unread.pop() {
-                let list = self.list.clone();
+            if let Some(number) = self.not_reloaded.pop() {
+                let newest_voters = self.newest_voters.clone();
                 if let Some(node) = self.nodes.get_mut(&number) {
-                    node.file = list.clone();
+                    node.configured_voters = newest_voters.clone();
                 }
-                self.tell(number, Input::VotersChanged(list));
+                self.handle(number, Input::VotersChanged(newest_voters));
             }
         }
-        let at = self.now + self.dice.random_range(0..self.rough.faults * 2);
-        self.push(at, 0, What::Fault);
+        let at = self.now + self.rng.random_range(0..self.scenario.fault_interval * 2);
+        self.push(at, 0, Event::Fault);
     }
 }
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Seeded histories in simulated time: no two gateways ever hold a task at one moment, and tokens only grow.
+//! Seeded histories in simulated time: no two gateways ever hold a task at the same time, and fencing tokens only grow.
 
 mod common;
 use common::*;
@@ -6,31 +6,31 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A rough history of a seed: 3 to 9 gateways, faults of all kinds.
-fn rough(seed: u64) -> Rough {
-    let mut dice = ChaCha8Rng::seed_from_u64(seed ^ 0x6c65_6173_6573);
-    let gateways = dice.random_range(3..=9);
-    Rough {
+/// The conditions of a seed: 3 to 9 gateways, faults of all kinds.
+fn scenario(seed: u64) -> Scenario {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6c65_6173_6573);
+    let gateways = rng.random_range(3..=9);
+    Scenario {
         gateways,
-        voters: dice.random_range(3.min(gateways)..=gateways),
-        tasks: dice.random_range(1..=2),
-        drift: [0, 10_000, 200_000][dice.random_range(0..3)],
-        loss: [0.0, 0.05, 0.3][dice.random_range(0..3)],
-        doubled: dice.random_range(0.0..0.2),
-        delay: dice.random_range(1..80) * MS,
-        faults: dice.random_range(50..600) * MS,
-        reloads: dice.random_bool(0.5),
-        ..Rough::default()
+        voters: rng.random_range(3.min(gateways)..=gateways),
+        tasks: rng.random_range(1..=2),
+        drift: [0, 10_000, 200_000][rng.random_range(0..3)],
+        loss: [0.0, 0.05, 0.3][rng.random_range(0..3)],
+        duplication: rng.random_range(0.0..0.2),
+        delay: rng.random_range(1..80) * MS,
+        fault_interval: rng.random_range(50..600) * MS,
+        reloads: rng.random_bool(0.5),
+        ..Scenario::default()
     }
 }
 
-fn play(seed: u64, spoil: DisabledRule) -> World {
-    let mut world = World::new(Rough { spoil, ..rough(seed) }, seed);
+fn simulate(seed: u64, disabled_rule: DisabledRule) -> World {
+    let mut world = World::new(Scenario { disabled_rule, ..scenario(seed) }, seed);
     world.run(8_000 * MS);
     world
 }
 
-/// Histories to play: `LEASE_HISTORIES` of them, by command (`docs/leases.md`); few where nothing is said.
+/// How many histories to simulate: the variable `LEASE_HISTORIES` (`docs/leases.md`), or 400.
 fn histories() -> u64 {
     std::env::var("LEASE_HISTORIES").ok().and_then(|n| n.parse().ok()).unwrap_or(400)
 }
@@ -39,52 +39,56 @@
 fn holders_never_overlap_and_tokens_only_grow() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
     let count = histories();
-    let gains: u64 = std::thread::scope(|scope| {
+    let acquisitions: u64 = std::thread::scope(|scope| {
         let worker = |first: u64| {
             scope.spawn(move || {
-                (first..count).step_by(threads as usize).fold(0, |gains, seed| {
-                    let world = play(seed, DisabledRule::None);
-                    assert!(world.faults.is_empty(), "seed {seed}: {:?}", world.faults);
-                    gains + world.gains
+                (first..count).step_by(threads as usize).fold(0, |acquisitions, seed| {
+                    let world = simulate(seed, DisabledRule::None);
+                    assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+                    acquisitions + world.acquisitions
                 })
             })
         };
         let workers: Vec<_> = (0..threads).map(worker).collect();
-        workers.into_iter().map(|w| w.join().expect("a history without a fault")).sum()
+        workers.into_iter().map(|w| w.join().expect("a history without a violation")).sum()
     });
-    println!("{count} histories, {gains} gains");
-    assert!(gains > count * 3, "{gains} gains in {count} histories: tasks were hardly ever held");
+    println!("{count} histories, {acquisitions} acquisitions");
+    assert!(
+        acquisitions > count * 3,
+        "{acquisitions} acquisitions in {count} histories: leases were hardly ever held"
+    );
 }
 
-/// Each rule that is left out must show: a test that cannot fail proves nothing.
+/// Each disabled rule must lead to a violation: a test that cannot fail proves nothing.
 #[test]
-fn every_rule_left_out_is_caught() {
-    for spoil in [
+fn each_disabled_rule_is_caught() {
+    for disabled_rule in [
         DisabledRule::StartupWait,
         DisabledRule::ExpiryFromRequest,
         DisabledRule::VoterVersions,
         DisabledRule::TokenUniqueness,
     ] {
-        let caught = (0..3_000).find_map(|seed| Some((seed, play(seed, spoil).faults.first()?.clone())));
-        let (seed, fault) = caught.unwrap_or_else(|| panic!("{spoil:?} is never caught"));
-        println!("{spoil:?}: seed {seed}: {fault}");
+        let caught = (0..3_000)
+            .find_map(|seed| Some((seed, simulate(seed, disabled_rule).violations.first()?.clone())));
+        let (seed, violation) = caught.unwrap_or_else(|| panic!("{disabled_rule:?} is never caught"));
+        println!("{disabled_rule:?}: seed {seed}: {violation}");
     }
 }
 
-/// A holder dies in a fleet that is well: the time without one has a bound (`docs/leases.md`).
+/// A holder dies in a healthy fleet: the time without a holder is bounded (`docs/leases.md`).
 #[test]
-fn a_dead_holder_s_task_is_taken_within_the_bound() {
+fn a_dead_holder_is_replaced_within_three_leases() {
     let mut spans = Vec::new();
     for seed in 0..200 {
         let gateways = [3, 5, 7, 9][seed as usize % 4];
-        let mut world = World::new(Rough { gateways, voters: gateways, ..Rough::default() }, seed);
+        let mut world = World::new(Scenario { gateways, voters: gateways, ..Scenario::default() }, seed);
         world.run_while(5_000 * MS, |w| w.holder(1).is_none());
         world.run(world.now + 1_000 * MS);
-        let dead = world.holder(1).expect("held in a fleet that is well");
+        let dead = world.holder(1).expect("held in a healthy fleet");
         let at = world.now;
         world.kill(dead);
         world.run_while(at + 5_000 * MS, |w| w.holder(1).is_none());
-        assert!(world.faults.is_empty() && world.holder(1).is_some_and(|h| h != dead), "seed {seed}");
+        assert!(world.violations.is_empty() && world.holder(1).is_some_and(|h| h != dead), "seed {seed}");
         spans.push((world.now - at) / MS);
     }
     spans.sort_unstable();
@@ -93,25 +97,29 @@
     assert!(most <= 900, "{most} ms");
 }
 
-/// A holder that is well keeps its task, under loss too: nothing is handed round for nothing.
+/// Message loss alone moves no lease.
 #[test]
-fn a_holder_that_is_well_keeps_its_task() {
+fn a_healthy_holder_keeps_its_lease_under_message_loss() {
     for seed in 0..40 {
-        let mut world = World::new(Rough { loss: 0.05, ..Rough::default() }, seed);
+        let mut world = World::new(Scenario { loss: 0.05, ..Scenario::default() }, seed);
         world.run(20_000 * MS);
-        assert!(world.faults.is_empty() && world.gains <= 2, "seed {seed}: {} gains in 20 s", world.gains);
+        assert!(
+            world.violations.is_empty() && world.acquisitions <= 2,
+            "seed {seed}: {} acquisitions in 20 s",
+            world.acquisitions
+        );
     }
 }
 
-/// A thousand tasks cost about as many messages as one: what is due together goes together.
+/// A thousand tasks cost about as many messages as one: what is due together goes into one message.
 #[test]
-fn a_thousand_tasks_go_in_the_messages_of_a_few() {
+fn renewals_of_a_thousand_tasks_share_messages() {
     let sent = |tasks| {
-        let mut world = World::new(Rough { tasks, length: 1_000, ..Rough::default() }, 1);
+        let mut world = World::new(Scenario { tasks, length: 1_000, ..Scenario::default() }, 1);
         world.run(4_000 * MS);
         let before = world.sent;
         world.run(8_000 * MS);
-        assert!(world.faults.is_empty() && (1..=tasks).all(|t| world.holder(t).is_some()));
+        assert!(world.violations.is_empty() && (1..=tasks).all(|t| world.holder(t).is_some()));
         world.sent - before
     };
     let (one, many) = (sent(1), sent(1_000));
@@ -120,21 +128,21 @@
 }
 
 #[test]
-fn a_hand_over_goes_to_whom_it_was_given() {
-    let mut world = World::new(Rough::default(), 5);
+fn a_transferred_lease_is_acquired_by_the_requested_gateway() {
+    let mut world = World::new(Scenario::default(), 5);
     world.run_while(5_000 * MS, |w| w.holder(1).is_none());
     let (from, at) = (world.holder(1).expect("held"), world.now);
     let to = (from + 2) % 5;
-    world.tell(from, doorcourse_lease::Input::TransferRequested { task: 1, to });
-    assert_eq!(world.holder(1), None, "given back at once");
+    world.handle(from, doorcourse_lease::Input::TransferRequested { task: 1, to });
+    assert_eq!(world.holder(1), None, "released at once");
     world.run_while(at + 5_000 * MS, |w| w.holder(1).is_none());
-    assert_eq!((world.holder(1), world.faults.is_empty()), (Some(to), true));
+    assert_eq!((world.holder(1), world.violations.is_empty()), (Some(to), true));
     assert!(world.now - at < 200 * MS, "{} us", world.now - at);
 }
 
-/// Whatever a peer that knows the secret says, what is held of it is bounded.
+/// Whatever a peer that knows the secret sends, the state kept for it is bounded.
 #[test]
-fn what_a_peer_makes_up_is_bounded() {
+fn state_kept_for_a_malicious_peer_is_bounded() {
     use doorcourse_lease::{
         Input, Item, LeaseRequest, Leases, Message, Refusal, Settings, VoterConfiguration,
     };
@@ -151,7 +159,7 @@
     };
     let mut leases = Leases::new(0, settings).expect("usable");
     let mut out = Vec::new();
-    let mut tell = |items: Vec<Item>| {
+    let mut send = |items: Vec<Item>| {
         out.clear();
         let message = Message { voters_version: 0, highest_token: 9, round: 1, items };
         leases.handle(1_000, 0, Input::MessageReceived { from: 1, incarnation: 5, message }, &mut out);
@@ -160,10 +168,10 @@
     let ask = |task| Item::Request(LeaseRequest { task, token: 10, duration: 100 });
     let refuse = |task| Item::Refuse { task, token: 10, reason: Refusal::NotVoting };
     for round in 0..20 {
-        tell((round * 2_000..(round + 1) * 2_000).map(ask).collect());
-        tell((round * 2_000..(round + 1) * 2_000).map(refuse).collect());
+        send((round * 2_000..(round + 1) * 2_000).map(ask).collect());
+        send((round * 2_000..(round + 1) * 2_000).map(refuse).collect());
     }
-    let held = tell(Vec::new());
-    tell((50_000..52_000).flat_map(|task| [ask(task), refuse(task)]).collect());
-    assert!(tell(Vec::new()) <= held + 100, "it grows with what is made up");
+    let held = send(Vec::new());
+    send((50_000..52_000).flat_map(|task| [ask(task), refuse(task)]).collect());
+    assert!(send(Vec::new()) <= held + 100, "state grows with what the peer invents");
 }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,28 +1,30 @@
-//! Model checking: three gateways, two tasks, one start again, messages lost, doubled, late and out of order, clocks that
-//! drift. All courses to a stated depth; each rule left out must give a counterexample.
+//! Model checking: three gateways, two tasks, one restart, messages lost, duplicated, delayed and reordered, clocks that
+//! drift. Explores all histories to a depth; each disabled rule must give a counterexample.
 
 use doorcourse_lease::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest lease there is, clocks up to two fifths apart, and steps of real time that a lease has few of.
+/// The shortest lease that is allowed, in ms.
 const LENGTH: Millis = 20;
+/// Clocks differ by up to two fifths, in parts per million.
 const DRIFT: u64 = 400_000;
+/// A step of real time, in ms: half a lease.
 const STEP: Millis = 10;
 const TASKS: [TaskId; 2] = [1, 2];
 
-/// One way to begin.
+/// The initial conditions of a model.
 #[derive(Clone)]
 struct Fleet {
-    spoil: DisabledRule,
-    /// The lists of voters in the files, by gateway.
-    files: [VoterConfiguration; 3],
-    /// Who would do the tasks.
+    disabled_rule: DisabledRule,
+    /// The voters in the settings of each gateway.
+    configured_voters: [VoterConfiguration; 3],
+    /// The gateways that are candidates for the tasks.
     candidates: Vec<GatewayNumber>,
-    /// How many steps of time, starts and doubled messages there may be.
+    /// How many steps of time, restarts and duplicated messages there may be.
     steps: u64,
-    starts: u8,
-    doubles: u8,
+    restarts: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -30,13 +32,14 @@
     nodes: Vec<(Leases, u64)>,
     /// Steps of real time.
     time: u64,
-    starts: u8,
-    doubles: u8,
-    /// On their way: from, which start of it, to, what.
-    net: BTreeSet<(GatewayNumber, u64, GatewayNumber, Message)>,
-    /// The highest token that each task was held under, and whether one ever came that was not higher.
-    tokens: BTreeMap<TaskId, FencingToken>,
-    fell: bool,
+    restarts: u8,
+    duplicates: u8,
+    /// In transit: sender, which start of it, receiver, message.
+    in_transit: BTreeSet<(GatewayNumber, u64, GatewayNumber, Message)>,
+    /// The highest token that each task was held under.
+    highest_tokens: BTreeMap<TaskId, FencingToken>,
+    /// Whether a lease was ever acquired under a token that was not higher.
+    token_fell: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -44,14 +47,14 @@
     Time,
     Tick(GatewayNumber),
     Deliver(GatewayNumber, u64, GatewayNumber, Message),
-    Double(GatewayNumber, u64, GatewayNumber, Message),
-    Start(GatewayNumber),
+    Duplicate(GatewayNumber, u64, GatewayNumber, Message),
+    Restart(GatewayNumber),
 }
 
 impl Fleet {
     fn settings(&self, number: GatewayNumber, incarnation: u64) -> Settings {
         let tasks = if self.candidates.contains(&number) { TASKS.to_vec() } else { Vec::new() };
-        let voters = self.files[number as usize].clone();
+        let voters = self.configured_voters[number as usize].clone();
         let fleet = (0..3).collect();
         let drift = DRIFT;
         Settings {
@@ -67,33 +70,33 @@
         }
     }
 
-    /// The clock of a gateway: the second runs fast by all that is allowed.
+    /// The clock of a gateway: the second one runs fast by all that is allowed.
     fn local(&self, number: GatewayNumber, time: u64) -> Millis {
         let real = 1_000 + time * STEP;
         if number == 1 { real * (1_000_000 + DRIFT) / 1_000_000 } else { real }
     }
 
     fn start(&self, number: GatewayNumber, incarnation: u64, now: Millis) -> Leases {
-        Leases::with_disabled_rule(now, self.settings(number, incarnation), self.spoil)
+        Leases::with_disabled_rule(now, self.settings(number, incarnation), self.disabled_rule)
             .expect("settings that can be used")
     }
 
-    fn tell(&self, state: &mut State, number: GatewayNumber, input: Input) {
+    fn handle(&self, state: &mut State, number: GatewayNumber, input: Input) {
         let now = self.local(number, state.time);
         let (leases, incarnation) = &mut state.nodes[number as usize];
         let mut out = Vec::new();
-        // Wall clocks say nothing here: tokens must grow without them.
+        // The wall clock stands at 0: tokens must grow without it.
         leases.handle(now, 0, input, &mut out);
         for output in out {
             match output {
-                // What holds nothing may as well be lost.
+                // A heartbeat may as well be lost.
                 Output::Send { to, message } if !message.items.is_empty() => {
-                    state.net.insert((number, *incarnation, to, message));
+                    state.in_transit.insert((number, *incarnation, to, message));
                 }
-                Output::Acquired(gain) => {
-                    let highest = state.tokens.entry(gain.task).or_default();
-                    state.fell |= gain.token <= *highest;
-                    *highest = (*highest).max(gain.token);
+                Output::Acquired(lease) => {
+                    let highest = state.highest_tokens.entry(lease.task).or_default();
+                    state.token_fell |= lease.token <= *highest;
+                    *highest = (*highest).max(lease.token);
                 }
                 _ => {}
             }
@@ -114,11 +117,18 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // All have been up for long: what voters wait after a start is over.
-        let long = 10 * LENGTH;
-        let nodes = (0..3).map(|n| (self.start(n, 1, self.local(n, 0) - long), 1)).collect();
-        let (net, tokens) = (BTreeSet::new(), BTreeMap::new());
-        vec![State { nodes, time: 0, starts: 0, doubles: 0, net, tokens, fell: false }]
+        // All have long been started: the wait after a start is over.
+        let uptime = 10 * LENGTH;
+        let nodes = (0..3).map(|n| (self.start(n, 1, self.local(n, 0) - uptime), 1)).collect();
+        vec![State {
+            nodes,
+            time: 0,
+            restarts: 0,
+            duplicates: 0,
+            in_transit: BTreeSet::new(),
+            highest_tokens: BTreeMap::new(),
+            token_fell: false,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -126,14 +136,14 @@
             actions.push(Action::Time);
         }
         actions.extend((0..3).map(Action::Tick));
-        for (from, incarnation, to, message) in &state.net {
+        for (from, incarnation, to, message) in &state.in_transit {
             actions.push(Action::Deliver(*from, *incarnation, *to, message.clone()));
-            if state.doubles < self.doubles {
-                actions.push(Action::Double(*from, *incarnation, *to, message.clone()));
+            if state.duplicates < self.duplicates {
+                actions.push(Action::Duplicate(*from, *incarnation, *to, message.clone()));
             }
         }
-        if state.starts < self.starts {
-            actions.extend((0..3).map(Action::Start));
+        if state.restarts < self.restarts {
+            actions.extend((0..3).map(Action::Restart));
         }
     }
 
@@ -141,17 +151,17 @@
         let mut state = last.clone();
         match action {
             Action::Time => state.time += 1,
-            Action::Tick(number) => self.tell(&mut state, number, Input::Tick),
+            Action::Tick(number) => self.handle(&mut state, number, Input::Tick),
             Action::Deliver(from, incarnation, to, message) => {
-                state.net.remove(&(from, incarnation, to, message.clone()));
-                self.tell(&mut state, to, Input::MessageReceived { from, incarnation, message });
+                state.in_transit.remove(&(from, incarnation, to, message.clone()));
+                self.handle(&mut state, to, Input::MessageReceived { from, incarnation, message });
             }
-            Action::Double(from, incarnation, to, message) => {
-                state.doubles += 1;
-                self.tell(&mut state, to, Input::MessageReceived { from, incarnation, message });
+            Action::Duplicate(from, incarnation, to, message) => {
+                state.duplicates += 1;
+                self.handle(&mut state, to, Input::MessageReceived { from, incarnation, message });
             }
-            Action::Start(number) => {
-                state.starts += 1;
+            Action::Restart(number) => {
+                state.restarts += 1;
                 let incarnation = state.nodes[number as usize].1 + 1;
                 let now = self.local(number, state.time);
                 state.nodes[number as usize] = (self.start(number, incarnation, now), incarnation);
@@ -165,75 +175,82 @@
             Property::always("one holder", |fleet: &Fleet, state: &State| {
                 TASKS.iter().all(|task| fleet.holders(state, *task) <= 1)
             }),
-            Property::always("tokens grow", |_, state: &State| !state.fell),
+            Property::always("tokens grow", |_, state: &State| !state.token_fell),
             Property::sometimes("held", |fleet: &Fleet, state: &State| fleet.holders(state, TASKS[0]) == 1),
         ]
     }
 }
 
-fn fleet(spoil: DisabledRule) -> Fleet {
-    let files = [(); 3].map(|()| VoterConfiguration::first(0..3));
-    Fleet { spoil, files, candidates: vec![0, 1], steps: 5, starts: 1, doubles: 1 }
+fn fleet(disabled_rule: DisabledRule) -> Fleet {
+    let configured_voters = [(); 3].map(|()| VoterConfiguration::first(0..3));
+    Fleet { disabled_rule, configured_voters, candidates: vec![0, 1], steps: 5, restarts: 1, duplicates: 1 }
 }
 
-/// The first gateway knows the list of one voter only; the others were started with lists two versions on.
-fn lists(spoil: DisabledRule) -> Fleet {
+/// The first gateway is at a version with one voter; the others were started two versions later.
+fn voter_versions(disabled_rule: DisabledRule) -> Fleet {
     let first = VoterConfiguration::first([0]);
     let third = first.with_voters([0, 1]).with_voters([0, 1, 2]);
-    Fleet { files: [first, third.clone(), third], starts: 0, doubles: 0, ..fleet(spoil) }
+    Fleet {
+        configured_voters: [first, third.clone(), third],
+        restarts: 0,
+        duplicates: 0,
+        ..fleet(disabled_rule)
+    }
 }
 
-/// Checks all courses of so many actions; the states seen, and the counterexample of each property that fails.
+/// Checks all histories of so many actions. Returns the number of states, and the counterexample of each property that is
+/// violated.
 fn check(fleet: &Fleet, depth: usize) -> (usize, BTreeMap<&'static str, Vec<Action>>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let checker = fleet.clone().checker().threads(threads).target_max_depth(depth);
     let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
-    let broken = found.into_iter().filter(|(name, _)| *name != "held");
-    let broken = broken.map(|(name, path)| (name, path.into_actions())).collect();
-    (checker.unique_state_count(), broken)
+    let violated = found.into_iter().filter(|(name, _)| *name != "held");
+    let violated = violated.map(|(name, path)| (name, path.into_actions())).collect();
+    (checker.unique_state_count(), violated)
 }
 
-/// How deep to look: `LEASE_DEPTH`, by command (`docs/leases.md`).
+/// How many actions to explore: the variable `LEASE_DEPTH` (`docs/leases.md`), or 7.
 fn depth() -> usize {
     std::env::var("LEASE_DEPTH").ok().and_then(|n| n.parse().ok()).unwrap_or(7)
 }
 
 #[test]
-fn one_holder_and_growing_tokens_in_all_courses() {
+fn all_histories_have_one_holder_and_growing_tokens() {
     for (what, fleet) in
-        [("three voters", fleet(DisabledRule::None)), ("lists of voters", lists(DisabledRule::None))]
+        [("three voters", fleet(DisabledRule::None)), ("lists of voters", voter_versions(DisabledRule::None))]
     {
-        let (states, broken) = check(&fleet, depth());
+        let (states, violated) = check(&fleet, depth());
         println!("{what}: {states} states to depth {}", depth());
-        assert!(broken.is_empty(), "{what}: {broken:#?}");
+        assert!(violated.is_empty(), "{what}: {violated:#?}");
         assert!(states > 1_000, "{what}: only {states} states");
     }
 }
 
 #[test]
-fn no_waiting_after_a_start_is_caught() {
-    let (_, broken) = check(&Fleet { doubles: 0, ..fleet(DisabledRule::StartupWait) }, 12);
-    assert!(broken.contains_key("one holder"), "{broken:?}");
+fn a_missing_wait_after_a_start_is_caught() {
+    let (_, violated) = check(&Fleet { duplicates: 0, ..fleet(DisabledRule::StartupWait) }, 12);
+    assert!(violated.contains_key("one holder"), "{violated:?}");
 }
 
 #[test]
-fn a_lease_counted_from_the_answer_is_caught() {
-    let (_, broken) = check(&Fleet { starts: 0, doubles: 0, ..fleet(DisabledRule::ExpiryFromRequest) }, 12);
-    assert!(broken.contains_key("one holder"), "{broken:?}");
+fn a_lease_counted_from_the_reply_is_caught() {
+    let (_, violated) =
+        check(&Fleet { restarts: 0, duplicates: 0, ..fleet(DisabledRule::ExpiryFromRequest) }, 12);
+    assert!(violated.contains_key("one holder"), "{violated:?}");
 }
 
 #[test]
-fn a_majority_of_an_older_list_is_caught() {
-    let (_, broken) = check(&lists(DisabledRule::VoterVersions), 12);
-    assert!(broken.contains_key("one holder"), "{broken:?}");
+fn a_majority_of_older_voters_is_caught() {
+    let (_, violated) = check(&voter_versions(DisabledRule::VoterVersions), 12);
+    assert!(violated.contains_key("one holder"), "{violated:?}");
 }
 
 #[test]
-fn a_token_used_again_is_caught() {
-    let (_, broken) = check(
-        &Fleet { candidates: vec![0], starts: 0, doubles: 0, ..fleet(DisabledRule::TokenUniqueness) },
+fn a_reused_token_is_caught() {
+    let (_, violated) = check(
+        &Fleet { candidates: vec![0], restarts: 0, duplicates: 0, ..fleet(DisabledRule::TokenUniqueness) },
         14,
     );
-    assert!(broken.contains_key("tokens grow"), "{broken:?}");
+    assert!(violated.contains_key("tokens grow"), "{violated:?}");
 }
