--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -9,7 +9,7 @@
     AuthorizedCall, CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message,
     Millis, Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
 };
-use doorcourse_outlier_gossip::{Seen as SeenNode, Suspects, Word};
+use doorcourse_outlier_gossip::{OutlierGossip, Seen as SeenNode, Verdict};
 use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -67,10 +67,10 @@
     out: slab::Slab<Call>,
     /// By task: calls answered with 2xx, answered otherwise or not at all, and not made because the lease was too short.
     tally: BTreeMap<TaskId, [u64; 3]>,
-    suspects: Option<(Suspects, FleetSuspects)>,
+    suspects: Option<(OutlierGossip, FleetSuspects)>,
     next_look: Millis,
     /// Words on nodes, for the choice of nodes where the settings say so.
-    pub hints: VecDeque<Word>,
+    pub hints: VecDeque<Verdict>,
     buffer: Vec<u8>,
     left: bool,
 }
@@ -133,8 +133,14 @@
         let number = self.number;
         self.suspects = leases.suspects.map(|s| {
             let FleetSuspects { every, share, keep, .. } = s;
-            let settings = doorcourse_outlier_gossip::Settings { number, every, share, keep };
-            let mut suspects = self.suspects.take().map_or_else(|| Suspects::new(settings), |(old, _)| old);
+            let settings = doorcourse_outlier_gossip::Settings {
+                gateway: number,
+                probe_interval: every,
+                max_outlier_fraction: share,
+                retention: keep,
+            };
+            let mut suspects =
+                self.suspects.take().map_or_else(|| OutlierGossip::new(settings), |(old, _)| old);
             suspects.configure(settings);
             (suspects, s)
         });
@@ -283,7 +289,7 @@
                     let from = heard.from;
                     suspects.handle(
                         now,
-                        doorcourse_outlier_gossip::Input::Heard { from, message },
+                        doorcourse_outlier_gossip::Input::MessageReceived { from, message },
                         &mut outputs,
                     );
                     self.suspected(io, now, outputs, &[]);
@@ -427,7 +433,11 @@
         let needs = settings.timeout;
         let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(SUSPECTS), needs).ok());
         let (mut outputs, held) = (Vec::new(), held.map(|p| p.token));
-        suspects.handle(now, doorcourse_outlier_gossip::Input::Tick { seen, held }, &mut outputs);
+        suspects.handle(
+            now,
+            doorcourse_outlier_gossip::Input::Tick { nodes: seen, lease_token: held },
+            &mut outputs,
+        );
         self.suspected(io, now, outputs, nodes);
     }
 
@@ -436,14 +446,14 @@
     ) {
         for output in outputs {
             match output {
-                doorcourse_outlier_gossip::Output::Tell(message) => {
+                doorcourse_outlier_gossip::Output::Broadcast(message) => {
                     let payload = doorcourse_outlier_gossip::encode(&message);
                     for to in self.link.numbers() {
                         let out = self.link.send(now, io.now() as u64, to, SUSPECT, payload.clone());
                         out.into_iter().for_each(|out| self.put(&out));
                     }
                 }
-                doorcourse_outlier_gossip::Output::Try(node) => {
+                doorcourse_outlier_gossip::Output::SendProbe(node) => {
                     let address = nodes.iter().find(|n| *n.entry.name == *node).map(|n| n.address);
                     let until = now + self.suspects.as_ref().map_or(0, |(_, s)| s.timeout);
                     let made =
@@ -452,8 +462,9 @@
                         self.tried(now, &node, "no connection");
                     }
                 }
-                doorcourse_outlier_gossip::Output::Hint(word) => {
-                    let Word { node, bad, age, gateways, .. } = &word;
+                doorcourse_outlier_gossip::Output::VerdictChanged(word) => {
+                    let Verdict { node, is_outlier: bad, age_ms: age, reporting_gateways: gateways, .. } =
+                        &word;
                     tracing::info!(target: "doorcourse::fleet", node, bad, age, gateways, "word on a node");
                     if self.suspects.as_ref().is_some_and(|(_, s)| s.apply) {
                         self.hints.push_back(word);
@@ -488,7 +499,8 @@
         let good = why.is_empty();
         tracing::info!(target: "doorcourse::fleet", node, good, why, "suspect node tried");
         if let Some((suspects, _)) = &mut self.suspects {
-            let tried = doorcourse_outlier_gossip::Input::Tried { node: node.to_owned(), good };
+            let tried =
+                doorcourse_outlier_gossip::Input::ProbeFinished { node: node.to_owned(), succeeded: good };
             suspects.handle(now, tried, &mut Vec::new());
         }
         // What was found is told at the next look, which comes at once.
--- a/crates/outlier-gossip/src/message.rs
+++ b/crates/outlier-gossip/src/message.rs
@@ -4,7 +4,7 @@
 
 /// A node that fails its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct FailureReport {
     /// Its name.
     pub node: String,
     /// Which start of it.
@@ -13,30 +13,30 @@
 
 /// The holder's word on a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Verdict {
     /// Its name.
     pub node: String,
     /// Which start of it.
     pub started: u64,
     /// Whether it is bad.
-    pub bad: bool,
+    pub is_outlier: bool,
     /// How long ago it was tried, in ms.
-    pub age: u64,
+    pub age_ms: u64,
     /// How many gateways say so.
-    pub gateways: u32,
+    pub reporting_gateways: u32,
 }
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// Nodes that fail the sender.
-    Reports(Vec<Report>),
+    Reports(Vec<FailureReport>),
     /// What the holder found, under its token.
-    Words {
+    Verdicts {
         /// The lease's token.
         token: u64,
         /// What was found.
-        words: Vec<Word>,
+        verdicts: Vec<Verdict>,
     },
 }
 
@@ -68,13 +68,17 @@
 pub fn encode(message: &Message) -> Vec<u8> {
     let wire = match message {
         Message::Reports(reports) => {
-            let one =
-                |r: &Report| WireNode { node: r.node.clone(), started: r.started, ..WireNode::default() };
+            let one = |r: &FailureReport| WireNode {
+                node: r.node.clone(),
+                started: r.started,
+                ..WireNode::default()
+            };
             Wire { token: None, nodes: reports.iter().map(one).collect() }
         }
-        Message::Words { token, words } => {
-            let one = |w: &Word| {
-                let Word { node, started, bad, age, gateways } = w.clone();
+        Message::Verdicts { token, verdicts: words } => {
+            let one = |w: &Verdict| {
+                let Verdict { node, started, is_outlier: bad, age_ms: age, reporting_gateways: gateways } =
+                    w.clone();
                 WireNode { node, started, bad, age, gateways }
             };
             Wire { token: Some(*token), nodes: words.iter().map(one).collect() }
@@ -88,15 +92,15 @@
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     let Wire { token, nodes } = Wire::decode(bytes).ok()?;
     Some(match token {
-        None => {
-            Message::Reports(nodes.into_iter().map(|n| Report { node: n.node, started: n.started }).collect())
-        }
+        None => Message::Reports(
+            nodes.into_iter().map(|n| FailureReport { node: n.node, started: n.started }).collect(),
+        ),
         Some(token) => {
             let one = |n: WireNode| {
                 let WireNode { node, started, bad, age, gateways } = n;
-                Word { node, started, bad, age, gateways }
+                Verdict { node, started, is_outlier: bad, age_ms: age, reporting_gateways: gateways }
             };
-            Message::Words { token, words: nodes.into_iter().map(one).collect() }
+            Message::Verdicts { token, verdicts: nodes.into_iter().map(one).collect() }
         }
     })
 }
@@ -112,10 +116,10 @@
             token in any::<Option<u64>>(), nodes in prop::collection::vec(("[a-z]{0,9}", any::<u64>(), any::<bool>()), 0..9),
         ) {
             let message = match token {
-                None => Message::Reports(nodes.into_iter().map(|(node, started, _)| Report { node, started }).collect()),
+                None => Message::Reports(nodes.into_iter().map(|(node, started, _)| FailureReport { node, started }).collect()),
                 Some(token) => {
-                    let word = |(node, started, bad)| Word { node, started, bad, age: started / 2, gateways: 3 };
-                    Message::Words { token, words: nodes.into_iter().map(word).collect() }
+                    let word = |(node, started, bad)| Verdict { node, started, is_outlier: bad, age_ms: started / 2, reporting_gateways: 3 };
+                    Message::Verdicts { token, verdicts: nodes.into_iter().map(word).collect() }
                 }
             };
             prop_assert_eq!(decode(&encode(&message)), Some(message));
--- a/crates/outlier-gossip/tests/codec_samples.rs
+++ b/crates/outlier-gossip/tests/codec_samples.rs
@@ -1,7 +1,7 @@
 //! Samples of the wire format, made before any rename of the code: each message encodes to exactly these bytes and
 //! decodes from them.
 
-use doorcourse_outlier_gossip::{Message, Report, Word, decode, encode};
+use doorcourse_outlier_gossip::{FailureReport, Message, Verdict, decode, encode};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -21,8 +21,8 @@
 #[test]
 fn reports_keep_their_encoding() {
     let reports = vec![
-        Report { node: "n1".into(), started: 1_700_000_000_123 },
-        Report { node: "backend-2".into(), started: 0 },
+        FailureReport { node: "n1".into(), started: 1_700_000_000_123 },
+        FailureReport { node: "backend-2".into(), started: 0 },
     ];
     assert_encoding(Message::Reports(reports), "120b0a026e3110fbd095ffbc31120b0a096261636b656e642d32");
 }
@@ -30,16 +30,22 @@
 #[test]
 fn verdicts_keep_their_encoding() {
     let words = vec![
-        Word { node: "n1".into(), started: 1_700_000_000_123, bad: true, age: 250, gateways: 2 },
-        Word { node: "n2".into(), started: 0, bad: false, age: 0, gateways: 1 },
+        Verdict {
+            node: "n1".into(),
+            started: 1_700_000_000_123,
+            is_outlier: true,
+            age_ms: 250,
+            reporting_gateways: 2,
+        },
+        Verdict { node: "n2".into(), started: 0, is_outlier: false, age_ms: 0, reporting_gateways: 1 },
     ];
     assert_encoding(
-        Message::Words { token: 1 << 50, words },
+        Message::Verdicts { token: 1 << 50, verdicts: words },
         "08808080808080800212120a026e3110fbd095ffbc31180120fa01280212060a026e322801",
     );
 }
 
 #[test]
 fn a_message_without_verdicts_keeps_its_token() {
-    assert_encoding(Message::Words { token: 0, words: Vec::new() }, "0800");
+    assert_encoding(Message::Verdicts { token: 0, verdicts: Vec::new() }, "0800");
 }
