--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -9,7 +9,7 @@
     AuthorizedCall, CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message,
     Millis, Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
 };
-use doorcourse_outlier_gossip::{OutlierGossip, Seen as SeenNode, Verdict};
+use doorcourse_outlier_gossip::{NodeStatus, OutlierGossip, Verdict};
 use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -426,7 +426,7 @@
     }
 
     /// The decisions see the nodes so.
-    pub fn view(&mut self, io: &mut Io, seen: Vec<SeenNode>, nodes: &[Node]) {
+    pub fn view(&mut self, io: &mut Io, seen: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some((suspects, settings)) = &mut self.suspects else { return };
         self.next_look = now + (settings.every / 2).max(10);
--- a/crates/lease/src/leases/release.rs
+++ b/crates/lease/src/leases/release.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl Leases {
-    /// Releases a lease for another gateway and tells that one to acquire it. The release is sent first, so that the
+    /// Releases a lease for another gateway and asks that one to acquire it. The release is sent first, so that the
     /// voters receive it before the next holder's request.
     pub(super) fn transfer(
         &mut self, now: Millis, task: TaskId, to: GatewayNumber, outputs: &mut Vec<Output>,
--- a/crates/outlier-gossip/src/events.rs
+++ b/crates/outlier-gossip/src/events.rs
@@ -1,66 +1,66 @@
-//! What goes in and out.
+//! The settings, inputs and outputs of the outlier gossip.
 
 use crate::{GatewayNumber, Message, Millis, Verdict};
 
-/// How suspects are dealt with.
+/// The settings of one gateway's outlier gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// This gateway.
     pub gateway: GatewayNumber,
-    /// Between two trials of the whole fleet, in ms.
+    /// Between two probes of the whole fleet, in ms.
     pub probe_interval: Millis,
-    /// The share of the nodes that are called bad at most; one always may be.
+    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1; one always may be.
     pub max_outlier_fraction: f64,
-    /// How long a report and a word are believed, in ms.
+    /// How long a report and a verdict are valid, in ms.
     pub retention: Millis,
 }
 
 /// A node as this gateway's decisions see it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct NodeStatus {
     /// Its name.
     pub node: String,
     /// Which start of it, in ms since the Unix epoch; 0 where none is known.
     pub started: u64,
-    /// Failures in a row.
+    /// Consecutive failures of this gateway's requests.
     pub failures: u32,
-    /// Whether the list lets it be used: nothing is sent to others, no trial either.
+    /// Whether the endpoint list allows its use. No request goes to other nodes, and no probe.
     pub ready: bool,
 }
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time went by, and the decisions see all nodes so. With the token of the lease while it is held and outlasts a trial.
+    /// Time has passed.
     Tick {
-        /// All nodes.
-        nodes: Vec<Seen>,
-        /// The lease's token.
+        /// All nodes, as the decisions see them now.
+        nodes: Vec<NodeStatus>,
+        /// The token of the lease `suspects`, while it is held and outlasts a probe.
         lease_token: Option<u64>,
     },
-    /// Another gateway said something.
+    /// A message was received from another gateway.
     MessageReceived {
-        /// Who.
+        /// The sender.
         from: GatewayNumber,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// A trial is over.
+    /// A probe is over.
     ProbeFinished {
-        /// Which node.
+        /// The node.
         node: String,
         /// Whether it answered in time.
         succeeded: bool,
     },
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell all other gateways.
+    /// Send a message to all other gateways.
     Broadcast(Message),
-    /// Try a node: a request without effect.
+    /// Probe the node of this name: a request without effect.
     SendProbe(String),
-    /// A node is called bad, or good again, so many ms ago by so many gateways.
+    /// A node is an outlier, or no longer one.
     VerdictChanged(Verdict),
 }
--- a/crates/outlier-gossip/src/message/tests.rs
+++ b/crates/outlier-gossip/src/message/tests.rs
@@ -3,21 +3,21 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(
+    fn an_encoded_message_decodes_to_itself(
         token in any::<Option<u64>>(), nodes in prop::collection::vec(("[a-z]{0,9}", any::<u64>(), any::<bool>()), 0..9),
     ) {
         let message = match token {
             None => Message::Reports(nodes.into_iter().map(|(node, started, _)| FailureReport { node, started }).collect()),
             Some(token) => {
-                let word = |(node, started, bad)| Verdict { node, started, is_outlier: bad, age_ms: started / 2, reporting_gateways: 3 };
-                Message::Verdicts { token, verdicts: nodes.into_iter().map(word).collect() }
+                let verdict = |(node, started, is_outlier)| Verdict { node, started, is_outlier, age_ms: started / 2, reporting_gateways: 3 };
+                Message::Verdicts { token, verdicts: nodes.into_iter().map(verdict).collect() }
             }
         };
         prop_assert_eq!(decode(&encode(&message)), Some(message));
     }
 
     #[test]
-    fn no_bytes_break_it(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         let _ = decode(&bytes);
     }
 }
--- /dev/null
+++ b/crates/outlier-gossip/src/probes.rs
@@ -0,0 +1,93 @@
+//! Probes of reported nodes: one at a time in the whole fleet, the node that waited longest first.
+
+use crate::{Millis, Settings};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A node is probed again after this fraction (1/n) of the retention, so that a verdict is renewed before it expires.
+const PROBES_PER_RETENTION: Millis = 3;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ProbeState {
+    InFlight,
+    /// Over, and no verdict was made of it yet.
+    Finished {
+        succeeded: bool,
+    },
+    /// Over, and its result was used.
+    Evaluated,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Probe {
+    state: ProbeState,
+    /// When the node may be probed again.
+    next_at: Millis,
+}
+
+/// A probe that is over.
+pub(crate) struct ProbeResult {
+    pub(crate) node: String,
+    pub(crate) succeeded: bool,
+}
+
+/// The probes of the lease holder.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Probes {
+    by_node: BTreeMap<String, Probe>,
+    /// When the fleet may probe any node again.
+    next_probe_at: Millis,
+}
+
+impl Probes {
+    /// The lease is not held: results are of no use.
+    pub(crate) fn clear(&mut self) {
+        self.by_node.clear();
+    }
+
+    /// Records the result of a probe.
+    pub(crate) fn finish(&mut self, node: &str, succeeded: bool) {
+        if let Some(probe) = self.by_node.get_mut(node) {
+            probe.state = ProbeState::Finished { succeeded };
+        }
+    }
+
+    /// Forgets nodes that are no longer to be probed, once no probe of them is in flight.
+    pub(crate) fn retain(&mut self, wanted: &BTreeSet<String>) {
+        self.by_node.retain(|node, probe| wanted.contains(node) || probe.state == ProbeState::InFlight);
+    }
+
+    /// Takes the results that were not used yet.
+    pub(crate) fn take_results(&mut self) -> Vec<ProbeResult> {
+        let mut results = Vec::new();
+        for (node, probe) in &mut self.by_node {
+            if let ProbeState::Finished { succeeded } = probe.state {
+                probe.state = ProbeState::Evaluated;
+                results.push(ProbeResult { node: node.clone(), succeeded });
+            }
+        }
+        results
+    }
+
+    /// Starts the probe of one of the wanted nodes if one is due. Returns its name.
+    pub(crate) fn start_due(
+        &mut self, now: Millis, wanted: &BTreeSet<String>, settings: &Settings,
+    ) -> Option<String> {
+        if now < self.next_probe_at {
+            return None;
+        }
+        let may_start = |probe: &Probe| probe.state != ProbeState::InFlight && probe.next_at <= now;
+        let is_due = |node: &&String| self.by_node.get(*node).is_none_or(may_start);
+        let due_since = |node: &&String| self.by_node.get(*node).map_or(0, |probe| probe.next_at);
+        let node = wanted.iter().filter(is_due).min_by_key(due_since)?.clone();
+        self.next_probe_at = now + settings.probe_interval;
+        let next_at = now + settings.probe_interval.max(settings.retention / PROBES_PER_RETENTION);
+        self.by_node.insert(node.clone(), Probe { state: ProbeState::InFlight, next_at });
+        Some(node)
+    }
+}
+
+/// Whether a probe's HTTP status shows that a node works: whatever it says of the query, it answers.
+#[must_use]
+pub fn is_well(status: u16) -> bool {
+    (200..500).contains(&status)
+}
--- /dev/null
+++ b/crates/outlier-gossip/src/verdicts.rs
@@ -0,0 +1,76 @@
+//! Verdicts on nodes: which are accepted, and what they change in a gateway's decisions.
+
+use crate::{MIN_REPORTING_GATEWAYS, Millis, NodeStatus, Settings, Verdict};
+use std::collections::BTreeMap;
+
+/// A verdict in force.
+#[derive(Clone, Copy, Debug)]
+struct ActiveVerdict {
+    is_outlier: bool,
+    expires_at: Millis,
+}
+
+/// The verdicts in force, by node.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Verdicts {
+    by_node: BTreeMap<String, ActiveVerdict>,
+}
+
+impl Verdicts {
+    /// Removes verdicts that have expired, and those on nodes that are not listed.
+    pub(crate) fn remove_invalid(&mut self, now: Millis, nodes: &BTreeMap<String, NodeStatus>) {
+        self.by_node.retain(|node, verdict| now < verdict.expires_at && nodes.contains_key(node));
+    }
+
+    pub(crate) fn is_outlier(&self, node: &str) -> bool {
+        self.by_node.get(node).is_some_and(|verdict| verdict.is_outlier)
+    }
+
+    /// Accepts a verdict if the rules allow it. Returns whether it changes anything for the decisions: that a node is well
+    /// is news only where it was an outlier.
+    pub(crate) fn accept(
+        &mut self, now: Millis, verdict: &Verdict, nodes: &BTreeMap<String, NodeStatus>, settings: &Settings,
+    ) -> bool {
+        if !is_valid(verdict, nodes, settings.retention) {
+            return false;
+        }
+        let other_outliers = self.outliers_beside(now, &verdict.node);
+        if verdict.is_outlier && other_outliers >= max_outliers(nodes.len(), settings.max_outlier_fraction) {
+            return false;
+        }
+        let expires_at = now + settings.retention - verdict.age_ms;
+        let active = ActiveVerdict { is_outlier: verdict.is_outlier, expires_at };
+        let before = self.by_node.insert(verdict.node.clone(), active);
+        verdict.is_outlier || before.is_some_and(|before| before.is_outlier)
+    }
+
+    fn outliers_beside(&self, now: Millis, node: &str) -> usize {
+        let counts = |(other, verdict): &(&String, &ActiveVerdict)| {
+            verdict.is_outlier && now < verdict.expires_at && *other != node
+        };
+        self.by_node.iter().filter(counts).count()
+    }
+}
+
+/// Whether a verdict is about a usable node and the listed start of it, is recent, and has enough evidence.
+fn is_valid(verdict: &Verdict, nodes: &BTreeMap<String, NodeStatus>, retention: Millis) -> bool {
+    let is_listed =
+        nodes.get(&verdict.node).is_some_and(|node| node.started == verdict.started && node.ready);
+    let has_evidence = !verdict.is_outlier || verdict.reporting_gateways as usize >= MIN_REPORTING_GATEWAYS;
+    is_listed && verdict.age_ms < retention && has_evidence
+}
+
+/// How many of `node_count` nodes may be outliers at the same time: `fraction` of them, and one at least.
+fn max_outliers(node_count: usize, fraction: f64) -> usize {
+    ((node_count as f64 * fraction) as usize).max(1)
+}
+
+/// The effect of a verdict on a gateway that sees `failures` consecutive failures of the node itself: the consecutive
+/// failures that its decisions remember, and for how many ms the node is ejected.
+///
+/// An outlier is treated as after one failure of the gateway's own until the verdict expires or is withdrawn. It never
+/// counts as enough failures for a report: otherwise a verdict would return as evidence and never expire.
+#[must_use]
+pub fn remembered(verdict: &Verdict, retention: Millis, failures: u32) -> (u32, Millis) {
+    if verdict.is_outlier { (failures.max(1), retention.saturating_sub(verdict.age_ms)) } else { (0, 0) }
+}
--- a/crates/outlier-gossip/tests/codec_samples.rs
+++ b/crates/outlier-gossip/tests/codec_samples.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn verdicts_keep_their_encoding() {
-    let words = vec![
+    let verdicts = vec![
         Verdict {
             node: "n1".into(),
             started: 1_700_000_000_123,
@@ -40,7 +40,7 @@
         Verdict { node: "n2".into(), started: 0, is_outlier: false, age_ms: 0, reporting_gateways: 1 },
     ];
     assert_encoding(
-        Message::Verdicts { token: 1 << 50, verdicts: words },
+        Message::Verdicts { token: 1 << 50, verdicts },
         "08808080808080800212120a026e3110fbd095ffbc31180120fa01280212060a026e322801",
     );
 }
