--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -10,7 +10,9 @@
     Millis, Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
 };
 use doorcourse_outlier_gossip::{NodeStatus, OutlierGossip, Verdict};
-use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
+use doorcourse_peers::{
+    GatewayNumber, Link, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerEvent, Settings as LinkSettings, fleet_of,
+};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::UdpSocket;
@@ -46,7 +48,7 @@
 /// What the link and the leases hold for people and metrics.
 #[derive(Debug, Default)]
 pub(crate) struct Seen {
-    pub peers: Vec<doorcourse_peers::View>,
+    pub peers: Vec<doorcourse_peers::PeerStatus>,
     pub drops: Vec<(&'static str, u64)>,
     /// Each task: whether it is held here.
     pub held: Vec<(String, bool)>,
@@ -55,7 +57,7 @@
 
 pub(crate) struct Fleet {
     settings: FleetLink,
-    number: Number,
+    number: GatewayNumber,
     /// The path of the endpoint, where nodes are tried.
     path: String,
     socket: Option<UdpSocket>,
@@ -99,7 +101,7 @@
             suspects: None,
             next_look: now,
             hints: VecDeque::new(),
-            buffer: vec![0; LONGEST + 1],
+            buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
             left: false,
             settings,
         };
@@ -187,7 +189,8 @@
             What::Trial(_, until) => Some(until),
             What::Task(_) => None,
         });
-        let due = self.link.due().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Millis::MAX));
+        let due =
+            self.link.next_timeout().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Millis::MAX));
         if due == Millis::MAX { f64::INFINITY } else { due.saturating_sub(now) as f64 }
     }
 
@@ -256,13 +259,13 @@
         self.tasks.get(&task).map_or(own, |t| &t.name)
     }
 
-    fn send(&mut self, io: &Io, now: Millis, to: Number, message: &Message) {
+    fn send(&mut self, io: &Io, now: Millis, to: GatewayNumber, message: &Message) {
         let out = self.link.send(now, io.now() as u64, to, LEASES, encode(message));
         out.into_iter().for_each(|out| self.put(&out));
     }
 
     /// A datagram that does not leave at once is one that was lost.
-    fn put(&self, out: &Out) {
+    fn put(&self, out: &OutgoingDatagram) {
         if let Some(socket) = &self.socket {
             let _ = socket.send_to(&out.bytes, out.to);
         }
@@ -286,7 +289,7 @@
                     (doorcourse_outlier_gossip::decode(&heard.payload), &mut self.suspects)
                 {
                     let mut outputs = Vec::new();
-                    let from = heard.from;
+                    let from = heard.sender;
                     suspects.handle(
                         now,
                         doorcourse_outlier_gossip::Input::MessageReceived { from, message },
@@ -297,11 +300,11 @@
             } else if heard.channel == LEASES {
                 match decode(&heard.payload) {
                     Ok(message) => {
-                        let (from, incarnation) = (heard.from, heard.incarnation);
+                        let (from, incarnation) = (heard.sender, heard.incarnation);
                         self.tell(io, now, Input::MessageReceived { from, incarnation, message });
                     }
                     Err(fault) => {
-                        tracing::debug!(target: "doorcourse::fleet", from = heard.from, %fault, "dropped")
+                        tracing::debug!(target: "doorcourse::fleet", from = heard.sender, %fault, "dropped")
                     }
                 }
             }
@@ -448,7 +451,7 @@
             match output {
                 doorcourse_outlier_gossip::Output::Broadcast(message) => {
                     let payload = doorcourse_outlier_gossip::encode(&message);
-                    for to in self.link.numbers() {
+                    for to in self.link.peer_numbers() {
                         let out = self.link.send(now, io.now() as u64, to, SUSPECT, payload.clone());
                         out.into_iter().for_each(|out| self.put(&out));
                     }
@@ -533,7 +536,7 @@
     // ---- For people ----
 
     /// A task goes to another gateway; why not, if not.
-    pub fn hand_over(&mut self, io: &mut Io, name: &str, to: Number) -> Result<(), String> {
+    pub fn hand_over(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
         let now = awake_or_not();
         let task = task_of(name);
         let held = self.leases.iter().flat_map(|l| l.statuses(now)).find(|v| v.task == task);
@@ -552,14 +555,14 @@
     }
 
     pub fn peers(&self) -> Value {
-        let one = |v: doorcourse_peers::View| {
+        let one = |v: doorcourse_peers::PeerStatus| {
             json!({"gateway": v.number, "address": self.settings.peers.get(&v.number).map(ToString::to_string),
                 "heard_ms_ago": v.heard, "silent": v.silent, "round_trip_ms": v.round_trip.map(round),
                 "clock_ahead_ms": v.clock.map(round), "taken": v.taken, "lost": v.lost, "sent": v.sent})
         };
         let drops: BTreeMap<_, _> = self.link.drops().by_name().collect();
         let address = self.socket.as_ref().and_then(|s| s.local_addr().ok()).map(|a| a.to_string());
-        json!({"address": address, "peers": self.link.views(awake_or_not()).map(one).collect::<Vec<_>>(), "dropped": drops})
+        json!({"address": address, "peers": self.link.statuses(awake_or_not()).map(one).collect::<Vec<_>>(), "dropped": drops})
     }
 
     pub fn leases(&self) -> Value {
@@ -588,7 +591,7 @@
         let now = awake_or_not();
         let held = |v: LeaseStatus| (self.name(v.task).to_owned(), matches!(v.stage, LeaseStage::Held(_)));
         Seen {
-            peers: self.link.views(now).collect(),
+            peers: self.link.statuses(now).collect(),
             drops: self.link.drops().by_name().collect(),
             held: self.leases.iter().flat_map(|l| l.statuses(now)).map(held).collect(),
             calls: self.tally.iter().map(|(task, tally)| (self.name(*task).to_owned(), *tally)).collect(),
@@ -612,15 +615,17 @@
     (ms * 10.0).round() / 10.0
 }
 
-fn log(told: Told) {
+fn log(told: PeerEvent) {
     match told {
-        Told::Up(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer heard"),
-        Told::Started(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer was started again"),
-        Told::Silent(peer) => tracing::warn!(target: "doorcourse::fleet", peer, "peer silent"),
+        PeerEvent::Up(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer heard"),
+        PeerEvent::Restarted(peer) => {
+            tracing::info!(target: "doorcourse::fleet", peer, "peer was started again")
+        }
+        PeerEvent::Unreachable(peer) => tracing::warn!(target: "doorcourse::fleet", peer, "peer silent"),
     }
 }
 
-fn fleet(settings: &FleetLink, number: Number) -> BTreeSet<Number> {
+fn fleet(settings: &FleetLink, number: GatewayNumber) -> BTreeSet<GatewayNumber> {
     settings.peers.keys().copied().chain([number]).collect()
 }
 
@@ -629,12 +634,21 @@
     leases.tasks.iter().map(|t| task_of(&t.name)).chain(own).collect()
 }
 
-fn link_settings(settings: &FleetLink, number: Number, incarnation: u64) -> LinkSettings {
+fn link_settings(settings: &FleetLink, number: GatewayNumber, incarnation: u64) -> LinkSettings {
     let FleetLink { peers, secrets, fleet, silence, .. } = settings.clone();
-    LinkSettings { fleet: fleet_of(&fleet), number, incarnation, peers, secrets, silence }
+    LinkSettings {
+        fleet: fleet_of(&fleet),
+        gateway: number,
+        incarnation,
+        peers,
+        secrets,
+        unreachable_after: silence,
+    }
 }
 
-fn lease_settings(leases: &FleetLeases, link: &FleetLink, number: Number, incarnation: u64) -> LeaseSettings {
+fn lease_settings(
+    leases: &FleetLeases, link: &FleetLink, number: GatewayNumber, incarnation: u64,
+) -> LeaseSettings {
     LeaseSettings {
         gateway: number,
         incarnation,
--- a/crates/peers/src/envelope.rs
+++ b/crates/peers/src/envelope.rs
@@ -5,9 +5,9 @@
 use sha2::Sha256;
 
 /// The version of the envelope. A newer one is dropped and counted.
-pub const VERSION: u32 = 1;
+pub const ENVELOPE_VERSION: u32 = 1;
 /// The longest datagram in bytes, sent or taken.
-pub const LONGEST: usize = 60_000;
+pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A datagram: the bytes of an envelope, and HMAC-SHA-256 over them.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -39,15 +39,15 @@
     pub sequence: u64,
     /// The sender's monotonic and wall clock, in ms.
     #[prost(uint64, tag = "8")]
-    pub sent: u64,
+    pub sent_at: u64,
     #[prost(uint64, tag = "9")]
-    pub wall: u64,
+    pub wall_clock: u64,
     /// `sent` of the newest datagram that came from the receiver, and how long ago that was, in ms; none had come if
     /// `echo` is 0.
     #[prost(uint64, tag = "10")]
-    pub echo: u64,
+    pub echoed_sent_at: u64,
     #[prost(uint64, tag = "11")]
-    pub held: u64,
+    pub echo_held_for: u64,
     /// Whose payload this is; 0: none, a hello.
     #[prost(uint32, tag = "12")]
     pub channel: u32,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -12,14 +12,16 @@
 mod link;
 mod peer;
 
-pub use envelope::{LONGEST, VERSION};
-pub use link::{Drops, Fault, Heard, Link, Out, Refused, Settings, Told};
-pub use peer::View;
+pub use envelope::{ENVELOPE_VERSION, MAX_DATAGRAM_BYTES};
+pub use link::{
+    DropCounters, DropReason, Link, OutgoingDatagram, PeerEvent, ReceivedPayload, Settings, SettingsError,
+};
+pub use peer::PeerStatus;
 
 /// A gateway's number.
-pub type Number = u32;
+pub type GatewayNumber = u32;
 /// Ms on this gateway's monotonic clock.
-pub type Time = u64;
+pub type Millis = u64;
 
 /// A number for a fleet's name: datagrams of another fleet are told apart before their tags are looked at.
 #[must_use]
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -2,13 +2,13 @@
 
 use crate::envelope::{Datagram, Envelope, is_ours, seal};
 use crate::peer::Peer;
-use crate::{LONGEST, Number, Time, VERSION, View};
+use crate::{ENVELOPE_VERSION, GatewayNumber, MAX_DATAGRAM_BYTES, Millis, PeerStatus};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// A hello is sent to a peer that is not known this often at most, in ms.
-const HELLO: Time = 50;
+const HELLO: Millis = 50;
 /// A secret has at least so many bytes.
 const SECRET: usize = 16;
 
@@ -18,67 +18,67 @@
     /// The fleet's number, see `fleet_of`.
     pub fleet: u64,
     /// This gateway.
-    pub number: Number,
+    pub gateway: GatewayNumber,
     /// This start of it: by chance, not 0.
     pub incarnation: u64,
     /// The other gateways and where they are reached.
-    pub peers: BTreeMap<Number, SocketAddr>,
+    pub peers: BTreeMap<GatewayNumber, SocketAddr>,
     /// The secrets: all are good for what comes, the first is used for what goes.
     pub secrets: Vec<Vec<u8>>,
     /// A peer of whom nothing was heard for so many ms counts as silent.
-    pub silence: Time,
+    pub unreachable_after: Millis,
 }
 
 /// Settings that cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum SettingsError {
     /// No secret, or one that is too short.
-    Secret,
+    SecretTooShort,
     /// This gateway is among its peers.
-    Oneself,
+    OwnPeer,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Secret => write!(f, "a secret must have at least {SECRET} bytes"),
-            Self::Oneself => f.write_str("a gateway cannot be its own peer"),
+            Self::SecretTooShort => write!(f, "a secret must have at least {SECRET} bytes"),
+            Self::OwnPeer => f.write_str("a gateway cannot be its own peer"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum DropReason {
     /// Longer than any that is sent.
     TooLong,
     /// No datagram of this protocol.
     Unreadable,
     /// Of another fleet.
-    Foreign,
+    OtherFleet,
     /// Its tag was made with no secret of the fleet.
     Forged,
     /// Of another version of the envelope.
-    Version,
+    UnknownVersion,
     /// From nobody that the settings name.
-    Sender,
+    UnknownSender,
     /// For another gateway.
-    Receiver,
+    OtherReceiver,
     /// For another start of this gateway, or of a start of its sender that is over.
     Stale,
     /// Taken before, or so late that this cannot be told.
     Replayed,
     /// More than one peer may send.
-    TooMany,
+    RateExceeded,
 }
 
 /// Datagrams dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Drops([u64; 10]);
+pub struct DropCounters([u64; 10]);
 
-impl Drops {
+impl DropCounters {
     const NAMES: [&'static str; 10] = [
         "too_long",
         "unreadable",
@@ -92,13 +92,13 @@
         "too_many",
     ];
 
-    fn add(&mut self, why: Refused) {
+    fn record(&mut self, why: DropReason) {
         self.0[why as usize] += 1;
     }
 
     /// How many were dropped for a cause.
     #[must_use]
-    pub fn of(&self, why: Refused) -> u64 {
+    pub fn count(&self, why: DropReason) -> u64 {
         self.0[why as usize]
     }
 
@@ -110,7 +110,7 @@
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Out {
+pub struct OutgoingDatagram {
     /// Where to.
     pub to: SocketAddr,
     /// What.
@@ -119,9 +119,9 @@
 
 /// What a peer said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedPayload {
     /// Who.
-    pub from: Number,
+    pub sender: GatewayNumber,
     /// Which start of it.
     pub incarnation: u64,
     /// Whose payload it is.
@@ -132,22 +132,22 @@
 
 /// A change in what is known of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum PeerEvent {
     /// Heard of, first or again after silence.
-    Up(Number),
+    Up(GatewayNumber),
     /// It was started again.
-    Started(Number),
+    Restarted(GatewayNumber),
     /// Nothing came for as long as the settings say.
-    Silent(Number),
+    Unreachable(GatewayNumber),
 }
 
 /// The link of one gateway.
 #[derive(Debug)]
 pub struct Link {
     settings: Settings,
-    peers: BTreeMap<Number, Peer>,
-    drops: Drops,
-    began: Time,
+    peers: BTreeMap<GatewayNumber, Peer>,
+    drops: DropCounters,
+    started_at: Millis,
 }
 
 impl Link {
@@ -155,17 +155,17 @@
     ///
     /// # Errors
     /// Settings that cannot be used.
-    pub fn new(now: Time, settings: Settings) -> Result<Self, Fault> {
+    pub fn new(now: Millis, settings: Settings) -> Result<Self, SettingsError> {
         check(&settings)?;
         let peers = settings.peers.keys().map(|number| (*number, Peer::new(now))).collect();
-        Ok(Self { settings, peers, drops: Drops::default(), began: now })
+        Ok(Self { settings, peers, drops: DropCounters::default(), started_at: now })
     }
 
     /// Other peers, addresses or secrets; what is known of those that stay is kept.
     ///
     /// # Errors
     /// Settings that cannot be used; the old ones hold.
-    pub fn configure(&mut self, now: Time, settings: Settings) -> Result<(), Fault> {
+    pub fn configure(&mut self, now: Millis, settings: Settings) -> Result<(), SettingsError> {
         check(&settings)?;
         // One start has one incarnation, whatever the settings.
         self.settings = Settings { incarnation: self.settings.incarnation, ..settings };
@@ -185,157 +185,172 @@
 
     /// A datagram came. What it says, if it counts; hellos to send and changes are appended.
     pub fn receive(
-        &mut self, now: Time, wall: u64, bytes: &[u8], out: &mut Vec<Out>, told: &mut Vec<Told>,
-    ) -> Option<Heard> {
+        &mut self, now: Millis, wall: u64, bytes: &[u8], out: &mut Vec<OutgoingDatagram>,
+        told: &mut Vec<PeerEvent>,
+    ) -> Option<ReceivedPayload> {
         match self.take(now, wall, bytes, out, told) {
             Ok(heard) => Some(heard).filter(|h| h.channel != 0),
             Err(why) => {
-                self.drops.add(why);
+                self.drops.record(why);
                 None
             }
         }
     }
 
     fn take(
-        &mut self, now: Time, wall: u64, bytes: &[u8], out: &mut Vec<Out>, told: &mut Vec<Told>,
-    ) -> Result<Heard, Refused> {
-        if bytes.len() > LONGEST {
-            return Err(Refused::TooLong);
+        &mut self, now: Millis, wall: u64, bytes: &[u8], out: &mut Vec<OutgoingDatagram>,
+        told: &mut Vec<PeerEvent>,
+    ) -> Result<ReceivedPayload, DropReason> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DropReason::TooLong);
         }
-        let datagram = Datagram::decode(bytes).map_err(|_| Refused::Unreadable)?;
+        let datagram = Datagram::decode(bytes).map_err(|_| DropReason::Unreadable)?;
         // Of what is forged nothing is believed but how it is counted.
-        let envelope = Envelope::decode(&*datagram.envelope).map_err(|_| Refused::Unreadable)?;
+        let envelope = Envelope::decode(&*datagram.envelope).map_err(|_| DropReason::Unreadable)?;
         let Envelope { sender, incarnation, sequence, .. } = envelope;
         if envelope.fleet != self.settings.fleet {
-            return Err(Refused::Foreign);
+            return Err(DropReason::OtherFleet);
         }
         if !is_ours(&datagram, &self.settings.secrets) {
-            return Err(Refused::Forged);
+            return Err(DropReason::Forged);
         }
-        if envelope.version != VERSION {
-            return Err(Refused::Version);
+        if envelope.version != ENVELOPE_VERSION {
+            return Err(DropReason::UnknownVersion);
         }
-        let peer = self.peers.get_mut(&sender).ok_or(Refused::Sender)?;
-        if envelope.receiver != self.settings.number {
-            return Err(Refused::Receiver);
+        let peer = self.peers.get_mut(&sender).ok_or(DropReason::UnknownSender)?;
+        if envelope.receiver != self.settings.gateway {
+            return Err(DropReason::OtherReceiver);
         }
-        if !peer.inward.take(now) {
-            return Err(Refused::TooMany);
+        if !peer.receive_limit.try_take(now) {
+            return Err(DropReason::RateExceeded);
         }
-        if incarnation == 0 || peer.is_former(incarnation) {
-            return Err(Refused::Stale);
+        if incarnation == 0 || peer.is_former_incarnation(incarnation) {
+            return Err(DropReason::Stale);
         }
         if envelope.receiver_incarnation != self.settings.incarnation {
             // It does not know this start: it is told, under its own number.
-            if now >= peer.hello {
-                peer.hello = now + HELLO;
+            if now >= peer.next_hello_at {
+                peer.next_hello_at = now + HELLO;
                 let hello = self.envelope(now, wall, sender, Some(incarnation), 0, Vec::new());
                 out.extend(hello.map(|e| self.datagram(sender, &e)));
             }
-            return Err(Refused::Stale);
+            return Err(DropReason::Stale);
         }
         let known = peer.incarnation.is_some();
-        if peer.meet(incarnation) && known {
-            told.push(Told::Started(sender));
+        if peer.accept_incarnation(incarnation) && known {
+            told.push(PeerEvent::Restarted(sender));
         }
-        if !peer.is_fresh(sequence) {
-            return Err(Refused::Replayed);
+        if !peer.accept_sequence(sequence) {
+            return Err(DropReason::Replayed);
         }
-        peer.clocks(now, wall, envelope.sent, envelope.wall, envelope.echo, envelope.held);
-        if std::mem::take(&mut peer.silent) || peer.heard.is_none() {
-            told.push(Told::Up(sender));
+        peer.record_clocks(
+            now,
+            wall,
+            envelope.sent_at,
+            envelope.wall_clock,
+            envelope.echoed_sent_at,
+            envelope.echo_held_for,
+        );
+        if std::mem::take(&mut peer.unreachable) || peer.last_received_at.is_none() {
+            told.push(PeerEvent::Up(sender));
         }
-        peer.heard = Some(now);
-        Ok(Heard { from: sender, incarnation, channel: envelope.channel, payload: envelope.payload })
+        peer.last_received_at = Some(now);
+        Ok(ReceivedPayload { sender, incarnation, channel: envelope.channel, payload: envelope.payload })
     }
 
     /// A payload for a peer. Nothing goes to a peer that is not known, that has got more than its rate, or beyond the
     /// longest datagram; to one whose start is not known goes a hello in its place.
-    pub fn send(&mut self, now: Time, wall: u64, to: Number, channel: u32, payload: Vec<u8>) -> Option<Out> {
+    pub fn send(
+        &mut self, now: Millis, wall: u64, to: GatewayNumber, channel: u32, payload: Vec<u8>,
+    ) -> Option<OutgoingDatagram> {
         let peer = self.peers.get_mut(&to)?;
         let known = peer.incarnation;
         if known.is_none() {
-            if now < peer.hello {
+            if now < peer.next_hello_at {
                 return None;
             }
-            peer.hello = now + HELLO;
+            peer.next_hello_at = now + HELLO;
         }
         let (channel, payload) = if known.is_some() { (channel, payload) } else { (0, Vec::new()) };
         let envelope = self.envelope(now, wall, to, known, channel, payload)?;
         let datagram = self.datagram(to, &envelope);
-        (datagram.bytes.len() <= LONGEST).then_some(datagram)
+        (datagram.bytes.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
     fn envelope(
-        &mut self, now: Time, wall: u64, to: Number, start: Option<u64>, channel: u32, payload: Vec<u8>,
+        &mut self, now: Millis, wall: u64, to: GatewayNumber, start: Option<u64>, channel: u32,
+        payload: Vec<u8>,
     ) -> Option<Envelope> {
         let peer = self.peers.get_mut(&to)?;
-        if !peer.outward.take(now) {
+        if !peer.send_limit.try_take(now) {
             return None;
         }
         peer.sequence += 1;
-        let (echo, at) = peer.echo;
+        let (echo, at) = peer.newest_sent;
         Some(Envelope {
-            version: VERSION,
+            version: ENVELOPE_VERSION,
             fleet: self.settings.fleet,
-            sender: self.settings.number,
+            sender: self.settings.gateway,
             incarnation: self.settings.incarnation,
             receiver: to,
             receiver_incarnation: start.unwrap_or_default(),
             sequence: peer.sequence,
-            sent: now,
-            wall,
-            echo,
-            held: now.saturating_sub(at),
+            sent_at: now,
+            wall_clock: wall,
+            echoed_sent_at: echo,
+            echo_held_for: now.saturating_sub(at),
             channel,
             payload,
         })
     }
 
-    fn datagram(&self, to: Number, envelope: &Envelope) -> Out {
+    fn datagram(&self, to: GatewayNumber, envelope: &Envelope) -> OutgoingDatagram {
         let secret = self.settings.secrets.first().map(Vec::as_slice).unwrap_or_default();
-        Out { to: self.settings.peers[&to], bytes: seal(envelope, secret) }
+        OutgoingDatagram { to: self.settings.peers[&to], bytes: seal(envelope, secret) }
     }
 
     /// Time went by: who is silent now.
-    pub fn tick(&mut self, now: Time, told: &mut Vec<Told>) {
+    pub fn tick(&mut self, now: Millis, told: &mut Vec<PeerEvent>) {
         for (number, peer) in &mut self.peers {
-            let since = peer.heard.unwrap_or(self.began);
-            if !peer.silent && now >= since + self.settings.silence {
-                peer.silent = true;
-                told.push(Told::Silent(*number));
+            let since = peer.last_received_at.unwrap_or(self.started_at);
+            if !peer.unreachable && now >= since + self.settings.unreachable_after {
+                peer.unreachable = true;
+                told.push(PeerEvent::Unreachable(*number));
             }
         }
     }
 
     /// When the next peer would be silent.
     #[must_use]
-    pub fn due(&self) -> Time {
-        let peers = self.peers.values().filter(|p| !p.silent);
-        peers.map(|p| p.heard.unwrap_or(self.began) + self.settings.silence).min().unwrap_or(Time::MAX)
+    pub fn next_timeout(&self) -> Millis {
+        let peers = self.peers.values().filter(|p| !p.unreachable);
+        peers
+            .map(|p| p.last_received_at.unwrap_or(self.started_at) + self.settings.unreachable_after)
+            .min()
+            .unwrap_or(Millis::MAX)
     }
 
     /// The peers' numbers.
     #[must_use]
-    pub fn numbers(&self) -> BTreeSet<Number> {
+    pub fn peer_numbers(&self) -> BTreeSet<GatewayNumber> {
         self.peers.keys().copied().collect()
     }
 
     /// What is known of each peer.
-    pub fn views(&self, now: Time) -> impl Iterator<Item = View> {
-        self.peers.iter().map(move |(number, peer)| peer.view(*number, now))
+    pub fn statuses(&self, now: Millis) -> impl Iterator<Item = PeerStatus> {
+        self.peers.iter().map(move |(number, peer)| peer.status(*number, now))
     }
 
     /// Datagrams dropped, by cause.
     #[must_use]
-    pub fn drops(&self) -> Drops {
+    pub fn drops(&self) -> DropCounters {
         self.drops
     }
 }
 
-fn check(settings: &Settings) -> Result<(), Fault> {
+fn check(settings: &Settings) -> Result<(), SettingsError> {
     if settings.secrets.is_empty() || settings.secrets.iter().any(|s| s.len() < SECRET) {
-        return Err(Fault::Secret);
+        return Err(SettingsError::SecretTooShort);
     }
-    if settings.peers.contains_key(&settings.number) { Err(Fault::Oneself) } else { Ok(()) }
+    if settings.peers.contains_key(&settings.gateway) { Err(SettingsError::OwnPeer) } else { Ok(()) }
 }
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -1,6 +1,6 @@
 //! What is known of one peer, and which of its datagrams were taken.
 
-use crate::{Number, Time};
+use crate::{GatewayNumber, Millis};
 use std::collections::VecDeque;
 
 /// So many sequences below the newest are told apart: later ones are taken for replayed.
@@ -15,17 +15,17 @@
 
 /// A bucket of datagrams: bounds what one peer may cost.
 #[derive(Clone, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct RateLimit {
     held: f64,
-    at: Time,
+    at: Millis,
 }
 
-impl Bucket {
-    pub fn new(now: Time) -> Self {
+impl RateLimit {
+    pub fn new(now: Millis) -> Self {
         Self { held: BURST, at: now }
     }
 
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn try_take(&mut self, now: Millis) -> bool {
         let since = now.saturating_sub(self.at) as f64;
         (self.held, self.at) = ((self.held + since * RATE / 1000.0).min(BURST), now.max(self.at));
         let fits = self.held >= 1.0;
@@ -36,11 +36,11 @@
 
 /// A peer as people see it. Times in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
+pub struct PeerStatus {
     /// Who.
-    pub number: Number,
+    pub number: GatewayNumber,
     /// Since when nothing came; `None` if nothing ever did.
-    pub heard: Option<Time>,
+    pub heard: Option<Millis>,
     /// Whether it counts as silent.
     pub silent: bool,
     /// The smoothed round trip.
@@ -68,19 +68,19 @@
     taken_before: u64,
     /// What the next datagram to it is numbered.
     pub sequence: u64,
-    pub heard: Option<Time>,
-    pub silent: bool,
+    pub last_received_at: Option<Millis>,
+    pub unreachable: bool,
     /// Its newest `sent`, and when that came.
-    pub echo: (u64, Time),
+    pub newest_sent: (u64, Millis),
     round_trip: Option<f64>,
     clock: Option<f64>,
-    pub inward: Bucket,
-    pub outward: Bucket,
-    pub hello: Time,
+    pub receive_limit: RateLimit,
+    pub send_limit: RateLimit,
+    pub next_hello_at: Millis,
 }
 
 impl Peer {
-    pub fn new(now: Time) -> Self {
+    pub fn new(now: Millis) -> Self {
         Self {
             incarnation: None,
             former: VecDeque::new(),
@@ -91,23 +91,23 @@
             lost_before: 0,
             taken_before: 0,
             sequence: 0,
-            heard: None,
-            silent: false,
-            echo: (0, 0),
+            last_received_at: None,
+            unreachable: false,
+            newest_sent: (0, 0),
             round_trip: None,
             clock: None,
-            inward: Bucket::new(now),
-            outward: Bucket::new(now),
-            hello: now,
+            receive_limit: RateLimit::new(now),
+            send_limit: RateLimit::new(now),
+            next_hello_at: now,
         }
     }
 
-    pub fn is_former(&self, incarnation: u64) -> bool {
+    pub fn is_former_incarnation(&self, incarnation: u64) -> bool {
         self.former.contains(&incarnation)
     }
 
     /// A datagram of a start of it was found good: whether that is a new start.
-    pub fn meet(&mut self, incarnation: u64) -> bool {
+    pub fn accept_incarnation(&mut self, incarnation: u64) -> bool {
         if self.incarnation == Some(incarnation) {
             return false;
         }
@@ -119,12 +119,12 @@
         }
         (self.taken_before, self.lost_before) = (self.taken_before + self.taken, self.lost());
         (self.first, self.newest, self.window, self.taken) = (0, 0, 0, 0);
-        (self.echo, self.round_trip, self.clock) = ((0, 0), None, None);
+        (self.newest_sent, self.round_trip, self.clock) = ((0, 0), None, None);
         true
     }
 
     /// Whether a sequence of the present start was not taken yet; it is from now on.
-    pub fn is_fresh(&mut self, sequence: u64) -> bool {
+    pub fn accept_sequence(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
         }
@@ -154,9 +154,9 @@
     }
 
     /// The clocks of a datagram that was taken.
-    pub fn clocks(&mut self, now: Time, wall: u64, sent: u64, theirs: u64, echo: u64, held: u64) {
-        if sent >= self.echo.0 {
-            self.echo = (sent, now);
+    pub fn record_clocks(&mut self, now: Millis, wall: u64, sent: u64, theirs: u64, echo: u64, held: u64) {
+        if sent >= self.newest_sent.0 {
+            self.newest_sent = (sent, now);
         }
         let smooth = |old: Option<f64>, new: f64| Some(old.map_or(new, |old| old + NEWEST * (new - old)));
         if echo > 0 && now >= echo.saturating_add(held) {
@@ -166,11 +166,11 @@
         self.clock = smooth(self.clock, theirs as f64 + way - wall as f64);
     }
 
-    pub fn view(&self, number: Number, now: Time) -> View {
-        View {
+    pub fn status(&self, number: GatewayNumber, now: Millis) -> PeerStatus {
+        PeerStatus {
             number,
-            heard: self.heard.map(|at| now.saturating_sub(at)),
-            silent: self.silent,
+            heard: self.last_received_at.map(|at| now.saturating_sub(at)),
+            silent: self.unreachable,
             round_trip: self.round_trip,
             clock: self.clock,
             taken: self.taken_before + self.taken,
@@ -188,21 +188,21 @@
     fn a_sequence_is_taken_once_and_late_ones_within_the_window() {
         let mut peer = Peer::new(0);
         for sequence in [5, 7, 6, 100, 99, 37] {
-            assert!(peer.is_fresh(sequence), "{sequence}");
-            assert!(!peer.is_fresh(sequence), "{sequence} again");
+            assert!(peer.accept_sequence(sequence), "{sequence}");
+            assert!(!peer.accept_sequence(sequence), "{sequence} again");
         }
-        assert!(!peer.is_fresh(36) && !peer.is_fresh(0), "below the window");
-        assert_eq!(peer.view(1, 0).lost, 96 - 6);
-        assert!(peer.meet(9) && peer.is_fresh(1));
-        assert_eq!((peer.view(1, 0).taken, peer.view(1, 0).lost), (7, 90));
+        assert!(!peer.accept_sequence(36) && !peer.accept_sequence(0), "below the window");
+        assert_eq!(peer.status(1, 0).lost, 96 - 6);
+        assert!(peer.accept_incarnation(9) && peer.accept_sequence(1));
+        assert_eq!((peer.status(1, 0).taken, peer.status(1, 0).lost), (7, 90));
     }
 
     #[test]
     fn a_start_that_is_over_is_remembered_as_such() {
         let mut peer = Peer::new(0);
-        assert!(peer.meet(1) && !peer.meet(1) && peer.meet(2));
-        assert!(peer.is_former(1) && !peer.is_former(2));
-        assert!((3..100).all(|start| peer.meet(start)));
-        assert!(peer.former.len() <= FORMER && peer.is_former(98));
+        assert!(peer.accept_incarnation(1) && !peer.accept_incarnation(1) && peer.accept_incarnation(2));
+        assert!(peer.is_former_incarnation(1) && !peer.is_former_incarnation(2));
+        assert!((3..100).all(|start| peer.accept_incarnation(start)));
+        assert!(peer.former.len() <= FORMER && peer.is_former_incarnation(98));
     }
 }
--- a/crates/peers/tests/datagram_samples.rs
+++ b/crates/peers/tests/datagram_samples.rs
@@ -15,7 +15,14 @@
     let peers: BTreeMap<_, _> =
         [(peer, format!("127.0.0.1:{}", 9000 + peer).parse().expect("an address"))].into();
     let secrets = vec![SECRET.to_vec()];
-    let settings = Settings { fleet: fleet_of("night"), number, incarnation, peers, secrets, silence: 1000 };
+    let settings = Settings {
+        fleet: fleet_of("night"),
+        gateway: number,
+        incarnation,
+        peers,
+        secrets,
+        unreachable_after: 1000,
+    };
     Link::new(0, settings).expect("settings that can be used")
 }
 
@@ -55,13 +62,13 @@
     assert_eq!(a.receive(15, 1_700_000_000_015, &reply, &mut Vec::new(), &mut Vec::new()), None);
     let payload = b.receive(23, 1_700_000_000_023, &bytes_of(PAYLOAD), &mut Vec::new(), &mut Vec::new());
     let payload = payload.expect("a payload that is accepted");
-    assert_eq!((payload.from, payload.incarnation, payload.channel), (0, 0x0b0b, 7));
+    assert_eq!((payload.sender, payload.incarnation, payload.channel), (0, 0x0b0b, 7));
     assert_eq!(payload.payload, b"payload");
     let answer = bytes_of(PAYLOAD_WITH_ECHO);
     let answer = a.receive(35, 1_700_000_000_035, &answer, &mut Vec::new(), &mut Vec::new());
     let answer = answer.expect("a payload that is accepted");
-    assert_eq!((answer.from, answer.incarnation, answer.channel), (1, 0x1616, 2));
-    let view = a.views(35).next().expect("a peer");
+    assert_eq!((answer.sender, answer.incarnation, answer.channel), (1, 0x1616, 2));
+    let view = a.statuses(35).next().expect("a peer");
     assert_eq!(view.round_trip, Some(8.0));
     assert_eq!((view.taken, view.lost, view.sent), (2, 0, 0));
 }
