--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -6,11 +6,13 @@
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{
-    CallSettings, Calls, Input, Leases, Loss, Message, Needs, Output, Refusal, Settings as LeaseSettings,
-    Stage, Task, Time, View, decode, encode, task_of,
+    AuthorizedCall, CallSchedule, CallSettings, Input, LeaseStage, LeaseStatus, Leases, LostLease, Message,
+    Millis, Output, Refusal, Settings as LeaseSettings, TaskId, decode, encode, task_of,
+};
+use doorcourse_outlier_gossip::{NodeStatus, OutlierGossip, Verdict};
+use doorcourse_peers::{
+    GatewayNumber, Link, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerEvent, Settings as LinkSettings, fleet_of,
 };
-use doorcourse_outlier_gossip::{Seen as SeenNode, Suspects, Word};
-use doorcourse_peers::{LONGEST, Link, Number, Out, Settings as LinkSettings, Told, fleet_of};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::UdpSocket;
@@ -22,16 +24,16 @@
 /// Datagrams read in one turn, so that peers do not hold up clients.
 const TURN: usize = 64;
 /// How often the socket is tried for while a process that hands over still has it, in ms.
-const RETRY: Time = 50;
+const RETRY: Millis = 50;
 /// An answer to a call has a short head; its body is read past.
 const ANSWER: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 1 << 20 };
 
 /// What a connection is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum What {
-    Task(Task),
+    Task(TaskId),
     /// A suspect node is tried, until then.
-    Trial(String, Time),
+    Trial(String, Millis),
 }
 
 struct Call {
@@ -46,7 +48,7 @@
 /// What the link and the leases hold for people and metrics.
 #[derive(Debug, Default)]
 pub(crate) struct Seen {
-    pub peers: Vec<doorcourse_peers::View>,
+    pub peers: Vec<doorcourse_peers::PeerStatus>,
     pub drops: Vec<(&'static str, u64)>,
     /// Each task: whether it is held here.
     pub held: Vec<(String, bool)>,
@@ -55,22 +57,22 @@
 
 pub(crate) struct Fleet {
     settings: FleetLink,
-    number: Number,
+    number: GatewayNumber,
     /// The path of the endpoint, where nodes are tried.
     path: String,
     socket: Option<UdpSocket>,
-    retry: Time,
+    retry: Millis,
     link: Link,
     leases: Option<Leases>,
-    tasks: BTreeMap<Task, FleetTask>,
-    calls: Calls,
+    tasks: BTreeMap<TaskId, FleetTask>,
+    calls: CallSchedule,
     out: slab::Slab<Call>,
     /// By task: calls answered with 2xx, answered otherwise or not at all, and not made because the lease was too short.
-    tally: BTreeMap<Task, [u64; 3]>,
-    suspects: Option<(Suspects, FleetSuspects)>,
-    next_look: Time,
+    tally: BTreeMap<TaskId, [u64; 3]>,
+    suspects: Option<(OutlierGossip, FleetSuspects)>,
+    next_look: Millis,
     /// Words on nodes, for the choice of nodes where the settings say so.
-    pub hints: VecDeque<Word>,
+    pub hints: VecDeque<Verdict>,
     buffer: Vec<u8>,
     left: bool,
 }
@@ -93,13 +95,13 @@
             link,
             leases: None,
             tasks: BTreeMap::new(),
-            calls: Calls::default(),
+            calls: CallSchedule::default(),
             out: slab::Slab::new(),
             tally: BTreeMap::new(),
             suspects: None,
             next_look: now,
             hints: VecDeque::new(),
-            buffer: vec![0; LONGEST + 1],
+            buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
             left: false,
             settings,
         };
@@ -124,16 +126,23 @@
         Ok(())
     }
 
-    fn take_tasks(&mut self, now: Time, leases: &FleetLeases) {
+    fn take_tasks(&mut self, now: Millis, leases: &FleetLeases) {
         self.tasks = leases.tasks.iter().map(|t| (task_of(&t.name), t.clone())).collect();
-        let calls = |(task, t): (&Task, &FleetTask)| (*task, CallSettings { every: t.every, needs: t.needs });
-        self.calls.configure(now, &self.tasks.iter().map(calls).collect::<Vec<_>>());
+        let calls =
+            |(task, t): (&TaskId, &FleetTask)| (*task, CallSettings { interval: t.every, duration: t.needs });
+        self.calls.configure(now, &self.tasks.iter().map(calls).collect());
         self.tally.retain(|task, _| self.tasks.contains_key(task));
         let number = self.number;
         self.suspects = leases.suspects.map(|s| {
             let FleetSuspects { every, share, keep, .. } = s;
-            let settings = doorcourse_outlier_gossip::Settings { number, every, share, keep };
-            let mut suspects = self.suspects.take().map_or_else(|| Suspects::new(settings), |(old, _)| old);
+            let settings = doorcourse_outlier_gossip::Settings {
+                gateway: number,
+                probe_interval: every,
+                max_outlier_fraction: share,
+                retention: keep,
+            };
+            let mut suspects =
+                self.suspects.take().map_or_else(|| OutlierGossip::new(settings), |(old, _)| old);
             suspects.configure(settings);
             (suspects, s)
         });
@@ -150,15 +159,15 @@
             self.take_tasks(now, leases);
             let fleet = fleet(&self.settings, self.number);
             let tasks = tasks(leases);
-            self.tell(io, now, Input::Tasks { tasks, fleet });
-            self.tell(io, now, Input::Voters(leases.voters.clone()));
+            self.tell(io, now, Input::TasksChanged { tasks, gateways: fleet });
+            self.tell(io, now, Input::VotersChanged(leases.voters.clone()));
         }
     }
 
     /// The gateway leaves: what it holds is given back, and the socket is let go for who takes over.
     pub fn leave(&mut self, io: &mut Io) {
         if !std::mem::replace(&mut self.left, true) {
-            self.tell(io, awake_or_not(), Input::Leave);
+            self.tell(io, awake_or_not(), Input::ShutdownStarted);
             self.out.clear();
             self.socket = None;
         }
@@ -170,15 +179,19 @@
             return f64::INFINITY;
         }
         let now = awake_or_not();
-        let retry = if self.socket.is_none() { self.retry } else { Time::MAX };
-        let leases = self.leases.as_ref().map_or(Time::MAX, |l| l.due().min(self.calls.due(now, l)));
-        let look = if self.suspects.is_some() { self.next_look } else { Time::MAX };
+        let retry = if self.socket.is_none() { self.retry } else { Millis::MAX };
+        let leases = self
+            .leases
+            .as_ref()
+            .map_or(Millis::MAX, |l| l.next_timeout().min(self.calls.next_timeout(now, l)));
+        let look = if self.suspects.is_some() { self.next_look } else { Millis::MAX };
         let trial = self.out.iter().filter_map(|(_, c)| match c.what {
             What::Trial(_, until) => Some(until),
             What::Task(_) => None,
         });
-        let due = self.link.due().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Time::MAX));
-        if due == Time::MAX { f64::INFINITY } else { due.saturating_sub(now) as f64 }
+        let due =
+            self.link.next_timeout().min(retry).min(leases).min(look).min(trial.min().unwrap_or(Millis::MAX));
+        if due == Millis::MAX { f64::INFINITY } else { due.saturating_sub(now) as f64 }
     }
 
     pub fn tick(&mut self, io: &mut Io) {
@@ -193,66 +206,66 @@
         let mut told = Vec::new();
         self.link.tick(now, &mut told);
         told.into_iter().for_each(log);
-        if self.leases.as_ref().is_some_and(|l| l.due() <= now) {
+        if self.leases.as_ref().is_some_and(|l| l.next_timeout() <= now) {
             self.tell(io, now, Input::Tick);
         }
         for task in self.calls.overdue(now) {
             self.end(now, task, "not answered in time");
         }
         self.late_trials(now);
-        let begin = self.leases.as_ref().map(|l| self.calls.tick(now, l)).unwrap_or_default();
+        let begin = self.leases.as_ref().map(|l| self.calls.start_due(now, l)).unwrap_or_default();
         for permit in begin {
             self.begin(io, now, permit.task);
         }
     }
 
-    fn tell(&mut self, io: &mut Io, now: Time, input: Input) {
+    fn tell(&mut self, io: &mut Io, now: Millis, input: Input) {
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
         leases.handle(now, io.now() as u64, input, &mut outputs);
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send(io, now, to, &message),
-                Output::Gained(gain) => {
+                Output::Acquired(gain) => {
                     let (task, token) = (self.name(gain.task), gain.token);
                     tracing::info!(target: "doorcourse::fleet", task, token, "lease gained");
                 }
-                Output::Lost(Loss { task, token, given_back }) => {
+                Output::Lost(LostLease { task, token, released: given_back }) => {
                     let name = self.name(task);
                     tracing::info!(target: "doorcourse::fleet", task = name, token, given_back, "lease lost");
                     self.end(now, task, "the lease is lost");
                 }
-                Output::Failed { task, last } => {
-                    let (task, by, why) = (self.name(task), last.map(|l| l.0), last.map(|l| l.1));
+                Output::AcquisitionFailed { task, last_refusal: last } => {
+                    let (task, by, why) = (self.name(task), last.map(|l| l.voter), last.map(|l| l.reason));
                     // That another has it is how things are.
-                    if matches!(why, Some(Refusal::Held { .. })) {
+                    if matches!(why, Some(Refusal::HeldByOther { .. })) {
                         tracing::debug!(target: "doorcourse::fleet", task, by, ?why, "lease refused");
                     } else {
                         tracing::info!(target: "doorcourse::fleet", task, by, ?why, "lease refused");
                     }
                 }
-                Output::Voters(version) => {
+                Output::VotersInForce(version) => {
                     tracing::info!(target: "doorcourse::fleet", version, "voters in force")
                 }
-                Output::Refused(fault) => {
+                Output::VotersRejected(fault) => {
                     tracing::error!(target: "doorcourse::fleet", %fault, "the old voters stay")
                 }
             }
         }
     }
 
-    fn name(&self, task: Task) -> &str {
+    fn name(&self, task: TaskId) -> &str {
         let own = if task == task_of(SUSPECTS) { SUSPECTS } else { "" };
         self.tasks.get(&task).map_or(own, |t| &t.name)
     }
 
-    fn send(&mut self, io: &Io, now: Time, to: Number, message: &Message) {
+    fn send(&mut self, io: &Io, now: Millis, to: GatewayNumber, message: &Message) {
         let out = self.link.send(now, io.now() as u64, to, LEASES, encode(message));
         out.into_iter().for_each(|out| self.put(&out));
     }
 
     /// A datagram that does not leave at once is one that was lost.
-    fn put(&self, out: &Out) {
+    fn put(&self, out: &OutgoingDatagram) {
         if let Some(socket) = &self.socket {
             let _ = socket.send_to(&out.bytes, out.to);
         }
@@ -276,10 +289,10 @@
                     (doorcourse_outlier_gossip::decode(&heard.payload), &mut self.suspects)
                 {
                     let mut outputs = Vec::new();
-                    let from = heard.from;
+                    let from = heard.sender;
                     suspects.handle(
                         now,
-                        doorcourse_outlier_gossip::Input::Heard { from, message },
+                        doorcourse_outlier_gossip::Input::MessageReceived { from, message },
                         &mut outputs,
                     );
                     self.suspected(io, now, outputs, &[]);
@@ -287,11 +300,11 @@
             } else if heard.channel == LEASES {
                 match decode(&heard.payload) {
                     Ok(message) => {
-                        let (from, incarnation) = (heard.from, heard.incarnation);
-                        self.tell(io, now, Input::Heard { from, incarnation, message });
+                        let (from, incarnation) = (heard.sender, heard.incarnation);
+                        self.tell(io, now, Input::MessageReceived { from, incarnation, message });
                     }
                     Err(fault) => {
-                        tracing::debug!(target: "doorcourse::fleet", from = heard.from, %fault, "dropped")
+                        tracing::debug!(target: "doorcourse::fleet", from = heard.sender, %fault, "dropped")
                     }
                 }
             }
@@ -300,7 +313,7 @@
 
     // ---- Calls ----
 
-    fn begin(&mut self, io: &mut Io, now: Time, task: Task) {
+    fn begin(&mut self, io: &mut Io, now: Millis, task: TaskId) {
         let Some(address) = self.tasks.get(&task).map(|t| t.address) else { return };
         if !self.connect(io, address, What::Task(task)) {
             self.ended(now, task, "no connection");
@@ -340,8 +353,8 @@
                 What::Task(task) => *task,
                 What::Trial(..) => return self.write_trial(io, now, slot, generation, &what),
             };
-            let leaves = self.leases.as_ref().and_then(|l| self.calls.leaves(now, l, task));
-            let Some((permit, until)) = leaves else {
+            let leaves = self.leases.as_ref().and_then(|l| self.calls.authorize_write(now, l, task));
+            let Some(AuthorizedCall { permit, deadline: until }) = leaves else {
                 self.tally.entry(task).or_default()[2] += 1;
                 return self.end(now, task, "the lease is too short");
             };
@@ -360,7 +373,7 @@
             );
             call.written = true;
             call.socket.output().extend_from_slice(head.as_bytes());
-            #[cfg(feature = "halts")]
+            #[cfg(feature = "pause-before-write")]
             if permit.token.wrapping_add(u64::from(generation)).is_multiple_of(40) {
                 let _ =
                     rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::STOP);
@@ -401,7 +414,7 @@
         }
     }
 
-    fn over(&mut self, now: Time, what: &What, why: &str) {
+    fn over(&mut self, now: Millis, what: &What, why: &str) {
         match what {
             What::Task(task) => self.end(now, *task, why),
             What::Trial(node, _) => self.tried(now, node, why),
@@ -416,30 +429,34 @@
     }
 
     /// The decisions see the nodes so.
-    pub fn view(&mut self, io: &mut Io, seen: Vec<SeenNode>, nodes: &[Node]) {
+    pub fn view(&mut self, io: &mut Io, seen: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some((suspects, settings)) = &mut self.suspects else { return };
         self.next_look = now + (settings.every / 2).max(10);
-        let needs = Needs { time: settings.timeout };
+        let needs = settings.timeout;
         let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(SUSPECTS), needs).ok());
         let (mut outputs, held) = (Vec::new(), held.map(|p| p.token));
-        suspects.handle(now, doorcourse_outlier_gossip::Input::Tick { seen, held }, &mut outputs);
+        suspects.handle(
+            now,
+            doorcourse_outlier_gossip::Input::Tick { nodes: seen, lease_token: held },
+            &mut outputs,
+        );
         self.suspected(io, now, outputs, nodes);
     }
 
     fn suspected(
-        &mut self, io: &mut Io, now: Time, outputs: Vec<doorcourse_outlier_gossip::Output>, nodes: &[Node],
+        &mut self, io: &mut Io, now: Millis, outputs: Vec<doorcourse_outlier_gossip::Output>, nodes: &[Node],
     ) {
         for output in outputs {
             match output {
-                doorcourse_outlier_gossip::Output::Tell(message) => {
+                doorcourse_outlier_gossip::Output::Broadcast(message) => {
                     let payload = doorcourse_outlier_gossip::encode(&message);
-                    for to in self.link.numbers() {
+                    for to in self.link.peer_numbers() {
                         let out = self.link.send(now, io.now() as u64, to, SUSPECT, payload.clone());
                         out.into_iter().for_each(|out| self.put(&out));
                     }
                 }
-                doorcourse_outlier_gossip::Output::Try(node) => {
+                doorcourse_outlier_gossip::Output::SendProbe(node) => {
                     let address = nodes.iter().find(|n| *n.entry.name == *node).map(|n| n.address);
                     let until = now + self.suspects.as_ref().map_or(0, |(_, s)| s.timeout);
                     let made =
@@ -448,8 +465,9 @@
                         self.tried(now, &node, "no connection");
                     }
                 }
-                doorcourse_outlier_gossip::Output::Hint(word) => {
-                    let Word { node, bad, age, gateways, .. } = &word;
+                doorcourse_outlier_gossip::Output::VerdictChanged(word) => {
+                    let Verdict { node, is_outlier: bad, age_ms: age, reporting_gateways: gateways, .. } =
+                        &word;
                     tracing::info!(target: "doorcourse::fleet", node, bad, age, gateways, "word on a node");
                     if self.suspects.as_ref().is_some_and(|(_, s)| s.apply) {
                         self.hints.push_back(word);
@@ -460,7 +478,7 @@
     }
 
     /// A request that asks for nothing: whoever speaks HTTP answers it, and nothing is done.
-    fn write_trial(&mut self, io: &mut Io, now: Time, slot: usize, generation: u32, what: &What) {
+    fn write_trial(&mut self, io: &mut Io, now: Millis, slot: usize, generation: u32, what: &What) {
         let Some(call) = self.out.get_mut(slot) else { return };
         call.written = true;
         let body = "{\"query\":\"{__typename}\"}";
@@ -477,28 +495,29 @@
         let _ = io.poller.change(&call.socket, Token::Call(slot, generation).pack(), Interest::READ);
     }
 
-    fn tried(&mut self, now: Time, node: &str, why: &str) {
+    fn tried(&mut self, now: Millis, node: &str, why: &str) {
         let slot =
             self.out.iter().find(|(_, c)| matches!(&c.what, What::Trial(n, _) if n == node)).map(|(s, _)| s);
         slot.into_iter().for_each(|slot| drop(self.out.remove(slot)));
         let good = why.is_empty();
         tracing::info!(target: "doorcourse::fleet", node, good, why, "suspect node tried");
         if let Some((suspects, _)) = &mut self.suspects {
-            let tried = doorcourse_outlier_gossip::Input::Tried { node: node.to_owned(), good };
+            let tried =
+                doorcourse_outlier_gossip::Input::ProbeFinished { node: node.to_owned(), succeeded: good };
             suspects.handle(now, tried, &mut Vec::new());
         }
         // What was found is told at the next look, which comes at once.
         self.next_look = now;
     }
 
-    fn late_trials(&mut self, now: Time) {
+    fn late_trials(&mut self, now: Millis) {
         let late = |c: &Call| matches!(c.what, What::Trial(_, until) if until <= now);
         let late: Vec<What> = self.out.iter().filter(|(_, c)| late(c)).map(|(_, c)| c.what.clone()).collect();
         late.iter().for_each(|what| self.over(now, what, "no answer in time"));
     }
 
     /// A call is over; without a cause it was good.
-    fn end(&mut self, now: Time, task: Task, why: &str) {
+    fn end(&mut self, now: Millis, task: TaskId, why: &str) {
         let slot = self.out.iter().find(|(_, c)| c.what == What::Task(task)).map(|(slot, _)| slot);
         if let Some(slot) = slot {
             self.out.remove(slot);
@@ -506,8 +525,8 @@
         }
     }
 
-    fn ended(&mut self, now: Time, task: Task, why: &str) {
-        self.calls.ended(now, task);
+    fn ended(&mut self, now: Millis, task: TaskId, why: &str) {
+        self.calls.finish(now, task);
         self.tally.entry(task).or_default()[usize::from(!why.is_empty())] += 1;
         if !why.is_empty() {
             tracing::info!(target: "doorcourse::fleet", task = self.name(task), why, "call failed");
@@ -517,13 +536,13 @@
     // ---- For people ----
 
     /// A task goes to another gateway; why not, if not.
-    pub fn hand_over(&mut self, io: &mut Io, name: &str, to: Number) -> Result<(), String> {
+    pub fn hand_over(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
         let now = awake_or_not();
         let task = task_of(name);
-        let held = self.leases.iter().flat_map(|l| l.views(now)).find(|v| v.task == task);
+        let held = self.leases.iter().flat_map(|l| l.statuses(now)).find(|v| v.task == task);
         match held.map(|v| v.stage) {
             None => return Err(format!("`{name}` is no task of the settings")),
-            Some(Stage::Held(_)) => {}
+            Some(LeaseStage::Held(_)) => {}
             Some(_) => {
                 return Err(format!("`{name}` is not held by this gateway: ask its holder (ctl leases)"));
             }
@@ -531,91 +550,117 @@
         if !self.settings.peers.contains_key(&to) {
             return Err(format!("gateway {to} is not among fleet.link.peers"));
         }
-        self.tell(io, now, Input::HandOver { task, to });
+        self.tell(io, now, Input::TransferRequested { task, to });
         Ok(())
     }
 
     pub fn peers(&self) -> Value {
-        let one = |v: doorcourse_peers::View| {
+        let one = |v: doorcourse_peers::PeerStatus| {
             json!({"gateway": v.number, "address": self.settings.peers.get(&v.number).map(ToString::to_string),
                 "heard_ms_ago": v.heard, "silent": v.silent, "round_trip_ms": v.round_trip.map(round),
                 "clock_ahead_ms": v.clock.map(round), "taken": v.taken, "lost": v.lost, "sent": v.sent})
         };
         let drops: BTreeMap<_, _> = self.link.drops().by_name().collect();
         let address = self.socket.as_ref().and_then(|s| s.local_addr().ok()).map(|a| a.to_string());
-        json!({"address": address, "peers": self.link.views(awake_or_not()).map(one).collect::<Vec<_>>(), "dropped": drops})
+        json!({"address": address, "peers": self.link.statuses(awake_or_not()).map(one).collect::<Vec<_>>(), "dropped": drops})
     }
 
     pub fn leases(&self) -> Value {
         let now = awake_or_not();
         let Some(leases) = &self.leases else { return Value::Null };
-        let one = |view: View| {
+        let one = |view: LeaseStatus| {
             let name = self.name(view.task);
             let (stage, ms) = match view.stage {
-                Stage::Waiting(ms) => ("waiting", ms),
-                Stage::Asking(_) => ("asking", 0),
-                Stage::Held(ms) => ("held", ms),
+                LeaseStage::Waiting(ms) => ("waiting", ms),
+                LeaseStage::Acquiring(_) => ("asking", 0),
+                LeaseStage::Held(ms) => ("held", ms),
             };
             let [good, failed, kept_back] = self.tally.get(&view.task).copied().unwrap_or_default();
             // Tokens are beyond what JSON readers take for a whole number.
             json!({"task": name, "here": stage, "ms": ms, "token": view.token.map(|t| t.to_string()),
-                "granted_to": view.granted.map(|g| g.0), "granted_token": view.granted.map(|g| g.1.to_string()),
-                "granted_ms": view.granted.map(|g| g.2),
-                "refused_by": view.refused.map(|r| r.0), "refused": view.refused.map(|r| format!("{:?}", r.1)),
+                "granted_to": view.granted.map(|g| g.holder), "granted_token": view.granted.map(|g| g.token.to_string()),
+                "granted_ms": view.granted.map(|g| g.remaining),
+                "refused_by": view.last_refusal.map(|r| r.voter), "refused": view.last_refusal.map(|r| refusal_text(r.reason)),
                 "calls_good": good, "calls_failed": failed, "calls_kept_back": kept_back})
         };
-        json!({"gateway": self.number, "votes": leases.votes(now), "voters_version": leases.version(),
-            "tasks": leases.views(now).map(one).collect::<Vec<_>>()})
+        json!({"gateway": self.number, "votes": leases.is_voting(now), "voters_version": leases.voters_version(),
+            "tasks": leases.statuses(now).map(one).collect::<Vec<_>>()})
     }
 
     pub fn seen(&self) -> Seen {
         let now = awake_or_not();
-        let held = |v: View| (self.name(v.task).to_owned(), matches!(v.stage, Stage::Held(_)));
+        let held = |v: LeaseStatus| (self.name(v.task).to_owned(), matches!(v.stage, LeaseStage::Held(_)));
         Seen {
-            peers: self.link.views(now).collect(),
+            peers: self.link.statuses(now).collect(),
             drops: self.link.drops().by_name().collect(),
-            held: self.leases.iter().flat_map(|l| l.views(now)).map(held).collect(),
+            held: self.leases.iter().flat_map(|l| l.statuses(now)).map(held).collect(),
             calls: self.tally.iter().map(|(task, tally)| (self.name(*task).to_owned(), *tally)).collect(),
         }
     }
 }
 
+/// A refusal as admin replies spell it.
+fn refusal_text(refusal: Refusal) -> String {
+    match refusal {
+        Refusal::NotVoting => "Silent".into(),
+        Refusal::VersionMismatch => "Version".into(),
+        Refusal::HeldByOther { holder: by, remaining: left } => format!("Held {{ by: {by}, left: {left} }}"),
+        Refusal::StaleToken => "Token".into(),
+        Refusal::LeaseTooLong => "Length".into(),
+        Refusal::TooManyTasks => "Full".into(),
+    }
+}
+
 fn round(ms: f64) -> f64 {
     (ms * 10.0).round() / 10.0
 }
 
-fn log(told: Told) {
+fn log(told: PeerEvent) {
     match told {
-        Told::Up(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer heard"),
-        Told::Started(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer was started again"),
-        Told::Silent(peer) => tracing::warn!(target: "doorcourse::fleet", peer, "peer silent"),
+        PeerEvent::Up(peer) => tracing::info!(target: "doorcourse::fleet", peer, "peer heard"),
+        PeerEvent::Restarted(peer) => {
+            tracing::info!(target: "doorcourse::fleet", peer, "peer was started again")
+        }
+        PeerEvent::Unreachable(peer) => tracing::warn!(target: "doorcourse::fleet", peer, "peer silent"),
     }
 }
 
-fn fleet(settings: &FleetLink, number: Number) -> BTreeSet<Number> {
+fn fleet(settings: &FleetLink, number: GatewayNumber) -> BTreeSet<GatewayNumber> {
     settings.peers.keys().copied().chain([number]).collect()
 }
 
-fn tasks(leases: &FleetLeases) -> Vec<Task> {
+fn tasks(leases: &FleetLeases) -> Vec<TaskId> {
     let own = leases.suspects.map(|_| task_of(SUSPECTS));
     leases.tasks.iter().map(|t| task_of(&t.name)).chain(own).collect()
 }
 
-fn link_settings(settings: &FleetLink, number: Number, incarnation: u64) -> LinkSettings {
+fn link_settings(settings: &FleetLink, number: GatewayNumber, incarnation: u64) -> LinkSettings {
     let FleetLink { peers, secrets, fleet, silence, .. } = settings.clone();
-    LinkSettings { fleet: fleet_of(&fleet), number, incarnation, peers, secrets, silence }
+    LinkSettings {
+        fleet: fleet_of(&fleet),
+        gateway: number,
+        incarnation,
+        peers,
+        secrets,
+        unreachable_after: silence,
+    }
 }
 
-fn lease_settings(leases: &FleetLeases, link: &FleetLink, number: Number, incarnation: u64) -> LeaseSettings {
+fn lease_settings(
+    leases: &FleetLeases, link: &FleetLink, number: GatewayNumber, incarnation: u64,
+) -> LeaseSettings {
     LeaseSettings {
-        number,
+        gateway: number,
         incarnation,
         seed: incarnation,
-        length: leases.length,
-        longest: leases.length,
-        drift: leases.drift,
-        fleet: fleet(link, number),
+        lease_duration: leases.length,
+        max_lease_duration: leases.length,
+        clock_drift_ppm: leases.drift,
+        gateways: fleet(link, number),
         voters: leases.voters.clone(),
         tasks: tasks(leases),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,29 +1,38 @@
-//! Messages as protobuf. What cannot be read is one fault; nothing of it is taken.
+//! The encoding of messages as protobuf. A message that is invalid in any part is rejected whole.
 
-use crate::{Ask, Item, Message, Refusal, Task};
+use crate::{Item, LeaseRequest, Message, Refusal, TaskId};
 use prost::Message as _;
+use thiserror::Error;
 
-/// The most items that one message may hold.
-pub const ITEMS: usize = 2048;
+/// The most items that one message may have.
+pub const MAX_MESSAGE_ITEMS: usize = 2048;
 
-/// Bytes that are no message about leases.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable;
-
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("no message about leases")
-    }
+/// Why bytes are no valid message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The bytes are not protobuf of this form.
+    #[error("not a lease message")]
+    Malformed,
+    /// More items than one message may have.
+    #[error("a lease message with {0} items, more than {MAX_MESSAGE_ITEMS}")]
+    TooManyItems(usize),
+    /// An item of a kind that is not known.
+    #[error("a lease message with an item of unknown kind {0}")]
+    UnknownItemKind(u32),
+    /// A refusal for a reason that is not known.
+    #[error("a lease message with a refusal for unknown reason {0}")]
+    UnknownRefusalReason(u32),
+    /// A refusal because of another holder that does not name it.
+    #[error("a lease message with a refusal that does not name the holder")]
+    MissingHolder,
 }
 
-impl std::error::Error for Unreadable {}
-
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Wire {
+struct WireMessage {
     #[prost(uint64, tag = "1")]
-    version: u64,
+    voters_version: u64,
     #[prost(uint64, tag = "3")]
-    highest: u64,
+    highest_token: u64,
     #[prost(uint64, tag = "4")]
     round: u64,
     #[prost(message, repeated, tag = "5")]
@@ -33,130 +42,130 @@
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct WireItem {
     #[prost(fixed32, tag = "1")]
-    task: Task,
-    /// 1 ask, 2 grant, 3 refuse, 4 release, 5 take.
+    task: TaskId,
+    /// One of `item_kind`.
     #[prost(uint32, tag = "2")]
     kind: u32,
     #[prost(uint64, tag = "3")]
     token: u64,
-    /// Ask: its length. Refused as held: what is left.
+    /// Request: its duration. Refusal because of another holder: how long its grant lasts. In ms.
     #[prost(uint64, tag = "4")]
-    ms: u64,
-    /// Refuse: 1 silent, 2 version, 3 held, 4 token, 5 length, 6 full.
+    duration_ms: u64,
+    /// Refusal: one of `refusal_reason`.
     #[prost(uint32, tag = "5")]
-    why: u32,
-    /// Refused as held: by whom. Release: whose it is to be next.
+    reason: u32,
+    /// Refusal because of another holder: that gateway. Release: the gateway it is transferred to.
     #[prost(uint32, optional, tag = "6")]
     gateway: Option<u32>,
 }
 
-/// A message's bytes.
+/// The numbers of the kinds of items.
+mod item_kind {
+    pub(super) const REQUEST: u32 = 1;
+    pub(super) const GRANT: u32 = 2;
+    pub(super) const REFUSE: u32 = 3;
+    pub(super) const RELEASE: u32 = 4;
+    pub(super) const TRANSFER: u32 = 5;
+}
+
+/// The numbers of the reasons of a refusal.
+mod refusal_reason {
+    pub(super) const NOT_VOTING: u32 = 1;
+    pub(super) const VERSION_MISMATCH: u32 = 2;
+    pub(super) const HELD_BY_OTHER: u32 = 3;
+    pub(super) const STALE_TOKEN: u32 = 4;
+    pub(super) const LEASE_TOO_LONG: u32 = 5;
+    pub(super) const TOO_MANY_TASKS: u32 = 6;
+}
+
+/// Encodes a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
-    let item = |item: &Item| {
-        let of = |task, kind, token| WireItem { task, kind, token, ..WireItem::default() };
-        match *item {
-            Item::Ask(Ask { task, token, length }) => WireItem { ms: length, ..of(task, 1, token) },
-            Item::Grant { task, token } => of(task, 2, token),
-            Item::Refuse { task, token, why } => {
-                let refused = |why| WireItem { why, ..of(task, 3, token) };
-                match why {
-                    Refusal::Silent => refused(1),
-                    Refusal::Version => refused(2),
-                    Refusal::Held { by, left } => WireItem { ms: left, gateway: Some(by), ..refused(3) },
-                    Refusal::Token => refused(4),
-                    Refusal::Length => refused(5),
-                    Refusal::Full => refused(6),
-                }
-            }
-            Item::Release { task, token, to } => WireItem { gateway: to, ..of(task, 4, token) },
-            Item::Take { task } => of(task, 5, 0),
+    WireMessage {
+        voters_version: message.voters_version,
+        highest_token: message.highest_token,
+        round: message.round,
+        items: message.items.iter().map(encode_item).collect(),
+    }
+    .encode_to_vec()
+}
+
+fn encode_item(item: &Item) -> WireItem {
+    let wire = |kind, task, token| WireItem { kind, task, token, ..WireItem::default() };
+    match *item {
+        Item::Request(LeaseRequest { task, token, duration }) => {
+            WireItem { duration_ms: duration, ..wire(item_kind::REQUEST, task, token) }
+        }
+        Item::Grant { task, token } => wire(item_kind::GRANT, task, token),
+        Item::Refuse { task, token, reason } => encode_refusal(reason, wire(item_kind::REFUSE, task, token)),
+        Item::Release { task, token, transfer_to } => {
+            WireItem { gateway: transfer_to, ..wire(item_kind::RELEASE, task, token) }
         }
-    };
-    let Message { version, highest, round, ref items } = *message;
-    Wire { version, highest, round, items: items.iter().map(item).collect() }.encode_to_vec()
+        Item::Transfer { task } => wire(item_kind::TRANSFER, task, 0),
+    }
 }
 
-/// Reads a message.
+/// Adds the reason of a refusal to its item.
+fn encode_refusal(refusal: Refusal, item: WireItem) -> WireItem {
+    match refusal {
+        Refusal::NotVoting => WireItem { reason: refusal_reason::NOT_VOTING, ..item },
+        Refusal::VersionMismatch => WireItem { reason: refusal_reason::VERSION_MISMATCH, ..item },
+        Refusal::HeldByOther { holder, remaining } => WireItem {
+            reason: refusal_reason::HELD_BY_OTHER,
+            duration_ms: remaining,
+            gateway: Some(holder),
+            ..item
+        },
+        Refusal::StaleToken => WireItem { reason: refusal_reason::STALE_TOKEN, ..item },
+        Refusal::LeaseTooLong => WireItem { reason: refusal_reason::LEASE_TOO_LONG, ..item },
+        Refusal::TooManyTasks => WireItem { reason: refusal_reason::TOO_MANY_TASKS, ..item },
+    }
+}
+
+/// Decodes a message.
 ///
 /// # Errors
-/// When the bytes are none.
-pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
-    let wire = Wire::decode(bytes).map_err(|_| Unreadable)?;
-    if wire.items.len() > ITEMS {
-        return Err(Unreadable);
+/// The first part of the bytes that is invalid.
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+    let wire = WireMessage::decode(bytes).map_err(|_| DecodeError::Malformed)?;
+    if wire.items.len() > MAX_MESSAGE_ITEMS {
+        return Err(DecodeError::TooManyItems(wire.items.len()));
     }
-    let item = |item: &WireItem| {
-        let WireItem { task, kind, token, ms, why, gateway } = *item;
-        Ok(match kind {
-            1 => Item::Ask(Ask { task, token, length: ms }),
-            2 => Item::Grant { task, token },
-            3 => {
-                let why = match why {
-                    1 => Refusal::Silent,
-                    2 => Refusal::Version,
-                    3 => Refusal::Held { by: gateway.ok_or(Unreadable)?, left: ms },
-                    4 => Refusal::Token,
-                    5 => Refusal::Length,
-                    6 => Refusal::Full,
-                    _ => return Err(Unreadable),
-                };
-                Item::Refuse { task, token, why }
-            }
-            4 => Item::Release { task, token, to: gateway },
-            5 => Item::Take { task },
-            _ => return Err(Unreadable),
-        })
-    };
-    let items = wire.items.iter().map(item).collect::<Result<_, _>>()?;
-    let Wire { version, highest, round, .. } = wire;
-    Ok(Message { version, highest, round, items })
+    Ok(Message {
+        voters_version: wire.voters_version,
+        highest_token: wire.highest_token,
+        round: wire.round,
+        items: wire.items.iter().map(decode_item).collect::<Result<_, _>>()?,
+    })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn any_item() -> impl Strategy<Value = Item> {
-        let why = prop_oneof![
-            Just(Refusal::Silent),
-            Just(Refusal::Version),
-            (any::<u32>(), any::<u64>()).prop_map(|(by, left)| Refusal::Held { by, left }),
-            Just(Refusal::Token),
-            Just(Refusal::Length),
-            Just(Refusal::Full),
-        ];
-        let pair = (any::<u32>(), any::<u64>());
-        prop_oneof![
-            (pair, any::<u64>()).prop_map(|((task, token), length)| Item::Ask(Ask { task, token, length })),
-            pair.prop_map(|(task, token)| Item::Grant { task, token }),
-            (pair, why).prop_map(|((task, token), why)| Item::Refuse { task, token, why }),
-            (pair, any::<Option<u32>>()).prop_map(|((task, token), to)| Item::Release { task, token, to }),
-            any::<u32>().prop_map(|task| Item::Take { task }),
-        ]
+fn decode_item(wire: &WireItem) -> Result<Item, DecodeError> {
+    let task = wire.task;
+    let token = wire.token;
+    match wire.kind {
+        item_kind::REQUEST => Ok(Item::Request(LeaseRequest { task, token, duration: wire.duration_ms })),
+        item_kind::GRANT => Ok(Item::Grant { task, token }),
+        item_kind::REFUSE => Ok(Item::Refuse { task, token, reason: decode_refusal(wire)? }),
+        item_kind::RELEASE => Ok(Item::Release { task, token, transfer_to: wire.gateway }),
+        item_kind::TRANSFER => Ok(Item::Transfer { task }),
+        unknown => Err(DecodeError::UnknownItemKind(unknown)),
     }
+}
 
-    proptest! {
-        #[test]
-        fn what_is_written_is_read(
-            version in any::<u64>(), highest in any::<u64>(), round in any::<u64>(),
-            items in prop::collection::vec(any_item(), 0..20),
-        ) {
-            let message = Message { version, highest, round, items };
-            prop_assert_eq!(decode(&encode(&message)), Ok(message));
-        }
-
-        #[test]
-        fn no_bytes_break_it(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            let _ = decode(&bytes);
+fn decode_refusal(wire: &WireItem) -> Result<Refusal, DecodeError> {
+    match wire.reason {
+        refusal_reason::NOT_VOTING => Ok(Refusal::NotVoting),
+        refusal_reason::VERSION_MISMATCH => Ok(Refusal::VersionMismatch),
+        refusal_reason::HELD_BY_OTHER => {
+            let holder = wire.gateway.ok_or(DecodeError::MissingHolder)?;
+            Ok(Refusal::HeldByOther { holder, remaining: wire.duration_ms })
         }
-    }
-
-    #[test]
-    fn a_thousand_renewals_fit_one_datagram() {
-        let items = (0..1000).map(|task| Item::Ask(Ask { task, token: 1 << 55, length: 600_000 })).collect();
-        let message = Message { version: 9, highest: 1 << 55, round: 1 << 40, items };
-        assert!(encode(&message).len() < 30_000, "{}", encode(&message).len());
+        refusal_reason::STALE_TOKEN => Ok(Refusal::StaleToken),
+        refusal_reason::LEASE_TOO_LONG => Ok(Refusal::LeaseTooLong),
+        refusal_reason::TOO_MANY_TASKS => Ok(Refusal::TooManyTasks),
+        unknown => Err(DecodeError::UnknownRefusalReason(unknown)),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/lease/src/leases/guard.rs
@@ -0,0 +1,53 @@
+//! The check before an act: whether the lease is held and outlasts the act.
+
+use super::Leases;
+#[cfg(not(feature = "disable-lease-check"))]
+use super::state::LeaseState;
+use crate::{GuardError, Millis, Permit, TaskId};
+
+/// Added to the duration of an act: `now` was cut to whole ms.
+#[cfg(not(feature = "disable-lease-check"))]
+const ROUNDING_MS: Millis = 1;
+
+impl Leases {
+    /// Whether this gateway may act for a task now, where the act takes `duration` ms from this check to the end of its
+    /// effect. To be checked again with [`Leases::revalidate`] right before the act.
+    ///
+    /// # Errors
+    /// Why the act must not begin.
+    #[cfg(not(feature = "disable-lease-check"))]
+    pub fn may_act(&self, now: Millis, task: TaskId, duration: Millis) -> Result<Permit, GuardError> {
+        let Some(LeaseState::Held { token, expires_at, .. }) = self.states.get(&task) else {
+            return Err(GuardError::NotHeld { task });
+        };
+        let required = duration + ROUNDING_MS;
+        if now + required > *expires_at {
+            let remaining = expires_at.saturating_sub(now);
+            return Err(GuardError::LeaseTooShort { task, required, remaining });
+        }
+        Ok(Permit { task, token: *token, expires_at: *expires_at })
+    }
+
+    /// Without the check: a permit for any task that was ever held, which a test must catch.
+    ///
+    /// # Errors
+    /// The task was never held.
+    #[cfg(feature = "disable-lease-check")]
+    pub fn may_act(&self, now: Millis, task: TaskId, duration: Millis) -> Result<Permit, GuardError> {
+        let token = self.ever_held.get(&task).ok_or(GuardError::NotHeld { task })?;
+        Ok(Permit { task, token: *token, expires_at: now + duration })
+    }
+
+    /// Checks a permit again right before its act: the lease outlasts the act and was not lost and acquired again.
+    ///
+    /// # Errors
+    /// Why the act must not begin.
+    pub fn revalidate(&self, now: Millis, permit: &Permit, duration: Millis) -> Result<Permit, GuardError> {
+        let current = self.may_act(now, permit.task, duration)?;
+        if current.token == permit.token {
+            Ok(current)
+        } else {
+            Err(GuardError::NotHeld { task: permit.task })
+        }
+    }
+}
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,86 +1,86 @@
-//! What gateways say to each other about leases. Messages may be lost, doubled, late and out of order.
+//! The messages between candidates, holders and voters. Messages may be lost, duplicated, delayed and reordered.
 
-use crate::{Number, Task, Time, Token};
+use crate::{FencingToken, GatewayNumber, Millis, TaskId};
 
-/// One message: items of one sender at one moment.
+/// One message: items that its sender sends together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Message {
-    /// The sender's list of voters.
-    pub version: u64,
-    /// The highest token the sender knows of.
-    pub highest: Token,
-    /// The sender's round: answers name the round of the ask that they answer.
+    /// The version of the sender's voter configuration.
+    pub voters_version: u64,
+    /// The highest fencing token that the sender knows of.
+    pub highest_token: FencingToken,
+    /// The sender's quorum round; a reply has the round of the request that it answers.
     pub round: u64,
-    /// What is said.
+    /// The items.
     pub items: Vec<Item>,
 }
 
-/// What is asked for.
+/// A request for a lease, or for its renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// The task.
-    pub task: Task,
-    /// The token that it is to be held under.
-    pub token: Token,
-    /// For how long, in ms.
-    pub length: Time,
+    pub task: TaskId,
+    /// The fencing token that the lease is to be held under.
+    pub token: FencingToken,
+    /// The duration of the lease, in ms.
+    pub duration: Millis,
 }
 
-/// One thing said.
+/// One item of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Item {
-    /// A candidate or holder asks a voter.
-    Ask(Ask),
+    /// A candidate or holder requests a lease of a voter.
+    Request(LeaseRequest),
     /// The voter grants it.
     Grant {
         /// The task.
-        task: Task,
-        /// Its token.
-        token: Token,
+        task: TaskId,
+        /// The token of the request.
+        token: FencingToken,
     },
-    /// The voter does not.
+    /// The voter refuses it.
     Refuse {
         /// The task.
-        task: Task,
-        /// The token that was asked for.
-        token: Token,
+        task: TaskId,
+        /// The token of the request.
+        token: FencingToken,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
-    /// A holder or candidate gives back what it was granted.
+    /// A holder or candidate releases what it was granted.
     Release {
         /// The task.
-        task: Task,
-        /// Its token.
-        token: Token,
-        /// Who is to have it next, where that is settled.
-        to: Option<Number>,
+        task: TaskId,
+        /// The token of the grant.
+        token: FencingToken,
+        /// The gateway for which voters reserve the task, at a transfer.
+        transfer_to: Option<GatewayNumber>,
     },
-    /// A holder has given the task back and would have the receiver take it.
-    Take {
+    /// A holder has released the task for the receiver, which is to acquire it.
+    Transfer {
         /// The task.
-        task: Task,
+        task: TaskId,
     },
 }
 
-/// Why a voter refuses.
+/// Why a voter refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// It was started too short a time ago, or its list is not settled.
-    Silent,
-    /// The asker's list of voters is not this voter's, nor the next after it.
-    Version,
-    /// Another gateway has it, for so long at most, in ms.
-    Held {
-        /// Who.
-        by: Number,
-        /// The rest of its grant.
-        left: Time,
+    /// The voter was started too short a time ago, or its voter configuration is not in force.
+    NotVoting,
+    /// The version of the requester's voter configuration is neither the voter's nor the next.
+    VersionMismatch,
+    /// The task is granted to, or reserved for, another gateway.
+    HeldByOther {
+        /// That gateway.
+        holder: GatewayNumber,
+        /// How long the grant or reservation lasts at most, in ms.
+        remaining: Millis,
     },
-    /// A token as high was granted before.
-    Token,
-    /// The length is beyond what voters honour.
-    Length,
-    /// It knows of too many tasks.
-    Full,
+    /// A token at least as high was granted before.
+    StaleToken,
+    /// The duration is longer than voters grant.
+    LeaseTooLong,
+    /// The voter knows of too many tasks.
+    TooManyTasks,
 }
--- /dev/null
+++ b/crates/lease/src/voter_configuration.rs
@@ -0,0 +1,71 @@
+//! Who votes. Configurations have versions; each differs by at most one voter from the one before, so that majorities of
+//! neighbouring versions share a voter.
+
+use crate::{GatewayNumber, SettingsError};
+use std::collections::BTreeSet;
+
+/// The voters of one version and those of the version before.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub struct VoterConfiguration {
+    /// Counts the changes of the configuration.
+    pub version: u64,
+    /// The voters of this version.
+    pub voters: BTreeSet<GatewayNumber>,
+    /// The voters of the version before; empty where there was none.
+    pub previous_voters: BTreeSet<GatewayNumber>,
+}
+
+impl VoterConfiguration {
+    /// The first version.
+    #[must_use]
+    pub fn first(voters: impl IntoIterator<Item = GatewayNumber>) -> Self {
+        Self { version: 0, voters: voters.into_iter().collect(), previous_voters: BTreeSet::new() }
+    }
+
+    /// The next version, with these voters.
+    #[must_use]
+    pub fn with_voters(&self, voters: impl IntoIterator<Item = GatewayNumber>) -> Self {
+        Self {
+            version: self.version + 1,
+            voters: voters.into_iter().collect(),
+            previous_voters: self.voters.clone(),
+        }
+    }
+
+    /// Whether so many of the voters are a majority.
+    #[must_use]
+    pub fn is_majority(&self, count: usize) -> bool {
+        is_majority(count, self.voters.len())
+    }
+
+    /// Checks this version by itself.
+    pub(crate) fn validate(&self) -> Result<(), SettingsError> {
+        if self.voters.is_empty() {
+            return Err(SettingsError::NoVoters);
+        }
+        let changed = self.voters.symmetric_difference(&self.previous_voters).count();
+        if self.previous_voters.is_empty() || changed <= 1 { Ok(()) } else { Err(self.step_error(changed)) }
+    }
+
+    /// Whether `next` may follow this configuration: the same again, or the next version with at most one voter added or
+    /// removed.
+    ///
+    /// # Errors
+    /// Why it may not.
+    pub fn may_follow(&self, next: &Self) -> Result<(), SettingsError> {
+        next.validate()?;
+        let changed = self.voters.symmetric_difference(&next.voters).count();
+        let unchanged = next.version == self.version && changed == 0;
+        let one_step = next.version == self.version + 1 && changed <= 1;
+        if unchanged || one_step { Ok(()) } else { Err(next.step_error(changed)) }
+    }
+
+    fn step_error(&self, changed: usize) -> SettingsError {
+        SettingsError::VoterStep { version: self.version, changed }
+    }
+}
+
+/// Whether `count` of `total` voters are a majority.
+pub(crate) fn is_majority(count: usize, total: usize) -> bool {
+    count * 2 > total
+}
