--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -11,7 +11,8 @@
 };
 use doorcourse_outlier_gossip::{NodeStatus, OutlierGossip, Verdict};
 use doorcourse_peers::{
-    GatewayNumber, Link, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerEvent, Settings as LinkSettings, fleet_of,
+    GatewayNumber, Link, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerEvent, PeerStatus,
+    Settings as LinkSettings, fleet_of,
 };
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -45,10 +46,24 @@
     status: u16,
 }
 
+/// A peer as metrics show it. Times in ms.
+#[derive(Debug)]
+pub(crate) struct PeerMetrics {
+    pub number: GatewayNumber,
+    /// How long ago a datagram was accepted from it.
+    pub heard: Option<Millis>,
+    pub round_trip: Option<f64>,
+    /// By how much its wall clock is ahead of this gateway's.
+    pub clock: Option<f64>,
+    /// Datagrams accepted from it, and those that were lost.
+    pub taken: u64,
+    pub lost: u64,
+}
+
 /// What the link and the leases hold for people and metrics.
 #[derive(Debug, Default)]
 pub(crate) struct Seen {
-    pub peers: Vec<doorcourse_peers::PeerStatus>,
+    pub peers: Vec<PeerMetrics>,
     pub drops: Vec<(&'static str, u64)>,
     /// Each task: whether it is held here.
     pub held: Vec<(String, bool)>,
@@ -556,9 +571,9 @@
 
     pub fn peers(&self) -> Value {
         let one = |v: doorcourse_peers::PeerStatus| {
-            json!({"gateway": v.number, "address": self.settings.peers.get(&v.number).map(ToString::to_string),
-                "heard_ms_ago": v.heard, "silent": v.silent, "round_trip_ms": v.round_trip.map(round),
-                "clock_ahead_ms": v.clock.map(round), "taken": v.taken, "lost": v.lost, "sent": v.sent})
+            json!({"gateway": v.gateway, "address": self.settings.peers.get(&v.gateway).map(ToString::to_string),
+                "heard_ms_ago": v.last_received_ago, "silent": v.unreachable, "round_trip_ms": v.round_trip.map(round),
+                "clock_ahead_ms": v.clock_offset.map(round), "taken": v.received, "lost": v.lost, "sent": v.sent})
         };
         let drops: BTreeMap<_, _> = self.link.drops().by_name().collect();
         let address = self.socket.as_ref().and_then(|s| s.local_addr().ok()).map(|a| a.to_string());
@@ -591,7 +606,7 @@
         let now = awake_or_not();
         let held = |v: LeaseStatus| (self.name(v.task).to_owned(), matches!(v.stage, LeaseStage::Held(_)));
         Seen {
-            peers: self.link.statuses(now).collect(),
+            peers: self.link.statuses(now).map(PeerMetrics::from).collect(),
             drops: self.link.drops().by_name().collect(),
             held: self.leases.iter().flat_map(|l| l.statuses(now)).map(held).collect(),
             calls: self.tally.iter().map(|(task, tally)| (self.name(*task).to_owned(), *tally)).collect(),
@@ -611,6 +626,19 @@
     }
 }
 
+impl From<PeerStatus> for PeerMetrics {
+    fn from(status: PeerStatus) -> Self {
+        Self {
+            number: status.gateway,
+            heard: status.last_received_ago,
+            round_trip: status.round_trip,
+            clock: status.clock_offset,
+            taken: status.received,
+            lost: status.lost,
+        }
+    }
+}
+
 fn round(ms: f64) -> f64 {
     (ms * 10.0).round() / 10.0
 }
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -1,184 +1,161 @@
-//! What is known of one peer, and which of its datagrams were taken.
+//! What is known of one peer, and which of its datagrams are accepted.
 
+use crate::envelope::Envelope;
+use crate::rate_limit::RateLimit;
+use crate::replay_window::ReplayWindow;
 use crate::{GatewayNumber, Millis};
 use std::collections::VecDeque;
 
-/// So many sequences below the newest are told apart: later ones are taken for replayed.
-const WINDOW: u64 = 64;
-/// So many former starts of a peer are remembered, lest their datagrams come again.
-const FORMER: usize = 32;
-/// Datagrams a second from or to one peer, and as many at once.
-const RATE: f64 = 400.0;
-const BURST: f64 = 800.0;
-/// Weight of the newest round trip and clock difference.
-const NEWEST: f64 = 0.2;
+/// So many former starts of a peer are remembered, whose datagrams are dropped.
+const MAX_FORMER_INCARNATIONS: usize = 32;
+/// The weight of the newest sample in the smoothed round trip and clock offset.
+const SMOOTHING_WEIGHT: f64 = 0.2;
 
-/// A bucket of datagrams: bounds what one peer may cost.
-#[derive(Clone, Debug)]
-pub(crate) struct RateLimit {
-    held: f64,
-    at: Millis,
-}
-
-impl RateLimit {
-    pub fn new(now: Millis) -> Self {
-        Self { held: BURST, at: now }
-    }
-
-    pub fn try_take(&mut self, now: Millis) -> bool {
-        let since = now.saturating_sub(self.at) as f64;
-        (self.held, self.at) = ((self.held + since * RATE / 1000.0).min(BURST), now.max(self.at));
-        let fits = self.held >= 1.0;
-        self.held -= f64::from(u8::from(fits));
-        fits
-    }
-}
-
-/// A peer as people see it. Times in ms.
+/// A peer, for operators. Times in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// Who.
-    pub number: GatewayNumber,
-    /// Since when nothing came; `None` if nothing ever did.
-    pub heard: Option<Millis>,
-    /// Whether it counts as silent.
-    pub silent: bool,
+    /// The peer.
+    pub gateway: GatewayNumber,
+    /// How long ago a datagram was accepted from it; `None` if none ever was.
+    pub last_received_ago: Option<Millis>,
+    /// Whether it counts as unreachable.
+    pub unreachable: bool,
     /// The smoothed round trip.
     pub round_trip: Option<f64>,
-    /// How far its wall clock is ahead of this one's, smoothed.
-    pub clock: Option<f64>,
-    /// Datagrams taken and, of those that it numbered meanwhile, missing.
-    pub taken: u64,
-    /// Missing ones.
+    /// By how much its wall clock is ahead of this gateway's, smoothed.
+    pub clock_offset: Option<f64>,
+    /// Datagrams accepted from it.
+    pub received: u64,
+    /// Datagrams that it numbered between those accepted, and that were not accepted.
     pub lost: u64,
     /// Datagrams sent to it.
     pub sent: u64,
 }
 
+/// The newest datagram of a peer by its own clock: echoed to the peer for its round trip.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Echo {
+    /// When it was sent, on the peer's clock; 0 where none was received.
+    pub(crate) sent_at: Millis,
+    /// When it was received, on this gateway's clock.
+    pub(crate) received_at: Millis,
+}
+
+/// The state of one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    pub incarnation: Option<u64>,
-    former: VecDeque<u64>,
-    /// The first and newest sequence of this start, which of those just below were taken, and how many in all.
-    first: u64,
-    newest: u64,
-    window: u64,
-    taken: u64,
+    /// The start of the peer that its datagrams are from; `None` until the first is accepted.
+    pub(crate) incarnation: Option<u64>,
+    former_incarnations: VecDeque<u64>,
+    replay_window: ReplayWindow,
+    /// Datagrams of former starts.
+    received_before: u64,
     lost_before: u64,
-    taken_before: u64,
-    /// What the next datagram to it is numbered.
-    pub sequence: u64,
-    pub last_received_at: Option<Millis>,
-    pub unreachable: bool,
-    /// Its newest `sent`, and when that came.
-    pub newest_sent: (u64, Millis),
+    /// The number of the last datagram sent to it.
+    pub(crate) sequence: u64,
+    pub(crate) last_received_at: Option<Millis>,
+    pub(crate) unreachable: bool,
+    pub(crate) echo: Echo,
     round_trip: Option<f64>,
-    clock: Option<f64>,
-    pub receive_limit: RateLimit,
-    pub send_limit: RateLimit,
-    pub next_hello_at: Millis,
+    clock_offset: Option<f64>,
+    pub(crate) receive_limit: RateLimit,
+    pub(crate) send_limit: RateLimit,
+    /// No hello is sent to it before this.
+    pub(crate) next_hello_at: Millis,
 }
 
 impl Peer {
-    pub fn new(now: Millis) -> Self {
+    pub(crate) fn new(now: Millis) -> Self {
         Self {
             incarnation: None,
-            former: VecDeque::new(),
-            first: 0,
-            newest: 0,
-            window: 0,
-            taken: 0,
+            former_incarnations: VecDeque::new(),
+            replay_window: ReplayWindow::default(),
+            received_before: 0,
             lost_before: 0,
-            taken_before: 0,
             sequence: 0,
             last_received_at: None,
             unreachable: false,
-            newest_sent: (0, 0),
+            echo: Echo::default(),
             round_trip: None,
-            clock: None,
+            clock_offset: None,
             receive_limit: RateLimit::new(now),
             send_limit: RateLimit::new(now),
             next_hello_at: now,
         }
     }
 
-    pub fn is_former_incarnation(&self, incarnation: u64) -> bool {
-        self.former.contains(&incarnation)
+    /// Whether this is an earlier start than the one known.
+    pub(crate) fn is_former_incarnation(&self, incarnation: u64) -> bool {
+        self.former_incarnations.contains(&incarnation)
     }
 
-    /// A datagram of a start of it was found good: whether that is a new start.
-    pub fn accept_incarnation(&mut self, incarnation: u64) -> bool {
+    /// Records the start that an authentic datagram is from. Returns whether it is a new one; what was known of the start
+    /// before is dropped.
+    pub(crate) fn accept_incarnation(&mut self, incarnation: u64) -> bool {
         if self.incarnation == Some(incarnation) {
             return false;
         }
-        if let Some(old) = self.incarnation.replace(incarnation) {
-            self.former.push_back(old);
-            if self.former.len() > FORMER {
-                self.former.pop_front();
+        if let Some(former) = self.incarnation.replace(incarnation) {
+            self.former_incarnations.push_back(former);
+            if self.former_incarnations.len() > MAX_FORMER_INCARNATIONS {
+                self.former_incarnations.pop_front();
             }
         }
-        (self.taken_before, self.lost_before) = (self.taken_before + self.taken, self.lost());
-        (self.first, self.newest, self.window, self.taken) = (0, 0, 0, 0);
-        (self.newest_sent, self.round_trip, self.clock) = ((0, 0), None, None);
+        self.lost_before += self.replay_window.missing();
+        self.received_before += self.replay_window.accepted();
+        self.replay_window = ReplayWindow::default();
+        self.echo = Echo::default();
+        self.round_trip = None;
+        self.clock_offset = None;
         true
     }
 
-    /// Whether a sequence of the present start was not taken yet; it is from now on.
-    pub fn accept_sequence(&mut self, sequence: u64) -> bool {
-        if sequence == 0 {
-            return false;
-        }
-        if self.newest == 0 || sequence > self.newest {
-            let step = sequence - self.newest;
-            self.window = if step >= WINDOW { 0 } else { self.window << step };
-            self.window |= 1;
-            if self.newest == 0 {
-                self.first = sequence;
-            }
-            self.newest = sequence;
-        } else {
-            let back = self.newest - sequence;
-            if back >= WINDOW || self.window >> back & 1 == 1 {
-                return false;
-            }
-            self.window |= 1 << back;
-            self.first = self.first.min(sequence);
-        }
-        self.taken += 1;
-        true
+    /// Whether a sequence number of the present start is accepted, which it is once.
+    pub(crate) fn accept_sequence(&mut self, sequence: u64) -> bool {
+        self.replay_window.accept(sequence)
     }
 
-    fn lost(&self) -> u64 {
-        let numbered = if self.newest == 0 { 0 } else { self.newest - self.first + 1 };
-        self.lost_before + numbered.saturating_sub(self.taken)
-    }
-
-    /// The clocks of a datagram that was taken.
-    pub fn record_clocks(&mut self, now: Millis, wall: u64, sent: u64, theirs: u64, echo: u64, held: u64) {
-        if sent >= self.newest_sent.0 {
-            self.newest_sent = (sent, now);
+    /// Updates round trip and clock offset by the clocks of a datagram that was accepted.
+    pub(crate) fn record_clocks(&mut self, now: Millis, wall_clock: Millis, envelope: &Envelope) {
+        if envelope.sent_at >= self.echo.sent_at {
+            self.echo = Echo { sent_at: envelope.sent_at, received_at: now };
         }
-        let smooth = |old: Option<f64>, new: f64| Some(old.map_or(new, |old| old + NEWEST * (new - old)));
-        if echo > 0 && now >= echo.saturating_add(held) {
-            self.round_trip = smooth(self.round_trip, (now - echo - held) as f64);
+        let echoed = envelope.echoed_sent_at;
+        let held_for = envelope.echo_held_for;
+        if echoed > 0 && now >= echoed.saturating_add(held_for) {
+            self.round_trip = Some(smoothed(self.round_trip, (now - echoed - held_for) as f64));
         }
-        let way = self.round_trip.unwrap_or_default() / 2.0;
-        self.clock = smooth(self.clock, theirs as f64 + way - wall as f64);
+        let one_way = self.round_trip.unwrap_or_default() / 2.0;
+        let offset = envelope.wall_clock as f64 + one_way - wall_clock as f64;
+        self.clock_offset = Some(smoothed(self.clock_offset, offset));
+    }
+
+    /// Records that a datagram was accepted. Returns whether the peer became reachable by it.
+    pub(crate) fn record_received(&mut self, now: Millis) -> bool {
+        let became_reachable = self.unreachable || self.last_received_at.is_none();
+        self.unreachable = false;
+        self.last_received_at = Some(now);
+        became_reachable
     }
 
-    pub fn status(&self, number: GatewayNumber, now: Millis) -> PeerStatus {
+    pub(crate) fn status(&self, gateway: GatewayNumber, now: Millis) -> PeerStatus {
         PeerStatus {
-            number,
-            heard: self.last_received_at.map(|at| now.saturating_sub(at)),
-            silent: self.unreachable,
+            gateway,
+            last_received_ago: self.last_received_at.map(|at| now.saturating_sub(at)),
+            unreachable: self.unreachable,
             round_trip: self.round_trip,
-            clock: self.clock,
-            taken: self.taken_before + self.taken,
-            lost: self.lost(),
+            clock_offset: self.clock_offset,
+            received: self.received_before + self.replay_window.accepted(),
+            lost: self.lost_before + self.replay_window.missing(),
             sent: self.sequence,
         }
     }
 }
 
+/// An exponentially weighted mean; the first sample counts whole.
+fn smoothed(mean: Option<f64>, sample: f64) -> f64 {
+    mean.map_or(sample, |mean| mean + SMOOTHING_WEIGHT * (sample - mean))
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/peers/src/rate_limit.rs
@@ -0,0 +1,34 @@
+//! A token bucket of datagrams: bounds what one peer may cost.
+
+use crate::Millis;
+
+/// Datagrams a second from or to one peer, in the long run.
+const DATAGRAMS_PER_SECOND: f64 = 400.0;
+/// Datagrams from or to one peer at once.
+const BURST: f64 = 800.0;
+
+/// The token bucket of one peer and direction.
+#[derive(Clone, Debug)]
+pub(crate) struct RateLimit {
+    available: f64,
+    refilled_at: Millis,
+}
+
+impl RateLimit {
+    /// A full bucket.
+    pub(crate) fn new(now: Millis) -> Self {
+        Self { available: BURST, refilled_at: now }
+    }
+
+    /// Takes one datagram's token. Returns whether there was one.
+    pub(crate) fn try_take(&mut self, now: Millis) -> bool {
+        let elapsed_ms = now.saturating_sub(self.refilled_at) as f64;
+        self.available = (self.available + elapsed_ms * DATAGRAMS_PER_SECOND / 1000.0).min(BURST);
+        self.refilled_at = now.max(self.refilled_at);
+        let is_available = self.available >= 1.0;
+        if is_available {
+            self.available -= 1.0;
+        }
+        is_available
+    }
+}
--- /dev/null
+++ b/crates/peers/src/replay_window.rs
@@ -0,0 +1,62 @@
+//! Which sequence numbers of one start of a peer were accepted: each is accepted once.
+
+/// So many sequence numbers up to the newest are told apart; earlier ones count as replayed.
+const WINDOW: u64 = 64;
+
+/// The sequence numbers accepted so far. They begin at 1.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ReplayWindow {
+    /// The lowest that was accepted; 0 where none was.
+    first: u64,
+    /// The highest that was accepted; 0 where none was.
+    newest: u64,
+    /// Bit n: whether `newest - n` was accepted.
+    accepted_bits: u64,
+    accepted: u64,
+}
+
+impl ReplayWindow {
+    /// Accepts a sequence number that was not accepted before. Returns whether it was not.
+    pub(crate) fn accept(&mut self, sequence: u64) -> bool {
+        if sequence == 0 {
+            return false;
+        }
+        let is_new = if sequence > self.newest { self.advance(sequence) } else { self.accept_late(sequence) };
+        self.accepted += u64::from(is_new);
+        is_new
+    }
+
+    /// Accepts a sequence number above the newest.
+    fn advance(&mut self, sequence: u64) -> bool {
+        if self.newest == 0 {
+            self.first = sequence;
+        }
+        let step = sequence - self.newest;
+        self.accepted_bits = if step >= WINDOW { 0 } else { self.accepted_bits << step };
+        self.accepted_bits |= 1;
+        self.newest = sequence;
+        true
+    }
+
+    /// Accepts a sequence number up to the newest if it is in the window and new.
+    fn accept_late(&mut self, sequence: u64) -> bool {
+        let distance = self.newest - sequence;
+        if distance >= WINDOW || self.accepted_bits >> distance & 1 == 1 {
+            return false;
+        }
+        self.accepted_bits |= 1 << distance;
+        self.first = self.first.min(sequence);
+        true
+    }
+
+    /// How many were accepted.
+    pub(crate) fn accepted(&self) -> u64 {
+        self.accepted
+    }
+
+    /// How many between the first and the newest were not accepted.
+    pub(crate) fn missing(&self) -> u64 {
+        let numbered = if self.newest == 0 { 0 } else { self.newest - self.first + 1 };
+        numbered.saturating_sub(self.accepted)
+    }
+}
--- a/crates/peers/tests/datagram_samples.rs
+++ b/crates/peers/tests/datagram_samples.rs
@@ -41,13 +41,13 @@
     let hello =
         a.send(10, 1_700_000_000_010, 1, 1, b"not sent: the peer is unknown".to_vec()).expect("a hello");
     assert_eq!(hex(&hello.bytes), HELLO);
-    let (mut replies, mut told) = (Vec::new(), Vec::new());
-    assert_eq!(b.receive(12, 1_700_000_000_013, &hello.bytes, &mut replies, &mut told), None);
+    let (mut replies, mut events) = (Vec::new(), Vec::new());
+    assert_eq!(b.receive(12, 1_700_000_000_013, &hello.bytes, &mut replies, &mut events), None);
     assert_eq!(hex(&replies[0].bytes), HELLO_REPLY);
-    assert_eq!(a.receive(15, 1_700_000_000_015, &replies[0].bytes, &mut Vec::new(), &mut told), None);
+    assert_eq!(a.receive(15, 1_700_000_000_015, &replies[0].bytes, &mut Vec::new(), &mut events), None);
     let payload = a.send(20, 1_700_000_000_020, 1, 7, b"payload".to_vec()).expect("a datagram");
     assert_eq!(hex(&payload.bytes), PAYLOAD);
-    assert!(b.receive(23, 1_700_000_000_023, &payload.bytes, &mut Vec::new(), &mut told).is_some());
+    assert!(b.receive(23, 1_700_000_000_023, &payload.bytes, &mut Vec::new(), &mut events).is_some());
     let answer = b.send(30, 1_700_000_000_031, 0, 2, Vec::new()).expect("a datagram");
     assert_eq!(hex(&answer.bytes), PAYLOAD_WITH_ECHO);
 }
@@ -68,7 +68,7 @@
     let answer = a.receive(35, 1_700_000_000_035, &answer, &mut Vec::new(), &mut Vec::new());
     let answer = answer.expect("a payload that is accepted");
     assert_eq!((answer.sender, answer.incarnation, answer.channel), (1, 0x1616, 2));
-    let view = a.statuses(35).next().expect("a peer");
-    assert_eq!(view.round_trip, Some(8.0));
-    assert_eq!((view.taken, view.lost, view.sent), (2, 0, 0));
+    let status = a.statuses(35).next().expect("a peer");
+    assert_eq!(status.round_trip, Some(8.0));
+    assert_eq!((status.received, status.lost, status.sent), (2, 0, 0));
 }
