--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -37,7 +37,7 @@
     fixed("node_list", old.node_list.is_some() == new.node_list.is_some(), "nodes come from one place");
     let own = |c: &Config| c.link.as_ref().map(|l| (l.listen, l.fleet.clone()));
     fixed("fleet.link", own(old) == own(new), "start a new process: the peers know this one by it");
-    let lease = |c: &Config| c.leases.as_ref().map(|l| (l.length, l.drift));
+    let lease = |c: &Config| c.leases.as_ref().map(|l| (l.lease_duration_ms, l.clock_drift_ppm));
     fixed("leases", lease(old) == lease(new), "what was promised for one length cannot be kept for another");
     let steps = match (&old.leases, &new.leases) {
         // One that missed versions begins as after a start; what is older or else is no step.
@@ -62,8 +62,9 @@
     figure("graphql limits", format!("{:?}", old.query_limits), format!("{:?}", new.query_limits));
     figure("life", format!("{:?}", old.life), format!("{:?}", new.life));
     figure("routing", format!("{:?}", old.routing), format!("{:?}", new.routing));
-    let peers =
-        |c: &Config| c.link.as_ref().map_or(String::new(), |l| format!("{:?} {}", l.peers, l.silence));
+    let peers = |c: &Config| {
+        c.link.as_ref().map_or(String::new(), |l| format!("{:?} {}", l.peers, l.unreachable_after_ms))
+    };
     figure("fleet.link.peers", peers(old), peers(new));
     let secrets = |c: &Config| c.link.as_ref().map(|l| l.secrets.clone());
     if secrets(old) != secrets(new) {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -14,7 +14,7 @@
 
 /// How the gateways hear of each other.
 #[derive(Clone, PartialEq, Eq)]
-pub struct FleetLink {
+pub struct LinkConfig {
     /// This gateway's own UDP socket.
     pub listen: SocketAddr,
     /// The others.
@@ -24,14 +24,14 @@
     /// The fleet's name.
     pub fleet: String,
     /// In ms.
-    pub silence: u64,
+    pub unreachable_after_ms: u64,
 }
 
-impl fmt::Debug for FleetLink {
+impl fmt::Debug for LinkConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Secrets are in no log.
-        let Self { listen, peers, fleet, silence, .. } = self;
-        f.debug_struct("FleetLink")
+        let Self { listen, peers, fleet, unreachable_after_ms: silence, .. } = self;
+        f.debug_struct("LinkConfig")
             .field("listen", listen)
             .field("peers", peers)
             .field("fleet", fleet)
@@ -42,40 +42,40 @@
 
 /// What is done under a lease.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetLeases {
+pub struct LeaseConfig {
     /// The lease, in ms.
-    pub length: u64,
+    pub lease_duration_ms: u64,
     /// How far clocks may be apart, in parts of a million.
-    pub drift: u64,
+    pub clock_drift_ppm: u64,
     /// Who votes.
     pub voters: VoterConfiguration,
     /// What is done.
-    pub tasks: Vec<FleetTask>,
+    pub tasks: Vec<TaskConfig>,
     /// Whether suspect nodes are tried for all.
-    pub suspects: Option<FleetSuspects>,
+    pub suspects: Option<OutlierGossipConfig>,
 }
 
 /// The lease under which suspect nodes are tried.
-pub const SUSPECTS: &str = "suspects";
+pub const OUTLIER_PROBE_TASK: &str = "suspects";
 
 /// How suspect nodes are tried. Times in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FleetSuspects {
+pub struct OutlierGossipConfig {
     /// Between two trials of the whole fleet.
-    pub every: u64,
+    pub probe_interval_ms: u64,
     /// A node that answers nothing for this long is bad.
-    pub timeout: u64,
+    pub probe_timeout_ms: u64,
     /// The share of the nodes that are called bad at most.
-    pub share: f64,
+    pub max_outlier_fraction: f64,
     /// For how long a report and a word are believed.
     pub keep: u64,
     /// Whether the choice of nodes goes by the word.
-    pub apply: bool,
+    pub affects_decisions: bool,
 }
 
 /// A call that one gateway makes at a time. Times in ms.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FleetTask {
+pub struct TaskConfig {
     /// Its name.
     pub name: String,
     /// Who is called.
@@ -83,15 +83,15 @@
     /// With which path.
     pub path: String,
     /// From the end of a call to the next.
-    pub every: u64,
+    pub call_interval_ms: u64,
     /// How long a call takes with its effect.
-    pub needs: u64,
+    pub call_duration_ms: u64,
 }
 
 pub(crate) fn link(
     raw: &raw::Link, gateways: u32, number: u32, check: &mut Check,
     open: &dyn Fn(&str) -> Result<String, String>,
-) -> FleetLink {
+) -> LinkConfig {
     let listen = check.address("fleet.link.listen", &raw.listen);
     let (mut peers, mut seen, mut places) = (BTreeMap::new(), BTreeSet::new(), HashMap::new());
     for (at, peer) in raw.peers.iter().enumerate() {
@@ -135,12 +135,12 @@
     }
     let silence = check.figure("fleet.link.silence_ms", raw.silence_ms.unwrap_or(3000.0), 100.0..=6e5) as u64;
     let fleet = raw.fleet.clone().unwrap_or_else(|| "doorcourse".into());
-    FleetLink { listen, peers, secrets, fleet, silence }
+    LinkConfig { listen, peers, secrets, fleet, unreachable_after_ms: silence }
 }
 
 pub(crate) fn leases(
-    raw: &raw::Leases, link: Option<&FleetLink>, number: u32, check: &mut Check,
-) -> FleetLeases {
+    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check,
+) -> LeaseConfig {
     let all: BTreeSet<u32> = link.iter().flat_map(|l| l.peers.keys().copied()).chain([number]).collect();
     if link.is_none() {
         check.fault("leases", "the gateways must hear of each other: set fleet.link");
@@ -178,22 +178,23 @@
     let suspects = raw.suspects.as_ref().map(|s| {
         let path = |field: &str| format!("leases.suspects.{field}");
         let half = (length / 2).max(10) as f64;
-        FleetSuspects {
-            every: check.figure(&path("every_ms"), s.every_ms.unwrap_or(200.0), 10.0..=6e4) as u64,
-            timeout: check.figure(
+        OutlierGossipConfig {
+            probe_interval_ms: check.figure(&path("every_ms"), s.every_ms.unwrap_or(200.0), 10.0..=6e4)
+                as u64,
+            probe_timeout_ms: check.figure(
                 &path("timeout_ms"),
                 s.timeout_ms.unwrap_or((half / 2.0).clamp(10.0, 500.0)),
                 10.0..=half.min(6e4),
             ) as u64,
-            share: check.figure(&path("share"), s.share.unwrap_or(0.25), 0.0..=1.0),
+            max_outlier_fraction: check.figure(&path("share"), s.share.unwrap_or(0.25), 0.0..=1.0),
             keep: check.figure(&path("keep_ms"), s.keep_ms.unwrap_or(2000.0), 100.0..=6e5) as u64,
-            apply: s.apply.unwrap_or(true),
+            affects_decisions: s.apply.unwrap_or(true),
         }
     });
     let (mut names, mut numbers) = (HashSet::new(), HashMap::new());
     if suspects.is_some() {
-        names.insert(SUSPECTS.to_owned());
-        numbers.insert(task_of(SUSPECTS), SUSPECTS.to_owned());
+        names.insert(OUTLIER_PROBE_TASK.to_owned());
+        numbers.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
     if raw.tasks.len() > TASKS {
         check.fault("leases.tasks", format!("{} tasks: at most {TASKS}", raw.tasks.len()));
@@ -209,14 +210,24 @@
             check.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
         }
         let half = (length / 2).max(1) as f64;
-        FleetTask {
+        TaskConfig {
             name,
             address: check.address(&path("address"), &task.address),
             path: target,
-            every: check.figure(&path("every_ms"), task.every_ms.unwrap_or(1000.0), 10.0..=8.64e7) as u64,
-            needs: check.figure(&path("needs_ms"), task.needs_ms.unwrap_or(half / 2.0).max(1.0), 1.0..=half)
+            call_interval_ms: check.figure(&path("every_ms"), task.every_ms.unwrap_or(1000.0), 10.0..=8.64e7)
                 as u64,
+            call_duration_ms: check.figure(
+                &path("needs_ms"),
+                task.needs_ms.unwrap_or(half / 2.0).max(1.0),
+                1.0..=half,
+            ) as u64,
         }
     });
-    FleetLeases { length, drift, voters, tasks: tasks.collect(), suspects }
+    LeaseConfig {
+        lease_duration_ms: length,
+        clock_drift_ppm: drift,
+        voters,
+        tasks: tasks.collect(),
+        suspects,
+    }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use change::{Change, compare};
 pub use check::{is_node_list, parse_text, read, read_nodes};
-pub use fleet::{FleetLeases, FleetLink, FleetSuspects, FleetTask, SUSPECTS};
+pub use fleet::{LeaseConfig, LinkConfig, OUTLIER_PROBE_TASK, OutlierGossipConfig, TaskConfig};
 pub use locate::Places;
 
 use doorcourse::{BackendEntry, Name};
@@ -190,9 +190,9 @@
     /// Times of the process's life.
     pub life: Life,
     /// How the gateways hear of each other.
-    pub link: Option<FleetLink>,
+    pub link: Option<LinkConfig>,
     /// What is done under a lease.
-    pub leases: Option<FleetLeases>,
+    pub leases: Option<LeaseConfig>,
 }
 
 impl Config {
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -156,11 +156,14 @@
     let config = linked(LINKED).unwrap();
     let (link, leases) = (config.link.unwrap(), config.leases.unwrap());
     assert_eq!(link.peers.keys().copied().collect::<Vec<_>>(), [0, 2], "this gateway is passed over");
-    assert_eq!((link.silence, &*link.fleet, link.secrets.len()), (3000, "doorcourse", 1));
+    assert_eq!((link.unreachable_after_ms, &*link.fleet, link.secrets.len()), (3000, "doorcourse", 1));
     assert!(!format!("{link:?}").contains("sixteen"), "no secret in any log");
-    assert_eq!((leases.length, leases.drift, leases.voters.voters.len()), (400, 10_000, 3));
+    assert_eq!(
+        (leases.lease_duration_ms, leases.clock_drift_ppm, leases.voters.voters.len()),
+        (400, 10_000, 3)
+    );
     let task = &leases.tasks[0];
-    assert_eq!((task.every, task.needs, &*task.path), (1000, 100, "/"));
+    assert_eq!((task.call_interval_ms, task.call_duration_ms, &*task.path), (1000, 100, "/"));
 }
 
 #[test]
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -10,7 +10,9 @@
 
 use crate::io::{Io, Token};
 use calls::*;
-use doorcourse_config::{Config, FleetLeases, FleetLink, FleetSuspects, FleetTask, Node, SUSPECTS};
+use doorcourse_config::{
+    Config, LeaseConfig, LinkConfig, Node, OUTLIER_PROBE_TASK, OutlierGossipConfig, TaskConfig,
+};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{
@@ -41,7 +43,7 @@
 const ANSWER: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 1 << 20 };
 
 pub(crate) struct Fleet {
-    settings: FleetLink,
+    settings: LinkConfig,
     number: GatewayNumber,
     /// The path of the endpoint, where nodes are tried.
     path: String,
@@ -49,12 +51,12 @@
     retry: Millis,
     link: Link,
     leases: Option<Leases>,
-    tasks: BTreeMap<TaskId, FleetTask>,
+    tasks: BTreeMap<TaskId, TaskConfig>,
     calls: CallSchedule,
     out: slab::Slab<Call>,
     /// By task: calls answered with 2xx, answered otherwise or not at all, and not made because the lease was too short.
     tally: BTreeMap<TaskId, [u64; 3]>,
-    suspects: Option<(OutlierGossip, FleetSuspects)>,
+    suspects: Option<(OutlierGossip, OutlierGossipConfig)>,
     next_look: Millis,
     /// Words on nodes, for the choice of nodes where the settings say so.
     pub hints: VecDeque<Verdict>,
--- a/crates/http-gateway/src/fleet/leases.rs
+++ b/crates/http-gateway/src/fleet/leases.rs
@@ -3,15 +3,16 @@
 use super::*;
 
 impl Fleet {
-    pub(super) fn take_tasks(&mut self, now: Millis, leases: &FleetLeases) {
+    pub(super) fn take_tasks(&mut self, now: Millis, leases: &LeaseConfig) {
         self.tasks = leases.tasks.iter().map(|t| (task_of(&t.name), t.clone())).collect();
-        let calls =
-            |(task, t): (&TaskId, &FleetTask)| (*task, CallSettings { interval: t.every, duration: t.needs });
+        let calls = |(task, t): (&TaskId, &TaskConfig)| {
+            (*task, CallSettings { interval: t.call_interval_ms, duration: t.call_duration_ms })
+        };
         self.calls.configure(now, &self.tasks.iter().map(calls).collect());
         self.tally.retain(|task, _| self.tasks.contains_key(task));
         let number = self.number;
         self.suspects = leases.suspects.map(|s| {
-            let FleetSuspects { every, share, keep, .. } = s;
+            let OutlierGossipConfig { probe_interval_ms: every, max_outlier_fraction: share, keep, .. } = s;
             let settings = doorcourse_outlier_gossip::Settings {
                 gateway: number,
                 probe_interval: every,
@@ -61,7 +62,7 @@
     }
 
     pub(super) fn name(&self, task: TaskId) -> &str {
-        let own = if task == task_of(SUSPECTS) { SUSPECTS } else { "" };
+        let own = if task == task_of(OUTLIER_PROBE_TASK) { OUTLIER_PROBE_TASK } else { "" };
         self.tasks.get(&task).map_or(own, |t| &t.name)
     }
 }
--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -12,9 +12,9 @@
     pub fn view(&mut self, io: &mut Io, seen: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some((suspects, settings)) = &mut self.suspects else { return };
-        self.next_look = now + (settings.every / 2).max(10);
-        let needs = settings.timeout;
-        let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(SUSPECTS), needs).ok());
+        self.next_look = now + (settings.probe_interval_ms / 2).max(10);
+        let needs = settings.probe_timeout_ms;
+        let held = self.leases.as_ref().and_then(|l| l.may_act(now, task_of(OUTLIER_PROBE_TASK), needs).ok());
         let (mut outputs, held) = (Vec::new(), held.map(|p| p.token));
         suspects.handle(
             now,
@@ -38,7 +38,7 @@
                 }
                 doorcourse_outlier_gossip::Output::SendProbe(node) => {
                     let address = nodes.iter().find(|n| *n.entry.name == *node).map(|n| n.address);
-                    let until = now + self.suspects.as_ref().map_or(0, |(_, s)| s.timeout);
+                    let until = now + self.suspects.as_ref().map_or(0, |(_, s)| s.probe_timeout_ms);
                     let made =
                         address.is_some_and(|to| self.connect(io, to, What::Trial(node.clone(), until)));
                     if !made {
@@ -49,7 +49,7 @@
                     let Verdict { node, is_outlier: bad, age_ms: age, reporting_gateways: gateways, .. } =
                         &word;
                     tracing::info!(target: "doorcourse::fleet", node, bad, age, gateways, "word on a node");
-                    if self.suspects.as_ref().is_some_and(|(_, s)| s.apply) {
+                    if self.suspects.as_ref().is_some_and(|(_, s)| s.affects_decisions) {
                         self.hints.push_back(word);
                     }
                 }
