--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -7,29 +7,29 @@
 #[test]
 fn a_drained_or_gone_backend_gets_nothing_new() {
     for state in [BackendState::Draining, BackendState::Removed] {
-        let mut door = Door::new(settings(), &["a1", "a2"]);
-        door.tell(Event::BackendChanges(vec![backend("a1", state, None)]));
+        let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+        gateway.handle(Event::BackendChanges(vec![backend_entry("a1", state, None)]));
         for id in 1..=4 {
-            assert_eq!(&*door.served(id, "c", "plain", "safe"), "a2");
-            door.end(id, 0, &"a2".into(), AttemptOutcome::Served);
+            assert_eq!(&*gateway.forward(id, "c", "plain", "safe"), "a2");
+            gateway.end_attempt(id, 0, &"a2".into(), AttemptOutcome::Served);
         }
     }
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    door.tell(Event::BackendList(vec![backend("a2", BackendState::Ready, None)]));
-    assert_eq!(&*door.served(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    gateway.handle(Event::BackendList(vec![backend_entry("a2", BackendState::Ready, None)]));
+    assert_eq!(&*gateway.forward(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
 }
 
 #[test]
 fn a_cold_backend_gets_less_than_its_present_share_of_what_a_warm_one_gets() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let born = Some(door.now);
-    door.tell(Event::BackendChanges(vec![backend("a3", BackendState::Ready, born)]));
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let born = Some(gateway.now);
+    gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, born)]));
     let mut to_cold = 0;
     for id in 1..=100 {
-        let at = door.served(id, &format!("c{id}"), "plain", "safe");
+        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
         to_cold += usize::from(&*at == "a3");
-        door.now += 5.0;
-        door.end(id, 0, &at, AttemptOutcome::Served);
+        gateway.now += 5.0;
+        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
     }
     // Two warm ones share the rest: a tenth of it is a fifth of what one of them gets.
     assert!((1..=10).contains(&to_cold), "{to_cold}");
@@ -37,32 +37,32 @@
 
 #[test]
 fn failures_in_a_row_eject_a_backend_and_an_answer_takes_it_back() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (mut id, mut logs) = (0, Vec::new());
     let mut broken = 0;
     while broken < 2 {
         id += 1;
-        let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
+        let at = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
         let outcome = if &*at == "a1" { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Served };
         broken += usize::from(&*at == "a1");
-        logs = door.end(id, 0, &at, outcome);
+        logs = gateway.end_attempt(id, 0, &at, outcome);
         if outcome == AttemptOutcome::ConnectionLost && broken == 1 {
-            let next = door.served(1000, "other", "plain", "unsafe");
+            let next = gateway.forward(1000, "other", "plain", "unsafe");
             assert_eq!(&*next, "a2", "after one failure it is left alone for as long as that took");
-            door.end(1000, 0, &next, AttemptOutcome::Served);
+            gateway.end_attempt(1000, 0, &next, AttemptOutcome::Served);
         }
-        door.now += 150.0;
+        gateway.now += 150.0;
         assert!(id < 50);
     }
     assert!(logs.iter().any(|a| matches!(a, Action::Log(line) if line.contains("a1 ejected"))));
     for id in 101..=105 {
-        assert_eq!(&*door.served(id, &format!("c{id}"), "plain", "safe"), "a2");
-        door.end(id, 0, &"a2".into(), AttemptOutcome::Served);
+        assert_eq!(&*gateway.forward(id, &format!("c{id}"), "plain", "safe"), "a2");
+        gateway.end_attempt(id, 0, &"a2".into(), AttemptOutcome::Served);
     }
-    door.now += 1000.0;
+    gateway.now += 1000.0;
     let tried = (201..=210).any(|id| {
-        let at = door.served(id, &format!("c{id}"), "plain", "safe");
-        door.end(id, 0, &at, AttemptOutcome::Served);
+        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         &*at == "a1"
     });
     assert!(tried, "it is tried again after a while");
@@ -70,14 +70,14 @@
 
 #[test]
 fn what_is_out_is_bounded_and_the_line_is_refused_early() {
-    let mut door = Door::new(settings(), &["a1"]);
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (mut out, mut turned_away) = (0, 0);
     for id in 1..=40 {
-        let mut did = door.ask(id, &format!("c{id}"), "plain", "safe");
-        let (name, amount) = count(&did).expect("call");
-        did.extend(door.total(name, amount));
-        out += sends(&did);
-        turned_away += usize::from(refused(&did, id));
+        let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
+        let (name, amount) = first_counter_call(&actions).expect("call");
+        actions.extend(gateway.answer_counter(name, amount));
+        out += count_attempts(&actions);
+        turned_away += usize::from(is_rejected(&actions, id));
     }
     assert!((1..=3).contains(&out), "five for two gateways: {out}");
     assert!(turned_away > 30, "{turned_away}");
@@ -85,54 +85,63 @@
 
 #[test]
 fn an_open_cap_is_shared_by_the_customer_s_gateways() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let at = door.served(1, "c", "capped", "safe");
-    assert_eq!(sends(&door.ask(2, "c", "capped", "safe")), 0, "two at once for two gateways: one each");
-    assert_eq!(sent(&door.end(1, 0, &at, AttemptOutcome::Served)).map(|(id, _)| id), Some(2));
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
+    let at = gateway.forward(1, "c", "capped", "safe");
+    assert_eq!(
+        count_attempts(&gateway.request(2, "c", "capped", "safe")),
+        0,
+        "two at once for two gateways: one each"
+    );
+    assert_eq!(
+        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::Served)).map(|(id, _)| id),
+        Some(2)
+    );
 }
 
 #[test]
 fn a_connection_that_breaks_alone_ejects_nobody_and_the_second_in_a_row_does() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let at = door.served(1, "c1", "plain", "unsafe");
-    door.end_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
-    let ejected = |door: &Door| door.gateway.backends().next().unwrap().ejected_until > door.now;
-    assert!(!ejected(&door));
-    let at = door.served(2, "c2", "plain", "unsafe");
-    door.end(2, 0, &at, AttemptOutcome::Served);
-    let at = door.served(3, "c3", "plain", "unsafe");
-    door.end_after(10.0, 3, 0, &at, AttemptOutcome::ConnectionLost);
-    assert!(!ejected(&door), "an answer between them takes the first back");
-    let at = door.served(4, "c4", "plain", "unsafe");
-    door.end_after(10.0, 4, 0, &at, AttemptOutcome::ConnectionLost);
-    assert!(ejected(&door));
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
+    let at = gateway.forward(1, "c1", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
+    let ejected =
+        |gateway: &TestGateway| gateway.decisions.backends().next().unwrap().ejected_until > gateway.now;
+    assert!(!ejected(&gateway));
+    let at = gateway.forward(2, "c2", "plain", "unsafe");
+    gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
+    let at = gateway.forward(3, "c3", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 3, 0, &at, AttemptOutcome::ConnectionLost);
+    assert!(!ejected(&gateway), "an answer between them takes the first back");
+    let at = gateway.forward(4, "c4", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 4, 0, &at, AttemptOutcome::ConnectionLost);
+    assert!(ejected(&gateway));
     for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, AttemptOutcome::Rejected] {
-        let mut door = Door::new(settings(), &["a1"]);
-        let at = door.served(1, "c1", "plain", "unsafe");
-        door.end_after(10.0, 1, 0, &at, outcome);
-        assert!(ejected(&door), "{outcome:?} is its own doing");
+        let mut gateway = TestGateway::new(settings(), &["a1"]);
+        let at = gateway.forward(1, "c1", "plain", "unsafe");
+        gateway.end_attempt_after(10.0, 1, 0, &at, outcome);
+        assert!(ejected(&gateway), "{outcome:?} is its own doing");
     }
 }
 
 #[test]
 fn errors_of_two_classes_eject_and_those_of_one_do_not() {
-    let ejected = |door: &Door| door.gateway.backends().next().unwrap().ejected_until > door.now;
-    let mut door = Door::new(settings(), &["a1"]);
-    let fail = |door: &mut Door, id, class: &str| {
-        let at = door.served(id, &format!("c{id}"), "plain", class);
-        door.end_after(5.0, id, 0, &at, AttemptOutcome::Error);
-        door.tell(Event::ClientDisconnected { id });
+    let ejected =
+        |gateway: &TestGateway| gateway.decisions.backends().next().unwrap().ejected_until > gateway.now;
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
+    let fail = |gateway: &mut TestGateway, id, class: &str| {
+        let at = gateway.forward(id, &format!("c{id}"), "plain", class);
+        gateway.end_attempt_after(5.0, id, 0, &at, AttemptOutcome::Error);
+        gateway.handle(Event::ClientDisconnected { id });
     };
     for id in 1..=4 {
-        fail(&mut door, id, "unsafe");
-        assert!(!ejected(&door), "the class may fail at all backends alike");
+        fail(&mut gateway, id, "unsafe");
+        assert!(!ejected(&gateway), "the class may fail at all backends alike");
     }
-    fail(&mut door, 5, "keyed");
-    assert!(ejected(&door));
-    let mut door = Door::new(settings(), &["a1"]);
-    fail(&mut door, 1, "unsafe");
-    let at = door.served(2, "c2", "plain", "keyed");
-    door.end(2, 0, &at, AttemptOutcome::Served);
-    fail(&mut door, 3, "keyed");
-    assert!(!ejected(&door), "an answer between them takes the first back");
+    fail(&mut gateway, 5, "keyed");
+    assert!(ejected(&gateway));
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
+    fail(&mut gateway, 1, "unsafe");
+    let at = gateway.forward(2, "c2", "plain", "keyed");
+    gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
+    fail(&mut gateway, 3, "keyed");
+    assert!(!ejected(&gateway), "an answer between them takes the first back");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,24 +1,25 @@
-//! Settings with room to change, and a gateway driven by scripted events.
+//! Settings to start from, and a gateway driven by scripted events.
 #![allow(dead_code)]
 
 use doorcourse::*;
 
-/// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
+/// Classes `safe` (idempotent), `keyed` (with an idempotency key) and `unsafe` (neither); plans `plain`, `ceiling` and
+/// `capped` (two requests in flight).
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, group| RequestClass {
+    let class = |name: &str, idempotency, deduplication_scope| RequestClass {
         name: name.into(),
         latency_objective: 800.0,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: 4000.0,
         priority_weight: 1.0,
         late_response_value: 0.0,
     };
-    let plan = |name: &str, open, ceiling: f64| Plan {
+    let plan = |name: &str, max_in_flight, ceiling: f64| Plan {
         name: name.into(),
         rate: 5.0,
         burst: 10.0,
-        max_in_flight: open,
+        max_in_flight,
         ceiling_rate: 5.0 * ceiling,
         ceiling_burst: 10.0 * ceiling,
         ceiling_slack: ceiling,
@@ -51,8 +52,8 @@
     }
 }
 
-/// A list line; backends named `a…` are in cell 0, all others in cell 1.
-pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
+/// An entry of the endpoint list; backends named `a…` are in cell 0, all others in cell 1.
+pub fn backend_entry(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
     BackendEntry {
         name: name.into(),
@@ -64,74 +65,78 @@
     }
 }
 
-/// A gateway, its clock and what it did at the last event.
-pub struct Door {
-    pub gateway: Gateway,
+/// A gateway, its clock and its actions on the last event.
+pub struct TestGateway {
+    pub decisions: Gateway,
     pub now: Millis,
-    pub did: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Door {
+impl TestGateway {
     pub fn new(settings: Settings, backends: &[&str]) -> Self {
         Self::seeded(settings, 1, backends)
     }
 
+    /// A gateway whose endpoint list names these backends, all ready.
     pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
-        let gateway = Gateway::new(settings, seed).expect("usable settings");
-        let mut door = Self { gateway, now: 1000.0, did: Vec::new() };
-        let list = backends.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
-        door.tell(Event::BackendList(list));
-        door
+        let decisions = Gateway::new(settings, seed).expect("usable settings");
+        let mut gateway = Self { decisions, now: 1000.0, actions: Vec::new() };
+        let list = backends.iter().map(|name| backend_entry(name, BackendState::Ready, None)).collect();
+        gateway.handle(Event::BackendList(list));
+        gateway
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.did.clear();
-        self.gateway.handle(self.now, event, &mut self.did);
-        self.did.clone()
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.actions.clear();
+        self.decisions.handle(self.now, event, &mut self.actions);
+        self.actions.clone()
     }
 
-    /// Lets time pass and runs the housekeeping timer and the hold timers of the requests named.
-    pub fn pass(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
+    /// Lets time pass, then runs the maintenance timer and the queue timers of these requests.
+    pub fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
-        let mut all = self.tell(Event::TimerExpired { token: 1 });
+        let mut all = self.handle(Event::TimerExpired { token: 1 });
         for id in requests {
-            all.extend(self.tell(Event::TimerExpired { token: id * 2 }));
+            all.extend(self.handle(Event::TimerExpired { token: id * 2 }));
         }
         all
     }
 
-    pub fn ask(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
-        self.ask_of(id, customer, plan, class, false, 2)
+    /// A first request of a customer of two gateways.
+    pub fn request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
+        self.request_through(id, customer, plan, class, false, 2)
     }
 
-    /// The same for a customer of so many gateways, as a first try or as the client's repeat.
-    pub fn ask_of(
-        &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
+    /// A request of a customer of so many gateways, as a first one or as the client's retry.
+    pub fn request_through(
+        &mut self, id: RequestId, customer: &str, plan: &str, class: &str, client_retry: bool,
+        gateway_count: u32,
     ) -> Vec<Action> {
-        self.tell(Event::RequestReceived(IncomingRequest {
+        self.handle(Event::RequestReceived(IncomingRequest {
             id,
             customer: customer.into(),
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            client_retry: repeat,
+            client_retry,
             timeout: 2000.0,
             first_gateway: 0,
-            gateway_count: spread,
+            gateway_count,
             sticky_route: Name::default(),
         }))
     }
 
-    pub fn end(
+    /// An attempt ends after 100 ms.
+    pub fn end_attempt(
         &mut self, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
     ) -> Vec<Action> {
-        self.end_after(100.0, id, attempt, backend, outcome)
+        self.end_attempt_after(100.0, id, attempt, backend, outcome)
     }
 
-    pub fn end_after(
+    pub fn end_attempt_after(
         &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             backend: backend.clone(),
@@ -143,71 +148,65 @@
         }))
     }
 
-    /// A first attempt is served, and tells its true units.
-    pub fn answer(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
-        let (attempt, backend, true_units) = (0, backend.clone(), Some(units));
-        let (outcome, latency, finished, load) = (AttemptOutcome::Served, 100.0, true, None);
-        let end = AttemptEnd {
+    /// A first attempt is served, and its response reports the units that it used.
+    pub fn serve(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
-            attempt,
-            backend,
-            outcome,
-            latency,
-            true_units,
-            final_response_sent: finished,
-            load_report: load,
-        };
-        self.tell(Event::AttemptEnded(end))
+            attempt: 0,
+            backend: backend.clone(),
+            outcome: AttemptOutcome::Served,
+            latency: 100.0,
+            true_units: Some(units),
+            final_response_sent: true,
+            load_report: None,
+        }))
     }
 
-    /// Answers a counter call with a total.
-    pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::CounterCallEnded {
-            counter: name,
-            outcome: CounterOutcome::Total(total),
-            latency: 2.0,
-        })
+    /// The counter answers a call with a total.
+    pub fn answer_counter(&mut self, counter: u64, total: f64) -> Vec<Action> {
+        let outcome = CounterOutcome::Total(total);
+        self.handle(Event::CounterCallEnded { counter, outcome, latency: 2.0 })
     }
 
-    /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
-    pub fn served(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
-        let mut did = self.ask(id, customer, plan, class);
-        if let Some((name, amount)) = count(&did) {
-            did = self.total(name, amount);
+    /// A request that is forwarded once the counter has answered with what this gateway adds; returns the backend.
+    pub fn forward(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
+        let mut actions = self.request(id, customer, plan, class);
+        if let Some((counter, amount)) = first_counter_call(&actions) {
+            actions = self.answer_counter(counter, amount);
         }
-        sent(&did).expect("sent on").1
+        first_attempt(&actions).expect("an attempt").1
     }
 }
 
-/// The first counter call among actions: its name and amount.
-pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
-    actions.iter().find_map(|a| match a {
-        Action::AddToCounter { counter: name, amount, .. } => Some((*name, *amount)),
+/// The first counter call among actions: the counter's name and the amount.
+pub fn first_counter_call(actions: &[Action]) -> Option<(u64, f64)> {
+    actions.iter().find_map(|action| match action {
+        Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
     })
 }
 
-/// The first send among actions.
-pub fn sent(actions: &[Action]) -> Option<(RequestId, Name)> {
-    actions.iter().find_map(|a| match a {
+/// The first attempt among actions: the request and the backend.
+pub fn first_attempt(actions: &[Action]) -> Option<(RequestId, Name)> {
+    actions.iter().find_map(|action| match action {
         Action::SendAttempt { id, backend, .. } => Some((*id, backend.clone())),
         _ => None,
     })
 }
 
-/// How many requests were sent on.
-pub fn sends(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::SendAttempt { .. })).count()
+/// How many attempts were sent.
+pub fn count_attempts(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::SendAttempt { .. })).count()
 }
 
-/// Whether a request got a refusal.
-pub fn refused(actions: &[Action], which: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == which))
+/// Whether a request was rejected.
+pub fn is_rejected(actions: &[Action], which: RequestId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == which))
 }
 
-/// Whether a request got a failure.
-pub fn failed(actions: &[Action], which: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id } if *id == which))
+/// Whether a request failed.
+pub fn is_failed(actions: &[Action], which: RequestId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { id } if *id == which))
 }
 
 /// An action as text that does not depend on any Rust name: recorded digests outlive renames.
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -4,108 +4,108 @@
 use common::*;
 use doorcourse::*;
 
-fn silence(door: &mut Door, name: u64) -> Vec<Action> {
-    door.now += 50.0;
-    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 })
+fn silence(gateway: &mut TestGateway, name: u64) -> Vec<Action> {
+    gateway.now += 50.0;
+    gateway.handle(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 })
 }
 
 /// Offers a request every 20 ms while the counter says nothing; gives how many went on.
-fn spent_in_silence(door: &mut Door, plan: &str, span: Millis) -> usize {
-    let (mut gone_on, mut id, end) = (0, 1_000_000, door.now + span);
-    while door.now < end {
+fn spent_in_silence(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
+    let (mut admitted, mut id, end) = (0, 1_000_000, gateway.now + span);
+    while gateway.now < end {
         id += 1;
-        let mut did = door.ask(id, "c", plan, "safe");
-        if let Some((name, _)) = count(&did) {
-            did.extend(silence(door, name));
+        let mut actions = gateway.request(id, "c", plan, "safe");
+        if let Some((name, _)) = first_counter_call(&actions) {
+            actions.extend(silence(gateway, name));
         }
-        if let Some((id, at)) = sent(&did) {
-            gone_on += 1;
-            door.end(id, 0, &at, AttemptOutcome::Served);
+        if let Some((id, at)) = first_attempt(&actions) {
+            admitted += 1;
+            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         }
-        door.now += 20.0;
+        gateway.now += 20.0;
     }
-    gone_on
+    admitted
 }
 
 /// Offers a request under a ceiling while the counter answers with `total`, served at once; gives how many went on.
-fn offer(door: &mut Door, id: RequestId, total: &mut f64) -> usize {
-    let mut gone_on = Vec::new();
-    let mut did = door.ask(id, "c", "ceiling", "safe");
+fn offer(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
+    let mut admitted = Vec::new();
+    let mut actions = gateway.request(id, "c", "ceiling", "safe");
     loop {
-        gone_on.extend(did.iter().filter_map(|a| sent(std::slice::from_ref(a))));
-        let Some((name, amount)) = count(&did) else { break };
+        admitted.extend(actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))));
+        let Some((name, amount)) = first_counter_call(&actions) else { break };
         *total += amount;
-        did = door.total(name, *total);
+        actions = gateway.answer_counter(name, *total);
     }
-    for (id, at) in &gone_on {
-        door.end(*id, 0, at, AttemptOutcome::Served);
+    for (id, at) in &admitted {
+        gateway.end_attempt(*id, 0, at, AttemptOutcome::Served);
     }
-    gone_on.len()
+    admitted.len()
 }
 
 #[test]
 fn in_silence_a_gateway_spends_its_even_slice_and_no_more() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
-    let gone_on = spent_in_silence(&mut door, "plain", 10_000.0);
-    assert!((26..=30).contains(&gone_on), "{gone_on}");
+    let admitted = spent_in_silence(&mut gateway, "plain", 10_000.0);
+    assert!((26..=30).contains(&admitted), "{admitted}");
 }
 
 #[test]
 fn the_ceiling_holds_through_a_spent_burst_an_emptied_count_a_restart_and_silence() {
     // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
     // the count emptied, takes what it is given, and then the counter falls silent.
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let start = door.now;
-    let (mut gone_on, mut total, mut id) = (0.0, 0.0, 0);
-    while door.now < start + 2000.0 {
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
+    let start = gateway.now;
+    let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
+    while gateway.now < start + 2000.0 {
         id += 1;
-        gone_on += offer(&mut door, id, &mut total) as f64;
-        let ceiling = 16.0 + 8.0 * (door.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + gone_on <= ceiling, "10 + {gone_on} against {ceiling} on the way");
-        door.now += 20.0;
+        admitted += offer(&mut gateway, id, &mut total) as f64;
+        let ceiling = 16.0 + 8.0 * (gateway.now - start) / 1000.0 + 1.6;
+        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} on the way");
+        gateway.now += 20.0;
     }
     // Two gateways in silence: what each may spend is the same slice.
-    gone_on += 2.0 * spent_in_silence(&mut door, "ceiling", 4000.0) as f64;
+    admitted += 2.0 * spent_in_silence(&mut gateway, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
-    assert!(10.0 + gone_on <= ceiling, "10 + {gone_on} against {ceiling}");
+    assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
 }
 
 #[test]
 fn an_emptied_count_is_told_again_what_is_held() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
-    door.total(name, amount);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
+    let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
+    gateway.answer_counter(name, amount);
     let mut asked = None;
     for id in 2..=12 {
-        asked = count(&door.ask(id, "c", "plain", "safe"));
+        asked = first_counter_call(&gateway.request(id, "c", "plain", "safe"));
         if asked.is_some() {
             break;
         }
     }
     let (name, added) = asked.expect("a further block");
-    door.total(name, added);
-    let told = count(&door.pass(60.0, &[])).expect("the count hears what it forgot");
+    gateway.answer_counter(name, added);
+    let told = first_counter_call(&gateway.advance(60.0, &[])).expect("the count hears what it forgot");
     assert!(told.1 >= amount, "{told:?}");
 }
 
 #[test]
 fn silence_is_told_once_and_the_counter_is_asked_for_few_requests_only() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let (mut calls, mut lines, mut id) = (0, 0, 0);
-    let end = door.now + 5000.0;
-    while door.now < end {
+    let end = gateway.now + 5000.0;
+    while gateway.now < end {
         id += 1;
-        let mut did = door.ask(id, &format!("c{id}"), "plain", "safe");
-        if let Some((name, _)) = count(&did) {
+        let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
+        if let Some((name, _)) = first_counter_call(&actions) {
             calls += 1;
-            did.extend(silence(&mut door, name));
+            actions.extend(silence(&mut gateway, name));
         }
-        lines += did.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
-        if let Some((id, at)) = sent(&did) {
-            door.end(id, 0, &at, AttemptOutcome::Served);
+        lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
+        if let Some((id, at)) = first_attempt(&actions) {
+            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         }
-        door.now += 10.0;
+        gateway.now += 10.0;
     }
     assert_eq!(lines, 1);
     assert!(calls >= 3, "who never asks never learns that the counter is back: {calls}");
@@ -114,33 +114,37 @@
 
 #[test]
 fn a_late_total_of_an_ended_window_grants_nothing() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let (name, amount) = count(&door.ask(1, "c", "plain", "safe")).expect("call");
-    door.pass(100.0, &[1]);
-    door.now += 5000.0;
-    let did = door.total(name, amount);
-    assert_eq!(sends(&did), 0);
-    assert_eq!(sends(&door.ask(2, "c", "plain", "safe")), 0, "no block in hand");
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
+    let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
+    gateway.advance(100.0, &[1]);
+    gateway.now += 5000.0;
+    let actions = gateway.answer_counter(name, amount);
+    assert_eq!(count_attempts(&actions), 0);
+    assert_eq!(count_attempts(&gateway.request(2, "c", "plain", "safe")), 0, "no block in hand");
 }
 
 #[test]
 fn after_a_silence_an_idle_gateway_does_not_take_a_ceiling_s_store_for_full() {
-    let mut door = Door::new(settings(), &["a1", "a2", "a3"]);
-    let at = door.served(1, "c", "ceiling", "safe");
-    door.end(1, 0, &at, AttemptOutcome::Served);
-    door.now += 100.0;
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
+    let at = gateway.forward(1, "c", "ceiling", "safe");
+    gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
+    gateway.now += 100.0;
     for id in 2..=3 {
-        let (name, _) = count(&door.ask(id, &format!("other{id}"), "plain", "safe")).expect("call");
-        silence(&mut door, name);
+        let (name, _) =
+            first_counter_call(&gateway.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
+        silence(&mut gateway, name);
     }
     // Three seconds in which the other gateway may spend all; then the counter is back, empty.
-    door.now += 3000.0;
-    let (mut gone_on, mut total, mut id) = (0, 0.0, 100);
+    gateway.now += 3000.0;
+    let (mut admitted, mut total, mut id) = (0, 0.0, 100);
     for _ in 0..40 {
         id += 1;
-        gone_on += offer(&mut door, id, &mut total);
+        admitted += offer(&mut gateway, id, &mut total);
     }
-    assert!(gone_on <= 5 && total <= 5.0, "only the own slice of the silence: {gone_on} sent, {total} added");
+    assert!(
+        admitted <= 5 && total <= 5.0,
+        "only the own slice of the silence: {admitted} sent, {total} added"
+    );
 }
 
 /// A host prices a request before it runs. Under a ceiling that goes by the price, what comes back by the true
@@ -150,104 +154,117 @@
     let mut settings = settings();
     (settings.gateway_count, settings.responses_report_units) = (1, true);
     let plan = settings.plans[1].clone();
-    let mut door = Door::new(settings, &["a1", "a2", "a3", "a4"]);
+    let mut gateway = TestGateway::new(settings, &["a1", "a2", "a3", "a4"]);
     let (mut left, mut total, mut lowest) = (plan.ceiling_burst, 0.0, f64::INFINITY);
     let mut window = 0;
     for id in 1..2000 {
-        door.now += 10.0;
+        gateway.now += 10.0;
         left = (left + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
-        let mut did = door.tell(Event::TimerExpired { token: 1 });
-        did.extend(door.ask(id, "c", "ceiling", "safe"));
-        while let Some((name, amount)) = count(&did) {
+        let mut actions = gateway.handle(Event::TimerExpired { token: 1 });
+        actions.extend(gateway.request(id, "c", "ceiling", "safe"));
+        while let Some((name, amount)) = first_counter_call(&actions) {
             if name != window {
                 (window, total) = (name, 0.0);
             }
             total += amount;
-            did.retain(|a| !matches!(a, Action::AddToCounter { .. }));
-            did.extend(door.total(name, total));
+            actions.retain(|a| !matches!(a, Action::AddToCounter { .. }));
+            actions.extend(gateway.answer_counter(name, total));
         }
-        if let Some((id, backend)) = sent(&did) {
+        if let Some((id, backend)) = first_attempt(&actions) {
             left -= 1.0;
             lowest = lowest.min(left);
-            door.answer(id, &backend, 0.1);
+            gateway.serve(id, &backend, 0.1);
         }
     }
     assert!(lowest > -plan.ceiling_slack, "{:.1} units below the ceiling", -lowest);
 }
 
-fn late(door: &mut Door, name: u64, total: Option<f64>) -> Vec<Action> {
+fn late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
     let outcome = CounterOutcome::Late { added: true, total };
-    door.tell(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
+    gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
 
-fn one(door: &Door) -> CustomerStatus {
-    door.gateway.customers().next().expect("the customer")
+fn one(gateway: &TestGateway) -> CustomerStatus {
+    gateway.decisions.customers().next().expect("the customer")
 }
 
 #[test]
 fn a_total_that_comes_late_grants_its_block_late() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
     assert_eq!(block, 5.0, "the burst over the gateways");
-    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
+    gateway.handle(Event::CounterCallEnded {
+        counter: name,
+        outcome: CounterOutcome::Unknown,
+        latency: 50.0,
+    });
     // One was spent from the slice in the meantime: it is told with the next call.
-    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (0.0, 1.0));
-    late(&mut door, name, Some(block));
-    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (5.0, 1.0));
-    assert!(sent(&door.ask(2, "c", "plain", "safe")).is_some(), "it is spent as any other");
-    assert_eq!(one(&door).leased_units, 4.0);
+    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, 1.0));
+    late(&mut gateway, name, Some(block));
+    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (5.0, 1.0));
+    assert!(first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(), "it is spent as any other");
+    assert_eq!(one(&gateway).leased_units, 4.0);
     // A word of a call that nobody made, or a second one, changes nothing.
-    late(&mut door, name, Some(99.0));
-    assert_eq!(one(&door).leased_units, 4.0);
+    late(&mut gateway, name, Some(99.0));
+    assert_eq!(one(&gateway).leased_units, 4.0);
 }
 
 #[test]
 fn what_was_added_without_a_total_goes_back() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
-    late(&mut door, name, None);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    gateway.handle(Event::CounterCallEnded {
+        counter: name,
+        outcome: CounterOutcome::Unknown,
+        latency: 50.0,
+    });
+    late(&mut gateway, name, None);
     let owed = 1.0 - block;
-    assert_eq!((one(&door).leased_units, one(&door).unreported_units), (0.0, owed));
-    let did = door.pass(25.0, &[]);
-    assert_eq!(count(&did), Some((name, block + owed)), "with the next block, at once");
+    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, owed));
+    let actions = gateway.advance(25.0, &[]);
+    assert_eq!(first_counter_call(&actions), Some((name, block + owed)), "with the next block, at once");
 }
 
 #[test]
 fn a_call_that_was_turned_away_late_was_never_made() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let (name, _) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.tell(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 });
-    let before = one(&door);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let (name, _) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    gateway.handle(Event::CounterCallEnded {
+        counter: name,
+        outcome: CounterOutcome::Unknown,
+        latency: 50.0,
+    });
+    let before = one(&gateway);
     let outcome = CounterOutcome::Late { added: false, total: None };
-    door.tell(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 });
-    assert_eq!(one(&door), before);
+    gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 });
+    assert_eq!(one(&gateway), before);
 }
 
 #[test]
 fn a_counter_that_answers_late_costs_no_quota() {
     // Each answer comes after its time-out, for as long as three turns: what is let in follows the rate all the same.
-    let (mut door, mut totals) = (Door::new(settings(), &["a1", "a2"]), std::collections::BTreeMap::new());
+    let (mut gateway, mut totals) =
+        (TestGateway::new(settings(), &["a1", "a2"]), std::collections::BTreeMap::new());
     let (mut served, mut waiting) = (0, Vec::new());
     for id in 1..=300 {
-        let mut did = door.ask(id, "c", "plain", "safe");
-        did.extend(door.pass(20.0, &[]));
+        let mut actions = gateway.request(id, "c", "plain", "safe");
+        actions.extend(gateway.advance(20.0, &[]));
         for (name, total) in std::mem::take(&mut waiting) {
-            did.extend(late(&mut door, name, Some(total)));
+            actions.extend(late(&mut gateway, name, Some(total)));
         }
-        while let Some((name, amount)) = count(&did) {
+        while let Some((name, amount)) = first_counter_call(&actions) {
             let total: &mut f64 = totals.entry(name).or_default();
             *total += amount;
             waiting.push((name, *total));
-            did.retain(|a| !matches!(a, Action::AddToCounter { .. }));
-            did.extend(door.tell(Event::CounterCallEnded {
+            actions.retain(|a| !matches!(a, Action::AddToCounter { .. }));
+            actions.extend(gateway.handle(Event::CounterCallEnded {
                 counter: name,
                 outcome: CounterOutcome::Unknown,
                 latency: 50.0,
             }));
         }
-        for (id, at) in did.iter().filter_map(|a| sent(std::slice::from_ref(a))) {
-            door.end(id, 0, &at, AttemptOutcome::Served);
+        for (id, at) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
+            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
             served += 1;
         }
     }
@@ -258,61 +275,61 @@
 #[test]
 fn what_others_used_in_a_silence_is_paid_by_what_came_in_then() {
     // A customer that uses its rate, at this gateway and at another, through a silence of four turns.
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.total(name, block);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    gateway.answer_counter(name, block);
     let mut id = 1;
     for _ in 0..80 {
         id += 1;
-        let mut did = door.ask(id, "c", "plain", "safe");
-        did.extend(door.pass(100.0, &[id]));
-        while let Some((name, _)) = count(&did) {
-            did = door.tell(Event::CounterCallEnded {
+        let mut actions = gateway.request(id, "c", "plain", "safe");
+        actions.extend(gateway.advance(100.0, &[id]));
+        while let Some((name, _)) = first_counter_call(&actions) {
+            actions = gateway.handle(Event::CounterCallEnded {
                 counter: name,
                 outcome: CounterOutcome::NotAdded,
                 latency: 1.0,
             });
         }
         for at in ["a1", "a2"] {
-            door.end(id, 0, &at.into(), AttemptOutcome::Served);
+            gateway.end_attempt(id, 0, &at.into(), AttemptOutcome::Served);
         }
     }
-    assert!(door.gateway.is_counter_silent());
+    assert!(gateway.decisions.is_counter_silent());
     // The counter is back: the other gateway has just told 18 units, 2.25 a second for 8 s.
-    let (mut did, mut total) = (door.ask(id + 1, "c", "plain", "safe"), 18.0);
+    let (mut actions, mut total) = (gateway.request(id + 1, "c", "plain", "safe"), 18.0);
     for _ in 0..6 {
-        if let Some((name, amount)) = count(&did) {
+        if let Some((name, amount)) = first_counter_call(&actions) {
             total += amount;
-            did = door.total(name, total);
+            actions = gateway.answer_counter(name, total);
         }
-        did.extend(door.pass(30.0, &[]));
+        actions.extend(gateway.advance(30.0, &[]));
     }
-    let view = one(&door);
+    let view = one(&gateway);
     assert!(view.available_units + view.leased_units > -2.0, "{view:?}");
     assert!(view.available_units + view.leased_units <= 10.0, "never more than its burst: {view:?}");
 }
 
 #[test]
 fn a_burst_that_others_use_without_a_silence_is_debited_whole() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    let (name, block) = count(&door.ask(1, "c", "plain", "safe")).expect("a first block");
-    door.total(name, block);
-    door.end(1, 0, &"a1".into(), AttemptOutcome::Served);
-    door.end(1, 0, &"a2".into(), AttemptOutcome::Served);
-    door.pass(1500.0, &[]);
-    let mut did = door.pass(25.0, &[]);
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    gateway.answer_counter(name, block);
+    gateway.end_attempt(1, 0, &"a1".into(), AttemptOutcome::Served);
+    gateway.end_attempt(1, 0, &"a2".into(), AttemptOutcome::Served);
+    gateway.advance(1500.0, &[]);
+    let mut actions = gateway.advance(25.0, &[]);
     let mut id = 1;
-    while count(&did).is_none() {
+    while first_counter_call(&actions).is_none() {
         id += 1;
-        did = door.ask(id, "c", "plain", "safe");
-        did.extend(door.pass(25.0, &[]));
+        actions = gateway.request(id, "c", "plain", "safe");
+        actions.extend(gateway.advance(25.0, &[]));
     }
-    let (name, amount) = count(&did).unwrap();
-    let before = one(&door).available_units;
-    door.total(name, amount + block + 8.0);
+    let (name, amount) = first_counter_call(&actions).unwrap();
+    let before = one(&gateway).available_units;
+    gateway.answer_counter(name, amount + block + 8.0);
     assert!(
-        one(&door).available_units <= before - 8.0 + 1.0,
+        one(&gateway).available_units <= before - 8.0 + 1.0,
         "what came in meanwhile pays for nothing: {:?}",
-        one(&door)
+        one(&gateway)
     );
 }
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -27,13 +27,13 @@
 }
 
 #[derive(Default)]
-struct Out {
+struct OpenRequest {
     gateway: usize,
     backend: Name,
     attempt: u32,
     sent: Millis,
     until: Millis,
-    answered: bool,
+    has_response: bool,
 }
 
 struct World {
@@ -42,12 +42,12 @@
     gateways: Vec<Gateway>,
     settings: Settings,
     digest: Digest,
-    counts: HashMap<u64, f64>,
-    silent: bool,
+    counters: HashMap<u64, f64>,
+    counter_is_unavailable: bool,
     /// Calls, timers and attempts that are out, by when they come back.
     due: BTreeMap<(u64, u64), (usize, Event)>,
     order: u64,
-    out: BTreeMap<RequestId, Out>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     next: RequestId,
 }
 
@@ -70,7 +70,7 @@
             .expect("usable")
         };
         let made = (0..gateways).map(make).collect();
-        let (counts, due, out) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (counters, due, open_requests) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
         let digest = Digest(0xcbf2_9ce4_8422_2325, 0);
         let mut world = Self {
             random,
@@ -78,36 +78,37 @@
             gateways: made,
             settings,
             digest,
-            counts,
-            silent: false,
+            counters,
+            counter_is_unavailable: false,
             due,
             order: 0,
-            out,
+            open_requests,
             next: 0,
         };
-        let list: Vec<BackendEntry> = NAMES.iter().map(|n| backend(n, BackendState::Ready, None)).collect();
-        (0..gateways as usize).for_each(|g| world.tell(g, Event::BackendList(list.clone())));
+        let list: Vec<BackendEntry> =
+            NAMES.iter().map(|n| backend_entry(n, BackendState::Ready, None)).collect();
+        (0..gateways as usize).for_each(|g| world.handle(g, Event::BackendList(list.clone())));
         world
     }
 
-    fn later(&mut self, after: Millis, gateway: usize, event: Event) {
+    fn schedule(&mut self, after: Millis, gateway: usize, event: Event) {
         self.order += 1;
         self.due.insert((((self.now + after) * 1000.0) as u64, self.order), (gateway, event));
     }
 
-    fn tell(&mut self, gateway: usize, event: Event) {
+    fn handle(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[gateway].handle(self.now, event, &mut actions);
         for action in actions {
             self.digest.take(gateway, &action);
-            self.carry_out(gateway, action);
+            self.execute(gateway, action);
         }
     }
 
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn execute(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SendAttempt { id, backend, .. } => {
-                let known = self.out.entry(id).or_default();
+                let known = self.open_requests.entry(id).or_default();
                 let attempt = known.attempt;
                 (known.gateway, known.backend, known.sent) = (gateway, backend.clone(), self.now);
                 known.attempt += 1;
@@ -133,15 +134,15 @@
                     final_response_sent: finished,
                     load_report: load,
                 };
-                self.later(latency, gateway, Event::AttemptEnded(end));
+                self.schedule(latency, gateway, Event::AttemptEnded(end));
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
-                self.out.entry(id).or_default().answered = true;
+                self.open_requests.entry(id).or_default().has_response = true;
             }
-            Action::SetTimer { after, token } => self.later(after, gateway, Event::TimerExpired { token }),
+            Action::SetTimer { after, token } => self.schedule(after, gateway, Event::TimerExpired { token }),
             Action::AddToCounter { counter: name, amount, .. } => {
-                if self.silent {
-                    return self.later(
+                if self.counter_is_unavailable {
+                    return self.schedule(
                         50.0,
                         gateway,
                         Event::CounterCallEnded {
@@ -151,14 +152,18 @@
                         },
                     );
                 }
-                let total = self.counts.entry(name).or_default();
+                let total = self.counters.entry(name).or_default();
                 *total += amount;
                 let (outcome, latency) = (CounterOutcome::Total(*total), 1.0 + self.random.below(30) as f64);
-                self.later(latency, gateway, Event::CounterCallEnded { counter: name, outcome, latency });
+                self.schedule(latency, gateway, Event::CounterCallEnded { counter: name, outcome, latency });
             }
             Action::Gossip { bytes } => {
                 for to in (0..self.gateways.len()).filter(|to| *to != gateway) {
-                    self.later(2.0, to, Event::GossipReceived { from: gateway as u32, bytes: bytes.clone() });
+                    self.schedule(
+                        2.0,
+                        to,
+                        Event::GossipReceived { from: gateway as u32, bytes: bytes.clone() },
+                    );
                 }
             }
             Action::CancelAttempt { .. }
@@ -176,22 +181,22 @@
             }
             let Some((gateway, event)) = self.due.remove(&(at, order)) else { break };
             self.now = self.now.max(at as f64 / 1000.0);
-            self.tell(gateway, event);
+            self.handle(gateway, event);
         }
         self.now = until;
         let count = self.gateways.len() as u64;
         let gateway = self.random.below(count) as usize;
         match self.random.below(400) {
-            0 => self.silent = !self.silent,
-            1 => self.counts.clear(),
+            0 => self.counter_is_unavailable = !self.counter_is_unavailable,
+            1 => self.counters.clear(),
             2 | 3 => {
                 let name = NAMES[self.random.below(6) as usize];
                 let states =
                     [BackendState::Ready, BackendState::Draining, BackendState::Removed, BackendState::Ready];
                 let state = states[self.random.below(4) as usize];
                 let started = (self.random.below(2) == 0).then_some(self.now);
-                let entry = backend(name, state, started);
-                (0..count as usize).for_each(|g| self.tell(g, Event::BackendChanges(vec![entry.clone()])));
+                let entry = backend_entry(name, state, started);
+                (0..count as usize).for_each(|g| self.handle(g, Event::BackendChanges(vec![entry.clone()])));
             }
             4 => {
                 let times = [0.5, 1.0, 2.0][self.random.below(3) as usize];
@@ -203,34 +208,40 @@
                 }
                 for g in 0..count as usize {
                     let settings = Settings { gateway_index: g as u32, ..self.settings.clone() };
-                    self.tell(g, Event::SettingsChanged(Box::new(settings)));
+                    self.handle(g, Event::SettingsChanged(Box::new(settings)));
                 }
             }
             5 => {
                 let views: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
-                self.tell(gateway, Event::StateRestored(views));
+                self.handle(gateway, Event::StateRestored(views));
             }
-            6 if self.next > 3000 => self.tell(gateway, Event::ShutdownStarted),
+            6 if self.next > 3000 => self.handle(gateway, Event::ShutdownStarted),
             7..12 => {
-                let known = self.out.iter().rev().find(|(_, o)| !o.answered).map(|(id, o)| (*id, o.gateway));
+                let known = self
+                    .open_requests
+                    .iter()
+                    .rev()
+                    .find(|(_, o)| !o.has_response)
+                    .map(|(id, o)| (*id, o.gateway));
                 if let Some((id, gateway)) = known {
-                    self.tell(gateway, Event::ClientDisconnected { id });
+                    self.handle(gateway, Event::ClientDisconnected { id });
                 }
             }
-            _ => self.ask(gateway),
+            _ => self.request(gateway),
         }
     }
 
-    fn ask(&mut self, gateway: usize) {
+    fn request(&mut self, gateway: usize) {
         self.next += 1;
         let id = self.next;
         let plan = ["plain", "ceiling", "capped"][self.random.below(3) as usize];
         let customer = if self.random.below(6) == 0 { 1000 + id } else { self.random.below(9) };
-        let patience = 200.0 + self.random.below(2500) as f64;
-        let (spread, repeat) =
+        let timeout = 200.0 + self.random.below(2500) as f64;
+        let (gateway_count, repeat) =
             (self.random.below(self.gateways.len() as u64 + 1) as u32, self.random.below(5) == 0);
         let (units, class) = (1.0 + self.random.below(3) as f64, self.random.below(3) as usize);
-        self.out.insert(id, Out { gateway, until: self.now + patience, ..Out::default() });
+        self.open_requests
+            .insert(id, OpenRequest { gateway, until: self.now + timeout, ..OpenRequest::default() });
         let arrival = IncomingRequest {
             id,
             customer: format!("{plan}-{customer}").as_str().into(),
@@ -238,12 +249,12 @@
             class: ["safe", "keyed", "unsafe"][class].into(),
             units,
             client_retry: repeat,
-            timeout: patience,
+            timeout,
             first_gateway: gateway as u32,
-            gateway_count: spread,
+            gateway_count,
             sticky_route: Name::default(),
         };
-        self.tell(gateway, Event::RequestReceived(arrival));
+        self.handle(gateway, Event::RequestReceived(arrival));
     }
 }
 
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -9,9 +9,9 @@
 const GATEWAYS: u32 = 25;
 
 /// Chance that is the same for the same seed.
-struct Chance(u64);
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -20,8 +20,8 @@
 
 /// What becomes of the counter, in ms from the start.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
-    silent: (Millis, Millis),
+struct CounterFault {
+    outage: (Millis, Millis),
     /// This share of the answers is lost; the call counted.
     lost: f64,
     /// It comes back without its counts.
@@ -31,11 +31,11 @@
 }
 
 struct Fleet {
-    doors: Vec<Door>,
-    chance: Chance,
+    gateways: Vec<TestGateway>,
+    random: Random,
     /// Each count and until when it is kept.
-    counts: BTreeMap<u64, (f64, Millis)>,
-    trouble: Trouble,
+    counters: BTreeMap<u64, (f64, Millis)>,
+    fault: CounterFault,
     start: Millis,
     sent: Vec<Millis>,
 }
@@ -51,52 +51,53 @@
     }
 }
 
-fn door(number: u32, seed: u64) -> Door {
+fn gateway(number: u32, seed: u64) -> TestGateway {
     let mut settings = Settings { gateway_count: GATEWAYS, gateway_index: number, ..settings() };
     settings.plans[1] = plan();
-    Door::seeded(settings, seed, &["a1", "a2", "a3", "a4"])
+    TestGateway::seeded(settings, seed, &["a1", "a2", "a3", "a4"])
 }
 
 impl Fleet {
-    fn new(seed: u64, trouble: Trouble) -> Self {
-        let doors = (0..GATEWAYS).map(|n| door(n, seed * 1000 + u64::from(n))).collect();
-        let (chance, counts) = (Chance(seed), BTreeMap::new());
-        Self { doors, chance, counts, trouble, start: 1000.0, sent: Vec::new() }
+    fn new(seed: u64, fault: CounterFault) -> Self {
+        let gateways = (0..GATEWAYS).map(|n| gateway(n, seed * 1000 + u64::from(n))).collect();
+        let (random, counters) = (Random(seed), BTreeMap::new());
+        Self { gateways, random, counters, fault, start: 1000.0, sent: Vec::new() }
     }
 
     /// Carries out what a gateway did, and what it does on that.
-    fn carry(&mut self, at: usize, mut did: Vec<Action>) {
-        while !did.is_empty() {
+    fn execute(&mut self, at: usize, mut actions: Vec<Action>) {
+        while !actions.is_empty() {
             let mut next = Vec::new();
-            for action in std::mem::take(&mut did) {
+            for action in std::mem::take(&mut actions) {
                 match action {
                     Action::SendAttempt { id, backend, .. } => {
-                        self.sent.push(self.doors[at].now);
-                        next.extend(self.doors[at].end(id, 0, &backend, AttemptOutcome::Served));
+                        self.sent.push(self.gateways[at].now);
+                        next.extend(self.gateways[at].end_attempt(id, 0, &backend, AttemptOutcome::Served));
                     }
-                    Action::AddToCounter { counter: name, amount, time_to_live: keep } => {
-                        next.extend(self.count(at, name, amount, keep))
+                    Action::AddToCounter { counter: name, amount, time_to_live } => {
+                        next.extend(self.add_to_counter(at, name, amount, time_to_live))
                     }
                     _ => {}
                 }
             }
-            did = next;
+            actions = next;
         }
     }
 
-    fn count(&mut self, at: usize, name: u64, amount: f64, keep: Millis) -> Vec<Action> {
-        let now = self.doors[at].now;
-        let (from, back) = self.trouble.silent;
+    fn add_to_counter(&mut self, at: usize, name: u64, amount: f64, time_to_live: Millis) -> Vec<Action> {
+        let now = self.gateways[at].now;
+        let (from, back) = self.fault.outage;
         let (outcome, latency) = if now >= self.start + from && now < self.start + back {
             (CounterOutcome::NotAdded, 0.0)
         } else {
-            let kept = self.counts.get(&name).filter(|(_, until)| now < *until);
-            let (total, until) = kept.map_or((amount, now + keep), |(total, until)| (total + amount, *until));
-            self.counts.insert(name, (total, until));
-            let lost = self.chance.next() < self.trouble.lost;
+            let kept = self.counters.get(&name).filter(|(_, until)| now < *until);
+            let (total, until) =
+                kept.map_or((amount, now + time_to_live), |(total, until)| (total + amount, *until));
+            self.counters.insert(name, (total, until));
+            let lost = self.random.next() < self.fault.lost;
             if lost { (CounterOutcome::Unknown, 50.0) } else { (CounterOutcome::Total(total), 2.0) }
         };
-        self.doors[at].tell(Event::CounterCallEnded { counter: name, outcome, latency })
+        self.gateways[at].handle(Event::CounterCallEnded { counter: name, outcome, latency })
     }
 
     /// Plays so long with tries at this rate a second; some gateways see many of them.
@@ -106,27 +107,27 @@
         let mut now = self.start;
         while now < self.start + span {
             now += 5.0;
-            if !std::mem::replace(&mut back, now >= self.start + self.trouble.silent.1) && back {
-                if self.trouble.emptied {
-                    self.counts.clear();
+            if !std::mem::replace(&mut back, now >= self.start + self.fault.outage.1) && back {
+                if self.fault.emptied {
+                    self.counters.clear();
                 }
-                if self.trouble.restart {
-                    self.doors[0] = door(0, 77);
+                if self.fault.restart {
+                    self.gateways[0] = gateway(0, 77);
                 }
             }
-            for at in 0..self.doors.len() {
-                self.doors[at].now = now;
+            for at in 0..self.gateways.len() {
+                self.gateways[at].now = now;
                 if (now / 5.0) as usize % 5 == at % 5 {
-                    let did = self.doors[at].tell(Event::TimerExpired { token: 1 });
-                    self.carry(at, did);
+                    let actions = self.gateways[at].handle(Event::TimerExpired { token: 1 });
+                    self.execute(at, actions);
                 }
             }
             while next < now {
-                next += -self.chance.next().max(1e-9).ln() / rate * 1000.0;
+                next += -self.random.next().max(1e-9).ln() / rate * 1000.0;
                 id += 1;
-                let at = (self.chance.next().powi(2) * self.doors.len() as f64) as usize;
-                let did = self.doors[at].ask_of(id, "c", "ceiling", "safe", false, GATEWAYS);
-                self.carry(at, did);
+                let at = (self.random.next().powi(2) * self.gateways.len() as f64) as usize;
+                let actions = self.gateways[at].request_through(id, "c", "ceiling", "safe", false, GATEWAYS);
+                self.execute(at, actions);
             }
         }
     }
@@ -142,15 +143,15 @@
     }
 }
 
-fn troubles() -> [Trouble; 5] {
-    let calm = Trouble { silent: (0.0, 0.0), lost: 0.0, emptied: false, restart: false };
-    let silent = Trouble { silent: (4000.0, 10_000.0), ..calm };
+fn counter_faults() -> [CounterFault; 5] {
+    let calm = CounterFault { outage: (0.0, 0.0), lost: 0.0, emptied: false, restart: false };
+    let outage = CounterFault { outage: (4000.0, 10_000.0), ..calm };
     [
-        Trouble { lost: 0.05, ..calm },
-        silent,
-        Trouble { lost: 0.1, ..silent },
-        Trouble { emptied: true, ..silent },
-        Trouble { emptied: true, restart: true, lost: 0.05, ..silent },
+        CounterFault { lost: 0.05, ..calm },
+        outage,
+        CounterFault { lost: 0.1, ..outage },
+        CounterFault { emptied: true, ..outage },
+        CounterFault { emptied: true, restart: true, lost: 0.05, ..outage },
     ]
 }
 
@@ -159,15 +160,15 @@
 #[test]
 fn the_ceiling_holds_over_all_gateways_whatever_becomes_of_the_counter() {
     let plan = plan();
-    for trouble in troubles() {
+    for fault in counter_faults() {
         for seed in 1..=6 {
             for rate in [40.0, 250.0] {
-                let mut fleet = Fleet::new(seed, trouble);
+                let mut fleet = Fleet::new(seed, fault);
                 fleet.play(14_000.0, rate);
                 let beyond = fleet.beyond(plan.ceiling_rate, plan.ceiling_burst);
                 assert!(
                     beyond <= plan.ceiling_slack,
-                    "{beyond:.1} units past the ceiling: {trouble:?}, seed {seed}, {rate} a second"
+                    "{beyond:.1} units past the ceiling: {fault:?}, seed {seed}, {rate} a second"
                 );
             }
         }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -20,10 +20,10 @@
     class: usize,
     deadline: Millis,
     attempts: u32,
-    out: Option<(Name, Millis)>,
+    in_flight: Option<(Name, Millis)>,
     /// The backend and time of the first attempt that may have run.
-    may_have_run: Option<(Name, Millis)>,
-    answered: bool,
+    first_execution: Option<(Name, Millis)>,
+    has_response: bool,
 }
 
 #[derive(Default)]
@@ -32,21 +32,24 @@
     calls: Vec<u64>,
     timers: BTreeMap<(u64, u64), u64>,
     draining: BTreeMap<Name, bool>,
-    answers: usize,
+    final_responses: usize,
 }
 
 impl Checker {
     fn check(&mut self, now: Millis, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::SendAttempt { id, backend, .. } => self.sent(now, id, backend),
+                Action::SendAttempt { id, backend, .. } => self.attempt_sent(now, id, backend),
                 Action::Reject { id, .. } => {
-                    let known = self.answer(now, id);
+                    let known = self.final_response(now, id);
                     let keyed_alone = known.class == 1 || known.class == 2;
-                    assert!(known.may_have_run.is_none() || !keyed_alone, "refused though it may have run");
+                    assert!(
+                        known.first_execution.is_none() || !keyed_alone,
+                        "refused though it may have run"
+                    );
                 }
                 Action::Fail { id } => {
-                    self.answer(now, id);
+                    self.final_response(now, id);
                 }
                 Action::CancelAttempt { id, .. } => {
                     assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
@@ -68,11 +71,14 @@
         }
     }
 
-    fn sent(&mut self, now: Millis, id: RequestId, backend: Name) {
+    fn attempt_sent(&mut self, now: Millis, id: RequestId, backend: Name) {
         assert!(!self.draining.get(&backend).copied().unwrap_or(true), "sent to {backend} after its drain");
         let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered && known.out.is_none(), "a second attempt out, or after the answer");
-        if let Some((home, at)) = &known.may_have_run {
+        assert!(
+            !known.has_response && known.in_flight.is_none(),
+            "a second attempt out, or after the answer"
+        );
+        if let Some((home, at)) = &known.first_execution {
             assert!(known.class != 2, "an unsafe request repeated");
             let same_cell = home.starts_with('a') == backend.starts_with('a');
             assert!(
@@ -81,25 +87,25 @@
             );
         }
         known.attempts += 1;
-        known.out = Some((backend, now));
+        known.in_flight = Some((backend, now));
     }
 
-    fn answer(&mut self, now: Millis, id: RequestId) -> &Known {
+    fn final_response(&mut self, now: Millis, id: RequestId) -> &Known {
         let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered, "two answers");
+        assert!(!known.has_response, "two answers");
         assert!(now <= known.deadline + 16.0, "an answer after the client's patience");
-        known.answered = true;
-        self.answers += 1;
+        known.has_response = true;
+        self.final_responses += 1;
         known
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
-        let late = |k: &Known| !k.answered && k.out.is_none() && now > k.deadline + 16.0;
+        let late = |k: &Known| !k.has_response && k.in_flight.is_none() && now > k.deadline + 16.0;
         self.requests.iter().find(|(_, k)| late(k)).map(|(id, _)| *id)
     }
 }
 
-fn arrival(random: &mut Random, id: RequestId, patience: Millis, class: usize) -> Event {
+fn arrival(random: &mut Random, id: RequestId, timeout: Millis, class: usize) -> Event {
     let plan = ["plain", "ceiling", "capped"][random.below(3) as usize];
     let customer = if random.below(5) == 0 { 1000 + id } else { random.below(12) };
     Event::RequestReceived(IncomingRequest {
@@ -109,7 +115,7 @@
         class: ["safe", "keyed", "unsafe"][class].into(),
         units: 1.0,
         client_retry: random.below(4) == 0,
-        timeout: patience,
+        timeout,
         first_gateway: random.below(2) as u32,
         gateway_count: random.below(3) as u32,
         sticky_route: Name::default(),
@@ -119,41 +125,41 @@
 fn play(seed: u64) -> usize {
     let (mut random, mut checker) = (Random(seed), Checker::default());
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
-    let mut door = Door::new(settings(), &names);
+    let mut gateway = TestGateway::new(settings(), &names);
     checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
-    let first = std::mem::take(&mut door.did);
-    checker.check(door.now, first);
+    let first = std::mem::take(&mut gateway.actions);
+    checker.check(gateway.now, first);
     for id in 1..=6000 {
-        door.now += random.below(12) as f64;
+        gateway.now += random.below(12) as f64;
         while let Some(((at, order), token)) = checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
-            if at as f64 > door.now {
+            if at as f64 > gateway.now {
                 break;
             }
             checker.timers.remove(&(at, order));
-            let did = door.tell(Event::TimerExpired { token });
-            checker.check(door.now, did);
+            let actions = gateway.handle(Event::TimerExpired { token });
+            checker.check(gateway.now, actions);
         }
-        for (id, event) in outcomes(&mut random, &mut checker, door.now) {
+        for (id, event) in outcomes(&mut random, &mut checker, gateway.now) {
             let finished = matches!(&event, Event::AttemptEnded(end) if end.final_response_sent);
-            if finished && !checker.requests[&id].answered {
-                checker.answer(door.now, id);
+            if finished && !checker.requests[&id].has_response {
+                checker.final_response(gateway.now, id);
             }
-            let did = door.tell(event);
-            checker.check(door.now, did);
+            let actions = gateway.handle(event);
+            checker.check(gateway.now, actions);
         }
         let event = match random.below(40) {
             0..20 => {
-                let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
+                let (class, timeout) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
                 let known = Known {
                     class,
-                    deadline: door.now + patience,
+                    deadline: gateway.now + timeout,
                     attempts: 0,
-                    out: None,
-                    may_have_run: None,
-                    answered: false,
+                    in_flight: None,
+                    first_execution: None,
+                    has_response: false,
                 };
                 checker.requests.insert(id, known);
-                arrival(&mut random, id, patience, class)
+                arrival(&mut random, id, timeout, class)
             }
             20..34 if !checker.calls.is_empty() => {
                 let at = random.below(checker.calls.len() as u64) as usize;
@@ -170,29 +176,30 @@
                 let drains = random.below(2) == 0;
                 checker.draining.insert(name.clone(), drains);
                 let state = if drains { BackendState::Draining } else { BackendState::Ready };
-                Event::BackendChanges(vec![backend(&name, state, None)])
+                Event::BackendChanges(vec![backend_entry(&name, state, None)])
             }
             36 => {
-                let Some(id) = checker.requests.iter().find(|(_, k)| !k.answered).map(|(id, _)| *id) else {
+                let Some(id) = checker.requests.iter().find(|(_, k)| !k.has_response).map(|(id, _)| *id)
+                else {
                     continue;
                 };
-                checker.requests.get_mut(&id).expect("known").answered = true;
+                checker.requests.get_mut(&id).expect("known").has_response = true;
                 Event::ClientDisconnected { id }
             }
             _ => Event::ClientDisconnected { id: 900_000_000 },
         };
-        let did = door.tell(event);
-        checker.check(door.now, did);
-        assert_eq!(checker.overdue(door.now), None, "a request without its answer");
+        let actions = gateway.handle(event);
+        checker.check(gateway.now, actions);
+        assert_eq!(checker.overdue(gateway.now), None, "a request without its answer");
     }
-    checker.answers
+    checker.final_responses
 }
 
 /// Ends some of the attempts that are out: at random, and all whose client's time is up.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
     for (id, known) in &mut checker.requests {
-        let Some((backend, sent_at)) = known.out.clone() else { continue };
+        let Some((backend, sent_at)) = known.in_flight.clone() else { continue };
         let overdue = now >= known.deadline;
         if !overdue && random.below(12) != 0 {
             continue;
@@ -209,12 +216,12 @@
             ];
             all[random.below(5) as usize]
         };
-        known.out = None;
-        let never_ran = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed);
-        if !never_ran && known.may_have_run.is_none() {
-            known.may_have_run = Some((backend.clone(), sent_at));
+        known.in_flight = None;
+        let was_never_executed = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed);
+        if !was_never_executed && known.first_execution.is_none() {
+            known.first_execution = Some((backend.clone(), sent_at));
         }
-        let finished = outcome == AttemptOutcome::Served || known.answered;
+        let finished = outcome == AttemptOutcome::Served || known.has_response;
         let (attempt, latency) = (known.attempts - 1, now - sent_at);
         let end = AttemptEnd {
             id: *id,
@@ -234,7 +241,7 @@
 #[test]
 fn rules_hold_through_long_streams_of_odd_events() {
     for seed in 1..=6 {
-        let answers = play(seed);
-        assert!(answers > 1000, "the stream must reach the answers it checks: {answers}");
+        let final_responses = play(seed);
+        assert!(final_responses > 1000, "the stream must reach the answers it checks: {final_responses}");
     }
 }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -6,31 +6,31 @@
 
 #[test]
 fn replaced_backends_and_customers_seen_once_leave_nothing_behind() {
-    let mut door = Door::new(settings(), &["a0"]);
+    let mut gateway = TestGateway::new(settings(), &["a0"]);
     let (mut most, mut customers) = (0, 0);
     for life in 1..600 {
         let (old, new) = (format!("a{}", life - 1), format!("a{life}"));
-        let born = Some(door.now);
-        door.tell(Event::BackendChanges(vec![
-            backend(&old, BackendState::Removed, None),
-            backend(&new, BackendState::Ready, born),
+        let born = Some(gateway.now);
+        gateway.handle(Event::BackendChanges(vec![
+            backend_entry(&old, BackendState::Removed, None),
+            backend_entry(&new, BackendState::Ready, born),
         ]));
         for number in 0..20u64 {
             let id = life * 100 + number;
-            let mut did = door.ask(id, &format!("once{id}"), "plain", "safe");
-            if let Some((name, amount)) = count(&did) {
-                did = door.total(name, amount);
+            let mut actions = gateway.request(id, &format!("once{id}"), "plain", "safe");
+            if let Some((name, amount)) = first_counter_call(&actions) {
+                actions = gateway.answer_counter(name, amount);
             }
-            if let Some((id, at)) = sent(&did) {
-                door.end(id, 0, &at, AttemptOutcome::Served);
+            if let Some((id, at)) = first_attempt(&actions) {
+                gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
             } else {
-                door.tell(Event::ClientDisconnected { id });
+                gateway.handle(Event::ClientDisconnected { id });
             }
-            door.pass(50.0, &[]);
+            gateway.advance(50.0, &[]);
         }
         if life > 200 {
-            most = most.max(door.gateway.backends().count());
-            customers = customers.max(door.gateway.customers().count());
+            most = most.max(gateway.decisions.backends().count());
+            customers = customers.max(gateway.decisions.customers().count());
         }
     }
     // One a second, kept for a minute; customers for two turns of their quota.
@@ -40,27 +40,27 @@
 
 #[test]
 fn a_backend_that_is_gone_still_tells_the_cell_of_what_may_have_run_there() {
-    let mut door = Door::new(settings(), &["a1"]);
-    let at = door.served(1, "c", "plain", "keyed");
-    door.tell(Event::BackendList(vec![backend("b1", BackendState::Ready, None)]));
-    door.pass(1500.0, &[]);
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
+    let at = gateway.forward(1, "c", "plain", "keyed");
+    gateway.handle(Event::BackendList(vec![backend_entry("b1", BackendState::Ready, None)]));
+    gateway.advance(1500.0, &[]);
     // Its key is remembered in the cell of a1 alone: b1 must not have it.
-    let did = door.end(1, 0, &at, AttemptOutcome::ConnectionLost);
-    assert_eq!(sends(&did), 0);
-    assert!(!refused(&did, 1));
+    let actions = gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost);
+    assert_eq!(count_attempts(&actions), 0);
+    assert!(!is_rejected(&actions, 1));
 }
 
 #[test]
 fn a_seat_that_was_given_up_serves_the_next_backend_as_its_own() {
-    let mut door = Door::new(settings(), &["a1", "a2"]);
-    door.tell(Event::BackendChanges(vec![backend("a1", BackendState::Removed, None)]));
-    door.pass(61_000.0, &[]);
-    assert_eq!(door.gateway.backends().count(), 1);
-    door.tell(Event::BackendChanges(vec![backend("a3", BackendState::Ready, None)]));
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    gateway.handle(Event::BackendChanges(vec![backend_entry("a1", BackendState::Removed, None)]));
+    gateway.advance(61_000.0, &[]);
+    assert_eq!(gateway.decisions.backends().count(), 1);
+    gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, None)]));
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..=8 {
-        let at = door.served(id, &format!("c{id}"), "plain", "safe");
-        door.end(id, 0, &at, AttemptOutcome::Served);
+        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         seen.insert(at);
     }
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), ["a2".into(), Name::from("a3")]);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -5,13 +5,13 @@
 use doorcourse::*;
 use std::collections::BTreeMap;
 
-fn place(name: &str, state: BackendState, started: Option<Millis>, place: Placement) -> BackendEntry {
-    BackendEntry { placement: place, ..backend(name, state, started) }
+fn placed_entry(name: &str, state: BackendState, started: Option<Millis>, place: Placement) -> BackendEntry {
+    BackendEntry { placement: place, ..backend_entry(name, state, started) }
 }
 
-fn ready(name: &str, tier: u32, role: BackendRole, weight: f64) -> BackendEntry {
+fn ready_entry(name: &str, tier: u32, role: BackendRole, weight: f64) -> BackendEntry {
     let (route, state) = (format!("r-{name}").as_str().into(), BackendState::Ready);
-    place(
+    placed_entry(
         name,
         state,
         None,
@@ -26,26 +26,26 @@
     settings
 }
 
-struct Fleet {
-    door: Door,
+struct TestHost {
+    gateway: TestGateway,
     id: RequestId,
 }
 
-impl Fleet {
+impl TestHost {
     fn new(list: Vec<BackendEntry>) -> Self {
         Self::with(open_settings(2, 0), 7, list)
     }
 
     fn with(settings: Settings, seed: u64, list: Vec<BackendEntry>) -> Self {
-        let mut door = Door::seeded(settings, seed, &[]);
-        door.tell(Event::BackendList(list));
-        Self { door, id: 0 }
+        let mut gateway = TestGateway::seeded(settings, seed, &[]);
+        gateway.handle(Event::BackendList(list));
+        Self { gateway, id: 0 }
     }
 
     /// One request; where it went, and its number.
-    fn ask(&mut self, bound: &str) -> (Option<Name>, RequestId) {
+    fn request(&mut self, bound: &str) -> (Option<Name>, RequestId) {
         self.id += 1;
-        let did = self.door.tell(Event::RequestReceived(IncomingRequest {
+        let actions = self.gateway.handle(Event::RequestReceived(IncomingRequest {
             id: self.id,
             customer: "c".into(),
             plan: "plain".into(),
@@ -57,39 +57,39 @@
             gateway_count: 1,
             sticky_route: bound.into(),
         }));
-        (sent(&did).map(|(_, name)| name), self.id)
+        (first_attempt(&actions).map(|(_, name)| name), self.id)
     }
 
     /// So many requests, each answered before the next; how many went where. What waits is let go.
-    fn served(&mut self, count: usize, bound: &str) -> BTreeMap<String, usize> {
-        let mut went = BTreeMap::new();
+    fn serve_requests(&mut self, count: usize, bound: &str) -> BTreeMap<String, usize> {
+        let mut served = BTreeMap::new();
         for _ in 0..count {
-            self.door.now += 1.0;
-            let (to, id) = self.ask(bound);
+            self.gateway.now += 1.0;
+            let (to, id) = self.request(bound);
             match to {
                 Some(to) => {
-                    *went.entry(to.to_string()).or_default() += 1;
-                    self.door.end_after(5.0, id, 0, &to, AttemptOutcome::Served);
+                    *served.entry(to.to_string()).or_default() += 1;
+                    self.gateway.end_attempt_after(5.0, id, 0, &to, AttemptOutcome::Served);
                 }
                 None => {
-                    *went.entry("-".into()).or_default() += 1;
-                    self.door.tell(Event::ClientDisconnected { id });
+                    *served.entry("-".into()).or_default() += 1;
+                    self.gateway.handle(Event::ClientDisconnected { id });
                 }
             }
         }
-        went
+        served
     }
 
     /// Has a backend refuse connections until it is left alone for a while.
-    fn fail(&mut self, name: &str) {
+    fn refuse_connections(&mut self, name: &str) {
         for _ in 0..400 {
-            let (to, id) = self.ask("");
+            let (to, id) = self.request("");
             let Some(to) = to else { break };
             let failing = &*to == name;
             let outcome = if failing { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Served };
-            let mut did = self.door.end_after(1.0, id, 0, &to, outcome);
-            while let Some((_, next)) = sent(&did) {
-                did = self.door.end_after(1.0, id, 1, &next, AttemptOutcome::Served);
+            let mut actions = self.gateway.end_attempt_after(1.0, id, 0, &to, outcome);
+            while let Some((_, next)) = first_attempt(&actions) {
+                actions = self.gateway.end_attempt_after(1.0, id, 1, &next, AttemptOutcome::Served);
             }
             if failing {
                 break;
@@ -97,167 +97,176 @@
         }
     }
 
-    fn state(&mut self, name: &str, state: BackendState, started: Option<Millis>, like: &Placement) {
-        self.door.tell(Event::BackendChanges(vec![place(name, state, started, like.clone())]));
+    fn set_state(&mut self, name: &str, state: BackendState, started: Option<Millis>, like: &Placement) {
+        self.gateway.handle(Event::BackendChanges(vec![placed_entry(name, state, started, like.clone())]));
     }
 }
 
-fn keys(went: &BTreeMap<String, usize>) -> Vec<&str> {
-    went.keys().map(String::as_str).collect()
+fn served_by(served: &BTreeMap<String, usize>) -> Vec<&str> {
+    served.keys().map(String::as_str).collect()
 }
 
 #[test]
 fn a_tier_serves_while_it_has_a_usable_backend_and_the_next_only_then() {
     let list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("a2", 0, BackendRole::Active, 1.0),
-        ready("b1", 1, BackendRole::Active, 1.0),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("a2", 0, BackendRole::Active, 1.0),
+        ready_entry("b1", 1, BackendRole::Active, 1.0),
     ];
-    let mut fleet = Fleet::new(list.clone());
-    assert_eq!(keys(&fleet.served(40, "")), ["a1", "a2"]);
-    fleet.fail("a1");
-    assert_eq!(keys(&fleet.served(10, "")), ["a2"], "one left of the first tier is enough");
-    fleet.state("a2", BackendState::Draining, None, &list[1].placement);
-    assert_eq!(keys(&fleet.served(10, "")), ["b1"]);
-    fleet.door.now += 30_000.0;
-    fleet.state("a2", BackendState::Ready, None, &list[1].placement);
-    let went = fleet.served(30, "");
-    assert!(!went.contains_key("b1"), "{went:?}");
+    let mut host = TestHost::new(list.clone());
+    assert_eq!(served_by(&host.serve_requests(40, "")), ["a1", "a2"]);
+    host.refuse_connections("a1");
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["a2"], "one left of the first tier is enough");
+    host.set_state("a2", BackendState::Draining, None, &list[1].placement);
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["b1"]);
+    host.gateway.now += 30_000.0;
+    host.set_state("a2", BackendState::Ready, None, &list[1].placement);
+    let served = host.serve_requests(30, "");
+    assert!(!served.contains_key("b1"), "{served:?}");
 }
 
 #[test]
 fn a_set_with_all_members_stopped_is_passed_over() {
     let mut list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("a2", 0, BackendRole::Active, 1.0),
-        ready("b1", 1, BackendRole::Active, 1.0),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("a2", 0, BackendRole::Active, 1.0),
+        ready_entry("b1", 1, BackendRole::Active, 1.0),
     ];
     list[0].state = BackendState::Draining;
     list[1].state = BackendState::Draining;
-    assert_eq!(keys(&Fleet::new(list).served(10, "")), ["b1"]);
+    assert_eq!(served_by(&TestHost::new(list).serve_requests(10, "")), ["b1"]);
 }
 
 #[test]
 fn a_standby_serves_once_every_primary_of_its_tier_is_down() {
     let list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("a2", 0, BackendRole::Active, 1.0),
-        ready("h1", 0, BackendRole::Standby, 1.0),
-        ready("b1", 1, BackendRole::Active, 1.0),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("a2", 0, BackendRole::Active, 1.0),
+        ready_entry("h1", 0, BackendRole::Standby, 1.0),
+        ready_entry("b1", 1, BackendRole::Active, 1.0),
     ];
-    let mut fleet = Fleet::new(list.clone());
-    fleet.fail("a1");
-    assert_eq!(keys(&fleet.served(10, "")), ["a2"]);
-    fleet.fail("a2");
-    assert_eq!(keys(&fleet.served(10, "")), ["h1"], "the standby goes before the next tier");
+    let mut host = TestHost::new(list.clone());
+    host.refuse_connections("a1");
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["a2"]);
+    host.refuse_connections("a2");
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["h1"], "the standby goes before the next tier");
     // One primary back, cold: it gets what its warmth allows, the standby the rest, and nothing waits.
-    let born = Some(fleet.door.now);
-    fleet.state("a1", BackendState::Ready, born, &list[0].placement);
-    let went = fleet.served(2000, "");
-    let cold = went["a1"] as f64 / 2000.0;
-    assert!((0.02..0.2).contains(&cold), "{went:?}");
-    assert!(!went.contains_key("-") && !went.contains_key("b1"), "{went:?}");
-    fleet.door.now += 30_000.0;
-    let went = fleet.served(100, "");
-    assert!(!went.contains_key("h1"), "warm again: {went:?}");
+    let born = Some(host.gateway.now);
+    host.set_state("a1", BackendState::Ready, born, &list[0].placement);
+    let served = host.serve_requests(2000, "");
+    let cold = served["a1"] as f64 / 2000.0;
+    assert!((0.02..0.2).contains(&cold), "{served:?}");
+    assert!(!served.contains_key("-") && !served.contains_key("b1"), "{served:?}");
+    host.gateway.now += 30_000.0;
+    let served = host.serve_requests(100, "");
+    assert!(!served.contains_key("h1"), "warm again: {served:?}");
 }
 
 #[test]
 fn two_spares_stand_in_for_three_failures_and_go_when_these_are_back() {
     let list: Vec<_> = ["a1", "a2", "a3", "a4"]
         .iter()
-        .map(|n| ready(n, 0, BackendRole::Active, 1.0))
-        .chain(["s1", "s2"].iter().map(|n| ready(n, 0, BackendRole::Spare, 1.0)))
+        .map(|n| ready_entry(n, 0, BackendRole::Active, 1.0))
+        .chain(["s1", "s2"].iter().map(|n| ready_entry(n, 0, BackendRole::Spare, 1.0)))
         .collect();
-    let mut fleet = Fleet::new(list.clone());
-    assert_eq!(keys(&fleet.served(100, "")), ["a1", "a2", "a3", "a4"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(keys(&fleet.served(100, "")), ["a2", "a3", "a4", "s1"], "one stands in for one");
+    let mut host = TestHost::new(list.clone());
+    assert_eq!(served_by(&host.serve_requests(100, "")), ["a1", "a2", "a3", "a4"]);
+    host.set_state("a1", BackendState::Draining, None, &list[0].placement);
+    assert_eq!(served_by(&host.serve_requests(100, "")), ["a2", "a3", "a4", "s1"], "one stands in for one");
     for entry in &list[1..3] {
-        fleet.state(&entry.name, BackendState::Draining, None, &entry.placement);
+        host.set_state(&entry.name, BackendState::Draining, None, &entry.placement);
     }
-    assert_eq!(keys(&fleet.served(100, "")), ["a4", "s1", "s2"]);
+    assert_eq!(served_by(&host.serve_requests(100, "")), ["a4", "s1", "s2"]);
     for entry in &list[..3] {
-        fleet.state(&entry.name, BackendState::Ready, None, &entry.placement);
+        host.set_state(&entry.name, BackendState::Ready, None, &entry.placement);
     }
-    assert_eq!(keys(&fleet.served(100, "")), ["a1", "a2", "a3", "a4"]);
+    assert_eq!(served_by(&host.serve_requests(100, "")), ["a1", "a2", "a3", "a4"]);
     // A spare that is down itself stands in for nobody.
-    fleet.state("s1", BackendState::Draining, None, &list[4].placement);
-    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(keys(&fleet.served(100, "")), ["a2", "a3", "a4", "s2"]);
+    host.set_state("s1", BackendState::Draining, None, &list[4].placement);
+    host.set_state("a1", BackendState::Draining, None, &list[0].placement);
+    assert_eq!(served_by(&host.serve_requests(100, "")), ["a2", "a3", "a4", "s2"]);
 }
 
 #[test]
 fn a_returning_tier_is_not_pushed_over_while_cold() {
-    let mut list: Vec<_> = (1..=4).map(|n| ready(&format!("a{n}"), 0, BackendRole::Active, 1.0)).collect();
-    list.extend((1..=4).map(|n| ready(&format!("b{n}"), 1, BackendRole::Active, 1.0)));
-    let mut fleet = Fleet::new(list.clone());
-    let born = Some(fleet.door.now);
+    let mut list: Vec<_> =
+        (1..=4).map(|n| ready_entry(&format!("a{n}"), 0, BackendRole::Active, 1.0)).collect();
+    list.extend((1..=4).map(|n| ready_entry(&format!("b{n}"), 1, BackendRole::Active, 1.0)));
+    let mut host = TestHost::new(list.clone());
+    let born = Some(host.gateway.now);
     for entry in &list[..4] {
-        fleet.state(&entry.name, BackendState::Ready, born, &entry.placement);
+        host.set_state(&entry.name, BackendState::Ready, born, &entry.placement);
     }
     // All four have a fifth of their capacity: together they take a fifth of the sends at most, less a margin.
-    let went = fleet.served(4000, "");
-    let cold: usize = went.iter().filter(|(n, _)| n.starts_with('a')).map(|(_, c)| c).sum();
+    let served = host.serve_requests(4000, "");
+    let cold: usize = served.iter().filter(|(n, _)| n.starts_with('a')).map(|(_, c)| c).sum();
     let share = cold as f64 / 4000.0;
-    assert!((0.1..0.36).contains(&share), "{went:?}");
-    assert!(!went.contains_key("-"), "{went:?}");
-    fleet.door.now += 20_000.0;
-    assert!(fleet.served(100, "").keys().all(|n| n.starts_with('a')));
+    assert!((0.1..0.36).contains(&share), "{served:?}");
+    assert!(!served.contains_key("-"), "{served:?}");
+    host.gateway.now += 20_000.0;
+    assert!(host.serve_requests(100, "").keys().all(|n| n.starts_with('a')));
 }
 
 #[test]
 fn a_light_cold_backend_gets_no_more_than_its_weight_beside_its_warmth() {
     let light = Placement { weight: 0.1, ..Placement::default() };
     let list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("a2", 0, BackendRole::Active, 1.0),
-        place("l", BackendState::Ready, Some(1000.0), light),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("a2", 0, BackendRole::Active, 1.0),
+        placed_entry("l", BackendState::Ready, Some(1000.0), light),
     ];
-    let went = Fleet::new(list).served(4000, "");
+    let served = TestHost::new(list).serve_requests(4000, "");
     // A tenth of 2.1 parts, of that a fifth to four tenths while it warms: under 2%.
-    let share = went.get("l").copied().unwrap_or(0) as f64 / 4000.0;
-    assert!(share < 0.02 && went.contains_key("l"), "{went:?}");
+    let share = served.get("l").copied().unwrap_or(0) as f64 / 4000.0;
+    assert!(share < 0.02 && served.contains_key("l"), "{served:?}");
 }
 
 #[test]
 fn a_short_tier_passes_on_what_it_has_no_room_for_and_a_whole_one_keeps_it() {
     let list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("a2", 0, BackendRole::Active, 1.0),
-        ready("b1", 1, BackendRole::Active, 1.0),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("a2", 0, BackendRole::Active, 1.0),
+        ready_entry("b1", 1, BackendRole::Active, 1.0),
     ];
-    let mut fleet = Fleet::new(list.clone());
-    let fill = |fleet: &mut Fleet| (0..40).filter_map(|_| fleet.ask("").0).collect::<Vec<_>>();
-    let went = fill(&mut fleet);
-    assert!(went.iter().all(|n| n.starts_with('a')) && went.len() < 40, "whole, full, and kept: {went:?}");
-    let mut fleet = Fleet::new(list);
-    fleet.fail("a1");
-    let went = fill(&mut fleet);
-    assert!(went.iter().any(|n| n.starts_with('b')), "{went:?}");
+    let mut host = TestHost::new(list.clone());
+    let fill = |host: &mut TestHost| (0..40).filter_map(|_| host.request("").0).collect::<Vec<_>>();
+    let served = fill(&mut host);
+    assert!(
+        served.iter().all(|n| n.starts_with('a')) && served.len() < 40,
+        "whole, full, and kept: {served:?}"
+    );
+    let mut host = TestHost::new(list);
+    host.refuse_connections("a1");
+    let served = fill(&mut host);
+    assert!(served.iter().any(|n| n.starts_with('b')), "{served:?}");
 }
 
 #[test]
 fn a_disabled_backend_serves_only_what_is_bound_to_it() {
     let list = vec![
-        ready("a1", 0, BackendRole::Active, 1.0),
-        ready("d1", 0, BackendRole::StickyOnly, 1.0),
-        ready("b1", 1, BackendRole::Active, 1.0),
+        ready_entry("a1", 0, BackendRole::Active, 1.0),
+        ready_entry("d1", 0, BackendRole::StickyOnly, 1.0),
+        ready_entry("b1", 1, BackendRole::Active, 1.0),
     ];
-    let mut fleet = Fleet::new(list.clone());
-    assert_eq!(keys(&fleet.served(50, "")), ["a1"]);
-    assert_eq!(keys(&fleet.served(10, "r-d1")), ["d1"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(keys(&fleet.served(10, "")), ["b1"], "not even when its tier has nothing else");
+    let mut host = TestHost::new(list.clone());
+    assert_eq!(served_by(&host.serve_requests(50, "")), ["a1"]);
+    assert_eq!(served_by(&host.serve_requests(10, "r-d1")), ["d1"]);
+    host.set_state("a1", BackendState::Draining, None, &list[0].placement);
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["b1"], "not even when its tier has nothing else");
     // Enabled again by a later list.
-    fleet.state("d1", BackendState::Ready, None, &ready("d1", 0, BackendRole::Active, 1.0).placement);
-    assert_eq!(keys(&fleet.served(10, "")), ["d1"]);
+    host.set_state(
+        "d1",
+        BackendState::Ready,
+        None,
+        &ready_entry("d1", 0, BackendRole::Active, 1.0).placement,
+    );
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["d1"]);
 }
 
 #[test]
 fn a_bound_request_goes_home_to_the_successor_to_the_group_then_anywhere() {
     let with = |name: &str, role, redirect: &str, group: &str| {
-        let mut entry = ready(name, 0, role, 1.0);
+        let mut entry = ready_entry(name, 0, role, 1.0);
         (entry.placement.failover_route, entry.placement.failover_group) = (redirect.into(), group.into());
         entry
     };
@@ -267,16 +276,20 @@
         with("a3", BackendRole::Active, "", "west"),
         with("x", BackendRole::StickyOnly, "", ""),
     ];
-    let mut fleet = Fleet::new(list.clone());
-    assert_eq!(keys(&fleet.served(10, "r-a1")), ["a1"]);
-    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(keys(&fleet.served(10, "r-a1")), ["x"], "the successor, though it is disabled otherwise");
-    fleet.state("x", BackendState::Draining, None, &list[3].placement);
-    assert_eq!(keys(&fleet.served(10, "r-a1")), ["a2"], "one of the group");
-    fleet.state("a2", BackendState::Draining, None, &list[1].placement);
-    assert_eq!(keys(&fleet.served(10, "r-a1")), ["a3"], "anywhere");
+    let mut host = TestHost::new(list.clone());
+    assert_eq!(served_by(&host.serve_requests(10, "r-a1")), ["a1"]);
+    host.set_state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(
-        keys(&fleet.served(10, "r-nobody")),
+        served_by(&host.serve_requests(10, "r-a1")),
+        ["x"],
+        "the successor, though it is disabled otherwise"
+    );
+    host.set_state("x", BackendState::Draining, None, &list[3].placement);
+    assert_eq!(served_by(&host.serve_requests(10, "r-a1")), ["a2"], "one of the group");
+    host.set_state("a2", BackendState::Draining, None, &list[1].placement);
+    assert_eq!(served_by(&host.serve_requests(10, "r-a1")), ["a3"], "anywhere");
+    assert_eq!(
+        served_by(&host.serve_requests(10, "r-nobody")),
         ["a3"],
         "a route that the list does not know binds nothing"
     );
@@ -286,65 +299,68 @@
 fn a_strict_binding_is_refused_rather_than_broken() {
     let mut settings = open_settings(2, 0);
     settings.routing.strict_affinity = true;
-    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
-    let mut fleet = Fleet::with(settings, 3, list.clone());
-    fleet.state("a1", BackendState::Draining, None, &list[0].placement);
-    let (to, id) = fleet.ask("r-a1");
+    let list =
+        vec![ready_entry("a1", 0, BackendRole::Active, 1.0), ready_entry("a2", 0, BackendRole::Active, 1.0)];
+    let mut host = TestHost::with(settings, 3, list.clone());
+    host.set_state("a1", BackendState::Draining, None, &list[0].placement);
+    let (to, id) = host.request("r-a1");
     assert_eq!(to, None);
-    let did = fleet.door.pass(900.0, &[id]);
-    assert!(refused(&did, id), "{did:?}");
-    assert_eq!(keys(&fleet.served(5, "r-nobody")), ["a2"]);
+    let actions = host.gateway.advance(900.0, &[id]);
+    assert!(is_rejected(&actions, id), "{actions:?}");
+    assert_eq!(served_by(&host.serve_requests(5, "r-nobody")), ["a2"]);
 }
 
 #[test]
 fn a_backend_whose_start_nobody_tells_counts_as_cold_after_it_refused_connections() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
-    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
-    let mut fleet = Fleet::with(settings, 3, list);
-    fleet.fail("a1");
-    fleet.door.now += 1000.0;
-    let went = fleet.served(1000, "");
-    let share = went.get("a1").copied().unwrap_or(0) as f64 / 1000.0;
-    assert!((0.03..0.25).contains(&share), "{went:?}");
-    fleet.door.now += 20_000.0;
-    let went = fleet.served(1000, "");
-    assert!(went["a1"] > 400, "{went:?}");
+    let list =
+        vec![ready_entry("a1", 0, BackendRole::Active, 1.0), ready_entry("a2", 0, BackendRole::Active, 1.0)];
+    let mut host = TestHost::with(settings, 3, list);
+    host.refuse_connections("a1");
+    host.gateway.now += 1000.0;
+    let served = host.serve_requests(1000, "");
+    let share = served.get("a1").copied().unwrap_or(0) as f64 / 1000.0;
+    assert!((0.03..0.25).contains(&share), "{served:?}");
+    host.gateway.now += 20_000.0;
+    let served = host.serve_requests(1000, "");
+    assert!(served["a1"] > 400, "{served:?}");
 }
 
 #[test]
 fn a_backend_that_was_away_for_long_is_as_cold_as_one_that_was_away_for_a_moment() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
-    let list = vec![ready("a1", 0, BackendRole::Active, 1.0), ready("a2", 0, BackendRole::Active, 1.0)];
-    let mut fleet = Fleet::with(settings, 3, list);
+    let list =
+        vec![ready_entry("a1", 0, BackendRole::Active, 1.0), ready_entry("a2", 0, BackendRole::Active, 1.0)];
+    let mut host = TestHost::with(settings, 3, list);
     // Each refusal has it left alone for longer, in the end for longer than a cold backend takes to warm.
     for _ in 0..60 {
-        fleet.fail("a1");
-        fleet.door.now += 25_000.0;
+        host.refuse_connections("a1");
+        host.gateway.now += 25_000.0;
     }
-    let went = fleet.served(1000, "");
-    let share = went.get("a1").copied().unwrap_or(0) as f64 / 1000.0;
-    assert!(share < 0.25, "{went:?}");
+    let served = host.serve_requests(1000, "");
+    let share = served.get("a1").copied().unwrap_or(0) as f64 / 1000.0;
+    assert!(share < 0.25, "{served:?}");
 }
 
 /// The largest difference between a backend's share and its weight's, as a part of the latter.
-fn spread_error(gateways: u32, each: usize, balance: LoadBalancing, weights: &[f64]) -> f64 {
+fn weight_error(gateways: u32, each: usize, balance: LoadBalancing, weights: &[f64]) -> f64 {
     let list: Vec<_> = weights
         .iter()
         .enumerate()
-        .map(|(at, w)| ready(&format!("n{at:02}"), 0, BackendRole::Active, *w))
+        .map(|(at, w)| ready_entry(&format!("n{at:02}"), 0, BackendRole::Active, *w))
         .collect();
-    let mut went: BTreeMap<String, usize> = BTreeMap::new();
+    let mut served: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..gateways {
         let mut settings = open_settings(gateways, number);
         settings.routing.load_balancing = balance;
-        let mut fleet = Fleet::with(settings, 1000 + u64::from(number), list.clone());
-        fleet.served(each, "").into_iter().for_each(|(n, c)| *went.entry(n).or_default() += c);
+        let mut host = TestHost::with(settings, 1000 + u64::from(number), list.clone());
+        host.serve_requests(each, "").into_iter().for_each(|(n, c)| *served.entry(n).or_default() += c);
     }
     let (total, whole) = (weights.iter().sum::<f64>(), f64::from(gateways) * each as f64);
     let error = |(at, w): (usize, &f64)| {
-        let got = went.get(&format!("n{at:02}")).copied().unwrap_or(0) as f64 / whole;
+        let got = served.get(&format!("n{at:02}")).copied().unwrap_or(0) as f64 / whole;
         (got / (w / total) - 1.0).abs()
     };
     weights.iter().enumerate().map(error).fold(0.0, f64::max)
@@ -357,25 +373,30 @@
     for (gateways, each, most) in [(2, 2000, 0.03), (20, 4000, 0.10), (500, 200, 0.10)] {
         for (name, weights) in [("even steps", &weights[..]), ("one heavy", &heavy[..])] {
             for balance in [LoadBalancing::LeastInFlight, LoadBalancing::WeightedRoundRobin] {
-                let error = spread_error(gateways, each, balance, weights);
+                let error = weight_error(gateways, each, balance, weights);
                 println!("{gateways} gateways, {name}, {balance:?}: {:.2}%", error * 100.0);
                 assert!(error < most, "{gateways} gateways, {name}, {balance:?}: {error}");
             }
         }
     }
-    assert!(spread_error(2, 2000, LoadBalancing::WeightedLeastInFlight, &weights) < 0.03);
+    assert!(weight_error(2, 2000, LoadBalancing::WeightedLeastInFlight, &weights) < 0.03);
 }
 
 #[test]
 fn busyness_counts_what_is_out_beside_the_weight() {
     let mut settings = open_settings(1, 0);
     settings.routing.load_balancing = LoadBalancing::WeightedLeastInFlight;
-    let list = vec![ready("a1", 0, BackendRole::Active, 2.0), ready("a2", 0, BackendRole::Active, 1.0)];
-    let mut fleet = Fleet::with(settings, 3, list);
-    let mut went: BTreeMap<String, usize> = BTreeMap::new();
+    let list =
+        vec![ready_entry("a1", 0, BackendRole::Active, 2.0), ready_entry("a2", 0, BackendRole::Active, 1.0)];
+    let mut host = TestHost::with(settings, 3, list);
+    let mut served: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..6 {
-        let (to, _) = fleet.ask("");
-        *went.entry(to.expect("room").to_string()).or_default() += 1;
+        let (to, _) = host.request("");
+        *served.entry(to.expect("room").to_string()).or_default() += 1;
     }
-    assert_eq!((went["a1"], went["a2"]), (4, 2), "none answered yet: twice the weight holds twice as many");
+    assert_eq!(
+        (served["a1"], served["a2"]),
+        (4, 2),
+        "none answered yet: twice the weight holds twice as many"
+    );
 }
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -7,37 +7,41 @@
 
 /// Several gateways on one counter that answers at once.
 struct Fleet {
-    doors: Vec<Door>,
-    counts: HashMap<u64, f64>,
+    gateways: Vec<TestGateway>,
+    counters: HashMap<u64, f64>,
 }
 
 impl Fleet {
     fn new(count: u32) -> Self {
-        let door = |number| {
+        let gateway = |number| {
             let settings = Settings {
                 gateway_count: count,
                 gateway_index: number,
                 responses_report_units: true,
                 ..settings()
             };
-            Door::seeded(settings, u64::from(number) + 11, &["a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"])
+            TestGateway::seeded(
+                settings,
+                u64::from(number) + 11,
+                &["a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4"],
+            )
         };
-        Self { doors: (0..count).map(door).collect(), counts: HashMap::new() }
+        Self { gateways: (0..count).map(gateway).collect(), counters: HashMap::new() }
     }
 
     /// Carries out counter calls and serves what was sent at once; answers how many requests were sent on.
-    fn settle(&mut self, at: usize, mut did: Vec<Action>) -> usize {
+    fn execute(&mut self, at: usize, mut actions: Vec<Action>) -> usize {
         let mut sent = 0;
-        while let Some(action) = did.pop() {
+        while let Some(action) = actions.pop() {
             match action {
                 Action::AddToCounter { counter: name, amount, .. } => {
-                    let total = self.counts.entry(name).or_default();
+                    let total = self.counters.entry(name).or_default();
                     *total += amount;
-                    did.extend(self.doors[at].total(name, *total));
+                    actions.extend(self.gateways[at].answer_counter(name, *total));
                 }
                 Action::SendAttempt { id, backend, .. } => {
                     sent += 1;
-                    did.extend(self.doors[at].answer(id, &backend, 1.0));
+                    actions.extend(self.gateways[at].serve(id, &backend, 1.0));
                 }
                 _ => {}
             }
@@ -45,23 +49,23 @@
         sent
     }
 
-    fn pass(&mut self, span: Millis) {
-        for at in 0..self.doors.len() {
-            self.doors[at].now += span;
-            let did = self.doors[at].tell(Event::TimerExpired { token: 1 });
-            self.settle(at, did);
+    fn advance(&mut self, span: Millis) {
+        for at in 0..self.gateways.len() {
+            self.gateways[at].now += span;
+            let actions = self.gateways[at].handle(Event::TimerExpired { token: 1 });
+            self.execute(at, actions);
         }
     }
 
-    fn ask(&mut self, at: usize, id: RequestId, plan: &str) -> usize {
-        let spread = self.doors.len() as u32;
-        let did = self.doors[at].ask_of(id, "c", plan, "safe", false, spread);
-        self.settle(at, did)
+    fn request(&mut self, at: usize, id: RequestId, plan: &str) -> usize {
+        let gateway_count = self.gateways.len() as u32;
+        let actions = self.gateways[at].request_through(id, "c", plan, "safe", false, gateway_count);
+        self.execute(at, actions)
     }
 
     fn change(&mut self, change: &dyn Fn(&mut Settings)) {
-        let count = self.doors.len() as u32;
-        for at in 0..self.doors.len() {
+        let count = self.gateways.len() as u32;
+        for at in 0..self.gateways.len() {
             let mut next = Settings {
                 gateway_count: count,
                 gateway_index: at as u32,
@@ -69,21 +73,21 @@
                 ..settings()
             };
             change(&mut next);
-            let did = self.doors[at].tell(Event::SettingsChanged(Box::new(next)));
-            self.settle(at, did);
+            let actions = self.gateways[at].handle(Event::SettingsChanged(Box::new(next)));
+            self.execute(at, actions);
         }
     }
 }
 
 /// A store that fills: how low it has been.
-struct Store {
+struct ReferenceBucket {
     held: f64,
     most: f64,
     rate: f64,
     lowest: f64,
 }
 
-impl Store {
+impl ReferenceBucket {
     fn new(most: f64, rate: f64) -> Self {
         Self { held: most, most, rate, lowest: most }
     }
@@ -101,8 +105,8 @@
         let plan = settings().plans[index].clone();
         let (factor, mut id, mut sent_in_all) = (3.0, 0, 0);
         // The larger figures: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
-        let mut quota = Store::new(2.0 * plan.burst * factor, plan.rate * factor);
-        let mut ceiling = Store::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
+        let mut quota = ReferenceBucket::new(2.0 * plan.burst * factor, plan.rate * factor);
+        let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
         for step in 0..2000 {
             if step % 20 == 0 {
                 let times = if step % 40 == 0 { factor } else { 1.0 };
@@ -114,11 +118,11 @@
                         (plan.ceiling_rate * times, plan.ceiling_burst * times);
                 });
             }
-            fleet.pass(10.0);
+            fleet.advance(10.0);
             let mut sent = 0;
             for at in 0..3 {
                 id += 1;
-                sent += fleet.ask(at, id, name);
+                sent += fleet.request(at, id, name);
             }
             sent_in_all += sent;
             quota.step(10.0, sent);
@@ -139,7 +143,7 @@
 fn a_raised_plan_grants_more_at_once_and_a_lowered_one_takes_blocks_back() {
     let mut fleet = Fleet::new(2);
     let granted = |fleet: &mut Fleet, from: u64| {
-        (0..60).map(|n| fleet.ask(n % 2, from + n as u64, "plain")).sum::<usize>()
+        (0..60).map(|n| fleet.request(n % 2, from + n as u64, "plain")).sum::<usize>()
     };
     assert_eq!(granted(&mut fleet, 100), 10);
     fleet.change(&|s| s.plans[0].burst = 30.0);
@@ -148,97 +152,97 @@
     assert!((14..=20).contains(&more), "{more} of the 20 more");
     // A block in hand, then a plan of a fifth: what is left of it is not spent.
     let mut fleet = Fleet::new(2);
-    assert_eq!(fleet.ask(0, 1, "plain"), 1);
-    assert!(fleet.doors[0].gateway.customers().any(|c| c.leased_units >= 4.0));
+    assert_eq!(fleet.request(0, 1, "plain"), 1);
+    assert!(fleet.gateways[0].decisions.customers().any(|c| c.leased_units >= 4.0));
     fleet.change(&|s| s.plans[0].burst = 2.0);
-    assert!(fleet.doors[0].gateway.customers().all(|c| c.leased_units == 0.0));
+    assert!(fleet.gateways[0].decisions.customers().all(|c| c.leased_units == 0.0));
     let rest = granted(&mut fleet, 300);
     assert!(rest <= 2, "{rest} after one of two was used");
 }
 
 #[test]
 fn what_is_out_ends_under_a_class_and_plan_that_are_gone() {
-    let mut door = Door::new(settings(), &["a1", "b1"]);
-    let backend = door.served(1, "c", "plain", "unsafe");
-    let backend_2 = door.served(2, "d", "capped", "safe");
+    let mut gateway = TestGateway::new(settings(), &["a1", "b1"]);
+    let backend = gateway.forward(1, "c", "plain", "unsafe");
+    let backend_2 = gateway.forward(2, "d", "capped", "safe");
     for _ in 0..3 {
         let mut next = settings();
         next.classes.retain(|c| &*c.name != "unsafe");
         next.plans.retain(|p| &*p.name != "plain");
-        door.tell(Event::SettingsChanged(Box::new(next)));
+        gateway.handle(Event::SettingsChanged(Box::new(next)));
     }
-    assert!(refused(&door.ask(3, "c", "plain", "safe"), 3), "the plan is gone for what comes");
-    assert!(refused(&door.ask(4, "d", "capped", "unsafe"), 4), "and so is the class");
+    assert!(is_rejected(&gateway.request(3, "c", "plain", "safe"), 3), "the plan is gone for what comes");
+    assert!(is_rejected(&gateway.request(4, "d", "capped", "unsafe"), 4), "and so is the class");
     // It may have run: never again, and no refusal.
-    assert!(failed(&door.end(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
-    door.answer(2, &backend_2, 1.0);
+    assert!(is_failed(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
+    gateway.serve(2, &backend_2, 1.0);
     assert_eq!(
-        door.gateway.customers().find(|c| &*c.name == "d").map(|c| c.plan.to_string()).as_deref(),
+        gateway.decisions.customers().find(|c| &*c.name == "d").map(|c| c.plan.to_string()).as_deref(),
         Some("capped")
     );
 }
 
 #[test]
 fn settings_that_cannot_be_used_change_nothing() {
-    let mut door = Door::new(settings(), &["a1"]);
+    let mut gateway = TestGateway::new(settings(), &["a1"]);
     for next in [Settings { gateway_index: 1, ..settings() }, Settings { classes: Vec::new(), ..settings() }]
     {
-        let did = door.tell(Event::SettingsChanged(Box::new(next)));
-        assert!(matches!(&did[..], [Action::Log(line)] if line.contains("refused")), "{did:?}");
+        let actions = gateway.handle(Event::SettingsChanged(Box::new(next)));
+        assert!(matches!(&actions[..], [Action::Log(line)] if line.contains("refused")), "{actions:?}");
     }
-    door.served(1, "c", "plain", "safe");
+    gateway.forward(1, "c", "plain", "safe");
 }
 
 #[test]
 fn one_that_leaves_gives_back_what_it_did_not_use() {
     let mut fleet = Fleet::new(2);
-    assert_eq!(fleet.ask(0, 1, "plain"), 1);
-    let held: f64 = fleet.counts.values().sum();
+    assert_eq!(fleet.request(0, 1, "plain"), 1);
+    let held: f64 = fleet.counters.values().sum();
     assert_eq!(held, 5.0, "its even part of the burst");
-    let did = fleet.doors[0].tell(Event::ShutdownStarted);
-    fleet.settle(0, did);
-    assert_eq!(fleet.counts.values().sum::<f64>(), 1.0, "what was used stays counted");
+    let actions = fleet.gateways[0].handle(Event::ShutdownStarted);
+    fleet.execute(0, actions);
+    assert_eq!(fleet.counters.values().sum::<f64>(), 1.0, "what was used stays counted");
     // What still comes is paid one by one, and nothing stays in hand.
-    assert_eq!(fleet.ask(0, 2, "plain"), 1);
-    assert!(fleet.doors[0].gateway.customers().all(|c| c.leased_units == 0.0));
+    assert_eq!(fleet.request(0, 2, "plain"), 1);
+    assert!(fleet.gateways[0].decisions.customers().all(|c| c.leased_units == 0.0));
     // The other gateway can use all the rest.
-    let rest: usize = (10..40).map(|id| fleet.ask(1, id, "plain")).sum();
+    let rest: usize = (10..40).map(|id| fleet.request(1, id, "plain")).sum();
     assert_eq!(rest, 8);
 }
 
 #[test]
 fn more_gateways_in_a_silence_share_what_is_left_of_the_slices() {
-    let mut door = Door::new(settings(), &["a1", "a2", "b1", "b2"]);
-    let spend = |door: &mut Door, from: u64, spread| {
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2"]);
+    let spend = |gateway: &mut TestGateway, from: u64, gateway_count| {
         (from..from + 20)
             .filter(|id| {
-                let did = door.ask_of(*id, "c", "plain", "safe", false, spread);
-                let did = match count(&did) {
+                let actions = gateway.request_through(*id, "c", "plain", "safe", false, gateway_count);
+                let actions = match first_counter_call(&actions) {
                     Some((name, _)) => {
-                        let mut did = door.tell(Event::CounterCallEnded {
+                        let mut actions = gateway.handle(Event::CounterCallEnded {
                             counter: name,
                             outcome: CounterOutcome::Unknown,
                             latency: 50.0,
                         });
-                        door.now += 51.0;
-                        did.extend(door.tell(Event::TimerExpired { token: 1 }));
-                        did
+                        gateway.now += 51.0;
+                        actions.extend(gateway.handle(Event::TimerExpired { token: 1 }));
+                        actions
                     }
-                    None => did,
+                    None => actions,
                 };
-                if let Some((id, backend)) = sent(&did) {
-                    door.answer(id, &backend, 1.0);
+                if let Some((id, backend)) = first_attempt(&actions) {
+                    gateway.serve(id, &backend, 1.0);
                 }
-                sends(&did) > 0
+                count_attempts(&actions) > 0
             })
             .count()
     };
-    let first = spend(&mut door, 1, 2);
+    let first = spend(&mut gateway, 1, 2);
     assert!((4..=8).contains(&first), "{first}: half of ten, and what the rate adds");
     let mut next = settings();
     next.gateway_count = 10;
-    door.tell(Event::SettingsChanged(Box::new(next)));
-    let more = spend(&mut door, 100, 10);
+    gateway.handle(Event::SettingsChanged(Box::new(next)));
+    let more = spend(&mut gateway, 100, 10);
     assert!(more <= 1, "{more} more after the fleet grew: a slice was granted anew");
 }
 
@@ -248,22 +252,22 @@
 fn a_counter_that_is_emptied_at_a_reload_does_not_pass_a_ceiling() {
     let mut fleet = Fleet::new(3);
     let plan = settings().plans[1].clone();
-    let mut ceiling = Store::new(plan.ceiling_burst * 2.0, plan.ceiling_rate * 2.0);
+    let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * 2.0, plan.ceiling_rate * 2.0);
     let (mut id, mut after) = (0, 0);
     for step in 0..1000 {
         if step == 100 {
-            fleet.counts.clear();
+            fleet.counters.clear();
             fleet.change(&|settings| {
                 let plan = &mut settings.plans[1];
                 (plan.rate, plan.burst) = (plan.rate * 2.0, plan.burst * 1.5);
                 (plan.ceiling_rate, plan.ceiling_burst) = (plan.ceiling_rate * 2.0, plan.ceiling_burst * 2.0);
             });
         }
-        fleet.pass(10.0);
+        fleet.advance(10.0);
         let mut sent = 0;
         for at in 0..3 {
             id += 1;
-            sent += fleet.ask(at, id, "ceiling");
+            sent += fleet.request(at, id, "ceiling");
         }
         ceiling.step(10.0, sent);
         after += if step >= 100 { sent } else { 0 };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -8,9 +8,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-struct Chance(u64);
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -23,7 +23,7 @@
 
 /// What a fleet is played through.
 #[derive(Clone, Copy, Debug)]
-struct Play {
+struct Scenario {
     gateways: u32,
     backends: usize,
     /// The load beside what warm backends can do, and by how much it rises for two seconds in the middle.
@@ -33,11 +33,11 @@
     replaced: f64,
     step: Millis,
     /// This share of the attempts breaks at once.
-    breaks: f64,
+    lost_share: f64,
     /// This share of the others dies when the first is replaced, and stays listed.
     dead: f64,
     /// The stated time, in ms.
-    fall: Millis,
+    overload_window: Millis,
 }
 
 /// Requests a second that a warm backend does, on so many slots.
@@ -47,7 +47,7 @@
 const FROM: Millis = 4000.0;
 const END: Millis = 16_000.0;
 
-enum Due {
+enum Pending {
     Arrival,
     Timer(u64),
     Ends(AttemptEnd),
@@ -56,7 +56,7 @@
 
 /// One start of a backend, as its sockets see it.
 #[derive(Default)]
-struct Machine {
+struct Instance {
     started: Option<Millis>,
     up: bool,
     /// When each slot is free.
@@ -65,115 +65,120 @@
 }
 
 struct Fleet {
-    play: Play,
+    scenario: Scenario,
     settings: Settings,
     gateways: Vec<Gateway>,
-    machines: BTreeMap<Name, Machine>,
+    instances: BTreeMap<Name, Instance>,
     due: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    what: HashMap<u64, Due>,
+    pending: HashMap<u64, Pending>,
     order: u64,
     now: Millis,
-    chance: Chance,
+    random: Random,
     next: RequestId,
     attempts: HashMap<RequestId, (u32, Millis)>,
     weights: Vec<f64>,
 }
 
 impl Fleet {
-    fn new(play: Play, seed: u64) -> Self {
-        let mut chance = Chance(seed.wrapping_mul(0x9e37_79b9) + 1);
-        let base = Settings { gateway_count: play.gateways, overload_window: play.fall, ..settings() };
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut random = Random(seed.wrapping_mul(0x9e37_79b9) + 1);
+        let base = Settings {
+            gateway_count: scenario.gateways,
+            overload_window: scenario.overload_window,
+            ..settings()
+        };
         let mut plan = base.plans[0].clone();
         plan.rate = 0.0;
         let settings = Settings { plans: vec![plan], has_counter: false, ..base };
-        let gateways = (0..play.gateways).map(|number| {
+        let gateways = (0..scenario.gateways).map(|number| {
             let settings = Settings { gateway_index: number, ..settings.clone() };
             Gateway::new(settings, seed * 1000 + u64::from(number)).expect("usable settings")
         });
         let gateways = gateways.collect::<Vec<_>>();
         // Some see several times the mean.
         let weights =
-            (0..play.gateways).map(|_| if chance.next() < 0.15 { 4.0 } else { 0.4 + chance.next() });
+            (0..scenario.gateways).map(|_| if random.next() < 0.15 { 4.0 } else { 0.4 + random.next() });
         let weights: Vec<f64> = weights.collect();
-        let (machines, due, what) = (BTreeMap::new(), BinaryHeap::new(), HashMap::new());
+        let (instances, due, pending) = (BTreeMap::new(), BinaryHeap::new(), HashMap::new());
         let mut fleet = Self {
-            play,
+            scenario,
             settings,
             gateways,
-            machines,
+            instances,
             due,
-            what,
+            pending,
             order: 0,
             now: 0.0,
-            chance,
+            random,
             next: 0,
             attempts: HashMap::new(),
             weights,
         };
-        for at in 0..play.backends {
+        for at in 0..scenario.backends {
             let slots = vec![0.0; SLOTS];
-            let machine = Machine { up: true, slots, ..Machine::default() };
-            fleet.machines.insert(format!("b{at}").into(), machine);
+            let instance = Instance { up: true, slots, ..Instance::default() };
+            fleet.instances.insert(format!("b{at}").into(), instance);
         }
         for at in 0..fleet.gateways.len() {
-            let list = (0..play.backends).map(|n| backend(&format!("b{n}"), BackendState::Ready, None));
+            let list =
+                (0..scenario.backends).map(|n| backend_entry(&format!("b{n}"), BackendState::Ready, None));
             let list = list.collect();
-            fleet.tell(at, Event::BackendList(list));
+            fleet.handle(at, Event::BackendList(list));
             fleet.arrive(at);
         }
         fleet
     }
 
-    fn later(&mut self, after: Millis, gateway: usize, due: Due) {
+    fn later(&mut self, after: Millis, gateway: usize, due: Pending) {
         self.order += 1;
         self.due.push(Reverse((((self.now + after) * 1000.0) as u64, self.order, gateway)));
-        self.what.insert(self.order, due);
+        self.pending.insert(self.order, due);
     }
 
     fn arrive(&mut self, gateway: usize) {
         let all: f64 = self.weights.iter().sum();
-        let rate = RATE * self.play.backends as f64 * self.play.load * self.weights[gateway] / all;
+        let rate = RATE * self.scenario.backends as f64 * self.scenario.load * self.weights[gateway] / all;
         let middle = self.now > FROM && self.now < FROM + 2000.0;
-        let rate = if middle { rate * self.play.burst } else { rate };
-        let after = self.chance.exp(1000.0 / rate);
-        self.later(after, gateway, Due::Arrival);
+        let rate = if middle { rate * self.scenario.burst } else { rate };
+        let after = self.random.exp(1000.0 / rate);
+        self.later(after, gateway, Pending::Arrival);
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
+    fn handle(&mut self, at: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[at].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SendAttempt { id, backend, .. } => self.sent(at, id, backend),
-                Action::SetTimer { after, token } => self.later(after, at, Due::Timer(token)),
+                Action::SendAttempt { id, backend, .. } => self.attempt_sent(at, id, backend),
+                Action::SetTimer { after, token } => self.later(after, at, Pending::Timer(token)),
                 Action::Reject { id, .. } | Action::Fail { id } => drop(self.attempts.remove(&id)),
                 _ => {}
             }
         }
     }
 
-    fn sent(&mut self, at: usize, id: RequestId, backend: Name) {
+    fn attempt_sent(&mut self, at: usize, id: RequestId, backend: Name) {
         let Some(known) = self.attempts.get_mut(&id) else { return };
         let (attempt, until) = *known;
         known.0 += 1;
-        let breaks = self.chance.next() < self.play.breaks;
-        let work = self.chance.exp(SLOTS as f64 / RATE * 1000.0);
-        let machine = self.machines.get_mut(&backend).expect("a listed one");
-        let (outcome, latency) = if !machine.up {
+        let is_lost = self.random.next() < self.scenario.lost_share;
+        let work = self.random.exp(SLOTS as f64 / RATE * 1000.0);
+        let instance = self.instances.get_mut(&backend).expect("a listed one");
+        let (outcome, latency) = if !instance.up {
             (AttemptOutcome::ConnectFailed, 1.0)
         } else {
-            machine.arrived.push(self.now);
+            instance.arrived.push(self.now);
             let now = self.now;
-            let slot = machine.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots");
+            let slot = instance.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots");
             let begins = slot.max(now);
             let waits = ((begins - now) * RATE / 1000.0) as usize;
-            if breaks {
+            if is_lost {
                 (AttemptOutcome::ConnectionLost, 2.0)
             } else if waits > QUEUE {
                 (AttemptOutcome::Rejected, 1.0)
             } else {
-                let ends = begins + work / warmth_of(machine.started, &self.settings, now);
-                *machine.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots") = ends;
+                let ends = begins + work / slow_start_weight(instance.started, &self.settings, now);
+                *instance.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots") = ends;
                 if ends > until {
                     (AttemptOutcome::TimedOut, until - now)
                 } else {
@@ -192,28 +197,29 @@
             final_response_sent: finished,
             load_report: load,
         };
-        self.later(latency.max(0.1), at, Due::Ends(end));
+        self.later(latency.max(0.1), at, Pending::Ends(end));
     }
 
     /// Ends a backend, and starts another under a new name; the gateways hear of it within 400 ms.
     fn replace(&mut self, old: &str, new: &str) {
-        self.machines.get_mut(old).expect("it runs").up = false;
+        self.instances.get_mut(old).expect("it runs").up = false;
         let (slots, started) = (vec![self.now; SLOTS], Some(self.now));
-        self.machines.insert(new.into(), Machine { started, up: true, slots, ..Machine::default() });
+        self.instances.insert(new.into(), Instance { started, up: true, slots, ..Instance::default() });
         for at in 0..self.gateways.len() {
-            let after = 20.0 + 380.0 * self.chance.next();
-            let gone = backend(old, BackendState::Removed, None);
-            let came = backend(new, BackendState::Ready, started);
-            self.later(after, at, Due::List(vec![gone, came]));
+            let after = 20.0 + 380.0 * self.random.next();
+            let gone = backend_entry(old, BackendState::Removed, None);
+            let came = backend_entry(new, BackendState::Ready, started);
+            self.later(after, at, Pending::List(vec![gone, came]));
         }
     }
 
     /// Plays to the end: for each start, the worst count in the stated time beside its bound.
     fn run(mut self) -> Vec<(f64, f64)> {
-        let replaced = (self.play.backends as f64 * self.play.replaced).round() as usize;
-        let mut steps = (0..replaced).map(|n| (FROM + self.play.step * n as f64, n)).collect::<Vec<_>>();
+        let replaced = (self.scenario.backends as f64 * self.scenario.replaced).round() as usize;
+        let mut steps = (0..replaced).map(|n| (FROM + self.scenario.step * n as f64, n)).collect::<Vec<_>>();
         steps.reverse();
-        let dead = (replaced..self.play.backends).take((self.play.backends as f64 * self.play.dead) as usize);
+        let dead = (replaced..self.scenario.backends)
+            .take((self.scenario.backends as f64 * self.scenario.dead) as usize);
         let mut dead = dead.collect::<Vec<_>>();
         while let Some(Reverse((at, order, gateway))) = self.due.pop() {
             self.now = at as f64 / 1000.0;
@@ -222,19 +228,19 @@
             }
             if self.now > FROM {
                 dead.drain(..)
-                    .for_each(|n| self.machines.get_mut(&*format!("b{n}")).expect("it runs").up = false);
+                    .for_each(|n| self.instances.get_mut(&*format!("b{n}")).expect("it runs").up = false);
             }
             if self.now > END {
                 break;
             }
-            match self.what.remove(&order).expect("it was set") {
-                Due::Arrival => {
+            match self.pending.remove(&order).expect("it was set") {
+                Pending::Arrival => {
                     self.next += 1;
-                    let (id, patience) = (self.next, 2500.0);
-                    self.attempts.insert(id, (0, self.now + patience));
+                    let (id, timeout) = (self.next, 2500.0);
+                    self.attempts.insert(id, (0, self.now + timeout));
                     let (customer, plan) = ("c".into(), self.settings.plans[0].name.clone());
                     let (class, bound) = ("safe".into(), Name::default());
-                    self.tell(
+                    self.handle(
                         gateway,
                         Event::RequestReceived(IncomingRequest {
                             id,
@@ -243,28 +249,28 @@
                             class,
                             units: 1.0,
                             client_retry: false,
-                            timeout: patience,
+                            timeout,
                             first_gateway: 0,
-                            gateway_count: self.play.gateways,
+                            gateway_count: self.scenario.gateways,
                             sticky_route: bound,
                         }),
                     );
                     self.arrive(gateway);
                 }
-                Due::Timer(token) => self.tell(gateway, Event::TimerExpired { token }),
-                Due::Ends(end) => self.tell(gateway, Event::AttemptEnded(end)),
-                Due::List(list) => self.tell(gateway, Event::BackendChanges(list)),
+                Pending::Timer(token) => self.handle(gateway, Event::TimerExpired { token }),
+                Pending::Ends(end) => self.handle(gateway, Event::AttemptEnded(end)),
+                Pending::List(list) => self.handle(gateway, Event::BackendChanges(list)),
             }
         }
         let settings = &self.settings;
-        let starts = self.machines.values().filter(|m| m.started.is_some());
-        let worst = starts.map(|machine| {
-            let arrived = &machine.arrived;
+        let starts = self.instances.values().filter(|m| m.started.is_some());
+        let worst = starts.map(|instance| {
+            let arrived = &instance.arrived;
             let windows = arrived.iter().enumerate().map(|(at, from)| {
                 let count =
                     arrived[at..].iter().take_while(|t| **t < from + settings.overload_window).count();
-                let warmth = warmth_of(machine.started, settings, *from);
-                let budget = settings.overload_multiple * warmth * RATE * settings.overload_window / 1000.0;
+                let weight = slow_start_weight(instance.started, settings, *from);
+                let budget = settings.overload_multiple * weight * RATE * settings.overload_window / 1000.0;
                 (count as f64, budget + 2.0 * budget.sqrt() + 2.0)
             });
             windows.max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1))).unwrap_or((0.0, 1.0))
@@ -274,15 +280,15 @@
 }
 
 /// The share of its capacity that a start has.
-fn warmth_of(started: Option<Millis>, settings: &Settings, now: Millis) -> f64 {
+fn slow_start_weight(started: Option<Millis>, settings: &Settings, now: Millis) -> f64 {
     let age = started.map_or(1.0, |from| ((now - from) / settings.slow_start_duration).clamp(0.0, 1.0));
     settings.slow_start_share + (1.0 - settings.slow_start_share) * age
 }
 
-fn plays() -> Vec<Play> {
-    let mut plays = Vec::new();
+fn scenarios() -> Vec<Scenario> {
+    let mut scenarios = Vec::new();
     for gateways in [2, 20, 30] {
-        for (load, burst, replaced, step, breaks) in [
+        for (load, burst, replaced, step, lost_share) in [
             (0.6, 1.0, 0.5, 500.0, 0.0),
             (0.95, 1.5, 0.5, 300.0, 0.0),
             (0.6, 1.5, 0.34, 0.0, 0.0),
@@ -292,39 +298,60 @@
             (1.6, 1.0, 0.5, 300.0, 0.1),
         ] {
             let (backends, dead) = (10, 0.0);
-            for fall in [1000.0, 3000.0] {
-                plays.push(Play { gateways, backends, load, burst, replaced, step, breaks, dead, fall });
+            for overload_window in [1000.0, 3000.0] {
+                scenarios.push(Scenario {
+                    gateways,
+                    backends,
+                    load,
+                    burst,
+                    replaced,
+                    step,
+                    lost_share,
+                    dead,
+                    overload_window,
+                });
             }
         }
-        let (backends, load, burst, replaced, step, breaks) = (10, 0.4, 1.5, 0.3, 0.0, 0.0);
-        plays.push(Play { gateways, backends, load, burst, replaced, step, breaks, dead: 0.6, fall: 1000.0 });
+        let (backends, load, burst, replaced, step, lost_share) = (10, 0.4, 1.5, 0.3, 0.0, 0.0);
+        scenarios.push(Scenario {
+            gateways,
+            backends,
+            load,
+            burst,
+            replaced,
+            step,
+            lost_share,
+            dead: 0.6,
+            overload_window: 1000.0,
+        });
     }
-    plays.push(Play {
+    scenarios.push(Scenario {
         gateways: 300,
         backends: 100,
         load: 0.7,
         burst: 1.5,
         replaced: 0.34,
         step: 0.0,
-        breaks: 0.05,
+        lost_share: 0.05,
         dead: 0.1,
-        fall: 1000.0,
+        overload_window: 1000.0,
     });
-    plays
+    scenarios
 }
 
 #[test]
 fn no_cold_backend_gets_more_than_its_budget_bears_from_all_gateways_together() {
     let seeds = std::env::var("DOORCOURSE_SEEDS").ok().map_or(1, |s| s.parse().expect("a number"));
     let mut over = Vec::new();
-    for play in plays() {
-        let mut all: Vec<(f64, f64)> = (1..=seeds).flat_map(|seed| Fleet::new(play, seed).run()).collect();
+    for scenario in scenarios() {
+        let mut all: Vec<(f64, f64)> =
+            (1..=seeds).flat_map(|seed| Fleet::new(scenario, seed).run()).collect();
         all.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
         let at = |share: f64| all[((all.len() - 1) as f64 * share) as usize];
         let (median, tail, worst) = (at(0.5), at(0.99), at(1.0));
         let beyond = all.iter().filter(|(count, bound)| count > bound).count();
         eprintln!(
-            "{play:?}: {} starts, median {:.2}, 99 in 100 {:.2}, worst {} of {:.0}, {beyond} beyond",
+            "{scenario:?}: {} starts, median {:.2}, 99 in 100 {:.2}, worst {} of {:.0}, {beyond} beyond",
             all.len(),
             median.0 / median.1,
             tail.0 / tail.1,
@@ -332,7 +359,12 @@
             worst.1
         );
         if beyond > 0 {
-            over.push(format!("{play:?}: {beyond} of {}, worst {} of {:.1}", all.len(), worst.0, worst.1));
+            over.push(format!(
+                "{scenario:?}: {beyond} of {}, worst {} of {:.1}",
+                all.len(),
+                worst.0,
+                worst.1
+            ));
         }
     }
     assert!(over.is_empty(), "{}", over.join("\n"));
