--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -1,6 +1,6 @@
 //! A small fleet played over the simulator's wire in a closed loop: every line in and out must be byte for byte the
 //! recorded one. `DOORCOURSE_RECORD=FILE` writes the transcript instead; a record is made anew only with a change that
-//! is meant to decide otherwise.
+//! is meant to change a decision.
 
 use doorcourse_simulator_adapter::Host;
 use std::collections::{BTreeMap, HashMap};
@@ -40,7 +40,7 @@
     }
 }
 
-/// What stands around the gateways: clients, backends, the counter and the clock.
+/// The environment of the gateways: clients, backends, the counter and the clock.
 struct Fleet {
     random: Random,
     now_ms: u64,
@@ -130,17 +130,17 @@
         let plan = self.random.one_of(&PLANS);
         let class = self.random.one_of(&CLASSES);
         let customer = self.random.below(3);
-        let patience_ms = 300 + self.random.below(1500);
+        let timeout_ms = 300 + self.random.below(1500);
         let again = u64::from(self.random.below(5) == 0);
         let units = 1 + self.random.below(3);
         let gateway = id % GATEWAYS;
         format!(
-            "ORDER\t{gateway}\t{id}\t{plan}-{customer}\t0\t{patience_ms}.0\t{class}\t{again}\t0\t{GATEWAYS}\t{units}\t{plan}"
+            "ORDER\t{gateway}\t{id}\t{plan}-{customer}\t0\t{timeout_ms}.0\t{class}\t{again}\t0\t{GATEWAYS}\t{units}\t{plan}"
         )
     }
 
-    /// Carries out one line of a gateway's reply.
-    fn carry_out(&mut self, line: &str) {
+    /// Executes one line of a gateway's reply.
+    fn execute(&mut self, line: &str) {
         let fields: Vec<&str> = line.split('\t').collect();
         match fields[0] {
             "HAND_OFF" => self.end_attempt(fields[1], fields[2], fields[3]),
@@ -148,7 +148,7 @@
                 let after: f64 = fields[2].parse().expect("a span");
                 self.schedule(after.ceil() as u64, format!("DUE\t{}\t{}", fields[1], fields[3]));
             }
-            "CHARGE_COUNTER" => self.count(fields[1], fields[2], fields[3]),
+            "CHARGE_COUNTER" => self.add_to_counter(fields[1], fields[2], fields[3]),
             "SHARE" => {
                 let from: u64 = fields[1].parse().expect("a gateway");
                 for to in (0..GATEWAYS).filter(|to| *to != from) {
@@ -184,9 +184,9 @@
         self.schedule(latency_ms, line);
     }
 
-    fn count(&mut self, gateway: &str, name: &str, amount: &str) {
-        let silent = self.now_ms % 4000 > 3000;
-        if silent {
+    fn add_to_counter(&mut self, gateway: &str, name: &str, amount: &str) {
+        let is_unavailable = self.now_ms % 4000 > 3000;
+        if is_unavailable {
             return self.schedule(50, format!("TOTAL\t{gateway}\texpired\t{name}\t50.0\t-"));
         }
         let total = self.totals.entry(name.to_owned()).or_default();
@@ -207,14 +207,14 @@
         let output = String::from_utf8(output).expect("text");
         input.lines().for_each(|line| text.push_str(&format!("> {line}\n")));
         output.lines().for_each(|line| text.push_str(&format!("< {line}\n")));
-        output.lines().for_each(|line| fleet.carry_out(line));
+        output.lines().for_each(|line| fleet.execute(line));
         batch = fleet.next_batch();
     }
     text
 }
 
 #[test]
-fn every_line_on_the_simulators_wire_is_as_recorded() {
+fn every_line_on_the_simulators_wire_matches_the_record() {
     let played = transcript();
     if let Some(file) = std::env::var_os("DOORCOURSE_RECORD") {
         std::fs::write(file, &played).expect("written");
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Wire transcripts: what a host answers, and what it says of input that it cannot read.
+//! Wire transcripts: replies to valid input, and the errors that name what is wrong with invalid input.
 
 use doorcourse_simulator_adapter::{Host, HostError};
 
@@ -19,8 +19,8 @@
     format!("START\t{instance}\t7\t{}", SETTINGS.replace('\n', ""))
 }
 
-fn fault(lines: &[&str]) -> String {
-    play(lines).expect_err("a fault").to_string()
+fn error_of(lines: &[&str]) -> String {
+    play(lines).expect_err("an error").to_string()
 }
 
 const LIST: [&str; 2] = ["TABLE\t0\t1", "ENTRY\tbackend.x\tz\tk\t0\tIN\t1\t-"];
@@ -28,12 +28,12 @@
 const ORDER: &str = "ORDER\t3\t55\tc-1\t0\t900.0\tlook\t0\t0\t2\t1\tp";
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_between_batches_is_quiet() {
+fn an_empty_batch_gets_an_empty_reply_and_input_may_end_between_batches() {
     assert_eq!(play(&["BATCH\t8412.25", "YOUR_TURN"]).expect("a reply"), ["READY"]);
 }
 
 #[test]
-fn a_request_is_paid_from_the_counter_and_sent_on() {
+fn a_request_is_admitted_by_the_counter_and_forwarded() {
     let start = start(3);
     let first = play(&["BATCH\t1", &start, LIST[0], LIST[1], NEWS, ORDER, "YOUR_TURN"]).expect("a reply");
     let call = first.iter().find(|l| l.starts_with("CHARGE_COUNTER\t3\t")).expect("a counter call");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_stop_and_a_start_in_one_batch_leave_nothing_of_the_old_life() {
+fn a_gateway_restarted_within_a_batch_keeps_no_state() {
     let start = start(3);
     let script =
         ["BATCH\t1", &start, LIST[0], LIST[1], NEWS, ORDER, "EXIT\t3", &start, "GONE\t3\t55", "YOUR_TURN"];
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_list_number_used_again_stands_for_the_newer_list() {
+fn a_reused_list_number_refers_to_the_newer_list() {
     let start = start(3);
     let newer = "ENTRY\tbackend.y\tz\tk\t0\tIN\t1\t-";
     let script =
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn instances_do_not_share_anything() {
+fn gateways_of_one_host_share_no_state() {
     let (three, four) = (start(3), start(4));
     let other = NEWS.replace("\t3\t", "\t4\t");
     let order = ORDER.replace("\t3\t", "\t4\t");
@@ -84,22 +84,25 @@
 }
 
 #[test]
-fn malformed_input_is_named_by_line_and_fault() {
+fn malformed_input_is_reported_by_line_and_error() {
     let start = start(3);
-    assert_eq!(fault(&["BATCH\tsoon"]), "line 1: clock is not a number: soon");
-    assert_eq!(fault(&["HELLO"]), "line 1: expected a BATCH line: HELLO");
-    assert_eq!(fault(&["BATCH\t1", "DUE\t9\t1"]), "line 2: gateway 9 was never started");
-    assert_eq!(fault(&["BATCH\t1", "EXIT\t9"]), "line 2: gateway 9 was never started");
-    assert_eq!(fault(&["BATCH\t1", "WHAT\t1"]), "line 2: unknown message WHAT");
-    assert_eq!(fault(&["BATCH\t1", &start, "DUE\t3"]), "line 3: tag is missing");
-    assert_eq!(fault(&["BATCH\t1", &start, "DUE\t3\tx"]), "line 3: tag is not a number: x");
-    assert_eq!(fault(&["BATCH\t1", &start, NEWS]), "line 3: no such list of backends");
-    assert_eq!(fault(&["BATCH\t1", "TABLE\t0\t1", "YOUR_TURN"]), "line 3: expected an ENTRY line: YOUR_TURN");
-    assert_eq!(fault(&["BATCH\t1", "START\t1\t2\t{}"]), "line 2: settings name no request class");
+    assert_eq!(error_of(&["BATCH\tsoon"]), "line 1: clock is not a number: soon");
+    assert_eq!(error_of(&["HELLO"]), "line 1: expected a BATCH line: HELLO");
+    assert_eq!(error_of(&["BATCH\t1", "DUE\t9\t1"]), "line 2: gateway 9 was never started");
+    assert_eq!(error_of(&["BATCH\t1", "EXIT\t9"]), "line 2: gateway 9 was never started");
+    assert_eq!(error_of(&["BATCH\t1", "WHAT\t1"]), "line 2: unknown message WHAT");
+    assert_eq!(error_of(&["BATCH\t1", &start, "DUE\t3"]), "line 3: tag is missing");
+    assert_eq!(error_of(&["BATCH\t1", &start, "DUE\t3\tx"]), "line 3: tag is not a number: x");
+    assert_eq!(error_of(&["BATCH\t1", &start, NEWS]), "line 3: no such list of backends");
     assert_eq!(
-        fault(&["BATCH\t1", "START\t1\t2\t{\"classes\":3}"]),
+        error_of(&["BATCH\t1", "TABLE\t0\t1", "YOUR_TURN"]),
+        "line 3: expected an ENTRY line: YOUR_TURN"
+    );
+    assert_eq!(error_of(&["BATCH\t1", "START\t1\t2\t{}"]), "line 2: settings name no request class");
+    assert_eq!(
+        error_of(&["BATCH\t1", "START\t1\t2\t{\"classes\":3}"]),
         "line 2: settings: classes is not a list"
     );
-    assert!(fault(&["BATCH\t1", "START\t1\t2\t{"]).starts_with("line 2: settings: "));
-    assert_eq!(fault(&["BATCH\t1", &start]), "line 2: input ended inside a batch");
+    assert!(error_of(&["BATCH\t1", "START\t1\t2\t{"]).starts_with("line 2: settings: "));
+    assert_eq!(error_of(&["BATCH\t1", &start]), "line 2: input ended inside a batch");
 }
--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -1,11 +1,11 @@
-//! Drains, cold backends, ejection and room.
+//! Draining, slow start, outlier ejection and concurrency limits.
 
 mod common;
 use common::*;
 use doorcourse::*;
 
 #[test]
-fn a_drained_or_gone_backend_gets_nothing_new() {
+fn a_draining_or_removed_backend_is_sent_no_new_request() {
     for state in [BackendState::Draining, BackendState::Removed] {
         let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
         gateway.handle(Event::BackendChanges(vec![backend_entry("a1", state, None)]));
@@ -16,27 +16,31 @@
     }
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     gateway.handle(Event::BackendList(vec![backend_entry("a2", BackendState::Ready, None)]));
-    assert_eq!(&*gateway.forward(1, "c", "plain", "safe"), "a2", "missing from a full list is gone");
+    assert_eq!(
+        &*gateway.forward(1, "c", "plain", "safe"),
+        "a2",
+        "a backend missing from a complete list is removed"
+    );
 }
 
 #[test]
-fn a_cold_backend_gets_less_than_its_present_share_of_what_a_warm_one_gets() {
+fn a_backend_in_slow_start_is_sent_less_than_its_present_share_of_what_a_warm_one_is_sent() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let born = Some(gateway.now);
-    gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, born)]));
-    let mut to_cold = 0;
+    let started = Some(gateway.now);
+    gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, started)]));
+    let mut to_slow_start = 0;
     for id in 1..=100 {
         let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-        to_cold += usize::from(&*at == "a3");
+        to_slow_start += usize::from(&*at == "a3");
         gateway.now += 5.0;
         gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
     }
-    // Two warm ones share the rest: a tenth of it is a fifth of what one of them gets.
-    assert!((1..=10).contains(&to_cold), "{to_cold}");
+    // Two warm backends share the rest: a tenth of it is a fifth of what one of them gets.
+    assert!((1..=10).contains(&to_slow_start), "{to_slow_start}");
 }
 
 #[test]
-fn failures_in_a_row_eject_a_backend_and_an_answer_takes_it_back() {
+fn consecutive_failures_eject_a_backend_and_a_served_request_ends_the_series() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (mut id, mut logs) = (0, Vec::new());
     let mut broken = 0;
@@ -48,7 +52,7 @@
         logs = gateway.end_attempt(id, 0, &at, outcome);
         if outcome == AttemptOutcome::ConnectionLost && broken == 1 {
             let next = gateway.forward(1000, "other", "plain", "unsafe");
-            assert_eq!(&*next, "a2", "after one failure it is left alone for as long as that took");
+            assert_eq!(&*next, "a2", "after one failure it is ejected for as long as that took");
             gateway.end_attempt(1000, 0, &next, AttemptOutcome::Served);
         }
         gateway.now += 150.0;
@@ -65,26 +69,26 @@
         gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         &*at == "a1"
     });
-    assert!(tried, "it is tried again after a while");
+    assert!(tried, "it is tried again after its ejection");
 }
 
 #[test]
-fn what_is_out_is_bounded_and_the_line_is_refused_early() {
+fn requests_in_flight_are_limited_and_a_long_queue_rejects_early() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let (mut out, mut turned_away) = (0, 0);
+    let (mut out, mut rejected) = (0, 0);
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
         let (name, amount) = first_counter_call(&actions).expect("call");
         actions.extend(gateway.answer_counter(name, amount));
         out += count_attempts(&actions);
-        turned_away += usize::from(is_rejected(&actions, id));
+        rejected += usize::from(is_rejected(&actions, id));
     }
     assert!((1..=3).contains(&out), "five for two gateways: {out}");
-    assert!(turned_away > 30, "{turned_away}");
+    assert!(rejected > 30, "{rejected}");
 }
 
 #[test]
-fn an_open_cap_is_shared_by_the_customer_s_gateways() {
+fn an_in_flight_limit_is_split_over_the_customers_gateways() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let at = gateway.forward(1, "c", "capped", "safe");
     assert_eq!(
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_alone_ejects_nobody_and_the_second_in_a_row_does() {
+fn one_lost_connection_does_not_eject_and_the_second_in_a_row_does() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let at = gateway.forward(1, "c1", "plain", "unsafe");
     gateway.end_attempt_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
@@ -110,7 +114,7 @@
     gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
     let at = gateway.forward(3, "c3", "plain", "unsafe");
     gateway.end_attempt_after(10.0, 3, 0, &at, AttemptOutcome::ConnectionLost);
-    assert!(!ejected(&gateway), "an answer between them takes the first back");
+    assert!(!ejected(&gateway), "a served request between them ends the series");
     let at = gateway.forward(4, "c4", "plain", "unsafe");
     gateway.end_attempt_after(10.0, 4, 0, &at, AttemptOutcome::ConnectionLost);
     assert!(ejected(&gateway));
@@ -118,7 +122,7 @@
         let mut gateway = TestGateway::new(settings(), &["a1"]);
         let at = gateway.forward(1, "c1", "plain", "unsafe");
         gateway.end_attempt_after(10.0, 1, 0, &at, outcome);
-        assert!(ejected(&gateway), "{outcome:?} is its own doing");
+        assert!(ejected(&gateway), "{outcome:?} is evidence against the backend");
     }
 }
 
@@ -143,5 +147,5 @@
     let at = gateway.forward(2, "c2", "plain", "keyed");
     gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
     fail(&mut gateway, 3, "keyed");
-    assert!(!ejected(&gateway), "an answer between them takes the first back");
+    assert!(!ejected(&gateway), "a served request between them ends the series");
 }
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -1,22 +1,22 @@
-//! The counter silent, slow or emptied; the ceiling through all of it.
+//! The counter unavailable, slow or emptied; the ceiling holds through all of it.
 
 mod common;
 use common::*;
 use doorcourse::*;
 
-fn silence(gateway: &mut TestGateway, name: u64) -> Vec<Action> {
+fn time_out(gateway: &mut TestGateway, name: u64) -> Vec<Action> {
     gateway.now += 50.0;
     gateway.handle(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 })
 }
 
-/// Offers a request every 20 ms while the counter says nothing; gives how many went on.
-fn spent_in_silence(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
+/// Sends a request every 20 ms while the counter does not answer; returns how many were admitted.
+fn admitted_in_outage(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
     let (mut admitted, mut id, end) = (0, 1_000_000, gateway.now + span);
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, "c", plan, "safe");
         if let Some((name, _)) = first_counter_call(&actions) {
-            actions.extend(silence(gateway, name));
+            actions.extend(time_out(gateway, name));
         }
         if let Some((id, at)) = first_attempt(&actions) {
             admitted += 1;
@@ -27,8 +27,8 @@
     admitted
 }
 
-/// Offers a request under a ceiling while the counter answers with `total`, served at once; gives how many went on.
-fn offer(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
+/// Sends a request under a ceiling while the counter answers with `total`, served at once; returns how many were admitted.
+fn request_under_ceiling(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
     let mut admitted = Vec::new();
     let mut actions = gateway.request(id, "c", "ceiling", "safe");
     loop {
@@ -44,35 +44,35 @@
 }
 
 #[test]
-fn in_silence_a_gateway_spends_its_even_slice_and_no_more() {
+fn during_an_outage_a_gateway_spends_its_even_part_and_no_more() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
-    let admitted = spent_in_silence(&mut gateway, "plain", 10_000.0);
+    let admitted = admitted_in_outage(&mut gateway, "plain", 10_000.0);
     assert!((26..=30).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn the_ceiling_holds_through_a_spent_burst_an_emptied_count_a_restart_and_silence() {
+fn the_ceiling_holds_through_a_spent_burst_an_emptied_counter_a_restart_and_an_outage() {
     // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
-    // the count emptied, takes what it is given, and then the counter falls silent.
+    // the counter emptied, leases what it grants, and then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
     let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
     while gateway.now < start + 2000.0 {
         id += 1;
-        admitted += offer(&mut gateway, id, &mut total) as f64;
+        admitted += request_under_ceiling(&mut gateway, id, &mut total) as f64;
         let ceiling = 16.0 + 8.0 * (gateway.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} on the way");
+        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} before the outage");
         gateway.now += 20.0;
     }
-    // Two gateways in silence: what each may spend is the same slice.
-    admitted += 2.0 * spent_in_silence(&mut gateway, "ceiling", 4000.0) as f64;
+    // Two gateways during the outage: each may spend the same part.
+    admitted += 2.0 * admitted_in_outage(&mut gateway, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
     assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
 }
 
 #[test]
-fn an_emptied_count_is_told_again_what_is_held() {
+fn leases_held_are_reported_again_to_an_emptied_counter() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.answer_counter(name, amount);
@@ -83,14 +83,15 @@
             break;
         }
     }
-    let (name, added) = asked.expect("a further block");
+    let (name, added) = asked.expect("a further lease");
     gateway.answer_counter(name, added);
-    let told = first_counter_call(&gateway.advance(60.0, &[])).expect("the count hears what it forgot");
-    assert!(told.1 >= amount, "{told:?}");
+    let reported =
+        first_counter_call(&gateway.advance(60.0, &[])).expect("a report of what the counter lost");
+    assert!(reported.1 >= amount, "{reported:?}");
 }
 
 #[test]
-fn silence_is_told_once_and_the_counter_is_asked_for_few_requests_only() {
+fn an_outage_is_logged_once_and_the_counter_is_called_for_few_requests_only() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let (mut calls, mut lines, mut id) = (0, 0, 0);
     let end = gateway.now + 5000.0;
@@ -99,7 +100,7 @@
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
         if let Some((name, _)) = first_counter_call(&actions) {
             calls += 1;
-            actions.extend(silence(&mut gateway, name));
+            actions.extend(time_out(&mut gateway, name));
         }
         lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
         if let Some((id, at)) = first_attempt(&actions) {
@@ -108,23 +109,23 @@
         gateway.now += 10.0;
     }
     assert_eq!(lines, 1);
-    assert!(calls >= 3, "who never asks never learns that the counter is back: {calls}");
+    assert!(calls >= 3, "without calls the gateway would not learn that the counter answers again: {calls}");
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
 }
 
 #[test]
-fn a_late_total_of_an_ended_window_grants_nothing() {
+fn a_late_total_of_an_ended_window_grants_no_lease() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.advance(100.0, &[1]);
     gateway.now += 5000.0;
     let actions = gateway.answer_counter(name, amount);
     assert_eq!(count_attempts(&actions), 0);
-    assert_eq!(count_attempts(&gateway.request(2, "c", "plain", "safe")), 0, "no block in hand");
+    assert_eq!(count_attempts(&gateway.request(2, "c", "plain", "safe")), 0, "no lease held");
 }
 
 #[test]
-fn after_a_silence_an_idle_gateway_does_not_take_a_ceiling_s_store_for_full() {
+fn after_an_outage_an_idle_gateway_does_not_assume_a_full_bucket_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let at = gateway.forward(1, "c", "ceiling", "safe");
     gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
@@ -132,25 +133,25 @@
     for id in 2..=3 {
         let (name, _) =
             first_counter_call(&gateway.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
-        silence(&mut gateway, name);
+        time_out(&mut gateway, name);
     }
-    // Three seconds in which the other gateway may spend all; then the counter is back, empty.
+    // For three seconds the other gateway may spend all; then the counter is back, emptied.
     gateway.now += 3000.0;
     let (mut admitted, mut total, mut id) = (0, 0.0, 100);
     for _ in 0..40 {
         id += 1;
-        admitted += offer(&mut gateway, id, &mut total);
+        admitted += request_under_ceiling(&mut gateway, id, &mut total);
     }
     assert!(
         admitted <= 5 && total <= 5.0,
-        "only the own slice of the silence: {admitted} sent, {total} added"
+        "only its own part of the outage: {admitted} admitted, {total} added"
     );
 }
 
-/// A host prices a request before it runs. Under a ceiling that goes by the price, what comes back by the true
-/// units must not be sent on again: the quota has room for it, the ceiling has not.
+/// A host estimates a request's units before it runs. The ceiling counts estimates: what true units would return must
+/// not be spent again, though the quota would allow it.
 #[test]
-fn what_settles_below_its_price_does_not_pass_the_ceiling() {
+fn true_units_below_the_estimate_do_not_exceed_the_ceiling() {
     let mut settings = settings();
     (settings.gateway_count, settings.responses_report_units) = (1, true);
     let plan = settings.plans[1].clone();
@@ -179,7 +180,7 @@
     assert!(lowest > -plan.ceiling_slack, "{:.1} units below the ceiling", -lowest);
 }
 
-fn late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
+fn answer_late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
     let outcome = CounterOutcome::Late { added: true, total };
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
@@ -189,46 +190,55 @@
 }
 
 #[test]
-fn a_total_that_comes_late_grants_its_block_late() {
+fn a_late_total_grants_its_lease() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
-    assert_eq!(block, 5.0, "the burst over the gateways");
+    let (name, lease_units) =
+        first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
+    assert_eq!(lease_units, 5.0, "the burst over the gateways");
     gateway.handle(Event::CounterCallEnded {
         counter: name,
         outcome: CounterOutcome::Unknown,
         latency: 50.0,
     });
-    // One was spent from the slice in the meantime: it is told with the next call.
+    // One unit was spent from the fallback budget in the meantime: it is reported with the next call.
     assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, 1.0));
-    late(&mut gateway, name, Some(block));
+    answer_late(&mut gateway, name, Some(lease_units));
     assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (5.0, 1.0));
-    assert!(first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(), "it is spent as any other");
+    assert!(
+        first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(),
+        "the lease is spent as any other"
+    );
     assert_eq!(one(&gateway).leased_units, 4.0);
-    // A word of a call that nobody made, or a second one, changes nothing.
-    late(&mut gateway, name, Some(99.0));
+    // The result of an unknown call, or a second result, changes nothing.
+    answer_late(&mut gateway, name, Some(99.0));
     assert_eq!(one(&gateway).leased_units, 4.0);
 }
 
 #[test]
-fn what_was_added_without_a_total_goes_back() {
+fn a_lease_added_late_without_a_total_is_returned() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    let (name, lease_units) =
+        first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
     gateway.handle(Event::CounterCallEnded {
         counter: name,
         outcome: CounterOutcome::Unknown,
         latency: 50.0,
     });
-    late(&mut gateway, name, None);
-    let owed = 1.0 - block;
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, owed));
+    answer_late(&mut gateway, name, None);
+    let unreported = 1.0 - lease_units;
+    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, unreported));
     let actions = gateway.advance(25.0, &[]);
-    assert_eq!(first_counter_call(&actions), Some((name, block + owed)), "with the next block, at once");
+    assert_eq!(
+        first_counter_call(&actions),
+        Some((name, lease_units + unreported)),
+        "with the next lease, at once"
+    );
 }
 
 #[test]
-fn a_call_that_was_turned_away_late_was_never_made() {
+fn a_call_that_is_known_late_as_not_added_changes_nothing() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, _) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
+    let (name, _) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
     gateway.handle(Event::CounterCallEnded {
         counter: name,
         outcome: CounterOutcome::Unknown,
@@ -241,8 +251,8 @@
 }
 
 #[test]
-fn a_counter_that_answers_late_costs_no_quota() {
-    // Each answer comes after its time-out, for as long as three turns: what is let in follows the rate all the same.
+fn late_answers_of_the_counter_cost_no_quota() {
+    // Each answer comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
     let (mut gateway, mut totals) =
         (TestGateway::new(settings(), &["a1", "a2"]), std::collections::BTreeMap::new());
     let (mut served, mut waiting) = (0, Vec::new());
@@ -250,7 +260,7 @@
         let mut actions = gateway.request(id, "c", "plain", "safe");
         actions.extend(gateway.advance(20.0, &[]));
         for (name, total) in std::mem::take(&mut waiting) {
-            actions.extend(late(&mut gateway, name, Some(total)));
+            actions.extend(answer_late(&mut gateway, name, Some(total)));
         }
         while let Some((name, amount)) = first_counter_call(&actions) {
             let total: &mut f64 = totals.entry(name).or_default();
@@ -273,11 +283,12 @@
 }
 
 #[test]
-fn what_others_used_in_a_silence_is_paid_by_what_came_in_then() {
-    // A customer that uses its rate, at this gateway and at another, through a silence of four turns.
+fn use_of_others_in_an_outage_is_paid_by_the_overflow_of_the_outage() {
+    // A customer that uses its rate, at this gateway and at another, through an outage of four refill periods.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
-    gateway.answer_counter(name, block);
+    let (name, lease_units) =
+        first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
+    gateway.answer_counter(name, lease_units);
     let mut id = 1;
     for _ in 0..80 {
         id += 1;
@@ -295,7 +306,7 @@
         }
     }
     assert!(gateway.decisions.is_counter_silent());
-    // The counter is back: the other gateway has just told 18 units, 2.25 a second for 8 s.
+    // The counter is back: the other gateway has just reported 18 units, 2.25 a second for 8 s.
     let (mut actions, mut total) = (gateway.request(id + 1, "c", "plain", "safe"), 18.0);
     for _ in 0..6 {
         if let Some((name, amount)) = first_counter_call(&actions) {
@@ -310,10 +321,11 @@
 }
 
 #[test]
-fn a_burst_that_others_use_without_a_silence_is_debited_whole() {
+fn a_burst_that_others_use_without_an_outage_is_debited_completely() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (name, block) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first block");
-    gateway.answer_counter(name, block);
+    let (name, lease_units) =
+        first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
+    gateway.answer_counter(name, lease_units);
     gateway.end_attempt(1, 0, &"a1".into(), AttemptOutcome::Served);
     gateway.end_attempt(1, 0, &"a2".into(), AttemptOutcome::Served);
     gateway.advance(1500.0, &[]);
@@ -326,10 +338,10 @@
     }
     let (name, amount) = first_counter_call(&actions).unwrap();
     let before = one(&gateway).available_units;
-    gateway.answer_counter(name, amount + block + 8.0);
+    gateway.answer_counter(name, amount + lease_units + 8.0);
     assert!(
         one(&gateway).available_units <= before - 8.0 + 1.0,
-        "what came in meanwhile pays for nothing: {:?}",
+        "overflow without an outage pays for nothing: {:?}",
         one(&gateway)
     );
 }
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -1,5 +1,5 @@
-//! Long streams of every kind of event through fleets of one, three and forty gateways; what they did is a digest. A
-//! change that folds code must leave every digest as it is; one that decides otherwise must say so and change it.
+//! Long streams of every kind of event through fleets of one, three and forty gateways; their actions are hashed to a digest.
+//! A refactoring must leave every digest as it is; a change of a decision must say so and record the digests anew.
 
 mod common;
 use common::*;
@@ -44,7 +44,7 @@
     digest: Digest,
     counters: HashMap<u64, f64>,
     counter_is_unavailable: bool,
-    /// Calls, timers and attempts that are out, by when they come back.
+    /// Calls, timers and attempts in flight, by when they end.
     due: BTreeMap<(u64, u64), (usize, Event)>,
     order: u64,
     open_requests: BTreeMap<RequestId, OpenRequest>,
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn every_action_is_as_it_was() {
+fn every_action_matches_the_recorded_digest() {
     let mut wrong = Vec::new();
     for (gateways, seed, digest) in DIGESTS {
         let (found, actions) = play(*gateways, *seed);
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -1,5 +1,5 @@
-//! A customer of many gateways under a ceiling: the counter falls silent, loses answers, comes back empty; one gateway starts
-//! anew. What all gateways send together is judged by the ceiling alone.
+//! A customer of many gateways under a ceiling: the counter becomes unavailable, loses answers, comes back
+//! emptied; one gateway restarts. What all gateways forward together is judged by the ceiling alone.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 
 const GATEWAYS: u32 = 25;
 
-/// Chance that is the same for the same seed.
+/// A generator with the same draws for the same seed.
 struct Random(u64);
 
 impl Random {
@@ -18,22 +18,22 @@
     }
 }
 
-/// What becomes of the counter, in ms from the start.
+/// Faults of the counter; times in ms from the start.
 #[derive(Clone, Copy, Debug)]
 struct CounterFault {
     outage: (Millis, Millis),
-    /// This share of the answers is lost; the call counted.
+    /// This share of the answers is lost; the units are added.
     lost: f64,
-    /// It comes back without its counts.
+    /// It comes back without its totals.
     emptied: bool,
-    /// A gateway starts anew when the counter is back.
+    /// A gateway restarts when the counter is back.
     restart: bool,
 }
 
 struct Fleet {
     gateways: Vec<TestGateway>,
     random: Random,
-    /// Each count and until when it is kept.
+    /// Each counter's total and until when it is kept.
     counters: BTreeMap<u64, (f64, Millis)>,
     fault: CounterFault,
     start: Millis,
@@ -64,7 +64,7 @@
         Self { gateways, random, counters, fault, start: 1000.0, sent: Vec::new() }
     }
 
-    /// Carries out what a gateway did, and what it does on that.
+    /// Executes the actions of a gateway, and those that follow from them.
     fn execute(&mut self, at: usize, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
@@ -100,7 +100,7 @@
         self.gateways[at].handle(Event::CounterCallEnded { counter: name, outcome, latency })
     }
 
-    /// Plays so long with tries at this rate a second; some gateways see many of them.
+    /// Plays for `span` ms with `rate` requests a second; some gateways see many of them.
     fn play(&mut self, span: Millis, rate: f64) {
         let (mut id, mut next) = (0, self.start);
         let mut back = false;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// How far the units sent went below what a bucket of this rate and burst holds.
+    /// By how many units the forwarded requests overdrew a bucket of this rate and burst.
     fn beyond(&self, rate: f64, burst: f64) -> f64 {
         let (mut held, mut at, mut lowest) = (burst, self.start, burst);
         for sent in &self.sent {
@@ -155,10 +155,10 @@
     ]
 }
 
-/// The worst case: the customer asks for all that it can get throughout, at all of its gateways. Guards against what each of
-/// many gateways believes to have left after a silence: what is harmless in two breaks the ceiling in 25.
+/// The worst case: the customer uses all that it can get throughout, at all of its gateways. What each gateway assumes to be
+/// left after an outage is harmless with two gateways and would exceed the ceiling with 25.
 #[test]
-fn the_ceiling_holds_over_all_gateways_whatever_becomes_of_the_counter() {
+fn the_ceiling_holds_over_all_gateways_through_every_fault_of_the_counter() {
     let plan = plan();
     for fault in counter_faults() {
         for seed in 1..=6 {
@@ -168,7 +168,7 @@
                 let beyond = fleet.beyond(plan.ceiling_rate, plan.ceiling_burst);
                 assert!(
                     beyond <= plan.ceiling_slack,
-                    "{beyond:.1} units past the ceiling: {fault:?}, seed {seed}, {rate} a second"
+                    "{beyond:.1} units above the ceiling: {fault:?}, seed {seed}, {rate} a second"
                 );
             }
         }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Long seeded streams of legal events in odd orders, and the rules that one gateway alone can be held to. There is
-//! no model of servers or fleets here: outcomes and totals are drawn at random.
+//! Long seeded streams of legal events in unusual orders, and the invariants of one gateway. There is no model of
+//! backends or fleets here: outcomes and totals are drawn at random.
 
 mod common;
 use common::*;
@@ -15,13 +15,13 @@
     }
 }
 
-/// What the test itself knows of a request.
+/// The test's own view of a request.
 struct Known {
     class: usize,
     deadline: Millis,
     attempts: u32,
     in_flight: Option<(Name, Millis)>,
-    /// The backend and time of the first attempt that may have run.
+    /// The backend and time of the first attempt that may have been executed.
     first_execution: Option<(Name, Millis)>,
     has_response: bool,
 }
@@ -42,24 +42,24 @@
                 Action::SendAttempt { id, backend, .. } => self.attempt_sent(now, id, backend),
                 Action::Reject { id, .. } => {
                     let known = self.final_response(now, id);
-                    let keyed_alone = known.class == 1 || known.class == 2;
+                    let cannot_be_retried_anywhere = known.class == 1 || known.class == 2;
                     assert!(
-                        known.first_execution.is_none() || !keyed_alone,
-                        "refused though it may have run"
+                        known.first_execution.is_none() || !cannot_be_retried_anywhere,
+                        "rejected though it may have been executed"
                     );
                 }
                 Action::Fail { id } => {
                     self.final_response(now, id);
                 }
                 Action::CancelAttempt { id, .. } => {
-                    assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
+                    assert!(self.requests[&id].class != 2, "a non-idempotent attempt cancelled");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
                 Action::AddToCounter { counter: name, .. } => {
-                    assert!(!self.calls.contains(&name), "two calls out for one name");
+                    assert!(!self.calls.contains(&name), "two calls in flight for one counter");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
@@ -76,14 +76,14 @@
         let known = self.requests.get_mut(&id).expect("a known request");
         assert!(
             !known.has_response && known.in_flight.is_none(),
-            "a second attempt out, or after the answer"
+            "a second attempt in flight, or after the final response"
         );
         if let Some((home, at)) = &known.first_execution {
-            assert!(known.class != 2, "an unsafe request repeated");
+            assert!(known.class != 2, "a non-idempotent request retried");
             let same_cell = home.starts_with('a') == backend.starts_with('a');
             assert!(
                 known.class == 0 || same_cell && now - at < 4000.0,
-                "a keyed repeat outside group or time"
+                "a keyed retry outside its scope or window"
             );
         }
         known.attempts += 1;
@@ -92,8 +92,8 @@
 
     fn final_response(&mut self, now: Millis, id: RequestId) -> &Known {
         let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.has_response, "two answers");
-        assert!(now <= known.deadline + 16.0, "an answer after the client's patience");
+        assert!(!known.has_response, "two final responses");
+        assert!(now <= known.deadline + 16.0, "a final response after the client's timeout");
         known.has_response = true;
         self.final_responses += 1;
         known
@@ -190,12 +190,12 @@
         };
         let actions = gateway.handle(event);
         checker.check(gateway.now, actions);
-        assert_eq!(checker.overdue(gateway.now), None, "a request without its answer");
+        assert_eq!(checker.overdue(gateway.now), None, "a request without its final response");
     }
     checker.final_responses
 }
 
-/// Ends some of the attempts that are out: at random, and all whose client's time is up.
+/// Ends some of the attempts in flight: at random, and all whose client's timeout is over.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
     for (id, known) in &mut checker.requests {
@@ -239,9 +239,9 @@
 }
 
 #[test]
-fn rules_hold_through_long_streams_of_odd_events() {
+fn invariants_hold_through_long_streams_of_unusual_events() {
     for seed in 1..=6 {
         let final_responses = play(seed);
-        assert!(final_responses > 1000, "the stream must reach the answers it checks: {final_responses}");
+        assert!(final_responses > 1000, "the stream must reach the responses it checks: {final_responses}");
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of gateways, fed by hand: what they permit together is added up.
+//! Hundreds of gateways, fed by hand: what they admit together is added up.
 
 mod common;
 use common::*;
@@ -7,8 +7,8 @@
 
 const GATEWAYS: u32 = 500;
 
-/// All gateways of a fleet with these backends; the last one starts cold now where `cold` is set.
-fn fleet(gateways: u32, backends: &[String], cold: bool, peers: bool) -> Vec<TestGateway> {
+/// All gateways of a fleet with these backends; the last one has just started where `slow_start` is set.
+fn fleet(gateways: u32, backends: &[String], slow_start: bool, peers: bool) -> Vec<TestGateway> {
     let names: Vec<&str> = backends.iter().map(String::as_str).collect();
     (0..gateways)
         .map(|number| {
@@ -19,10 +19,14 @@
                 ..settings()
             };
             let mut gateway = TestGateway::seeded(settings, 1000 + u64::from(number), &names);
-            if cold {
-                let born = Some(gateway.now);
+            if slow_start {
+                let started = Some(gateway.now);
                 let last = backends.last().expect("a backend");
-                gateway.handle(Event::BackendChanges(vec![backend_entry(last, BackendState::Ready, born)]));
+                gateway.handle(Event::BackendChanges(vec![backend_entry(
+                    last,
+                    BackendState::Ready,
+                    started,
+                )]));
             }
             gateway
         })
@@ -33,14 +37,16 @@
     (0..count).map(|n| format!("a{n}")).collect()
 }
 
-/// A request of a customer spread over all gateways.
-fn request_of_all(gateway: &mut TestGateway, id: RequestId, customer: &str, repeat: bool) -> Vec<Action> {
-    gateway.request_through(id, customer, "plain", "safe", repeat, GATEWAYS)
+/// A request of a customer of all gateways.
+fn request_of_all(
+    gateway: &mut TestGateway, id: RequestId, customer: &str, client_retry: bool,
+) -> Vec<Action> {
+    gateway.request_through(id, customer, "plain", "safe", client_retry, GATEWAYS)
 }
 
 #[test]
-fn a_thin_customer_s_quota_holds_over_all_gateways() {
-    // Burst 10, rate 5: in 1.5 s, less than a turn, no more than two windows' bursts can be granted.
+fn a_sampled_quota_holds_over_all_gateways() {
+    // Burst 10, rate 5: in 1.5 s, less than a refill period, no more than two windows' bursts can be granted.
     let mut fleet = fleet(GATEWAYS, &names(20), false, false);
     let (mut admitted, mut totals) = (0, BTreeMap::<u64, f64>::new());
     let start = fleet[0].now;
@@ -54,22 +60,22 @@
         }
         admitted += count_attempts(&actions);
     }
-    assert!((5..=20).contains(&admitted), "{admitted} of {GATEWAYS} tries went on");
+    assert!((5..=20).contains(&admitted), "{admitted} of {GATEWAYS} requests were admitted");
 }
 
 #[test]
-fn each_of_many_gateways_keeps_to_few_backends_and_all_are_used_alike() {
+fn each_gateway_keeps_to_its_subset_and_all_backends_are_used_alike() {
     let mut fleet = fleet(GATEWAYS, &names(50), false, false);
     let (mut per_backend, mut most) = (BTreeMap::<Name, u32>::new(), 0);
     for gateway in &mut fleet {
-        let mut own = BTreeSet::new();
+        let mut subset = BTreeSet::new();
         for id in 1..=20 {
             let at = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
             gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
             *per_backend.entry(at.clone()).or_default() += 1;
-            own.insert(at);
+            subset.insert(at);
         }
-        most = most.max(own.len());
+        most = most.max(subset.len());
     }
     assert!(most <= 15, "a gateway used {most} backends");
     let busiest = per_backend.values().max().copied().unwrap_or_default();
@@ -78,25 +84,25 @@
 }
 
 #[test]
-fn two_or_five_hundred_gateways_send_a_cold_backend_its_share_from_the_first_ms() {
+fn two_or_five_hundred_gateways_send_a_backend_in_slow_start_its_share_from_the_first_ms() {
     for gateways in [2, GATEWAYS] {
         let backends = names(10);
         let mut fleet = fleet(gateways, &backends, true, false);
-        let (mut to_cold, rounds) = (0, 5000 / gateways as u64);
+        let (mut to_slow_start, rounds) = (0, 5000 / gateways as u64);
         for id in 1..=rounds {
             for gateway in &mut fleet {
                 let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-                to_cold += u32::from(&*at == "a9");
+                to_slow_start += u32::from(&*at == "a9");
                 gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
             }
         }
         // An even part is 500 of 5000; at 0.2 of its capacity a fifth of that, less the part kept back.
-        assert!((40..=120).contains(&to_cold), "{gateways} gateways: {to_cold}");
+        assert!((40..=120).contains(&to_slow_start), "{gateways} gateways: {to_slow_start}");
     }
 }
 
 #[test]
-fn with_no_warm_backend_left_cold_ones_get_their_share() {
+fn without_a_warm_backend_those_in_slow_start_get_their_share() {
     let mut fleet = fleet(GATEWAYS, &names(1), true, false);
     let mut admitted = 0;
     for gateway in &mut fleet {
@@ -110,19 +116,19 @@
 }
 
 #[test]
-fn gateways_that_may_talk_tell_of_a_customer_beyond_its_quota_and_heed_it() {
+fn gossip_of_a_customer_over_quota_is_sent_and_followed() {
     let mut fleet = fleet(GATEWAYS, &names(5), false, true);
     let (name, amount) = first_counter_call(&request_of_all(&mut fleet[0], 1, "c", false)).expect("a call");
     let actions = fleet[0].answer_counter(name, 1000.0 + amount);
-    let told = actions
+    let message = actions
         .iter()
         .find_map(|a| if let Action::Gossip { bytes } = a { Some(bytes.clone()) } else { None });
     assert!(is_rejected(&actions, 1));
-    fleet[1].handle(Event::GossipReceived { from: 0, bytes: told.expect("a word to the others") });
+    fleet[1].handle(Event::GossipReceived { from: 0, bytes: message.expect("a gossip message") });
     for junk in [vec![], vec![1; 7], vec![255; 300]] {
         fleet[1].handle(Event::GossipReceived { from: 0, bytes: junk });
     }
-    // The counter turns all calls away: what is left is what the other gateway said.
+    // The counter rejects all calls: only the other gateway's message is known.
     let mut admitted = 0;
     for id in 1..=40 {
         let mut actions = request_of_all(&mut fleet[1], id, "c", false);
@@ -132,32 +138,32 @@
         }
         admitted += count_attempts(&actions);
     }
-    assert!(admitted <= 4, "{admitted} of 40 went on for a customer a hundred times beyond its quota");
+    assert!(admitted <= 4, "{admitted} of 40 admitted for a customer a hundred times over its quota");
 }
 
 #[test]
-fn a_client_s_repeat_reads_the_count_and_adds_nothing() {
+fn a_clients_retry_reads_the_counter_and_adds_nothing() {
     let mut fleet = fleet(GATEWAYS, &names(5), false, false);
     let mut seen = Vec::new();
     for id in 1..=60 {
-        // Quick answers put the counter at ease: repeats are asked about then.
+        // Quick answers raise the call rate: retries are sampled then.
         let actions = request_of_all(&mut fleet[0], id, &format!("c{id}"), id > 30);
         if let Some((name, amount)) = first_counter_call(&actions) {
             fleet[0].answer_counter(name, 1.0);
             seen.push((id > 30, amount));
         }
     }
-    assert!(seen.iter().any(|(repeat, _)| *repeat), "some repeats are asked about");
-    assert!(seen.iter().all(|(repeat, amount)| *amount == if *repeat { 0.0 } else { 1.0 }), "{seen:?}");
+    assert!(seen.iter().any(|(is_retry, _)| *is_retry), "some retries are sampled");
+    assert!(seen.iter().all(|(is_retry, amount)| *amount == if *is_retry { 0.0 } else { 1.0 }), "{seen:?}");
 }
 
 #[test]
-fn late_answers_shed_fresh_requests_and_the_fleet_recovers() {
+fn late_responses_shed_new_requests_and_the_fleet_recovers() {
     let mut fleet = fleet(GATEWAYS, &names(5), false, false);
     let mut id = 0;
-    let mut round = |gateway: &mut TestGateway, latency: Millis, tries: u64| {
+    let mut round = |gateway: &mut TestGateway, latency: Millis, requests: u64| {
         let mut admitted = 0;
-        for _ in 0..tries {
+        for _ in 0..requests {
             id += 1;
             let mut actions = request_of_all(gateway, id, &format!("c{id}"), false);
             if let Some((name, amount)) = first_counter_call(&actions) {
@@ -170,17 +176,17 @@
         }
         admitted
     };
-    assert_eq!(round(&mut fleet[0], 100.0, 40), 40, "all are taken while answers come in time");
+    assert_eq!(round(&mut fleet[0], 100.0, 40), 40, "all are admitted while responses are in time");
     round(&mut fleet[0], 790.0, 40);
-    assert!(round(&mut fleet[0], 790.0, 40) < 30, "late answers shed");
+    assert!(round(&mut fleet[0], 790.0, 40) < 30, "late responses shed");
     round(&mut fleet[0], 100.0, 300);
     assert!(round(&mut fleet[0], 100.0, 40) > 36, "and it recovers");
 }
 
-/// One gateway of many sees few answers. Guards against shedding by chance alone: a usual share of late answers, in any
-/// order, is no overload.
+/// One gateway of many sees few responses. Chance alone must not shed: a usual share of late responses, in any order, is
+/// no overload.
 #[test]
-fn a_usual_share_of_late_answers_sheds_few() {
+fn a_usual_share_of_late_responses_sheds_few() {
     let mut shed = 0;
     for seed in 0..10 {
         let mut gateway = TestGateway::seeded(
@@ -188,11 +194,11 @@
             50 + seed,
             &["a1", "a2", "a3"],
         );
-        let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+        let mut bits = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         for id in 1..=200 {
-            dice ^= dice << 13;
-            dice ^= dice >> 7;
-            dice ^= dice << 17;
+            bits ^= bits << 13;
+            bits ^= bits >> 7;
+            bits ^= bits << 17;
             let mut actions = request_of_all(&mut gateway, id, &format!("c{id}"), false);
             if let Some((name, amount)) = first_counter_call(&actions) {
                 actions.extend(gateway.answer_counter(name, amount));
@@ -201,27 +207,27 @@
                 shed += 1;
                 continue;
             };
-            // Seven answers of a hundred come after 0.6 of the aim.
-            let latency = if dice % 100 < 7 { 600.0 } else { 100.0 };
+            // Seven responses of a hundred come after 0.6 of the latency objective.
+            let latency = if bits % 100 < 7 { 600.0 } else { 100.0 };
             gateway.end_attempt_after(latency, id, 0, &at, AttemptOutcome::Served);
         }
     }
     assert!(shed < 20, "{shed} of 2000 shed");
 }
 
-/// Where calls are scarce, those are made that save the most: a wrong guess on a dear try costs more.
+/// Where calls are scarce, those are made that save the most: a wrong decision on a valuable request costs more.
 #[test]
-fn calls_that_are_scarce_go_to_the_tries_that_are_worth_the_most() {
+fn scarce_calls_go_to_requests_of_higher_priority() {
     let mut all = Settings { gateway_count: GATEWAYS, ..settings() };
     (all.classes[0].priority_weight, all.classes[2].priority_weight) = (2.0, 5.0);
     let mut gateway = TestGateway::seeded(all, 3, &["a1", "a2", "a3"]);
-    let mut asked = BTreeMap::<&str, u32>::new();
+    let mut sampled = BTreeMap::<&str, u32>::new();
     for id in 1..=600 {
         let class = if id % 2 == 0 { "safe" } else { "unsafe" };
         let mut actions = gateway.request_through(id, &format!("c{id}"), "plain", class, false, GATEWAYS);
         if let Some((name, amount)) = first_counter_call(&actions) {
-            *asked.entry(class).or_default() += 1;
-            // Its answer is slow each time, so that calls stay scarce.
+            *sampled.entry(class).or_default() += 1;
+            // The answer is slow each time, so that calls stay scarce.
             let outcome = CounterOutcome::Total(amount);
             actions.extend(gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 45.0 }));
         }
@@ -229,6 +235,6 @@
             gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         }
     }
-    let (cheap, dear) = (asked["safe"], asked["unsafe"]);
-    assert!(dear > cheap * 3 / 2, "{cheap} cheap and {dear} dear tries asked about");
+    let (low, high) = (sampled["safe"], sampled["unsafe"]);
+    assert!(high > low * 3 / 2, "{low} of low and {high} of high priority sampled");
 }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,22 +1,22 @@
-//! What is held stays flat, however many backends are replaced and customers seen once.
+//! Memory stays bounded, however many backends are replaced and customers are seen once.
 
 mod common;
 use common::*;
 use doorcourse::*;
 
 #[test]
-fn replaced_backends_and_customers_seen_once_leave_nothing_behind() {
+fn replaced_backends_and_customers_seen_once_are_forgotten() {
     let mut gateway = TestGateway::new(settings(), &["a0"]);
     let (mut most, mut customers) = (0, 0);
-    for life in 1..600 {
-        let (old, new) = (format!("a{}", life - 1), format!("a{life}"));
-        let born = Some(gateway.now);
+    for incarnation in 1..600 {
+        let (old, new) = (format!("a{}", incarnation - 1), format!("a{incarnation}"));
+        let started = Some(gateway.now);
         gateway.handle(Event::BackendChanges(vec![
             backend_entry(&old, BackendState::Removed, None),
-            backend_entry(&new, BackendState::Ready, born),
+            backend_entry(&new, BackendState::Ready, started),
         ]));
         for number in 0..20u64 {
-            let id = life * 100 + number;
+            let id = incarnation * 100 + number;
             let mut actions = gateway.request(id, &format!("once{id}"), "plain", "safe");
             if let Some((name, amount)) = first_counter_call(&actions) {
                 actions = gateway.answer_counter(name, amount);
@@ -28,18 +28,18 @@
             }
             gateway.advance(50.0, &[]);
         }
-        if life > 200 {
+        if incarnation > 200 {
             most = most.max(gateway.decisions.backends().count());
             customers = customers.max(gateway.decisions.customers().count());
         }
     }
-    // One a second, kept for a minute; customers for two turns of their quota.
+    // One a second, kept for a minute; customers for two refill periods.
     assert!((2..=70).contains(&most), "{most} backends");
     assert!((1..=200).contains(&customers), "{customers} customers");
 }
 
 #[test]
-fn a_backend_that_is_gone_still_tells_the_cell_of_what_may_have_run_there() {
+fn a_removed_backend_still_identifies_the_cell_of_requests_possibly_executed_there() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let at = gateway.forward(1, "c", "plain", "keyed");
     gateway.handle(Event::BackendList(vec![backend_entry("b1", BackendState::Ready, None)]));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_seat_that_was_given_up_serves_the_next_backend_as_its_own() {
+fn the_slot_of_a_forgotten_backend_is_reused() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     gateway.handle(Event::BackendChanges(vec![backend_entry("a1", BackendState::Removed, None)]));
     gateway.advance(61_000.0, &[]);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Tiers, standbys, spares, weights, bound requests.
+//! Priority levels, standbys, spares, weights, sticky routes.
 
 mod common;
 use common::*;
@@ -9,13 +9,13 @@
     BackendEntry { placement: place, ..backend_entry(name, state, started) }
 }
 
-fn ready_entry(name: &str, tier: u32, role: BackendRole, weight: f64) -> BackendEntry {
+fn ready_entry(name: &str, level: u32, role: BackendRole, weight: f64) -> BackendEntry {
     let (route, state) = (format!("r-{name}").as_str().into(), BackendState::Ready);
     placed_entry(
         name,
         state,
         None,
-        Placement { priority_level: tier, role, weight, sticky_route: route, ..Placement::default() },
+        Placement { priority_level: level, role, weight, sticky_route: route, ..Placement::default() },
     )
 }
 
@@ -42,8 +42,8 @@
         Self { gateway, id: 0 }
     }
 
-    /// One request; where it went, and its number.
-    fn request(&mut self, bound: &str) -> (Option<Name>, RequestId) {
+    /// One request: the backend it was sent to, and its number.
+    fn request(&mut self, sticky_route: &str) -> (Option<Name>, RequestId) {
         self.id += 1;
         let actions = self.gateway.handle(Event::RequestReceived(IncomingRequest {
             id: self.id,
@@ -55,17 +55,17 @@
             timeout: 2000.0,
             first_gateway: 0,
             gateway_count: 1,
-            sticky_route: bound.into(),
+            sticky_route: sticky_route.into(),
         }));
         (first_attempt(&actions).map(|(_, name)| name), self.id)
     }
 
-    /// So many requests, each answered before the next; how many went where. What waits is let go.
-    fn serve_requests(&mut self, count: usize, bound: &str) -> BTreeMap<String, usize> {
+    /// So many requests, each served before the next: how many each backend served. Those that wait are counted as `-`.
+    fn serve_requests(&mut self, count: usize, sticky_route: &str) -> BTreeMap<String, usize> {
         let mut served = BTreeMap::new();
         for _ in 0..count {
             self.gateway.now += 1.0;
-            let (to, id) = self.request(bound);
+            let (to, id) = self.request(sticky_route);
             match to {
                 Some(to) => {
                     *served.entry(to.to_string()).or_default() += 1;
@@ -80,7 +80,7 @@
         served
     }
 
-    /// Has a backend refuse connections until it is left alone for a while.
+    /// Lets a backend refuse connections until it is ejected.
     fn refuse_connections(&mut self, name: &str) {
         for _ in 0..400 {
             let (to, id) = self.request("");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_tier_serves_while_it_has_a_usable_backend_and_the_next_only_then() {
+fn the_next_level_serves_only_when_a_level_has_no_eligible_backend() {
     let list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
         ready_entry("a2", 0, BackendRole::Active, 1.0),
@@ -116,7 +116,7 @@
     let mut host = TestHost::new(list.clone());
     assert_eq!(served_by(&host.serve_requests(40, "")), ["a1", "a2"]);
     host.refuse_connections("a1");
-    assert_eq!(served_by(&host.serve_requests(10, "")), ["a2"], "one left of the first tier is enough");
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["a2"], "one backend of the first level is enough");
     host.set_state("a2", BackendState::Draining, None, &list[1].placement);
     assert_eq!(served_by(&host.serve_requests(10, "")), ["b1"]);
     host.gateway.now += 30_000.0;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_set_with_all_members_stopped_is_passed_over() {
+fn a_level_whose_backends_all_drain_is_passed_over() {
     let mut list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
         ready_entry("a2", 0, BackendRole::Active, 1.0),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_standby_serves_once_every_primary_of_its_tier_is_down() {
+fn a_standby_serves_once_every_active_backend_of_its_level_is_unavailable() {
     let list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
         ready_entry("a2", 0, BackendRole::Active, 1.0),
@@ -149,13 +149,13 @@
     host.refuse_connections("a1");
     assert_eq!(served_by(&host.serve_requests(10, "")), ["a2"]);
     host.refuse_connections("a2");
-    assert_eq!(served_by(&host.serve_requests(10, "")), ["h1"], "the standby goes before the next tier");
-    // One primary back, cold: it gets what its warmth allows, the standby the rest, and nothing waits.
-    let born = Some(host.gateway.now);
-    host.set_state("a1", BackendState::Ready, born, &list[0].placement);
+    assert_eq!(served_by(&host.serve_requests(10, "")), ["h1"], "the standby is used before the next level");
+    // One active backend back, in slow start: it gets its share, the standby the rest, and nothing waits.
+    let started = Some(host.gateway.now);
+    host.set_state("a1", BackendState::Ready, started, &list[0].placement);
     let served = host.serve_requests(2000, "");
-    let cold = served["a1"] as f64 / 2000.0;
-    assert!((0.02..0.2).contains(&cold), "{served:?}");
+    let share = served["a1"] as f64 / 2000.0;
+    assert!((0.02..0.2).contains(&share), "{served:?}");
     assert!(!served.contains_key("-") && !served.contains_key("b1"), "{served:?}");
     host.gateway.now += 30_000.0;
     let served = host.serve_requests(100, "");
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn two_spares_stand_in_for_three_failures_and_go_when_these_are_back() {
+fn two_spares_replace_three_failed_backends_until_these_are_back() {
     let list: Vec<_> = ["a1", "a2", "a3", "a4"]
         .iter()
         .map(|n| ready_entry(n, 0, BackendRole::Active, 1.0))
@@ -172,7 +172,11 @@
     let mut host = TestHost::new(list.clone());
     assert_eq!(served_by(&host.serve_requests(100, "")), ["a1", "a2", "a3", "a4"]);
     host.set_state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(served_by(&host.serve_requests(100, "")), ["a2", "a3", "a4", "s1"], "one stands in for one");
+    assert_eq!(
+        served_by(&host.serve_requests(100, "")),
+        ["a2", "a3", "a4", "s1"],
+        "one spare replaces one backend"
+    );
     for entry in &list[1..3] {
         host.set_state(&entry.name, BackendState::Draining, None, &entry.placement);
     }
@@ -181,26 +185,26 @@
         host.set_state(&entry.name, BackendState::Ready, None, &entry.placement);
     }
     assert_eq!(served_by(&host.serve_requests(100, "")), ["a1", "a2", "a3", "a4"]);
-    // A spare that is down itself stands in for nobody.
+    // A spare that drains itself replaces no backend.
     host.set_state("s1", BackendState::Draining, None, &list[4].placement);
     host.set_state("a1", BackendState::Draining, None, &list[0].placement);
     assert_eq!(served_by(&host.serve_requests(100, "")), ["a2", "a3", "a4", "s2"]);
 }
 
 #[test]
-fn a_returning_tier_is_not_pushed_over_while_cold() {
+fn a_returning_level_is_not_overloaded_during_slow_start() {
     let mut list: Vec<_> =
         (1..=4).map(|n| ready_entry(&format!("a{n}"), 0, BackendRole::Active, 1.0)).collect();
     list.extend((1..=4).map(|n| ready_entry(&format!("b{n}"), 1, BackendRole::Active, 1.0)));
     let mut host = TestHost::new(list.clone());
-    let born = Some(host.gateway.now);
+    let started = Some(host.gateway.now);
     for entry in &list[..4] {
-        host.set_state(&entry.name, BackendState::Ready, born, &entry.placement);
+        host.set_state(&entry.name, BackendState::Ready, started, &entry.placement);
     }
-    // All four have a fifth of their capacity: together they take a fifth of the sends at most, less a margin.
+    // All four have a fifth of their capacity: together they take a fifth of the requests at most, less a margin.
     let served = host.serve_requests(4000, "");
-    let cold: usize = served.iter().filter(|(n, _)| n.starts_with('a')).map(|(_, c)| c).sum();
-    let share = cold as f64 / 4000.0;
+    let to_level: usize = served.iter().filter(|(n, _)| n.starts_with('a')).map(|(_, c)| c).sum();
+    let share = to_level as f64 / 4000.0;
     assert!((0.1..0.36).contains(&share), "{served:?}");
     assert!(!served.contains_key("-"), "{served:?}");
     host.gateway.now += 20_000.0;
@@ -208,7 +212,7 @@
 }
 
 #[test]
-fn a_light_cold_backend_gets_no_more_than_its_weight_beside_its_warmth() {
+fn a_light_backend_in_slow_start_gets_no_more_than_its_weights_share() {
     let light = Placement { weight: 0.1, ..Placement::default() };
     let list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn a_short_tier_passes_on_what_it_has_no_room_for_and_a_whole_one_keeps_it() {
+fn a_degraded_level_passes_requests_on_and_one_without_fault_keeps_them() {
     let list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
         ready_entry("a2", 0, BackendRole::Active, 1.0),
@@ -233,7 +237,7 @@
     let served = fill(&mut host);
     assert!(
         served.iter().all(|n| n.starts_with('a')) && served.len() < 40,
-        "whole, full, and kept: {served:?}"
+        "without fault, at its limit, and kept: {served:?}"
     );
     let mut host = TestHost::new(list);
     host.refuse_connections("a1");
@@ -242,7 +246,7 @@
 }
 
 #[test]
-fn a_disabled_backend_serves_only_what_is_bound_to_it() {
+fn a_sticky_only_backend_serves_only_requests_with_its_route() {
     let list = vec![
         ready_entry("a1", 0, BackendRole::Active, 1.0),
         ready_entry("d1", 0, BackendRole::StickyOnly, 1.0),
@@ -252,8 +256,12 @@
     assert_eq!(served_by(&host.serve_requests(50, "")), ["a1"]);
     assert_eq!(served_by(&host.serve_requests(10, "r-d1")), ["d1"]);
     host.set_state("a1", BackendState::Draining, None, &list[0].placement);
-    assert_eq!(served_by(&host.serve_requests(10, "")), ["b1"], "not even when its tier has nothing else");
-    // Enabled again by a later list.
+    assert_eq!(
+        served_by(&host.serve_requests(10, "")),
+        ["b1"],
+        "not even when its level has no other backend"
+    );
+    // Active again by a later list.
     host.set_state(
         "d1",
         BackendState::Ready,
@@ -264,7 +272,7 @@
 }
 
 #[test]
-fn a_bound_request_goes_home_to_the_successor_to_the_group_then_anywhere() {
+fn a_sticky_request_falls_back_to_failover_route_then_group_then_any_backend() {
     let with = |name: &str, role, redirect: &str, group: &str| {
         let mut entry = ready_entry(name, 0, role, 1.0);
         (entry.placement.failover_route, entry.placement.failover_group) = (redirect.into(), group.into());
@@ -282,21 +290,21 @@
     assert_eq!(
         served_by(&host.serve_requests(10, "r-a1")),
         ["x"],
-        "the successor, though it is disabled otherwise"
+        "the failover route, though it takes no other requests"
     );
     host.set_state("x", BackendState::Draining, None, &list[3].placement);
     assert_eq!(served_by(&host.serve_requests(10, "r-a1")), ["a2"], "one of the group");
     host.set_state("a2", BackendState::Draining, None, &list[1].placement);
     assert_eq!(served_by(&host.serve_requests(10, "r-a1")), ["a3"], "anywhere");
     assert_eq!(
-        served_by(&host.serve_requests(10, "r-nobody")),
+        served_by(&host.serve_requests(10, "r-unknown")),
         ["a3"],
-        "a route that the list does not know binds nothing"
+        "a route that the list does not name binds nothing"
     );
 }
 
 #[test]
-fn a_strict_binding_is_refused_rather_than_broken() {
+fn strict_affinity_rejects_rather_than_serve_elsewhere() {
     let mut settings = open_settings(2, 0);
     settings.routing.strict_affinity = true;
     let list =
@@ -307,11 +315,11 @@
     assert_eq!(to, None);
     let actions = host.gateway.advance(900.0, &[id]);
     assert!(is_rejected(&actions, id), "{actions:?}");
-    assert_eq!(served_by(&host.serve_requests(5, "r-nobody")), ["a2"]);
+    assert_eq!(served_by(&host.serve_requests(5, "r-unknown")), ["a2"]);
 }
 
 #[test]
-fn a_backend_whose_start_nobody_tells_counts_as_cold_after_it_refused_connections() {
+fn a_backend_without_start_time_enters_slow_start_after_it_refused_connections() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
     let list =
@@ -328,13 +336,13 @@
 }
 
 #[test]
-fn a_backend_that_was_away_for_long_is_as_cold_as_one_that_was_away_for_a_moment() {
+fn a_backend_away_for_long_enters_slow_start_like_one_away_for_a_moment() {
     let mut settings = open_settings(2, 0);
     settings.routing.assume_restart = true;
     let list =
         vec![ready_entry("a1", 0, BackendRole::Active, 1.0), ready_entry("a2", 0, BackendRole::Active, 1.0)];
     let mut host = TestHost::with(settings, 3, list);
-    // Each refusal has it left alone for longer, in the end for longer than a cold backend takes to warm.
+    // Each refusal ejects it for longer, in the end for longer than the slow start.
     for _ in 0..60 {
         host.refuse_connections("a1");
         host.gateway.now += 25_000.0;
@@ -367,7 +375,7 @@
 }
 
 #[test]
-fn all_gateways_together_spread_by_weight() {
+fn all_gateways_together_distribute_requests_by_weight() {
     let weights = [1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0];
     let heavy = [1.0, 1.0, 1.0, 1.0, 30.0, 1.0, 1.0, 1.0];
     for (gateways, each, most) in [(2, 2000, 0.03), (20, 4000, 0.10), (500, 200, 0.10)] {
@@ -383,7 +391,7 @@
 }
 
 #[test]
-fn busyness_counts_what_is_out_beside_the_weight() {
+fn weighted_least_in_flight_counts_requests_relative_to_weight() {
     let mut settings = open_settings(1, 0);
     settings.routing.load_balancing = LoadBalancing::WeightedLeastInFlight;
     let list =
@@ -392,11 +400,7 @@
     let mut served: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..6 {
         let (to, _) = host.request("");
-        *served.entry(to.expect("room").to_string()).or_default() += 1;
+        *served.entry(to.expect("a backend below its limit").to_string()).or_default() += 1;
     }
-    assert_eq!(
-        (served["a1"], served["a2"]),
-        (4, 2),
-        "none answered yet: twice the weight holds twice as many"
-    );
+    assert_eq!((served["a1"], served["a2"]), (4, 2), "none served yet: twice the weight holds twice as many");
 }
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -1,40 +1,40 @@
-//! The ordinary path: blocks, refusal, give-back, windows.
+//! The ordinary path: leases, rejection, return of units, windows.
 
 mod common;
 use common::*;
 use doorcourse::*;
 
 #[test]
-fn first_block_is_burst_over_gateways_and_is_spent_locally() {
+fn the_first_lease_is_burst_over_gateways_and_is_spent_locally() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
     let actions = gateway.request(1, "c", "plain", "safe");
-    let (name, amount) = first_counter_call(&actions).expect("a block is asked for");
+    let (name, amount) = first_counter_call(&actions).expect("a counter call");
     assert_eq!(amount, 5.0);
-    assert_eq!(count_attempts(&actions), 0, "waits for its block");
+    assert_eq!(count_attempts(&actions), 0, "waits for its lease");
     assert_eq!(count_attempts(&gateway.answer_counter(name, 5.0)), 1);
     for id in 2..=5 {
         let actions = gateway.request(id, "c", "plain", "safe");
-        assert_eq!(count_attempts(&actions), 1, "request {id} is paid from the block in hand");
+        assert_eq!(count_attempts(&actions), 1, "request {id} is paid from the lease");
     }
 }
 
 #[test]
-fn beyond_block_and_count_a_request_is_refused_with_advice_and_the_rest_goes_back() {
+fn a_request_over_quota_is_rejected_with_retry_after_and_the_excess_is_returned() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
-    // Others hold the whole burst and more than the window has refilled by now.
+    // Others hold all of the burst and more than the window has refilled by now.
     let actions = gateway.answer_counter(name, amount + 40.0);
-    let advice = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|a| match a {
         Action::Reject { id: 1, retry_after, .. } => Some(*retry_after),
         _ => None,
     });
-    assert!(advice.is_some_and(|ms| ms > 0.0), "{actions:?}");
-    let (_, back) = first_counter_call(&actions).expect("what does not fit goes back");
+    assert!(retry_after.is_some_and(|ms| ms > 0.0), "{actions:?}");
+    let (_, back) = first_counter_call(&actions).expect("a return of what does not fit");
     assert_eq!(back, -amount);
 }
 
 #[test]
-fn all_gateways_derive_the_same_name_and_it_changes_with_the_window() {
+fn all_gateways_derive_the_same_counter_name_and_it_changes_with_the_window() {
     let mut other = settings();
     other.gateway_index = 1;
     let mut one = TestGateway::new(settings(), &["a1"]);
@@ -47,18 +47,18 @@
 }
 
 #[test]
-fn a_block_is_not_spent_past_its_window() {
+fn a_lease_is_not_spent_after_its_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.answer_counter(name, amount);
     gateway.now += 4_001.0;
     let actions = gateway.request(2, "c", "plain", "safe");
-    assert_eq!(count_attempts(&actions), 0, "the old block has ended");
+    assert_eq!(count_attempts(&actions), 0, "the old lease has expired");
     assert!(first_counter_call(&actions).is_some_and(|(next, _)| next != name));
 }
 
 #[test]
-fn an_unsent_request_puts_its_units_back() {
+fn an_unsent_request_returns_its_units() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.handle(Event::BackendList(Vec::new()));
@@ -68,13 +68,13 @@
     gateway.handle(Event::BackendList(vec![backend_entry("a1", BackendState::Ready, None)]));
     for id in 2..=3 {
         let actions = gateway.request(id, "c", "plain", "safe");
-        assert!(first_counter_call(&actions).is_none(), "the block still holds all five units");
+        assert!(first_counter_call(&actions).is_none(), "the lease still holds all five units");
         gateway.end_attempt(id, 0, &"a1".into(), AttemptOutcome::Served);
     }
 }
 
 #[test]
-fn settled_units_are_added_later() {
+fn settled_units_are_reported_later() {
     let mut set = settings();
     (set.responses_report_units, set.max_request_units) = (true, 4.0);
     let mut gateway = TestGateway::new(set, &["a1", "a2"]);
@@ -104,24 +104,24 @@
     assert_eq!(
         first_counter_call(&actions).expect("call").1,
         5.0,
-        "a forgotten customer starts with a first block again"
+        "a forgotten customer starts with a first lease again"
     );
 }
 
 #[test]
-fn a_long_wait_for_a_block_falls_to_the_silence_rule() {
+fn a_long_wait_for_the_counter_ends_with_the_fallback() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     assert_eq!(count_attempts(&gateway.request(1, "c", "plain", "safe")), 0);
     assert_eq!(count_attempts(&gateway.advance(100.0, &[1])), 1);
 }
 
 #[test]
-fn units_of_a_request_whose_client_went_before_anything_was_written_go_back() {
+fn units_of_a_request_whose_client_left_before_anything_was_written_are_returned() {
     for (outcome, paid) in [(AttemptOutcome::NeverSent, true), (AttemptOutcome::ConnectionLost, false)] {
         let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
         let (name, _) =
-            first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a block is asked for");
-        let (_, backend) = first_attempt(&gateway.answer_counter(name, 5.0)).expect("sent on");
+            first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a counter call");
+        let (_, backend) = first_attempt(&gateway.answer_counter(name, 5.0)).expect("an attempt");
         let end = AttemptEnd {
             id: 1,
             attempt: 0,
@@ -134,7 +134,7 @@
         };
         gateway.handle(Event::AttemptEnded(end));
         gateway.handle(Event::ClientDisconnected { id: 1 });
-        // The block held five.
+        // The lease held five.
         let served =
             (2..=6).filter(|id| count_attempts(&gateway.request(*id, "c", "plain", "safe")) == 1).count();
         assert_eq!(served, if paid { 5 } else { 4 }, "{outcome:?}");
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,11 +1,11 @@
-//! One answer, in time; repeats only as the class allows; never two attempts out.
+//! One final response, in time; retries only as the class allows; never two attempts in flight.
 
 mod common;
 use common::*;
 use doorcourse::*;
 
 #[test]
-fn proof_that_nothing_ran_leads_elsewhere_at_once_for_every_class() {
+fn an_attempt_never_executed_is_retried_elsewhere_at_once_for_every_class() {
     for class in ["safe", "keyed", "unsafe"] {
         for outcome in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent] {
             let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
+fn a_non_idempotent_request_possibly_executed_fails() {
     for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::TimedOut,
@@ -29,7 +29,7 @@
         let actions = gateway.advance(900.0, &[1]);
         assert!(
             !actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })),
-            "its hold's timer has outlived the hold"
+            "the queue timer has outlived the wait"
         );
         let actions = gateway.end_attempt(1, 0, &at, outcome);
         assert!(is_failed(&actions, 1) && count_attempts(&actions) == 0, "{outcome:?}: {actions:?}");
@@ -37,23 +37,23 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_group_and_its_time() {
+fn a_keyed_request_possibly_executed_is_retried_only_in_its_scope_and_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2", "b3"]);
     let at = gateway.forward(1, "c", "plain", "keyed");
-    let mates = if at.starts_with('a') { 'a' } else { 'b' };
+    let cell = if at.starts_with('a') { 'a' } else { 'b' };
     let (_, next) =
-        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost)).expect("sent again");
-    assert!(next.starts_with(mates));
+        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost)).expect("a retry");
+    assert!(next.starts_with(cell));
     gateway.now += 4000.0;
     let actions = gateway.end_attempt(1, 1, &next, AttemptOutcome::ConnectionLost);
     assert!(
         count_attempts(&actions) == 0 && is_failed(&actions, 1),
-        "no longer dropped as a repeat: {actions:?}"
+        "no longer dropped as a repetition: {actions:?}"
     );
 }
 
 #[test]
-fn an_attempt_is_left_to_run_until_its_outcome() {
+fn an_attempt_is_not_cancelled_before_its_outcome() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let at = gateway.forward(1, "c", "plain", "safe");
     for _ in 0..4 {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_last_answer_comes_at_the_deadline_whatever_the_outcome() {
+fn the_final_response_comes_at_the_deadline_whatever_the_outcome() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let at = gateway.forward(1, "c", "plain", "safe");
     gateway.now += 2000.0;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn with_no_backend_a_request_waits_its_hold_and_is_refused_once() {
+fn without_backends_a_request_waits_its_queue_timeout_and_is_rejected_once() {
     let mut gateway = TestGateway::new(settings(), &[]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "unsafe")).expect("call");
     let actions = gateway.answer_counter(name, amount);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_gets_no_answer() {
+fn a_disconnected_client_gets_no_response() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.handle(Event::ClientDisconnected { id: 1 });
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn events_about_unknown_things_are_harmless() {
+fn events_about_unknown_requests_backends_and_timers_are_ignored() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     gateway.end_attempt(9, 3, &"nowhere".into(), AttemptOutcome::Served);
     gateway.answer_counter(77, 5.0);
@@ -129,34 +129,31 @@
 }
 
 #[test]
-fn a_safe_request_that_two_backends_left_unanswered_is_not_sent_a_third_time() {
+fn an_idempotent_request_possibly_executed_twice_is_not_sent_a_third_time() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let at = gateway.forward(1, "c", "plain", "safe");
     let (_, next) =
-        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::Cancelled)).expect("one repeat");
+        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::Cancelled)).expect("one retry");
     let actions = gateway.advance(900.0, &[1]);
-    assert!(
-        !actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })),
-        "the repeat is left to finish"
-    );
+    assert!(!actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })), "the retry is not cancelled");
     let actions = gateway.end_attempt(1, 1, &next, AttemptOutcome::ConnectionLost);
     assert!(count_attempts(&actions) == 0 && is_rejected(&actions, 1), "{actions:?}");
 }
 
 #[test]
-fn a_keyed_repeat_that_waits_in_line_is_over_with_its_window() {
+fn a_queued_keyed_retry_ends_with_its_deduplication_window() {
     let mut changed = settings();
     changed.classes[1].deduplication_window = 150.0;
     let mut gateway = TestGateway::new(changed, &["a1"]);
     let at = gateway.forward(1, "c", "plain", "keyed");
-    // Broken twice, the one backend is left alone and the request waits for another of its cell.
+    // After two lost connections the one backend is ejected, and the request waits for another of its cell.
     let actions = gateway.end_attempt_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
     let window = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::SendAttempt { must_be_written_within: window, .. } = a { *window } else { None }
         })
     };
-    assert_eq!(window(&actions), Some(142.0), "what is left of it, less two ticks");
+    assert_eq!(window(&actions), Some(142.0), "the rest of the window, less two ticks");
     assert_eq!(
         count_attempts(&gateway.end_attempt_after(10.0, 1, 1, &at, AttemptOutcome::ConnectionLost)),
         0
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! Settings that change in service, and a gateway that leaves.
+//! Settings that change in service, and a gateway that shuts down.
 
 mod common;
 use common::*;
@@ -29,7 +29,7 @@
         Self { gateways: (0..count).map(gateway).collect(), counters: HashMap::new() }
     }
 
-    /// Carries out counter calls and serves what was sent at once; answers how many requests were sent on.
+    /// Executes counter calls and serves attempts at once; returns how many requests were forwarded.
     fn execute(&mut self, at: usize, mut actions: Vec<Action>) -> usize {
         let mut sent = 0;
         while let Some(action) = actions.pop() {
@@ -79,7 +79,7 @@
     }
 }
 
-/// A store that fills: how low it has been.
+/// A token bucket that records how low it has been.
 struct ReferenceBucket {
     held: f64,
     most: f64,
@@ -99,12 +99,12 @@
 }
 
 #[test]
-fn plans_that_go_up_and_down_every_200_ms_grant_no_more_than_the_larger() {
+fn plans_changed_every_200_ms_grant_no_more_than_the_larger_plan() {
     for (name, index) in [("plain", 0), ("ceiling", 1)] {
         let mut fleet = Fleet::new(3);
         let plan = settings().plans[index].clone();
         let (factor, mut id, mut sent_in_all) = (3.0, 0, 0);
-        // The larger figures: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
+        // The larger plan: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
         let mut quota = ReferenceBucket::new(2.0 * plan.burst * factor, plan.rate * factor);
         let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
         for step in 0..2000 {
@@ -134,13 +134,13 @@
             "{name}: {:.1} below its ceiling",
             -ceiling.lowest
         );
-        // And it is no blockade: at least the smaller plan's rate is granted.
-        assert!(sent_in_all as f64 >= plan.rate * 20.0 * 0.6, "{name}: only {sent_in_all} sent on in 20 s");
+        // At least the smaller plan's rate is granted.
+        assert!(sent_in_all as f64 >= plan.rate * 20.0 * 0.6, "{name}: only {sent_in_all} forwarded in 20 s");
     }
 }
 
 #[test]
-fn a_raised_plan_grants_more_at_once_and_a_lowered_one_takes_blocks_back() {
+fn a_raised_plan_grants_more_at_once_and_a_lowered_one_returns_leases() {
     let mut fleet = Fleet::new(2);
     let granted = |fleet: &mut Fleet, from: u64| {
         (0..60).map(|n| fleet.request(n % 2, from + n as u64, "plain")).sum::<usize>()
@@ -148,9 +148,9 @@
     assert_eq!(granted(&mut fleet, 100), 10);
     fleet.change(&|s| s.plans[0].burst = 30.0);
     let more = granted(&mut fleet, 200);
-    // Each gateway tells the new count what it used, and hears the other's word a call later: on the safe side.
+    // Each gateway reports to the new counter what it used, and learns of the other's use a call later: on the safe side.
     assert!((14..=20).contains(&more), "{more} of the 20 more");
-    // A block in hand, then a plan of a fifth: what is left of it is not spent.
+    // A lease is held, then the plan falls to a fifth: the rest of the lease is not spent.
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
     assert!(fleet.gateways[0].decisions.customers().any(|c| c.leased_units >= 4.0));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_is_out_ends_under_a_class_and_plan_that_are_gone() {
+fn requests_in_flight_end_under_a_removed_class_and_plan() {
     let mut gateway = TestGateway::new(settings(), &["a1", "b1"]);
     let backend = gateway.forward(1, "c", "plain", "unsafe");
     let backend_2 = gateway.forward(2, "d", "capped", "safe");
@@ -171,9 +171,12 @@
         next.plans.retain(|p| &*p.name != "plain");
         gateway.handle(Event::SettingsChanged(Box::new(next)));
     }
-    assert!(is_rejected(&gateway.request(3, "c", "plain", "safe"), 3), "the plan is gone for what comes");
+    assert!(
+        is_rejected(&gateway.request(3, "c", "plain", "safe"), 3),
+        "the plan is removed for new requests"
+    );
     assert!(is_rejected(&gateway.request(4, "d", "capped", "unsafe"), 4), "and so is the class");
-    // It may have run: never again, and no refusal.
+    // It may have been executed: neither retried nor rejected.
     assert!(is_failed(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
     gateway.serve(2, &backend_2, 1.0);
     assert_eq!(
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_change_nothing() {
+fn unusable_settings_change_nothing() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     for next in [Settings { gateway_index: 1, ..settings() }, Settings { classes: Vec::new(), ..settings() }]
     {
@@ -194,7 +197,7 @@
 }
 
 #[test]
-fn one_that_leaves_gives_back_what_it_did_not_use() {
+fn a_gateway_that_drains_returns_what_it_did_not_use() {
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
     let held: f64 = fleet.counters.values().sum();
@@ -202,7 +205,7 @@
     let actions = fleet.gateways[0].handle(Event::ShutdownStarted);
     fleet.execute(0, actions);
     assert_eq!(fleet.counters.values().sum::<f64>(), 1.0, "what was used stays counted");
-    // What still comes is paid one by one, and nothing stays in hand.
+    // New requests lease their own units only, and no lease is held.
     assert_eq!(fleet.request(0, 2, "plain"), 1);
     assert!(fleet.gateways[0].decisions.customers().all(|c| c.leased_units == 0.0));
     // The other gateway can use all the rest.
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn more_gateways_in_a_silence_share_what_is_left_of_the_slices() {
+fn more_gateways_during_an_outage_split_the_fallback_budget_further() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2"]);
     let spend = |gateway: &mut TestGateway, from: u64, gateway_count| {
         (from..from + 20)
@@ -243,13 +246,13 @@
     next.gateway_count = 10;
     gateway.handle(Event::SettingsChanged(Box::new(next)));
     let more = spend(&mut gateway, 100, 10);
-    assert!(more <= 1, "{more} more after the fleet grew: a slice was granted anew");
+    assert!(more <= 1, "{more} more after the fleet grew: a fallback budget was granted anew");
 }
 
-/// The counter comes back empty exactly when the plans change: what was used is told again by each gateway, and a
-/// ceiling holds.
+/// The counter comes back empty exactly when the plans change: what was used is reported again by each gateway, and
+/// the ceiling holds.
 #[test]
-fn a_counter_that_is_emptied_at_a_reload_does_not_pass_a_ceiling() {
+fn a_counter_emptied_at_a_settings_change_does_not_exceed_the_ceiling() {
     let mut fleet = Fleet::new(3);
     let plan = settings().plans[1].clone();
     let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * 2.0, plan.ceiling_rate * 2.0);
--- a/tests/settings_validation.rs
+++ b/tests/settings_validation.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used are an error value.
+//! Unusable settings are an error that names the value.
 
 mod common;
 use common::*;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn unusable_settings_are_refused() {
+fn unusable_settings_are_rejected_with_the_value_named() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::GatewayIndexOutOfRange));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Cold backends under the sum of all gateways: fleets of uneven gateways through replacements in steps, a lost part
-//! that returns, bursts and failures. What reaches each start within the stated time is held against the users' term,
-//! N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds of each.
+//! Slow start under the load of all gateways together: fleets of uneven gateways through rolling replacements, a lost part
+//! that returns, bursts and failures. The requests that reach a started backend within the overload window must not exceed
+//! N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds of each scenario.
 
 mod common;
 use common::*;
@@ -21,26 +21,26 @@
     }
 }
 
-/// What a fleet is played through.
+/// One scenario for a fleet.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     gateways: u32,
     backends: usize,
-    /// The load beside what warm backends can do, and by how much it rises for two seconds in the middle.
+    /// The load relative to the capacity of warm backends, and by how much it rises for two seconds in the middle.
     load: f64,
     burst: f64,
     /// This share of the backends is replaced, in steps so many ms apart; 0 for all at once.
     replaced: f64,
     step: Millis,
-    /// This share of the attempts breaks at once.
+    /// This share of the attempts loses its connection at once.
     lost_share: f64,
     /// This share of the others dies when the first is replaced, and stays listed.
     dead: f64,
-    /// The stated time, in ms.
+    /// The overload window, in ms.
     overload_window: Millis,
 }
 
-/// Requests a second that a warm backend does, on so many slots.
+/// Requests a second that a warm backend serves, on so many slots.
 const RATE: f64 = 20.0;
 const SLOTS: usize = 8;
 const QUEUE: usize = 30;
@@ -54,7 +54,7 @@
     List(Vec<BackendEntry>),
 }
 
-/// One start of a backend, as its sockets see it.
+/// One incarnation of a backend, as its sockets see it.
 #[derive(Default)]
 struct Instance {
     started: Option<Millis>,
@@ -95,7 +95,7 @@
             Gateway::new(settings, seed * 1000 + u64::from(number)).expect("usable settings")
         });
         let gateways = gateways.collect::<Vec<_>>();
-        // Some see several times the mean.
+        // Some gateways see several times the mean.
         let weights =
             (0..scenario.gateways).map(|_| if random.next() < 0.15 { 4.0 } else { 0.4 + random.next() });
         let weights: Vec<f64> = weights.collect();
@@ -200,7 +200,7 @@
         self.later(latency.max(0.1), at, Pending::Ends(end));
     }
 
-    /// Ends a backend, and starts another under a new name; the gateways hear of it within 400 ms.
+    /// Ends a backend, and starts another under a new name; the gateways are notified within 400 ms.
     fn replace(&mut self, old: &str, new: &str) {
         self.instances.get_mut(old).expect("it runs").up = false;
         let (slots, started) = (vec![self.now; SLOTS], Some(self.now));
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Plays to the end: for each start, the worst count in the stated time beside its bound.
+    /// Plays to the end: for each start, the worst count within an overload window and its bound.
     fn run(mut self) -> Vec<(f64, f64)> {
         let replaced = (self.scenario.backends as f64 * self.scenario.replaced).round() as usize;
         let mut steps = (0..replaced).map(|n| (FROM + self.scenario.step * n as f64, n)).collect::<Vec<_>>();
@@ -279,7 +279,7 @@
     }
 }
 
-/// The share of its capacity that a start has.
+/// The share of its capacity that an incarnation has.
 fn slow_start_weight(started: Option<Millis>, settings: &Settings, now: Millis) -> f64 {
     let age = started.map_or(1.0, |from| ((now - from) / settings.slow_start_duration).clamp(0.0, 1.0));
     settings.slow_start_share + (1.0 - settings.slow_start_share) * age
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn no_cold_backend_gets_more_than_its_budget_bears_from_all_gateways_together() {
+fn no_backend_in_slow_start_gets_more_than_its_budget_from_all_gateways_together() {
     let seeds = std::env::var("DOORCOURSE_SEEDS").ok().map_or(1, |s| s.parse().expect("a number"));
     let mut over = Vec::new();
     for scenario in scenarios() {
