--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -1,5 +1,5 @@
-//! What one request costs the decisions with 100 nodes: chosen among nodes of which the list says nothing, among
-//! weighted ones, in tiers with standbys and spares, and bound to a node. Compare them within one run.
+//! What one request costs the decisions with 100 backends: a uniform list, weights, priority levels with standbys and
+//! spares, and a sticky route. Compare them within one run.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doorcourse::{
@@ -8,7 +8,7 @@
 };
 use std::hint::black_box;
 
-const NODES: usize = 100;
+const BACKENDS: usize = 100;
 
 fn settings(gateways: u32) -> Settings {
     let class = RequestClass {
@@ -32,12 +32,11 @@
         over_quota_value: 0.0,
         over_quota_cost: 0.0,
     };
-    let (classes, plans, counter) = (vec![class], vec![plan], true);
     Settings {
         gateway_count: gateways,
-        classes,
-        plans,
-        has_counter: counter,
+        classes: vec![class],
+        plans: vec![plan],
+        has_counter: true,
         counter_timeout: 50.0,
         max_attempts: 3,
         slow_start_duration: 1000.0,
@@ -54,7 +53,7 @@
 }
 
 impl Host {
-    fn new(gateways: u32, place: impl Fn(usize) -> Placement) -> Self {
+    fn new(gateways: u32, placement: impl Fn(usize) -> Placement) -> Self {
         let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
         let entry = |n: usize| BackendEntry {
             name: format!("node-{n:03}").as_str().into(),
@@ -62,44 +61,43 @@
             cell: 0,
             state: BackendState::Ready,
             started: None,
-            placement: place(n),
+            placement: placement(n),
         };
         let mut actions = Vec::new();
-        gateway.handle(0.0, Event::BackendList((0..NODES).map(entry).collect()), &mut actions);
+        gateway.handle(0.0, Event::BackendList((0..BACKENDS).map(entry).collect()), &mut actions);
         Self { gateway, actions, now: 0.0, id: 0 }
     }
 
-    /// One request in and its answer.
-    fn request(&mut self, bound: &Name) {
-        (self.id, self.now) = (self.id + 1, self.now + 0.1);
-        let (id, customer, plan, class) = (self.id, Name::from("x"), Name::from("p"), Name::from("c"));
-        let (units, patience, bound) = (1.0, 900.0, bound.clone());
-        let arrival = IncomingRequest {
+    /// One request and its response.
+    fn request(&mut self, sticky_route: &Name) {
+        self.id += 1;
+        self.now += 0.1;
+        let id = self.id;
+        let request = IncomingRequest {
             id,
-            customer,
-            plan,
-            class,
-            units,
+            customer: Name::from("x"),
+            plan: Name::from("p"),
+            class: Name::from("c"),
+            units: 1.0,
             client_retry: false,
-            timeout: patience,
+            timeout: 900.0,
             first_gateway: 0,
             gateway_count: 1,
-            sticky_route: bound,
+            sticky_route: sticky_route.clone(),
         };
         self.actions.clear();
-        self.gateway.handle(self.now, Event::RequestReceived(arrival), &mut self.actions);
+        self.gateway.handle(self.now, Event::RequestReceived(request), &mut self.actions);
         let sent = self.actions.iter().find_map(|a| match a {
             Action::SendAttempt { backend, .. } => Some(backend.clone()),
             _ => None,
         });
         let Some(backend) = sent else { return };
-        let (outcome, latency) = (AttemptOutcome::Served, 5.0);
         let end = AttemptEnd {
             id,
             attempt: 0,
             backend,
-            outcome,
-            latency,
+            outcome: AttemptOutcome::Served,
+            latency: 5.0,
             true_units: None,
             final_response_sent: true,
             load_report: None,
@@ -109,18 +107,17 @@
     }
 }
 
-fn tiers(n: usize) -> Placement {
+fn levels(n: usize) -> Placement {
     let role = match n % 10 {
         8 => BackendRole::Spare,
         9 => BackendRole::Standby,
         _ => BackendRole::Active,
     };
-    let route = format!("r{n}").as_str().into();
     Placement {
         weight: (n % 5 + 1) as f64,
         priority_level: (n / 50) as u32,
         role,
-        sticky_route: route,
+        sticky_route: format!("r{n}").as_str().into(),
         ..Placement::default()
     }
 }
@@ -128,15 +125,18 @@
 fn measure(c: &mut Criterion) {
     let mut group = c.benchmark_group("choice among 100 nodes");
     let weighted = |n: usize| Placement { weight: (n % 5 + 1) as f64, ..Placement::default() };
-    let (free, home) = (Name::default(), Name::from("r3"));
+    let no_route = Name::default();
+    let route = Name::from("r3");
     for gateways in [3, 200] {
-        let mut run = |what: &str, mut host: Host, bound: &Name| {
-            group.bench_function(format!("{what}, {gateways} gateways"), |b| b.iter(|| host.request(bound)));
+        let mut run = |what: &str, mut host: Host, sticky_route: &Name| {
+            group.bench_function(format!("{what}, {gateways} gateways"), |b| {
+                b.iter(|| host.request(sticky_route))
+            });
         };
-        run("plain", Host::new(gateways, |_| Placement::default()), &free);
-        run("weights", Host::new(gateways, weighted), &free);
-        run("tiers", Host::new(gateways, tiers), &free);
-        run("bound", Host::new(gateways, tiers), &home);
+        run("plain", Host::new(gateways, |_| Placement::default()), &no_route);
+        run("weights", Host::new(gateways, weighted), &no_route);
+        run("tiers", Host::new(gateways, levels), &no_route);
+        run("bound", Host::new(gateways, levels), &route);
     }
     group.finish();
 }
--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -198,7 +198,9 @@
 }
 
 fn transcript() -> String {
-    let (mut fleet, mut host, mut text) = (Fleet::new(), Host::default(), String::new());
+    let mut fleet = Fleet::new();
+    let mut host = Host::default();
+    let mut text = String::new();
     let mut batch = fleet.opening_batch();
     for _ in 0..BATCHES {
         let input = batch.join("\n") + "\n";
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -71,7 +71,8 @@
 
 #[test]
 fn gateways_of_one_host_share_no_state() {
-    let (three, four) = (start(3), start(4));
+    let three = start(3);
+    let four = start(4);
     let other = NEWS.replace("\t3\t", "\t4\t");
     let order = ORDER.replace("\t3\t", "\t4\t");
     let alone = play(&["BATCH\t1", &four, LIST[0], LIST[1], &other, &order, "YOUR_TURN"]).expect("a reply");
--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -42,7 +42,8 @@
 #[test]
 fn consecutive_failures_eject_a_backend_and_a_served_request_ends_the_series() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let (mut id, mut logs) = (0, Vec::new());
+    let mut id = 0;
+    let mut logs = Vec::new();
     let mut broken = 0;
     while broken < 2 {
         id += 1;
@@ -75,7 +76,8 @@
 #[test]
 fn requests_in_flight_are_limited_and_a_long_queue_rejects_early() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let (mut out, mut rejected) = (0, 0);
+    let mut out = 0;
+    let mut rejected = 0;
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
         let (name, amount) = first_counter_call(&actions).expect("call");
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -11,7 +11,9 @@
 
 /// Sends a request every 20 ms while the counter does not answer; returns how many were admitted.
 fn admitted_in_outage(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
-    let (mut admitted, mut id, end) = (0, 1_000_000, gateway.now + span);
+    let mut admitted = 0;
+    let mut id = 1_000_000;
+    let end = gateway.now + span;
     while gateway.now < end {
         id += 1;
         let mut actions = gateway.request(id, "c", plan, "safe");
@@ -57,7 +59,9 @@
     // the counter emptied, leases what it grants, and then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
-    let (mut admitted, mut total, mut id) = (0.0, 0.0, 0);
+    let mut admitted = 0.0;
+    let mut total = 0.0;
+    let mut id = 0;
     while gateway.now < start + 2000.0 {
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total) as f64;
@@ -93,7 +97,9 @@
 #[test]
 fn an_outage_is_logged_once_and_the_counter_is_called_for_few_requests_only() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let (mut calls, mut lines, mut id) = (0, 0, 0);
+    let mut calls = 0;
+    let mut lines = 0;
+    let mut id = 0;
     let end = gateway.now + 5000.0;
     while gateway.now < end {
         id += 1;
@@ -137,7 +143,9 @@
     }
     // For three seconds the other gateway may spend all; then the counter is back, emptied.
     gateway.now += 3000.0;
-    let (mut admitted, mut total, mut id) = (0, 0.0, 100);
+    let mut admitted = 0;
+    let mut total = 0.0;
+    let mut id = 100;
     for _ in 0..40 {
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total);
@@ -153,10 +161,13 @@
 #[test]
 fn true_units_below_the_estimate_do_not_exceed_the_ceiling() {
     let mut settings = settings();
-    (settings.gateway_count, settings.responses_report_units) = (1, true);
+    settings.gateway_count = 1;
+    settings.responses_report_units = true;
     let plan = settings.plans[1].clone();
     let mut gateway = TestGateway::new(settings, &["a1", "a2", "a3", "a4"]);
-    let (mut left, mut total, mut lowest) = (plan.ceiling_burst, 0.0, f64::INFINITY);
+    let mut left = plan.ceiling_burst;
+    let mut total = 0.0;
+    let mut lowest = f64::INFINITY;
     let mut window = 0;
     for id in 1..2000 {
         gateway.now += 10.0;
@@ -165,7 +176,8 @@
         actions.extend(gateway.request(id, "c", "ceiling", "safe"));
         while let Some((name, amount)) = first_counter_call(&actions) {
             if name != window {
-                (window, total) = (name, 0.0);
+                window = name;
+                total = 0.0;
             }
             total += amount;
             actions.retain(|a| !matches!(a, Action::AddToCounter { .. }));
@@ -253,9 +265,10 @@
 #[test]
 fn late_answers_of_the_counter_cost_no_quota() {
     // Each answer comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
-    let (mut gateway, mut totals) =
-        (TestGateway::new(settings(), &["a1", "a2"]), std::collections::BTreeMap::new());
-    let (mut served, mut waiting) = (0, Vec::new());
+    let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
+    let mut totals = std::collections::BTreeMap::new();
+    let mut served = 0;
+    let mut waiting = Vec::new();
     for id in 1..=300 {
         let mut actions = gateway.request(id, "c", "plain", "safe");
         actions.extend(gateway.advance(20.0, &[]));
@@ -307,7 +320,8 @@
     }
     assert!(gateway.decisions.is_counter_silent());
     // The counter is back: the other gateway has just reported 18 units, 2.25 a second for 8 s.
-    let (mut actions, mut total) = (gateway.request(id + 1, "c", "plain", "safe"), 18.0);
+    let mut actions = gateway.request(id + 1, "c", "plain", "safe");
+    let mut total = 18.0;
     for _ in 0..6 {
         if let Some((name, amount)) = first_counter_call(&actions) {
             total += amount;
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -70,7 +70,9 @@
             .expect("usable")
         };
         let made = (0..gateways).map(make).collect();
-        let (counters, due, open_requests) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
+        let counters = HashMap::new();
+        let due = BTreeMap::new();
+        let open_requests = BTreeMap::new();
         let digest = Digest(0xcbf2_9ce4_8422_2325, 0);
         let mut world = Self {
             random,
@@ -110,7 +112,9 @@
             Action::SendAttempt { id, backend, .. } => {
                 let known = self.open_requests.entry(id).or_default();
                 let attempt = known.attempt;
-                (known.gateway, known.backend, known.sent) = (gateway, backend.clone(), self.now);
+                known.gateway = gateway;
+                known.backend = backend.clone();
+                known.sent = self.now;
                 known.attempt += 1;
                 let until = known.until;
                 let (outcome, latency) = match self.random.below(20) {
@@ -154,7 +158,8 @@
                 }
                 let total = self.counters.entry(name).or_default();
                 *total += amount;
-                let (outcome, latency) = (CounterOutcome::Total(*total), 1.0 + self.random.below(30) as f64);
+                let outcome = CounterOutcome::Total(*total);
+                let latency = 1.0 + self.random.below(30) as f64;
                 self.schedule(latency, gateway, Event::CounterCallEnded { counter: name, outcome, latency });
             }
             Action::Gossip { bytes } => {
@@ -201,9 +206,11 @@
             4 => {
                 let times = [0.5, 1.0, 2.0][self.random.below(3) as usize];
                 for plan in &mut self.settings.plans {
-                    (plan.rate, plan.burst) = (5.0 * times, 10.0 * times);
+                    plan.rate = 5.0 * times;
+                    plan.burst = 10.0 * times;
                     if plan.ceiling_rate > 0.0 {
-                        (plan.ceiling_rate, plan.ceiling_burst) = (8.0 * times, 16.0 * times);
+                        plan.ceiling_rate = 8.0 * times;
+                        plan.ceiling_burst = 16.0 * times;
                     }
                 }
                 for g in 0..count as usize {
@@ -237,9 +244,10 @@
         let plan = ["plain", "ceiling", "capped"][self.random.below(3) as usize];
         let customer = if self.random.below(6) == 0 { 1000 + id } else { self.random.below(9) };
         let timeout = 200.0 + self.random.below(2500) as f64;
-        let (gateway_count, repeat) =
-            (self.random.below(self.gateways.len() as u64 + 1) as u32, self.random.below(5) == 0);
-        let (units, class) = (1.0 + self.random.below(3) as f64, self.random.below(3) as usize);
+        let gateway_count = self.random.below(self.gateways.len() as u64 + 1) as u32;
+        let repeat = self.random.below(5) == 0;
+        let units = 1.0 + self.random.below(3) as f64;
+        let class = self.random.below(3) as usize;
         self.open_requests
             .insert(id, OpenRequest { gateway, until: self.now + timeout, ..OpenRequest::default() });
         let arrival = IncomingRequest {
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -60,7 +60,8 @@
 impl Fleet {
     fn new(seed: u64, fault: CounterFault) -> Self {
         let gateways = (0..GATEWAYS).map(|n| gateway(n, seed * 1000 + u64::from(n))).collect();
-        let (random, counters) = (Random(seed), BTreeMap::new());
+        let random = Random(seed);
+        let counters = BTreeMap::new();
         Self { gateways, random, counters, fault, start: 1000.0, sent: Vec::new() }
     }
 
@@ -102,7 +103,8 @@
 
     /// Plays for `span` ms with `rate` requests a second; some gateways see many of them.
     fn play(&mut self, span: Millis, rate: f64) {
-        let (mut id, mut next) = (0, self.start);
+        let mut id = 0;
+        let mut next = self.start;
         let mut back = false;
         let mut now = self.start;
         while now < self.start + span {
@@ -134,10 +136,13 @@
 
     /// By how many units the forwarded requests overdrew a bucket of this rate and burst.
     fn beyond(&self, rate: f64, burst: f64) -> f64 {
-        let (mut held, mut at, mut lowest) = (burst, self.start, burst);
+        let mut held = burst;
+        let mut at = self.start;
+        let mut lowest = burst;
         for sent in &self.sent {
             held = (held + rate * (sent - at) / 1000.0).min(burst) - 1.0;
-            (at, lowest) = (*sent, lowest.min(held));
+            at = *sent;
+            lowest = lowest.min(held);
         }
         -lowest
     }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -123,7 +123,8 @@
 }
 
 fn play(seed: u64) -> usize {
-    let (mut random, mut checker) = (Random(seed), Checker::default());
+    let mut random = Random(seed);
+    let mut checker = Checker::default();
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
     let mut gateway = TestGateway::new(settings(), &names);
     checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
@@ -149,7 +150,8 @@
         }
         let event = match random.below(40) {
             0..20 => {
-                let (class, timeout) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
+                let class = random.below(3) as usize;
+                let timeout = 300.0 + random.below(2500) as f64;
                 let known = Known {
                     class,
                     deadline: gateway.now + timeout,
@@ -222,7 +224,8 @@
             known.first_execution = Some((backend.clone(), sent_at));
         }
         let finished = outcome == AttemptOutcome::Served || known.has_response;
-        let (attempt, latency) = (known.attempts - 1, now - sent_at);
+        let attempt = known.attempts - 1;
+        let latency = now - sent_at;
         let end = AttemptEnd {
             id: *id,
             attempt,
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -48,7 +48,8 @@
 fn a_sampled_quota_holds_over_all_gateways() {
     // Burst 10, rate 5: in 1.5 s, less than a refill period, no more than two windows' bursts can be granted.
     let mut fleet = fleet(GATEWAYS, &names(20), false, false);
-    let (mut admitted, mut totals) = (0, BTreeMap::<u64, f64>::new());
+    let mut admitted = 0;
+    let mut totals = BTreeMap::<u64, f64>::new();
     let start = fleet[0].now;
     for (id, gateway) in (1..).zip(&mut fleet) {
         gateway.now = start + 3.0 * id as f64;
@@ -66,7 +67,8 @@
 #[test]
 fn each_gateway_keeps_to_its_subset_and_all_backends_are_used_alike() {
     let mut fleet = fleet(GATEWAYS, &names(50), false, false);
-    let (mut per_backend, mut most) = (BTreeMap::<Name, u32>::new(), 0);
+    let mut per_backend = BTreeMap::<Name, u32>::new();
+    let mut most = 0;
     for gateway in &mut fleet {
         let mut subset = BTreeSet::new();
         for id in 1..=20 {
@@ -88,7 +90,8 @@
     for gateways in [2, GATEWAYS] {
         let backends = names(10);
         let mut fleet = fleet(gateways, &backends, true, false);
-        let (mut to_slow_start, rounds) = (0, 5000 / gateways as u64);
+        let mut to_slow_start = 0;
+        let rounds = 5000 / gateways as u64;
         for id in 1..=rounds {
             for gateway in &mut fleet {
                 let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
@@ -133,7 +136,8 @@
     for id in 1..=40 {
         let mut actions = request_of_all(&mut fleet[1], id, "c", false);
         if let Some((name, _)) = first_counter_call(&actions) {
-            let (outcome, latency) = (CounterOutcome::NotAdded, 1.0);
+            let outcome = CounterOutcome::NotAdded;
+            let latency = 1.0;
             actions.extend(fleet[1].handle(Event::CounterCallEnded { counter: name, outcome, latency }));
         }
         admitted += count_attempts(&actions);
@@ -235,6 +239,7 @@
             gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
         }
     }
-    let (low, high) = (sampled["safe"], sampled["unsafe"]);
+    let low = sampled["safe"];
+    let high = sampled["unsafe"];
     assert!(high > low * 3 / 2, "{low} of low and {high} of high priority sampled");
 }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -7,9 +7,11 @@
 #[test]
 fn replaced_backends_and_customers_seen_once_are_forgotten() {
     let mut gateway = TestGateway::new(settings(), &["a0"]);
-    let (mut most, mut customers) = (0, 0);
+    let mut most = 0;
+    let mut customers = 0;
     for incarnation in 1..600 {
-        let (old, new) = (format!("a{}", incarnation - 1), format!("a{incarnation}"));
+        let old = format!("a{}", incarnation - 1);
+        let new = format!("a{incarnation}");
         let started = Some(gateway.now);
         gateway.handle(Event::BackendChanges(vec![
             backend_entry(&old, BackendState::Removed, None),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -10,7 +10,8 @@
 }
 
 fn ready_entry(name: &str, level: u32, role: BackendRole, weight: f64) -> BackendEntry {
-    let (route, state) = (format!("r-{name}").as_str().into(), BackendState::Ready);
+    let route = format!("r-{name}").as_str().into();
+    let state = BackendState::Ready;
     placed_entry(
         name,
         state,
@@ -275,7 +276,8 @@
 fn a_sticky_request_falls_back_to_failover_route_then_group_then_any_backend() {
     let with = |name: &str, role, redirect: &str, group: &str| {
         let mut entry = ready_entry(name, 0, role, 1.0);
-        (entry.placement.failover_route, entry.placement.failover_group) = (redirect.into(), group.into());
+        entry.placement.failover_route = redirect.into();
+        entry.placement.failover_group = group.into();
         entry
     };
     let list = vec![
@@ -366,7 +368,8 @@
         let mut host = TestHost::with(settings, 1000 + u64::from(number), list.clone());
         host.serve_requests(each, "").into_iter().for_each(|(n, c)| *served.entry(n).or_default() += c);
     }
-    let (total, whole) = (weights.iter().sum::<f64>(), f64::from(gateways) * each as f64);
+    let total = weights.iter().sum::<f64>();
+    let whole = f64::from(gateways) * each as f64;
     let error = |(at, w): (usize, &f64)| {
         let got = served.get(&format!("n{at:02}")).copied().unwrap_or(0) as f64 / whole;
         (got / (w / total) - 1.0).abs()
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -76,7 +76,8 @@
 #[test]
 fn settled_units_are_reported_later() {
     let mut set = settings();
-    (set.responses_report_units, set.max_request_units) = (true, 4.0);
+    set.responses_report_units = true;
+    set.max_request_units = 4.0;
     let mut gateway = TestGateway::new(set, &["a1", "a2"]);
     let backend = gateway.forward(1, "c", "plain", "safe");
     let end = AttemptEnd {
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -103,7 +103,9 @@
     for (name, index) in [("plain", 0), ("ceiling", 1)] {
         let mut fleet = Fleet::new(3);
         let plan = settings().plans[index].clone();
-        let (factor, mut id, mut sent_in_all) = (3.0, 0, 0);
+        let factor = 3.0;
+        let mut id = 0;
+        let mut sent_in_all = 0;
         // The larger plan: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
         let mut quota = ReferenceBucket::new(2.0 * plan.burst * factor, plan.rate * factor);
         let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
@@ -112,10 +114,10 @@
                 let times = if step % 40 == 0 { factor } else { 1.0 };
                 fleet.change(&|settings| {
                     let plan = &mut settings.plans[index];
-                    (plan.rate, plan.burst) =
-                        (plan.rate * times, plan.burst * if times > 1.0 { 2.0 } else { 1.0 });
-                    (plan.ceiling_rate, plan.ceiling_burst) =
-                        (plan.ceiling_rate * times, plan.ceiling_burst * times);
+                    plan.rate *= times;
+                    plan.burst *= if times > 1.0 { 2.0 } else { 1.0 };
+                    plan.ceiling_rate *= times;
+                    plan.ceiling_burst *= times;
                 });
             }
             fleet.advance(10.0);
@@ -256,14 +258,17 @@
     let mut fleet = Fleet::new(3);
     let plan = settings().plans[1].clone();
     let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * 2.0, plan.ceiling_rate * 2.0);
-    let (mut id, mut after) = (0, 0);
+    let mut id = 0;
+    let mut after = 0;
     for step in 0..1000 {
         if step == 100 {
             fleet.counters.clear();
             fleet.change(&|settings| {
                 let plan = &mut settings.plans[1];
-                (plan.rate, plan.burst) = (plan.rate * 2.0, plan.burst * 1.5);
-                (plan.ceiling_rate, plan.ceiling_burst) = (plan.ceiling_rate * 2.0, plan.ceiling_burst * 2.0);
+                plan.rate *= 2.0;
+                plan.burst *= 1.5;
+                plan.ceiling_rate *= 2.0;
+                plan.ceiling_burst *= 2.0;
             });
         }
         fleet.advance(10.0);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -99,7 +99,9 @@
         let weights =
             (0..scenario.gateways).map(|_| if random.next() < 0.15 { 4.0 } else { 0.4 + random.next() });
         let weights: Vec<f64> = weights.collect();
-        let (instances, due, pending) = (BTreeMap::new(), BinaryHeap::new(), HashMap::new());
+        let instances = BTreeMap::new();
+        let due = BinaryHeap::new();
+        let pending = HashMap::new();
         let mut fleet = Self {
             scenario,
             settings,
@@ -186,7 +188,8 @@
                 }
             }
         };
-        let (finished, load) = (outcome == AttemptOutcome::Served, None);
+        let finished = outcome == AttemptOutcome::Served;
+        let load = None;
         let end = AttemptEnd {
             id,
             attempt,
@@ -203,7 +206,8 @@
     /// Ends a backend, and starts another under a new name; the gateways are notified within 400 ms.
     fn replace(&mut self, old: &str, new: &str) {
         self.instances.get_mut(old).expect("it runs").up = false;
-        let (slots, started) = (vec![self.now; SLOTS], Some(self.now));
+        let slots = vec![self.now; SLOTS];
+        let started = Some(self.now);
         self.instances.insert(new.into(), Instance { started, up: true, slots, ..Instance::default() });
         for at in 0..self.gateways.len() {
             let after = 20.0 + 380.0 * self.random.next();
@@ -236,10 +240,13 @@
             match self.pending.remove(&order).expect("it was set") {
                 Pending::Arrival => {
                     self.next += 1;
-                    let (id, timeout) = (self.next, 2500.0);
+                    let id = self.next;
+                    let timeout = 2500.0;
                     self.attempts.insert(id, (0, self.now + timeout));
-                    let (customer, plan) = ("c".into(), self.settings.plans[0].name.clone());
-                    let (class, bound) = ("safe".into(), Name::default());
+                    let customer = "c".into();
+                    let plan = self.settings.plans[0].name.clone();
+                    let class = "safe".into();
+                    let bound = Name::default();
                     self.handle(
                         gateway,
                         Event::RequestReceived(IncomingRequest {
@@ -297,7 +304,8 @@
             (0.7, 1.5, 1.0, 200.0, 0.2),
             (1.6, 1.0, 0.5, 300.0, 0.1),
         ] {
-            let (backends, dead) = (10, 0.0);
+            let backends = 10;
+            let dead = 0.0;
             for overload_window in [1000.0, 3000.0] {
                 scenarios.push(Scenario {
                     gateways,
@@ -312,7 +320,12 @@
                 });
             }
         }
-        let (backends, load, burst, replaced, step, lost_share) = (10, 0.4, 1.5, 0.3, 0.0, 0.0);
+        let backends = 10;
+        let load = 0.4;
+        let burst = 1.5;
+        let replaced = 0.3;
+        let step = 0.0;
+        let lost_share = 0.0;
         scenarios.push(Scenario {
             gateways,
             backends,
@@ -348,7 +361,9 @@
             (1..=seeds).flat_map(|seed| Fleet::new(scenario, seed).run()).collect();
         all.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
         let at = |share: f64| all[((all.len() - 1) as f64 * share) as usize];
-        let (median, tail, worst) = (at(0.5), at(0.99), at(1.0));
+        let median = at(0.5);
+        let tail = at(0.99);
+        let worst = at(1.0);
         let beyond = all.iter().filter(|(count, bound)| count > bound).count();
         eprintln!(
             "{scenario:?}: {} starts, median {:.2}, 99 in 100 {:.2}, worst {} of {:.0}, {beyond} beyond",
