--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -1,532 +1,298 @@
-//! The room of the backends: for each id its address and its connections, one request at a time on each, the one used
-//! last taken first. Between the decision and the first byte lies the dial: what waits for a connection is taken back
-//! when its backend must not have it any more.
+//! The backends' connections: a pool for each backend, with one attempt at a time on a connection.
+//!
+//! The table owns the backends' addresses, their connections and the attempts that are out. Between the decision to send
+//! an attempt and its first byte lies the connect: an attempt that waits for a connection is withdrawn when its backend
+//! must not receive it any more. [`io`] does the I/O.
 
-use crate::endpoints::EndpointList;
-use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
+mod attempt;
+mod connection;
+mod io;
+
+pub(crate) use attempt::{AttemptEvent, AttemptUpdate, is_health_check};
+
+use crate::endpoints::{Endpoint, EndpointList};
+use crate::reactor::Reactor;
 use crate::request::ForwardedCommand;
-use doorcourse::{BackendState, LoadReport, Name, RequestId};
+use attempt::{Attempt, Payload, health_check_id};
+use connection::{BackendConnection, ConnectionState};
+use doorcourse::{BackendState, Millis, Name, RequestId};
 use doorcourse_connection_limits::{ConnectionPool, idle_limit};
-use doorcourse_event_loop::{Flow, Interest, Ready, connect};
+use doorcourse_event_loop::Flow;
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_request_lifecycle::BackendReply;
-use doorcourse_resp::{Answer, Answers};
 use slab::Slab;
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How often ages are looked at, in ms.
-const SWEEP: f64 = 200.0;
-/// Probes have numbers of their own beside those of requests.
-const PROBES: RequestId = 1 << 63;
-const PROBE: &[u8] = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
-
-/// What happens to an attempt.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Heard {
-    /// It has a connection.
-    Connected,
-    /// Its last byte was written.
-    Written,
-    /// A whole answer.
-    Answered { reply: BackendReply, value: Vec<u8>, units: Option<f64>, load: Option<LoadReport> },
-    /// The answer cannot be read.
-    Broken,
-    /// The connection broke, or could not be made.
-    Lost,
-    /// Its backend must not have it.
-    Withdrawn,
-}
-
-enum State {
-    Dialing { since: f64 },
-    Idle { since: f64 },
-    Busy { request: RequestId, written: bool },
-}
-
-struct Conn {
-    watched: RegisteredSocket,
-    backend: Name,
-    /// The incarnation of its backend that it was made for.
-    incarnation: u64,
-    state: State,
-    answers: Answers,
-    dirty: bool,
-    /// How long it stood idle before the request at hand, which of its requests that is, and since when.
-    rested: f64,
-    uses: u32,
-    began: f64,
-}
-
-struct Peer {
-    address: std::net::SocketAddr,
-    started: Option<f64>,
-    ready: bool,
-    listed: bool,
+/// One backend of the endpoint list.
+struct Backend {
+    address: SocketAddr,
+    /// When it was started, where that is known.
+    started: Option<Millis>,
+    /// Whether attempts may be sent to it.
+    is_ready: bool,
+    /// Whether the endpoint list holds it.
+    is_listed: bool,
     pool: ConnectionPool,
 }
 
-/// What a connection is used for.
-#[derive(Clone)]
-enum What {
-    Request(Arc<ForwardedCommand>),
-    /// A probe for the load.
-    Probe,
-}
-
-struct Attempt {
-    backend: Name,
-    what: What,
-    /// When the answer must be there.
-    until: f64,
-    conn: Option<usize>,
-}
-
-/// One backend as its sockets show it.
+/// How many connections and waiting attempts a backend has, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Seen {
+pub(crate) struct PoolCounts {
     pub busy: usize,
     pub idle: usize,
     pub waiting: usize,
-    pub dialing: usize,
+    pub connecting: usize,
 }
 
+/// The backends, their connections and the attempts that are out.
 #[derive(Default)]
 pub(crate) struct Backends {
-    peers: HashMap<Name, Peer>,
-    conns: Slab<Conn>,
+    backends: HashMap<Name, Backend>,
+    connections: Slab<BackendConnection>,
     attempts: HashMap<RequestId, Attempt>,
-    most: usize,
-    dial_timeout: f64,
-    keepalive: f64,
-    dirty: Vec<usize>,
-    swept: f64,
-    /// Connections made so far, for the record.
-    pub dialed: u64,
-    probes: u64,
-    /// Starts and addresses of backends heard of so far.
-    incarnations: u64,
+    max_connections: usize,
+    connect_timeout: Millis,
+    /// How long backends keep idle connections, in ms.
+    keepalive: Millis,
+    /// Connections that the next flush handles.
+    to_flush: Vec<usize>,
+    timeouts_checked_at: Millis,
+    /// Connections opened since the start, for the log.
+    pub connections_opened: u64,
+    health_checks_started: u64,
+    /// The number of the last incarnation of any backend: each start and each address of a backend is one.
+    last_incarnation: u64,
 }
 
 impl Backends {
-    pub fn new(most: usize, dial_timeout: f64, keepalive: f64) -> Self {
-        Self { most, dial_timeout, keepalive, ..Self::default() }
+    pub fn new(max_connections: usize, connect_timeout: Millis, keepalive: Millis) -> Self {
+        Self { max_connections, connect_timeout, keepalive, ..Self::default() }
     }
 
-    pub fn configure(&mut self, dial_timeout: f64, keepalive: f64) {
-        (self.dial_timeout, self.keepalive) = (dial_timeout, keepalive);
+    pub fn configure(&mut self, connect_timeout: Millis, keepalive: Millis) {
+        self.connect_timeout = connect_timeout;
+        self.keepalive = keepalive;
     }
 
-    /// A list came; the decisions have heard it already.
-    pub fn list(&mut self, list: &EndpointList, said: &mut Vec<(RequestId, Heard)>) {
+    /// Applies an endpoint list, which the decisions have received already. Attempts that their backend must not receive
+    /// any more are reported as withdrawn.
+    pub fn apply_endpoints(&mut self, list: &EndpointList, updates: &mut Vec<AttemptUpdate>) {
         if list.complete {
-            self.peers.values_mut().for_each(|p| p.listed = false);
+            self.backends.values_mut().for_each(|backend| backend.is_listed = false);
+        }
+        for endpoint in &list.endpoints {
+            self.apply_endpoint(endpoint, updates);
         }
-        for member in &list.endpoints {
-            let entry = &member.entry;
-            let ready = entry.state == BackendState::Ready;
-            let listed = entry.state != BackendState::Removed;
-            match (self.peers.get_mut(&entry.name), member.address) {
-                (Some(peer), dial) => {
-                    let moved = dial.is_some_and(|d| d != peer.address) || peer.started != entry.started;
-                    (peer.ready, peer.listed, peer.started) = (ready, listed, entry.started);
-                    peer.address = dial.unwrap_or(peer.address);
-                    if moved || !ready {
-                        self.withdraw(&entry.name, said);
-                    }
-                    if moved {
-                        self.begin_incarnation(&entry.name);
-                    }
+        for name in self.mark_removed() {
+            self.withdraw_attempts(&name, updates);
+            self.forget_if_unused(&name);
+        }
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, updates: &mut Vec<AttemptUpdate>) {
+        let entry = &endpoint.entry;
+        let is_ready = entry.state == BackendState::Ready;
+        let is_listed = entry.state != BackendState::Removed;
+        match (self.backends.get_mut(&entry.name), endpoint.address) {
+            (Some(backend), address) => {
+                let has_moved = address.is_some_and(|address| address != backend.address);
+                let is_new_incarnation = has_moved || backend.started != entry.started;
+                backend.is_ready = is_ready;
+                backend.is_listed = is_listed;
+                backend.started = entry.started;
+                backend.address = address.unwrap_or(backend.address);
+                if is_new_incarnation || !is_ready {
+                    self.withdraw_attempts(&entry.name, updates);
                 }
-                (None, Some(address)) if listed => {
-                    let (started, pool) = (entry.started, ConnectionPool::default());
-                    self.peers.insert(entry.name.clone(), Peer { address, started, ready, listed, pool });
+                if is_new_incarnation {
                     self.begin_incarnation(&entry.name);
                 }
-                (None, _) => {}
             }
-        }
-        let gone = |(name, p): (&Name, &mut Peer)| {
-            (!p.listed).then(|| {
-                p.ready = false;
-                name.clone()
-            })
-        };
-        let gone: Vec<Name> = self.peers.iter_mut().filter_map(gone).collect();
-        for name in gone {
-            self.withdraw(&name, said);
-            self.tidy(&name);
+            (None, Some(address)) if is_listed => {
+                let pool = ConnectionPool::default();
+                let backend = Backend { address, started: entry.started, is_ready, is_listed, pool };
+                self.backends.insert(entry.name.clone(), backend);
+                self.begin_incarnation(&entry.name);
+            }
+            (None, _) => {}
         }
     }
 
-    /// Nothing that waits goes there, and what is idle is of another life of it.
-    fn withdraw(&mut self, name: &Name, said: &mut Vec<(RequestId, Heard)>) {
-        let Some(peer) = self.peers.get_mut(name) else { return };
-        let (waiting, idle) = peer.pool.withdraw_all();
-        said.extend(waiting.into_iter().map(|id| (id, Heard::Withdrawn)));
-        for at in idle {
-            self.close(at);
+    /// Marks the backends that the list lacks as not ready, and returns their names.
+    fn mark_removed(&mut self) -> Vec<Name> {
+        let mut removed = Vec::new();
+        for (name, backend) in self.backends.iter_mut().filter(|(_, backend)| !backend.is_listed) {
+            backend.is_ready = false;
+            removed.push(name.clone());
         }
-        // Requests whose first byte is not written yet: the turn's flush is still to come.
-        for (_, conn) in self.conns.iter().filter(|(_, c)| c.backend == *name) {
-            if let State::Busy { request, written: false } = conn.state {
-                said.push((request, Heard::Withdrawn));
-            }
+        removed
+    }
+
+    /// Withdraws the attempts that wait for a connection or are not written, and closes idle connections.
+    fn withdraw_attempts(&mut self, name: &Name, updates: &mut Vec<AttemptUpdate>) {
+        let Some(backend) = self.backends.get_mut(name) else { return };
+        let (waiting, idle) = backend.pool.withdraw_all();
+        let withdrawn = |request| AttemptUpdate { request, event: AttemptEvent::Withdrawn };
+        updates.extend(waiting.into_iter().map(withdrawn));
+        for index in idle {
+            self.close(index);
         }
+        let connections = self.connections.iter().map(|(_, connection)| connection);
+        let of_backend = connections.filter(|connection| connection.backend == *name);
+        updates.extend(of_backend.filter_map(BackendConnection::unwritten_attempt).map(withdrawn));
     }
 
-    /// It is another start, or has another address: connections that are coming up to the one before are closed, and what
-    /// is under way on others ends there.
+    /// The backend was started again or has another address: it gets a pool of its own. Connections of the incarnation
+    /// before that are not made yet are closed; attempts under way on others end there.
     fn begin_incarnation(&mut self, name: &Name) {
-        let Some(peer) = self.peers.get_mut(name) else { return };
+        let Some(backend) = self.backends.get_mut(name) else { return };
         if rule_disabled("pool-per-incarnation") {
             return;
         }
-        self.incarnations += 1;
-        peer.pool = ConnectionPool::new(self.incarnations);
-        self.conns.retain(|_, c| c.backend != *name || !matches!(c.state, State::Dialing { .. }));
+        self.last_incarnation += 1;
+        backend.pool = ConnectionPool::new(self.last_incarnation);
+        self.connections.retain(|_, connection| {
+            connection.backend != *name || !matches!(connection.state, ConnectionState::Connecting { .. })
+        });
     }
 
-    /// The pool that a connection belongs to, where its backend is still the one that it was made for.
+    /// The pool that a connection belongs to, unless its backend has another incarnation by now.
     fn pool_of(&mut self, backend: &Name, incarnation: u64) -> Option<&mut ConnectionPool> {
-        self.peers
-            .get_mut(backend)
-            .map(|peer| &mut peer.pool)
-            .filter(|pool| pool.incarnation() == incarnation)
+        let pool = self.backends.get_mut(backend).map(|backend| &mut backend.pool);
+        pool.filter(|pool| pool.incarnation() == incarnation)
     }
 
-    fn tidy(&mut self, name: &Name) {
-        if self.peers.get(name).is_some_and(|p| !p.listed && p.pool.is_empty()) {
-            self.peers.remove(name);
+    /// Removes a backend that is neither listed nor in use.
+    fn forget_if_unused(&mut self, name: &Name) {
+        if self.backends.get(name).is_some_and(|backend| !backend.is_listed && backend.pool.is_empty()) {
+            self.backends.remove(name);
         }
     }
 
-    /// An attempt begins.
-    pub fn send(
-        &mut self, io: &mut Reactor, request: RequestId, backend: &Name, passed: Arc<ForwardedCommand>,
-        until: f64, said: &mut Vec<(RequestId, Heard)>,
+    /// Starts an attempt, on an idle connection or once one is made.
+    pub fn start_attempt(
+        &mut self, reactor: &mut Reactor, request: RequestId, backend: &Name, command: Arc<ForwardedCommand>,
+        deadline: Millis, updates: &mut Vec<AttemptUpdate>,
     ) {
-        self.begin(io, request, backend, What::Request(passed), until, said);
+        self.start(reactor, request, backend, Payload::Request(command), deadline, updates);
     }
 
-    /// A probe begins; it ends as an attempt does, under the number that is answered.
-    pub fn probe(
-        &mut self, io: &mut Reactor, backend: &Name, said: &mut Vec<(RequestId, Heard)>,
+    /// Starts a health check. Its updates come as those of an attempt, under the id that is returned.
+    pub fn start_health_check(
+        &mut self, reactor: &mut Reactor, backend: &Name, updates: &mut Vec<AttemptUpdate>,
     ) -> RequestId {
-        self.probes += 1;
-        let id = PROBES | self.probes;
-        self.begin(io, id, backend, What::Probe, f64::INFINITY, said);
+        self.health_checks_started += 1;
+        let id = health_check_id(self.health_checks_started);
+        self.start(reactor, id, backend, Payload::HealthCheck, f64::INFINITY, updates);
         id
     }
 
-    /// Whether a number is that of a probe.
-    pub fn is_probe(id: RequestId) -> bool {
-        id & PROBES != 0
-    }
-
-    fn begin(
-        &mut self, io: &mut Reactor, request: RequestId, backend: &Name, what: What, until: f64,
-        said: &mut Vec<(RequestId, Heard)>,
+    fn start(
+        &mut self, reactor: &mut Reactor, request: RequestId, name: &Name, payload: Payload,
+        deadline: Millis, updates: &mut Vec<AttemptUpdate>,
     ) {
-        let Some(peer) = self.peers.get_mut(backend).filter(|p| p.ready) else {
-            return said.push((request, Heard::Withdrawn));
+        let Some(backend) = self.backends.get_mut(name).filter(|backend| backend.is_ready) else {
+            return updates.push(AttemptUpdate { request, event: AttemptEvent::Withdrawn });
         };
-        let attempt = Attempt { backend: backend.clone(), what, until, conn: None };
+        let attempt = Attempt { backend: name.clone(), payload, deadline, connection: None };
         self.attempts.insert(request, attempt);
-        let keep = idle_limit(self.keepalive);
-        let mut old = Vec::new();
+        let idle_timeout = idle_limit(self.keepalive);
+        let mut expired = Vec::new();
         loop {
-            let taken = peer.pool.take_idle(io.now, keep, &mut old);
-            old.drain(..).for_each(|at| drop(self.conns.remove(at)));
-            let Some(at) = taken else { break };
-            // Anything unasked for, or an end, shows here: bytes left behind an answer must not become the next.
-            if self.conns[at].watched.socket.read() == (0, Flow::Open) {
-                return self.write(io, at, request, said);
+            let idle = backend.pool.take_idle(reactor.now, idle_timeout, &mut expired);
+            for index in expired.drain(..) {
+                self.connections.remove(index);
             }
-            self.conns.remove(at);
-            peer.pool.request_ended();
+            let Some(index) = idle else { break };
+            // Bytes that nobody asked for, or the backend's close, show here: they must not become the next response.
+            if self.connections[index].registered.socket.read() == (0, Flow::Open) {
+                return self.write_attempt(reactor, index, request, updates);
+            }
+            self.connections.remove(index);
+            backend.pool.request_ended();
         }
-        peer.pool.enqueue(request);
-        self.dial(io, backend, said);
+        backend.pool.enqueue(request);
+        self.open_connections(reactor, name, updates);
     }
 
-    fn write(&mut self, io: &Reactor, at: usize, request: RequestId, said: &mut Vec<(RequestId, Heard)>) {
-        let (Some(attempt), Some(conn)) = (self.attempts.get_mut(&request), self.conns.get_mut(at)) else {
-            return;
-        };
-        attempt.conn = Some(at);
-        conn.rested = if let State::Idle { since } = conn.state { io.now - since } else { 0.0 };
-        (conn.uses, conn.began) = (conn.uses + 1, io.now);
-        conn.state = State::Busy { request, written: false };
-        match &attempt.what {
-            What::Request(passed) => passed.encode(attempt.until - io.now, conn.watched.socket.output()),
-            What::Probe => conn.watched.socket.output().extend_from_slice(PROBE),
-        }
-        said.push((request, Heard::Connected));
-        if !std::mem::replace(&mut conn.dirty, true) {
-            self.dirty.push(at);
+    /// Gives an attempt the connection that is free for it; its bytes are written in the flush.
+    fn write_attempt(
+        &mut self, reactor: &Reactor, index: usize, request: RequestId, updates: &mut Vec<AttemptUpdate>,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(&request) else { return };
+        let Some(connection) = self.connections.get_mut(index) else { return };
+        attempt.connection = Some(index);
+        connection.start_attempt(request, reactor.now);
+        attempt.encode(reactor.now, connection.registered.socket.output());
+        updates.push(AttemptUpdate { request, event: AttemptEvent::Connected });
+        if !std::mem::replace(&mut connection.flush_scheduled, true) {
+            self.to_flush.push(index);
         }
     }
 
-    /// As many connections as attempts wait for, within the bounds.
-    fn dial(&mut self, io: &mut Reactor, name: &Name, said: &mut Vec<(RequestId, Heard)>) {
-        loop {
-            if self.conns.len() >= self.most {
-                self.retire_oldest();
-            }
-            let Some(peer) = self.peers.get_mut(name) else { return };
-            if !peer.pool.needs_connection() {
-                return;
-            }
-            let full = self.conns.len() >= self.most;
-            let token =
-                Token { kind: TokenKind::Backend, serial: io.next_serial(), index: self.conns.vacant_key() };
-            let interest = Interest::BOTH;
-            let made = if full {
-                Err(None)
-            } else {
-                connect(peer.address)
-                    .and_then(|s| RegisteredSocket::new(io, s, token, interest))
-                    .map_err(|e| Some(e.kind()))
-            };
-            match made {
-                Ok(watched) => {
-                    let (backend, state, dirty) = (name.clone(), State::Dialing { since: io.now }, false);
-                    let incarnation = peer.pool.incarnation();
-                    peer.pool.connect_started();
-                    self.dialed += 1;
-                    self.conns.insert(Conn {
-                        watched,
-                        backend,
-                        incarnation,
-                        state,
-                        answers: Answers::default(),
-                        dirty,
-                        rested: 0.0,
-                        uses: 0,
-                        began: 0.0,
-                    });
-                }
-                Err(kind) => {
-                    let Some(request) = peer.pool.pop_waiting() else { return };
-                    self.attempts.remove(&request);
-                    // What this machine is short of is no fault of the backend's.
-                    let refused = kind == Some(std::io::ErrorKind::ConnectionRefused);
-                    said.push((request, if refused { Heard::Lost } else { Heard::Withdrawn }));
-                }
-            }
+    /// Gives a free connection to the attempt that has waited longest, or keeps it idle.
+    fn release(&mut self, reactor: &Reactor, index: usize, updates: &mut Vec<AttemptUpdate>) {
+        let Some(connection) = self.connections.get_mut(index) else { return };
+        let backend = self.backends.get_mut(&connection.backend);
+        let Some(backend) = backend
+            .filter(|backend| backend.is_ready && backend.pool.incarnation() == connection.incarnation)
+        else {
+            return self.close(index);
+        };
+        let idle = ConnectionState::Idle { since: reactor.now };
+        match std::mem::replace(&mut connection.state, idle) {
+            ConnectionState::Connecting { .. } => backend.pool.connect_ended(),
+            ConnectionState::Busy { .. } => backend.pool.request_ended(),
+            ConnectionState::Idle { .. } => {}
         }
-    }
-
-    /// Closes the connection that has been idle longest, wherever it is.
-    fn retire_oldest(&mut self) {
-        let idle = self.peers.values().filter_map(|p| p.pool.longest_idle());
-        if let Some((at, _)) = idle.min_by(|a, b| a.1.total_cmp(&b.1)) {
-            self.close(at);
+        if let Some(request) = backend.pool.release(reactor.now, index) {
+            self.write_attempt(reactor, index, request, updates);
         }
     }
 
-    /// Closes a connection and forgets it at its backend.
-    fn close(&mut self, at: usize) {
-        let Some(conn) = self.conns.try_remove(at) else { return };
-        if let Some(pool) = self.pool_of(&conn.backend, conn.incarnation) {
-            match conn.state {
-                State::Dialing { .. } => pool.connect_ended(),
-                State::Idle { .. } => pool.remove_idle(at),
-                State::Busy { .. } => pool.request_ended(),
+    /// Closes a connection and removes it from its pool.
+    fn close(&mut self, index: usize) {
+        let Some(connection) = self.connections.try_remove(index) else { return };
+        if let Some(pool) = self.pool_of(&connection.backend, connection.incarnation) {
+            match connection.state {
+                ConnectionState::Connecting { .. } => pool.connect_ended(),
+                ConnectionState::Idle { .. } => pool.remove_idle(index),
+                ConnectionState::Busy { .. } => pool.request_ended(),
             }
         }
-        self.tidy(&conn.backend);
+        self.forget_if_unused(&connection.backend);
     }
 
-    /// Ends an attempt: it is not waited for any more.
+    /// Ends an attempt whose response is not waited for any more; its connection is closed.
     pub fn abandon(&mut self, request: RequestId) {
         let Some(attempt) = self.attempts.remove(&request) else { return };
-        match attempt.conn {
-            Some(at) => self.close(at),
+        match attempt.connection {
+            Some(index) => self.close(index),
             None => {
-                if let Some(peer) = self.peers.get_mut(&attempt.backend) {
-                    peer.pool.cancel_wait(request);
-                }
-            }
-        }
-    }
-
-    /// The time for an attempt's connection is up, if it has none yet.
-    pub fn dial_is_due(&mut self, request: RequestId) -> bool {
-        self.attempts.get(&request).is_some_and(|a| a.conn.is_none())
-    }
-
-    pub fn ready(
-        &mut self, io: &mut Reactor, token: Token, ready: Ready, said: &mut Vec<(RequestId, Heard)>,
-    ) {
-        let at = token.index;
-        let Some(conn) = self.conns.get_mut(at).filter(|c| c.watched.token == token) else { return };
-        match conn.state {
-            State::Dialing { .. } => {
-                if !ready.write && !ready.broken {
-                    return;
-                }
-                match conn.watched.socket.finish_connect() {
-                    Ok(()) => {
-                        conn.watched.set_interest(io, true, false);
-                        self.rest(io, at, said);
-                    }
-                    Err(_) => {
-                        let name = conn.backend.clone();
-                        self.close(at);
-                        if let Some(request) = self.peers.get_mut(&name).and_then(|p| p.pool.pop_waiting()) {
-                            self.attempts.remove(&request);
-                            said.push((request, Heard::Lost));
-                        }
-                        self.dial(io, &name, said);
-                    }
-                }
-            }
-            // Nothing was asked for: an end, or what belongs to no request.
-            State::Idle { since } => {
-                tracing::trace!(target: "doorcourse::sockets", age = (io.now - since).round(), "closed while idle");
-                self.close(at);
-            }
-            State::Busy { request, .. } => {
-                if ready.write && !std::mem::replace(&mut conn.dirty, true) {
-                    self.dirty.push(at);
-                }
-                if !ready.read && !ready.broken {
-                    return;
-                }
-                let (_, flow) = conn.watched.socket.read();
-                let found = match conn.answers.read(&conn.watched.socket.input) {
-                    Ok(None) if flow == Flow::Open => return,
-                    Ok(None) => Err(Heard::Lost),
-                    Err(_) => Err(Heard::Broken),
-                    Ok(Some((answer, took))) => {
-                        let heard = heard(answer, &conn.watched.socket.input, Self::is_probe(request));
-                        conn.watched.socket.consume(took);
-                        heard.ok_or(Heard::Broken)
-                    }
-                };
-                let good = flow == Flow::Open && conn.watched.socket.input.is_empty();
-                self.attempts.remove(&request);
-                if found.is_err() {
-                    let (idle, uses, out) = (conn.rested, conn.uses, io.now - conn.began);
-                    tracing::trace!(target: "doorcourse::sockets", idle, uses, out, ?found, "broken under a request");
-                }
-                match found {
-                    Ok(heard) => {
-                        let whole = matches!(conn.state, State::Busy { written: true, .. });
-                        said.push((request, heard));
-                        if good && whole { self.rest(io, at, said) } else { self.close(at) }
-                    }
-                    Err(heard) => {
-                        self.close(at);
-                        said.push((request, heard));
-                    }
+                if let Some(backend) = self.backends.get_mut(&attempt.backend) {
+                    backend.pool.cancel_wait(request);
                 }
             }
         }
     }
 
-    /// A connection is free: for who waits, else it is kept.
-    fn rest(&mut self, io: &Reactor, at: usize, said: &mut Vec<(RequestId, Heard)>) {
-        let Some(conn) = self.conns.get_mut(at) else { return };
-        let fits = |p: &&mut Peer| p.ready && p.pool.incarnation() == conn.incarnation;
-        let Some(peer) = self.peers.get_mut(&conn.backend).filter(fits) else { return self.close(at) };
-        match std::mem::replace(&mut conn.state, State::Idle { since: io.now }) {
-            State::Dialing { .. } => peer.pool.connect_ended(),
-            State::Busy { .. } => peer.pool.request_ended(),
-            State::Idle { .. } => {}
-        }
-        if let Some(request) = peer.pool.release(io.now, at) {
-            self.write(io, at, request, said);
-        }
-    }
-
-    /// Writes what the turn left to write.
-    pub fn flush(&mut self, io: &mut Reactor, said: &mut Vec<(RequestId, Heard)>) {
-        for at in std::mem::take(&mut self.dirty) {
-            let Some(conn) = self.conns.get_mut(at).filter(|c| c.dirty) else { continue };
-            conn.dirty = false;
-            let State::Busy { request, written: false } = conn.state else { continue };
-            let flow = conn.watched.socket.flush();
-            let pending = conn.watched.socket.pending() > 0;
-            conn.watched.set_interest(io, true, pending);
-            if flow == Flow::Broken {
-                self.attempts.remove(&request);
-                self.close(at);
-                said.push((request, Heard::Lost));
-            } else if !pending {
-                conn.state = State::Busy { request, written: true };
-                said.push((request, Heard::Written));
-            }
-        }
-    }
-
-    pub fn due(&self) -> f64 {
-        if self.conns.is_empty() { f64::INFINITY } else { self.swept + SWEEP }
-    }
-
-    /// Connections that never came up, and those idle for too long.
-    pub fn tick(&mut self, io: &mut Reactor) {
-        if io.now < self.swept + SWEEP {
-            return;
-        }
-        self.swept = io.now;
-        let keep = idle_limit(self.keepalive);
-        for at in 0..self.conns.capacity() {
-            let Some(conn) = self.conns.get(at) else { continue };
-            let over = match conn.state {
-                State::Dialing { since } => io.now >= since + self.dial_timeout,
-                State::Idle { since } => io.now >= since + keep,
-                State::Busy { .. } => false,
-            };
-            if over {
-                self.close(at);
-            }
-        }
+    /// Whether an attempt is out and has no connection yet.
+    pub fn awaits_connection(&self, request: RequestId) -> bool {
+        self.attempts.get(&request).is_some_and(|attempt| attempt.connection.is_none())
     }
 
-    /// One backend as its sockets show it.
-    pub fn seen(&self, name: &Name) -> Seen {
-        let Some(peer) = self.peers.get(name) else { return Seen::default() };
-        let (waiting, dialing, busy, idle) = peer.pool.counts();
-        Seen { busy, idle, waiting, dialing }
+    /// How many connections and waiting attempts a backend has.
+    pub fn pool_counts(&self, name: &Name) -> PoolCounts {
+        let Some(backend) = self.backends.get(name) else { return PoolCounts::default() };
+        let (waiting, connecting, busy, idle) = backend.pool.counts();
+        PoolCounts { busy, idle, waiting, connecting }
     }
 
-    pub fn connections(&self) -> usize {
-        self.conns.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 }
 
-/// What an answer says; `None` for one that does not belong to what was asked.
-fn heard(answer: Answer, input: &[u8], probe: bool) -> Option<Heard> {
-    let load = |text: Option<String>| text.and_then(|t| doorcourse_deployment::report(&t, '=').ok());
-    Some(match answer {
-        Answer::Served { .. } if probe => return None,
-        Answer::Served { value, used, report } => {
-            let units = used.and_then(|u| u.parse().ok()).filter(|u: &f64| u.is_finite() && *u > 0.0);
-            let (reply, value) = (BackendReply::Value, input[value].to_vec());
-            Heard::Answered { reply, value, units, load: load(report) }
-        }
-        Answer::Failed { report } => Heard::Answered {
-            reply: BackendReply::Failed,
-            value: Vec::new(),
-            units: None,
-            load: load(report),
-        },
-        Answer::Busy { report } => Heard::Answered {
-            reply: BackendReply::Rejected,
-            value: Vec::new(),
-            units: None,
-            load: load(report),
-        },
-        Answer::Bulk(text) if probe => {
-            let load = load(std::str::from_utf8(&input[text]).ok().map(str::to_owned));
-            Heard::Answered { reply: BackendReply::Value, value: Vec::new(), units: None, load }
-        }
-        Answer::Pong | Answer::Bulk(_) => return None,
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -0,0 +1,112 @@
+//! What is sent to a backend, and what is reported of it.
+
+use crate::request::ForwardedCommand;
+use doorcourse::{LoadReport, Millis, Name, RequestId};
+use doorcourse_request_lifecycle::BackendReply;
+use doorcourse_resp::Answer;
+use std::sync::Arc;
+
+/// The command of a health check.
+const HEALTH_CHECK_COMMAND: &[u8] = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
+/// Marks the ids of health checks, which share the table of attempts with requests.
+const HEALTH_CHECK_BIT: RequestId = 1 << 63;
+
+/// Whether an id is that of a health check.
+pub(crate) fn is_health_check(id: RequestId) -> bool {
+    id & HEALTH_CHECK_BIT != 0
+}
+
+/// The id of the health check with this number.
+pub(super) fn health_check_id(number: u64) -> RequestId {
+    HEALTH_CHECK_BIT | number
+}
+
+/// What happened to the attempt of a request, or to a health check.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct AttemptUpdate {
+    pub request: RequestId,
+    pub event: AttemptEvent,
+}
+
+/// What happened to an attempt.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum AttemptEvent {
+    /// It has a connection.
+    Connected,
+    /// Its last byte was written.
+    Written,
+    /// A complete response was received.
+    Responded(BackendResponse),
+    /// The response cannot be read.
+    InvalidResponse,
+    /// The connection broke, or could not be made.
+    ConnectionLost,
+    /// The backend must not receive it any more; no byte of it was written.
+    Withdrawn,
+}
+
+/// A complete response of a backend.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct BackendResponse {
+    pub reply: BackendReply,
+    pub value: Vec<u8>,
+    /// The units that the request used, where the response states them.
+    pub units: Option<f64>,
+    pub load_report: Option<LoadReport>,
+}
+
+impl BackendResponse {
+    /// The response in these input bytes; `None` where it does not belong to what was sent. Unreadable units or an
+    /// unreadable load report leave the rest of the response valid.
+    pub(super) fn from_answer(answer: Answer, input: &[u8], is_health_check: bool) -> Option<Self> {
+        match answer {
+            Answer::Served { value, used, report } if !is_health_check => Some(Self {
+                reply: BackendReply::Value,
+                value: input[value].to_vec(),
+                units: used.and_then(|u| u.parse().ok()).filter(|u: &f64| u.is_finite() && *u > 0.0),
+                load_report: parse_load_report(report),
+            }),
+            Answer::Failed { report } => Some(Self::without_value(BackendReply::Failed, report)),
+            Answer::Busy { report } => Some(Self::without_value(BackendReply::Rejected, report)),
+            Answer::Bulk(text) if is_health_check => {
+                let text = std::str::from_utf8(&input[text]).ok().map(str::to_owned);
+                Some(Self::without_value(BackendReply::Value, text))
+            }
+            Answer::Served { .. } | Answer::Pong | Answer::Bulk(_) => None,
+        }
+    }
+
+    fn without_value(reply: BackendReply, load_report: Option<String>) -> Self {
+        Self { reply, value: Vec::new(), units: None, load_report: parse_load_report(load_report) }
+    }
+}
+
+fn parse_load_report(text: Option<String>) -> Option<LoadReport> {
+    text.and_then(|text| doorcourse_deployment::report(&text, '=').ok())
+}
+
+/// What an attempt sends.
+pub(super) enum Payload {
+    Request(Arc<ForwardedCommand>),
+    HealthCheck,
+}
+
+/// An attempt, or a health check, whose response is due.
+pub(super) struct Attempt {
+    pub backend: Name,
+    pub payload: Payload,
+    /// When the response has to be there.
+    pub deadline: Millis,
+    /// Index of its connection; `None` while it waits for one.
+    pub connection: Option<usize>,
+}
+
+impl Attempt {
+    /// Appends the bytes to send.
+    pub fn encode(&self, now: Millis, output: &mut Vec<u8>) {
+        match &self.payload {
+            Payload::Request(command) => command.encode(self.deadline - now, output),
+            Payload::HealthCheck => output.extend_from_slice(HEALTH_CHECK_COMMAND),
+        }
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -0,0 +1,118 @@
+//! One connection to a backend, with one attempt at a time.
+
+use super::attempt::{AttemptEvent, BackendResponse, is_health_check};
+use crate::reactor::RegisteredSocket;
+use doorcourse::{Millis, Name, RequestId};
+use doorcourse_event_loop::Flow;
+use doorcourse_resp::Answers;
+
+pub(super) enum ConnectionState {
+    Connecting {
+        since: Millis,
+    },
+    Idle {
+        since: Millis,
+    },
+    /// An attempt is out; `written` once its last byte is written.
+    Busy {
+        request: RequestId,
+        written: bool,
+    },
+}
+
+pub(super) struct BackendConnection {
+    pub registered: RegisteredSocket,
+    pub backend: Name,
+    /// The incarnation of its backend that it was made for.
+    pub incarnation: u64,
+    pub state: ConnectionState,
+    answers: Answers,
+    /// Whether the next flush handles this connection.
+    pub flush_scheduled: bool,
+    usage: Usage,
+}
+
+/// How a connection was used, for the log.
+#[derive(Default)]
+struct Usage {
+    /// How long it was idle before the attempt at hand, in ms.
+    idle_before: Millis,
+    /// Attempts so far.
+    attempts: u32,
+    /// When the attempt at hand started.
+    attempt_started_at: Millis,
+}
+
+impl BackendConnection {
+    pub fn connecting(registered: RegisteredSocket, backend: Name, incarnation: u64, now: Millis) -> Self {
+        Self {
+            registered,
+            backend,
+            incarnation,
+            state: ConnectionState::Connecting { since: now },
+            answers: Answers::default(),
+            flush_scheduled: false,
+            usage: Usage::default(),
+        }
+    }
+
+    /// The attempt of which no byte is known to be written.
+    pub fn unwritten_attempt(&self) -> Option<RequestId> {
+        match self.state {
+            ConnectionState::Busy { request, written: false } => Some(request),
+            _ => None,
+        }
+    }
+
+    /// Notes that an attempt starts; its bytes go to the output.
+    pub fn start_attempt(&mut self, request: RequestId, now: Millis) {
+        self.usage.idle_before = match self.state {
+            ConnectionState::Idle { since } => now - since,
+            _ => 0.0,
+        };
+        self.usage.attempts += 1;
+        self.usage.attempt_started_at = now;
+        self.state = ConnectionState::Busy { request, written: false };
+    }
+
+    /// Reads once: the response to the attempt at hand, or how it failed; `None` while neither is there.
+    pub fn read_response(&mut self, request: RequestId) -> Option<ReadResponse> {
+        let (_, flow) = self.registered.socket.read();
+        let input = &self.registered.socket.input;
+        let result = match self.answers.read(input) {
+            Ok(None) if flow == Flow::Open => return None,
+            Ok(None) => Err(AttemptEvent::ConnectionLost),
+            Err(_) => Err(AttemptEvent::InvalidResponse),
+            Ok(Some((answer, length))) => {
+                let response = BackendResponse::from_answer(answer, input, is_health_check(request));
+                self.registered.socket.consume(length);
+                response.ok_or(AttemptEvent::InvalidResponse)
+            }
+        };
+        let is_written = matches!(self.state, ConnectionState::Busy { written: true, .. });
+        let is_reusable = is_written && flow == Flow::Open && self.registered.socket.input.is_empty();
+        Some(ReadResponse { result, is_reusable })
+    }
+
+    /// Logs that the connection failed during an attempt.
+    pub fn log_failed_attempt(&self, now: Millis, event: &AttemptEvent) {
+        tracing::trace!(
+            target: "doorcourse::sockets",
+            backend = &*self.backend,
+            idle_before_ms = self.usage.idle_before,
+            attempts = self.usage.attempts,
+            elapsed_ms = now - self.usage.attempt_started_at,
+            unreadable = *event == AttemptEvent::InvalidResponse,
+            "backend connection failed during an attempt"
+        );
+    }
+}
+
+/// The end of an attempt as its connection shows it.
+pub(super) struct ReadResponse {
+    /// The response, or the event that stands for its failure.
+    pub result: Result<BackendResponse, AttemptEvent>,
+    /// Whether another attempt may use the connection: the response ended exactly and came after the attempt's last
+    /// byte was written.
+    pub is_reusable: bool,
+}
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -5,7 +5,7 @@
 use crate::clients::ClientTable;
 use crate::counter::Counter;
 use crate::reactor::Reactor;
-use crate::requests::Exchanges;
+use crate::requests::RequestTable;
 use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
@@ -123,13 +123,13 @@
 
     pub fn tick(
         &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &ClientTable,
-        counter: &Counter, exchanges: &Exchanges,
+        counter: &Counter, requests: &RequestTable,
     ) {
         if !self.on || io.now < self.at + EVERY {
             return;
         }
         self.at = io.now;
-        let (open, counts) = (exchanges.len(), doorcourse_event_loop::counts());
+        let (open, counts) = (requests.len(), doorcourse_event_loop::counts());
         let (told, refused) = (std::mem::take(&mut self.calls), std::mem::take(&mut self.refused));
         tracing::debug!(
             target: "doorcourse::watch",
@@ -145,8 +145,8 @@
             target: "doorcourse::watch",
             open,
             clients = clients.connection_count(),
-            backends = backends.connections(),
-            dialed = backends.dialed,
+            backends = backends.connection_count(),
+            dialed = backends.connections_opened,
             counter = counter.connections(),
             silent = gateway.is_counter_silent(),
             customers = gateway.customers().count(),
@@ -155,7 +155,7 @@
         );
         let seen = std::mem::take(&mut self.seen);
         for view in gateway.backends() {
-            let (on, none) = (backends.seen(&view.name), Tally::default());
+            let (on, none) = (backends.pool_counts(&view.name), Tally::default());
             let tally = seen.get(&view.name).unwrap_or(&none);
             if !view.ready && on.busy + on.idle + on.waiting == 0 && view.in_flight == 0 {
                 continue;
@@ -167,7 +167,7 @@
                 believed_out = view.in_flight,
                 busy = on.busy,
                 waiting = on.waiting,
-                dialing = on.dialing,
+                dialing = on.connecting,
                 idle = on.idle,
                 room = (view.concurrency_limit * 10.0).round() / 10.0,
                 failures = view.consecutive_failures,
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The loop: a thin room over the others. Each turn takes in what was told (discovery, counter, ended attempts) before
 //! timers and clients, carries out what the decisions answer, and writes each socket once.
 
-use crate::backends::{Backends, Heard};
+use crate::backends::{AttemptEvent, AttemptUpdate, Backends, is_health_check};
 use crate::clients::{ClientEvent, ClientTable, RequestFailure, Response};
 use crate::config::Config;
 use crate::counter::Counter;
@@ -9,7 +9,7 @@
 use crate::discovery::Discovery;
 use crate::endpoints::EndpointList;
 use crate::reactor::{Reactor, Timer, Token, TokenKind};
-use crate::requests::{Begun, Do, Exchanges};
+use crate::requests::{RequestCommand, RequestTable, StartOutcome};
 use doorcourse::{Action, AttemptOutcome, Event, Gateway, LoadReport, Name, RequestId};
 use doorcourse_connection_limits::DescriptorBudget;
 use doorcourse_counter::CounterCall;
@@ -36,7 +36,7 @@
     gateway: Gateway,
     clients: ClientTable,
     backends: Backends,
-    exchanges: Exchanges,
+    requests: RequestTable,
     counter: Counter,
     discovery: Discovery,
     watch: Watch,
@@ -54,10 +54,10 @@
     /// What the decisions are still to hear, in order.
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    said: Vec<(RequestId, Heard)>,
+    said: Vec<AttemptUpdate>,
     told: Vec<ClientEvent>,
     counted: Vec<Event>,
-    doing: Vec<Do>,
+    doing: Vec<RequestCommand>,
 }
 
 /// Does what signals do, for a gateway that runs in another thread.
@@ -134,7 +134,7 @@
             gateway,
             clients,
             backends,
-            exchanges: Exchanges::default(),
+            requests: RequestTable::default(),
             counter,
             discovery,
             watch,
@@ -214,7 +214,7 @@
         let rooms = [
             self.discovery.due(),
             self.counter.due(),
-            self.backends.due(),
+            self.backends.next_timeout(),
             self.clients.next_timeout(),
             self.io.timers.first().unwrap_or(f64::INFINITY),
             self.leave.next_timeout(self.io.now),
@@ -256,7 +256,7 @@
             &self.backends,
             &self.clients,
             &self.counter,
-            &self.exchanges,
+            &self.requests,
         );
     }
 
@@ -273,7 +273,7 @@
                 lists.into_iter().for_each(|list| self.take_list(list));
             }
             TokenKind::Counter => self.counter.ready(&mut self.io, token, ready, &mut self.counted),
-            TokenKind::Backend => self.backends.ready(&mut self.io, token, ready, &mut self.said),
+            TokenKind::Backend => self.backends.handle_readiness(&mut self.io, token, ready, &mut self.said),
             TokenKind::Listener => self.clients.accept(&mut self.io, &self.site, &mut self.told),
             TokenKind::Client => {
                 self.clients.handle_readiness(&mut self.io, &self.site, token, ready, &mut self.told)
@@ -285,7 +285,7 @@
     fn tick(&mut self) {
         self.discovery.tick(&mut self.io);
         self.counter.tick(&mut self.io, &mut self.counted);
-        self.backends.tick(&mut self.io);
+        self.backends.handle_timeout(&self.io);
         self.settle();
         while let Some(alarm) = self.io.timers.due(self.io.now) {
             match alarm {
@@ -296,13 +296,13 @@
                     self.probed(id, AttemptOutcome::TimedOut, None);
                 }
                 Timer::ConnectTimeout { request: id, attempt } => {
-                    if self.exchanges.is_out(id, attempt) && self.backends.dial_is_due(id) {
+                    if self.requests.is_in_flight(id, attempt) && self.backends.awaits_connection(id) {
                         self.backends.abandon(id);
-                        self.said.push((id, Heard::Lost));
+                        self.said.push(AttemptUpdate { request: id, event: AttemptEvent::ConnectionLost });
                     }
                 }
                 Timer::WriteDeadline { request: id, attempt } => {
-                    if self.exchanges.is_out(id, attempt) {
+                    if self.requests.is_in_flight(id, attempt) {
                         self.input(id, LifecycleEvent::Withdrawn);
                     }
                 }
@@ -315,13 +315,13 @@
     fn settle(&mut self) {
         loop {
             self.events.extend(self.counted.drain(..));
-            for (id, heard) in std::mem::take(&mut self.said) {
-                if Backends::is_probe(id) {
+            for AttemptUpdate { request: id, event: heard } in std::mem::take(&mut self.said) {
+                if is_health_check(id) {
                     self.heard_of_probe(id, heard);
                     continue;
                 }
                 let (now, advice) = (self.io.now, self.site.host.advice);
-                self.exchanges.heard(now, advice, id, heard, &mut self.doing);
+                self.requests.handle_attempt_event(now, id, heard, advice, &mut self.doing);
                 self.carry_out();
             }
             for told in std::mem::take(&mut self.told) {
@@ -349,7 +349,7 @@
     fn answer_all(&mut self) {
         let mut rounds = FinalRounds::new(self.site.settings.max_attempts);
         loop {
-            let (open, input) = match rounds.next(self.exchanges.waiting()) {
+            let (open, input) = match rounds.next(self.requests.awaiting_response()) {
                 FinalRound::ExpireAttempts(open) => (open, LifecycleEvent::DeadlineExpired),
                 FinalRound::ResetClients(left) => (left, LifecycleEvent::Failed),
                 FinalRound::Finished => return,
@@ -364,15 +364,19 @@
         }
     }
 
-    fn heard_of_probe(&mut self, id: RequestId, heard: Heard) {
+    fn heard_of_probe(&mut self, id: RequestId, heard: AttemptEvent) {
         let (outcome, load) = match heard {
-            Heard::Connected | Heard::Written => return,
-            Heard::Answered { reply: BackendReply::Value, load, .. } => (AttemptOutcome::Served, load),
-            Heard::Answered { reply: BackendReply::Rejected, load, .. } => (AttemptOutcome::Rejected, load),
-            Heard::Answered { reply: BackendReply::Failed, load, .. } => (AttemptOutcome::Error, load),
-            Heard::Broken => (AttemptOutcome::Error, None),
-            Heard::Lost => (AttemptOutcome::ConnectFailed, None),
-            Heard::Withdrawn => {
+            AttemptEvent::Connected | AttemptEvent::Written => return,
+            AttemptEvent::Responded(r) if r.reply == BackendReply::Value => {
+                (AttemptOutcome::Served, r.load_report)
+            }
+            AttemptEvent::Responded(r) if r.reply == BackendReply::Rejected => {
+                (AttemptOutcome::Rejected, r.load_report)
+            }
+            AttemptEvent::Responded(r) => (AttemptOutcome::Error, r.load_report),
+            AttemptEvent::InvalidResponse => (AttemptOutcome::Error, None),
+            AttemptEvent::ConnectionLost => (AttemptOutcome::ConnectFailed, None),
+            AttemptEvent::Withdrawn => {
                 self.backends.abandon(id);
                 (AttemptOutcome::NeverSent, None)
             }
@@ -388,7 +392,7 @@
 
     fn input(&mut self, id: RequestId, input: LifecycleEvent) {
         let (now, advice) = (self.io.now, self.site.host.advice);
-        self.exchanges.handle(now, advice, id, input, &mut self.doing);
+        self.requests.handle_event(now, id, input, advice, &mut self.doing);
         self.carry_out();
     }
 
@@ -396,9 +400,11 @@
         let mut doing = std::mem::take(&mut self.doing);
         for what in doing.drain(..) {
             match what {
-                Do::Tell(event) => self.events.push_back(event),
-                Do::Give(place, given) => self.clients.respond(self.io.now, place, given),
-                Do::Abandon(id) => self.backends.abandon(id),
+                RequestCommand::NotifyDecisions(event) => self.events.push_back(event),
+                RequestCommand::Respond { command, response } => {
+                    self.clients.respond(self.io.now, command, response)
+                }
+                RequestCommand::AbandonAttempt { request: id } => self.backends.abandon(id),
             }
         }
         self.doing = doing;
@@ -413,16 +419,18 @@
             // Its client has gone in the moment in which it was read.
             ClientEvent::RequestReceived { command: place, .. } if !self.clients.is_connected(place) => {}
             ClientEvent::RequestReceived { command: place, request: ask } => {
-                let given = match self.exchanges.begin(self.io.now, &self.site, &self.leave, place, *ask) {
-                    Begun::Taken { id, until, event } => {
+                let given = match self.requests.start(self.io.now, &self.site, &self.leave, place, *ask) {
+                    StartOutcome::Started { request: id, deadline: until, event } => {
                         self.clients.request_started(place, id);
                         self.io.timers.set(until, Timer::RequestDeadline { request: id });
                         return self.events.push_back(event);
                     }
-                    Begun::Twice => Response::InvalidRequest(crate::request::RequestError::DuplicateId),
-                    Begun::NoTime => Response::Failed(RequestFailure::DeadlineTooShort),
+                    StartOutcome::DuplicateId => {
+                        Response::InvalidRequest(crate::request::RequestError::DuplicateId)
+                    }
+                    StartOutcome::DeadlineTooShort => Response::Failed(RequestFailure::DeadlineTooShort),
                     // Another gateway takes it at once: there is nothing to wait for.
-                    Begun::Leaving => Response::Rejected { retry_after_ms: None },
+                    StartOutcome::ShuttingDown => Response::Rejected { retry_after_ms: None },
                 };
                 self.clients.respond(self.io.now, place, given);
             }
@@ -433,14 +441,18 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::SendAttempt { id, backend, timeout, must_be_written_within: window } => {
-                let Some(out) = self.exchanges.send(self.io.now, id, &backend) else { return };
+                let Some(out) = self.requests.start_attempt(self.io.now, id, &backend) else { return };
                 if let Some(timeout) = timeout {
                     self.io.timers.set(self.io.now + timeout, Timer::RequestDeadline { request: id });
                 }
-                let (limit, until) = (self.site.host.dial_timeout, out.until);
-                let dial = connect_timeout(limit, until - out.began, self.io.now - out.began);
-                self.backends.send(&mut self.io, id, &backend, out.passed, until, &mut self.said);
-                if self.backends.dial_is_due(id) && limit > 0.0 {
+                let (limit, until) = (self.site.host.dial_timeout, out.deadline);
+                let dial = connect_timeout(
+                    limit,
+                    until - out.request_started_at,
+                    self.io.now - out.request_started_at,
+                );
+                self.backends.start_attempt(&mut self.io, id, &backend, out.command, until, &mut self.said);
+                if self.backends.awaits_connection(id) && limit > 0.0 {
                     self.io
                         .timers
                         .set(self.io.now + dial, Timer::ConnectTimeout { request: id, attempt: out.attempt });
@@ -461,7 +473,7 @@
                 self.io.timers.set(self.io.now + after, Timer::Decision { token });
             }
             Action::CheckHealth { backend } => {
-                let id = self.backends.probe(&mut self.io, &backend, &mut self.said);
+                let id = self.backends.start_health_check(&mut self.io, &backend, &mut self.said);
                 self.probes.insert(id, (backend, self.io.now));
                 let wait = self.site.host.dial_timeout.max(self.site.settings.tick);
                 self.io.timers.set(self.io.now + wait, Timer::HealthCheckTimeout { check: id });
@@ -489,7 +501,7 @@
         // An address must be known before the decisions send there, and the decisions must know of a drain before what
         // it takes back is placed anew: what was said of attempts is carried after the list.
         let mut withdrawn = Vec::new();
-        self.backends.list(&list, &mut withdrawn);
+        self.backends.apply_endpoints(&list, &mut withdrawn);
         self.settle();
         self.said.extend(withdrawn);
         self.settle();
@@ -518,7 +530,7 @@
                 STOP => {
                     let longest = self.site.host.patience.iter().copied().fold(0.0, f64::max);
                     if self.leave.begin(self.io.now, longest) {
-                        tracing::info!(open = self.exchanges.len(), "leaving");
+                        tracing::info!(open = self.requests.len(), "leaving");
                         self.events.push_back(Event::ShutdownStarted);
                     }
                 }
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -1,10 +1,12 @@
-//! The room of the open requests: between the decisions and the sockets, one exchange each. What becomes of a request is
-//! decided by `doorcourse_request_lifecycle`; this room keeps what belongs to it and says what is to be done.
+//! The table of open requests: one `RequestLifecycle` for each, between the decisions and the sockets.
+//!
+//! What becomes of a request is decided by `doorcourse_request_lifecycle`. The table owns what belongs to a request (its
+//! client, its command, its deadline, the response that is held) and returns [`RequestCommand`]s to execute.
 
-use crate::backends::Heard;
+use crate::backends::AttemptEvent;
 use crate::clients::{CommandId, RequestFailure, Response};
 use crate::request::{ForwardedCommand, Request};
-use doorcourse::{AttemptEnd, Event, IncomingRequest, LoadReport, Name, RequestId};
+use doorcourse::{AttemptEnd, AttemptOutcome, Event, IncomingRequest, LoadReport, Millis, Name, RequestId};
 use doorcourse_deployment::Site;
 use doorcourse_graceful_shutdown::{Admission, GracefulShutdown};
 use doorcourse_request_lifecycle::{
@@ -13,221 +15,275 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// An answer travels for about so long, in ms: what comes later than that before the client's time is up is too late.
-const MARGIN: f64 = 4.0;
+/// How long a response travels to the client, in ms: one that is ready later than this before the client's deadline comes
+/// too late.
+const RESPONSE_TRANSIT_MS: Millis = 4.0;
 
-/// The life of each request, by its client's id, at the level `trace`: for who follows one through the gateways.
-const LOG: &str = "doorcourse::requests";
+/// Log target that follows each request by its client's id, at the level `trace`.
+const LOG_TARGET: &str = "doorcourse::requests";
 
 /// What is to be done for a request.
-pub(crate) enum Do {
-    /// Tell the decisions.
-    Tell(Event),
-    /// Give its client the answer.
-    Give(CommandId, Response),
-    /// Its attempt is not waited for any more.
-    Abandon(RequestId),
+pub(crate) enum RequestCommand {
+    /// Pass an event to the decisions.
+    NotifyDecisions(Event),
+    /// Send the response to the client.
+    Respond { command: CommandId, response: Response },
+    /// End the attempt that is out; its response is not waited for any more.
+    AbandonAttempt { request: RequestId },
 }
 
-/// What becomes of a request that has just come.
-pub(crate) enum Begun {
-    /// It is open until then; the decisions are to hear of it.
-    Taken { id: RequestId, until: f64, event: Event },
+/// What becomes of a request that was received.
+pub(crate) enum StartOutcome {
+    /// It is open until its deadline; the decisions are to receive the event.
+    Started { request: RequestId, deadline: Millis, event: Event },
     /// A request with its id is open.
-    Twice,
-    /// Its client will not hear any answer.
-    NoTime,
-    /// The gateway leaves before it could end.
-    Leaving,
+    DuplicateId,
+    /// No response could reach the client in time.
+    DeadlineTooShort,
+    /// It could not end before the process has to exit.
+    ShuttingDown,
 }
 
-struct Open {
-    exchange: RequestLifecycle,
-    id: u64,
-    place: CommandId,
-    passed: Arc<ForwardedCommand>,
-    began: f64,
-    until: f64,
+struct OpenRequest {
+    lifecycle: RequestLifecycle,
+    client_id: u64,
+    command: CommandId,
+    forwarded: Arc<ForwardedCommand>,
+    started_at: Millis,
+    deadline: Millis,
+    /// The backend of the last attempt, and when that started.
     backend: Name,
-    sent: f64,
+    attempt_started_at: Millis,
+    /// The value of the response that is held.
     value: Vec<u8>,
-    load: Option<LoadReport>,
+    load_report: Option<LoadReport>,
 }
 
-/// An attempt as it goes out.
-pub(crate) struct Outgoing {
-    pub passed: Arc<ForwardedCommand>,
-    pub began: f64,
-    pub until: f64,
+/// An attempt to send.
+pub(crate) struct OutgoingAttempt {
+    pub command: Arc<ForwardedCommand>,
+    pub request_started_at: Millis,
+    pub deadline: Millis,
+    /// The number of the attempt, from 1.
     pub attempt: u32,
 }
 
+/// The open requests.
 #[derive(Default)]
-pub(crate) struct Exchanges {
-    open: HashMap<RequestId, Open>,
-    /// The ids of clients: one that is open is refused to a newcomer.
-    ids: HashMap<u64, RequestId>,
-    last: RequestId,
-    outputs: Vec<LifecycleAction>,
+pub(crate) struct RequestTable {
+    open: HashMap<RequestId, OpenRequest>,
+    /// The ids that clients gave to open requests; a second request with such an id is rejected.
+    by_client_id: HashMap<u64, RequestId>,
+    last_id: RequestId,
+    /// Buffer for the actions of a lifecycle.
+    actions: Vec<LifecycleAction>,
 }
 
-impl Exchanges {
-    /// Takes a request on, where its id, its time and a gateway that may be leaving allow it.
-    pub fn begin(
-        &mut self, now: f64, site: &Site, leave: &GracefulShutdown, place: CommandId, ask: Request,
-    ) -> Begun {
-        if self.ids.contains_key(&ask.id) {
-            return Begun::Twice;
+impl RequestTable {
+    /// Opens a request, unless its id, its deadline or the shutdown forbids it.
+    pub fn start(
+        &mut self, now: Millis, site: &Site, shutdown: &GracefulShutdown, command: CommandId,
+        request: Request,
+    ) -> StartOutcome {
+        if self.by_client_id.contains_key(&request.id) {
+            return StartOutcome::DuplicateId;
         }
-        let longest =
-            site.host.patience.get(ask.class).copied().filter(|p| *p > 0.0).unwrap_or(f64::INFINITY);
-        let Some(patience) = request_timeout(longest, Some(ask.timeout), longest, MARGIN) else {
-            tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "no time is left");
-            return Begun::NoTime;
+        let max_timeout = site.host.patience.get(request.class).copied().filter(|timeout| *timeout > 0.0);
+        let max_timeout = max_timeout.unwrap_or(f64::INFINITY);
+        let timeout = request_timeout(max_timeout, Some(request.timeout), max_timeout, RESPONSE_TRANSIT_MS);
+        let Some(timeout) = timeout else {
+            tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), "request deadline too short");
+            return StartOutcome::DeadlineTooShort;
         };
-        let Admission::Admit(patience) =
-            leave.admit(now, patience, site.settings.classes[ask.class].latency_objective)
-        else {
-            tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), "refused: leaving");
-            return Begun::Leaving;
+        let latency_objective = site.settings.classes[request.class].latency_objective;
+        let Admission::Admit(timeout) = shutdown.admit(now, timeout, latency_objective) else {
+            tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), "request rejected by shutdown");
+            return StartOutcome::ShuttingDown;
         };
-        self.last += 1;
-        let id = self.last;
-        tracing::trace!(target: LOG, id = format_args!("{:016x}", ask.id), number = id, patience, "taken on");
-        let arrival = IncomingRequest {
+        self.last_id += 1;
+        let id = self.last_id;
+        tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), number = id, timeout_ms = timeout, "request accepted");
+        let deadline = now + timeout;
+        let event = Event::RequestReceived(IncomingRequest {
             id,
-            customer: ask.customer,
-            plan: site.settings.plans[ask.plan].name.clone(),
-            class: site.settings.classes[ask.class].name.clone(),
-            units: ask.units,
-            client_retry: ask.client_retry,
-            timeout: patience,
-            first_gateway: ask.first_gateway,
-            gateway_count: ask.gateway_count,
+            customer: request.customer,
+            plan: site.settings.plans[request.plan].name.clone(),
+            class: site.settings.classes[request.class].name.clone(),
+            units: request.units,
+            client_retry: request.client_retry,
+            timeout,
+            first_gateway: request.first_gateway,
+            gateway_count: request.gateway_count,
             sticky_route: Name::default(),
+        });
+        let open = OpenRequest {
+            lifecycle: RequestLifecycle::new(usize::MAX),
+            client_id: request.id,
+            command,
+            forwarded: Arc::new(request.forwarded),
+            started_at: now,
+            deadline,
+            backend: Name::default(),
+            attempt_started_at: now,
+            value: Vec::new(),
+            load_report: None,
         };
-        let (until, passed) = (now + patience, Arc::new(ask.forwarded));
-        let exchange = RequestLifecycle::new(usize::MAX);
-        let (backend, value) = (Name::default(), Vec::new());
-        let began = now;
-        let open =
-            Open { exchange, id: ask.id, place, passed, began, until, backend, sent: now, value, load: None };
-        self.ids.insert(ask.id, id);
+        self.by_client_id.insert(open.client_id, id);
         self.open.insert(id, open);
-        Begun::Taken { id, until, event: Event::RequestReceived(arrival) }
+        StartOutcome::Started { request: id, deadline, event }
     }
 
-    /// The decisions send a request to a backend; `None` for one that is over.
-    pub fn send(&mut self, now: f64, id: RequestId, backend: &Name) -> Option<Outgoing> {
+    /// Starts an attempt that the decisions send to a backend; `None` where the request is closed.
+    pub fn start_attempt(&mut self, now: Millis, id: RequestId, backend: &Name) -> Option<OutgoingAttempt> {
         let open = self.open.get_mut(&id)?;
-        open.exchange.handle(LifecycleEvent::AttemptStarted, &mut self.outputs);
-        self.outputs.clear();
-        (open.backend, open.sent, open.load) = (backend.clone(), now, None);
-        tracing::trace!(target: LOG, number = id, backend = &**backend, passed = now - open.began, "sent on");
-        Some(Outgoing {
-            passed: open.passed.clone(),
-            began: open.began,
-            until: open.until,
-            attempt: open.exchange.attempts(),
+        open.lifecycle.handle(LifecycleEvent::AttemptStarted, &mut self.actions);
+        self.actions.clear();
+        open.backend = backend.clone();
+        open.attempt_started_at = now;
+        open.load_report = None;
+        let elapsed_ms = now - open.started_at;
+        tracing::trace!(target: LOG_TARGET, number = id, backend = &**backend, elapsed_ms, "attempt started");
+        Some(OutgoingAttempt {
+            command: open.forwarded.clone(),
+            request_started_at: open.started_at,
+            deadline: open.deadline,
+            attempt: open.lifecycle.attempts(),
         })
     }
 
-    /// Whether this attempt is the one that is out.
-    pub fn is_out(&self, id: RequestId, attempt: u32) -> bool {
-        self.open.get(&id).is_some_and(|o| o.exchange.has_attempt() && o.exchange.attempts() == attempt)
+    /// Whether this attempt is out.
+    pub fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
+        self.open
+            .get(&id)
+            .is_some_and(|open| open.lifecycle.has_attempt() && open.lifecycle.attempts() == attempt)
     }
 
-    /// Something was heard of a request's attempt.
-    pub fn heard(&mut self, now: f64, advice: bool, id: RequestId, heard: Heard, out: &mut Vec<Do>) {
-        let input = match heard {
-            Heard::Connected => LifecycleEvent::Connected,
-            Heard::Written => LifecycleEvent::BytesWritten,
-            Heard::Answered { reply, value, units, load } => {
+    /// Handles what happened to a request's attempt.
+    pub fn handle_attempt_event(
+        &mut self, now: Millis, id: RequestId, event: AttemptEvent, send_retry_after: bool,
+        commands: &mut Vec<RequestCommand>,
+    ) {
+        let event = match event {
+            AttemptEvent::Connected => LifecycleEvent::Connected,
+            AttemptEvent::Written => LifecycleEvent::BytesWritten,
+            AttemptEvent::Responded(response) => {
                 if let Some(open) = self.open.get_mut(&id) {
-                    (open.value, open.load) = (value, load);
+                    open.value = response.value;
+                    open.load_report = response.load_report;
                 }
-                LifecycleEvent::ResponseReceived { reply, units }
+                LifecycleEvent::ResponseReceived { reply: response.reply, units: response.units }
             }
-            Heard::Broken => LifecycleEvent::InvalidResponse,
-            Heard::Lost => LifecycleEvent::ConnectionLost,
-            Heard::Withdrawn => LifecycleEvent::Withdrawn,
+            AttemptEvent::InvalidResponse => LifecycleEvent::InvalidResponse,
+            AttemptEvent::ConnectionLost => LifecycleEvent::ConnectionLost,
+            AttemptEvent::Withdrawn => LifecycleEvent::Withdrawn,
         };
-        self.handle(now, advice, id, input, out);
+        self.handle_event(now, id, event, send_retry_after, commands);
     }
 
-    /// Something happened to a request.
-    pub fn handle(
-        &mut self, now: f64, advice: bool, id: RequestId, input: LifecycleEvent, out: &mut Vec<Do>,
+    /// Handles what happened to a request.
+    pub fn handle_event(
+        &mut self, now: Millis, id: RequestId, event: LifecycleEvent, send_retry_after: bool,
+        commands: &mut Vec<RequestCommand>,
     ) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        let mut outputs = std::mem::take(&mut self.outputs);
-        match input {
-            LifecycleEvent::BytesWritten => tracing::trace!(target: LOG, number = id, "written"),
-            LifecycleEvent::ClientDisconnected => tracing::trace!(target: LOG, number = id, "client gone"),
+        match event {
+            LifecycleEvent::BytesWritten => {
+                tracing::trace!(target: LOG_TARGET, number = id, "attempt written");
+            }
+            LifecycleEvent::ClientDisconnected => {
+                tracing::trace!(target: LOG_TARGET, number = id, "client disconnected");
+            }
             _ => {}
         }
-        open.exchange.handle(input, &mut outputs);
-        let mut over = false;
-        for output in outputs.drain(..) {
-            match output {
-                LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent: finished } => {
-                    let (attempt, backend) = (open.exchange.attempts(), open.backend.clone());
-                    let (latency, load) = (now - open.sent, open.load.take());
-                    tracing::trace!(target: LOG, number = id, ?outcome, latency, "attempt ended");
-                    out.push(Do::Tell(Event::AttemptEnded(AttemptEnd {
-                        id,
-                        attempt,
-                        backend,
-                        outcome,
-                        latency,
-                        true_units,
-                        final_response_sent: finished,
-                        load_report: load,
-                    })));
-                }
-                LifecycleAction::ClientDisconnected => out.push(Do::Tell(Event::ClientDisconnected { id })),
-                LifecycleAction::Respond(answer) => out.push(Do::Give(open.place, given(answer, advice))),
-                LifecycleAction::ForwardResponse => {
-                    out.push(Do::Give(open.place, Response::Value(std::mem::take(&mut open.value))))
-                }
-                LifecycleAction::DiscardResponse => open.value = Vec::new(),
-                LifecycleAction::CloseBackendConnection => out.push(Do::Abandon(id)),
-                // Answers are held whole: none is ever passed in part.
-                LifecycleAction::EndResponse | LifecycleAction::ResetClient => {}
-                LifecycleAction::Finished => over = true,
-            }
+        open.lifecycle.handle(event, &mut self.actions);
+        let mut is_finished = false;
+        for action in self.actions.drain(..) {
+            is_finished |= action == LifecycleAction::Finished;
+            commands.extend(open.execute(now, id, action, send_retry_after));
         }
-        self.outputs = outputs;
-        if over && let Some(open) = self.open.remove(&id) {
-            self.ids.remove(&open.id);
-            tracing::trace!(target: LOG, number = id, passed = now - open.began, "over");
+        if is_finished && let Some(open) = self.open.remove(&id) {
+            self.by_client_id.remove(&open.client_id);
+            let elapsed_ms = now - open.started_at;
+            tracing::trace!(target: LOG_TARGET, number = id, elapsed_ms, "request finished");
         }
     }
 
-    /// The requests whose clients wait for an answer.
-    pub fn waiting(&self) -> Vec<RequestId> {
-        self.open.iter().filter(|(_, o)| o.exchange.awaits_response()).map(|(id, _)| *id).collect()
+    /// The requests whose clients wait for a response.
+    pub fn awaiting_response(&self) -> Vec<RequestId> {
+        let waiting = self.open.iter().filter(|(_, open)| open.lifecycle.awaits_response());
+        waiting.map(|(id, _)| *id).collect()
     }
 
-    /// Requests that are open, and attempts whose clients are gone.
+    /// Open requests, including those whose clients have disconnected while an attempt is out.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 }
 
-fn given(answer: FinalResponse, advice: bool) -> Response {
-    match answer {
-        FinalResponse::Rejected { retry_after, .. } => Response::Rejected {
-            retry_after_ms: (advice && retry_after > 0.0).then(|| retry_after.ceil() as u64),
-        },
-        FinalResponse::Failed(FailureReason::DeadlineExpired) => {
-            Response::Failed(RequestFailure::DeadlineExpired)
+impl OpenRequest {
+    /// Executes an action of the lifecycle as far as it concerns this request's state; returns what is left to do.
+    fn execute(
+        &mut self, now: Millis, id: RequestId, action: LifecycleAction, send_retry_after: bool,
+    ) -> Option<RequestCommand> {
+        match action {
+            LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent } => {
+                let end = self.attempt_end(now, id, outcome, true_units, final_response_sent);
+                Some(RequestCommand::NotifyDecisions(Event::AttemptEnded(end)))
+            }
+            LifecycleAction::ClientDisconnected => {
+                Some(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }))
+            }
+            LifecycleAction::Respond(response) => {
+                Some(self.respond(final_response(response, send_retry_after)))
+            }
+            LifecycleAction::ForwardResponse => {
+                let value = std::mem::take(&mut self.value);
+                Some(self.respond(Response::Value(value)))
+            }
+            LifecycleAction::DiscardResponse => {
+                self.value = Vec::new();
+                None
+            }
+            LifecycleAction::CloseBackendConnection => Some(RequestCommand::AbandonAttempt { request: id }),
+            // Responses are held until they are complete: none is forwarded in part.
+            LifecycleAction::EndResponse | LifecycleAction::ResetClient | LifecycleAction::Finished => None,
         }
-        FinalResponse::Failed(FailureReason::BackendFailed) => {
-            Response::Failed(RequestFailure::BackendFailed)
+    }
+
+    fn respond(&self, response: Response) -> RequestCommand {
+        RequestCommand::Respond { command: self.command, response }
+    }
+
+    fn attempt_end(
+        &mut self, now: Millis, id: RequestId, outcome: AttemptOutcome, true_units: Option<f64>,
+        final_response_sent: bool,
+    ) -> AttemptEnd {
+        let latency = now - self.attempt_started_at;
+        tracing::trace!(target: LOG_TARGET, number = id, ?outcome, latency_ms = latency, "attempt ended");
+        AttemptEnd {
+            id,
+            attempt: self.lifecycle.attempts(),
+            backend: self.backend.clone(),
+            outcome,
+            latency,
+            true_units,
+            final_response_sent,
+            load_report: self.load_report.take(),
         }
-        FinalResponse::Failed(FailureReason::NoBackendReached) => {
-            Response::Failed(RequestFailure::NoBackendReached)
+    }
+}
+
+/// The response that the gateway gives itself. A rejection states when to retry only where clients receive advice.
+fn final_response(response: FinalResponse, send_retry_after: bool) -> Response {
+    match response {
+        FinalResponse::Rejected { retry_after, .. } => {
+            let has_advice = send_retry_after && retry_after > 0.0;
+            Response::Rejected { retry_after_ms: has_advice.then(|| retry_after.ceil() as u64) }
         }
+        FinalResponse::Failed(reason) => Response::Failed(match reason {
+            FailureReason::DeadlineExpired => RequestFailure::DeadlineExpired,
+            FailureReason::BackendFailed => RequestFailure::BackendFailed,
+            FailureReason::NoBackendReached => RequestFailure::NoBackendReached,
+        }),
     }
 }
