--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,155 +1,182 @@
-//! The room of the counter: a few connections, calls one behind another on each. A name has one call out at a time, so
-//! whichever connection has the fewest takes the next.
+//! The connections to the shared counter: a few, with calls pipelined on each. A counter has one call in flight at a
+//! time, so any connection may carry the next; the one with the fewest calls does.
 
 use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
-use doorcourse::{CounterOutcome, Event};
+use doorcourse::{CounterOutcome, Event, Millis};
 use doorcourse_counter::{CounterCall, CounterLink, HttpCodec, LinkAction, LinkSettings};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use slab::Slab;
 use std::net::SocketAddr;
 
-/// Connections at one address: one late answer holds up the few calls behind it, not all.
-const LINKS: usize = 4;
-/// Connections at an address that was given up end by then, in ms; the counter ends them after 1.5 s.
-const RETIRE: f64 = 1000.0;
-/// A connection without a call is replaced after this long, in ms; the counter closes it after 10 s or less.
-const IDLE: f64 = 4000.0;
-/// With calls out and nothing answered for this many time-outs, a connection is replaced.
-const DEAD: f64 = 10.0;
-const FIRST_WAIT: f64 = 50.0;
-/// Short: what the counter's return costs is a silence that lasts on.
-const LONGEST_WAIT: f64 = 300.0;
-
-struct Side {
+/// Connections to one address: a late reply delays the few calls behind it, not all.
+const CONNECTIONS_PER_ADDRESS: usize = 4;
+/// How long connections to a former address stay, in ms; the server ends them after 1.5 s.
+const RETIREMENT_MS: Millis = 1000.0;
+/// An idle connection is replaced after this, in ms; the server closes it after 10 s or less.
+const IDLE_TIMEOUT_MS: Millis = 4000.0;
+/// A connection with calls in flight and no reply for this many call timeouts is replaced.
+const UNRESPONSIVE_TIMEOUTS: f64 = 10.0;
+const INITIAL_BACKOFF_MS: Millis = 50.0;
+/// Short: while the gateway backs off from a counter that is back, customers stay on their fallback budgets.
+const MAX_BACKOFF_MS: Millis = 300.0;
+
+enum Connection {
+    Closed,
+    Connecting(RegisteredSocket),
+    Open(RegisteredSocket),
+}
+
+impl Connection {
+    fn registered(&mut self) -> Option<&mut RegisteredSocket> {
+        match self {
+            Self::Closed => None,
+            Self::Connecting(registered) | Self::Open(registered) => Some(registered),
+        }
+    }
+
+    /// Marks the connection as made.
+    fn opened(&mut self) {
+        if let Self::Connecting(registered) = std::mem::replace(self, Self::Closed) {
+            *self = Self::Open(registered);
+        }
+    }
+}
+
+/// A link with its connection.
+struct PooledLink {
     address: SocketAddr,
     link: CounterLink<HttpCodec>,
-    socket: Option<RegisteredSocket>,
-    connected: bool,
-    /// Ends by then: its address was given up.
-    until: Option<f64>,
-    due: f64,
-    dirty: bool,
+    connection: Connection,
+    /// When it ends, because the counter has another address by now.
+    retires_at: Option<Millis>,
+    /// When [`CounterPool::handle_timeout`] is due for it.
+    next_timeout: Millis,
+    /// Whether the next flush handles it.
+    flush_scheduled: bool,
 }
 
+/// The connections to the counter.
 #[derive(Default)]
-pub(crate) struct Counter {
-    sides: Slab<Side>,
-    timeout: f64,
+pub(crate) struct CounterPool {
+    links: Slab<PooledLink>,
+    call_timeout: Millis,
 }
 
-impl Counter {
-    pub fn new(address: Option<SocketAddr>, timeout: f64) -> Self {
-        let mut new = Self { sides: Slab::new(), timeout };
+impl CounterPool {
+    pub fn new(address: Option<SocketAddr>, call_timeout: Millis) -> Self {
+        let mut pool = Self { links: Slab::new(), call_timeout };
         if let Some(address) = address {
-            new.open(address);
+            pool.add_links(address);
         }
-        new
+        pool
     }
 
-    fn open(&mut self, address: SocketAddr) {
+    fn add_links(&mut self, address: SocketAddr) {
         let settings = LinkSettings {
-            call_timeout: self.timeout,
-            initial_backoff: FIRST_WAIT,
-            max_backoff: LONGEST_WAIT,
-            unresponsive_timeout: self.timeout * DEAD,
-            idle_timeout: IDLE,
+            call_timeout: self.call_timeout,
+            initial_backoff: INITIAL_BACKOFF_MS,
+            max_backoff: MAX_BACKOFF_MS,
+            unresponsive_timeout: self.call_timeout * UNRESPONSIVE_TIMEOUTS,
+            idle_timeout: IDLE_TIMEOUT_MS,
         };
-        for _ in 0..LINKS {
-            let link = CounterLink::new(settings.clone(), HttpCodec::new(&address.to_string()));
-            let (socket, connected, until, due, dirty) = (None, false, None, f64::NEG_INFINITY, false);
-            self.sides.insert(Side { address, link, socket, connected, until, due, dirty });
+        for _ in 0..CONNECTIONS_PER_ADDRESS {
+            self.links.insert(PooledLink {
+                address,
+                link: CounterLink::new(settings.clone(), HttpCodec::new(&address.to_string())),
+                connection: Connection::Closed,
+                retires_at: None,
+                next_timeout: f64::NEG_INFINITY,
+                flush_scheduled: false,
+            });
         }
     }
 
-    /// Another address takes over as soon as it can be reached; calls out on the old one end there.
-    pub fn move_to(&mut self, io: &Reactor, address: Option<SocketAddr>, timeout: f64) {
-        self.timeout = timeout;
-        let same = |side: &Side| side.until.is_none() && Some(side.address) == address;
-        if self.sides.iter().any(|(_, side)| same(side)) {
+    /// Applies the configuration. Connections to another address take over as soon as they are made; calls in flight on
+    /// the former ones end there.
+    pub fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
+        self.call_timeout = call_timeout;
+        let is_current = |link: &PooledLink| link.retires_at.is_none() && Some(link.address) == address;
+        if self.links.iter().any(|(_, link)| is_current(link)) {
             return;
         }
-        for (_, side) in &mut self.sides {
-            side.until.get_or_insert(io.now + RETIRE);
-            side.due = side.due.min(io.now + RETIRE);
+        for (_, link) in &mut self.links {
+            link.retires_at.get_or_insert(now + RETIREMENT_MS);
+            link.next_timeout = link.next_timeout.min(now + RETIREMENT_MS);
         }
         if let Some(address) = address {
-            self.open(address);
+            self.add_links(address);
         }
     }
 
-    pub fn call(&mut self, io: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
-        let order = |side: &Side| (side.until.is_some(), side.link.in_flight());
-        let ready = self.sides.iter().filter(|(_, side)| side.link.is_ready());
-        let Some((at, _)) = ready.min_by_key(|(_, side)| order(side)) else {
-            let (name, outcome) = (call.counter, CounterOutcome::NotAdded);
-            return events.push(Event::CounterCallEnded { counter: name, outcome, latency: 0.0 });
+    /// Makes a call. Without a connection it ends as not added.
+    pub fn call(&mut self, reactor: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
+        let ready = self.links.iter().filter(|(_, link)| link.link.is_ready());
+        let preferred = ready.min_by_key(|(_, link)| (link.retires_at.is_some(), link.link.in_flight()));
+        let Some((index, _)) = preferred else {
+            return events.push(Event::CounterCallEnded {
+                counter: call.counter,
+                outcome: CounterOutcome::NotAdded,
+                latency: 0.0,
+            });
         };
-        let (side, mut actions) = (&mut self.sides[at], Vec::new());
-        side.link.call(io.now, call, &mut actions);
-        side.dirty = true;
-        side.due = side.due.min(io.now + self.timeout);
-        self.carry_out(io, at, actions, events);
+        let link = &mut self.links[index];
+        let mut actions = Vec::new();
+        link.link.call(reactor.now, call, &mut actions);
+        link.flush_scheduled = true;
+        link.next_timeout = link.next_timeout.min(reactor.now + self.call_timeout);
+        self.execute_actions(reactor, index, actions, events);
     }
 
-    pub fn due(&self) -> f64 {
-        self.sides.iter().map(|(_, side)| side.due).fold(f64::INFINITY, f64::min)
+    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    pub fn next_timeout(&self) -> Millis {
+        self.links.iter().map(|(_, link)| link.next_timeout).fold(f64::INFINITY, f64::min)
     }
 
-    pub fn tick(&mut self, io: &mut Reactor, events: &mut Vec<Event>) {
-        for at in 0..self.sides.capacity() {
-            let Some(side) = self.sides.get_mut(at).filter(|side| io.now >= side.due) else { continue };
+    /// Times out calls, replaces connections and ends those to a former address.
+    pub fn handle_timeout(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
+        let now = reactor.now;
+        for index in 0..self.links.capacity() {
+            let Some(link) = self.links.get_mut(index).filter(|link| now >= link.next_timeout) else {
+                continue;
+            };
             let mut actions = Vec::new();
-            if side.until.is_some_and(|until| io.now >= until) {
-                side.link.connection_lost(io.now, "its address was given up", &mut actions);
-                self.carry_out(io, at, actions, events);
-                self.sides.remove(at);
+            if link.retires_at.is_some_and(|retires_at| now >= retires_at) {
+                link.link.connection_lost(now, "its address was given up", &mut actions);
+                self.execute_actions(reactor, index, actions, events);
+                self.links.remove(index);
                 continue;
             }
-            side.due =
-                side.link.handle_timeout(io.now, &mut actions).min(side.until.unwrap_or(f64::INFINITY));
-            self.carry_out(io, at, actions, events);
-        }
-    }
-
-    pub fn ready(&mut self, io: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>) {
-        let Some(side) = self.sides.get_mut(token.index) else { return };
-        let Some(socket) = side.socket.as_mut().filter(|s| s.token == token) else { return };
-        let (mut actions, mut lost) = (Vec::new(), None);
-        if !side.connected && (ready.write || ready.broken) {
-            match socket.socket.finish_connect() {
-                Ok(()) => {
-                    side.connected = true;
-                    side.link.connection_opened(io.now);
-                    socket.set_interest(io, true, false);
-                }
-                Err(error) => lost = Some(error.to_string()),
-            }
+            let link_timeout = link.link.handle_timeout(now, &mut actions);
+            link.next_timeout = link_timeout.min(link.retires_at.unwrap_or(f64::INFINITY));
+            self.execute_actions(reactor, index, actions, events);
         }
-        if lost.is_none() && side.connected && (ready.read || ready.broken) {
-            let (_, flow) = socket.socket.read();
-            let input = std::mem::take(&mut socket.socket.input);
-            if !input.is_empty() {
-                side.link.handle_input(io.now, &input, &mut actions);
-            }
-            if flow != Flow::Open && !actions.contains(&LinkAction::Close) {
-                lost = Some("closed by the counter".into());
-            }
+    }
+
+    /// Handles what the poller reports of a connection.
+    pub fn handle_readiness(
+        &mut self, reactor: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>,
+    ) {
+        let Some(link) = self.links.get_mut(token.index) else { return };
+        if link.connection.registered().is_none_or(|registered| registered.token != token) {
+            return;
         }
-        side.dirty |= ready.write;
-        if let Some(why) = lost {
-            side.socket = None;
-            side.link.connection_lost(io.now, &why, &mut actions);
+        let mut actions = Vec::new();
+        if let Err(reason) = link.receive(reactor, ready, &mut actions) {
+            link.connection = Connection::Closed;
+            link.link.connection_lost(reactor.now, &reason, &mut actions);
         }
-        side.due = f64::NEG_INFINITY;
-        self.carry_out(io, token.index, actions, events);
+        link.flush_scheduled |= ready.write;
+        link.next_timeout = f64::NEG_INFINITY;
+        self.execute_actions(reactor, token.index, actions, events);
     }
 
-    fn carry_out(&mut self, io: &mut Reactor, at: usize, actions: Vec<LinkAction>, events: &mut Vec<Event>) {
+    fn execute_actions(
+        &mut self, reactor: &mut Reactor, index: usize, actions: Vec<LinkAction>, events: &mut Vec<Event>,
+    ) {
         for action in actions {
-            let side = &mut self.sides[at];
             match action {
-                LinkAction::Connect => self.dial(io, at, events),
-                LinkAction::Close => (side.socket, side.connected) = (None, false),
+                LinkAction::Connect => self.connect(reactor, index, events),
+                LinkAction::Close => self.links[index].connection = Connection::Closed,
                 LinkAction::LogAvailable => {
                     tracing::info!(target: "doorcourse::counter", "counter connection up");
                 }
@@ -163,46 +190,82 @@
         }
     }
 
-    fn dial(&mut self, io: &mut Reactor, at: usize, events: &mut Vec<Event>) {
-        let token = Token { kind: TokenKind::Counter, serial: io.next_serial(), index: at };
-        let interest = Interest::BOTH;
-        let side = &mut self.sides[at];
-        side.connected = false;
-        match connect(side.address).and_then(|socket| RegisteredSocket::new(io, socket, token, interest)) {
-            Ok(made) => side.socket = Some(made),
-            Err(error) => {
-                let mut actions = Vec::new();
-                side.link.connection_lost(io.now, &error.to_string(), &mut actions);
-                side.due = f64::NEG_INFINITY;
-                self.carry_out(io, at, actions, events);
-            }
+    fn connect(&mut self, reactor: &mut Reactor, index: usize, events: &mut Vec<Event>) {
+        let token = Token { kind: TokenKind::Counter, serial: reactor.next_serial(), index };
+        let link = &mut self.links[index];
+        let connected = connect(link.address)
+            .and_then(|socket| RegisteredSocket::new(reactor, socket, token, Interest::BOTH));
+        match connected {
+            Ok(registered) => link.connection = Connection::Connecting(registered),
+            Err(error) => self.connection_lost(reactor, index, &error.to_string(), events),
         }
     }
 
-    /// Writes what the turn left to write.
-    pub fn flush(&mut self, io: &mut Reactor, events: &mut Vec<Event>) {
-        for at in 0..self.sides.capacity() {
-            let Some(side) = self.sides.get_mut(at).filter(|side| side.dirty) else { continue };
-            side.dirty = false;
-            let Some(made) = side.socket.as_mut().filter(|_| side.connected) else { continue };
-            let output = side.link.take_output();
-            made.socket.output().extend_from_slice(&output);
-            let flow = made.socket.flush();
-            let pending = made.socket.pending();
-            side.link.set_unwritten_bytes(pending);
-            made.set_interest(io, true, pending > 0);
-            if flow == Flow::Broken {
-                side.socket = None;
-                let mut actions = Vec::new();
-                side.link.connection_lost(io.now, "broken while writing", &mut actions);
-                side.due = f64::NEG_INFINITY;
-                self.carry_out(io, at, actions, events);
+    fn connection_lost(
+        &mut self, reactor: &mut Reactor, index: usize, reason: &str, events: &mut Vec<Event>,
+    ) {
+        let link = &mut self.links[index];
+        link.connection = Connection::Closed;
+        let mut actions = Vec::new();
+        link.link.connection_lost(reactor.now, reason, &mut actions);
+        link.next_timeout = f64::NEG_INFINITY;
+        self.execute_actions(reactor, index, actions, events);
+    }
+
+    /// Writes the calls of the iteration.
+    pub fn flush(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
+        for index in 0..self.links.capacity() {
+            let Some(link) = self.links.get_mut(index).filter(|link| link.flush_scheduled) else { continue };
+            link.flush_scheduled = false;
+            if link.flush(reactor) == Flow::Broken {
+                self.connection_lost(reactor, index, "broken while writing", events);
             }
         }
     }
 
-    /// For the record: how many connections there are.
-    pub fn connections(&self) -> usize {
-        self.sides.iter().filter(|(_, side)| side.socket.is_some()).count()
+    /// How many connections there are, for the log.
+    pub fn connection_count(&self) -> usize {
+        let connections = self.links.iter().map(|(_, link)| &link.connection);
+        connections.filter(|connection| !matches!(connection, Connection::Closed)).count()
+    }
+}
+
+impl PooledLink {
+    /// Finishes the connect and reads. The error is the reason why the connection is lost.
+    fn receive(
+        &mut self, reactor: &Reactor, ready: Ready, actions: &mut Vec<LinkAction>,
+    ) -> Result<(), String> {
+        if let Connection::Connecting(registered) = &mut self.connection
+            && (ready.write || ready.broken)
+        {
+            registered.socket.finish_connect().map_err(|error| error.to_string())?;
+            registered.set_interest(reactor, true, false);
+            self.connection.opened();
+            self.link.connection_opened(reactor.now);
+        }
+        let Connection::Open(registered) = &mut self.connection else { return Ok(()) };
+        if !ready.read && !ready.broken {
+            return Ok(());
+        }
+        let (_, flow) = registered.socket.read();
+        let input = std::mem::take(&mut registered.socket.input);
+        if !input.is_empty() {
+            self.link.handle_input(reactor.now, &input, actions);
+        }
+        if flow != Flow::Open && !actions.contains(&LinkAction::Close) {
+            return Err("closed by the counter".into());
+        }
+        Ok(())
+    }
+
+    /// Writes what the link has to write, on an open connection.
+    fn flush(&mut self, reactor: &Reactor) -> Flow {
+        let Connection::Open(registered) = &mut self.connection else { return Flow::Open };
+        registered.socket.output().extend_from_slice(&self.link.take_output());
+        let flow = registered.socket.flush();
+        let pending = registered.socket.pending();
+        self.link.set_unwritten_bytes(pending);
+        registered.set_interest(reactor, true, pending > 0);
+        flow
     }
 }
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -1,185 +1,254 @@
-//! What the gateway believes beside what passes on its sockets, once a second, for who looks for a cause: at the log
-//! level `debug` of `doorcourse::watch`. It holds and counts; nothing is decided by it.
+//! Logs once a second what the decisions assume beside what the sockets show, at the level `debug` of
+//! `doorcourse::watch`. It counts; nothing is decided by it.
 
 use crate::backends::Backends;
 use crate::clients::ClientTable;
-use crate::counter::Counter;
+use crate::counter::CounterPool;
 use crate::reactor::Reactor;
 use crate::requests::RequestTable;
-use doorcourse::{Action, AttemptOutcome, CounterOutcome, Event, Gateway, Name, RequestId};
+use doorcourse::{
+    Action, AttemptEnd, AttemptOutcome, BackendStatus, CounterOutcome, Event, Gateway, Millis, Name,
+    RejectReason, RequestId,
+};
 use std::collections::{BTreeMap, HashMap};
 
-/// How often it tells, in ms.
-const EVERY: f64 = 1000.0;
+const LOG_TARGET: &str = "doorcourse::watch";
+/// How often the counts are logged, in ms.
+const INTERVAL_MS: Millis = 1000.0;
 
+/// How the attempts at one backend ended in an interval.
 #[derive(Default)]
-struct Tally {
+struct AttemptCounts {
     served: u32,
     failed: u32,
-    full: u32,
-    never: u32,
-    late: f64,
-    sum: f64,
+    rejected: u32,
+    never_sent: u32,
+    longest_served_ms: Millis,
+    served_sum_ms: Millis,
 }
 
-/// How counter calls ended in a second.
+/// How counter calls ended in an interval.
 #[derive(Default)]
-struct Calls {
+struct CounterCallCounts {
     totals: u32,
     not_added: u32,
     unknown: u32,
     late: u32,
-    sum: f64,
+    total_latency_sum_ms: Millis,
 }
 
-pub(crate) struct Watch {
-    at: f64,
-    on: bool,
-    /// Each refusal is told with what is held of its customer.
-    each: bool,
-    seen: BTreeMap<Name, Tally>,
-    calls: Calls,
-    /// Refusals by reason and plan.
-    refused: BTreeMap<(String, Name), u32>,
-    asked: HashMap<RequestId, (Name, Name, f64)>,
+/// A request without a final response.
+struct OpenRequest {
+    customer: Name,
+    plan: Name,
+    received_at: Millis,
+    /// Whether its first attempt has been logged.
+    is_sent: bool,
 }
 
-impl Watch {
-    pub fn new(now: f64) -> Self {
-        let on = tracing::enabled!(target: "doorcourse::watch", tracing::Level::DEBUG);
-        let each = tracing::enabled!(target: "doorcourse::watch", tracing::Level::TRACE);
-        let (calls, refused, asked) = (Calls::default(), BTreeMap::new(), HashMap::new());
-        Self { at: now, on, each, seen: BTreeMap::new(), calls, refused, asked }
+/// The components whose state is logged.
+pub(crate) struct Components<'a> {
+    pub gateway: &'a Gateway,
+    pub backends: &'a Backends,
+    pub clients: &'a ClientTable,
+    pub counter: &'a CounterPool,
+    pub requests: &'a RequestTable,
+}
+
+/// Counts events and actions of the decisions, and logs them.
+pub(crate) struct Diagnostics {
+    logged_at: Millis,
+    is_enabled: bool,
+    /// Whether each rejection is logged with the state of its customer.
+    logs_each_request: bool,
+    attempts: BTreeMap<Name, AttemptCounts>,
+    counter_calls: CounterCallCounts,
+    /// Rejections by reason and plan.
+    rejections: BTreeMap<(&'static str, Name), u32>,
+    open_requests: HashMap<RequestId, OpenRequest>,
+}
+
+impl Diagnostics {
+    pub fn new(now: Millis) -> Self {
+        Self {
+            logged_at: now,
+            is_enabled: tracing::enabled!(target: LOG_TARGET, tracing::Level::DEBUG),
+            logs_each_request: tracing::enabled!(target: LOG_TARGET, tracing::Level::TRACE),
+            attempts: BTreeMap::new(),
+            counter_calls: CounterCallCounts::default(),
+            rejections: BTreeMap::new(),
+            open_requests: HashMap::new(),
+        }
     }
 
-    /// What the decisions are told.
-    pub fn note(&mut self, now: f64, event: &Event) {
-        if !self.on {
+    /// Counts an event that the decisions receive.
+    pub fn record_event(&mut self, now: Millis, event: &Event) {
+        if !self.is_enabled {
             return;
         }
-        let end = match event {
-            Event::AttemptEnded(end) => end,
-            Event::RequestReceived(a) => {
-                self.asked.insert(a.id, (a.customer.clone(), a.plan.clone(), now));
-                return;
+        match event {
+            Event::RequestReceived(request) => {
+                let open = OpenRequest {
+                    customer: request.customer.clone(),
+                    plan: request.plan.clone(),
+                    received_at: now,
+                    is_sent: false,
+                };
+                self.open_requests.insert(request.id, open);
             }
-            Event::ClientDisconnected { id } => return drop(self.asked.remove(id)),
-            Event::CounterCallEnded { outcome, latency, .. } => {
-                match outcome {
-                    CounterOutcome::Total(_) => {
-                        self.calls.totals += 1;
-                        self.calls.sum += latency;
-                    }
-                    CounterOutcome::NotAdded => self.calls.not_added += 1,
-                    CounterOutcome::Unknown => self.calls.unknown += 1,
-                    CounterOutcome::Late { .. } => self.calls.late += 1,
+            Event::ClientDisconnected { id } => drop(self.open_requests.remove(id)),
+            Event::CounterCallEnded { outcome, latency, .. } => self.counter_calls.record(outcome, *latency),
+            Event::AttemptEnded(end) => {
+                if end.final_response_sent {
+                    self.open_requests.remove(&end.id);
                 }
-                return;
-            }
-            _ => return,
-        };
-        if end.final_response_sent {
-            self.asked.remove(&end.id);
-        }
-        let tally = self.seen.entry(end.backend.clone()).or_default();
-        match end.outcome {
-            AttemptOutcome::Served => {
-                tally.served += 1;
-                tally.sum += end.latency;
-                tally.late = tally.late.max(end.latency);
+                self.attempts.entry(end.backend.clone()).or_default().record(end);
             }
-            AttemptOutcome::Rejected => tally.full += 1,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => tally.never += 1,
-            _ => tally.failed += 1,
+            _ => {}
         }
     }
 
-    /// What the decisions answer.
-    pub fn note_action(&mut self, now: f64, action: &Action, gateway: &Gateway) {
-        if !self.on {
+    /// Counts an action of the decisions.
+    pub fn record_action(&mut self, now: Millis, action: &Action, gateway: &Gateway) {
+        if !self.is_enabled {
             return;
         }
         match action {
-            Action::Reject { id, reason: why, .. } => {
-                let Some((customer, plan, since)) = self.asked.remove(id) else { return };
-                *self.refused.entry((format!("{why:?}"), plan.clone())).or_default() += 1;
-                if self.each {
-                    let view = gateway.customers().find(|c| c.name == customer);
-                    let held = (now - since).round();
-                    tracing::trace!(target: "doorcourse::watch", ?why, held, ?view, "refused");
-                }
-            }
-            Action::SendAttempt { id, .. } if self.each => {
-                let first = self.asked.get_mut(id).filter(|a| a.2 >= 0.0);
-                if let Some((customer, plan, since)) = first {
-                    tracing::trace!(target: "doorcourse::watch", %customer, %plan, held = now - *since, "sent on");
-                    *since = f64::NEG_INFINITY;
+            Action::Reject { id, reason, .. } => self.record_rejection(now, *id, *reason, gateway),
+            Action::SendAttempt { id, .. } if self.logs_each_request => {
+                let open = self.open_requests.get_mut(id).filter(|open| !open.is_sent);
+                if let Some(open) = open {
+                    open.is_sent = true;
+                    let queued_ms = now - open.received_at;
+                    let (customer, plan) = (&open.customer, &open.plan);
+                    tracing::trace!(target: LOG_TARGET, %customer, %plan, queued_ms, "request forwarded");
                 }
             }
-            Action::Fail { id } => drop(self.asked.remove(id)),
+            Action::Fail { id } => drop(self.open_requests.remove(id)),
             _ => {}
         }
     }
 
-    pub fn tick(
-        &mut self, io: &Reactor, gateway: &Gateway, backends: &Backends, clients: &ClientTable,
-        counter: &Counter, requests: &RequestTable,
-    ) {
-        if !self.on || io.now < self.at + EVERY {
+    fn record_rejection(&mut self, now: Millis, id: RequestId, reason: RejectReason, gateway: &Gateway) {
+        let Some(open) = self.open_requests.remove(&id) else { return };
+        let reason = match reason {
+            RejectReason::QuotaExceeded => "quota exceeded",
+            RejectReason::Overloaded => "overloaded",
+        };
+        if self.logs_each_request {
+            let customer = gateway.customers().find(|status| status.name == open.customer);
+            let queued_ms = if open.is_sent { f64::INFINITY } else { (now - open.received_at).round() };
+            tracing::trace!(target: LOG_TARGET, reason, queued_ms, ?customer, "request rejected");
+        }
+        *self.rejections.entry((reason, open.plan)).or_default() += 1;
+    }
+
+    /// Logs the counts when the interval is over.
+    pub fn handle_timeout(&mut self, reactor: &Reactor, components: &Components) {
+        if !self.is_enabled || reactor.now < self.logged_at + INTERVAL_MS {
             return;
         }
-        self.at = io.now;
-        let (open, counts) = (requests.len(), doorcourse_event_loop::counts());
-        let (told, refused) = (std::mem::take(&mut self.calls), std::mem::take(&mut self.refused));
-        tracing::debug!(
-            target: "doorcourse::watch",
-            totals = told.totals,
-            mean = (told.sum / f64::from(told.totals.max(1)) * 10.0).round() / 10.0,
-            not_added = told.not_added,
-            unknown = told.unknown,
-            late = told.late,
-            ?refused,
-            "counter and refusals"
-        );
+        self.logged_at = reactor.now;
+        self.log_counter_and_rejections();
+        log_connections(components);
+        let attempts = std::mem::take(&mut self.attempts);
+        let none = AttemptCounts::default();
+        for status in components.gateway.backends() {
+            let counts = attempts.get(&status.name).unwrap_or(&none);
+            log_backend(reactor.now, &status, components.backends, counts);
+        }
+    }
+
+    fn log_counter_and_rejections(&mut self) {
+        let calls = std::mem::take(&mut self.counter_calls);
+        let rejections = std::mem::take(&mut self.rejections);
+        let mean_latency_ms = calls.total_latency_sum_ms / f64::from(calls.totals.max(1));
         tracing::debug!(
-            target: "doorcourse::watch",
-            open,
-            clients = clients.connection_count(),
-            backends = backends.connection_count(),
-            dialed = backends.connections_opened,
-            counter = counter.connections(),
-            silent = gateway.is_counter_silent(),
-            customers = gateway.customers().count(),
-            calls = counts.total(),
-            "sockets"
+            target: LOG_TARGET,
+            totals = calls.totals,
+            mean_latency_ms = round_to_tenth(mean_latency_ms),
+            not_added = calls.not_added,
+            unknown = calls.unknown,
+            late = calls.late,
+            ?rejections,
+            "counter calls and rejections"
         );
-        let seen = std::mem::take(&mut self.seen);
-        for view in gateway.backends() {
-            let (on, none) = (backends.pool_counts(&view.name), Tally::default());
-            let tally = seen.get(&view.name).unwrap_or(&none);
-            if !view.ready && on.busy + on.idle + on.waiting == 0 && view.in_flight == 0 {
-                continue;
+    }
+}
+
+impl CounterCallCounts {
+    fn record(&mut self, outcome: &CounterOutcome, latency: Millis) {
+        match outcome {
+            CounterOutcome::Total(_) => {
+                self.totals += 1;
+                self.total_latency_sum_ms += latency;
             }
-            tracing::debug!(
-                target: "doorcourse::watch",
-                backend = &*view.name,
-                ready = view.ready,
-                believed_out = view.in_flight,
-                busy = on.busy,
-                waiting = on.waiting,
-                dialing = on.connecting,
-                idle = on.idle,
-                room = (view.concurrency_limit * 10.0).round() / 10.0,
-                failures = view.consecutive_failures,
-                ejected_for = (view.ejected_until - io.now).max(0.0).round(),
-                served = tally.served,
-                mean = (tally.sum / f64::from(tally.served.max(1))).round(),
-                longest = tally.late.round(),
-                failed = tally.failed,
-                full = tally.full,
-                never = tally.never,
-                "believed and seen"
-            );
+            CounterOutcome::NotAdded => self.not_added += 1,
+            CounterOutcome::Unknown => self.unknown += 1,
+            CounterOutcome::Late { .. } => self.late += 1,
         }
     }
 }
+
+impl AttemptCounts {
+    fn record(&mut self, end: &AttemptEnd) {
+        match end.outcome {
+            AttemptOutcome::Served => {
+                self.served += 1;
+                self.served_sum_ms += end.latency;
+                self.longest_served_ms = self.longest_served_ms.max(end.latency);
+            }
+            AttemptOutcome::Rejected => self.rejected += 1,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => self.never_sent += 1,
+            _ => self.failed += 1,
+        }
+    }
+}
+
+fn log_connections(components: &Components) {
+    let gateway = components.gateway;
+    tracing::debug!(
+        target: LOG_TARGET,
+        open_requests = components.requests.len(),
+        client_connections = components.clients.connection_count(),
+        backend_connections = components.backends.connection_count(),
+        backend_connections_opened = components.backends.connections_opened,
+        counter_connections = components.counter.connection_count(),
+        counter_unavailable = gateway.is_counter_silent(),
+        customers = gateway.customers().count(),
+        system_calls = doorcourse_event_loop::counts().total(),
+        "connections"
+    );
+}
+
+/// Logs a backend unless it is out of use.
+fn log_backend(now: Millis, status: &BackendStatus, backends: &Backends, counts: &AttemptCounts) {
+    let pool = backends.pool_counts(&status.name);
+    if !status.ready && pool.busy + pool.idle + pool.waiting == 0 && status.in_flight == 0 {
+        return;
+    }
+    tracing::debug!(
+        target: LOG_TARGET,
+        backend = &*status.name,
+        ready = status.ready,
+        in_flight = status.in_flight,
+        busy = pool.busy,
+        waiting = pool.waiting,
+        connecting = pool.connecting,
+        idle = pool.idle,
+        concurrency_limit = round_to_tenth(status.concurrency_limit),
+        consecutive_failures = status.consecutive_failures,
+        ejected_for_ms = (status.ejected_until - now).max(0.0).round(),
+        served = counts.served,
+        mean_latency_ms = (counts.served_sum_ms / f64::from(counts.served.max(1))).round(),
+        max_latency_ms = counts.longest_served_ms.round(),
+        failed = counts.failed,
+        rejected = counts.rejected,
+        never_sent = counts.never_sent,
+        "backend status"
+    );
+}
+
+fn round_to_tenth(value: f64) -> f64 {
+    (value * 10.0).round() / 10.0
+}
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,8 +1,14 @@
-//! The room of discovery: the watch of the list of backends. What it hears is passed on as lists; whatever cannot be
-//! followed (a line that cannot be read, a version that steps back) is answered by asking for the whole list.
+//! The connection to the discovery service: watches the endpoint list.
+//!
+//! When to connect, request, back off and give up is decided by `doorcourse_discovery::DiscoveryWatch`; this client does
+//! its I/O and passes the lists on. What cannot be followed (a line that cannot be read, a version that steps back) makes
+//! it request the complete list.
 
-use crate::endpoints::EndpointList;
+mod body;
+
+use crate::endpoints::{EndpointList, EndpointListError};
 use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
+use doorcourse::Millis;
 use doorcourse_discovery::{DiscoveryWatch, WatchAction};
 use doorcourse_event_loop::{Flow, Interest, Ready, connect};
 use doorcourse_fail_points::rule_disabled;
@@ -10,235 +16,223 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// The longest line in bytes: thousands of backends.
-const LINE: usize = 1 << 20;
+/// Why what was received cannot be followed.
+#[derive(Debug, thiserror::Error)]
+enum DiscoveryError {
+    #[error("{0}")]
+    Http(String),
+    #[error("status {0}")]
+    Status(u16),
+    #[error("a line that does not end")]
+    LineTooLong,
+    #[error("{0}")]
+    List(#[from] EndpointListError),
+    #[error("{0}")]
+    Version(String),
+}
+
+/// A request whose response is being read.
+struct Exchange {
+    registered: RegisteredSocket,
+    decoder: Decoder,
+}
 
-enum State {
+enum Connection {
     Closed,
-    Connecting { link: RegisteredSocket },
-    Open { link: RegisteredSocket, decoder: Decoder },
+    Connecting(RegisteredSocket),
+    Open(Exchange),
 }
 
-pub(crate) struct Discovery {
+/// The client of the discovery service.
+pub(crate) struct DiscoveryClient {
     address: SocketAddr,
-    state: State,
-    /// A call that was not answered at once, and may be yet.
-    aside: Option<(RegisteredSocket, Decoder)>,
-    follow: DiscoveryWatch,
-    /// A line of the watch, or a whole list, as far as it has come.
-    line: Vec<u8>,
-    watching: bool,
+    connection: Connection,
+    /// A request that was not answered in time, and may be yet; another one is out beside it.
+    superseded: Option<Exchange>,
+    watch: DiscoveryWatch,
+    /// The part of a line or of a complete list that has been received.
+    body: Vec<u8>,
+    /// Whether the request that is out is a watch; otherwise it is for the complete list.
+    is_watching: bool,
 }
 
-impl Discovery {
-    pub fn new(address: SocketAddr, seq: Option<u64>, grace: f64) -> Self {
-        let (state, follow) = (State::Closed, DiscoveryWatch::new(seq, grace));
-        Self { address, state, aside: None, follow, line: Vec::new(), watching: false }
+impl DiscoveryClient {
+    /// `version` is that of the list in hand. `drain_grace` is how long, in ms, requests may still be sent to a backend
+    /// that drains.
+    pub fn new(address: SocketAddr, version: Option<u64>, drain_grace: Millis) -> Self {
+        Self {
+            address,
+            connection: Connection::Closed,
+            superseded: None,
+            watch: DiscoveryWatch::new(version, drain_grace),
+            body: Vec::new(),
+            is_watching: false,
+        }
     }
 
-    /// How long sends to a backend that drains may go on.
-    pub fn set_grace(&mut self, grace: f64) {
-        self.follow.set_drain_grace(grace);
+    pub fn set_drain_grace(&mut self, drain_grace: Millis) {
+        self.watch.set_drain_grace(drain_grace);
     }
 
     /// Another address takes over at once.
-    pub fn move_to(&mut self, address: SocketAddr) {
-        (self.address, self.state, self.aside) = (address, State::Closed, None);
-        self.follow.address_changed();
+    pub fn set_address(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.connection = Connection::Closed;
+        self.superseded = None;
+        self.watch.address_changed();
     }
 
-    pub fn due(&self) -> f64 {
-        self.follow.next_timeout()
+    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    pub fn next_timeout(&self) -> Millis {
+        self.watch.next_timeout()
     }
 
-    pub fn tick(&mut self, io: &mut Reactor) {
-        while let Some(due) = self.follow.handle_timeout(io.now) {
-            match due {
-                WatchAction::Connect => self.dial(io),
-                WatchAction::Close(why) => self.lost(io, why),
-                WatchAction::CloseSuperseded => self.aside = None,
+    pub fn handle_timeout(&mut self, reactor: &mut Reactor) {
+        while let Some(action) = self.watch.handle_timeout(reactor.now) {
+            match action {
+                WatchAction::Connect => self.connect(reactor),
+                WatchAction::Close(reason) => self.connection_lost(reactor, reason),
+                WatchAction::CloseSuperseded => self.superseded = None,
                 WatchAction::Supersede => {
-                    if let State::Open { link, decoder } = std::mem::replace(&mut self.state, State::Closed) {
-                        self.aside = Some((link, decoder));
+                    let connection = std::mem::replace(&mut self.connection, Connection::Closed);
+                    if let Connection::Open(exchange) = connection {
+                        self.superseded = Some(exchange);
                     }
                 }
             }
         }
     }
 
-    fn dial(&mut self, io: &mut Reactor) {
-        let token = Token { kind: TokenKind::Discovery, serial: io.next_serial(), index: 0 };
-        let interest = Interest::BOTH;
-        match connect(self.address).and_then(|socket| RegisteredSocket::new(io, socket, token, interest)) {
-            Ok(link) => self.state = State::Connecting { link },
-            Err(error) => self.lost(io, &error.to_string()),
+    fn connect(&mut self, reactor: &mut Reactor) {
+        let token = Token { kind: TokenKind::Discovery, serial: reactor.next_serial(), index: 0 };
+        let connected = connect(self.address)
+            .and_then(|socket| RegisteredSocket::new(reactor, socket, token, Interest::BOTH));
+        match connected {
+            Ok(registered) => self.connection = Connection::Connecting(registered),
+            Err(error) => self.connection_lost(reactor, &error.to_string()),
         }
     }
 
-    fn lost(&mut self, io: &Reactor, why: &str) {
-        if self.follow.connection_lost(io.now) {
-            tracing::info!(target: "doorcourse::discovery", "discovery lost: {why}");
+    fn connection_lost(&mut self, reactor: &Reactor, reason: &str) {
+        if self.watch.connection_lost(reactor.now) {
+            tracing::info!(target: "doorcourse::discovery", reason, "discovery lost");
         }
-        self.state = State::Closed;
+        self.connection = Connection::Closed;
     }
 
-    /// Begins a message on a fresh connection.
-    fn ask(&mut self, io: &Reactor, mut link: RegisteredSocket) {
-        let from = self.follow.request_sent(io.now);
-        let _ = match from {
-            Some(seq) => write!(link.socket.output(), "GET /catalog/members?watch=1&from={seq} HTTP/1.1\r\n"),
-            None => write!(link.socket.output(), "GET /catalog/members HTTP/1.1\r\n"),
+    /// Sends a request on an open connection: for the watch from the version in hand, or for the complete list.
+    fn send_request(&mut self, reactor: &Reactor, mut registered: RegisteredSocket) {
+        let from_version = self.watch.request_sent(reactor.now);
+        let output = registered.socket.output();
+        // Writing to a Vec cannot fail.
+        let _ = match from_version {
+            Some(version) => {
+                write!(output, "GET /catalog/members?watch=1&from={version} HTTP/1.1\r\n")
+            }
+            None => write!(output, "GET /catalog/members HTTP/1.1\r\n"),
         };
-        let _ = write!(link.socket.output(), "host: {}\r\n\r\n", self.address);
-        self.watching = from.is_some();
-        self.line.clear();
+        let _ = write!(output, "host: {}\r\n\r\n", self.address);
+        self.is_watching = from_version.is_some();
+        self.body.clear();
         // A watch has no end: only its lines are bounded.
         let limits = Limits { line: 512, head: 8 << 10, fields: 64, body: u64::MAX };
         let decoder = Decoder::new(Role::Responses, limits);
-        if link.socket.flush() == Flow::Broken {
-            return self.lost(io, "broken while asking");
+        if registered.socket.flush() == Flow::Broken {
+            return self.connection_lost(reactor, "broken while asking");
+        }
+        let is_pending = registered.socket.pending() > 0;
+        registered.set_interest(reactor, true, is_pending);
+        self.connection = Connection::Open(Exchange { registered, decoder });
+    }
+
+    /// Handles what the poller reports of a connection; the lists that were received are appended.
+    pub fn handle_readiness(
+        &mut self, reactor: &mut Reactor, token: Token, ready: Ready, lists: &mut Vec<EndpointList>,
+    ) {
+        if self.superseded.as_ref().is_some_and(|exchange| exchange.registered.token == token) {
+            self.read_superseded(reactor, ready);
+        }
+        match std::mem::replace(&mut self.connection, Connection::Closed) {
+            Connection::Connecting(registered) if registered.token == token => {
+                match registered.socket.finish_connect() {
+                    Ok(()) => self.send_request(reactor, registered),
+                    Err(error) => self.connection_lost(reactor, &error.to_string()),
+                }
+            }
+            Connection::Open(exchange) if exchange.registered.token == token => {
+                self.read_response(reactor, ready, exchange, lists);
+            }
+            other => self.connection = other,
         }
-        let pending = link.socket.pending() > 0;
-        link.set_interest(io, true, pending);
-        self.state = State::Open { link, decoder };
     }
 
-    /// Something is told of the call that was set aside: where it is the answer, it takes the place of the one that is out.
-    fn aside(&mut self, io: &mut Reactor, ready: Ready) {
-        let Some((mut link, decoder)) = self.aside.take() else { return };
+    /// Reads on the superseded request. Where its response comes, that request takes the place of the one that is out.
+    fn read_superseded(&mut self, reactor: &Reactor, ready: Ready) {
+        let Some(mut exchange) = self.superseded.take() else { return };
         if ready.write {
-            let _ = link.socket.flush();
-            let pending = link.socket.pending() > 0;
-            link.set_interest(io, true, pending);
+            exchange.flush(reactor);
         }
         if !ready.read {
-            self.aside = Some((link, decoder));
+            self.superseded = Some(exchange);
             return;
         }
-        let (_, flow) = link.socket.read();
-        // Its head is looked at here and read where the call is the one that is out: half a head shows nothing.
-        match decoder.clone().decode(&link.socket.input) {
+        let (_, flow) = exchange.registered.socket.read();
+        // The head is only looked at here; it is decoded once the request is the one that is out. Half a head shows
+        // nothing.
+        match exchange.decoder.clone().decode(&exchange.registered.socket.input) {
             Ok((_, Some(Part::Head(_)))) => {
-                self.watching = self.follow.superseded_response_started();
-                self.line.clear();
-                self.state = State::Open { link, decoder };
+                self.is_watching = self.watch.superseded_response_started();
+                self.body.clear();
+                self.connection = Connection::Open(exchange);
             }
             Ok(_) if flow == Flow::Open && rule_disabled("superseded-call-kept-apart") => {
-                self.watching = self.follow.superseded_response_started();
-                self.state = State::Open { link, decoder };
+                self.is_watching = self.watch.superseded_response_started();
+                self.connection = Connection::Open(exchange);
             }
-            Ok(_) if flow == Flow::Open => self.aside = Some((link, decoder)),
-            _ => self.follow.superseded_lost(),
+            Ok(_) if flow == Flow::Open => self.superseded = Some(exchange),
+            _ => self.watch.superseded_lost(),
         }
     }
 
-    pub fn ready(&mut self, io: &mut Reactor, token: Token, ready: Ready, told: &mut Vec<EndpointList>) {
-        if self.aside.as_ref().is_some_and(|(link, _)| link.token == token) {
-            self.aside(io, ready);
+    fn read_response(
+        &mut self, reactor: &Reactor, ready: Ready, mut exchange: Exchange, lists: &mut Vec<EndpointList>,
+    ) {
+        if ready.write {
+            exchange.flush(reactor);
         }
-        let state = std::mem::replace(&mut self.state, State::Closed);
-        match state {
-            State::Connecting { link } if link.token == token => match link.socket.finish_connect() {
-                Ok(()) => self.ask(io, link),
-                Err(error) => self.lost(io, &error.to_string()),
-            },
-            State::Open { mut link, mut decoder } if link.token == token => {
-                if ready.write {
-                    let _ = link.socket.flush();
-                    let pending = link.socket.pending() > 0;
-                    link.set_interest(io, true, pending);
-                }
-                let (_, flow) = link.socket.read();
-                let input = std::mem::take(&mut link.socket.input);
-                let (mut used, mut fault, mut ended) = (0, None, false);
-                while fault.is_none() && !ended {
-                    match decoder.decode(&input[used..]) {
-                        Err(error) => fault = Some(error.to_string()),
-                        Ok((took, part)) => {
-                            used += took;
-                            match part {
-                                None => break,
-                                Some(Part::Head(head)) if head.status != 200 => {
-                                    fault = Some(format!("status {}", head.status));
-                                }
-                                Some(Part::Head(_)) => {
-                                    self.follow.response_started();
-                                    self.aside = None;
-                                }
-                                Some(Part::Data(bytes)) => {
-                                    let lines = bytes.contains(&b'\n');
-                                    self.line.extend_from_slice(bytes);
-                                    // Each list ends with a line: what is midway in one is not read again and again.
-                                    if self.watching && lines {
-                                        let before = told.len();
-                                        fault = self.lists(told);
-                                        // Lines of a list that is not whole show nothing: they may drip for ever.
-                                        if told.len() > before || self.line.is_empty() {
-                                            self.follow.message_received(io.now);
-                                        }
-                                    }
-                                    if self.line.len() > LINE {
-                                        fault = Some("a line that does not end".into());
-                                    }
-                                }
-                                Some(Part::End) => ended = true,
-                            }
-                        }
-                    }
-                }
-                let rest = used < input.len();
-                link.socket.input = input;
-                link.socket.consume(used);
-                // A list without a length ends with its connection, if that ends in order.
-                ended |= flow == Flow::Ended && fault.is_none() && decoder.closed(rest).unwrap_or(false);
-                if fault.is_none() && ended && !self.watching {
-                    let whole = std::mem::take(&mut self.line);
-                    fault = EndpointList::read(&whole)
-                        .map_err(|e| e.to_string())
-                        .and_then(|list| self.take(list, told))
-                        .err();
-                    if fault.is_none() && flow == Flow::Open {
-                        // The list is in: the watch goes on from it, on the same connection.
-                        return self.ask(io, link);
-                    }
-                }
-                if let Some(why) = fault {
-                    self.follow.reset_version();
-                    self.lost(io, &why);
-                } else if ended || flow != Flow::Open {
-                    self.lost(io, "the watch ended");
-                } else {
-                    self.state = State::Open { link, decoder };
-                }
+        let (_, flow) = exchange.registered.socket.read();
+        let input = std::mem::take(&mut exchange.registered.socket.input);
+        let mut decoded = self.decode(reactor.now, &mut exchange.decoder, &input, lists);
+        let has_rest = decoded.used < input.len();
+        exchange.registered.socket.input = input;
+        exchange.registered.socket.consume(decoded.used);
+        // A list without a length ends with its connection, if that ends in order.
+        decoded.is_ended |= flow == Flow::Ended
+            && decoded.result.is_ok()
+            && exchange.decoder.closed(has_rest).unwrap_or(false);
+        if decoded.result.is_ok() && decoded.is_ended && !self.is_watching {
+            decoded.result = self.apply_complete_list(lists);
+            if decoded.result.is_ok() && flow == Flow::Open {
+                // The watch goes on from this list, on the same connection.
+                return self.send_request(reactor, exchange.registered);
             }
-            other => self.state = other,
         }
-    }
-
-    /// Takes the lists that are whole; a fault where one cannot be followed.
-    fn lists(&mut self, told: &mut Vec<EndpointList>) -> Option<String> {
-        let held = std::mem::take(&mut self.line);
-        let (mut from, mut fault) = (0, None);
-        while fault.is_none() {
-            from += held[from..].iter().take_while(|b| b.is_ascii_whitespace()).count();
-            match EndpointList::read_first(&held[from..]) {
-                Ok(None) => break,
-                Ok(Some((list, took))) => {
-                    from += took;
-                    fault = self.take(list, told).err();
-                }
-                Err(why) => fault = Some(why.to_string()),
-            }
+        if let Err(error) = decoded.result {
+            self.watch.reset_version();
+            self.connection_lost(reactor, &error.to_string());
+        } else if decoded.is_ended || flow != Flow::Open {
+            self.connection_lost(reactor, "the watch ended");
+        } else {
+            self.connection = Connection::Open(exchange);
         }
-        self.line = held[from..].to_vec();
-        fault
     }
+}
 
-    fn take(&mut self, list: EndpointList, told: &mut Vec<EndpointList>) -> Result<(), String> {
-        if self.follow.apply_version(list.version, list.complete)? {
-            tracing::info!(target: "doorcourse::discovery", version = list.version, "discovery up");
-        }
-        told.push(list);
-        Ok(())
+impl Exchange {
+    fn flush(&mut self, reactor: &Reactor) {
+        // A broken connection shows when it is read.
+        let _ = self.registered.socket.flush();
+        let is_pending = self.registered.socket.pending() > 0;
+        self.registered.set_interest(reactor, true, is_pending);
     }
 }
--- /dev/null
+++ b/crates/resp-gateway/src/discovery/body.rs
@@ -0,0 +1,110 @@
+//! Decodes the responses of the discovery service into endpoint lists.
+
+use super::{DiscoveryClient, DiscoveryError};
+use crate::endpoints::EndpointList;
+use doorcourse::Millis;
+use doorcourse_http::{Decoder, Part};
+
+/// The longest line or list in bytes; thousands of backends fit.
+const MAX_LIST_BYTES: usize = 1 << 20;
+
+/// How far a response was decoded.
+pub(super) struct DecodedResponse {
+    /// Bytes of the input that were consumed.
+    pub used: usize,
+    /// Whether the response is at its end.
+    pub is_ended: bool,
+    pub result: Result<(), DiscoveryError>,
+}
+
+impl DiscoveryClient {
+    /// Decodes what has been received of a response. The lists of a watch are appended as they come.
+    pub(super) fn decode(
+        &mut self, now: Millis, decoder: &mut Decoder, input: &[u8], lists: &mut Vec<EndpointList>,
+    ) -> DecodedResponse {
+        let mut decoded = DecodedResponse { used: 0, is_ended: false, result: Ok(()) };
+        while decoded.result.is_ok() && !decoded.is_ended {
+            let (length, part) = match decoder.decode(&input[decoded.used..]) {
+                Ok(next) => next,
+                Err(error) => {
+                    decoded.result = Err(DiscoveryError::Http(error.to_string()));
+                    break;
+                }
+            };
+            decoded.used += length;
+            match part {
+                None => break,
+                Some(Part::Head(head)) if head.status != 200 => {
+                    decoded.result = Err(DiscoveryError::Status(head.status));
+                }
+                Some(Part::Head(_)) => {
+                    self.watch.response_started();
+                    self.superseded = None;
+                }
+                Some(Part::Data(bytes)) => decoded.result = self.receive_body(now, bytes, lists),
+                Some(Part::End) => decoded.is_ended = true,
+            }
+        }
+        decoded
+    }
+
+    fn receive_body(
+        &mut self, now: Millis, bytes: &[u8], lists: &mut Vec<EndpointList>,
+    ) -> Result<(), DiscoveryError> {
+        let has_line_end = bytes.contains(&b'\n');
+        self.body.extend_from_slice(bytes);
+        let mut result = Ok(());
+        // Each list of a watch ends with a line: a part of one is not parsed again and again.
+        if self.is_watching && has_line_end {
+            let lists_before = lists.len();
+            result = self.apply_watched_lists(lists);
+            // Lines of a list that is not complete show nothing: they may drip in for ever.
+            if lists.len() > lists_before || self.body.is_empty() {
+                self.watch.message_received(now);
+            }
+        }
+        if self.body.len() > MAX_LIST_BYTES {
+            return Err(DiscoveryError::LineTooLong);
+        }
+        result
+    }
+
+    /// Applies the lists of the watch that have been received completely.
+    fn apply_watched_lists(&mut self, lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
+        let body = std::mem::take(&mut self.body);
+        let mut used = 0;
+        let result = loop {
+            used += body[used..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            match EndpointList::read_first(&body[used..]) {
+                Ok(None) => break Ok(()),
+                Ok(Some((list, length))) => {
+                    used += length;
+                    if let Err(error) = self.apply(list, lists) {
+                        break Err(error);
+                    }
+                }
+                Err(error) => break Err(error.into()),
+            }
+        };
+        self.body = body[used..].to_vec();
+        result
+    }
+
+    /// Applies a complete list that was requested.
+    pub(super) fn apply_complete_list(
+        &mut self, lists: &mut Vec<EndpointList>,
+    ) -> Result<(), DiscoveryError> {
+        let body = std::mem::take(&mut self.body);
+        self.apply(EndpointList::read(&body)?, lists)
+    }
+
+    fn apply(&mut self, list: EndpointList, lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
+        let is_available_again =
+            self.watch.apply_version(list.version, list.complete).map_err(DiscoveryError::Version)?;
+        if is_available_again {
+            tracing::info!(target: "doorcourse::discovery", version = list.version, "discovery up");
+        }
+        lists.push(list);
+        Ok(())
+    }
+}
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -4,9 +4,9 @@
 use crate::backends::{AttemptEvent, AttemptUpdate, Backends, is_health_check};
 use crate::clients::{ClientEvent, ClientTable, RequestFailure, Response};
 use crate::config::Config;
-use crate::counter::Counter;
-use crate::diagnostics::Watch;
-use crate::discovery::Discovery;
+use crate::counter::CounterPool;
+use crate::diagnostics::{Components, Diagnostics};
+use crate::discovery::DiscoveryClient;
 use crate::endpoints::EndpointList;
 use crate::reactor::{Reactor, Timer, Token, TokenKind};
 use crate::requests::{RequestCommand, RequestTable, StartOutcome};
@@ -37,9 +37,9 @@
     clients: ClientTable,
     backends: Backends,
     requests: RequestTable,
-    counter: Counter,
-    discovery: Discovery,
-    watch: Watch,
+    counter: CounterPool,
+    discovery: DiscoveryClient,
+    watch: Diagnostics,
     leave: GracefulShutdown,
     closed: bool,
     address: SocketAddr,
@@ -117,14 +117,14 @@
         let host = &site.host;
         tracing::debug!(settings = ?site.settings, ?host, "settings");
         let backends = Backends::new(shares.backends, host.dial_timeout, host.keepalive);
-        let counter = Counter::new(counter, site.settings.counter_timeout);
-        let discovery = Discovery::new(discovery, known.as_ref().map(|k| k.version), host.drain_grace);
+        let counter = CounterPool::new(counter, site.settings.counter_timeout);
+        let discovery = DiscoveryClient::new(discovery, known.as_ref().map(|k| k.version), host.drain_grace);
         let (wake, signal) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
         let token = Token { kind: TokenKind::Signal, serial: io.next_serial(), index: 0 };
         io.poller.add(&signal, token.pack(), Interest::READ)?;
-        let (start, watch) = (Readiness::new(io.now), Watch::new(io.now));
+        let (start, watch) = (Readiness::new(io.now), Diagnostics::new(io.now));
         tracing::info!(%name, %address, ?shares, known = known.as_ref().map(|k| k.endpoints.len()),
             keepalive = host.keepalive, dial_timeout = host.dial_timeout, "started");
         let mut new = Self {
@@ -212,8 +212,8 @@
 
     fn due(&self) -> f64 {
         let rooms = [
-            self.discovery.due(),
-            self.counter.due(),
+            self.discovery.next_timeout(),
+            self.counter.next_timeout(),
             self.backends.next_timeout(),
             self.clients.next_timeout(),
             self.io.timers.first().unwrap_or(f64::INFINITY),
@@ -250,14 +250,14 @@
             self.answer_all();
         }
         self.flush();
-        self.watch.tick(
-            &self.io,
-            &self.gateway,
-            &self.backends,
-            &self.clients,
-            &self.counter,
-            &self.requests,
-        );
+        let components = Components {
+            gateway: &self.gateway,
+            backends: &self.backends,
+            clients: &self.clients,
+            counter: &self.counter,
+            requests: &self.requests,
+        };
+        self.watch.handle_timeout(&self.io, &components);
     }
 
     fn one(&mut self, ready: Ready) {
@@ -266,13 +266,15 @@
             TokenKind::Signal => self.signalled(token.index),
             TokenKind::Discovery => {
                 let mut lists = Vec::new();
-                self.discovery.ready(&mut self.io, token, ready, &mut lists);
+                self.discovery.handle_readiness(&mut self.io, token, ready, &mut lists);
                 if !lists.is_empty() {
                     self.start.list_received();
                 }
                 lists.into_iter().for_each(|list| self.take_list(list));
             }
-            TokenKind::Counter => self.counter.ready(&mut self.io, token, ready, &mut self.counted),
+            TokenKind::Counter => {
+                self.counter.handle_readiness(&mut self.io, token, ready, &mut self.counted)
+            }
             TokenKind::Backend => self.backends.handle_readiness(&mut self.io, token, ready, &mut self.said),
             TokenKind::Listener => self.clients.accept(&mut self.io, &self.site, &mut self.told),
             TokenKind::Client => {
@@ -283,8 +285,8 @@
     }
 
     fn tick(&mut self) {
-        self.discovery.tick(&mut self.io);
-        self.counter.tick(&mut self.io, &mut self.counted);
+        self.discovery.handle_timeout(&mut self.io);
+        self.counter.handle_timeout(&mut self.io, &mut self.counted);
         self.backends.handle_timeout(&self.io);
         self.settle();
         while let Some(alarm) = self.io.timers.due(self.io.now) {
@@ -334,10 +336,10 @@
                 continue;
             };
             let mut actions = std::mem::take(&mut self.actions);
-            self.watch.note(self.io.now, &event);
+            self.watch.record_event(self.io.now, &event);
             self.gateway.handle(self.io.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.watch.note_action(self.io.now, &action, &self.gateway);
+                self.watch.record_action(self.io.now, &action, &self.gateway);
                 self.act(action);
             }
             self.actions = actions;
@@ -551,9 +553,9 @@
         };
         let Config { discovery, counter, site, .. } = config;
         tracing::info!(%discovery, counter = counter.map(|c| c.to_string()), "configuration read");
-        self.discovery.move_to(discovery);
-        self.discovery.set_grace(site.host.drain_grace);
-        self.counter.move_to(&self.io, counter, site.settings.counter_timeout);
+        self.discovery.set_address(discovery);
+        self.discovery.set_drain_grace(site.host.drain_grace);
+        self.counter.configure(self.io.now, counter, site.settings.counter_timeout);
         self.backends.configure(site.host.dial_timeout, site.host.keepalive);
         if site.settings != self.site.settings {
             self.events.push_back(Event::SettingsChanged(Box::new(site.settings.clone())));
