--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,7 +1,7 @@
-//! `platform`.
+//! The `platform` command.
 
 use clap::Args;
-use doorcourse_resp_gateway::{Config, Platform as Running, Signals};
+use doorcourse_resp_gateway::{Config, RespGateway, SignalHandlers};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,12 +17,12 @@
     listen: Option<SocketAddr>,
 }
 
-pub fn run(wanted: &Platform) -> anyhow::Result<ExitCode> {
-    let signals = Signals::take()?;
-    let mut config = Config::open(&wanted.config)?;
-    config.listen = wanted.listen.unwrap_or(config.listen);
-    let mut platform = Running::new(wanted.config.clone(), config)?;
-    platform.heed(signals)?;
-    platform.run()?;
+pub fn run(options: &Platform) -> anyhow::Result<ExitCode> {
+    let signals = SignalHandlers::install()?;
+    let mut config = Config::open(&options.config)?;
+    config.listen = options.listen.unwrap_or(config.listen);
+    let mut gateway = RespGateway::new(options.config.clone(), config)?;
+    gateway.attach_signals(signals)?;
+    gateway.run()?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -110,7 +110,7 @@
     newcomer.send_ask("lookup", 14_000);
     let before = ticks(&gateway);
     gateway.signal(Signal::HUP);
-    gateway.line("configuration read");
+    gateway.line("configuration reloaded");
     std::thread::sleep(Duration::from_millis(1000));
     let used = ticks(&gateway) - before;
     assert!(used < 40, "{used} of 100 ticks of a second");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -25,7 +25,7 @@
     config["counter"] = json!(other.address.to_string());
     std::fs::write(&gateway.file, config.to_string()).unwrap();
     gateway.signal(Signal::HUP);
-    gateway.line("configuration read");
+    gateway.line("configuration reloaded");
     for _ in 0..5 {
         assert!(is_served(&client.ask("order", 1000), "good"));
     }
@@ -33,9 +33,9 @@
     gateway.signal(Signal::HUP);
     assert!(is_served(&client.ask("order", 1000), "good"));
     gateway.signal(Signal::TERM);
-    gateway.line("leaving");
+    gateway.line("shutting down");
     assert!(is_served(&Client::open(gateway.address).ask("order", 1000), "good"));
-    gateway.line("left");
+    gateway.line("stopped");
     assert!(gateway.child.wait().unwrap().success());
 }
 
@@ -106,7 +106,7 @@
     let mut gateway = start("door", &config);
     assert!(is_served(&Client::open(gateway.address).ask("lookup", 1000), "good"));
     gateway.signal(Signal::TERM);
-    gateway.line("leaving");
+    gateway.line("shutting down");
     gateway.signal(Signal::STOP);
     let mut clients: Vec<_> = (0..150).map(|_| Client::open(gateway.address)).collect();
     clients.iter_mut().for_each(|client| drop(client.send_ask("lookup", 2400)));
@@ -117,7 +117,7 @@
         assert!(is_served(&answer, "good") || rig::is_busy(&answer), "{answer:?}");
         assert_eq!(client.answer(), None, "its connection ends behind its answer");
     }
-    gateway.line("left");
+    gateway.line("stopped");
     assert!(gateway.child.wait().unwrap().success());
 }
 
@@ -138,7 +138,7 @@
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         if log.contains("started") {
             listened += 1;
-            assert!(output.status.success() && log.contains("\"left\""), "{step}: {log}");
+            assert!(output.status.success() && log.contains("\"stopped\""), "{step}: {log}");
         }
     }
     std::fs::remove_file(&file).unwrap();
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -277,7 +277,7 @@
     let mut gateway = start("queue", file);
     assert!(is_served(&Client::open(gateway.address).ask("lookup", 2000), "good"));
     gateway.signal(Signal::TERM);
-    gateway.line("leaving");
+    gateway.line("shutting down");
     gateway.signal(Signal::STOP);
     let connect = |_| TcpStream::connect(gateway.address).ok().map(Client::over);
     let mut clients = (0..150).map(connect).collect::<Option<Vec<Client>>>()?;
--- /dev/null
+++ b/crates/resp-gateway/src/gateway/actions.rs
@@ -0,0 +1,148 @@
+//! Executes the actions of the decisions, and handles the events of clients, attempts and timers.
+
+use super::RespGateway;
+use crate::backends::{AttemptEvent, AttemptUpdate};
+use crate::clients::{ClientEvent, CommandId, RequestFailure, Response};
+use crate::reactor::Timer;
+use crate::request::{Request, RequestError};
+use crate::requests::{RequestCommand, StartOutcome};
+use doorcourse::{Action, Event, Millis, Name, RequestId};
+use doorcourse_counter::CounterCall;
+use doorcourse_request_lifecycle::{LifecycleEvent, connect_timeout};
+
+impl RespGateway {
+    pub(super) fn execute_action(&mut self, action: Action) {
+        match action {
+            Action::SendAttempt { id, backend, timeout, must_be_written_within } => {
+                self.start_attempt(id, &backend, timeout, must_be_written_within);
+            }
+            Action::Reject { id, retry_after, reason } => {
+                self.handle_request_event(id, LifecycleEvent::Rejected { retry_after, reason });
+            }
+            Action::Fail { id } => self.handle_request_event(id, LifecycleEvent::Failed),
+            Action::CancelAttempt { id, .. } => self.handle_request_event(id, LifecycleEvent::Cancelled),
+            Action::SetTimer { after, token } => {
+                self.reactor.timers.set(self.reactor.now + after, Timer::Decision { token });
+            }
+            Action::CheckHealth { backend } => self.start_health_check(backend),
+            Action::AddToCounter { counter, amount, time_to_live } => {
+                let call = CounterCall { counter, amount, time_to_live };
+                self.counter.call(&mut self.reactor, call, &mut self.pending.counter);
+            }
+            // Gateways cannot reach each other on this platform, and the watch is always on.
+            Action::Gossip { .. } | Action::WatchBackends => {}
+            Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
+        }
+    }
+
+    fn start_attempt(
+        &mut self, request: RequestId, backend: &Name, timeout: Option<Millis>,
+        must_be_written_within: Option<Millis>,
+    ) {
+        let now = self.reactor.now;
+        let Some(outgoing) = self.requests.start_attempt(now, request, backend) else { return };
+        if let Some(timeout) = timeout {
+            self.reactor.timers.set(now + timeout, Timer::RequestDeadline { request });
+        }
+        let attempt = outgoing.attempt;
+        let deadline = outgoing.deadline;
+        let max_connect_timeout = self.site.host.dial_timeout;
+        let request_timeout = deadline - outgoing.request_started_at;
+        let elapsed = now - outgoing.request_started_at;
+        let connect_timeout = connect_timeout(max_connect_timeout, request_timeout, elapsed);
+        let updates = &mut self.pending.attempts;
+        let reactor = &mut self.reactor;
+        self.backends.start_attempt(reactor, request, backend, outgoing.command, deadline, updates);
+        if self.backends.awaits_connection(request) && max_connect_timeout > 0.0 {
+            self.reactor.timers.set(now + connect_timeout, Timer::ConnectTimeout { request, attempt });
+        }
+        if let Some(window) = must_be_written_within {
+            self.reactor.timers.set(now + window, Timer::WriteDeadline { request, attempt });
+        }
+    }
+
+    pub(super) fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Decision { token } => self.pending.decisions.push_back(Event::TimerExpired { token }),
+            Timer::RequestDeadline { request } => {
+                self.handle_request_event(request, LifecycleEvent::DeadlineExpired);
+            }
+            Timer::HealthCheckTimeout { check } => self.time_out_health_check(check),
+            Timer::ConnectTimeout { request, attempt } => {
+                if self.requests.is_in_flight(request, attempt) && self.backends.awaits_connection(request) {
+                    self.backends.abandon(request);
+                    let event = AttemptEvent::ConnectionLost;
+                    self.pending.attempts.push(AttemptUpdate { request, event });
+                }
+            }
+            Timer::WriteDeadline { request, attempt } => {
+                if self.requests.is_in_flight(request, attempt) {
+                    self.handle_request_event(request, LifecycleEvent::Withdrawn);
+                }
+            }
+        }
+    }
+
+    pub(super) fn handle_client_event(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::PingReceived { command } => {
+                let is_ready = self.readiness.is_ready(self.reactor.now);
+                let response = if is_ready { Response::Pong } else { Response::Loading };
+                self.clients.respond(self.reactor.now, command, response);
+            }
+            ClientEvent::RequestReceived { command, request } => self.start_request(command, *request),
+            ClientEvent::Disconnected { request } => {
+                self.handle_request_event(request, LifecycleEvent::ClientDisconnected);
+            }
+        }
+    }
+
+    fn start_request(&mut self, command: CommandId, request: Request) {
+        if !self.clients.is_connected(command) {
+            // The client disconnected right after the request was read.
+            return;
+        }
+        let now = self.reactor.now;
+        let response = match self.requests.start(now, &self.site, &self.shutdown, command, request) {
+            StartOutcome::Started { request, deadline, event } => {
+                self.clients.request_started(command, request);
+                self.reactor.timers.set(deadline, Timer::RequestDeadline { request });
+                return self.pending.decisions.push_back(event);
+            }
+            StartOutcome::DuplicateId => Response::InvalidRequest(RequestError::DuplicateId),
+            StartOutcome::DeadlineTooShort => Response::Failed(RequestFailure::DeadlineTooShort),
+            // Another gateway accepts it at once: there is nothing to wait for.
+            StartOutcome::ShuttingDown => Response::Rejected { retry_after_ms: None },
+        };
+        self.clients.respond(now, command, response);
+    }
+
+    pub(super) fn handle_attempt_update(&mut self, update: AttemptUpdate) {
+        let now = self.reactor.now;
+        let send_retry_after = self.site.host.advice;
+        let commands = &mut self.commands;
+        self.requests.handle_attempt_event(now, update.request, update.event, send_retry_after, commands);
+        self.execute_commands();
+    }
+
+    pub(super) fn handle_request_event(&mut self, request: RequestId, event: LifecycleEvent) {
+        let now = self.reactor.now;
+        let send_retry_after = self.site.host.advice;
+        self.requests.handle_event(now, request, event, send_retry_after, &mut self.commands);
+        self.execute_commands();
+    }
+
+    fn execute_commands(&mut self) {
+        let mut commands = std::mem::take(&mut self.commands);
+        for command in commands.drain(..) {
+            match command {
+                RequestCommand::NotifyDecisions(event) => self.pending.decisions.push_back(event),
+                RequestCommand::Respond { command, response } => {
+                    self.clients.respond(self.reactor.now, command, response);
+                }
+                RequestCommand::AbandonAttempt { request } => self.backends.abandon(request),
+            }
+        }
+        self.commands = commands;
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/gateway/configuration.rs
@@ -0,0 +1,85 @@
+//! Applies a configuration that is reloaded, and endpoint lists.
+
+use super::RespGateway;
+use crate::config::Config;
+use crate::endpoints::EndpointList;
+use crate::reactor::Token;
+use doorcourse::Event;
+use doorcourse_event_loop::Ready;
+use std::fs::File;
+
+/// A descriptor that is released while the configuration file is read, so that the file can be opened when no other
+/// descriptor is left.
+pub(super) struct ReservedDescriptor(Option<File>);
+
+impl Default for ReservedDescriptor {
+    fn default() -> Self {
+        Self(File::open("/dev/null").ok())
+    }
+}
+
+impl ReservedDescriptor {
+    /// Runs `read` with the descriptor released.
+    fn released_for<T>(&mut self, read: impl FnOnce() -> T) -> T {
+        self.0 = None;
+        let result = read();
+        *self = Self::default();
+        result
+    }
+}
+
+impl RespGateway {
+    /// Reads the configuration file again. One that cannot be used changes nothing.
+    pub(super) fn reload_configuration(&mut self) {
+        let path = &self.config_path;
+        let config = match self.reserved_descriptor.released_for(|| Config::open(path)) {
+            Ok(config) => config,
+            // The error names the file and the field at fault.
+            Err(error) => {
+                let error = format!("{error:#}");
+                return tracing::error!(
+                    error,
+                    "configuration reload failed, the previous one stays in force"
+                );
+            }
+        };
+        let site = config.site;
+        let counter = config.counter.map(|address| address.to_string());
+        tracing::info!(discovery = %config.discovery, counter, "configuration reloaded");
+        self.discovery.set_address(config.discovery);
+        self.discovery.set_drain_grace(site.host.drain_grace);
+        self.counter.configure(self.reactor.now, config.counter, site.settings.counter_timeout);
+        self.backends.configure(site.host.dial_timeout, site.host.keepalive);
+        if site.settings != self.site.settings {
+            let settings = Box::new(site.settings.clone());
+            self.pending.decisions.push_back(Event::SettingsChanged(settings));
+        }
+        self.site = site;
+    }
+
+    pub(super) fn handle_discovery_readiness(&mut self, token: Token, ready: Ready) {
+        let mut lists = Vec::new();
+        self.discovery.handle_readiness(&mut self.reactor, token, ready, &mut lists);
+        if !lists.is_empty() {
+            self.readiness.list_received();
+        }
+        for list in lists {
+            self.apply_endpoints(list);
+        }
+    }
+
+    /// Applies an endpoint list to the backends and the decisions.
+    ///
+    /// The addresses have to be known before the decisions send there, and the decisions have to know of a drain before
+    /// what it withdraws is placed anew: withdrawn attempts are reported after the list.
+    pub(super) fn apply_endpoints(&mut self, list: EndpointList) {
+        let entries = list.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect();
+        let event = if list.complete { Event::BackendList(entries) } else { Event::BackendChanges(entries) };
+        self.pending.decisions.push_back(event);
+        let mut withdrawn = Vec::new();
+        self.backends.apply_endpoints(&list, &mut withdrawn);
+        self.process_pending_events();
+        self.pending.attempts.extend(withdrawn);
+        self.process_pending_events();
+    }
+}
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -1,11 +1,14 @@
-//! The gateway on the users' platform: RESP from clients and to backends, HTTP/1.1 to discovery and the counter. It
-//! translates between sockets and the decisions: who is let in, where a request goes, when it is repeated and how it
-//! ends is decided in `doorcourse`, what bytes mean for one request in `doorcourse-request-lifecycle`.
+//! The gateway on the users' platform: RESP from clients and to backends, HTTP/1.1 to discovery and the counter.
 //!
-//! [`Platform`] is the loop over the rooms; each room owns its state and speaks in values. [`request`] and [`endpoints`] read
-//! what clients and discovery send, without I/O.
+//! It translates between sockets and decisions. Which request is admitted, where it is sent, when it is retried and how
+//! it ends is decided in `doorcourse`; what bytes mean for one request in `doorcourse_request_lifecycle`.
+//!
+//! [`RespGateway`] is the event loop over the components. Each component (client table, backends, counter pool, discovery
+//! client, request table) owns its state; components exchange typed messages through the loop. [`request`] and
+//! [`endpoints`] parse what clients and discovery send, without I/O.
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod backends;
 mod clients;
@@ -20,4 +23,4 @@
 mod requests;
 
 pub use config::{Config, MachineLimits};
-pub use gateway::{Platform, Signals, Stopper};
+pub use gateway::{GatewayHandle, RespGateway, SignalHandlers};
--- a/crates/resp-gateway/tests/discovery.rs
+++ b/crates/resp-gateway/tests/discovery.rs
@@ -140,7 +140,7 @@
             let moved = discovery(script.clone(), list(new.address), list(wrong.address));
             rig.file["discovery"] = json!(moved.to_string());
             rig.write();
-            rig.stopper.reload();
+            rig.handle.reload();
             let (began, mut client) = (Instant::now(), rig.client());
             while !is_served(&client.ask("lookup", 500), "new") {
                 assert!(began.elapsed() < LIMIT, "{script:?}: never heard");
@@ -204,7 +204,7 @@
     let (moved, calls) = held_discovery();
     rig.file["discovery"] = json!(moved.to_string());
     rig.write();
-    rig.stopper.reload();
+    rig.handle.reload();
     (rig, old, calls)
 }
 
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -82,7 +82,7 @@
     rig.file["discovery"] = json!(discovery.address.to_string());
     rig.file["counter"] = json!(counter.address.to_string());
     rig.write();
-    rig.stopper.reload();
+    rig.handle.reload();
     serve_until(&rig, "the new list", || second.count() > 0);
     serve_until(&rig, "a call to the new counter", || counter.totals.change(|t| !t.is_empty()));
 }
@@ -93,11 +93,11 @@
     let rig = Rig::before(&[backend.address]);
     for text in ["", "{", "{\"name\":1}", "[]"] {
         std::fs::write(&rig.path, text).unwrap();
-        rig.stopper.reload();
+        rig.handle.reload();
         assert!(is_served(&rig.client().ask("order", 1000), "good"));
     }
     std::fs::remove_file(&rig.path).unwrap();
-    rig.stopper.reload();
+    rig.handle.reload();
     assert!(is_served(&rig.client().ask("order", 1000), "good"));
 }
 
@@ -112,7 +112,7 @@
     gold["name"] = json!("gold");
     rig.file["settings"]["plans"].as_array_mut().unwrap().push(gold);
     rig.write();
-    rig.stopper.reload();
+    rig.handle.reload();
     let began = Instant::now();
     while !is_served(&ask(&rig), "good") {
         assert!(began.elapsed() < LIMIT);
@@ -133,8 +133,8 @@
     let (mut first, mut idle) = (rig.client(), rig.client());
     first.send_ask("lookup", 2400);
     backend.commands.wait("the request to be sent on", |c| c.len() == 1);
-    rig.stopper.stop();
-    rig.stopper.stop();
+    rig.handle.stop();
+    rig.handle.stop();
     // New connections and requests are taken for a while.
     assert!(is_served(&rig.client().ask("lookup", 1000), "good"));
     assert!(is_served(&idle.ask("lookup", 1000), "good"));
@@ -153,7 +153,7 @@
     let mut client = rig.client();
     client.send_ask("order", 1100);
     backend.commands.wait("the request to be sent on", |c| c.len() == 1);
-    rig.stopper.stop();
+    rig.handle.stop();
     assert!(is_failed(&client.answer().unwrap()));
     rig.join();
 }
@@ -195,7 +195,7 @@
         .collect();
     backend.commands.wait("all to ask", |c| c.len() >= 24);
     told.change(|told| *told = Some(Instant::now()));
-    rig.stopper.stop();
+    rig.handle.stop();
     rig.join();
     let answered: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
     // Whatever was sent on was answered: nothing is cut, also not at the end.
@@ -211,7 +211,7 @@
     let backend = good();
     let mut rig = Rig::before(&[backend.address]);
     let address = rig.address;
-    rig.stopper.stop();
+    rig.handle.stop();
     let clients: Vec<_> = (0..150)
         .map(|step| {
             std::thread::spawn(move || {
@@ -246,7 +246,7 @@
     let (mut piped, mut half, mut slow) = (rig.client(), rig.client(), rig.client());
     let whole = half.encoded("lookup", 2000);
     half.stream.write_all(&whole[..whole.len() / 2]).unwrap();
-    rig.stopper.stop();
+    rig.handle.stop();
     std::thread::sleep(Duration::from_millis(600));
     (0..10).for_each(|_| drop(piped.send_ask("lookup", 2000)));
     (0..20).for_each(|_| drop(slow.send_ask("lookup", 2000)));
@@ -281,10 +281,10 @@
     rig.file["counter"] = json!(nobody.local_addr().unwrap().to_string());
     rig.file["discovery"] = rig.file["counter"].clone();
     rig.write();
-    rig.stopper.reload();
-    rig.stopper.stop();
-    rig.stopper.reload();
-    rig.stopper.stop();
+    rig.handle.reload();
+    rig.handle.stop();
+    rig.handle.reload();
+    rig.handle.stop();
     for (at, client) in clients.iter_mut().enumerate() {
         let answer = client.answer().unwrap_or_else(|| panic!("client {at} has no answer"));
         assert!(is_failed(&answer) || rig::is_busy(&answer), "{answer:?}");
@@ -306,7 +306,7 @@
     let (mut client, mut idle) = (rig.client(), rig.client());
     client.send_ask("lookup", 2400);
     backend.commands.wait("the request to be sent on", |c| c.len() == 1);
-    rig.stopper.stop();
+    rig.handle.stop();
     idle.call(&["PING"]);
     idle.wait_for_end();
     open.change(|open| *open = true);
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -5,7 +5,7 @@
 
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_resp::{CommandLimits, Commands, Value, decode};
-use doorcourse_resp_gateway::{Config, Platform, Stopper};
+use doorcourse_resp_gateway::{Config, GatewayHandle, RespGateway};
 use serde_json::{Value as Json, json};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -372,7 +372,7 @@
     pub address: SocketAddr,
     pub discovery: Discovery,
     pub counter: Counter,
-    pub stopper: Stopper,
+    pub handle: GatewayHandle,
     pub path: PathBuf,
     pub file: Json,
     thread: Option<JoinHandle<anyhow::Result<()>>>,
@@ -399,10 +399,10 @@
         let path = std::env::temp_dir()
             .join(format!("doorcourse-resp-gateway-{}-{number}.json", std::process::id()));
         std::fs::write(&path, file.to_string()).unwrap();
-        let mut platform = Platform::new(path.clone(), Config::open(&path).unwrap()).unwrap();
-        let (address, stopper) = (platform.address(), platform.stopper().unwrap());
-        let thread = Some(std::thread::spawn(move || platform.run()));
-        let rig = Self { address, discovery, counter, stopper, path, file, thread };
+        let mut gateway = RespGateway::new(path.clone(), Config::open(&path).unwrap()).unwrap();
+        let (address, handle) = (gateway.address(), gateway.handle().unwrap());
+        let thread = Some(std::thread::spawn(move || gateway.run()));
+        let rig = Self { address, discovery, counter, handle, path, file, thread };
         let mut client = rig.client();
         while client.call(&["PING"]) != Value::Simple("PONG".into()) {
             std::thread::yield_now();
@@ -427,7 +427,7 @@
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        self.stopper.stop();
+        self.handle.stop();
         let _ = std::fs::remove_file(&self.path);
         let ended = self.thread.take().map(JoinHandle::join);
         if !std::thread::panicking() {
