--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -91,9 +91,12 @@
     (old != new).then(|| format!("{field}: {old} -> {new}"))
 }
 
+/// The items of one kind by name, each with a text that differs where the item does.
+type ItemTexts = fn(&Config) -> BTreeMap<String, String>;
+
 /// Named items (plans, classes, root fields, nodes, customers) that are new, changed or gone.
 fn changed_items(old: &Config, new: &Config) -> Vec<String> {
-    let kinds: [(&str, fn(&Config) -> BTreeMap<String, String>); 5] = [
+    let kinds: [(&str, ItemTexts); 5] = [
         ("plan", |c| c.decisions.plans.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
         ("class", |c| c.decisions.classes.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
         ("root field", class_of_each_root_field),
