--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -72,13 +72,6 @@
     pub held_version: Option<u64>,
 }
 
-/// For hosts that report every fault of the source as one text.
-impl From<ApplyVersionError> for String {
-    fn from(error: ApplyVersionError) -> Self {
-        error.to_string()
-    }
-}
-
 /// The current connection to the source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Connection {
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -216,7 +216,7 @@
 #[test]
 fn the_text_of_a_version_error_names_the_version() {
     let error = ApplyVersionError { version: 4, held_version: Some(5) };
-    assert_eq!(String::from(error), "changes of version 4 without the list before them");
+    assert_eq!(error.to_string(), "changes of version 4 without the list before them");
 }
 
 /// What happens to a call made while the source is unreachable.
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -28,7 +28,7 @@
     #[error("{0}")]
     List(#[from] EndpointListError),
     #[error("{0}")]
-    Version(String),
+    Version(doorcourse_discovery::ApplyVersionError),
 }
 
 /// A request whose response is being read.
