--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,6 +1,7 @@
-//! The settings object that an instance gets, from the simulator as the text of its first message, on the platform as
-//! part of its configuration: one reader for both. What the decisions act on becomes [`doorcourse::Settings`]; what
-//! only a host needs (times of sockets, who may send what) stands beside it in [`Host`].
+//! The deployment document: the settings object of an instance, sent by the simulator in its first message and by the
+//! platform as part of the configuration file. One reader for both maps the users' names to the code's terms.
+//!
+//! What the decisions use becomes [`doorcourse::Settings`]; what only their host needs becomes [`Host`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/deployment/src/load.rs
+++ b/crates/deployment/src/load.rs
@@ -1,4 +1,4 @@
-//! Load reports: names and values, by the names that the settings give them.
+//! Load reports of backends, in the forms of both wires.
 
 use doorcourse::LoadReport;
 
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,11 +1,12 @@
-//! Reads the settings object.
+//! Reads the settings object. A missing key reads as its zero value, an unknown key is skipped, a value of the wrong
+//! type is an error that names the field.
 
 use doorcourse::{
     DeduplicationScope, Idempotency, LoadReportSource, Millis, Name, Plan, RequestClass, Routing, Settings,
 };
 use serde_json::Value;
 
-/// One object of the settings; a missing key reads as its zero, a value of the wrong type is a fault.
+/// One object of the settings.
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
@@ -47,33 +48,33 @@
     }
 }
 
-/// What only a host needs of the settings.
+/// The settings that only the host of the decisions needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Host {
-    /// A connection that is not up by then counts as one that could not be made.
+    /// Timeout of a connect to a backend, in ms.
     pub dial_timeout: Millis,
-    /// A backend closes a connection that has stood idle for this long; 0 for never.
+    /// Backends close a connection that was idle for this long, in ms; 0 for never.
     pub keepalive: Millis,
-    /// Requests that one connection to a backend carries at once.
+    /// Requests that one connection to a backend carries at once, at most.
     pub streams: u32,
-    /// Whether a request may have two attempts out at once.
+    /// Whether a request may have two attempts in flight (hedged requests).
     pub second_copies: bool,
-    /// Whether clients are told when to come again.
+    /// Whether rejected clients may be told when to retry.
     pub advice: bool,
-    /// How long sends to a backend that drains may go on.
+    /// How long requests may still be sent to a backend after the endpoint list says that it drains, in ms.
     pub drain_grace: Millis,
-    /// How long past a client's time an answer still counts.
+    /// How long after a client's deadline a final response still counts, in ms.
     pub answer_slack: Millis,
-    /// For each class, in the order of the decisions' classes: how long a client waits at most.
+    /// The longest client timeout of each class, in ms, in the order of the decisions' classes.
     pub patience: Vec<Millis>,
 }
 
-/// Settings for the decisions and for their host.
+/// The settings of a deployment, for the decisions and for their host.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What the decisions act on.
+    /// The settings of the decisions.
     pub settings: Settings,
-    /// What the host needs beside it.
+    /// The settings of their host.
     pub host: Host,
 }
 
--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of a host: wall time at the start plus monotonic time since, so that gateways agree on windows and
-//! a wall clock that is set back or forth under a running process moves nothing.
+//! The clock of a host: wall time at the start plus monotonic time since, so that gateways agree on quota windows and
+//! setting the wall clock does not move a running process's time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -36,14 +36,14 @@
         self.wall + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// How long until a time, at least nothing.
+    /// How long until `time`: 0 if it has passed, one hour at most.
     #[must_use]
     pub fn until(&self, time: f64) -> Duration {
         Duration::from_secs_f64(((time - self.now()) / 1000.0).clamp(0.0, 3600.0))
     }
 }
 
-/// Ms since the machine was started, sleep included: for what must run out also while a machine sleeps.
+/// Milliseconds since the machine was started, including time asleep: for deadlines that must pass while it sleeps.
 #[must_use]
 pub fn awake_or_not() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
--- a/crates/event-loop/src/counts.rs
+++ b/crates/event-loop/src/counts.rs
@@ -1,4 +1,4 @@
-//! How many system calls the loop of this thread made, by kind: what a request costs is measured, not guessed.
+//! System calls made by the event loop of this thread, by kind: the cost of a request is measured with them.
 
 use std::cell::Cell;
 
@@ -11,14 +11,14 @@
     pub writes: u64,
     /// Waits for readiness.
     pub waits: u64,
-    /// Registrations, their changes and ends.
+    /// Registrations with the poller, and their changes and removals.
     pub changes: u64,
-    /// Connections begun.
+    /// Connects started.
     pub connects: u64,
 }
 
 impl Counts {
-    /// All of them.
+    /// The sum of all kinds.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.reads + self.writes + self.waits + self.changes + self.connects
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,4 +1,8 @@
-//! What the event loops share: readiness by epoll, buffered sockets, timers and the clock. No decision is here.
+//! What the event loops of the gateways and emulators share: readiness by epoll, buffered sockets, timers and the clock.
+//! Nothing is decided here.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod clock;
 mod counts;
--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -1,4 +1,4 @@
-//! Readiness by epoll, level-triggered: what is left unread is told again.
+//! Readiness by epoll, level-triggered: a descriptor with unread bytes is reported again by the next wait.
 
 use crate::counts::count;
 use rustix::event::{Timespec, epoll};
@@ -7,30 +7,36 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// What a registration waits for. Errors and hang-ups are always told.
+/// Descriptors that one wait reports at most: as many as the platform lets a process hold.
+const MAX_EVENTS: usize = 1024;
+/// Added to each timeout: a wait that ends before the timer it was made for would spin.
+const EARLY_WAKE_MARGIN: Duration = Duration::from_micros(200);
+
+/// What a registration waits for. Errors and hang-ups are always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Bytes to read, or the peer's end.
+    /// Bytes to read, or the end of the stream.
     pub read: bool,
-    /// Room to write.
+    /// Space in the send buffer.
     pub write: bool,
-    /// The peer's end, told apart from reading: also while nothing is read, and ahead of bytes that are not read yet.
+    /// The peer's close (EPOLLRDHUP), apart from reading: reported also while reading is paused, and ahead of bytes that
+    /// are not read yet.
     pub end: bool,
 }
 
 impl Interest {
     /// Reading alone.
     pub const READ: Self = Self::of(true, false);
-    /// Both ways: a connection that is not made yet.
+    /// Reading and writing: for a connection in progress.
     pub const BOTH: Self = Self::of(true, true);
 
-    /// Reading and writing as they are of use.
+    /// Reading and writing as stated, without the peer's close.
     #[must_use]
     pub const fn of(read: bool, write: bool) -> Self {
         Self { read, write, end: false }
     }
 
-    /// The same, and the peer's end.
+    /// The same with the peer's close.
     #[must_use]
     pub const fn with_end(self) -> Self {
         Self { end: true, ..self }
@@ -50,13 +56,13 @@
 pub struct Ready {
     /// The token given when it was registered.
     pub token: u64,
-    /// It can be read, or reading tells of an end.
+    /// It can be read, or a read reports the end of the stream or an error.
     pub read: bool,
     /// It can be written.
     pub write: bool,
-    /// Both directions are over or broken.
+    /// Both directions are closed, or the connection failed.
     pub broken: bool,
-    /// The peer has ended its side, or the connection is broken; told where it was asked for.
+    /// The peer closed its side, or the connection failed; reported where the interest includes the peer's close.
     pub ended: bool,
 }
 
@@ -92,7 +98,7 @@
         Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(token), interest.flags())?)
     }
 
-    /// Ends a registration; closing the descriptor does the same.
+    /// Removes a registration; closing the descriptor does the same.
     ///
     /// # Errors
     /// When the system refuses.
@@ -101,34 +107,33 @@
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
-    /// Waits until something is ready or the time is over. A signal ends the wait, not the look: what is ready by then
-    /// is told, so that nothing that is due is done ahead of it. All that a machine of
-    /// 1,024 descriptors can have ready comes at once: who takes ends first has to see them all.
+    /// Waits until a descriptor is ready or `timeout` has passed. A signal ends the wait; what is ready by then is still
+    /// reported, so that no timer runs ahead of it. Up to [`MAX_EVENTS`] descriptors are reported at once: a host that
+    /// handles closed connections first has to see all of them.
     ///
     /// # Errors
     /// When the system fails.
-    pub fn wait(&self, most: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
+    pub fn wait(&self, timeout: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
-        let mut room = [const { MaybeUninit::<epoll::Event>::uninit() }; 1024];
-        // Rounded up to the next ms by hand: a wait that ends too early would spin.
-        let most = most.map(|m| m + Duration::from_micros(200));
-        let mut most =
-            most.map(|m| Timespec { tv_sec: m.as_secs() as i64, tv_nsec: m.subsec_nanos().into() });
+        let mut events = [const { MaybeUninit::<epoll::Event>::uninit() }; MAX_EVENTS];
+        let timeout = timeout.map(|timeout| timeout + EARLY_WAKE_MARGIN);
+        let mut timeout =
+            timeout.map(|t| Timespec { tv_sec: t.as_secs() as i64, tv_nsec: t.subsec_nanos().into() });
         count(|c| c.waits += 1);
         loop {
-            match epoll::wait(&self.epoll, &mut room, most.as_ref()) {
+            match epoll::wait(&self.epoll, &mut events, timeout.as_ref()) {
                 Ok((found, _)) => {
-                    ready.extend(found.iter().map(told));
+                    ready.extend(found.iter().map(ready_of));
                     return Ok(());
                 }
-                Err(rustix::io::Errno::INTR) => most = Some(Timespec { tv_sec: 0, tv_nsec: 0 }),
+                Err(rustix::io::Errno::INTR) => timeout = Some(Timespec { tv_sec: 0, tv_nsec: 0 }),
                 Err(error) => return Err(error.into()),
             }
         }
     }
 }
 
-fn told(event: &epoll::Event) -> Ready {
+fn ready_of(event: &epoll::Event) -> Ready {
     use epoll::EventFlags;
     let flags = event.flags;
     let has = |of| flags.intersects(of);
@@ -146,7 +151,7 @@
 pub struct Waker(std::os::unix::net::UnixStream);
 
 impl Waker {
-    /// A waker and the descriptor to register; what is read from it is of no meaning.
+    /// A waker and the descriptor to register; the bytes read from it carry no meaning.
     ///
     /// # Errors
     /// When the system has no descriptor left.
--- a/crates/event-loop/src/socket.rs
+++ b/crates/event-loop/src/socket.rs
@@ -6,42 +6,45 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 
-/// Whether a direction of a socket goes on.
+/// The state of one direction of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// It goes on.
+    /// It is open.
     Open,
-    /// The peer ended it in order.
+    /// The peer closed it in order.
     Ended,
-    /// It broke.
+    /// It failed.
     Broken,
 }
 
-/// A connection with what came in and is not consumed, and what is to go out.
+/// A connection with its receive buffer (bytes not consumed yet) and its send buffer.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes that came in.
+    /// Bytes received and not consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
     sent: usize,
 }
 
+/// Bytes that one read asks for.
 const READ: usize = 16 << 10;
+/// Connections that the system holds for a listener until they are accepted.
+const ACCEPT_QUEUE: i32 = 1024;
 
 impl Socket {
-    /// Takes over a stream.
+    /// Wraps a connected stream.
     ///
     /// # Errors
     /// When it cannot be made non-blocking.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Answers are written whole: waiting for more to send would only add latency.
+        // Responses are written at once: Nagle's algorithm would only add latency.
         let _ = stream.set_nodelay(true);
         Ok(Self { stream, input: Vec::new(), output: Vec::new(), sent: 0 })
     }
 
-    /// Reads once, so that one peer does not hold up the others: how many bytes, and whether more may come.
+    /// Reads once, so that one peer does not hold up the others. Returns how many bytes came and the state of the stream.
     pub fn read(&mut self) -> (usize, Flow) {
         let held = self.input.len();
         self.input.resize(held + READ, 0);
@@ -71,18 +74,18 @@
         }
     }
 
-    /// The bytes to go out; append here, then `flush`.
+    /// The send buffer: append here, then call [`flush`](Self::flush).
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// How many bytes are still to go out.
+    /// Bytes in the send buffer that are not written yet.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.output.len() - self.sent
     }
 
-    /// Writes as much as the peer takes.
+    /// Writes as much as the system takes.
     pub fn flush(&mut self) -> Flow {
         while self.sent < self.output.len() {
             count(|c| c.writes += 1);
@@ -104,20 +107,20 @@
         Flow::Open
     }
 
-    /// Makes the close a reset, so that the peer cannot take a cut answer for a whole one.
+    /// Makes the close a reset, so that the peer cannot take a truncated response for a complete one.
     pub fn reset_on_close(&self) {
         let _ = sockopt::set_socket_linger(&self.stream, Some(std::time::Duration::ZERO));
     }
 
-    /// Ends our direction: the peer reads what was written and then an end.
+    /// Closes the sending direction: the peer reads what was written and then the end of the stream.
     pub fn end_writing(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Whether a connection that was begun is made; called once the socket can be written.
+    /// Completes a connect that was in progress; called once the socket can be written.
     ///
     /// # Errors
-    /// When it could not be made.
+    /// When the connection could not be made.
     pub fn finish_connect(&self) -> io::Result<()> {
         match sockopt::socket_error(&self.stream)? {
             Ok(()) => Ok(()),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Our own end of the connection.
+    /// The local address of the connection.
     ///
     /// # Errors
     /// When the socket is gone.
@@ -140,10 +143,10 @@
     }
 }
 
-/// Begins a connection; the socket can be written once it is made.
+/// Starts to connect; the socket can be written once the connection is made.
 ///
 /// # Errors
-/// When it cannot even be begun.
+/// When the system refuses to start.
 pub fn connect(address: SocketAddr) -> io::Result<Socket> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -155,30 +158,30 @@
     }
 }
 
-/// Whether an error says that the process or the machine is out of descriptors (EMFILE, ENFILE).
+/// Whether an error means that the process or the machine has no descriptor left (EMFILE, ENFILE).
 #[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     let full = [rustix::io::Errno::MFILE, rustix::io::Errno::NFILE];
     error.raw_os_error().is_some_and(|n| full.iter().any(|e| e.raw_os_error() == n))
 }
 
-/// How many descriptors this process may hold.
+/// The number of descriptors that this process may hold (RLIMIT_NOFILE).
 #[must_use]
 pub fn most_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
-/// A non-blocking listener; port 0 takes a free one.
+/// A non-blocking listener; port 0 takes a free port.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// When the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
     rustix::net::bind(&fd, &address)?;
-    rustix::net::listen(&fd, 1024)?;
+    rustix::net::listen(&fd, ACCEPT_QUEUE)?;
     Ok(TcpListener::from(fd))
 }
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers in a heap. They are not withdrawn: whoever set one disregards it when it is of no use any more.
+//! Timers in a heap. A timer cannot be cancelled: its owner ignores one that has become irrelevant.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Timers by time, those of one time in the order they were set.
+/// Timers in order of their deadlines; those with the same deadline in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
@@ -44,19 +44,19 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets one.
+    /// Sets a timer for `at`.
     pub fn set(&mut self, at: f64, what: T) {
         self.order += 1;
         self.heap.push(Reverse(Entry { at, order: self.order, what }));
     }
 
-    /// When the first is due.
+    /// The earliest deadline.
     #[must_use]
     pub fn first(&self) -> Option<f64> {
         self.heap.peek().map(|e| e.0.at)
     }
 
-    /// Takes the first if it is due.
+    /// Removes and returns the earliest timer if its deadline has passed.
     pub fn due(&mut self, now: f64) -> Option<T> {
         if self.first()? <= now { self.heap.pop().map(|e| e.0.what) } else { None }
     }
