--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -16,8 +16,8 @@
 }
 
 impl Gateway {
-    /// Forwards a request or puts it into the queue. Rejects it early where it is shed, or where the queue is longer than
-    /// what can be in flight: it would not be served in time.
+    /// Forwards a request or puts it into the queue. Rejects it early where it is shed, or where the queue is longer
+    /// than what can be in flight: it would not be served in time.
     pub(crate) fn forward_or_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = RequestStage::Queued;
@@ -78,8 +78,8 @@
         out.push(Action::SetTimer { after, token: id * TIMER_TOKENS_PER_REQUEST });
     }
 
-    /// Takes the timer of a request that waits: one in the queue gets its final response, one that waits for the counter
-    /// is decided without it. Timers of earlier waits are ignored.
+    /// Takes the timer of a request that waits: one in the queue gets its final response, one that waits for the
+    /// counter is decided without it. Timers of earlier waits are ignored.
     pub(crate) fn wait_expired(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_over = self.now + TIMER_EPSILON >= request.waits_until;
--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -68,7 +68,8 @@
         relative_priority(&self.settings.classes, class_index)
     }
 
-    /// Whether a request's first attempt is admitted; always in a small fleet, where the limits at each backend suffice.
+    /// Whether a request's first attempt is admitted; always in a small fleet, where the limits at each backend
+    /// suffice.
     pub(crate) fn admits_first_attempt(&mut self, class_index: usize, admitted_without_total: bool) -> bool {
         self.load_shedder.record_arrival();
         if !is_large_fleet(self.settings.gateway_count) {
--- a/src/balancer/backend.rs
+++ b/src/balancer/backend.rs
@@ -15,7 +15,7 @@
     pub removed_at: Option<Millis>,
     /// Its slot in the endpoint table.
     pub slot: usize,
-    pub start: StartTime,
+    pub start_time: StartTime,
     /// Requests of this gateway in flight there.
     pub in_flight: u32,
     pub concurrency_limit: ConcurrencyLimit,
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Its stated weight, above 0.
     pub(crate) fn weight(&self) -> f64 {
         self.placement.weight.max(MIN_WEIGHT)
     }
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Frees the slot of a backend that is forgotten, so that the table does not grow where backends are replaced under
-    /// new names.
+    /// Frees the slot of a backend that is forgotten, so that the table does not grow where backends are replaced
+    /// under new names.
     pub(crate) fn release_slot(&mut self, slot: usize) {
         self.free_slots.push(slot);
     }
@@ -151,6 +152,7 @@
             || weights.any(|weight| (weight - first).abs() > WEIGHT_EPSILON)
     }
 
+    /// How candidates are scored, by the list, the configuration and the size of the fleet.
     fn choose_scoring(&self, is_weighted: bool) -> Scoring {
         let default = Placement::default();
         let mut listed = self.slots.iter().filter(|slot| slot.listed);
@@ -240,7 +242,7 @@
         let slot = self.endpoints.upsert(known.as_ref().map(|backend| backend.slot), &entry);
         let ready = entry.state == BackendState::Ready;
         let removed_at: Option<Millis> = (entry.state == BackendState::Removed).then_some(self.now);
-        if let Some(known) = known.filter(|backend| backend.start.reported == entry.started) {
+        if let Some(known) = known.filter(|backend| backend.start_time.reported == entry.started) {
             known.ready = ready;
             known.removed_at = removed_at;
             return;
@@ -251,7 +253,7 @@
             ready,
             removed_at,
             slot,
-            start: StartTime { reported: entry.started, assumed: None },
+            start_time: StartTime { reported: entry.started, assumed: None },
             in_flight,
             concurrency_limit: ConcurrencyLimit::new(self.settings.gateway_count),
             outlier: OutlierState::default(),
--- a/src/balancer/forward.rs
+++ b/src/balancer/forward.rs
@@ -4,7 +4,8 @@
 use crate::{Action, Gateway, Idempotency, RequestId};
 
 impl Gateway {
-    /// Sends an attempt of a request where time, its customer's limit and a backend allow. Returns whether it was sent.
+    /// Sends an attempt of a request where time, its customer's limit and a backend allow. Returns whether it was
+    /// sent.
     pub(crate) fn try_forward(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let time_left = self.attempt_deadline(request) - self.now;
--- a/src/balancer/priority_levels.rs
+++ b/src/balancer/priority_levels.rs
@@ -12,6 +12,7 @@
 }
 
 impl LevelKey {
+    /// The level that a backend belongs to.
     pub(crate) fn of(placement: &Placement) -> Self {
         Self { number: placement.priority_level, is_standby: placement.role == BackendRole::Standby }
     }
@@ -51,12 +52,13 @@
 }
 
 impl Slot {
+    /// Whether it is in service and not ejected.
     fn is_available(&self) -> bool {
         self.candidate.eligibility != Eligibility::Unavailable
     }
 
-    /// Whether a spare replaces it: it is out of service, or not warm yet. A spare that left with the first response of a
-    /// backend that warms up would push that over.
+    /// Whether a spare replaces it: it is out of service, or not warm yet. A spare that left with the first response
+    /// of a backend that warms up would push that over.
     fn needs_spare(&self) -> bool {
         match self.placement.role {
             BackendRole::Active => !self.is_available() || !self.candidate.is_warm,
@@ -79,8 +81,8 @@
         None
     }
 
-    /// Selects from one level. A level without fault keeps its requests: they wait. A degraded one passes on what it has
-    /// no capacity for, so that neither the rest of it nor what comes back is overloaded.
+    /// Selects from one level. A level without fault keeps its requests: they wait. A degraded one passes on what it
+    /// has no capacity for, so that neither the rest of it nor what comes back is overloaded.
     fn select_in_level(&self, level_index: usize) -> Selection {
         let members = self.members(level_index);
         let best = if members.is_at_limit() { None } else { self.lowest_score(&members.slots) };
@@ -91,7 +93,8 @@
         }
     }
 
-    /// The backends of a level that may serve now. As many of its spares are used as it lacks, in the order of the list.
+    /// The backends of a level that may serve now. As many of its spares are used as it lacks, in the order of the
+    /// list.
     fn members(&self, level_index: usize) -> LevelMembers<'_> {
         let mut unused_spares = self.spares_needed(self.levels[level_index].key);
         let mut members = LevelMembers { slots: Vec::new(), is_degraded: false };
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -110,7 +110,7 @@
 impl SelectionContext<'_> {
     /// What is known of a backend. `draw` is in 0..1 and differs by backend.
     fn candidate(&self, backend: &Backend, slot: &Slot, draw: f64) -> Candidate {
-        let weight = backend.start.slow_start_weight(self.now, self.settings);
+        let weight = backend.start_time.slow_start_weight(self.now, self.settings);
         let budget = self.slow_start_budget;
         let exceeds_budget = exceeds_slow_start_budget(weight, budget, draw, slot.inverse_weight_share);
         Candidate {
--- a/src/balancer/sticky.rs
+++ b/src/balancer/sticky.rs
@@ -5,9 +5,9 @@
 use crate::balancer::select::{Eligibility, Selection};
 
 impl EndpointTable {
-    /// Selects for a request with a sticky route: its backend, else the failover route that this names, else the rest of
-    /// its failover group, else any other backend unless affinity is strict. A backend at its limit is waited for: a
-    /// session that moved would be lost or have to be rebuilt.
+    /// Selects for a request with a sticky route: its backend, else the failover route that this names, else the rest
+    /// of its failover group, else any other backend unless affinity is strict. A backend at its limit is waited for:
+    /// a session that moved would be lost or have to be rebuilt.
     pub(crate) fn select_sticky(&self, route: &str) -> Selection {
         if route.is_empty() {
             return Selection::Continue;
@@ -23,6 +23,7 @@
         selection
     }
 
+    /// Selects from the backends of the failover route that the route's own backends name.
     fn select_failover_route(&self, home: &[(usize, &Slot)]) -> Selection {
         match first_stated(home, |slot| &slot.placement.failover_route) {
             Some(route) => self.select_among(&self.slots_of_route(route)),
@@ -30,6 +31,7 @@
         }
     }
 
+    /// Selects from the failover group of the route's own backends.
     fn select_failover_group(&self, home: &[(usize, &Slot)]) -> Selection {
         match first_stated(home, |slot| &slot.placement.failover_group) {
             Some(group) => self.select_among(&self.slots_of_group(group)),
--- a/src/balancer/stride.rs
+++ b/src/balancer/stride.rs
@@ -1,12 +1,14 @@
 //! Stride scheduling: choice by weight, off by one request at most for each backend.
 //!
-//! Each slot has a pass, the slot with the lowest pass is chosen, and its pass then advances by its stride, `1 / weight`.
+//! Each slot has a pass, the slot with the lowest pass is chosen, and its pass then advances by its stride, `1 /
+//! weight`.
 
 use crate::balancer::endpoints::{EndpointTable, Slot};
 use crate::balancer::select::Scoring;
 
 impl Slot {
-    /// The slot's pass, at least that of its level: a backend that was unavailable does not make up for what it missed.
+    /// The slot's pass, at least that of its level: a backend that was unavailable does not make up for what it
+    /// missed.
     pub(crate) fn present_pass(&self, level_pass: f64) -> f64 {
         self.pass.map_or(level_pass, |pass| pass.max(level_pass))
     }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,5 +1,5 @@
-//! Deterministic subsetting: each gateway of a large fleet prefers a few backends, which bounds connections and shows it
-//! more of each.
+//! Deterministic subsetting: each gateway of a large fleet prefers a few backends, which bounds connections and shows
+//! it more of each.
 
 use crate::balancer::endpoints::EndpointTable;
 use crate::random::unit_interval;
@@ -22,8 +22,8 @@
 }
 
 impl Arc {
-    /// Arcs begin at even distances and are as long as an integral number of them: every point lies in as many arcs, so that
-    /// over the fleet each backend gets exactly its weight's share.
+    /// Arcs begin at even distances and are as long as an integral number of them: every point lies in as many arcs,
+    /// so that over the fleet each backend gets exactly its weight's share.
     fn of_gateway(gateway_index: u32, gateway_count: u32, backend_count: f64) -> Self {
         let gateways = f64::from(gateway_count);
         let length = (gateways * SUBSET_SIZE / backend_count).ceil() / gateways;
--- a/src/counter/availability.rs
+++ b/src/counter/availability.rs
@@ -13,6 +13,7 @@
     pub ended_at: Millis,
 }
 
+/// Whether an outage is going on; it begins and ends with a log line.
 enum CounterState {
     Available { last_outage: Outage },
     Unavailable { since: Millis },
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -21,8 +21,8 @@
     mix_bits(name_hash ^ window.wrapping_mul(GOLDEN_GAMMA)) >> 1
 }
 
-/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is lost,
-/// and memory is bounded when many customers are seen once.
+/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is
+/// lost, and memory is bounded when many customers are seen once.
 pub(crate) fn idle_retention(plan: &Plan) -> Millis {
     refill_period(plan) * IDLE_PERIODS
 }
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,6 +1,7 @@
 //! Results of counter calls: totals, failures and late results.
 
 use crate::counter::availability::Outage;
+use crate::quota::UNITS_EPSILON;
 use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
 use crate::quota::customer::Customer;
 use crate::quota::lease::LeaseCall;
@@ -10,11 +11,10 @@
 
 /// So many calls that timed out are remembered, in case their results arrive late.
 const MAX_TIMED_OUT_CALLS: usize = 256;
-/// Units below this are nothing: the limit of the sums' precision.
-pub(crate) const UNITS_EPSILON: f64 = 1e-6;
 
 /// A call without a result in time; its units may have been added.
 struct TimedOutCall {
+    /// The counter's name.
     counter: u64,
     customer: Name,
     call: LeaseCall,
@@ -25,11 +25,13 @@
 pub(crate) struct TimedOutCalls(VecDeque<TimedOutCall>);
 
 impl TimedOutCalls {
+    /// Remembers a call; the oldest one is dropped where there are too many.
     fn push(&mut self, counter: u64, customer: Name, call: LeaseCall) {
         self.0.push_back(TimedOutCall { counter, customer, call });
         self.0.drain(..self.0.len().saturating_sub(MAX_TIMED_OUT_CALLS));
     }
 
+    /// Removes the oldest call of a counter.
     fn take(&mut self, counter: u64) -> Option<TimedOutCall> {
         let position = self.0.iter().position(|call| call.counter == counter)?;
         self.0.remove(position)
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is returned.
+    /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is
+    /// returned.
     fn return_late_lease(&mut self, call: LeaseCall, plan: &Plan) {
         self.unreported_units -= call.lease_units;
         if call.window == self.lease.window {
@@ -119,14 +122,15 @@
         self.total_received(&name, call.unwrap_or_default(), total, out);
     }
 
+    /// Records that the counter answers, and logs the end of an outage.
     fn counter_answered(&mut self, out: &mut Vec<Action>) {
         if self.counter_availability.record_answer(self.now) {
             out.push(Action::Log("counter back".into()));
         }
     }
 
-    /// Takes a total, then admits the requests that waited for it. Calls again where some still wait or units are to be
-    /// returned.
+    /// Takes a total, then admits the requests that waited for it. Calls again where some still wait or units are to
+    /// be returned.
     fn total_received(&mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>) {
         let outage = self.counter_availability.last_outage();
         let Some(customer) = self.customers.get_mut(name) else { return };
@@ -144,8 +148,8 @@
         }
     }
 
-    /// Decides without the counter for the requests that waited for a call. A lease that may have been added is dropped:
-    /// what was to be reported is reported again, what was to be returned is not returned twice.
+    /// Decides without the counter for the requests that waited for a call. A lease that may have been added is
+    /// dropped: what was to be reported is reported again, what was to be returned is not returned twice.
     fn counter_call_failed(&mut self, counter: u64, name: &Name, may_be_added: bool, out: &mut Vec<Action>) {
         self.counter_availability.record_failure();
         if self.is_counter_silent() && self.counter_availability.begin_outage(self.now) {
@@ -164,8 +168,9 @@
         }
     }
 
-    /// Takes the result of a call that had timed out. A total of the present window counts as any other; else the lease
-    /// is returned. Without this, leases that a slow counter added late would stay in the count, held by no gateway.
+    /// Takes the result of a call that had timed out. A total of the present window counts as any other; else the
+    /// lease is returned. Without this, leases that a slow counter added late would stay in the count, held by no
+    /// gateway.
     fn late_result_received(&mut self, counter: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
         let Some(TimedOutCall { customer: name, call, .. }) = self.timed_out_calls.take(counter) else {
             return;
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,6 +1,6 @@
 //! Shutdown of the process: quota leases are returned, so that the other gateways can use them.
 
-use crate::counter::results::UNITS_EPSILON;
+use crate::quota::UNITS_EPSILON;
 use crate::{Action, Gateway, Name};
 
 impl Gateway {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -123,7 +123,7 @@
             ready: backend.ready,
             in_flight: backend.in_flight,
             concurrency_limit: backend.concurrency_limit.get(),
-            started: backend.start.reported,
+            started: backend.start_time.reported,
             consecutive_failures: backend.outlier.consecutive_failures,
             ejected_until: backend.outlier.ejected_until,
         })
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -16,6 +16,7 @@
 }
 
 impl AdmitReport {
+    /// The message's bytes; the probability is rounded down to 1/255.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = self.name_hash.to_le_bytes();
         bytes[PROBABILITY_BYTE] = (self.probability * PROBABILITY_SCALE) as u8;
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -11,11 +11,12 @@
 const MIN_LIMIT: f64 = 0.2;
 /// The share of responses that may be late: with fewer the limit grows, with more it shrinks.
 pub(crate) const TARGET_LATE_FRACTION: f64 = 0.1;
-/// The relative step of the limit by one response: nine tenths of this down for a late one, a tenth up for one in time.
+/// The relative step of the limit by one response: nine tenths of this down for a late one, a tenth up for one in
+/// time.
 const LIMIT_STEP: f64 = 0.12;
 
-/// Whether there are so many gateways that even parts of the initial limit would be below the minimum. Each gateway then
-/// sees too little of a backend: choice goes by random draw, and load is shed by all responses together.
+/// Whether there are so many gateways that even parts of the initial limit would be below the minimum. Each gateway
+/// then sees too little of a backend: choice goes by random draw, and load is shed by all responses together.
 pub(crate) fn is_large_fleet(gateway_count: u32) -> bool {
     INITIAL_FLEET_LIMIT < MIN_LIMIT * f64::from(gateway_count)
 }
--- a/src/health/outcome.rs
+++ b/src/health/outcome.rs
@@ -3,10 +3,11 @@
 use crate::health::outlier::{CONFIRMED_FAILURES, Failure};
 use crate::{Action, AttemptEnd, AttemptOutcome, Gateway, Millis};
 
-/// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the network
-/// and for waiting in the queue.
+/// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the
+/// network and for waiting in the queue.
 const LATE_OBJECTIVE_SHARE: f64 = 0.6;
-/// A failed attempt is late if it took this many times the usual latency: a client with a short timeout proves nothing.
+/// A failed attempt is late if it took this many times the usual latency: a client with a short timeout proves
+/// nothing.
 const LATE_FAILURE_FACTOR: f64 = 4.0;
 /// Weight of the newest latency in the usual latency of a class.
 const USUAL_LATENCY_WEIGHT: f64 = 0.02;
@@ -16,6 +17,7 @@
 pub(crate) struct UsualLatency(Millis);
 
 impl UsualLatency {
+    /// Records a served request.
     fn record(&mut self, latency: Millis) {
         self.0 = if self.0 == 0.0 { latency } else { self.0 + USUAL_LATENCY_WEIGHT * (latency - self.0) };
     }
@@ -67,7 +69,7 @@
             }
         }
         if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
-            backend.start.assumed = Some(backend.outlier.ejected_until);
+            backend.start_time.assumed = Some(backend.outlier.ejected_until);
         }
     }
 }
--- a/src/health/slow_start.rs
+++ b/src/health/slow_start.rs
@@ -2,8 +2,8 @@
 
 use crate::{Millis, Settings};
 
-/// A backend that warms up is sent this part of the share of its capacity of an even part of all requests. Below 1, since
-/// all gateways together must stay below the multiple of its capacity at which it fails.
+/// A backend that warms up is sent this part of the share of its capacity of an even part of all requests. Below 1,
+/// since all gateways together must stay below the multiple of its capacity at which it fails.
 const SLOW_START_BUDGET: f64 = 0.8;
 /// The shortest slow start, in ms.
 const MIN_SLOW_START_DURATION: Millis = 1.0;
@@ -28,8 +28,8 @@
     }
 }
 
-/// The share of an even part of all requests that one unit of slow-start weight is sent. While load is shed it falls with
-/// the requests that are admitted.
+/// The share of an even part of all requests that one unit of slow-start weight is sent. While load is shed it falls
+/// with the requests that are admitted.
 pub(crate) fn slow_start_budget(admit_fraction: f64) -> f64 {
     SLOW_START_BUDGET * admit_fraction
 }
@@ -39,11 +39,11 @@
     slow_start_weight >= 1.0
 }
 
-/// Whether a backend that warms up is passed over for a request. By chance it gets its budget's share of its part of the
-/// requests, which needs neither agreement among gateways nor a warm backend.
+/// Whether a backend that warms up is passed over for a request. By chance it gets its budget's share of its part of
+/// the requests, which needs neither agreement among gateways nor a warm backend.
 ///
-/// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, `inverse_weight_share` as one in how many requests
-/// of its priority level the backend gets.
+/// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, `inverse_weight_share` as one in how many
+/// requests of its priority level the backend gets.
 pub(crate) fn exceeds_slow_start_budget(
     slow_start_weight: f64, budget: f64, draw: f64, inverse_weight_share: f64,
 ) -> bool {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decisions of an API gateway: a set of gateways that hold many customers to their quotas over one shared service.
-//! It does no I/O and reads no clock: the host tells a [`Gateway`] what happened and when, and carries out the actions
-//! it returns.
+//! The decisions of an API gateway: a set of gateways that hold many customers to their quotas over one shared
+//! service. It does no I/O and reads no clock: the host reports to a [`Gateway`] what happened and when, and executes
+//! the actions it returns.
 //!
 //! ```
 //! use doorcourse::{
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::backend::Backend;
 use crate::counter::calls::idle_retention;
-use crate::counter::results::UNITS_EPSILON;
+use crate::quota::UNITS_EPSILON;
 use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
 use crate::quota::lease::{LEASE_SHARE, SCARCE_SHARE};
@@ -82,6 +82,7 @@
         self.forward_queued(out);
     }
 
+    /// Forgets removed backends and frees their slots.
     fn forget_backends(&mut self) {
         let now = self.now;
         let endpoints = &mut self.endpoints;
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// The lease that smoothed demand asks for, rounded to units: the demand of a part of the refill period, at most an even
-/// part of what is available.
+/// The lease that smoothed demand asks for, rounded to units: the demand of a part of the refill period, at most an
+/// even part of what is available.
 fn demand_lease_units(
     demand_units_per_ms: f64, refill_period: Millis, available_units: f64, gateway_count: f64,
 ) -> f64 {
@@ -91,8 +91,8 @@
     demand_units.min(available_units * SCARCE_SHARE / gateway_count).floor()
 }
 
-/// The lease taken while units are not scarce, rounded to units: an even part of all above the scarce share. Large leases
-/// save calls while no gateway can run short; below zero while units are scarce.
+/// The lease taken while units are not scarce, rounded to units: an even part of all above the scarce share. Large
+/// leases save calls while no gateway can run short; below zero while units are scarce.
 fn plentiful_lease_units(available_units: f64, burst: f64, gateway_count: f64) -> f64 {
     ((available_units - burst * SCARCE_SHARE) / gateway_count).ceil()
 }
@@ -104,8 +104,8 @@
         demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.gateway_count)
     }
 
-    /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what demand
-    /// or plenty allow. Near the end of the quota it falls to what the waiting requests need.
+    /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what
+    /// demand or plenty allow. Near the end of the quota it falls to what the waiting requests need.
     pub(crate) fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
         let wanted_units = if self.has_total {
             let available_units = self.bucket.available_units;
@@ -131,7 +131,8 @@
 
 impl Gateway {
     /// Admits a request by its customer's quota: from the lease, without the counter during an outage, or after the
-    /// counter's answer; rejects it once lease and bucket are spent. Returns whether the request waits for the counter.
+    /// counter's answer; rejects it once lease and bucket are spent. Returns whether the request waits for the
+    /// counter.
     pub(crate) fn admit_by_quota(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let is_unavailable = self.is_counter_silent();
         let Some(request) = self.requests.get(&id) else { return false };
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,8 +1,8 @@
 //! The quota of each customer, kept together with the other gateways over a shared counter.
 //!
-//! A gateway leases units from the counter and spends them without further calls ([`lease`]). What a customer may still
-//! use follows from the counter's totals ([`bucket`]). While the counter does not answer, a gateway spends its even part
-//! ([`fallback`]). Quotas too small to be leased are enforced by sampled counter calls ([`sampled`]).
+//! A gateway leases units from the counter and spends them without further calls ([`lease`]). What a customer may
+//! still use follows from the counter's totals ([`bucket`]). While the counter does not answer, a gateway spends its
+//! even part ([`fallback`]). Quotas too small to be leased are enforced by sampled counter calls ([`sampled`]).
 
 pub(crate) mod bucket;
 pub(crate) mod customer;
@@ -11,3 +11,6 @@
 pub(crate) mod plan_change;
 pub(crate) mod sampled;
 pub(crate) mod settlement;
+
+/// Units below this are nothing: the limit of the sums' precision.
+pub(crate) const UNITS_EPSILON: f64 = 1e-6;
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -54,8 +54,8 @@
 
 /// The probability of admitting a request without a total of its own.
 ///
-/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share of
-/// first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
+/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share
+/// of first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
 fn admit_probability(prior_fit: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
     let admits_unknown = prior_fit > (1.0 - prior_fit) * (plan.over_quota_cost - plan.over_quota_value);
     let prior = f64::from(admits_unknown);
@@ -85,6 +85,7 @@
         self.0.retain(|_, estimate| now - estimate.estimated_at < retention);
     }
 
+    /// The last estimate; of an unknown customer one that has faded completely.
     fn get(&self, name_hash: u64) -> AdmitEstimate {
         self.0.get(&name_hash).copied().unwrap_or_default()
     }
@@ -104,10 +105,12 @@
 }
 
 impl PlanPrior {
+    /// The share for first requests or for clients' retries.
     fn fit(&self, client_retry: bool) -> f64 {
         if client_retry { self.client_retry_fit } else { self.first_request_fit }
     }
 
+    /// Records a first total: whether it left units.
     fn record(&mut self, client_retry: bool, fits: bool) {
         let fit = if client_retry { &mut self.client_retry_fit } else { &mut self.first_request_fit };
         *fit += PRIOR_WEIGHT * (f64::from(fits) - *fit);
--- a/src/random.rs
+++ b/src/random.rs
@@ -22,8 +22,8 @@
         unit_interval(self.0)
     }
 
-    /// A draw for one of several items by its hash, uniform in 0..1. It does not advance the generator: all items of one
-    /// decision draw from the same state, whatever their order.
+    /// A draw for one of several items by its hash, uniform in 0..1. It does not advance the generator: all items of
+    /// one decision draw from the same state, whatever their order.
     pub(crate) fn draw_for(&self, hash: u64) -> f64 {
         unit_interval(self.0 ^ hash)
     }
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -10,7 +10,7 @@
         let max_ejection = self.settings.slow_start_duration;
         for status in statuses {
             let Some(backend) = self.backends.get_mut(&status.name) else { continue };
-            if backend.start.reported != status.started || !status.concurrency_limit.is_finite() {
+            if backend.start_time.reported != status.started || !status.concurrency_limit.is_finite() {
                 continue;
             }
             backend.concurrency_limit.restore(status.concurrency_limit);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Whether the client may safely retry a request that is rejected. A retry may reach any backend, so an idempotency key
-/// helps only where all backends share it.
+/// Whether the client may safely retry a request that is rejected. A retry may reach any backend, so an idempotency
+/// key helps only where all backends share it.
 pub(crate) fn is_rejection_harmless(possibly_executed: bool, class: &RequestClass) -> bool {
     match class.idempotency {
         _ if !possibly_executed => true,
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Finds each old item among the new ones by its name. One that is gone and still in use is appended without its name, so
-/// that no new request can refer to it.
+/// Finds each old item among the new ones by its name. One that is gone and still in use is appended without its
+/// name, so that no new request can refer to it.
 fn carry_over<T: Clone + Named>(
     old: &[T], new: &mut Vec<T>, is_in_use: impl Fn(usize) -> bool,
 ) -> NewIndices {
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -29,7 +29,8 @@
     admitted
 }
 
-/// Sends a request under a ceiling while the counter answers with `total`, served at once; returns how many were admitted.
+/// Sends a request under a ceiling while the counter answers with `total`, served at once; returns how many were
+/// admitted.
 fn request_under_ceiling(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
     let mut admitted = Vec::new();
     let mut actions = gateway.request(id, "c", "ceiling", "safe");
--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -1,5 +1,6 @@
-//! Long streams of every kind of event through fleets of one, three and forty gateways; their actions are hashed to a digest.
-//! A refactoring must leave every digest as it is; a change of a decision must say so and record the digests anew.
+//! Long streams of every kind of event through fleets of one, three and forty gateways; their actions are hashed to a
+//! digest. A refactoring must leave every digest as it is; a change of a decision must say so and record the digests
+//! anew.
 
 mod common;
 use common::*;
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -160,8 +160,8 @@
     ]
 }
 
-/// The worst case: the customer uses all that it can get throughout, at all of its gateways. What each gateway assumes to be
-/// left after an outage is harmless with two gateways and would exceed the ceiling with 25.
+/// The worst case: the customer uses all that it can get throughout, at all of its gateways. What each gateway
+/// assumes to be left after an outage is harmless with two gateways and would exceed the ceiling with 25.
 #[test]
 fn the_ceiling_holds_over_all_gateways_through_every_fault_of_the_counter() {
     let plan = plan();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -187,8 +187,8 @@
     assert!(round(&mut fleet[0], 100.0, 40) > 36, "and it recovers");
 }
 
-/// One gateway of many sees few responses. Chance alone must not shed: a usual share of late responses, in any order, is
-/// no overload.
+/// One gateway of many sees few responses. Chance alone must not shed: a usual share of late responses, in any order,
+/// is no overload.
 #[test]
 fn a_usual_share_of_late_responses_sheds_few() {
     let mut shed = 0;
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -61,7 +61,8 @@
         (first_attempt(&actions).map(|(_, name)| name), self.id)
     }
 
-    /// So many requests, each served before the next: how many each backend served. Those that wait are counted as `-`.
+    /// So many requests, each served before the next: how many each backend served. Those that wait are counted as
+    /// `-`.
     fn serve_requests(&mut self, count: usize, sticky_route: &str) -> BTreeMap<String, usize> {
         let mut served = BTreeMap::new();
         for _ in 0..count {
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -150,7 +150,8 @@
     assert_eq!(granted(&mut fleet, 100), 10);
     fleet.change(&|s| s.plans[0].burst = 30.0);
     let more = granted(&mut fleet, 200);
-    // Each gateway reports to the new counter what it used, and learns of the other's use a call later: on the safe side.
+    // Each gateway reports to the new counter what it used, and learns of the other's use a call later: on the safe
+    // side.
     assert!((14..=20).contains(&more), "{more} of the 20 more");
     // A lease is held, then the plan falls to a fifth: the rest of the lease is not spent.
     let mut fleet = Fleet::new(2);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! Slow start under the load of all gateways together: fleets of uneven gateways through rolling replacements, a lost part
-//! that returns, bursts and failures. The requests that reach a started backend within the overload window must not exceed
-//! N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds of each scenario.
+//! Slow start under the load of all gateways together: fleets of uneven gateways through rolling replacements, a lost
+//! part that returns, bursts and failures. The requests that reach a started backend within the overload window must
+//! not exceed N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds
+//! of each scenario.
 
 mod common;
 use common::*;
