--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -1,12 +1,12 @@
 //! Calls to the shared counter: one in flight for each customer, and a limit on all.
 
-use crate::maintenance::{IDLE_PERIODS, MAX_RETENTION};
-use crate::quota::bucket::refill_period;
-use crate::quota::customer::Customer;
+use crate::maintenance::MAX_RETENTION;
+use crate::quota::bucket::idle_retention;
 use crate::quota::lease::LeaseCall;
-use crate::quota::sampled::{is_sampled, sum_of};
+use crate::quota::sampled::is_sampled;
 use crate::random::{GOLDEN_GAMMA, mix_bits};
-use crate::{Action, Gateway, Millis, Name, Plan};
+use crate::request::sum_over;
+use crate::{Action, Gateway, Name};
 
 /// The most counter calls in flight from one gateway, at a call rate of 1 or more.
 const MAX_CALLS_IN_FLIGHT: f64 = 12.0;
@@ -21,12 +21,6 @@
     mix_bits(name_hash ^ window.wrapping_mul(GOLDEN_GAMMA)) >> 1
 }
 
-/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is
-/// lost, and memory is bounded when many customers are seen once.
-pub(crate) fn idle_retention(plan: &Plan) -> Millis {
-    refill_period(plan) * IDLE_PERIODS
-}
-
 impl Gateway {
     /// Adds to the customer's counter what it needs and what it has not reported yet. Does nothing while a call of the
     /// customer or too many calls are in flight.
@@ -40,9 +34,9 @@
         let plan = &self.settings.plans[customer.plan_index];
         customer.advance(self.now, plan);
         let lease_units = if is_sampled(plan, customer.gateway_count) {
-            sum_of(&customer.waiting, &self.requests, |request| request.weighted_units)
+            sum_over(&customer.waiting, &self.requests, |request| request.weighted_units)
         } else {
-            let needed_units = sum_of(&customer.waiting, &self.requests, |request| request.units);
+            let needed_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
             customer.units_to_lease(needed_units, plan, self.draining)
         };
         let report_units = std::mem::take(&mut customer.unreported_units);
@@ -61,12 +55,3 @@
         }
     }
 }
-
-impl Customer {
-    /// The units to lease beyond those leased already. A gateway that drains leases no more than it needs.
-    fn units_to_lease(&self, waiting_units: f64, plan: &Plan, is_draining: bool) -> f64 {
-        let needed_units = waiting_units.min(self.bucket.available_units.max(1.0));
-        let lease_units = if is_draining { needed_units } else { self.lease_units(needed_units, plan) };
-        (lease_units - self.lease.units).max(0.0)
-    }
-}
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,12 +1,8 @@
 //! Results of counter calls: totals, failures and late results.
 
-use crate::counter::availability::Outage;
-use crate::quota::UNITS_EPSILON;
-use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
-use crate::quota::customer::Customer;
 use crate::quota::lease::LeaseCall;
 use crate::quota::sampled::is_sampled;
-use crate::{Action, CounterOutcome, Gateway, Millis, Name, Plan};
+use crate::{Action, CounterOutcome, Gateway, Millis, Name};
 use std::collections::VecDeque;
 
 /// So many calls that timed out are remembered, in case their results arrive late.
@@ -38,70 +34,6 @@
     }
 }
 
-impl Customer {
-    /// Takes the total of a call into the bucket and the lease.
-    fn record_total(&mut self, call: LeaseCall, total: f64, outage: Outage, now: Millis, plan: &Plan) {
-        let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
-        let is_recent = now < outage.ended_at + refill_period(plan);
-        let outage_span = outage.ended_at - outage.started_at;
-        self.bucket.limit_overflow(payable_overflow(plan, outage_span, is_recent, self.gateway_count));
-        if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < outage.ended_at {
-            // The counter may have come back empty, and what others spent in the outage is reported nowhere: only this
-            // gateway's own part is sure to be left.
-            let sure_units = fallback_units.unwrap_or(initial_units(plan));
-            self.bucket.available_units = self.bucket.available_units.min(sure_units);
-        }
-        self.last_total_at = now;
-        if call.window == self.lease.window {
-            self.add_lease(call, total, plan);
-            self.return_overdrawn(call.lease_units);
-        }
-    }
-
-    /// Adds the units of a call of the present window to the lease.
-    fn add_lease(&mut self, call: LeaseCall, total: f64, plan: &Plan) {
-        self.lease.reported_units += call.amount();
-        if !self.has_total {
-            self.bucket.available_units = initial_units(plan) - total;
-            self.has_total = true;
-        } else if total + UNITS_EPSILON < self.lease.reported_units {
-            // The counter was emptied. What this gateway holds is reported again, so that new leases do not stack on
-            // those still held.
-            self.unreported_units += self.lease.reported_units - total;
-            self.bucket.available_units -= call.lease_units;
-        } else {
-            let used_units = total - self.lease.last_total - call.report_units;
-            self.bucket.settle_total(used_units, call.lease_units, plan.burst);
-        }
-        self.lease.last_total = total;
-        self.lease.units += call.lease_units;
-    }
-
-    /// Returns as much of a new lease as the bucket is overdrawn by.
-    fn return_overdrawn(&mut self, new_lease_units: f64) {
-        if self.bucket.available_units < 0.0 {
-            let overdrawn_units = (-self.bucket.available_units).ceil();
-            let returned_units = self.lease.units.min(overdrawn_units).min(new_lease_units);
-            self.lease.units -= returned_units;
-            self.unreported_units -= returned_units;
-            self.bucket.available_units += returned_units;
-        }
-    }
-
-    /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is
-    /// returned.
-    fn return_late_lease(&mut self, call: LeaseCall, plan: &Plan) {
-        self.unreported_units -= call.lease_units;
-        if call.window == self.lease.window {
-            self.lease.last_total += call.amount();
-            self.lease.reported_units += call.amount();
-        } else {
-            let late_units = self.bucket.available_units + call.lease_units + call.report_units.max(0.0);
-            self.bucket.available_units = late_units.min(plan.burst);
-        }
-    }
-}
-
 impl Gateway {
     /// Takes the end of a counter call.
     pub(crate) fn counter_call_ended(
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,16 +1,13 @@
 //! The periodic maintenance tick: forgets what is idle, returns unused leases, reports use, forwards queued requests.
 
 use crate::balancer::backend::Backend;
-use crate::counter::calls::idle_retention;
 use crate::quota::UNITS_EPSILON;
-use crate::quota::bucket::refill_period;
+use crate::quota::bucket::{idle_retention, refill_period};
 use crate::quota::customer::Customer;
 use crate::quota::lease::{LEASE_SHARE, SCARCE_SHARE};
 use crate::quota::sampled::is_sampled;
 use crate::{Action, Gateway, Millis, Name, Plan};
 
-/// A customer idle for this many refill periods is forgotten, see [`idle_retention`].
-pub(crate) const IDLE_PERIODS: f64 = 2.0;
 /// No counter, admit estimate or removed backend is kept for longer than this, in ms.
 pub(crate) const MAX_RETENTION: Millis = 60_000.0;
 /// The time between maintenance ticks, in ms: short beside any latency objective.
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -6,6 +6,8 @@
 const UNLIMITED_REFILL_PERIOD: Millis = 1000.0;
 /// Under a ceiling an unknown customer's bucket starts with this share of its burst.
 const CEILING_INITIAL_SHARE: f64 = 0.5;
+/// A customer idle for this many refill periods is forgotten, see [`idle_retention`].
+const IDLE_PERIODS: f64 = 2.0;
 /// Windows of customers are staggered in so many steps.
 const WINDOW_OFFSETS: u64 = 1024;
 
@@ -65,6 +67,12 @@
     if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { UNLIMITED_REFILL_PERIOD }
 }
 
+/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is
+/// lost, and memory is bounded when many customers are seen once.
+pub(crate) fn idle_retention(plan: &Plan) -> Millis {
+    refill_period(plan) * IDLE_PERIODS
+}
+
 /// One window of a shared counter; it is one refill period long.
 pub(crate) struct Window {
     /// Its number, the same at all gateways.
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// The lease that smoothed demand asks for, rounded to units: the demand of a part of the refill period, at most an
+/// The lease that smoothed demand asks for, rounded down to units: the demand of a part of the refill period, at most an
 /// even part of what is available.
 fn demand_lease_units(
     demand_units_per_ms: f64, refill_period: Millis, available_units: f64, gateway_count: f64,
@@ -91,22 +91,22 @@
     demand_units.min(available_units * SCARCE_SHARE / gateway_count).floor()
 }
 
-/// The lease taken while units are not scarce, rounded to units: an even part of all above the scarce share. Large
+/// The lease taken while units are not scarce, rounded up to units: an even part of all above the scarce share. Large
 /// leases save calls while no gateway can run short; below zero while units are scarce.
 fn plentiful_lease_units(available_units: f64, burst: f64, gateway_count: f64) -> f64 {
     ((available_units - burst * SCARCE_SHARE) / gateway_count).ceil()
 }
 
 impl Customer {
-    /// The lease that smoothed demand asks for, rounded to units.
-    pub(crate) fn demand_lease_units(&self, plan: &Plan) -> f64 {
+    /// The lease that smoothed demand asks for, rounded down to units.
+    fn demand_lease_units(&self, plan: &Plan) -> f64 {
         let demand = self.demand.units_per_ms;
         demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.gateway_count)
     }
 
     /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what
     /// demand or plenty allow. Near the end of the quota it falls to what the waiting requests need.
-    pub(crate) fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
+    fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
         let wanted_units = if self.has_total {
             let available_units = self.bucket.available_units;
             let plentiful = plentiful_lease_units(available_units, plan.burst, self.gateway_count);
@@ -117,6 +117,13 @@
         needed_units.max(wanted_units.floor()).max(0.0)
     }
 
+    /// The units to lease beyond those leased already. A gateway that drains leases no more than it needs.
+    pub(crate) fn units_to_lease(&self, waiting_units: f64, plan: &Plan, is_draining: bool) -> f64 {
+        let needed_units = waiting_units.min(self.bucket.available_units.max(1.0));
+        let lease_units = if is_draining { needed_units } else { self.lease_units(needed_units, plan) };
+        (lease_units - self.lease.units).max(0.0)
+    }
+
     /// Whether the lease has fallen so low that it should be renewed before it is spent.
     fn should_renew_lease(&self, plan: &Plan) -> bool {
         let target_units = self.demand_lease_units(plan);
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -11,6 +11,7 @@
 pub(crate) mod plan_change;
 pub(crate) mod sampled;
 pub(crate) mod settlement;
+pub(crate) mod totals;
 
 /// Units below this are nothing: the limit of the sums' precision.
 pub(crate) const UNITS_EPSILON: f64 = 1e-6;
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -8,7 +8,7 @@
 use crate::gossip::AdmitReport;
 use crate::quota::bucket::{refill_period, window_at};
 use crate::quota::lease::{LeaseCall, SCARCE_SHARE};
-use crate::request::Request;
+use crate::request::sum_over;
 use crate::{Action, Gateway, Millis, Name, Plan, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -189,7 +189,7 @@
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
         let asked_units = total - call.lease_units - call.report_units;
-        let own_units = sum_of(&customer.waiting, &self.requests, |request| request.units);
+        let own_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
         let excess_units = (call.lease_units - own_units).max(0.0);
         let period = refill_period(plan);
         let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
@@ -240,10 +240,3 @@
         }
     }
 }
-
-/// The sum of a value over requests, those that are over left out.
-pub(crate) fn sum_of(
-    ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
-) -> f64 {
-    ids.iter().filter_map(|id| requests.get(id)).map(value).sum()
-}
--- a/src/request.rs
+++ b/src/request.rs
@@ -4,6 +4,7 @@
 use crate::quota::customer::{Customer, gateway_rank};
 use crate::retry::{FirstExecution, is_rejection_harmless};
 use crate::{Action, Gateway, IncomingRequest, Millis, Name, RejectReason, RequestId};
+use std::collections::{BTreeMap, VecDeque};
 
 /// `Retry-After` of a request rejected for lack of capacity is drawn evenly from this share of the longest one ...
 const MIN_RETRY_AFTER_SHARE: f64 = 0.3;
@@ -67,7 +68,7 @@
         };
         let units = if incoming.units.is_finite() { incoming.units.max(0.0) } else { DEFAULT_UNITS };
         let name = incoming.customer.clone();
-        self.record_demand(&incoming, plan_index, units);
+        self.update_customer(&incoming, plan_index, units);
         let request = Request {
             customer: incoming.customer,
             plan_index,
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Updates the customer's plan, gateways and demand by a new request.
-    fn record_demand(&mut self, incoming: &IncomingRequest, plan_index: usize, units: f64) {
+    /// Updates the customer by a new request: its plan, gateways and demand.
+    fn update_customer(&mut self, incoming: &IncomingRequest, plan_index: usize, units: f64) {
         let now = self.now;
         let plans = &self.settings.plans;
         let plan = &plans[plan_index];
@@ -141,3 +142,10 @@
         }
     }
 }
+
+/// The sum of a value over requests, those that are over left out.
+pub(crate) fn sum_over(
+    ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
+) -> f64 {
+    ids.iter().filter_map(|id| requests.get(id)).map(value).sum()
+}
