--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -8,7 +8,7 @@
 use crate::gossip::AdmitReport;
 use crate::quota::bucket::{refill_period, window_at};
 use crate::quota::lease::{LeaseCall, SCARCE_SHARE};
-use crate::request::Request;
+use crate::request::sum_over;
 use crate::{Action, Gateway, Millis, Name, Plan, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -54,8 +54,8 @@
 
 /// The probability of admitting a request without a total of its own.
 ///
-/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share of
-/// first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
+/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share
+/// of first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
 fn admit_probability(prior_fit: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
     let admits_unknown = prior_fit > (1.0 - prior_fit) * (plan.over_quota_cost - plan.over_quota_value);
     let prior = f64::from(admits_unknown);
@@ -85,6 +85,7 @@
         self.0.retain(|_, estimate| now - estimate.estimated_at < retention);
     }
 
+    /// The last estimate; of an unknown customer one that has faded completely.
     fn get(&self, name_hash: u64) -> AdmitEstimate {
         self.0.get(&name_hash).copied().unwrap_or_default()
     }
@@ -104,10 +105,12 @@
 }
 
 impl PlanPrior {
+    /// The share for first requests or for clients' retries.
     fn fit(&self, client_retry: bool) -> f64 {
         if client_retry { self.client_retry_fit } else { self.first_request_fit }
     }
 
+    /// Records a first total: whether it left units.
     fn record(&mut self, client_retry: bool, fits: bool) {
         let fit = if client_retry { &mut self.client_retry_fit } else { &mut self.first_request_fit };
         *fit += PRIOR_WEIGHT * (f64::from(fits) - *fit);
@@ -186,7 +189,7 @@
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
         let asked_units = total - call.lease_units - call.report_units;
-        let own_units = sum_of(&customer.waiting, &self.requests, |request| request.units);
+        let own_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
         let excess_units = (call.lease_units - own_units).max(0.0);
         let period = refill_period(plan);
         let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
@@ -237,10 +240,3 @@
         }
     }
 }
-
-/// The sum of a value over requests, those that are over left out.
-pub(crate) fn sum_of(
-    ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
-) -> f64 {
-    ids.iter().filter_map(|id| requests.get(id)).map(value).sum()
-}
