--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -78,7 +78,7 @@
         out.push(Action::SetTimer { after, token: id * TIMER_TOKENS_PER_REQUEST });
     }
 
-    /// Takes the timer of a request that waits: one in the queue gets its final response, one that waits for the
+    /// Handles the timer of a request that waits: one in the queue gets its final response, one that waits for the
     /// counter is decided without it. Timers of earlier waits are ignored.
     pub(crate) fn wait_expired(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -32,7 +32,7 @@
     pub level_index: Option<usize>,
     /// Whether it belongs to this gateway's subset, see [`crate::balancer::subset`].
     pub in_subset: bool,
-    /// Its share of its level's requests, as one in so many.
+    /// Its share of its level's requests, as one in this many requests.
     pub inverse_weight_share: f64,
     /// Its weight relative to the mean of its level.
     pub relative_weight: f64,
@@ -94,7 +94,7 @@
 }
 
 impl EndpointTable {
-    /// Takes changed settings.
+    /// Applies changed settings.
     pub(crate) fn configure(&mut self, settings: &Settings, random: Random) {
         self.routing = settings.routing;
         self.gateway_index = settings.gateway_index;
@@ -117,7 +117,7 @@
         self.free_slots.push(slot);
     }
 
-    /// Takes one entry of the list into the backend's slot or a new one. Returns the slot.
+    /// Stores one entry of the list in the backend's slot or a new one. Returns the slot.
     fn upsert(&mut self, known_slot: Option<usize>, entry: &BackendEntry) -> usize {
         let index = known_slot.or_else(|| self.free_slots.pop()).unwrap_or(self.slots.len());
         if known_slot.is_none() {
@@ -216,7 +216,7 @@
 }
 
 impl Gateway {
-    /// Takes a complete endpoint list; a backend that it does not name is gone.
+    /// Applies a complete endpoint list; a backend that it does not name is gone.
     pub(crate) fn replace_endpoints(&mut self, entries: Vec<BackendEntry>, out: &mut Vec<Action>) {
         for backend in self.backends.values_mut() {
             backend.ready = false;
@@ -226,7 +226,7 @@
         self.change_endpoints(entries, out);
     }
 
-    /// Takes changes to the endpoint list.
+    /// Applies changes to the endpoint list.
     pub(crate) fn change_endpoints(&mut self, entries: Vec<BackendEntry>, out: &mut Vec<Action>) {
         for entry in entries {
             self.change_endpoint(entry);
@@ -235,7 +235,7 @@
         self.forward_queued(out);
     }
 
-    /// Takes one entry. A backend that has started anew keeps only its requests in flight.
+    /// Applies one entry. A backend that has started anew keeps only its requests in flight.
     fn change_endpoint(&mut self, entry: BackendEntry) {
         let known = self.backends.get_mut(&entry.name);
         let in_flight = known.as_ref().map_or(0, |backend| backend.in_flight);
--- a/src/balancer/priority_levels.rs
+++ b/src/balancer/priority_levels.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether a warm backend could serve the request, now or once others have ended.
-    fn has_server(&self) -> bool {
+    fn can_serve(&self) -> bool {
         let mut available = self.slots.iter().filter(|(_, slot)| slot.is_available());
         available
             .any(|(_, slot)| slot.candidate.is_warm && slot.candidate.eligibility != Eligibility::OutOfScope)
@@ -58,7 +58,7 @@
     }
 
     /// Whether a spare replaces it: it is out of service, or not warm yet. A spare that left with the first response
-    /// of a backend that warms up would push that over.
+    /// of a backend that warms up would overload it.
     fn needs_spare(&self) -> bool {
         match self.placement.role {
             BackendRole::Active => !self.is_available() || !self.candidate.is_warm,
@@ -88,7 +88,7 @@
         let best = if members.is_at_limit() { None } else { self.lowest_score(&members.slots) };
         match best {
             Some(index) => Selection::Selected(index),
-            None if members.has_server() && !members.is_degraded => Selection::Wait,
+            None if members.can_serve() && !members.is_degraded => Selection::Wait,
             None => Selection::Continue,
         }
     }
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -181,7 +181,7 @@
 }
 
 impl EndpointTable {
-    /// Takes what is known of one backend for the request at hand.
+    /// Records what is known of one backend for the request at hand.
     fn set_candidate(&mut self, index: usize, candidate: Candidate) {
         if self.scoring == Scoring::Uniform {
             let score = least_in_flight_score(&candidate);
--- a/src/counter/call_rate.rs
+++ b/src/counter/call_rate.rs
@@ -13,7 +13,7 @@
 /// The largest call rate: at 1 all first requests of sampled quotas are counted, at 2 all retries of clients as well.
 pub(crate) const MAX_CALL_RATE: f64 = 2.0;
 
-/// The share of the wanted calls that the counter can bear, [`MIN_CALL_RATE`] to [`MAX_CALL_RATE`].
+/// The share of the wanted calls that the counter can sustain, [`MIN_CALL_RATE`] to [`MAX_CALL_RATE`].
 pub(crate) struct CallRate(f64);
 
 impl Default for CallRate {
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -35,7 +35,7 @@
 }
 
 impl Gateway {
-    /// Takes the end of a counter call.
+    /// Handles the end of a counter call.
     pub(crate) fn counter_call_ended(
         &mut self, counter: u64, outcome: CounterOutcome, latency: Millis, out: &mut Vec<Action>,
     ) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes a total, then admits the requests that waited for it. Calls again where some still wait or units are to
+    /// Handles a total, then admits the requests that waited for it. Calls again where some still wait or units are to
     /// be returned.
     fn total_received(&mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>) {
         let outage = self.counter_availability.last_outage();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes the result of a call that had timed out. A total of the present window counts as any other; else the
+    /// Handles the result of a call that had timed out. A total of the present window counts as any other; else the
     /// lease is returned. Without this, leases that a slow counter added late would stay in the count, held by no
     /// gateway.
     fn late_result_received(&mut self, counter: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway object: takes one event, hands it to the module that owns it and collects the actions.
+//! The gateway object: receives one event, hands it to the module that owns it and collects the actions.
 
 use crate::admission::queue::request_of_token;
 use crate::admission::shedding::LoadShedder;
@@ -68,7 +68,7 @@
         Ok(gateway)
     }
 
-    /// Takes one event and appends the actions that the host has to carry out, in order. `now` is a time on the host's
+    /// Handles one event and appends the actions that the host has to execute, in order. `now` is a time on the host's
     /// clock, in ms.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -32,7 +32,7 @@
 }
 
 impl Gateway {
-    /// Takes a message of another gateway; one that cannot be read is dropped.
+    /// Handles a message of another gateway; one that cannot be decoded is dropped.
     pub(crate) fn receive_gossip(&mut self, bytes: &[u8]) {
         if let Some(report) = AdmitReport::decode(bytes) {
             self.admit_estimates.record(report.name_hash, report.probability, self.now);
--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes over the limit of an earlier process, within the minimum and the larger of initial and present limit.
+    /// Restores the limit of an earlier process, within the minimum and the larger of initial and present limit.
     pub(crate) fn restore(&mut self, limit: f64) {
         self.0 = limit.clamp(MIN_LIMIT, INITIAL_FLEET_LIMIT.max(self.0));
     }
--- a/src/health/outcome.rs
+++ b/src/health/outcome.rs
@@ -1,4 +1,4 @@
-//! Takes the outcome of an attempt into the state of its backend.
+//! Records the outcome of an attempt in the state of its backend.
 
 use crate::health::outlier::{CONFIRMED_FAILURES, Failure};
 use crate::{Action, AttemptEnd, AttemptOutcome, Gateway, Millis};
@@ -37,7 +37,7 @@
 }
 
 impl Gateway {
-    /// Takes the outcome of an attempt into its backend's concurrency limit and outlier state and into load shedding.
+    /// Records the outcome of an attempt in its backend's concurrency limit and outlier state and in load shedding.
     pub(crate) fn record_backend_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let name = &end.backend;
         let Some(backend) = self.backends.get_mut(name) else { return };
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -63,7 +63,7 @@
         self.consecutive_failures == CONFIRMED_FAILURES
     }
 
-    /// Takes over the failures that an earlier process saw. The ejection lasts no longer than `max_duration` ms.
+    /// Restores the failures that an earlier process saw. The ejection lasts no longer than `max_duration` ms.
     pub(crate) fn restore(
         &mut self, consecutive_failures: u32, ejected_until: Millis, now: Millis, max_duration: Millis,
     ) {
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -8,7 +8,7 @@
 const CEILING_INITIAL_SHARE: f64 = 0.5;
 /// A customer idle for this many refill periods is forgotten, see [`idle_retention`].
 const IDLE_PERIODS: f64 = 2.0;
-/// Windows of customers are staggered in so many steps.
+/// Windows of customers are staggered in this many steps.
 const WINDOW_OFFSETS: u64 = 1024;
 
 /// What a customer may still use, by all counter totals received; between totals it fills at the plan's rate.
@@ -45,7 +45,7 @@
         self.overflow_units = self.overflow_units.min(payable_units);
     }
 
-    /// Takes what was used since the last total: `used_units` in all, `leased_units` of them by this gateway's new
+    /// Debits what was used since the last total: `used_units` in all, `leased_units` of them by this gateway's new
     /// lease. The overflow pays for what other gateways used, never for this gateway's lease.
     pub(crate) fn settle_total(&mut self, used_units: f64, leased_units: f64, burst: f64) {
         let paid_units = (used_units - leased_units).clamp(0.0, self.overflow_units);
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -81,7 +81,7 @@
         self.bucket.available_units += units;
     }
 
-    /// Takes a request off the requests that wait for the counter.
+    /// Removes a request from those that wait for the counter.
     pub(crate) fn stop_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| *waiting != id);
     }
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// The lease that smoothed demand asks for, rounded down to units: the demand of a part of the refill period, at most an
-/// even part of what is available.
+/// The lease that smoothed demand asks for, rounded down to units: the demand of a part of the refill period, at most
+/// an even part of what is available.
 fn demand_lease_units(
     demand_units_per_ms: f64, refill_period: Millis, available_units: f64, gateway_count: f64,
 ) -> f64 {
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -16,7 +16,7 @@
 const MIN_LEASABLE_UNITS: f64 = 0.5;
 /// A window grants this share of the burst at once; the rest comes in with the rate.
 const WINDOW_INITIAL_SHARE: f64 = 0.75;
-/// Requests over quota are admitted in the proportion that the rate and this share of the burst can bear.
+/// Requests over quota are admitted in the proportion that the rate and this share of the burst sustain.
 const ADMIT_BURST_SHARE: f64 = 0.25;
 /// An admit probability fades to the plan's prior over this many refill periods.
 const ADMIT_FADE_PERIODS: f64 = 4.0;
@@ -134,10 +134,10 @@
         let refilled_units = plan.rate * elapsed / 1000.0;
         let granted_units =
             (plan.burst * WINDOW_INITIAL_SHARE + refilled_units).min(plan.burst) + excess_units;
-        let bearable_units = plan.burst * ADMIT_BURST_SHARE + refilled_units + excess_units;
+        let sustainable_units = plan.burst * ADMIT_BURST_SHARE + refilled_units + excess_units;
         let is_over_quota = asked_units + call_units > granted_units;
-        let bearable_share = bearable_units / (asked_units + call_units);
-        let admit_probability = if is_over_quota { bearable_share.min(1.0) } else { 1.0 };
+        let sustainable_share = sustainable_units / (asked_units + call_units);
+        let admit_probability = if is_over_quota { sustainable_share.min(1.0) } else { 1.0 };
         Self { granted_units, admit_probability }
     }
 }
@@ -181,7 +181,7 @@
         self.reject_over_quota(id, request.units, plan.rate, out);
     }
 
-    /// Takes the counter's total for a sampled quota: learns the admit probability and decides for the requests that
+    /// Handles the counter's total for a sampled quota: learns the admit probability and decides for the requests that
     /// wait.
     pub(crate) fn sampled_total_received(
         &mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>,
--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -1,4 +1,4 @@
-//! Takes the counter's totals into a customer's token bucket and lease.
+//! Updates a customer's token bucket and lease by the counter's totals.
 
 use crate::counter::availability::Outage;
 use crate::quota::UNITS_EPSILON;
@@ -8,7 +8,7 @@
 use crate::{Millis, Plan};
 
 impl Customer {
-    /// Takes the total of a call into the bucket and the lease.
+    /// Updates bucket and lease by the total of a call.
     pub(crate) fn record_total(
         &mut self, call: LeaseCall, total: f64, outage: Outage, now: Millis, plan: &Plan,
     ) {
--- a/src/request.rs
+++ b/src/request.rs
@@ -58,7 +58,7 @@
 }
 
 impl Gateway {
-    /// Takes a request of a client. One of an unknown class or plan is rejected.
+    /// Handles a request from a client. One of an unknown class or plan is rejected.
     pub(crate) fn receive_request(&mut self, incoming: IncomingRequest, out: &mut Vec<Action>) {
         let id = incoming.id;
         let class = self.settings.classes.iter().position(|class| class.name == incoming.class);
--- a/src/restore.rs
+++ b/src/restore.rs
@@ -3,7 +3,7 @@
 use crate::{BackendStatus, Gateway};
 
 impl Gateway {
-    /// Takes over concurrency limits and ejections, so that the first second after a restart is not spent on backends
+    /// Restores concurrency limits and ejections, so that the first second after a restart is not spent on backends
     /// known to be dead. A backend that has started since is left as it is; an ejection lasts no longer than the slow
     /// start.
     pub(crate) fn restore_backends(&mut self, statuses: Vec<BackendStatus>) {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -61,7 +61,7 @@
 }
 
 impl Gateway {
-    /// Takes the end of an attempt: its customer's accounts, then the final response or a further attempt.
+    /// Handles the end of an attempt: settles its units, then the final response or a further attempt.
     pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let id = end.id;
         let is_served = end.outcome == AttemptOutcome::Served;
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -72,8 +72,8 @@
 }
 
 impl Gateway {
-    /// Takes new settings. Unusable ones, or those of another gateway, are refused. Requests in flight go on under the
-    /// class and plan they came with.
+    /// Applies new settings. Unusable ones, or those of another gateway, are refused. Requests in flight go on under
+    /// the class and plan they came with.
     pub(crate) fn change_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
         if validate(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
             return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
