--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -12,7 +12,7 @@
     /// The platform's file: name, addresses, limits, the known backends and the settings, as JSON.
     #[arg(long, env = "RELAY_CONFIG")]
     config: PathBuf,
-    /// Where clients connect, instead of the file's word.
+    /// Where clients connect, instead of the file's address.
     #[arg(long, env = "RELAY_LISTEN")]
     listen: Option<SocketAddr>,
 }
--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -213,7 +213,7 @@
         !self.calls.is_empty() || self.codec.awaits_greeting()
     }
 
-    /// The connection that was asked for is open.
+    /// The connection that [`LinkAction::Connect`] requested is open.
     pub fn connection_opened(&mut self, now: Millis) {
         self.state = ConnectionState::Ready;
         self.last_activity_at = now;
--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -79,7 +79,7 @@
 /// What the reply to EXEC says of the call.
 fn exec_outcome(reply: &Value) -> CallOutcome {
     match reply {
-        // The transaction was refused as a whole: none of its commands ran.
+        // The transaction was refused: none of its commands was executed.
         Value::Error(_) | Value::Null => CallOutcome::NotAdded,
         Value::Array(values) => match values.first() {
             Some(Value::Error(_)) => CallOutcome::NotAdded,
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -205,7 +205,7 @@
                 self.connections.remove(index);
             }
             let Some(index) = idle else { break };
-            // Bytes that nobody asked for, or the backend's close, show here: they must not become the next response.
+            // Unexpected bytes, or the backend's close, show here: they must not become the next response.
             if self.connections[index].registered.socket.read() == (0, Flow::Open) {
                 return self.write_attempt(reactor, index, request, updates);
             }
--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -110,7 +110,7 @@
 
 /// The end of an attempt as its connection shows it.
 pub(super) struct ReadResponse {
-    /// The response, or the event that stands for its failure.
+    /// The response, or the event that reports its failure.
     pub result: Result<BackendResponse, AttemptEvent>,
     /// Whether another attempt may use the connection: the response ended exactly and came after the attempt's last
     /// byte was written.
--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -252,7 +252,7 @@
 }
 
 /// Rejects the commands on a connection that exceeds the table and closes it: a rejection is safe to retry elsewhere,
-/// where a close over unread bytes would tell the client nothing.
+/// while after a close over unread bytes the client does not know whether they were processed.
 pub(super) fn reject_connection(mut socket: Socket) {
     socket.read();
     let input = std::mem::take(&mut socket.input);
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -141,7 +141,7 @@
             };
             let mut actions = Vec::new();
             if link.retires_at.is_some_and(|retires_at| now >= retires_at) {
-                link.link.connection_lost(now, "its address was given up", &mut actions);
+                link.link.connection_lost(now, "the counter has another address", &mut actions);
                 self.execute_actions(reactor, index, actions, events);
                 self.links.remove(index);
                 continue;
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -213,7 +213,7 @@
         if decoded.result.is_ok() && decoded.is_ended && !self.is_watching {
             decoded.result = self.apply_complete_list(lists);
             if decoded.result.is_ok() && flow == Flow::Open {
-                // The watch goes on from this list, on the same connection.
+                // The watch continues from this list, on the same connection.
                 return self.send_request(reactor, exchange.registered);
             }
         }
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -114,6 +114,7 @@
         tracing::debug!(settings = ?site.settings, ?host, "settings");
         let known = config.known_endpoints;
         let known_version = known.as_ref().map(|list| list.version);
+        let known_backends = known.as_ref().map(|list| list.endpoints.len());
         let mut gateway = Self {
             backends: Backends::new(budget.backends, host.dial_timeout, host.keepalive),
             counter: CounterPool::new(config.counter, site.settings.counter_timeout),
@@ -136,16 +137,7 @@
             actions: Vec::new(),
             commands: Vec::new(),
         };
-        tracing::info!(
-            name = config.name,
-            %address,
-            client_connections = budget.clients,
-            backend_connections = budget.backends,
-            known_backends = known.as_ref().map(|list| list.endpoints.len()),
-            keepalive_ms = gateway.site.host.keepalive,
-            connect_timeout_ms = gateway.site.host.dial_timeout,
-            "started"
-        );
+        gateway.log_started(&config.name, budget, known_backends);
         if let Some(mut list) = known {
             list.complete = true;
             gateway.apply_endpoints(list);
@@ -154,6 +146,19 @@
         Ok(gateway)
     }
 
+    fn log_started(&self, name: &str, budget: DescriptorBudget, known_backends: Option<usize>) {
+        tracing::info!(
+            name,
+            address = %self.address,
+            client_connections = budget.clients,
+            backend_connections = budget.backends,
+            known_backends,
+            keepalive_ms = self.site.host.keepalive,
+            connect_timeout_ms = self.site.host.dial_timeout,
+            "started"
+        );
+    }
+
     /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -176,7 +181,7 @@
         self.signals.handle()
     }
 
-    /// Serves until it was told to shut down and every open request has its response.
+    /// Serves until the graceful shutdown is complete.
     ///
     /// # Errors
     /// When the system fails.
--- a/crates/resp-gateway/src/gateway/signals.rs
+++ b/crates/resp-gateway/src/gateway/signals.rs
@@ -7,10 +7,10 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read from a pipe at once; each stands for one signal.
+/// Bytes read from a pipe at once; each is one signal.
 const MAX_SIGNALS_READ: usize = 16;
 
-/// What the process is asked to do.
+/// What a signal requests of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessSignal {
     /// Shut down gracefully.
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 struct SignalPipe {
     receiver: UnixStream,
-    /// What each byte stands for; `None` where the byte itself tells.
+    /// The signal that each byte represents; `None` where the byte says which.
     signal: Option<ProcessSignal>,
 }
 
--- a/crates/resp-gateway/src/reactor.rs
+++ b/crates/resp-gateway/src/reactor.rs
@@ -61,7 +61,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The decisions asked for it.
+    /// Set by the decisions.
     Decision { token: u64 },
     /// The request's deadline.
     RequestDeadline { request: RequestId },
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -104,7 +104,7 @@
         let id = self.last_id;
         tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), number = id, timeout_ms = timeout, "request accepted");
         let deadline = now + timeout;
-        let event = Event::RequestReceived(IncomingRequest {
+        let incoming = IncomingRequest {
             id,
             customer: request.customer,
             plan: site.settings.plans[request.plan].name.clone(),
@@ -115,22 +115,12 @@
             first_gateway: request.first_gateway,
             gateway_count: request.gateway_count,
             sticky_route: Name::default(),
-        });
-        let open = OpenRequest {
-            lifecycle: RequestLifecycle::new(usize::MAX),
-            client_id: request.id,
-            command,
-            forwarded: Arc::new(request.forwarded),
-            started_at: now,
-            deadline,
-            backend: Name::default(),
-            attempt_started_at: now,
-            value: Vec::new(),
-            load_report: None,
         };
-        self.by_client_id.insert(open.client_id, id);
+        let forwarded = Arc::new(request.forwarded);
+        let open = OpenRequest::new(now, deadline, command, request.id, forwarded);
         self.open.insert(id, open);
-        StartOutcome::Started { request: id, deadline, event }
+        self.by_client_id.insert(request.id, id);
+        StartOutcome::Started { request: id, deadline, event: Event::RequestReceived(incoming) }
     }
 
     /// Starts an attempt that the decisions send to a backend; `None` where the request is closed.
@@ -221,6 +211,23 @@
 }
 
 impl OpenRequest {
+    fn new(
+        now: Millis, deadline: Millis, command: CommandId, client_id: u64, forwarded: Arc<ForwardedCommand>,
+    ) -> Self {
+        Self {
+            lifecycle: RequestLifecycle::new(usize::MAX),
+            client_id,
+            command,
+            forwarded,
+            started_at: now,
+            deadline,
+            backend: Name::default(),
+            attempt_started_at: now,
+            value: Vec::new(),
+            load_report: None,
+        }
+    }
+
     /// Executes an action of the lifecycle as far as it concerns this request's state; returns what is left to do.
     fn execute(
         &mut self, now: Millis, id: RequestId, action: LifecycleAction, send_retry_after: bool,
@@ -273,7 +280,7 @@
     }
 }
 
-/// The response that the gateway gives itself. A rejection states when to retry only where clients receive advice.
+/// The response that the gateway makes itself. A rejection states when to retry only where clients receive advice.
 fn final_response(response: FinalResponse, send_retry_after: bool) -> Response {
     match response {
         FinalResponse::Rejected { retry_after, .. } => {
