--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,233 +1,313 @@
-//! The link between gateways and the tasks that one of them does at a time.
+//! Reads and checks the settings of the link between gateways, the leases and the outlier gossip.
 
 use crate::check::Check;
 use crate::raw;
-use doorcourse_lease::{VoterConfiguration, task_of};
+use doorcourse_lease::{TaskId, VoterConfiguration, task_of};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
-/// A secret has at least so many bytes, and a file at most so many of them.
-const SECRET: usize = 16;
-const SECRETS: usize = 8;
-const TASKS: usize = 1024;
+/// The lease under which suspected nodes are probed.
+pub const OUTLIER_PROBE_TASK: &str = "suspects";
+
+/// The shortest secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// The most secrets of a file.
+const MAX_SECRETS: usize = 8;
+/// The most tasks.
+const MAX_TASKS: usize = 1024;
+/// When a peer is unreachable, in ms.
+const UNREACHABLE_AFTER_MS: Setting = Setting { default: 3000.0, range: 100.0..=6e5 };
+/// The duration of a lease, in ms.
+const LEASE_DURATION_MS: Setting = Setting { default: 3000.0, range: 20.0..=6e5 };
+/// By how much the rates of clocks may differ, in parts per million.
+const CLOCK_DRIFT_PPM_DEFAULT: u32 = 10_000;
+const CLOCK_DRIFT_PPM_RANGE: RangeInclusive<u64> = 0..=499_999;
+/// Between two probes of the whole fleet, in ms.
+const PROBE_INTERVAL_MS: Setting = Setting { default: 200.0, range: 10.0..=6e4 };
+/// The shortest and the longest timeout of a probe, and the longest default, in ms.
+const MIN_PROBE_TIMEOUT_MS: f64 = 10.0;
+const MAX_PROBE_TIMEOUT_MS: f64 = 6e4;
+const MAX_DEFAULT_PROBE_TIMEOUT_MS: f64 = 500.0;
+/// The fraction of the nodes that may be outliers.
+const MAX_OUTLIER_FRACTION: Setting = Setting { default: 0.25, range: 0.0..=1.0 };
+/// How long a report and a verdict are valid, in ms.
+const RETENTION_MS: Setting = Setting { default: 2000.0, range: 100.0..=6e5 };
+/// From the end of a call to the start of the next, in ms.
+const CALL_INTERVAL_MS: Setting = Setting { default: 1000.0, range: 10.0..=8.64e7 };
+/// The shortest duration of a call, in ms.
+const MIN_CALL_DURATION_MS: f64 = 1.0;
+
+/// A number of the settings file: its default and its range.
+struct Setting {
+    default: f64,
+    range: RangeInclusive<f64>,
+}
 
-/// How the gateways hear of each other.
+/// The link between the gateways.
 #[derive(Clone, PartialEq, Eq)]
 pub struct LinkConfig {
-    /// This gateway's own UDP socket.
+    /// The address of this gateway's UDP socket.
     pub listen: SocketAddr,
-    /// The others.
+    /// The other gateways and their addresses.
     pub peers: BTreeMap<u32, SocketAddr>,
-    /// The first is used for what goes.
+    /// The secrets: every one is accepted, the first one is used for sending.
     pub secrets: Vec<Vec<u8>>,
     /// The fleet's name.
     pub fleet: String,
-    /// In ms.
+    /// A peer is unreachable when nothing was received from it for so many ms.
     pub unreachable_after_ms: u64,
 }
 
 impl fmt::Debug for LinkConfig {
+    /// Without the secrets, which must not be logged.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Secrets are in no log.
-        let Self { listen, peers, fleet, unreachable_after_ms: silence, .. } = self;
         f.debug_struct("LinkConfig")
-            .field("listen", listen)
-            .field("peers", peers)
-            .field("fleet", fleet)
-            .field("silence", silence)
+            .field("listen", &self.listen)
+            .field("peers", &self.peers)
+            .field("fleet", &self.fleet)
+            .field("unreachable_after_ms", &self.unreachable_after_ms)
             .finish_non_exhaustive()
     }
 }
 
-/// What is done under a lease.
+/// The leases, and what is done under them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseConfig {
-    /// The lease, in ms.
+    /// The duration of a lease.
     pub lease_duration_ms: u64,
-    /// How far clocks may be apart, in parts of a million.
+    /// By how much the rates of clocks may differ, in parts per million.
     pub clock_drift_ppm: u64,
     /// Who votes.
     pub voters: VoterConfiguration,
-    /// What is done.
+    /// The tasks.
     pub tasks: Vec<TaskConfig>,
-    /// Whether suspect nodes are tried for all.
+    /// The outlier gossip; `None` where suspected nodes are not probed for the fleet.
     pub suspects: Option<OutlierGossipConfig>,
 }
 
-/// The lease under which suspect nodes are tried.
-pub const OUTLIER_PROBE_TASK: &str = "suspects";
-
-/// How suspect nodes are tried. Times in ms.
+/// The outlier gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierGossipConfig {
-    /// Between two trials of the whole fleet.
+    /// Between two probes of the whole fleet.
     pub probe_interval_ms: u64,
-    /// A node that answers nothing for this long is bad.
+    /// A node that does not answer a probe for this long has failed it.
     pub probe_timeout_ms: u64,
-    /// The share of the nodes that are called bad at most.
+    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1.
     pub max_outlier_fraction: f64,
-    /// For how long a report and a word are believed.
+    /// How long a report and a verdict are valid, in ms.
     pub keep: u64,
-    /// Whether the choice of nodes goes by the word.
+    /// Whether the decisions follow the verdicts; otherwise they are only logged.
     pub affects_decisions: bool,
 }
 
-/// A call that one gateway makes at a time. Times in ms.
+/// A call that one gateway at a time makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskConfig {
     /// Its name.
     pub name: String,
-    /// Who is called.
+    /// The address that is called.
     pub address: SocketAddr,
-    /// With which path.
+    /// The path that is called.
     pub path: String,
-    /// From the end of a call to the next.
+    /// From the end of a call to the start of the next.
     pub call_interval_ms: u64,
-    /// How long a call takes with its effect.
+    /// How long a call takes, with its effect at the receiver.
     pub call_duration_ms: u64,
 }
 
+/// Checks `fleet.link`. `open` reads a file by its name.
 pub(crate) fn link(
     raw: &raw::Link, gateways: u32, number: u32, check: &mut Check,
     open: &dyn Fn(&str) -> Result<String, String>,
 ) -> LinkConfig {
-    let listen = check.address("fleet.link.listen", &raw.listen);
-    let (mut peers, mut seen, mut places) = (BTreeMap::new(), BTreeSet::new(), HashMap::new());
+    LinkConfig {
+        listen: check.address("fleet.link.listen", &raw.listen),
+        peers: peers(raw, gateways, number, check),
+        secrets: secrets(&raw.secret_file, check, open),
+        unreachable_after_ms: milliseconds(
+            check,
+            "fleet.link.silence_ms",
+            raw.silence_ms,
+            &UNREACHABLE_AFTER_MS,
+        ),
+        fleet: raw.fleet.clone().unwrap_or_else(|| "doorcourse".into()),
+    }
+}
+
+/// The addresses of the other gateways.
+fn peers(raw: &raw::Link, gateways: u32, number: u32, check: &mut Check) -> BTreeMap<u32, SocketAddr> {
+    let mut peers = BTreeMap::new();
+    let mut seen_numbers = BTreeSet::new();
+    let mut seen_addresses = HashMap::new();
     for (at, peer) in raw.peers.iter().enumerate() {
         let path = |field: &str| format!("fleet.link.peers[{at}].{field}");
         let address = check.address(&path("address"), &peer.address);
         if peer.number >= gateways {
-            check.fault(
-                &path("number"),
-                format!("{} is not below the number of gateways, {gateways}", peer.number),
-            );
+            let text = format!("{} is not below the number of gateways, {gateways}", peer.number);
+            check.fault(&path("number"), text);
         }
-        if !seen.insert(peer.number) {
+        if !seen_numbers.insert(peer.number) {
             check.fault(&path("number"), format!("gateway {} is named twice", peer.number));
         }
-        if let Some(other) = places.insert(address, peer.number) {
+        if let Some(other) = seen_addresses.insert(address, peer.number) {
             check.fault(&path("address"), format!("{address} is gateway {other}'s already"));
         }
         if peer.number != number {
             peers.insert(peer.number, address);
         }
     }
-    let mut secrets = Vec::new();
-    if raw.secret_file.is_empty() {
-        check.fault("fleet.link.secret_file", "a file's name is needed");
-    } else {
-        match open(&raw.secret_file) {
-            Err(why) => check.fault("fleet.link.secret_file", format!("{}: {why}", raw.secret_file)),
-            Ok(text) => {
-                secrets = text
-                    .lines()
-                    .map(str::trim)
-                    .filter(|l| !l.is_empty())
-                    .map(|l| l.as_bytes().to_vec())
-                    .collect();
-                if !(1..=SECRETS).contains(&secrets.len()) || secrets.iter().any(|s| s.len() < SECRET) {
-                    let text = format!("1 to {SECRETS} lines are needed, each of at least {SECRET} bytes");
-                    check.fault("fleet.link.secret_file", text);
-                }
-            }
+    peers
+}
+
+/// The secrets of a file: its lines that are not empty.
+fn secrets(file: &str, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>) -> Vec<Vec<u8>> {
+    let path = "fleet.link.secret_file";
+    if file.is_empty() {
+        check.fault(path, "a file's name is needed");
+        return Vec::new();
+    }
+    let text = match open(file) {
+        Ok(text) => text,
+        Err(why) => {
+            check.fault(path, format!("{file}: {why}"));
+            return Vec::new();
         }
+    };
+    let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
+    let secrets: Vec<Vec<u8>> = lines.map(|line| line.as_bytes().to_vec()).collect();
+    let too_short = secrets.iter().any(|secret| secret.len() < MIN_SECRET_BYTES);
+    if !(1..=MAX_SECRETS).contains(&secrets.len()) || too_short {
+        let text = format!("1 to {MAX_SECRETS} lines are needed, each of at least {MIN_SECRET_BYTES} bytes");
+        check.fault(path, text);
     }
-    let silence = check.figure("fleet.link.silence_ms", raw.silence_ms.unwrap_or(3000.0), 100.0..=6e5) as u64;
-    let fleet = raw.fleet.clone().unwrap_or_else(|| "doorcourse".into());
-    LinkConfig { listen, peers, secrets, fleet, unreachable_after_ms: silence }
+    secrets
 }
 
+/// Checks `leases`.
 pub(crate) fn leases(
     raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check,
 ) -> LeaseConfig {
-    let all: BTreeSet<u32> = link.iter().flat_map(|l| l.peers.keys().copied()).chain([number]).collect();
+    let gateways: BTreeSet<u32> =
+        link.iter().flat_map(|link| link.peers.keys().copied()).chain([number]).collect();
     if link.is_none() {
         check.fault("leases", "the gateways must hear of each other: set fleet.link");
     }
-    let length = check.figure("leases.length_ms", raw.length_ms.unwrap_or(3000.0), 20.0..=6e5) as u64;
-    let drift = check.whole("leases.drift_ppm", raw.drift_ppm.unwrap_or(10_000).into(), 0..=499_999);
-    let mut list = |field: &str, numbers: &[u32], past: bool| {
-        let mut list = BTreeSet::new();
-        for (at, number) in numbers.iter().enumerate() {
-            let path = format!("leases.{field}[{at}]");
-            // Who voted before may be gone.
-            if !past && !all.contains(number) {
-                check.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
-            }
-            if !list.insert(*number) {
-                check.fault(&path, format!("gateway {number} is named twice"));
-            }
-        }
-        list
-    };
-    let (mut now, before) =
-        (list("voters", &raw.voters, false), list("voters_before", &raw.voters_before, true));
-    if now.is_empty() {
-        now.clone_from(&all);
-    }
-    let voters = VoterConfiguration { version: raw.voters_version, voters: now, previous_voters: before };
-    if (voters.version == 0) != voters.previous_voters.is_empty() {
+    let lease_duration_ms = milliseconds(check, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
+    let drift = raw.drift_ppm.unwrap_or(CLOCK_DRIFT_PPM_DEFAULT);
+    let clock_drift_ppm = check.whole("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
+    let voters = voters(raw, &gateways, check);
+    let suspects = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, check));
+    let tasks = tasks(&raw.tasks, suspects.is_some(), lease_duration_ms, check);
+    LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, suspects }
+}
+
+/// The voters of this version and the one before. All gateways vote where the settings name none.
+fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, check: &mut Check) -> VoterConfiguration {
+    let named = distinct_gateways("voters", &raw.voters, Some(gateways), check);
+    // A gateway that voted before may be gone.
+    let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, check);
+    let voters = if named.is_empty() { gateways.clone() } else { named };
+    let version = raw.voters_version;
+    if (version == 0) != previous_voters.is_empty() {
         check.fault(
             "leases.voters_before",
             "who voted in the version before is needed above version 0, and only there",
         );
-    } else if voters.previous_voters.symmetric_difference(&voters.voters).count() > 1 && voters.version > 0 {
+    } else if version > 0 && previous_voters.symmetric_difference(&voters).count() > 1 {
         check.fault("leases.voters", "one voter may be added or removed in one version");
     }
-    let suspects = raw.suspects.as_ref().map(|s| {
-        let path = |field: &str| format!("leases.suspects.{field}");
-        let half = (length / 2).max(10) as f64;
-        OutlierGossipConfig {
-            probe_interval_ms: check.figure(&path("every_ms"), s.every_ms.unwrap_or(200.0), 10.0..=6e4)
-                as u64,
-            probe_timeout_ms: check.figure(
-                &path("timeout_ms"),
-                s.timeout_ms.unwrap_or((half / 2.0).clamp(10.0, 500.0)),
-                10.0..=half.min(6e4),
-            ) as u64,
-            max_outlier_fraction: check.figure(&path("share"), s.share.unwrap_or(0.25), 0.0..=1.0),
-            keep: check.figure(&path("keep_ms"), s.keep_ms.unwrap_or(2000.0), 100.0..=6e5) as u64,
-            affects_decisions: s.apply.unwrap_or(true),
+    VoterConfiguration { version, voters, previous_voters }
+}
+
+/// The gateways that a list names, each once, and each one of `known` where that is stated.
+fn distinct_gateways(
+    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, check: &mut Check,
+) -> BTreeSet<u32> {
+    let mut gateways = BTreeSet::new();
+    for (at, number) in numbers.iter().enumerate() {
+        let path = format!("leases.{field}[{at}]");
+        if known.is_some_and(|known| !known.contains(number)) {
+            check.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
+        }
+        if !gateways.insert(*number) {
+            check.fault(&path, format!("gateway {number} is named twice"));
         }
-    });
-    let (mut names, mut numbers) = (HashSet::new(), HashMap::new());
-    if suspects.is_some() {
-        names.insert(OUTLIER_PROBE_TASK.to_owned());
-        numbers.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
-    if raw.tasks.len() > TASKS {
-        check.fault("leases.tasks", format!("{} tasks: at most {TASKS}", raw.tasks.len()));
+    gateways
+}
+
+/// Checks `leases.suspects`. A probe must fit half a lease.
+fn outlier_gossip(raw: &raw::Suspects, lease_duration_ms: u64, check: &mut Check) -> OutlierGossipConfig {
+    let path = |field: &str| format!("leases.suspects.{field}");
+    let half_lease = (lease_duration_ms / 2).max(10) as f64;
+    let timeout = Setting {
+        default: (half_lease / 2.0).clamp(MIN_PROBE_TIMEOUT_MS, MAX_DEFAULT_PROBE_TIMEOUT_MS),
+        range: MIN_PROBE_TIMEOUT_MS..=half_lease.min(MAX_PROBE_TIMEOUT_MS),
+    };
+    OutlierGossipConfig {
+        probe_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
+        probe_timeout_ms: milliseconds(check, &path("timeout_ms"), raw.timeout_ms, &timeout),
+        max_outlier_fraction: number(check, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
+        keep: milliseconds(check, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
+        affects_decisions: raw.apply.unwrap_or(true),
     }
-    let tasks = raw.tasks.iter().enumerate().map(|(at, task)| {
-        let path = |field: &str| format!("leases.tasks[{at}].{field}");
-        let name = check.name(&path("name"), &task.name, &mut names).to_string();
-        if let Some(other) = numbers.insert(task_of(&name), name.clone()).filter(|other| *other != name) {
-            check.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
-        }
-        let target = task.path.clone().unwrap_or_else(|| "/".into());
-        if !target.starts_with('/') || target.contains([' ', '\r', '\n']) {
-            check.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
-        }
-        let half = (length / 2).max(1) as f64;
-        TaskConfig {
-            name,
-            address: check.address(&path("address"), &task.address),
-            path: target,
-            call_interval_ms: check.figure(&path("every_ms"), task.every_ms.unwrap_or(1000.0), 10.0..=8.64e7)
-                as u64,
-            call_duration_ms: check.figure(
-                &path("needs_ms"),
-                task.needs_ms.unwrap_or(half / 2.0).max(1.0),
-                1.0..=half,
-            ) as u64,
-        }
-    });
-    LeaseConfig {
-        lease_duration_ms: length,
-        clock_drift_ppm: drift,
-        voters,
-        tasks: tasks.collect(),
-        suspects,
+}
+
+/// The names and ids that are taken by tasks.
+#[derive(Default)]
+struct TakenNames {
+    names: HashSet<String>,
+    by_id: HashMap<TaskId, String>,
+}
+
+/// Checks `leases.tasks`.
+fn tasks(raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, check: &mut Check) -> Vec<TaskConfig> {
+    let mut taken = TakenNames::default();
+    if with_probes {
+        taken.names.insert(OUTLIER_PROBE_TASK.to_owned());
+        taken.by_id.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
+    if raw.len() > MAX_TASKS {
+        check.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
+    }
+    let tasks = raw.iter().enumerate();
+    tasks.map(|(at, raw)| task(at, raw, lease_duration_ms, &mut taken, check)).collect()
+}
+
+/// Checks one task. A call must fit half a lease.
+fn task(
+    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, check: &mut Check,
+) -> TaskConfig {
+    let path = |field: &str| format!("leases.tasks[{at}].{field}");
+    let name = check.name(&path("name"), &raw.name, &mut taken.names).to_string();
+    let other = taken.by_id.insert(task_of(&name), name.clone()).filter(|other| *other != name);
+    if let Some(other) = other {
+        check.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
+    }
+    let target = raw.path.clone().unwrap_or_else(|| "/".into());
+    if !target.starts_with('/') || target.contains([' ', '\r', '\n']) {
+        check.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
+    }
+    let half_lease = (lease_duration_ms / 2).max(1) as f64;
+    // The lower bound holds for what is set as well: a shorter duration is raised to it.
+    let duration = raw.needs_ms.unwrap_or(half_lease / 2.0).max(MIN_CALL_DURATION_MS);
+    TaskConfig {
+        name,
+        address: check.address(&path("address"), &raw.address),
+        path: target,
+        call_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
+        call_duration_ms: check.figure(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease) as u64,
+    }
+}
+
+/// A number of the settings, or its default; a fault where it is out of range.
+fn number(check: &mut Check, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
+    check.figure(path, value.unwrap_or(setting.default), setting.range.clone())
+}
+
+/// The same in whole ms.
+fn milliseconds(check: &mut Check, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
+    number(check, path, value, setting) as u64
 }
