--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -119,7 +119,7 @@
 
 /// Checks `fleet.link`. `open` reads a file by its name.
 pub(crate) fn link(
-    raw: &raw::Link, gateways: u32, number: u32, check: &mut Check,
+    raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>,
     open: &dyn Fn(&str) -> Result<String, String>,
 ) -> LinkConfig {
     LinkConfig {
@@ -137,7 +137,7 @@
 }
 
 /// The addresses of the other gateways.
-fn peers(raw: &raw::Link, gateways: u32, number: u32, check: &mut Check) -> BTreeMap<u32, SocketAddr> {
+fn peers(raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>) -> BTreeMap<u32, SocketAddr> {
     let mut peers = BTreeMap::new();
     let mut seen_numbers = BTreeSet::new();
     let mut seen_addresses = HashMap::new();
@@ -162,7 +162,7 @@
 }
 
 /// The secrets of a file: its lines that are not empty.
-fn secrets(file: &str, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>) -> Vec<Vec<u8>> {
+fn secrets(file: &str, check: &mut Check<'_>, open: &dyn Fn(&str) -> Result<String, String>) -> Vec<Vec<u8>> {
     let path = "fleet.link.secret_file";
     if file.is_empty() {
         check.fault(path, "a file's name is needed");
@@ -187,7 +187,7 @@
 
 /// Checks `leases`.
 pub(crate) fn leases(
-    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check,
+    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check<'_>,
 ) -> LeaseConfig {
     let gateways: BTreeSet<u32> =
         link.iter().flat_map(|link| link.peers.keys().copied()).chain([number]).collect();
@@ -204,7 +204,7 @@
 }
 
 /// The voters of this version and the one before. All gateways vote where the settings name none.
-fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, check: &mut Check) -> VoterConfiguration {
+fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, check: &mut Check<'_>) -> VoterConfiguration {
     let named = distinct_gateways("voters", &raw.voters, Some(gateways), check);
     // A gateway that voted before may be gone.
     let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, check);
@@ -223,7 +223,7 @@
 
 /// The gateways that a list names, each once, and each one of `known` where that is stated.
 fn distinct_gateways(
-    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, check: &mut Check,
+    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, check: &mut Check<'_>,
 ) -> BTreeSet<u32> {
     let mut gateways = BTreeSet::new();
     for (at, number) in numbers.iter().enumerate() {
@@ -239,7 +239,7 @@
 }
 
 /// Checks `leases.suspects`. A probe must fit half a lease.
-fn outlier_gossip(raw: &raw::Suspects, lease_duration_ms: u64, check: &mut Check) -> OutlierGossipConfig {
+fn outlier_gossip(raw: &raw::Suspects, lease_duration_ms: u64, check: &mut Check<'_>) -> OutlierGossipConfig {
     let path = |field: &str| format!("leases.suspects.{field}");
     let half_lease = (lease_duration_ms / 2).max(10) as f64;
     let timeout = Setting {
@@ -263,7 +263,9 @@
 }
 
 /// Checks `leases.tasks`.
-fn tasks(raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, check: &mut Check) -> Vec<TaskConfig> {
+fn tasks(
+    raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, check: &mut Check<'_>,
+) -> Vec<TaskConfig> {
     let mut taken = TakenNames::default();
     if with_probes {
         taken.names.insert(OUTLIER_PROBE_TASK.to_owned());
@@ -278,7 +280,7 @@
 
 /// Checks one task. A call must fit half a lease.
 fn task(
-    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, check: &mut Check,
+    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, check: &mut Check<'_>,
 ) -> TaskConfig {
     let path = |field: &str| format!("leases.tasks[{at}].{field}");
     let name = check.name(&path("name"), &raw.name, &mut taken.names).to_string();
@@ -303,11 +305,11 @@
 }
 
 /// A number of the settings, or its default; a fault where it is out of range.
-fn number(check: &mut Check, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
+fn number(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
     check.figure(path, value.unwrap_or(setting.default), setting.range.clone())
 }
 
 /// The same in whole ms.
-fn milliseconds(check: &mut Check, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
+fn milliseconds(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
     number(check, path, value, setting) as u64
 }
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -52,7 +52,7 @@
     /// When the outlier gossip is next shown how the decisions see the nodes.
     next_observation_at: Millis,
     /// Verdicts that the decisions are to follow.
-    pub hints: VecDeque<Verdict>,
+    pub(crate) hints: VecDeque<Verdict>,
     shut_down: bool,
 }
 
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// The address cannot be bound, or the settings cannot be used.
-    pub fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
+    pub(crate) fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
         let Some(link_config) = config.link.clone() else { return Ok(None) };
         let now = awake_or_not();
         let gateway = config.decisions.gateway_index;
@@ -94,7 +94,7 @@
     }
 
     /// Follows a change of the settings: peers, secrets, voters, tasks.
-    pub fn configure(&mut self, io: &mut Io, config: &Config) {
+    pub(crate) fn configure(&mut self, io: &mut Io, config: &Config) {
         let now = awake_or_not();
         let Some(link_config) = config.link.clone() else { return };
         if let Err(error) = self.link.configure(now, link_config, self.gateway) {
@@ -117,7 +117,7 @@
     }
 
     /// The gateway shuts down: every lease is released, and so is the address for a process that takes over.
-    pub fn leave(&mut self, io: &mut Io) {
+    pub(crate) fn leave(&mut self, io: &mut Io) {
         if !self.shut_down {
             self.shut_down = true;
             self.handle_lease_input(io, awake_or_not(), Input::ShutdownStarted);
@@ -127,7 +127,7 @@
     }
 
     /// How long until [`Fleet::tick`] is to be called, in ms; infinity where nothing is due.
-    pub fn due(&self) -> f64 {
+    pub(crate) fn due(&self) -> f64 {
         if self.shut_down {
             return f64::INFINITY;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, io: &mut Io) {
+    pub(crate) fn tick(&mut self, io: &mut Io) {
         if self.shut_down {
             return;
         }
--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -43,12 +43,12 @@
 
 impl Fleet {
     /// Whether the outlier gossip is to be shown how the decisions see the nodes, by [`Fleet::view`].
-    pub fn wants_view(&self) -> bool {
+    pub(crate) fn wants_view(&self) -> bool {
         !self.shut_down && self.outliers.is_some() && awake_or_not() >= self.next_observation_at
     }
 
     /// Shows the outlier gossip how the decisions see the nodes, and does what it asks for. `nodes` has their addresses.
-    pub fn view(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
+    pub(crate) fn view(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some(monitor) = &mut self.outliers else { return };
         let interval = (monitor.config.probe_interval_ms / 2).max(MIN_OBSERVATION_INTERVAL_MS);
--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// Why not, as text for the operator.
-    pub fn hand_over(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
+    pub(crate) fn hand_over(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
         let now = awake_or_not();
         let task = task_of(name);
         let mut statuses = self.leases.iter().flat_map(|leases| leases.statuses(now));
@@ -76,7 +76,7 @@
     }
 
     /// The reply of `ctl peers`.
-    pub fn peers(&self) -> Value {
+    pub(crate) fn peers(&self) -> Value {
         let peers: Vec<Value> =
             self.link.statuses(awake_or_not()).map(|peer| self.peer_reply(&peer)).collect();
         let dropped: BTreeMap<_, _> = self.link.drops().by_name().collect();
@@ -99,7 +99,7 @@
     }
 
     /// The reply of `ctl leases`; null where the settings have none.
-    pub fn leases(&self) -> Value {
+    pub(crate) fn leases(&self) -> Value {
         let now = awake_or_not();
         let Some(leases) = &self.leases else { return Value::Null };
         let tasks: Vec<Value> = leases.statuses(now).map(|status| self.lease_reply(&status)).collect();
@@ -136,7 +136,7 @@
     }
 
     /// The figures for metrics.
-    pub fn seen(&self) -> Seen {
+    pub(crate) fn seen(&self) -> Seen {
         let now = awake_or_not();
         let held = |status: LeaseStatus| {
             let name = self.calls.task_name(status.task).to_owned();
