--- a/crates/lease/src/calls.rs
+++ b/crates/lease/src/calls.rs
@@ -88,7 +88,7 @@
         self.tasks.iter().filter(|(_, calls)| overdue(calls)).map(|(task, _)| *task).collect()
     }
 
-    /// When a call is to start or to be given up. A task that is not held has no such time: it is looked at when its lease
+    /// When a call is to start or is overdue. A task that is not held has no such time: it is looked at when its lease
     /// is acquired.
     #[must_use]
     pub fn next_timeout(&self, now: Millis, leases: &Leases) -> Millis {
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages as protobuf. A message that is invalid in any part is rejected whole.
+//! The encoding of messages as protobuf. A message that is invalid in any part is rejected as a whole.
 
 use crate::{Item, LeaseRequest, Message, Refusal, TaskId};
 use prost::Message as _;
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -52,6 +52,7 @@
     jitter_draws: u64,
     next_heartbeat_at: Millis,
     shutting_down: bool,
+    #[cfg(feature = "fault-injection")]
     disabled_rule: DisabledRule,
     /// The token of each task that was ever held: all that a build without the lease check goes by.
     #[cfg(feature = "disable-lease-check")]
@@ -96,6 +97,7 @@
             jitter_draws: 0,
             next_heartbeat_at: now,
             shutting_down: false,
+            #[cfg(feature = "fault-injection")]
             disabled_rule,
             #[cfg(feature = "disable-lease-check")]
             ever_held: BTreeMap::new(),
@@ -186,7 +188,15 @@
         !self.shutting_down && self.reconfiguration.is_in_force()
     }
 
+    /// Whether a test has disabled this rule.
+    #[cfg(feature = "fault-injection")]
     fn is_disabled(&self, rule: DisabledRule) -> bool {
         self.disabled_rule == rule
     }
+
+    /// No rule can be disabled in the product.
+    #[cfg(not(feature = "fault-injection"))]
+    fn is_disabled(&self, _rule: DisabledRule) -> bool {
+        false
+    }
 }
--- a/crates/lease/src/leases/acquisition.rs
+++ b/crates/lease/src/leases/acquisition.rs
@@ -110,3 +110,6 @@
     let base = (highest >> TOKEN_GATEWAY_BITS).saturating_add(1).max(wall_clock);
     base << TOKEN_GATEWAY_BITS | FencingToken::from(gateway)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/lease/src/leases/outbox.rs
+++ b/crates/lease/src/leases/outbox.rs
@@ -20,7 +20,7 @@
     }
 
     /// The number of the round that requests of this message belong to. The first request of a message opens a round, so
-    /// that no number stands for two points in time.
+    /// that no number is used at two points in time.
     pub(super) fn open_round(&mut self) -> u64 {
         if !self.round_open {
             self.round_open = true;
--- a/crates/lease/src/leases/quorum.rs
+++ b/crates/lease/src/leases/quorum.rs
@@ -179,3 +179,6 @@
         self.release_grants(now, task, token, None);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/lease/src/leases/timing.rs
+++ b/crates/lease/src/leases/timing.rs
@@ -46,3 +46,6 @@
 fn next_slot(time: Millis, spacing: Millis, offset: Millis) -> Millis {
     time.saturating_sub(offset).div_ceil(spacing) * spacing + offset
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -39,22 +39,6 @@
     pub tasks: Vec<TaskId>,
 }
 
-/// A rule of the protocol that a test disables to see that it is caught. Only the feature `fault-injection` can set one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum DisabledRule {
-    /// All rules are in force: the product.
-    #[default]
-    None,
-    /// A voter does not vote for the longest lease after a start.
-    StartupWait,
-    /// A lease expires counted from before its request was sent, not from the reply.
-    ExpiryFromRequest,
-    /// Only a majority of the present voter configuration counts, and no version is skipped.
-    VoterVersions,
-    /// A voter grants no token twice, and a candidate never reuses one.
-    TokenUniqueness,
-}
-
 /// Settings that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// An exponentially weighted mean; the first sample counts whole.
+/// An exponentially weighted mean; the first sample is taken as it is.
 fn smoothed(mean: Option<f64>, sample: f64) -> f64 {
     mean.map_or(sample, |mean| mean + SMOOTHING_WEIGHT * (sample - mean))
 }
--- a/crates/peers/src/rate_limit.rs
+++ b/crates/peers/src/rate_limit.rs
@@ -32,3 +32,6 @@
         is_available
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/peers/src/replay_window.rs
+++ b/crates/peers/src/replay_window.rs
@@ -1,6 +1,6 @@
 //! Which sequence numbers of one start of a peer were accepted: each is accepted once.
 
-/// So many sequence numbers up to the newest are told apart; earlier ones count as replayed.
+/// So many sequence numbers up to the newest are distinguished; earlier ones count as replayed.
 const WINDOW: u64 = 64;
 
 /// The sequence numbers accepted so far. They begin at 1.
