--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -27,15 +27,25 @@
     duplicates: u8,
 }
 
+/// A message in transit.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct InTransit {
+    from: GatewayNumber,
+    /// Which start of the sender.
+    incarnation: u64,
+    to: GatewayNumber,
+    message: Message,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
+    /// Each gateway's leases, and which start of it they are of.
     nodes: Vec<(Leases, u64)>,
     /// Steps of real time.
     time: u64,
     restarts: u8,
     duplicates: u8,
-    /// In transit: sender, which start of it, receiver, message.
-    in_transit: BTreeSet<(GatewayNumber, u64, GatewayNumber, Message)>,
+    in_transit: BTreeSet<InTransit>,
     /// The highest token that each task was held under.
     highest_tokens: BTreeMap<TaskId, FencingToken>,
     /// Whether a lease was ever acquired under a token that was not higher.
@@ -46,26 +56,25 @@
 enum Action {
     Time,
     Tick(GatewayNumber),
-    Deliver(GatewayNumber, u64, GatewayNumber, Message),
-    Duplicate(GatewayNumber, u64, GatewayNumber, Message),
+    /// A message arrives.
+    Deliver(InTransit),
+    /// A message arrives, and another copy of it stays in transit.
+    Duplicate(InTransit),
     Restart(GatewayNumber),
 }
 
 impl Fleet {
     fn settings(&self, number: GatewayNumber, incarnation: u64) -> Settings {
         let tasks = if self.candidates.contains(&number) { TASKS.to_vec() } else { Vec::new() };
-        let voters = self.configured_voters[number as usize].clone();
-        let fleet = (0..3).collect();
-        let drift = DRIFT;
         Settings {
             gateway: number,
             incarnation,
             seed: 7,
             lease_duration: LENGTH,
             max_lease_duration: LENGTH,
-            clock_drift_ppm: drift,
-            gateways: fleet,
-            voters,
+            clock_drift_ppm: DRIFT,
+            gateways: (0..3).collect(),
+            voters: self.configured_voters[number as usize].clone(),
             tasks,
         }
     }
@@ -91,7 +100,8 @@
             match output {
                 // A heartbeat may as well be lost.
                 Output::Send { to, message } if !message.items.is_empty() => {
-                    state.in_transit.insert((number, *incarnation, to, message));
+                    let incarnation = *incarnation;
+                    state.in_transit.insert(InTransit { from: number, incarnation, to, message });
                 }
                 Output::Acquired(lease) => {
                     let highest = state.highest_tokens.entry(lease.task).or_default();
@@ -103,6 +113,11 @@
         }
     }
 
+    fn deliver(&self, state: &mut State, arriving: InTransit) {
+        let InTransit { from, incarnation, to, message } = arriving;
+        self.handle(state, to, Input::MessageReceived { from, incarnation, message });
+    }
+
     fn holders(&self, state: &State, task: TaskId) -> usize {
         let holds = |number: &GatewayNumber| {
             let now = self.local(*number, state.time);
@@ -136,10 +151,10 @@
             actions.push(Action::Time);
         }
         actions.extend((0..3).map(Action::Tick));
-        for (from, incarnation, to, message) in &state.in_transit {
-            actions.push(Action::Deliver(*from, *incarnation, *to, message.clone()));
+        for message in &state.in_transit {
+            actions.push(Action::Deliver(message.clone()));
             if state.duplicates < self.duplicates {
-                actions.push(Action::Duplicate(*from, *incarnation, *to, message.clone()));
+                actions.push(Action::Duplicate(message.clone()));
             }
         }
         if state.restarts < self.restarts {
@@ -152,13 +167,13 @@
         match action {
             Action::Time => state.time += 1,
             Action::Tick(number) => self.handle(&mut state, number, Input::Tick),
-            Action::Deliver(from, incarnation, to, message) => {
-                state.in_transit.remove(&(from, incarnation, to, message.clone()));
-                self.handle(&mut state, to, Input::MessageReceived { from, incarnation, message });
+            Action::Deliver(message) => {
+                state.in_transit.remove(&message);
+                self.deliver(&mut state, message);
             }
-            Action::Duplicate(from, incarnation, to, message) => {
+            Action::Duplicate(message) => {
                 state.duplicates += 1;
-                self.handle(&mut state, to, Input::MessageReceived { from, incarnation, message });
+                self.deliver(&mut state, message);
             }
             Action::Restart(number) => {
                 state.restarts += 1;
