--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -110,68 +110,13 @@
 
     fn execute(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::SendAttempt { id, backend, .. } => {
-                let known = self.open_requests.entry(id).or_default();
-                let attempt = known.attempt;
-                known.gateway = gateway;
-                known.backend = backend.clone();
-                known.sent = self.now;
-                known.attempt += 1;
-                let until = known.until;
-                let (outcome, latency) = match self.random.below(20) {
-                    0 => (AttemptOutcome::Error, 30.0),
-                    1 => (AttemptOutcome::Rejected, 3.0),
-                    2 => (AttemptOutcome::ConnectFailed, 2.0),
-                    3 => (AttemptOutcome::ConnectionLost, 80.0),
-                    4 => (AttemptOutcome::TimedOut, (until - self.now).max(1.0)),
-                    _ => (AttemptOutcome::Served, 20.0 + self.random.below(700) as f64),
-                };
-                let true_units = (outcome == AttemptOutcome::Served).then(|| self.random.below(4) as f64);
-                let finished = outcome == AttemptOutcome::Served;
-                let load = None;
-                let end = AttemptEnd {
-                    id,
-                    attempt,
-                    backend,
-                    outcome,
-                    latency,
-                    true_units,
-                    final_response_sent: finished,
-                    load_report: load,
-                };
-                self.schedule(latency, gateway, Event::AttemptEnded(end));
-            }
+            Action::SendAttempt { id, backend, .. } => self.send_attempt(gateway, id, backend),
             Action::Reject { id, .. } | Action::Fail { id } => {
                 self.open_requests.entry(id).or_default().has_response = true;
             }
             Action::SetTimer { after, token } => self.schedule(after, gateway, Event::TimerExpired { token }),
-            Action::AddToCounter { counter: name, amount, .. } => {
-                if self.counter_is_unavailable {
-                    return self.schedule(
-                        50.0,
-                        gateway,
-                        Event::CounterCallEnded {
-                            counter: name,
-                            outcome: CounterOutcome::Unknown,
-                            latency: 50.0,
-                        },
-                    );
-                }
-                let total = self.counters.entry(name).or_default();
-                *total += amount;
-                let outcome = CounterOutcome::Total(*total);
-                let latency = 1.0 + self.random.below(30) as f64;
-                self.schedule(latency, gateway, Event::CounterCallEnded { counter: name, outcome, latency });
-            }
-            Action::Gossip { bytes } => {
-                for to in (0..self.gateways.len()).filter(|to| *to != gateway) {
-                    self.schedule(
-                        2.0,
-                        to,
-                        Event::GossipReceived { from: gateway as u32, bytes: bytes.clone() },
-                    );
-                }
-            }
+            Action::AddToCounter { counter, amount, .. } => self.add_to_counter(gateway, counter, amount),
+            Action::Gossip { bytes } => self.send_gossip(gateway, &bytes),
             Action::CancelAttempt { .. }
             | Action::CheckHealth { .. }
             | Action::WatchBackends
@@ -179,6 +124,56 @@
         }
     }
 
+    fn send_attempt(&mut self, gateway: usize, id: RequestId, backend: Name) {
+        let known = self.open_requests.entry(id).or_default();
+        let attempt = known.attempt;
+        known.gateway = gateway;
+        known.backend = backend.clone();
+        known.sent = self.now;
+        known.attempt += 1;
+        let until = known.until;
+        let (outcome, latency) = match self.random.below(20) {
+            0 => (AttemptOutcome::Error, 30.0),
+            1 => (AttemptOutcome::Rejected, 3.0),
+            2 => (AttemptOutcome::ConnectFailed, 2.0),
+            3 => (AttemptOutcome::ConnectionLost, 80.0),
+            4 => (AttemptOutcome::TimedOut, (until - self.now).max(1.0)),
+            _ => (AttemptOutcome::Served, 20.0 + self.random.below(700) as f64),
+        };
+        let is_served = outcome == AttemptOutcome::Served;
+        let true_units = is_served.then(|| self.random.below(4) as f64);
+        let end = AttemptEnd {
+            id,
+            attempt,
+            backend,
+            outcome,
+            latency,
+            true_units,
+            final_response_sent: is_served,
+            load_report: None,
+        };
+        self.schedule(latency, gateway, Event::AttemptEnded(end));
+    }
+
+    fn add_to_counter(&mut self, gateway: usize, counter: u64, amount: f64) {
+        let (outcome, latency) = if self.counter_is_unavailable {
+            (CounterOutcome::Unknown, 50.0)
+        } else {
+            let total = self.counters.entry(counter).or_default();
+            *total += amount;
+            (CounterOutcome::Total(*total), 1.0 + self.random.below(30) as f64)
+        };
+        self.schedule(latency, gateway, Event::CounterCallEnded { counter, outcome, latency });
+    }
+
+    fn send_gossip(&mut self, gateway: usize, bytes: &[u8]) {
+        for to in (0..self.gateways.len()).filter(|to| *to != gateway) {
+            let message = Event::GossipReceived { from: gateway as u32, bytes: bytes.to_vec() };
+            self.schedule(2.0, to, message);
+        }
+    }
+
+    /// Lets a little time pass with all that is due in it, then one new event.
     fn step(&mut self) {
         let until = self.now + self.random.below(8) as f64;
         while let Some((&(at, order), _)) = self.due.first_key_value() {
@@ -190,55 +185,58 @@
             self.handle(gateway, event);
         }
         self.now = until;
-        let count = self.gateways.len() as u64;
-        let gateway = self.random.below(count) as usize;
+        let gateway = self.random.below(self.gateways.len() as u64) as usize;
         match self.random.below(400) {
             0 => self.counter_is_unavailable = !self.counter_is_unavailable,
             1 => self.counters.clear(),
-            2 | 3 => {
-                let name = NAMES[self.random.below(6) as usize];
-                let states =
-                    [BackendState::Ready, BackendState::Draining, BackendState::Removed, BackendState::Ready];
-                let state = states[self.random.below(4) as usize];
-                let started = (self.random.below(2) == 0).then_some(self.now);
-                let entry = backend_entry(name, state, started);
-                (0..count as usize).for_each(|g| self.handle(g, Event::BackendChanges(vec![entry.clone()])));
-            }
-            4 => {
-                let times = [0.5, 1.0, 2.0][self.random.below(3) as usize];
-                for plan in &mut self.settings.plans {
-                    plan.rate = 5.0 * times;
-                    plan.burst = 10.0 * times;
-                    if plan.ceiling_rate > 0.0 {
-                        plan.ceiling_rate = 8.0 * times;
-                        plan.ceiling_burst = 16.0 * times;
-                    }
-                }
-                for g in 0..count as usize {
-                    let settings = Settings { gateway_index: g as u32, ..self.settings.clone() };
-                    self.handle(g, Event::SettingsChanged(Box::new(settings)));
-                }
-            }
+            2 | 3 => self.change_backend(),
+            4 => self.change_plans(),
             5 => {
-                let views: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
-                self.handle(gateway, Event::StateRestored(views));
+                let statuses: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
+                self.handle(gateway, Event::StateRestored(statuses));
             }
             6 if self.next > 3000 => self.handle(gateway, Event::ShutdownStarted),
-            7..12 => {
-                let known = self
-                    .open_requests
-                    .iter()
-                    .rev()
-                    .find(|(_, o)| !o.has_response)
-                    .map(|(id, o)| (*id, o.gateway));
-                if let Some((id, gateway)) = known {
-                    self.handle(gateway, Event::ClientDisconnected { id });
-                }
-            }
+            7..12 => self.disconnect_client(),
             _ => self.request(gateway),
         }
     }
 
+    fn change_backend(&mut self) {
+        let name = NAMES[self.random.below(6) as usize];
+        let states =
+            [BackendState::Ready, BackendState::Draining, BackendState::Removed, BackendState::Ready];
+        let state = states[self.random.below(4) as usize];
+        let started = (self.random.below(2) == 0).then_some(self.now);
+        let entry = backend_entry(name, state, started);
+        for gateway in 0..self.gateways.len() {
+            self.handle(gateway, Event::BackendChanges(vec![entry.clone()]));
+        }
+    }
+
+    fn change_plans(&mut self) {
+        let times = [0.5, 1.0, 2.0][self.random.below(3) as usize];
+        for plan in &mut self.settings.plans {
+            plan.rate = 5.0 * times;
+            plan.burst = 10.0 * times;
+            if plan.ceiling_rate > 0.0 {
+                plan.ceiling_rate = 8.0 * times;
+                plan.ceiling_burst = 16.0 * times;
+            }
+        }
+        for gateway in 0..self.gateways.len() {
+            let settings = Settings { gateway_index: gateway as u32, ..self.settings.clone() };
+            self.handle(gateway, Event::SettingsChanged(Box::new(settings)));
+        }
+    }
+
+    /// The client of the newest request without a response disconnects.
+    fn disconnect_client(&mut self) {
+        let newest = self.open_requests.iter().rev().find(|(_, request)| !request.has_response);
+        if let Some((id, gateway)) = newest.map(|(id, request)| (*id, request.gateway)) {
+            self.handle(gateway, Event::ClientDisconnected { id });
+        }
+    }
+
     fn request(&mut self, gateway: usize) {
         self.next += 1;
         let id = self.next;
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -122,79 +122,112 @@
     })
 }
 
-fn play(seed: u64) -> usize {
-    let mut random = Random(seed);
-    let mut checker = Checker::default();
-    let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
-    let mut gateway = TestGateway::new(settings(), &names);
-    checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
-    let first = std::mem::take(&mut gateway.actions);
-    checker.check(gateway.now, first);
-    for id in 1..=6000 {
-        gateway.now += random.below(12) as f64;
-        while let Some(((at, order), token)) = checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
-            if at as f64 > gateway.now {
+/// A gateway, the checker of its actions and the draws of its events.
+struct Player {
+    random: Random,
+    checker: Checker,
+    gateway: TestGateway,
+}
+
+const NAMES: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
+
+impl Player {
+    fn new(seed: u64) -> Self {
+        let mut checker = Checker::default();
+        let mut gateway = TestGateway::new(settings(), &NAMES);
+        checker.draining.extend(NAMES.iter().map(|n| (Name::from(*n), false)));
+        let first = std::mem::take(&mut gateway.actions);
+        checker.check(gateway.now, first);
+        Self { random: Random(seed), checker, gateway }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let actions = self.gateway.handle(event);
+        self.checker.check(self.gateway.now, actions);
+    }
+
+    fn run_timers(&mut self) {
+        while let Some(((at, order), token)) = self.checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
+            if at as f64 > self.gateway.now {
                 break;
             }
-            checker.timers.remove(&(at, order));
-            let actions = gateway.handle(Event::TimerExpired { token });
-            checker.check(gateway.now, actions);
+            self.checker.timers.remove(&(at, order));
+            self.handle(Event::TimerExpired { token });
         }
-        for (id, event) in outcomes(&mut random, &mut checker, gateway.now) {
+    }
+
+    fn end_attempts(&mut self) {
+        for (id, event) in outcomes(&mut self.random, &mut self.checker, self.gateway.now) {
             let finished = matches!(&event, Event::AttemptEnded(end) if end.final_response_sent);
-            if finished && !checker.requests[&id].has_response {
-                checker.final_response(gateway.now, id);
+            if finished && !self.checker.requests[&id].has_response {
+                self.checker.final_response(self.gateway.now, id);
             }
-            let actions = gateway.handle(event);
-            checker.check(gateway.now, actions);
+            self.handle(event);
         }
-        let event = match random.below(40) {
-            0..20 => {
-                let class = random.below(3) as usize;
-                let timeout = 300.0 + random.below(2500) as f64;
-                let known = Known {
-                    class,
-                    deadline: gateway.now + timeout,
-                    attempts: 0,
-                    in_flight: None,
-                    first_execution: None,
-                    has_response: false,
-                };
-                checker.requests.insert(id, known);
-                arrival(&mut random, id, timeout, class)
-            }
-            20..34 if !checker.calls.is_empty() => {
-                let at = random.below(checker.calls.len() as u64) as usize;
-                let name = checker.calls.remove(at);
-                let outcome = match random.below(6) {
-                    0 => CounterOutcome::Unknown,
-                    1 => CounterOutcome::NotAdded,
-                    _ => CounterOutcome::Total(random.below(25) as f64),
-                };
-                Event::CounterCallEnded { counter: name, outcome, latency: 5.0 }
-            }
+    }
+
+    /// The next new event; `None` where the one drawn cannot happen now.
+    fn next_event(&mut self, id: RequestId) -> Option<Event> {
+        let event = match self.random.below(40) {
+            0..20 => self.new_request(id),
+            20..34 if !self.checker.calls.is_empty() => self.counter_call_ended(),
             34 | 35 => {
-                let name: Name = names[random.below(6) as usize].into();
-                let drains = random.below(2) == 0;
-                checker.draining.insert(name.clone(), drains);
+                let name: Name = NAMES[self.random.below(6) as usize].into();
+                let drains = self.random.below(2) == 0;
+                self.checker.draining.insert(name.clone(), drains);
                 let state = if drains { BackendState::Draining } else { BackendState::Ready };
                 Event::BackendChanges(vec![backend_entry(&name, state, None)])
             }
             36 => {
-                let Some(id) = checker.requests.iter().find(|(_, k)| !k.has_response).map(|(id, _)| *id)
-                else {
-                    continue;
-                };
-                checker.requests.get_mut(&id).expect("known").has_response = true;
+                let open = self.checker.requests.iter().find(|(_, known)| !known.has_response);
+                let id = open.map(|(id, _)| *id)?;
+                self.checker.requests.get_mut(&id).expect("known").has_response = true;
                 Event::ClientDisconnected { id }
             }
             _ => Event::ClientDisconnected { id: 900_000_000 },
         };
-        let actions = gateway.handle(event);
-        checker.check(gateway.now, actions);
-        assert_eq!(checker.overdue(gateway.now), None, "a request without its final response");
+        Some(event)
+    }
+
+    fn new_request(&mut self, id: RequestId) -> Event {
+        let class = self.random.below(3) as usize;
+        let timeout = 300.0 + self.random.below(2500) as f64;
+        let known = Known {
+            class,
+            deadline: self.gateway.now + timeout,
+            attempts: 0,
+            in_flight: None,
+            first_execution: None,
+            has_response: false,
+        };
+        self.checker.requests.insert(id, known);
+        arrival(&mut self.random, id, timeout, class)
+    }
+
+    fn counter_call_ended(&mut self) -> Event {
+        let at = self.random.below(self.checker.calls.len() as u64) as usize;
+        let counter = self.checker.calls.remove(at);
+        let outcome = match self.random.below(6) {
+            0 => CounterOutcome::Unknown,
+            1 => CounterOutcome::NotAdded,
+            _ => CounterOutcome::Total(self.random.below(25) as f64),
+        };
+        Event::CounterCallEnded { counter, outcome, latency: 5.0 }
+    }
+}
+
+/// Plays a stream of events; returns the number of final responses.
+fn play(seed: u64) -> usize {
+    let mut player = Player::new(seed);
+    for id in 1..=6000 {
+        player.gateway.now += player.random.below(12) as f64;
+        player.run_timers();
+        player.end_attempts();
+        let Some(event) = player.next_event(id) else { continue };
+        player.handle(event);
+        assert_eq!(player.checker.overdue(player.gateway.now), None, "a request without its final response");
     }
-    checker.final_responses
+    player.checker.final_responses
 }
 
 /// Ends some of the attempts in flight: at random, and all whose client's timeout is over.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -100,16 +100,13 @@
         let weights =
             (0..scenario.gateways).map(|_| if random.next() < 0.15 { 4.0 } else { 0.4 + random.next() });
         let weights: Vec<f64> = weights.collect();
-        let instances = BTreeMap::new();
-        let due = BinaryHeap::new();
-        let pending = HashMap::new();
         let mut fleet = Self {
             scenario,
             settings,
             gateways,
-            instances,
-            due,
-            pending,
+            instances: BTreeMap::new(),
+            due: BinaryHeap::new(),
+            pending: HashMap::new(),
             order: 0,
             now: 0.0,
             random,
@@ -117,19 +114,22 @@
             attempts: HashMap::new(),
             weights,
         };
-        for at in 0..scenario.backends {
-            let slots = vec![0.0; SLOTS];
-            let instance = Instance { up: true, slots, ..Instance::default() };
-            fleet.instances.insert(format!("b{at}").into(), instance);
+        fleet.start();
+        fleet
+    }
+
+    /// All backends are warm and listed; each gateway awaits its first request.
+    fn start(&mut self) {
+        for at in 0..self.scenario.backends {
+            let instance = Instance { up: true, slots: vec![0.0; SLOTS], ..Instance::default() };
+            self.instances.insert(format!("b{at}").into(), instance);
         }
-        for at in 0..fleet.gateways.len() {
-            let list =
-                (0..scenario.backends).map(|n| backend_entry(&format!("b{n}"), BackendState::Ready, None));
-            let list = list.collect();
-            fleet.handle(at, Event::BackendList(list));
-            fleet.arrive(at);
+        for at in 0..self.gateways.len() {
+            let names = (0..self.scenario.backends).map(|n| format!("b{n}"));
+            let list = names.map(|name| backend_entry(&name, BackendState::Ready, None)).collect();
+            self.handle(at, Event::BackendList(list));
+            self.arrive(at);
         }
-        fleet
     }
 
     fn later(&mut self, after: Millis, gateway: usize, due: Pending) {
@@ -171,26 +171,12 @@
             (AttemptOutcome::ConnectFailed, 1.0)
         } else {
             instance.arrived.push(self.now);
-            let now = self.now;
-            let slot = instance.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots");
-            let begins = slot.max(now);
-            let waits = ((begins - now) * RATE / 1000.0) as usize;
             if is_lost {
                 (AttemptOutcome::ConnectionLost, 2.0)
-            } else if waits > QUEUE {
-                (AttemptOutcome::Rejected, 1.0)
             } else {
-                let ends = begins + work / slow_start_weight(instance.started, &self.settings, now);
-                *instance.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots") = ends;
-                if ends > until {
-                    (AttemptOutcome::TimedOut, until - now)
-                } else {
-                    (AttemptOutcome::Served, ends - now)
-                }
+                instance.serve(work, until, self.now, &self.settings)
             }
         };
-        let finished = outcome == AttemptOutcome::Served;
-        let load = None;
         let end = AttemptEnd {
             id,
             attempt,
@@ -198,8 +184,8 @@
             outcome,
             latency,
             true_units: None,
-            final_response_sent: finished,
-            load_report: load,
+            final_response_sent: outcome == AttemptOutcome::Served,
+            load_report: None,
         };
         self.later(latency.max(0.1), at, Pending::Ends(end));
     }
@@ -239,51 +225,69 @@
                 break;
             }
             match self.pending.remove(&order).expect("it was set") {
-                Pending::Arrival => {
-                    self.next += 1;
-                    let id = self.next;
-                    let timeout = 2500.0;
-                    self.attempts.insert(id, (0, self.now + timeout));
-                    let customer = "c".into();
-                    let plan = self.settings.plans[0].name.clone();
-                    let class = "safe".into();
-                    let bound = Name::default();
-                    self.handle(
-                        gateway,
-                        Event::RequestReceived(IncomingRequest {
-                            id,
-                            customer,
-                            plan,
-                            class,
-                            units: 1.0,
-                            client_retry: false,
-                            timeout,
-                            first_gateway: 0,
-                            gateway_count: self.scenario.gateways,
-                            sticky_route: bound,
-                        }),
-                    );
-                    self.arrive(gateway);
-                }
+                Pending::Arrival => self.receive_request(gateway),
                 Pending::Timer(token) => self.handle(gateway, Event::TimerExpired { token }),
                 Pending::Ends(end) => self.handle(gateway, Event::AttemptEnded(end)),
                 Pending::List(list) => self.handle(gateway, Event::BackendChanges(list)),
             }
         }
-        let settings = &self.settings;
-        let starts = self.instances.values().filter(|m| m.started.is_some());
-        let worst = starts.map(|instance| {
-            let arrived = &instance.arrived;
-            let windows = arrived.iter().enumerate().map(|(at, from)| {
-                let count =
-                    arrived[at..].iter().take_while(|t| **t < from + settings.overload_window).count();
-                let weight = slow_start_weight(instance.started, settings, *from);
-                let budget = settings.overload_multiple * weight * RATE * settings.overload_window / 1000.0;
-                (count as f64, budget + 2.0 * budget.sqrt() + 2.0)
-            });
-            windows.max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1))).unwrap_or((0.0, 1.0))
+        let starts = self.instances.values().filter(|instance| instance.started.is_some());
+        starts.map(|instance| instance.worst_window(&self.settings)).collect()
+    }
+
+    fn receive_request(&mut self, gateway: usize) {
+        self.next += 1;
+        let id = self.next;
+        let timeout = 2500.0;
+        self.attempts.insert(id, (0, self.now + timeout));
+        let request = IncomingRequest {
+            id,
+            customer: "c".into(),
+            plan: self.settings.plans[0].name.clone(),
+            class: "safe".into(),
+            units: 1.0,
+            client_retry: false,
+            timeout,
+            first_gateway: 0,
+            gateway_count: self.scenario.gateways,
+            sticky_route: Name::default(),
+        };
+        self.handle(gateway, Event::RequestReceived(request));
+        self.arrive(gateway);
+    }
+}
+
+impl Instance {
+    /// The overload window with the most requests relative to its bound: the count and the bound.
+    fn worst_window(&self, settings: &Settings) -> (f64, f64) {
+        let windows = self.arrived.iter().enumerate().map(|(at, from)| {
+            let in_window = |arrived: &&Millis| **arrived < from + settings.overload_window;
+            let count = self.arrived[at..].iter().take_while(in_window).count();
+            let weight = slow_start_weight(self.started, settings, *from);
+            let budget = settings.overload_multiple * weight * RATE * settings.overload_window / 1000.0;
+            (count as f64, budget + 2.0 * budget.sqrt() + 2.0)
         });
-        worst.collect()
+        windows.max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1))).unwrap_or((0.0, 1.0))
+    }
+
+    /// An attempt that needs `work` ms of a warm backend's slot arrives: how it ends, and after how long.
+    fn serve(
+        &mut self, work: Millis, until: Millis, now: Millis, settings: &Settings,
+    ) -> (AttemptOutcome, Millis) {
+        let weight = slow_start_weight(self.started, settings, now);
+        let slot = self.slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("slots");
+        let begins = slot.max(now);
+        let waits = ((begins - now) * RATE / 1000.0) as usize;
+        if waits > QUEUE {
+            return (AttemptOutcome::Rejected, 1.0);
+        }
+        let ends = begins + work / weight;
+        *slot = ends;
+        if ends > until {
+            (AttemptOutcome::TimedOut, until - now)
+        } else {
+            (AttemptOutcome::Served, ends - now)
+        }
     }
 }
 
