--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -206,8 +206,8 @@
             slot.in_subset =
                 slot.ready && (is_weighted || is_in_equal_subset(slot.name_hash, subset_salt, count));
             // Gateways begin at different points, so that not all of them choose the same backend at once.
-            let first_pass = || level_pass + self.random.draw_for(slot.name_hash) / weight;
-            slot.pass = slot.pass.or_else(|| Some(first_pass()));
+            let first_pass = level_pass + self.random.draw_for(slot.name_hash) / weight;
+            slot.pass = slot.pass.or(Some(first_pass));
         }
         if is_weighted && is_large_fleet(self.gateway_count) && count > SUBSET_SIZE {
             self.assign_subset_by_weight(level_index, total_weight, count);
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,5 +1,6 @@
 //! Results of counter calls: totals, failures and late results.
 
+use crate::quota::MIN_CALL_UNITS;
 use crate::quota::lease::LeaseCall;
 use crate::quota::sampled::is_sampled;
 use crate::{Action, CounterOutcome, Gateway, Millis, Name};
@@ -73,7 +74,7 @@
         customer.advance(self.now, plan);
         customer.record_total(call, total, outage, self.now, plan);
         let waiting = std::mem::take(&mut customer.waiting);
-        let has_units_to_return = customer.unreported_units <= -1.0;
+        let has_units_to_return = customer.unreported_units <= -MIN_CALL_UNITS;
         let still_waiting = waiting.into_iter().filter(|id| self.admit_by_quota(*id, out)).count();
         if still_waiting > 0 || has_units_to_return {
             self.call_counter(name, out);
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,4 +1,10 @@
 //! The gateway object: receives one event, hands it to the module that owns it and collects the actions.
+//!
+//! The way of a request: [`crate::request`] receives it; [`crate::quota`] admits it by its customer's quota, from a
+//! lease or after a counter call; [`crate::admission`] sheds load and checks the customer's limit on requests in
+//! flight; [`crate::balancer`] selects a backend and forwards it, or it waits in the queue. Each wait is limited to a
+//! share of the class's latency objective. When the attempt ends, [`crate::health`] records the outcome for the
+//! backend, and [`crate::retry`] decides on a further attempt or the final response.
 
 use crate::admission::queue::request_of_token;
 use crate::admission::shedding::LoadShedder;
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,11 +1,11 @@
 //! The periodic maintenance tick: forgets what is idle, returns unused leases, reports use, forwards queued requests.
 
 use crate::balancer::backend::Backend;
-use crate::quota::UNITS_EPSILON;
 use crate::quota::bucket::{idle_retention, refill_period};
 use crate::quota::customer::Customer;
 use crate::quota::lease::{LEASE_SHARE, SCARCE_SHARE};
 use crate::quota::sampled::is_sampled;
+use crate::quota::{MIN_CALL_UNITS, UNITS_EPSILON};
 use crate::{Action, Gateway, Millis, Name, Plan};
 
 /// No counter, admit estimate or removed backend is kept for longer than this, in ms.
@@ -14,12 +14,10 @@
 const MAINTENANCE_INTERVAL: Millis = 25.0;
 /// The token of the maintenance timer; tokens of requests are even.
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1;
-/// A lease below this many units is not returned early.
-const MIN_RETURNED_UNITS: f64 = 1.0;
 
 /// The least unreported units, used or to be returned, that are worth a counter call of their own.
 fn min_reported_units(burst: f64, is_draining: bool) -> f64 {
-    if is_draining { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(1.0) }
+    if is_draining { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(MIN_CALL_UNITS) }
 }
 
 impl Backend {
@@ -36,7 +34,7 @@
         let idle = now - self.demand.updated_at;
         let is_scarce = self.bucket.available_units < plan.burst * SCARCE_SHARE;
         let is_idle = idle > refill_period(plan) * LEASE_SHARE;
-        is_scarce && is_idle && self.lease.units >= MIN_RETURNED_UNITS || is_draining
+        is_scarce && is_idle && self.lease.units >= MIN_CALL_UNITS || is_draining
     }
 
     /// Whether it has requests waiting or use to report, and no call is in flight.
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -1,5 +1,6 @@
 //! Quota leases: units that a gateway takes from the shared counter at once and spends without further calls.
 
+use crate::quota::MIN_CALL_UNITS;
 use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
 use crate::quota::sampled::is_sampled;
@@ -117,9 +118,10 @@
         needed_units.max(wanted_units.floor()).max(0.0)
     }
 
-    /// The units to lease beyond those leased already. A gateway that drains leases no more than it needs.
+    /// The units to lease beyond those leased already. Waiting requests need at most what is available, or one unit of
+    /// an empty bucket; a gateway that drains leases no more than they need.
     pub(crate) fn units_to_lease(&self, waiting_units: f64, plan: &Plan, is_draining: bool) -> f64 {
-        let needed_units = waiting_units.min(self.bucket.available_units.max(1.0));
+        let needed_units = waiting_units.min(self.bucket.available_units.max(MIN_CALL_UNITS));
         let lease_units = if is_draining { needed_units } else { self.lease_units(needed_units, plan) };
         (lease_units - self.lease.units).max(0.0)
     }
@@ -127,7 +129,7 @@
     /// Whether the lease has fallen so low that it should be renewed before it is spent.
     fn should_renew_lease(&self, plan: &Plan) -> bool {
         let target_units = self.demand_lease_units(plan);
-        target_units >= 1.0 && self.lease.units < target_units * RENEWAL_SHARE
+        target_units >= MIN_CALL_UNITS && self.lease.units < target_units * RENEWAL_SHARE
     }
 
     /// Whether the lease covers a request. Requests that wait go first.
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -15,3 +15,5 @@
 
 /// Units below this are nothing: the limit of the sums' precision.
 pub(crate) const UNITS_EPSILON: f64 = 1e-6;
+/// Fewer units than this are neither leased nor returned nor reported by a counter call of their own.
+pub(crate) const MIN_CALL_UNITS: f64 = 1.0;
