--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -107,8 +107,10 @@
     is_large_fleet: bool,
 }
 
+// Candidates are made and scored for every backend at every attempt: the functions marked for inlining are that loop.
 impl SelectionContext<'_> {
     /// What is known of a backend. `draw` is in 0..1 and differs by backend.
+    #[inline]
     fn candidate(&self, backend: &Backend, slot: &Slot, draw: f64) -> Candidate {
         let weight = backend.start_time.slow_start_weight(self.now, self.settings);
         let budget = self.slow_start_budget;
@@ -123,6 +125,7 @@
         }
     }
 
+    #[inline]
     fn eligibility(&self, backend: &Backend, exceeds_slow_start_budget: bool) -> Eligibility {
         let scope = self.deduplication_scope;
         if !backend.ready || backend.outlier.is_ejected(self.now) {
@@ -182,6 +185,7 @@
 
 impl EndpointTable {
     /// Records what is known of one backend for the request at hand.
+    #[inline]
     fn set_candidate(&mut self, index: usize, candidate: Candidate) {
         if self.scoring == Scoring::Uniform {
             let score = least_in_flight_score(&candidate);
