--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeovers, kills and the state file, with real processes.
+//! Takeovers, drains, reloads and the state file, with real processes.
 
 use sha2::{Digest, Sha256};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,9 +9,10 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const BINARY: &str = env!("CARGO_BIN_EXE_doorcourse");
 
+/// A process whose log lines are read; it is killed when dropped.
 struct Process {
     child: Child,
     lines: mpsc::Receiver<serde_json::Value>,
@@ -26,15 +27,15 @@
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the binary starts");
-        let (told, lines) = mpsc::channel();
+        let (sender, lines) = mpsc::channel();
         let streams: [Box<dyn Read + Send>; 2] =
             [Box::new(child.stderr.take().expect("piped")), Box::new(child.stdout.take().expect("piped"))];
         for stream in streams {
-            let told = told.clone();
+            let sender = sender.clone();
             std::thread::spawn(move || {
                 for line in BufReader::new(stream).lines().map_while(Result::ok) {
                     let json = serde_json::from_str(&line).unwrap_or(serde_json::json!({ "message": line }));
-                    let _ = told.send(json);
+                    let _ = sender.send(json);
                 }
             });
         }
@@ -44,7 +45,7 @@
     /// Waits for a log line that holds this text.
     fn wait(&self, text: &str) -> serde_json::Value {
         let mut seen = Vec::new();
-        while let Ok(line) = self.lines.recv_timeout(LIMIT) {
+        while let Ok(line) = self.lines.recv_timeout(TEST_TIMEOUT) {
             if line.to_string().contains(text) {
                 return line;
             }
@@ -67,34 +68,34 @@
     }
 }
 
-/// A folder with settings for one gateway before a stand-in node that runs.
-struct Place {
-    folder: PathBuf,
+/// A directory with the settings of one gateway, and a stand-in backend that runs.
+struct Installation {
+    directory: PathBuf,
     _node: Process,
 }
 
-impl Place {
+impl Installation {
     fn new(name: &str, more: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("doorcourse-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let directory = std::env::temp_dir().join(format!("doorcourse-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
+        std::fs::create_dir_all(&directory).expect("a directory");
         let node = Process::spawn(&["standin", "node", "--speed", "10"]);
         let line = node.wait("node on");
         let address =
             line["message"].as_str().and_then(|l| l.strip_prefix("node on ")).expect("an address").to_owned();
         let tour = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tour");
-        std::fs::copy(tour.join("catalogue.graphql"), folder.join("catalogue.graphql")).expect("a schema");
+        std::fs::copy(tour.join("catalogue.graphql"), directory.join("catalogue.graphql")).expect("a schema");
         let text = std::fs::read_to_string(tour.join("settings.txtpb")).expect("settings");
         let text = text.replace("127.0.0.1:8080", "127.0.0.1:0").replace("127.0.0.1:8081", &address);
         let digest: String = Sha256::digest("k").iter().map(|b| format!("{b:02x}")).collect();
         let own = "admin { socket: \"admin.sock\" }\nstate { file: \"state\" every_ms: 100 }\nplans { name: \"free\" }\n";
         let own = format!("{own}customers {{ name: \"k\" plan: \"free\" key_sha256: \"{digest}\" }}\n{more}");
-        std::fs::write(folder.join("settings.txtpb"), text + &own).expect("settings");
-        Self { folder, _node: node }
+        std::fs::write(directory.join("settings.txtpb"), text + &own).expect("settings");
+        Self { directory, _node: node }
     }
 
     fn file(&self, name: &str) -> String {
-        self.folder.join(name).display().to_string()
+        self.directory.join(name).display().to_string()
     }
 
     fn serve(&self, more: &[&str]) -> Process {
@@ -109,15 +110,15 @@
     }
 
     fn admin(&self) -> UnixStream {
-        let stream = UnixStream::connect(self.folder.join("admin.sock")).expect("the admin socket");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+        let stream = UnixStream::connect(self.directory.join("admin.sock")).expect("the admin socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         stream
     }
 }
 
-impl Drop for Place {
+impl Drop for Installation {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -125,7 +126,7 @@
     let call = serde_json::json!({"jsonrpc": "2.0", "id": 9, "method": method});
     stream.write_all(format!("{call}\n").as_bytes()).expect("written");
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).expect("an answer");
+    BufReader::new(stream).read_line(&mut line).expect("a response");
     line
 }
 
@@ -144,20 +145,20 @@
 
 fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
     stream
 }
 
-/// Reads one answer whole.
-fn answer(stream: &mut TcpStream) -> String {
-    let mut held = Vec::new();
+/// Reads one complete response.
+fn read_response(stream: &mut TcpStream) -> String {
+    let mut buffer = Vec::new();
     let mut bytes = [0; 4096];
     loop {
-        let n = stream.read(&mut bytes).expect("an answer in time");
-        assert!(n > 0, "the connection ended: {}", String::from_utf8_lossy(&held));
-        held.extend_from_slice(&bytes[..n]);
-        if held.ends_with(b"}") {
-            return String::from_utf8_lossy(&held).into_owned();
+        let n = stream.read(&mut bytes).expect("a response in time");
+        assert!(n > 0, "the connection ended: {}", String::from_utf8_lossy(&buffer));
+        buffer.extend_from_slice(&bytes[..n]);
+        if buffer.ends_with(b"}") {
+            return String::from_utf8_lossy(&buffer).into_owned();
         }
     }
 }
@@ -165,109 +166,109 @@
 fn served(to: SocketAddr) -> bool {
     let mut stream = connect(to);
     stream.write_all(&request()).expect("written");
-    answer(&mut stream).starts_with("HTTP/1.1 200")
+    read_response(&mut stream).starts_with("HTTP/1.1 200")
 }
 
 #[test]
-fn a_new_process_takes_the_sockets_and_the_old_one_drains() {
-    // The gateways' processes take the limit over.
+fn a_new_process_takes_over_the_sockets_and_the_old_one_drains() {
+    // The gateways' processes inherit the limit.
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     let raised = rustix::process::Rlimit { current: limit.maximum, maximum: limit.maximum };
     rustix::process::setrlimit(rustix::process::Resource::Nofile, raised).expect("descriptors");
     let open = limit.maximum.map_or(1000, |m| m.saturating_sub(100).min(1000));
-    let place = Place::new("takeover", "");
-    let mut old = place.serve(&[]);
+    let installation = Installation::new("takeover", "");
+    let mut old = installation.serve(&[]);
     let to = address(&old.wait("\"serving\""));
     assert!(served(to));
     let idle: Vec<TcpStream> = (0..open).map(|_| connect(to)).collect();
-    let mut half = connect(to);
-    let whole = request();
-    half.write_all(&whole[..60]).expect("half a request");
-    // An answer to one who came later tells that the old process has the half.
+    let mut partial = connect(to);
+    let request = request();
+    partial.write_all(&request[..60]).expect("a partial request");
+    // The response to a later client shows that the old process has received the first part.
     assert!(served(to));
-    let new = place.serve(&["--take-over"]);
-    assert_eq!(address(&new.wait("\"serving\"")), to, "the very same socket");
+    let new = installation.serve(&["--take-over"]);
+    assert_eq!(address(&new.wait("\"serving\"")), to, "the same socket");
     old.wait("\"draining\"");
-    // Whoever asks from now on is served, by the new process.
+    // New clients are served by the new process from now on.
     for _ in 0..20 {
         assert!(served(to));
     }
-    half.write_all(&whole[60..]).expect("the other half");
-    let last = answer(&mut half);
+    partial.write_all(&request[60..]).expect("the rest");
+    let last = read_response(&mut partial);
     assert!(last.starts_with("HTTP/1.1 200") && last.contains("connection: close"), "{last}");
-    drop((idle, half));
+    drop((idle, partial));
     old.wait("\"stopped\"");
     assert!(old.child.wait().expect("it ends").success());
-    let status = place.ctl(&["status"]);
+    let status = installation.ctl(&["status"]);
     let text = String::from_utf8_lossy(&status.stdout).into_owned();
     assert!(
         status.status.success() && text.contains("\"serving\""),
-        "the admin socket is the new one's: {text}"
+        "the admin socket belongs to the new process: {text}"
     );
 }
 
 #[test]
-fn a_takeover_that_fails_and_two_at_once_leave_the_old_one_serving() {
-    let place = Place::new("failed-takeover", "life { handover_ms: 300 }");
-    let old = place.serve(&[]);
+fn failed_and_concurrent_takeovers_leave_the_old_process_serving() {
+    let installation = Installation::new("failed-takeover", "life { handover_ms: 300 }");
+    let old = installation.serve(&[]);
     let to = address(&old.wait("\"serving\""));
     old.wait("\"state\":\"serving\"");
-    // One that dies in the middle.
-    let mut dies = place.admin();
-    assert!(call(&mut dies, "takeover").contains("\"listeners\":1"));
-    let mut second = place.admin();
+    // A new process that dies during the takeover.
+    let mut dying = installation.admin();
+    assert!(call(&mut dying, "takeover").contains("\"listeners\":1"));
+    let mut second = installation.admin();
     assert!(call(&mut second, "takeover").contains("another process is taking over"));
     assert!(call(&mut second, "reload").contains("another process is taking over"));
-    drop(dies);
+    drop(dying);
     old.wait("\"state\":\"serving\"");
     assert!(served(to));
-    // One that never gets ready.
-    let mut slow = place.admin();
+    // One that does not become ready in time.
+    let mut slow = installation.admin();
     assert!(call(&mut slow, "takeover").contains("\"listeners\":1"));
     old.wait("\"state\":\"serving\"");
     assert!(served(to));
-    // A new one with bad settings does not even ask.
-    let settings = std::fs::read_to_string(place.file("settings.txtpb")).expect("settings");
-    std::fs::write(place.file("settings.txtpb"), format!("{settings}plans {{ name: \"basic\" }}\n"))
+    // One with invalid settings does not ask for the sockets.
+    let settings = std::fs::read_to_string(installation.file("settings.txtpb")).expect("settings");
+    std::fs::write(installation.file("settings.txtpb"), format!("{settings}plans {{ name: \"basic\" }}\n"))
         .expect("written");
-    let mut bad = place.serve(&["--take-over"]);
+    let mut bad = installation.serve(&["--take-over"]);
     assert_eq!(bad.child.wait().expect("it ends").code(), Some(1));
     assert!(served(to));
-    // And one without taking over does not steal the admin socket.
-    std::fs::write(place.file("settings.txtpb"), settings).expect("written");
-    let mut thief = place.serve(&[]);
-    assert_eq!(thief.child.wait().expect("it ends").code(), Some(2));
-    assert!(place.ctl(&["status"]).status.success());
+    // One that does not take over leaves the admin socket to the running gateway.
+    std::fs::write(installation.file("settings.txtpb"), settings).expect("written");
+    let mut second_gateway = installation.serve(&[]);
+    assert_eq!(second_gateway.child.wait().expect("it ends").code(), Some(2));
+    assert!(installation.ctl(&["status"]).status.success());
 }
 
 #[test]
-fn ctl_shows_reloads_and_drains() {
-    let place = Place::new("ctl", "");
-    let mut gateway = place.serve(&[]);
+fn ctl_shows_state_reloads_and_drains() {
+    let installation = Installation::new("ctl", "");
+    let mut gateway = installation.serve(&[]);
     let to = address(&gateway.wait("\"serving\""));
     assert!(served(to));
     let text = |arguments: &[&str]| {
-        let done = place.ctl(arguments);
+        let done = installation.ctl(arguments);
         let all = [done.stdout, done.stderr].concat();
         (done.status.code(), String::from_utf8_lossy(&all).into_owned())
     };
     assert!(text(&["customers"]).1.contains("\"k\""));
     assert!(text(&["nodes"]).1.contains("\"node-1\""));
-    let path = place.file("settings.txtpb");
+    let path = installation.file("settings.txtpb");
     let settings = std::fs::read_to_string(&path).expect("settings");
     std::fs::write(&path, settings.replace("rate: 2 burst: 10", "rate: 3 burst: 10")).expect("written");
-    let (code, told) = text(&["reload", "--dry-run"]);
-    assert!(code == Some(0) && told.contains("plan basic: changed"), "{told}");
+    let (code, output) = text(&["reload", "--dry-run"]);
+    assert!(code == Some(0) && output.contains("plan basic: changed"), "{output}");
     assert!(text(&["reload"]).1.contains("plan basic: changed"));
-    assert!(!text(&["reload"]).1.contains("plan basic"), "taken: no difference is left");
+    assert!(!text(&["reload"]).1.contains("plan basic"), "applied: no difference is left");
     std::fs::write(&path, settings.replace("name: \"studio\"", "nam: \"studio\"")).expect("written");
-    let (code, told) = text(&["reload"]);
-    assert!(code == Some(1) && told.contains("settings.txtpb:"), "{told}");
+    let (code, output) = text(&["reload"]);
+    assert!(code == Some(1) && output.contains("settings.txtpb:"), "{output}");
     std::fs::write(&path, settings.replace("admin.sock", "other.sock")).expect("written");
-    let (code, told) = text(&["reload"]);
-    assert!(code == Some(1) && told.contains("admin.socket: cannot change in service"), "{told}");
-    assert!(served(to), "the old settings hold");
-    assert_eq!(text(&["drain-node", "nobody"]).0, Some(1));
+    let (code, output) = text(&["reload"]);
+    assert!(code == Some(1) && output.contains("admin.socket: cannot change in service"), "{output}");
+    assert!(served(to), "the old settings stay in force");
+    assert_eq!(text(&["drain-node", "unknown"]).0, Some(1));
     assert!(text(&["drain-node", "node-1"]).1.contains("node-1"));
     assert!(!served(to), "the only node is drained");
     assert_eq!(text(&["undrain-node", "node-1"]).0, Some(0));
@@ -275,89 +276,90 @@
     assert_eq!(text(&["drain"]).0, Some(0));
     gateway.wait("\"stopped\"");
     assert!(gateway.child.wait().expect("it ends").success());
-    assert_eq!(text(&["status"]).0, Some(2), "nobody is there");
+    assert_eq!(text(&["status"]).0, Some(2), "the gateway has exited");
 }
 
 #[test]
-fn what_was_learnt_outlives_a_kill_and_a_torn_file_is_left_aside() {
-    // A node that refuses every connection is learnt to be dead.
+fn learnt_state_survives_a_kill_and_a_damaged_state_file_is_ignored() {
+    // A backend that refuses every connection is ejected.
     let dead = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = dead.local_addr().expect("an address");
     drop(dead);
     let more =
         format!("nodes {{ name: \"dead\" address: \"{at}\" cell: 2 }}\ncold_nodes {{ warm_ms: 3600000 }}\n");
-    let place = Place::new("state", &more);
-    let mut first = place.serve(&[]);
+    let installation = Installation::new("state", &more);
+    let mut first = installation.serve(&[]);
     let to = address(&first.wait("\"serving\""));
-    let ejected = |place: &Place| {
-        let done = place.ctl(&["nodes"]);
+    let ejected = |installation: &Installation| {
+        let done = installation.ctl(&["nodes"]);
         let nodes: serde_json::Value = serde_json::from_slice(&done.stdout).unwrap_or_default();
         let dead = nodes.as_array().and_then(|n| n.iter().find(|n| n["name"] == "dead").cloned());
         dead.and_then(|d| d["ejected_for_ms"].as_f64()).unwrap_or(0.0)
     };
     for _ in 0..200 {
         assert!(served(to));
-        if ejected(&place) > 0.0 {
+        if ejected(&installation) > 0.0 {
             break;
         }
     }
-    assert!(ejected(&place) > 0.0, "it was learnt");
-    let text = |place: &Place| std::fs::read_to_string(place.file("state")).unwrap_or_default();
-    while !text(&place).contains("\"failures\":1") && !text(&place).contains("\"failures\":2") {
+    assert!(ejected(&installation) > 0.0, "the backend is ejected");
+    let text =
+        |installation: &Installation| std::fs::read_to_string(installation.file("state")).unwrap_or_default();
+    while !text(&installation).contains("\"failures\":1") && !text(&installation).contains("\"failures\":2") {
         std::thread::yield_now();
     }
     first.end(rustix::process::Signal::KILL);
-    let mut second = place.serve(&[]);
+    let mut second = installation.serve(&[]);
     second.wait("state file taken");
     second.wait("\"serving\"");
-    assert!(ejected(&place) > 0.0, "still known to be dead");
+    assert!(ejected(&installation) > 0.0, "the backend is still ejected");
     second.end(rustix::process::Signal::KILL);
-    std::fs::write(place.file("state"), &text(&place).as_bytes()[..40]).expect("torn");
-    let mut third = place.serve(&[]);
+    std::fs::write(installation.file("state"), &text(&installation).as_bytes()[..40]).expect("truncated");
+    let mut third = installation.serve(&[]);
     third.wait("state file left aside");
     third.wait("\"serving\"");
     assert!(third.end(rustix::process::Signal::TERM).success());
 }
 
-/// More connections than one turn lets in wait at the door, their requests written, when a drain closes it: the process
-/// stood still meanwhile. The notice is long, so that it cannot be over before the process stands still: on a machine that
-/// was busy with more, the doors were closed by then and the clients refused.
+/// More connections than one accept loop takes wait in the accept queue, their requests written, when a drain closes the
+/// listener: the process was stopped meanwhile. The notice is long, so that it cannot end before the process is stopped.
 #[test]
-fn who_waits_at_the_door_when_a_drain_closes_it_is_let_in_first() {
+fn connections_in_the_accept_queue_are_accepted_before_a_drain_closes_the_listener() {
     use rustix::process::{Pid, Signal, kill_process};
     const NOTICE: Duration = Duration::from_secs(4);
-    let place = Place::new("door", &format!("life {{ notice_ms: {} }}\n", NOTICE.as_millis()));
-    let mut old = place.serve(&[]);
+    let installation =
+        Installation::new("accept-queue", &format!("life {{ notice_ms: {} }}\n", NOTICE.as_millis()));
+    let mut old = installation.serve(&[]);
     let to = address(&old.wait("serving"));
     assert!(served(to));
     let signal = |signal| kill_process(Pid::from_child(&old.child), signal).expect("it runs");
     signal(Signal::TERM);
     old.wait("draining");
-    let told = std::time::Instant::now();
+    let draining_at = std::time::Instant::now();
     signal(Signal::STOP);
     let mut clients: Vec<_> = (0..150).map(|_| connect(to)).collect();
     clients.iter_mut().for_each(|client| client.write_all(&request()).expect("written"));
-    // The notice began before the word of it came.
-    std::thread::sleep(NOTICE.saturating_sub(told.elapsed()));
+    // The notice started before its log line was read.
+    std::thread::sleep(NOTICE.saturating_sub(draining_at.elapsed()));
     signal(Signal::CONT);
     for client in &mut clients {
-        assert!(answer(client).starts_with("HTTP/1.1 "), "a whole answer, served or refused");
+        assert!(read_response(client).starts_with("HTTP/1.1 "), "a complete response, served or rejected");
     }
     assert!(old.child.wait().expect("it ends").success());
 }
 
-/// Idle clients take all descriptors that the system allows: who comes on top is told that the gateway is full, and the
-/// settings are read again all the same, twice.
+/// Idle clients use all descriptors that the system allows: a further client is told that the gateway is full, and the
+/// settings can still be reloaded, twice.
 #[test]
-fn settings_are_read_again_while_idle_clients_take_what_the_system_allows() {
-    let place = Place::new("descriptors", "");
-    let settings = place.file("settings.txtpb");
+fn settings_are_reloaded_while_idle_clients_use_all_descriptors() {
+    let installation = Installation::new("descriptors", "");
+    let settings = installation.file("settings.txtpb");
     let gateway =
         Process::of("sh", &["-c", "ulimit -n 64 && exec \"$0\" serve --config \"$1\"", BINARY, &settings]);
     let to = address(&gateway.wait("\"serving\""));
     let mut idle: Vec<TcpStream> = (0..100).map(|_| connect(to)).collect();
-    let told = answer(idle.last_mut().expect("a hundred"));
-    assert!(told.starts_with("HTTP/1.1 503") && told.contains("GATEWAY_FULL"), "{told}");
+    let rejection = read_response(idle.last_mut().expect("a hundred"));
+    assert!(rejection.starts_with("HTTP/1.1 503") && rejection.contains("GATEWAY_FULL"), "{rejection}");
     let text = std::fs::read_to_string(&settings).expect("settings");
     for rate in [3, 4] {
         std::fs::write(&settings, text.replace("rate: 2 burst: 10", &format!("rate: {rate} burst: 10")))
--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway in a thread, nodes that follow a script byte by byte, and a plain client.
+//! A gateway in a thread, backends that follow a script byte by byte, and a plain client.
 #![allow(dead_code)]
 
 use doorcourse_emulators::CATALOGUE;
@@ -11,8 +11,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Long enough for any machine: a test that waits for it has failed.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Long enough for any machine: a test that waits this long has failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const CLASSES: &str = r#"
 classes { name: "preview" aim_ms: 2000 give_up_ms: 8000 effect: SAFE query_fields: ["preview", "previews"] }
@@ -24,49 +24,50 @@
 listen: "127.0.0.1:0"
 "#;
 
-/// A plan that grants ten units and next to nothing behind them, and one without a quota.
+/// A plan of ten units that refills next to nothing, and one without a quota.
 pub const PLANS: &str = "plans { name: \"ten\" rate: 0.001 burst: 10 }\nplans { name: \"free\" }\n";
 
 fn read(text: &str) -> Result<doorcourse_config::Config, String> {
     doorcourse_config::read("test", text, &|_| Ok(CATALOGUE.into())).map_err(|f| format!("{f:?}"))
 }
 
-pub struct Door {
+/// A gateway that runs in a thread; it is stopped when dropped.
+pub struct TestGateway {
     pub address: SocketAddr,
-    /// Where who watches asks.
+    /// The listener of health checks and metrics.
     pub health: Option<SocketAddr>,
     pub stopper: Stopper,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Door {
-    /// A gateway with these nodes and whatever else the settings hold. Customers: `ten` and `free`, by their keys.
+impl TestGateway {
+    /// A gateway with these backends and further settings. The customers `ten` and `free` have their names as keys.
     pub fn new(nodes: &[SocketAddr], more: &str) -> Self {
         let config = read(&format!("{}{PLANS}{more}", Self::common(nodes))).expect("good settings");
         Self::start(config, None)
     }
 
-    /// A gateway whose settings change: each reload takes the next of these, round and round.
-    pub fn changing(nodes: &[SocketAddr], more: &[String]) -> Self {
-        Self::turning(more.iter().map(|m| format!("{}{m}", Self::common(nodes))).collect())
+    /// A gateway whose settings change: each reload takes the next of these, in a circle.
+    pub fn with_settings(nodes: &[SocketAddr], more: &[String]) -> Self {
+        Self::reloading(more.iter().map(|m| format!("{}{m}", Self::common(nodes))).collect())
     }
 
-    /// The same with lists of nodes as the settings have them.
-    pub fn relisting(lists: &[String]) -> Self {
-        Self::turning(lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common(&[]))).collect())
+    /// The same with endpoint lists in the form of the settings.
+    pub fn with_endpoint_lists(lists: &[String]) -> Self {
+        Self::reloading(lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common(&[]))).collect())
     }
 
-    fn turning(texts: Vec<String>) -> Self {
+    fn reloading(texts: Vec<String>) -> Self {
         let config = read(&texts[0]).expect("good settings");
         let next = std::sync::atomic::AtomicUsize::new(0);
-        let reread = move || {
-            let at = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst) + 1;
-            read(&texts[at % texts.len()])
+        let read_settings = move || {
+            let index = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst) + 1;
+            read(&texts[index % texts.len()])
         };
-        Self::start(config, Some(std::sync::Arc::new(reread)))
+        Self::start(config, Some(std::sync::Arc::new(read_settings)))
     }
 
-    /// All but the plans.
+    /// The settings without plans.
     fn common(nodes: &[SocketAddr]) -> String {
         let node = |(at, address): (usize, &SocketAddr)| {
             format!("nodes {{ name: \"n{at}\" address: \"{address}\" cell: {} }}\n", at % 2)
@@ -79,12 +80,12 @@
         format!("{CLASSES}{nodes}{}{}", customer("ten"), customer("free"))
     }
 
-    fn start(config: doorcourse_config::Config, reread: Option<ReadSettings>) -> Self {
+    fn start(config: doorcourse_config::Config, read_settings: Option<ReadSettings>) -> Self {
         let options = GatewayOptions {
             config,
             directory: Path::new("."),
             seed: Some(7),
-            read_settings: reread,
+            read_settings,
             take_over: false,
         };
         let mut gateway = Gateway::new(options).expect("a gateway");
@@ -95,7 +96,7 @@
         Self { address, health, stopper, thread: Some(thread) }
     }
 
-    /// Stops it and waits: its loop must come to its end.
+    /// Drains the gateway and waits until its loop has ended.
     pub fn stop(&mut self) {
         self.stopper.stop();
         if let Some(thread) = self.thread.take() {
@@ -105,32 +106,32 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
-        Client { stream, held: Vec::new() }
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        Client { stream, buffer: Vec::new() }
     }
 
-    /// One query on a connection of its own.
-    pub fn ask(&self, key: &str, query: &str) -> Answer {
+    /// Sends one query on a connection of its own.
+    pub fn request(&self, key: &str, query: &str) -> Response {
         let mut client = self.client();
         client.send(key, query, "");
-        client.answer().expect("an answer")
+        client.response().expect("a response")
     }
 }
 
-impl Drop for Door {
+impl Drop for TestGateway {
     fn drop(&mut self) {
         self.stop();
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-impl Answer {
+impl Response {
     pub fn code(&self) -> String {
         let json: serde_json::Value = serde_json::from_str(&self.body).unwrap_or_default();
         json["errors"][0]["extensions"]["code"].as_str().unwrap_or("").to_owned()
@@ -143,10 +144,10 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-/// A request as a client writes it; `fields` are whole lines.
+/// A request as a client writes it; `fields` are complete header lines.
 pub fn post(key: &str, query: &str, fields: &str) -> Vec<u8> {
     let body = serde_json::json!({ "query": query }).to_string();
     format!(
@@ -158,8 +159,8 @@
 }
 
 impl Client {
-    pub fn over(stream: TcpStream) -> Self {
-        Self { stream, held: Vec::new() }
+    pub fn new(stream: TcpStream) -> Self {
+        Self { stream, buffer: Vec::new() }
     }
 
     pub fn send(&mut self, key: &str, query: &str, fields: &str) {
@@ -170,12 +171,12 @@
         self.stream.write_all(bytes).expect("the gateway reads");
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut bytes = [0; 65536];
         match self.stream.read(&mut bytes) {
             Ok(0) => false,
             Ok(n) => {
-                self.held.extend_from_slice(&bytes[..n]);
+                self.buffer.extend_from_slice(&bytes[..n]);
                 true
             }
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => false,
@@ -183,81 +184,84 @@
         }
     }
 
-    /// The next answer; `None` where the connection ends first, cut or not.
-    pub fn answer(&mut self) -> Option<Answer> {
-        let end = loop {
-            if let Some(at) = self.held.windows(4).position(|w| w == b"\r\n\r\n") {
-                break at;
+    /// The next response; `None` where the connection ends first, reset or not.
+    pub fn response(&mut self) -> Option<Response> {
+        let end = self.read_until(b"\r\n\r\n")?;
+        let head = String::from_utf8(self.buffer[..end].to_vec()).expect("a text");
+        self.buffer.drain(..end + 4);
+        let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
+        if status == 100 {
+            return self.response();
+        }
+        let fields = head.to_ascii_lowercase();
+        let body = if fields.contains("transfer-encoding: chunked") {
+            self.read_chunked_body()?
+        } else {
+            let length = fields.split("content-length: ").nth(1);
+            let length = length.and_then(|rest| rest.split("\r\n").next()?.parse().ok());
+            self.take(length.expect("a length"))?
+        };
+        Some(Response { status, head, body: String::from_utf8(body).expect("a text") })
+    }
+
+    /// Reads until the buffer holds this text; returns where.
+    fn read_until(&mut self, text: &[u8]) -> Option<usize> {
+        loop {
+            if let Some(index) = self.buffer.windows(text.len()).position(|window| window == text) {
+                return Some(index);
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
-        };
-        let head = String::from_utf8(self.held[..end].to_vec()).expect("a text");
-        self.held.drain(..end + 4);
-        let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-        if status == 100 {
-            return self.answer();
         }
-        let lower = head.to_ascii_lowercase();
-        let mut body = Vec::new();
-        if lower.contains("transfer-encoding: chunked") {
-            loop {
-                let at = loop {
-                    if let Some(at) = self.held.windows(2).position(|w| w == b"\r\n") {
-                        break at;
-                    }
-                    if !self.more() {
-                        return None;
-                    }
-                };
-                let size =
-                    usize::from_str_radix(std::str::from_utf8(&self.held[..at]).ok()?, 16).expect("a size");
-                while self.held.len() < at + 2 + size + 2 {
-                    if !self.more() {
-                        return None;
-                    }
-                }
-                body.extend_from_slice(&self.held[at + 2..at + 2 + size]);
-                self.held.drain(..at + 2 + size + 2);
-                if size == 0 {
-                    break;
-                }
+    }
+
+    /// Takes so many bytes from the front of what is read.
+    fn take(&mut self, length: usize) -> Option<Vec<u8>> {
+        while self.buffer.len() < length {
+            if !self.read_more() {
+                return None;
             }
-        } else {
-            let length =
-                lower.split("content-length: ").nth(1).and_then(|r| r.split("\r\n").next()?.parse().ok());
-            let length: usize = length.expect("a length");
-            while self.held.len() < length {
-                if !self.more() {
-                    return None;
-                }
+        }
+        Some(self.buffer.drain(..length).collect())
+    }
+
+    fn read_chunked_body(&mut self) -> Option<Vec<u8>> {
+        let mut body = Vec::new();
+        loop {
+            let end = self.read_until(b"\r\n")?;
+            let size = std::str::from_utf8(&self.buffer[..end]).ok()?;
+            let size = usize::from_str_radix(size, 16).expect("a size");
+            self.take(end + 2)?;
+            body.extend(self.take(size)?);
+            self.take(2)?;
+            if size == 0 {
+                return Some(body);
             }
-            body.extend(self.held.drain(..length));
         }
-        Some(Answer { status, head, body: String::from_utf8(body).expect("a text") })
     }
 
-    /// Ends the client's side.
-    pub fn end(&mut self) {
+    /// Closes the client's side of the connection.
+    pub fn close_write(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).expect("the connection is open");
     }
 
-    /// Whether the connection ends with nothing more on it.
-    pub fn ends(&mut self) -> bool {
-        while self.more() {}
-        self.held.is_empty()
+    /// Whether the connection ends with no more bytes on it.
+    pub fn reaches_end(&mut self) -> bool {
+        while self.read_more() {}
+        self.buffer.is_empty()
     }
 }
 
-/// A node whose connections do not come up until it is opened: its queue is full, as on a machine that is behind.
-pub struct LateNode {
+/// A backend whose connections are not established until it is opened: its accept queue is full, as on an overloaded
+/// machine.
+pub struct PendingBackend {
     pub address: SocketAddr,
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
-impl LateNode {
+impl PendingBackend {
     pub fn start() -> Self {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
@@ -270,96 +274,98 @@
         Self { address, listener, queued }
     }
 
-    /// Lets in what waits; the system tries again what it had no room for, within a second or so.
+    /// Empties the accept queue. The system retries the connections that it had no place for, within a second or so.
     pub fn open(self) -> TcpListener {
         drop(self.queued);
         self.listener
     }
 }
 
-/// A node that follows a script: each connection that brings a request gets the next act.
-pub struct Script {
+/// A backend that follows a script: each request gets the next step.
+pub struct ScriptedBackend {
     pub address: SocketAddr,
-    /// Tells of each request that was read whole.
-    pub got: mpsc::Receiver<String>,
+    /// The requests that were read completely.
+    pub requests: mpsc::Receiver<String>,
 }
 
-/// What a scripted node does with a connection on which a request was read whole; `true` keeps it for another.
-pub type Act = Box<dyn FnMut(&mut TcpStream) -> bool + Send>;
+/// What a scripted backend does on a connection after a request; `true` keeps the connection for another one.
+pub type Step = Box<dyn FnMut(&mut TcpStream) -> bool + Send>;
 
-pub fn script(mut acts: Vec<Act>) -> Script {
+pub fn scripted_backend(mut steps: Vec<Step>) -> ScriptedBackend {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (told, got) = mpsc::channel();
+    let (sender, requests) = mpsc::channel();
     std::thread::spawn(move || {
-        acts.reverse();
+        steps.reverse();
         while let Ok((mut stream, _)) = listener.accept() {
             while let Some(request) = read_request(&mut stream) {
-                let _ = told.send(request);
-                let Some(mut act) = acts.pop() else { return };
-                if !act(&mut stream) {
+                let _ = sender.send(request);
+                let Some(mut step) = steps.pop() else { return };
+                if !step(&mut stream) {
                     break;
                 }
             }
         }
     });
-    Script { address, got }
+    ScriptedBackend { address, requests }
 }
 
+/// The next request on a connection, head and body; `None` where the connection ends first.
 pub fn read_request(stream: &mut TcpStream) -> Option<String> {
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     let mut bytes = [0; 4096];
     loop {
-        let text = String::from_utf8_lossy(&held).to_ascii_lowercase();
+        let text = String::from_utf8_lossy(&buffer).to_ascii_lowercase();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let length =
                 head.split("content-length: ").nth(1)?.split("\r\n").next()?.parse::<usize>().ok()?;
             if body.len() >= length {
-                return Some(String::from_utf8_lossy(&held).into_owned());
+                return Some(String::from_utf8_lossy(&buffer).into_owned());
             }
         }
         match stream.read(&mut bytes) {
             Ok(0) | Err(_) => return None,
-            Ok(n) => held.extend_from_slice(&bytes[..n]),
+            Ok(n) => buffer.extend_from_slice(&bytes[..n]),
         }
     }
 }
 
-/// An answer with this body.
-pub fn answer(body: &str) -> Vec<u8> {
+/// A response of status 200 with this body.
+pub fn ok_response(body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-pub const GOOD: &str = r#"{"data":{"preview":{"id":"7"}}}"#;
+pub const RESPONSE_BODY: &str = r#"{"data":{"preview":{"id":"7"}}}"#;
 pub const PREVIEW: &str = "{ preview(id: 7) { id } }";
 pub const LICENCE: &str = "mutation { orderLicence(track: 7) { id } }";
 pub const PLAYLIST: &str = "mutation { savePlaylist(name: \"a\", tracks: []) { id } }";
 
-pub fn good() -> Act {
-    Box::new(|stream| stream.write_all(&answer(GOOD)).is_ok())
+/// Responds with [`RESPONSE_BODY`].
+pub fn respond() -> Step {
+    Box::new(|stream| stream.write_all(&ok_response(RESPONSE_BODY)).is_ok())
 }
 
-/// Ends the connection without a word.
-pub fn breaks() -> Act {
+/// Closes the connection without a response.
+pub fn close() -> Step {
     Box::new(|_| false)
 }
 
-/// Says nothing until told, then answers.
-pub fn waits(until: mpsc::Receiver<()>) -> Act {
+/// Responds once it is signalled.
+pub fn respond_after(until: mpsc::Receiver<()>) -> Step {
     Box::new(move |stream| {
         let _ = until.recv();
-        let _ = stream.write_all(&answer(GOOD));
+        let _ = stream.write_all(&ok_response(RESPONSE_BODY));
         true
     })
 }
 
-/// One GET of a watcher's on a connection of its own.
-pub fn watch(door: &Door, target: &str) -> Answer {
-    let stream = TcpStream::connect(door.health.expect("a listener for watchers")).expect("a connection");
-    stream.set_read_timeout(Some(LIMIT)).expect("a limit");
-    let mut client = Client::over(stream);
+/// Reads one page of health checks or metrics, on a connection of its own.
+pub fn get_monitoring(gateway: &TestGateway, target: &str) -> Response {
+    let stream = TcpStream::connect(gateway.health.expect("a monitoring listener")).expect("a connection");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    let mut client = Client::new(stream);
     client.write(format!("GET {target} HTTP/1.1\r\nhost: a\r\n\r\n").as_bytes());
-    client.answer().expect("an answer")
+    client.response().expect("a response")
 }
