--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `ctl`: speaks with a gateway's admin socket.
+//! `ctl`: calls a running gateway over its admin socket (JSON-RPC 2.0, one object a line).
 
 use anyhow::Context;
 use clap::{Args, Subcommand};
@@ -64,30 +64,44 @@
     },
 }
 
+/// How long a gateway may take to reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
+
+impl Call {
+    /// The call's method and parameters on the admin socket.
+    fn method_and_params(&self) -> (&'static str, Value) {
+        match self {
+            Self::Status => ("status", json!({})),
+            Self::Nodes => ("nodes", json!({})),
+            Self::Customers => ("customers", json!({})),
+            Self::DrainNode { name } => ("node.drain", json!({"name": name})),
+            Self::UndrainNode { name } => ("node.undrain", json!({"name": name})),
+            Self::Peers => ("peers", json!({})),
+            Self::Leases => ("leases", json!({})),
+            Self::HandOver { task, to } => ("lease.hand_over", json!({"task": task, "to": to})),
+            Self::Drain => ("drain", json!({})),
+            Self::Reload { dry_run } => ("reload", json!({"dry_run": dry_run})),
+        }
+    }
+}
+
+/// Sends one call and prints its result.
+///
+/// # Errors
+/// When the gateway cannot be reached or does not reply in time.
 pub fn run(ctl: &Ctl) -> anyhow::Result<ExitCode> {
-    let (method, parameters) = match &ctl.call {
-        Call::Status => ("status", json!({})),
-        Call::Nodes => ("nodes", json!({})),
-        Call::Customers => ("customers", json!({})),
-        Call::DrainNode { name } => ("node.drain", json!({"name": name})),
-        Call::UndrainNode { name } => ("node.undrain", json!({"name": name})),
-        Call::Peers => ("peers", json!({})),
-        Call::Leases => ("leases", json!({})),
-        Call::HandOver { task, to } => ("lease.hand_over", json!({"task": task, "to": to})),
-        Call::Drain => ("drain", json!({})),
-        Call::Reload { dry_run } => ("reload", json!({"dry_run": dry_run})),
-    };
+    let (method, params) = ctl.call.method_and_params();
     let shown = ctl.socket.display();
     let mut stream =
         UnixStream::connect(&ctl.socket).with_context(|| format!("{shown}: no gateway answers"))?;
-    stream.set_read_timeout(Some(Duration::from_secs(30)))?;
-    let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": parameters});
+    stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+    let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params});
     stream.write_all(format!("{call}\n").as_bytes())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).with_context(|| format!("{shown}: no answer"))?;
     let reply: Value = serde_json::from_str(&line).with_context(|| format!("{shown}: no JSON"))?;
-    if let Some(why) = reply["error"]["message"].as_str() {
-        eprintln!("{why}");
+    if let Some(message) = reply["error"]["message"].as_str() {
+        eprintln!("{message}");
         return Ok(ExitCode::FAILURE);
     }
     say!("{:#}", reply["result"]);
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,69 +2,88 @@
 
 use anyhow::Context;
 use doorcourse_config::{Config, Fault};
-use doorcourse_http_gateway::{Gateway, GatewayOptions};
+use doorcourse_http_gateway::{Gateway, GatewayOptions, ReadSettings};
 use std::path::Path;
 use std::process::ExitCode;
+use std::sync::Arc;
 
-/// Reads settings and the files that they name, relative to their folder.
-fn read(file: &Path) -> anyhow::Result<Result<Config, Vec<Fault>>> {
+/// The directory to which the paths in a settings file are relative.
+fn directory(file: &Path) -> &Path {
+    file.parent().unwrap_or(Path::new(""))
+}
+
+/// Reads settings and the files that they name. The outer error is an unreadable file, the inner one lists the faults.
+fn read_settings(file: &Path) -> anyhow::Result<Result<Config, Vec<Fault>>> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
-    let folder = file.parent().unwrap_or(Path::new(""));
-    let open = |name: &str| std::fs::read_to_string(folder.join(name)).map_err(|e| e.to_string());
-    Ok(doorcourse_config::read(&file.display().to_string(), &text, &open))
+    let read_named =
+        |name: &str| std::fs::read_to_string(directory(file).join(name)).map_err(|error| error.to_string());
+    Ok(doorcourse_config::read(&file.display().to_string(), &text, &read_named))
 }
 
-fn told(faults: &[Fault]) -> ExitCode {
+/// Prints each fault on standard error.
+fn report_faults(faults: &[Fault]) -> ExitCode {
     faults.iter().for_each(|fault| eprintln!("{fault}"));
     ExitCode::FAILURE
 }
 
+/// Checks settings or an endpoint list.
+///
+/// # Errors
+/// When the file cannot be read.
 pub fn check(file: &Path) -> anyhow::Result<ExitCode> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let shown = file.display().to_string();
     if doorcourse_config::is_node_list(&shown, &text) {
-        return Ok(match doorcourse_config::read_nodes(&shown, &text) {
-            Err(faults) => told(&faults),
-            Ok(list) => {
-                say!("{shown}: good: a list of {} nodes", list.nodes.len());
-                ExitCode::SUCCESS
-            }
-        });
+        return Ok(check_endpoint_list(&shown, &text));
     }
-    Ok(match read(file)? {
-        Err(faults) => told(&faults),
-        Ok(config) => {
-            let (plans, classes) = (config.decisions.plans.len(), config.decisions.classes.len());
-            say!(
-                "{}: good: {classes} classes, {plans} plans, {} keys",
-                file.display(),
-                config.customers.len()
-            );
+    let config = match read_settings(file)? {
+        Ok(config) => config,
+        Err(faults) => return Ok(report_faults(&faults)),
+    };
+    let classes = config.decisions.classes.len();
+    let plans = config.decisions.plans.len();
+    let keys = config.customers.len();
+    say!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
+    Ok(ExitCode::SUCCESS)
+}
+
+fn check_endpoint_list(shown: &str, text: &str) -> ExitCode {
+    match doorcourse_config::read_nodes(shown, text) {
+        Err(faults) => report_faults(&faults),
+        Ok(list) => {
+            say!("{shown}: good: a list of {} nodes", list.nodes.len());
             ExitCode::SUCCESS
         }
-    })
+    }
 }
 
+/// Runs a gateway until a drain ends. `seed`: of the decisions; `None` takes a random one.
+///
+/// # Errors
+/// When the settings cannot be read, or the gateway cannot start or serve.
 pub fn serve(file: &Path, seed: Option<u64>, take_over: bool) -> anyhow::Result<ExitCode> {
-    let config = match read(file)? {
+    let config = match read_settings(file)? {
         Ok(config) => config,
-        Err(faults) => return Ok(told(&faults)),
+        Err(faults) => return Ok(report_faults(&faults)),
     };
-    let folder = file.parent().unwrap_or(Path::new(""));
-    let again = file.to_owned();
-    let reread = std::sync::Arc::new(move || match read(&again) {
-        Ok(Ok(config)) => Ok(config),
-        Ok(Err(faults)) => Err(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
-        Err(error) => Err(format!("{error:#}")),
-    });
     let mut gateway = Gateway::new(GatewayOptions {
         config,
-        directory: folder,
+        directory: directory(file),
         seed,
-        read_settings: Some(reread),
+        read_settings: Some(settings_reader(file)),
         take_over,
     })?;
     gateway.stop_at_signals()?;
     gateway.run()?;
     Ok(ExitCode::SUCCESS)
 }
+
+/// Reads the settings file again for a reload; all faults are one message.
+fn settings_reader(file: &Path) -> ReadSettings {
+    let file = file.to_owned();
+    Arc::new(move || match read_settings(&file) {
+        Ok(Ok(config)) => Ok(config),
+        Ok(Err(faults)) => Err(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
+        Err(error) => Err(format!("{error:#}")),
+    })
+}
