--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -6,8 +6,8 @@
 pub(crate) use protocol::AdminRequest;
 
 use crate::io::{Io, Token};
-use crate::settings_reload::ReloadReply;
 use anyhow::Context;
+use doorcourse_config::Change;
 use doorcourse_event_loop::Interest;
 use protocol::{ErrorCode, error_reply, result_reply};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -49,7 +49,7 @@
     takes_over: bool,
 }
 
-/// One who waits for the settings to be read.
+/// A connection that waits for the settings to be read, and the id of its call.
 #[derive(Debug)]
 pub(crate) struct ReloadWaiter {
     slot: usize,
@@ -59,6 +59,14 @@
     pub dry_run: bool,
 }
 
+/// The reply to a call that waits for a reload.
+#[derive(Debug)]
+pub(crate) struct ReloadReply {
+    pub waiter: ReloadWaiter,
+    /// The difference between the settings, or why they are not reloaded.
+    pub outcome: Result<Change, String>,
+}
+
 /// The admin socket and its connections.
 #[derive(Debug)]
 pub(crate) struct Admin {
@@ -202,7 +210,7 @@
         self.write(slot, &error_reply(id, ErrorCode::InvalidParams, message));
     }
 
-    /// One who waits on a connection for the settings to be read.
+    /// The waiter of a call for a reload; `None` where its connection is closed.
     pub fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.connections.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -6,7 +6,7 @@
 use doorcourse_http::{Decoder, Head, Part};
 use std::net::SocketAddr;
 
-/// A connection in the table: its slot, and the generation that tells it from an earlier one of that slot.
+/// A connection in the table: its slot, and the generation that distinguishes it from an earlier one of that slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionId {
     pub slot: usize,
@@ -88,7 +88,7 @@
     }
 
     /// Reads and records what the socket is ready for. Returns whether the connection has to be closed: an idle one that
-    /// ends, or on which bytes come that nobody asked for, is of no further use.
+    /// ends, or on which unrequested bytes arrive, is of no further use.
     pub fn handle_readiness(&mut self, ready: Ready) -> bool {
         if self.connecting {
             if ready.write || ready.broken {
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// What tells one version of the file from another.
+/// What distinguishes one version of the file from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FileVersion {
     Present {
--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A call that changes the process's state; its reply tells the new one.
+    /// A call that changes the process's state; its reply states the new one.
     fn process_call(&mut self, event: ProcessEvent) -> Outcome {
         self.handle_process_event(event);
         Outcome::Reply(json!({"state": self.lifecycle.state().name()}))
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Starts a reload; the reply follows once the settings are read. A dry run needs no leave of the life cycle.
+    /// Starts a reload; the reply follows once the settings are read. A dry run changes nothing, so the life cycle
+    /// is not asked.
     fn reload_call(&mut self, slot: usize, id: Value, dry_run: bool) {
         let waiter = self.admin.as_ref().and_then(|admin| admin.reload_waiter(slot, id, dry_run));
         let Some(waiter) = waiter else { return };
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -108,7 +108,7 @@
             backends: Backends::default(),
             requests: Requests::default(),
             counter: Counter::new(config.counter.as_ref()),
-            // Not the seed of the decisions: two starts of one gateway must be told apart by its peers.
+            // Not the seed of the decisions: peers must be able to distinguish two starts of one gateway.
             fleet: Fleet::new(&io, &config, random_seed(), sockets.predecessor.is_some())?,
             admin,
             monitoring,
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// Polls again if the iteration has stalled since the last poll (on a disk, or with the whole process stopped):
+    /// Polls again if the iteration has stalled since the last poll (on a disk, or because the process was stopped):
     /// clients that disconnected meanwhile did so before whatever the iteration starts next.
     fn poll_disconnects_if_stalled(&mut self) -> anyhow::Result<()> {
         if !needs_repoll(self.io.now() - self.last_poll_at) || rule_disabled("re-poll-stalled-iteration") {
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -1,5 +1,9 @@
-//! The running gateway: one thread, epoll, no runtime. It translates: sockets and timers into events of the
-//! decision library and of a request's exchange, and their actions into bytes. It decides nothing itself.
+//! The HTTP gateway: one thread, epoll, no async runtime. It translates: sockets and timers into events of the decision
+//! library and of a request's life cycle, and their actions into bytes. It decides nothing itself.
+//!
+//! Start with the event loop (`gateway.rs`); `docs/gateway.md` has the components and what each owns.
+
+#![warn(missing_docs)]
 
 mod admin;
 mod backends;
--- a/crates/http-gateway/src/monitoring/metrics.rs
+++ b/crates/http-gateway/src/monitoring/metrics.rs
@@ -11,7 +11,7 @@
 const RESPONSE_TIME_BUCKETS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 /// How the calls of a task ended, in the order in which the fleet counts them.
 const CALL_ENDS: [&str; 3] = ["good", "failed", "kept_back"];
-/// Shown for a peer that was never heard from, in place of a time.
+/// Shown in place of a time for a peer from which no datagram has come yet.
 const NEVER_HEARD: i64 = -1;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -287,12 +287,21 @@
 
 /// Logs a backend's own cost claim that differs from the counted cost; as a warning once for each backend. The claim is
 /// compared only: the customer is charged by the counted cost.
-fn log_cost_claim(logged: &mut HashSet<Name>, request: &InFlightRequest, claim: Option<f64>, counted: f64) {
-    let Some(claim) = claim.filter(|claim| (claim - counted).abs() > CLAIM_TOLERANCE) else { return };
-    let node = &request.attempt.backend;
-    let priced = request.units;
-    tracing::debug!(%node, claim, counted, "node claims another cost");
-    if logged.insert(node.clone()) {
-        tracing::warn!(%node, claim, counted, priced, "node claims another cost; told once");
+fn log_cost_claim(
+    logged: &mut HashSet<Name>, request: &InFlightRequest, claim: Option<f64>, counted_units: f64,
+) {
+    let differs = |claimed: &f64| (claimed - counted_units).abs() > CLAIM_TOLERANCE;
+    let Some(claimed_units) = claim.filter(differs) else { return };
+    let backend = &request.attempt.backend;
+    let priced_units = request.units;
+    tracing::debug!(%backend, claimed_units, counted_units, "backend claims another cost");
+    if logged.insert(backend.clone()) {
+        tracing::warn!(
+            %backend,
+            claimed_units,
+            counted_units,
+            priced_units,
+            "backend claims another cost; logged once for each backend"
+        );
     }
 }
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -1,7 +1,7 @@
 //! Reading changed settings in a thread, so that thousands of customers do not stall the event loop. Whether the settings
 //! that were read are applied is the process life cycle's decision.
 
-use crate::admin::ReloadWaiter;
+use crate::admin::{ReloadReply, ReloadWaiter};
 use doorcourse_config::{Change, Config, compare};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -17,14 +17,6 @@
 /// What the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
 const READ_FINISHED: u8 = 0xff;
 
-/// The reply to one who waits for a reload.
-#[derive(Debug)]
-pub(crate) struct ReloadReply {
-    pub waiter: ReloadWaiter,
-    /// The difference between the settings, or why they are not reloaded.
-    pub outcome: Result<Change, String>,
-}
-
 /// What the pipe reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReloadEvents {
@@ -43,14 +35,14 @@
     requested_again: bool,
     /// Settings that were read and wait for the life cycle's decision.
     read: Option<(Config, Change)>,
-    /// Who waits for the present reload, and who for the one that follows.
+    /// The calls that wait for the present reload, and those that wait for the one that follows.
     waiters: Vec<ReloadWaiter>,
     next_waiters: Vec<ReloadWaiter>,
     /// Shared with the reading thread: a clone would need a descriptor, and where none is left the loop would never
     /// notice that the settings are read.
     sender: Arc<UnixStream>,
     receiver: UnixStream,
-    /// Replies to those who waited.
+    /// Replies to the calls that waited.
     pub replies: VecDeque<ReloadReply>,
 }
 
@@ -92,7 +84,7 @@
         ReloadEvents { requested, settings_read: self.receive_settings(config) }
     }
 
-    /// Adds one who waits for the reload that starts next.
+    /// Adds a call that waits for the reload that starts next.
     pub fn add_waiter(&mut self, waiter: ReloadWaiter) {
         if self.reading.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
     }
@@ -156,19 +148,19 @@
         self.read.take()
     }
 
-    /// The life cycle refuses the reload: all who wait get the reason.
+    /// The life cycle refuses the reload: all waiting calls get the reason.
     pub fn refuse(&mut self, reason: String) {
         let mut next_waiters = std::mem::take(&mut self.next_waiters);
         self.waiters.append(&mut next_waiters);
         self.finish(Err(reason));
     }
 
-    /// Whether all who wait want the difference only.
+    /// Whether all waiting calls ask for the difference only.
     fn is_dry_run(&self) -> bool {
         !self.waiters.is_empty() && self.waiters.iter().all(|waiter| waiter.dry_run)
     }
 
-    /// Ends the present reload: all who waited for it get its outcome.
+    /// Ends the present reload: all calls that waited for it get its outcome.
     pub fn finish(&mut self, outcome: Result<Change, String>) {
         if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
             tracing::error!(reason, "settings not reloaded, the old ones hold");
