--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -80,12 +80,12 @@
 }
 
 impl Admin {
-    /// Binds the socket.
+    /// Binds the socket and registers it.
     ///
     /// # Errors
     /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it. A
     /// socket that is left over from a dead process is replaced.
-    pub fn bind(path: &Path, taking_over: bool) -> anyhow::Result<Self> {
+    pub fn bind(io: &Io, path: &Path, taking_over: bool) -> anyhow::Result<Self> {
         if path.exists() {
             let alive = UnixStream::connect(path).is_ok();
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
@@ -96,6 +96,7 @@
         let listener = UnixListener::bind(&temporary).with_context(|| temporary.display().to_string())?;
         std::fs::rename(&temporary, path).with_context(|| path.display().to_string())?;
         listener.set_nonblocking(true)?;
+        io.poller.add(&listener, Token::Admin.pack(), Interest::READ)?;
         Ok(Self {
             listener,
             path: path.to_owned(),
@@ -105,10 +106,6 @@
         })
     }
 
-    pub fn listener(&self) -> &UnixListener {
-        &self.listener
-    }
-
     pub fn accept(&mut self, io: &mut Io) {
         let generation = io.generation();
         let Ok((stream, _)) = self.listener.accept() else { return };
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -9,14 +9,14 @@
 use crate::clients::Clients;
 use crate::counter::Counter;
 use crate::fleet::Fleet;
-use crate::io::{Io, Token};
+use crate::io::Io;
 use crate::monitoring::Monitoring;
 use crate::requests::Requests;
 use crate::settings_reload::{ReadSettings, SettingsReload};
 use anyhow::Context;
 use doorcourse::Millis;
 use doorcourse_config::Config;
-use doorcourse_event_loop::{Interest, listen};
+use doorcourse_event_loop::listen;
 use doorcourse_lifecycle::ProcessLifecycle;
 use std::hash::{BuildHasher, Hasher};
 use std::net::TcpListener;
@@ -94,14 +94,9 @@
         };
         let clients = Clients::new(&io, &config, sockets.clients)?;
         let monitoring = sockets.monitoring.map(|listener| Monitoring::new(&io, listener)).transpose()?;
-        let admin = admin_path.map(|path| Admin::bind(&path, take_over)).transpose()?;
-        if let Some(admin) = &admin {
-            io.poller.add(admin.listener(), Token::Admin.pack(), Interest::READ)?;
-        }
-        let reload = SettingsReload::new(read_settings)?;
-        io.poller.add(reload.receiver(), Token::Reload.pack(), Interest::READ)?;
-        let signals = SignalPipe::new()?;
-        io.poller.add(signals.receiver(), Token::Signal.pack(), Interest::READ)?;
+        let admin = admin_path.map(|path| Admin::bind(&io, &path, take_over)).transpose()?;
+        let reload = SettingsReload::new(&io, read_settings)?;
+        let signals = SignalPipe::new(&io)?;
         let gateway_index = config.decisions.gateway_index;
         let mut gateway = Self {
             clients,
--- a/crates/http-gateway/src/gateway/signals.rs
+++ b/crates/http-gateway/src/gateway/signals.rs
@@ -1,6 +1,8 @@
 //! Termination and reload by signals, or by another thread of the same process.
 
 use super::Gateway;
+use crate::io::{Io, Token};
+use doorcourse_event_loop::Interest;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
@@ -11,17 +13,15 @@
 }
 
 impl SignalPipe {
-    pub(super) fn new() -> std::io::Result<Self> {
+    /// Registers the receiving end.
+    pub(super) fn new(io: &Io) -> std::io::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         sender.set_nonblocking(true)?;
+        io.poller.add(&receiver, Token::Signal.pack(), Interest::READ)?;
         Ok(Self { receiver, sender })
     }
 
-    pub(super) fn receiver(&self) -> &UnixStream {
-        &self.receiver
-    }
-
     /// The number of signals of one read; `None` where none is left. Two signals that come together are two.
     pub(super) fn receive(&mut self) -> Option<usize> {
         let mut bytes = [0; 16];
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -8,7 +8,7 @@
 
 use crate::backends::{AttemptEvent, BackendRequest, ConnectionId};
 use crate::graphql_front::{REQUEST_ID_FIELD, Request, response_code};
-use doorcourse::{AttemptEnd, Event, Idempotency, IncomingRequest, Millis, Name, RequestId};
+use doorcourse::{Event, Idempotency, IncomingRequest, Millis, Name, RequestId};
 use doorcourse_config::Config;
 use doorcourse_request_lifecycle::{LifecycleAction, LifecycleEvent, RequestLifecycle};
 use in_flight::{Attempt, BufferedResponse, InFlightRequest};
@@ -197,60 +197,54 @@
 
     fn execute_action(&mut self, now: Millis, id: RequestId, action: LifecycleAction) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let commands = &mut self.commands;
         match action {
             LifecycleAction::AttemptEnded { outcome, true_units, final_response_sent } => {
                 request.attempt.connection = None;
-                commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(AttemptEnd {
-                    id,
-                    attempt: request.lifecycle.attempts() - 1,
-                    backend: request.attempt.backend.clone(),
-                    outcome,
-                    latency: now - request.attempt.started_at,
-                    true_units,
-                    final_response_sent,
-                    load_report: None,
-                })));
+                let end = request.attempt_end(now, id, outcome, true_units, final_response_sent);
+                self.commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(end)));
             }
             LifecycleAction::ClientDisconnected => {
                 let record = request.record(now, "CLIENT_LEFT");
-                commands.push_back(RequestCommand::RecordFinalResponse(record));
-                commands.push_back(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }));
+                self.commands.push_back(RequestCommand::RecordFinalResponse(record));
+                self.commands.push_back(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }));
             }
             LifecycleAction::Respond(response) => {
                 let media = request.media;
                 let request_name = request.name.clone();
-                let record = request.record(now, response_code(response));
-                commands.push_back(RequestCommand::RecordFinalResponse(record));
-                if let Some(client) = request.client.take() {
-                    commands.push_back(RequestCommand::Respond { client, media, response, request_name });
-                }
+                let respond = |client| RequestCommand::Respond { client, media, response, request_name };
+                self.finish_client(now, id, response_code(response), respond);
             }
             LifecycleAction::ForwardResponse => self.forward_response(id),
             LifecycleAction::EndResponse => {
-                commands.push_back(RequestCommand::RecordFinalResponse(request.record(now, SERVED)));
-                let client = request.client.take();
-                commands.extend(client.map(|client| RequestCommand::EndResponse { client }));
+                self.finish_client(now, id, SERVED, |client| RequestCommand::EndResponse { client });
             }
             LifecycleAction::DiscardResponse => request.response.discard(),
             LifecycleAction::ResetClient => {
-                commands.push_back(RequestCommand::RecordFinalResponse(request.record(now, "CUT")));
-                let client = request.client.take();
-                commands.extend(client.map(|client| RequestCommand::ResetClient { client }));
+                self.finish_client(now, id, "CUT", |client| RequestCommand::ResetClient { client });
             }
             LifecycleAction::CloseBackendConnection => {
                 let connection = request.attempt.connection.take();
                 let close = |c: ConnectionId| RequestCommand::CloseBackendConnection { slot: c.slot };
-                commands.extend(connection.map(close));
+                self.commands.extend(connection.map(close));
             }
             LifecycleAction::Finished => {
                 if let Some(request) = self.requests.remove(&id) {
-                    commands.push_back(RequestCommand::ReleaseBytes(request.body.len() as u64));
+                    self.commands.push_back(RequestCommand::ReleaseBytes(request.body.len() as u64));
                 }
             }
         }
     }
 
+    /// Counts the final response of a request, and sends the client the command that ends it.
+    fn finish_client(
+        &mut self, now: Millis, id: RequestId, code: &'static str,
+        command: impl FnOnce(usize) -> RequestCommand,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        self.commands.push_back(RequestCommand::RecordFinalResponse(request.record(now, code)));
+        self.commands.extend(request.client.take().map(command));
+    }
+
     /// Forwards what is buffered of a response, with its head where that is not forwarded yet.
     fn forward_response(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -4,7 +4,7 @@
 use crate::backends::ConnectionId;
 use crate::clients::ForwardedHead;
 use crate::graphql_front::MediaType;
-use doorcourse::{Millis, Name};
+use doorcourse::{AttemptEnd, AttemptOutcome, Millis, Name, RequestId};
 use doorcourse_graphql::Scan;
 use doorcourse_http::{Framing, Head};
 use doorcourse_request_lifecycle::RequestLifecycle;
@@ -37,6 +37,23 @@
         FinalResponseRecord { code, plan, class, elapsed: now - self.received_at }
     }
 
+    /// The end of the attempt, as it is reported to the decisions.
+    pub fn attempt_end(
+        &self, now: Millis, id: RequestId, outcome: AttemptOutcome, true_units: Option<f64>,
+        final_response_sent: bool,
+    ) -> AttemptEnd {
+        AttemptEnd {
+            id,
+            attempt: self.lifecycle.attempts() - 1,
+            backend: self.attempt.backend.clone(),
+            outcome,
+            latency: now - self.attempt.started_at,
+            true_units,
+            final_response_sent,
+            load_report: None,
+        }
+    }
+
     /// Whether an attempt with this number is in flight.
     pub fn has_attempt(&self, number: u32) -> bool {
         self.lifecycle.has_attempt() && self.lifecycle.attempts() == number
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -2,7 +2,9 @@
 //! that were read are applied is the process life cycle's decision.
 
 use crate::admin::{ReloadReply, ReloadWaiter};
+use crate::io::{Io, Token};
 use doorcourse_config::{Change, Config, compare};
+use doorcourse_event_loop::Interest;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -47,10 +49,12 @@
 }
 
 impl SettingsReload {
-    pub fn new(read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
+    /// Registers the pipe of signals and of the reading thread.
+    pub fn new(io: &Io, read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         sender.set_nonblocking(true)?;
+        io.poller.add(&receiver, Token::Reload.pack(), Interest::READ)?;
         Ok(Self {
             read_settings,
             reading: None,
@@ -64,11 +68,6 @@
         })
     }
 
-    /// The end of the pipe that the event loop polls.
-    pub fn receiver(&self) -> &UnixStream {
-        &self.receiver
-    }
-
     /// An end of the pipe for signals and other threads.
     pub fn sender(&self) -> std::io::Result<UnixStream> {
         self.sender.try_clone()
