--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -6,8 +6,8 @@
 pub(crate) use protocol::AdminRequest;
 
 use crate::io::{Io, Token};
-use crate::settings_reload::ReloadReply;
 use anyhow::Context;
+use doorcourse_config::Change;
 use doorcourse_event_loop::Interest;
 use protocol::{ErrorCode, error_reply, result_reply};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -49,7 +49,7 @@
     takes_over: bool,
 }
 
-/// One who waits for the settings to be read.
+/// A connection that waits for the settings to be read, and the id of its call.
 #[derive(Debug)]
 pub(crate) struct ReloadWaiter {
     slot: usize,
@@ -59,6 +59,14 @@
     pub dry_run: bool,
 }
 
+/// The reply to a call that waits for a reload.
+#[derive(Debug)]
+pub(crate) struct ReloadReply {
+    pub waiter: ReloadWaiter,
+    /// The difference between the settings, or why they are not reloaded.
+    pub outcome: Result<Change, String>,
+}
+
 /// The admin socket and its connections.
 #[derive(Debug)]
 pub(crate) struct Admin {
@@ -72,12 +80,12 @@
 }
 
 impl Admin {
-    /// Binds the socket.
+    /// Binds the socket and registers it.
     ///
     /// # Errors
     /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it. A
     /// socket that is left over from a dead process is replaced.
-    pub fn bind(path: &Path, taking_over: bool) -> anyhow::Result<Self> {
+    pub fn bind(io: &Io, path: &Path, taking_over: bool) -> anyhow::Result<Self> {
         if path.exists() {
             let alive = UnixStream::connect(path).is_ok();
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
@@ -88,6 +96,7 @@
         let listener = UnixListener::bind(&temporary).with_context(|| temporary.display().to_string())?;
         std::fs::rename(&temporary, path).with_context(|| path.display().to_string())?;
         listener.set_nonblocking(true)?;
+        io.poller.add(&listener, Token::Admin.pack(), Interest::READ)?;
         Ok(Self {
             listener,
             path: path.to_owned(),
@@ -97,10 +106,6 @@
         })
     }
 
-    pub fn listener(&self) -> &UnixListener {
-        &self.listener
-    }
-
     pub fn accept(&mut self, io: &mut Io) {
         let generation = io.generation();
         let Ok((stream, _)) = self.listener.accept() else { return };
@@ -202,7 +207,7 @@
         self.write(slot, &error_reply(id, ErrorCode::InvalidParams, message));
     }
 
-    /// One who waits on a connection for the settings to be read.
+    /// The waiter of a call for a reload; `None` where its connection is closed.
     pub fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.connections.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
