--- a/crates/resp/src/answers.rs
+++ b/crates/resp/src/answers.rs
@@ -1,161 +1,220 @@
-//! What a backend of the platform answers. An answer is held until it is whole; one that is spoilt anywhere is of no use,
-//! and neither is its connection: a value whose length does not fit shows in what follows it, so what stands behind a
-//! value must be whole and framed before the value counts.
+//! Reads the answers of the platform's backends.
+//!
+//! A served request is answered by an array of three: the value, the units that it used and the load report. The value
+//! counts only when both elements behind it are complete and well framed: a wrong bulk length shows only in what
+//! follows the value. After bytes that are malformed anywhere the connection must be closed.
 
+use crate::line::{LINE_END_BYTES, LengthError, LineError, first_line, parse_length};
 use crate::value::{Value, decode};
 use std::ops::Range;
 
-/// One whole answer; places are in the input.
+/// One complete answer; ranges are positions in the input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The value, the figures on use and the load report, where they came and can be read as text.
+    /// The request was served.
     Served {
         /// The value.
         value: Range<usize>,
-        /// The figures on use.
+        /// The units that the request used, if present and text.
         used: Option<String>,
-        /// The load report.
+        /// The load report, if present and text.
         report: Option<String>,
     },
-    /// It failed; it may have run.
+    /// The request failed, possibly after execution.
     Failed {
-        /// What stands behind the word `failed`: a load report, where answers hold one.
+        /// The load report behind `-ERR failed`, if present and text.
         report: Option<String>,
     },
-    /// Turned away: it never ran.
+    /// The request was rejected and not executed.
     Busy {
-        /// A load report.
+        /// The load report behind `-BUSY`, if present and text.
         report: Option<String>,
     },
-    /// The answer to a probe.
+    /// The answer to `PING`.
     Pong,
-    /// A bulk string by itself: the answer to a probe for the load.
+    /// A bulk string outside an array: the answer to a health check that asks for the load.
     Bulk(Range<usize>),
 }
 
-/// Bytes that are no answer, or past a bound.
+/// Bytes that are no answer, or that pass a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an answer that cannot be read")]
-pub struct Spoilt;
+pub struct MalformedAnswer;
 
-/// The most bytes of a value.
-const VALUE: usize = 64 << 10;
-/// The most bytes of a line, and of what stands behind a value.
-const REST: usize = 4 << 10;
+/// The longest value in bytes.
+const MAX_VALUE_BYTES: usize = 64 << 10;
+/// The longest answer of a single line, in bytes, with its CRLF.
+const MAX_LINE_BYTES: usize = 4 << 10;
+/// The longest element behind a value, in bytes, with its framing.
+const MAX_TRAILING_ELEMENT_BYTES: usize = 4 << 10;
+/// The longest length on a header line, in bytes, with its CRLF and without its type byte.
+const MAX_LENGTH_BYTES: usize = 16;
+/// Elements of the array that answers a served request.
+const SERVED_ELEMENTS: usize = 3;
+/// Bytes of the type byte that begins a header line.
+const TYPE_BYTES: usize = 1;
 
 /// Reads the answers of one connection.
 #[derive(Debug, Default)]
 pub struct Answers {
-    /// Where the value ends, once its length is known: nothing before it is looked at again.
+    /// Where the value of a served request is, once its length is known: no byte before its end is read again.
     value: Option<Range<usize>>,
 }
 
 impl Answers {
-    /// Reads on in the unconsumed input: the next answer and how many bytes it took, or `None` for more.
+    /// Reads on in the unconsumed input: the next answer and how many bytes it consumed, or `None` until more input
+    /// arrives.
     ///
     /// # Errors
-    /// When the bytes are no answer; the reader must not be used again.
-    pub fn read(&mut self, input: &[u8]) -> Result<Option<(Answer, usize)>, Spoilt> {
-        if self.value.is_none() {
-            match input.first() {
-                None => return Ok(None),
-                Some(b'+' | b'-') => return line_answer(input),
-                Some(b'$') => {
-                    let Some((length, from)) = length(input, 0)? else { return Ok(None) };
-                    let end = from + length;
-                    return Ok(framed(input, end)?.then_some((Answer::Bulk(from..end), end + 2)));
-                }
-                Some(b'*') => {}
-                Some(_) => return Err(Spoilt),
-            }
-            let Some((count, at)) = length(input, 0)? else { return Ok(None) };
-            if count != 3 {
-                return Err(Spoilt);
-            }
-            match input.get(at) {
-                None => return Ok(None),
-                Some(b'$') => {}
-                Some(_) => return Err(Spoilt),
+    /// When the bytes are no answer or pass a limit; the reader must not be used again.
+    pub fn read(&mut self, input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+        if let Some(value) = self.value.clone() {
+            return self.read_served(input, value);
+        }
+        match input.first() {
+            None => Ok(None),
+            Some(b'+' | b'-') => read_line_answer(input),
+            Some(b'$') => read_bulk_answer(input),
+            Some(b'*') => {
+                let Some(value) = read_value_range(input)? else { return Ok(None) };
+                self.value = Some(value.clone());
+                self.read_served(input, value)
             }
-            let Some((length, from)) = length(input, at)? else { return Ok(None) };
-            self.value = Some(from..from + length);
+            Some(_) => Err(MalformedAnswer),
         }
-        let Some(value) = self.value.clone() else { return Ok(None) };
-        if !framed(input, value.end)? {
+    }
+
+    /// Reads the end of the value and the two elements behind it.
+    fn read_served(
+        &mut self, input: &[u8], value: Range<usize>,
+    ) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+        if !has_line_end(input, value.end)? {
             return Ok(None);
         }
-        let mut at = value.end + 2;
-        let Some(used) = scalar(input, &mut at)? else { return Ok(None) };
-        let Some(report) = scalar(input, &mut at)? else { return Ok(None) };
+        let mut position = value.end + LINE_END_BYTES;
+        let Some(used) = read_trailing_element(input, &mut position)? else { return Ok(None) };
+        let Some(report) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         self.value = None;
-        Ok(Some((Answer::Served { value, used, report }, at)))
+        Ok(Some((Answer::Served { value, used, report }, position)))
     }
 }
 
-/// The number behind the byte at a place, and where its line ends.
-fn length(input: &[u8], at: usize) -> Result<Option<(usize, usize)>, Spoilt> {
-    let rest = &input[at + 1..];
-    let Some(end) = rest.iter().take(16).position(|b| *b == b'\n') else {
-        return if rest.len() >= 16 { Err(Spoilt) } else { Ok(None) };
-    };
-    let digits = rest[..end].strip_suffix(b"\r").ok_or(Spoilt)?;
-    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(Spoilt);
+/// Reads the headers of a served request's array and of its value: the range of the value, of which no byte need
+/// have arrived.
+fn read_value_range(input: &[u8]) -> Result<Option<Range<usize>>, MalformedAnswer> {
+    let Some((count, value_header)) = read_length(input, 0)? else { return Ok(None) };
+    if count != SERVED_ELEMENTS {
+        return Err(MalformedAnswer);
+    }
+    match input.get(value_header) {
+        None => Ok(None),
+        Some(b'$') => read_bulk_range(input, value_header),
+        Some(_) => Err(MalformedAnswer),
+    }
+}
+
+/// Reads the header of the bulk string at `position`: the range of its bytes.
+fn read_bulk_range(input: &[u8], position: usize) -> Result<Option<Range<usize>>, MalformedAnswer> {
+    let Some((length, start)) = read_length(input, position)? else { return Ok(None) };
+    Ok(Some(start..start + length))
+}
+
+fn read_bulk_answer(input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+    let Some(range) = read_bulk_range(input, 0)? else { return Ok(None) };
+    if !has_line_end(input, range.end)? {
+        return Ok(None);
+    }
+    let consumed = range.end + LINE_END_BYTES;
+    Ok(Some((Answer::Bulk(range), consumed)))
+}
+
+/// The number on the header line at `position`, behind its type byte, and the position behind the line.
+fn read_length(input: &[u8], position: usize) -> Result<Option<(usize, usize)>, MalformedAnswer> {
+    let rest = &input[position + TYPE_BYTES..];
+    let Some(digits) = first_line(rest, MAX_LENGTH_BYTES)? else { return Ok(None) };
+    let length = parse_length(digits)?;
+    if length > MAX_VALUE_BYTES {
+        return Err(MalformedAnswer);
     }
-    let text = std::str::from_utf8(digits).map_err(|_| Spoilt)?;
-    let number: usize = text.parse().map_err(|_| Spoilt)?;
-    if number > VALUE { Err(Spoilt) } else { Ok(Some((number, at + 1 + end + 1))) }
+    Ok(Some((length, position + TYPE_BYTES + digits.len() + LINE_END_BYTES)))
 }
 
-/// Whether a string that ends there is followed by its line end; false while that has not come.
-fn framed(input: &[u8], end: usize) -> Result<bool, Spoilt> {
-    match input.get(end..end + 2) {
+/// Whether CRLF is at `position`; false until it has arrived.
+fn has_line_end(input: &[u8], position: usize) -> Result<bool, MalformedAnswer> {
+    match input.get(position..position + LINE_END_BYTES) {
         Some(b"\r\n") => Ok(true),
-        Some(_) => Err(Spoilt),
-        None => match input.get(end) {
+        Some(_) => Err(MalformedAnswer),
+        None => match input.get(position) {
             None | Some(b'\r') => Ok(false),
-            Some(_) => Err(Spoilt),
+            Some(_) => Err(MalformedAnswer),
         },
     }
 }
 
-/// What stands behind a value: a scalar as text, where it is one and can be read; `None` while it has not come.
-fn scalar(input: &[u8], at: &mut usize) -> Result<Option<Option<String>>, Spoilt> {
-    let rest = &input[*at..];
-    let found = decode(&rest[..rest.len().min(REST)]).map_err(|_| Spoilt)?;
-    let Some((value, took)) = found else {
-        return if rest.len() >= REST { Err(Spoilt) } else { Ok(None) };
+/// Reads an element behind the value and advances `position` past it: the outer `None` until it has arrived, the inner
+/// one if it is null, an aggregate or not text.
+fn read_trailing_element(
+    input: &[u8], position: &mut usize,
+) -> Result<Option<Option<String>>, MalformedAnswer> {
+    let rest = &input[*position..];
+    let bounded = &rest[..rest.len().min(MAX_TRAILING_ELEMENT_BYTES)];
+    let Some((value, consumed)) = decode(bounded).map_err(|_| MalformedAnswer)? else {
+        return if rest.len() >= MAX_TRAILING_ELEMENT_BYTES { Err(MalformedAnswer) } else { Ok(None) };
     };
-    *at += took;
-    Ok(Some(match value {
+    *position += consumed;
+    Ok(Some(scalar_text(value)))
+}
+
+/// The text of a string or a number.
+fn scalar_text(value: Value) -> Option<String> {
+    match value {
         Value::Bulk(bytes) => String::from_utf8(bytes).ok(),
         Value::Simple(text) => Some(text),
-        Value::Integer(n) => Some(n.to_string()),
-        Value::Double(n) => Some(n.to_string()),
+        Value::Integer(number) => Some(number.to_string()),
+        Value::Double(number) => Some(number.to_string()),
         _ => None,
-    }))
+    }
 }
 
-fn line_answer(input: &[u8]) -> Result<Option<(Answer, usize)>, Spoilt> {
-    let Some(end) = input.iter().take(REST).position(|b| *b == b'\n') else {
-        return if input.len() >= REST { Err(Spoilt) } else { Ok(None) };
-    };
-    let line = input[..end].strip_suffix(b"\r").ok_or(Spoilt)?;
-    let report = |rest: &[u8]| std::str::from_utf8(rest.strip_prefix(b" ")?).ok().map(str::to_owned);
-    let begins = |word: &[u8]| line.strip_prefix(word).filter(|r| r.is_empty() || r.starts_with(b" "));
+/// Reads an answer of a single line: a simple string or an error.
+fn read_line_answer(input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+    let Some(line) = first_line(input, MAX_LINE_BYTES)? else { return Ok(None) };
     let answer = if line == b"+PONG" {
         Answer::Pong
-    } else if let Some(rest) = begins(b"-BUSY") {
-        Answer::Busy { report: report(rest) }
-    } else if let Some(rest) = begins(b"-ERR failed") {
-        Answer::Failed { report: report(rest) }
-    } else if line.first() == Some(&b'-') {
-        // Whatever else a backend says of its own went wrong: nothing tells that it never ran.
+    } else if let Some(rest) = strip_error_code(line, b"-BUSY") {
+        Answer::Busy { report: report_text(rest) }
+    } else if let Some(rest) = strip_error_code(line, b"-ERR failed") {
+        Answer::Failed { report: report_text(rest) }
+    } else if line.starts_with(b"-") {
+        // Any other error leaves open whether the request was executed.
         Answer::Failed { report: None }
     } else {
-        return Err(Spoilt);
+        return Err(MalformedAnswer);
     };
-    Ok(Some((answer, end + 1)))
+    Ok(Some((answer, line.len() + LINE_END_BYTES)))
+}
+
+/// What follows an error code on its line: nothing, or a space and more. A longer code that begins alike is another.
+fn strip_error_code<'a>(line: &'a [u8], code: &[u8]) -> Option<&'a [u8]> {
+    line.strip_prefix(code).filter(|rest| rest.is_empty() || rest.starts_with(b" "))
+}
+
+/// The load report behind an error code and a space.
+fn report_text(rest: &[u8]) -> Option<String> {
+    let report = rest.strip_prefix(b" ")?;
+    std::str::from_utf8(report).ok().map(str::to_owned)
+}
+
+impl From<LineError> for MalformedAnswer {
+    fn from(_: LineError) -> Self {
+        Self
+    }
+}
+
+impl From<LengthError> for MalformedAnswer {
+    fn from(_: LengthError) -> Self {
+        Self
+    }
 }
 
 #[cfg(test)]
--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -1,136 +1,196 @@
-//! What clients send: commands, each an array of bulk strings. The reader keeps its place, so that a byte is looked at
-//! once however the input is split, and checks every size at its length line, before a byte of it is kept.
+//! Reads the commands that clients send: each an array of bulk strings, the arguments.
+//!
+//! The reader is incremental: it keeps its position, so a byte is examined once however the input is split. Every
+//! size is checked when its header line is read, before the caller has to buffer the bytes it announces.
 
+use crate::line::{LINE_END_BYTES, LengthError, LineError, first_line, parse_length};
 use std::ops::Range;
 
-/// Bounds on one command.
+/// Limits on one command.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandLimits {
-    /// Words.
+    /// Arguments, the command's name included.
     pub words: usize,
-    /// Bytes of one word.
+    /// Bytes of one argument.
     pub word: usize,
-    /// Bytes of all words together.
+    /// Bytes of all arguments together, without their headers and line ends.
     pub bytes: usize,
 }
 
-/// Why a command cannot be read. Where the next one begins is not known then: the connection is of no further use.
+/// Why a command cannot be read. The start of the next command is unknown then, so the connection must be closed.
+///
+/// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It does not begin with `*`.
+    /// The command does not begin with `*`.
     #[error("Protocol error: expected an array of bulk strings")]
-    NoArray,
-    /// A word does not begin with `$`.
+    ExpectedArray,
+    /// An argument does not begin with `$`.
     #[error("Protocol error: expected a bulk string")]
-    NoWord,
-    /// A length is not a number that may stand there.
+    ExpectedBulkString,
+    /// A length is not a decimal number, or an argument count is zero.
     #[error("Protocol error: invalid length")]
-    Length,
-    /// A line or a word does not end where it must.
+    InvalidLength,
+    /// A header line or an argument does not end in CRLF.
     #[error("Protocol error: a line or a word does not end where it must")]
-    End,
-    /// More words or bytes than allowed.
+    MissingLineEnd,
+    /// A count or length passes [`CommandLimits`].
     #[error("Protocol error: too large")]
     TooLarge,
 }
 
-/// Digits of a length, its sign and its line end: a longer line is none.
-const LENGTH_LINE: usize = 24;
+/// The longest header line in bytes: its type byte, a length and CRLF.
+const MAX_HEADER_LINE_BYTES: usize = 24;
 
-/// A whole command: where its words stand in the input, and how many bytes it took.
-pub type Found = (Vec<Range<usize>>, usize);
+/// A complete command: the ranges of its arguments in the input, and how many bytes it consumed.
+pub type ParsedCommand = (Vec<Range<usize>>, usize);
+
+/// What is read next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    /// The array header, which holds the argument count.
+    ArrayHeader,
+    /// The header of a bulk string, which holds its length.
+    BulkHeader {
+        /// Arguments still to come, this one included.
+        remaining: usize,
+    },
+    /// The bytes of a bulk string and their CRLF.
+    BulkData {
+        /// Arguments still to come, this one included.
+        remaining: usize,
+        /// The length of this argument in bytes.
+        length: usize,
+    },
+}
 
 /// Reads the commands of one connection.
 #[derive(Debug)]
 pub struct Commands {
     limits: CommandLimits,
-    /// How much of the input is read.
-    at: usize,
-    /// Words that are still to come; `None` before the command's first line.
-    left: Option<usize>,
-    /// The length of the word at hand, once its line is read.
-    word: Option<usize>,
-    bytes: usize,
-    words: Vec<Range<usize>>,
+    state: State,
+    /// Bytes of the input that are parsed.
+    position: usize,
+    /// Announced bytes of the command's arguments so far.
+    argument_bytes: usize,
+    /// Where the complete arguments are in the input.
+    arguments: Vec<Range<usize>>,
 }
 
 impl Commands {
     /// A reader at the start of a connection.
     #[must_use]
     pub fn new(limits: CommandLimits) -> Self {
-        Self { limits, at: 0, left: None, word: None, bytes: 0, words: Vec::new() }
+        Self { limits, state: State::ArrayHeader, position: 0, argument_bytes: 0, arguments: Vec::new() }
     }
 
-    /// Whether a part of a command has come.
+    /// Whether the array header of a command has been read and its arguments are not complete.
     #[must_use]
-    pub fn is_midway(&self) -> bool {
-        self.left.is_some()
+    pub fn is_partial(&self) -> bool {
+        self.state != State::ArrayHeader
     }
 
-    /// Reads on in the unconsumed input: where the words of the next command stand in it and how many bytes it took,
-    /// or `None` for more. What was not taken must be given again, in front of what follows.
+    /// Reads on in the unconsumed input: the next command, or `None` until more input arrives.
+    ///
+    /// Bytes that were not consumed must be passed again, in front of those that follow.
     ///
     /// # Errors
-    /// When the bytes are no command; the reader must not be used again.
-    pub fn read(&mut self, input: &[u8]) -> Result<Option<Found>, Fault> {
-        let mut left = match self.left {
-            Some(left) => left,
-            None => {
-                let Some(count) = self.length(input, b'*', Fault::NoArray)? else { return Ok(None) };
-                if count == 0 || count > self.limits.words {
-                    return Err(if count == 0 { Fault::Length } else { Fault::TooLarge });
-                }
-                count
-            }
-        };
-        while left > 0 {
-            self.left = Some(left);
-            let length = match self.word {
-                Some(length) => length,
-                None => {
-                    let Some(length) = self.length(input, b'$', Fault::NoWord)? else { return Ok(None) };
-                    if length > self.limits.word || self.bytes + length > self.limits.bytes {
-                        return Err(Fault::TooLarge);
-                    }
-                    self.bytes += length;
-                    length
-                }
-            };
-            self.word = Some(length);
-            let end = self.at + length;
-            match input.get(end..end + 2) {
-                Some(b"\r\n") => {}
-                Some(_) => return Err(Fault::End),
-                None => return Ok(None),
+    /// When the bytes are not a command or pass a limit; the reader must not be used again.
+    pub fn read(&mut self, input: &[u8]) -> Result<Option<ParsedCommand>, Fault> {
+        while let Some(state) = self.read_element(input)? {
+            self.state = state;
+            if state == State::ArrayHeader {
+                return Ok(Some(self.take_command()));
             }
-            self.words.push(self.at..end);
-            (self.at, self.word) = (end + 2, None);
-            left -= 1;
         }
-        (self.left, self.bytes) = (None, 0);
-        Ok(Some((std::mem::take(&mut self.words), std::mem::take(&mut self.at))))
+        Ok(None)
     }
 
-    /// The length on the line at hand, behind the byte that it must begin with.
-    fn length(&mut self, input: &[u8], kind: u8, other: Fault) -> Result<Option<usize>, Fault> {
-        let rest = &input[self.at.min(input.len())..];
+    /// Reads what [`State`] expects and returns the state that follows, or `None` until more input arrives.
+    fn read_element(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
+        match self.state {
+            State::ArrayHeader => self.read_argument_count(input),
+            State::BulkHeader { remaining } => self.read_bulk_length(input, remaining),
+            State::BulkData { remaining, length } => self.read_bulk_data(input, remaining, length),
+        }
+    }
+
+    fn read_argument_count(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
+        let Some(count) = self.read_header(input, b'*', Fault::ExpectedArray)? else { return Ok(None) };
+        if count == 0 {
+            return Err(Fault::InvalidLength);
+        }
+        if count > self.limits.words {
+            return Err(Fault::TooLarge);
+        }
+        Ok(Some(State::BulkHeader { remaining: count }))
+    }
+
+    fn read_bulk_length(&mut self, input: &[u8], remaining: usize) -> Result<Option<State>, Fault> {
+        let Some(length) = self.read_header(input, b'$', Fault::ExpectedBulkString)? else { return Ok(None) };
+        if length > self.limits.word || self.argument_bytes + length > self.limits.bytes {
+            return Err(Fault::TooLarge);
+        }
+        self.argument_bytes += length;
+        Ok(Some(State::BulkData { remaining, length }))
+    }
+
+    fn read_bulk_data(
+        &mut self, input: &[u8], remaining: usize, length: usize,
+    ) -> Result<Option<State>, Fault> {
+        let end = self.position + length;
+        match input.get(end..end + LINE_END_BYTES) {
+            Some(b"\r\n") => {}
+            Some(_) => return Err(Fault::MissingLineEnd),
+            None => return Ok(None),
+        }
+        self.arguments.push(self.position..end);
+        self.position = end + LINE_END_BYTES;
+        let is_last = remaining == 1;
+        Ok(Some(if is_last { State::ArrayHeader } else { State::BulkHeader { remaining: remaining - 1 } }))
+    }
+
+    /// The number on the header line at the current position, behind its type byte.
+    fn read_header(
+        &mut self, input: &[u8], type_byte: u8, wrong_type: Fault,
+    ) -> Result<Option<usize>, Fault> {
+        let rest = &input[self.position.min(input.len())..];
         match rest.first() {
             None => return Ok(None),
-            Some(first) if *first != kind => return Err(other),
+            Some(first) if *first != type_byte => return Err(wrong_type),
             Some(_) => {}
         }
-        let Some(end) = rest.iter().take(LENGTH_LINE).position(|b| *b == b'\n') else {
-            return if rest.len() >= LENGTH_LINE { Err(Fault::Length) } else { Ok(None) };
-        };
-        let digits = rest[1..end].strip_suffix(b"\r").ok_or(Fault::End)?;
-        if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-            return Err(Fault::Length);
-        }
-        let text = std::str::from_utf8(digits).map_err(|_| Fault::Length)?;
-        let length = text.parse().map_err(|_| Fault::TooLarge)?;
-        self.at += end + 1;
+        let Some(line) = first_line(rest, MAX_HEADER_LINE_BYTES)? else { return Ok(None) };
+        let length = parse_length(&line[1..])?;
+        self.position += line.len() + LINE_END_BYTES;
         Ok(Some(length))
     }
+
+    /// Hands out the complete command and prepares for the next one.
+    fn take_command(&mut self) -> ParsedCommand {
+        self.argument_bytes = 0;
+        let arguments = std::mem::take(&mut self.arguments);
+        let consumed = std::mem::take(&mut self.position);
+        (arguments, consumed)
+    }
+}
+
+impl From<LineError> for Fault {
+    fn from(error: LineError) -> Self {
+        match error {
+            LineError::TooLong => Self::InvalidLength,
+            LineError::MissingCarriageReturn => Self::MissingLineEnd,
+        }
+    }
+}
+
+impl From<LengthError> for Fault {
+    fn from(error: LengthError) -> Self {
+        match error {
+            LengthError::NotDecimal => Self::InvalidLength,
+            LengthError::Overflow => Self::TooLarge,
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -1,38 +1,40 @@
-//! The readers of commands and answers under any input and any split: no panic, the same result however the bytes are cut,
-//! and no more kept than the bounds allow.
+//! The readers of commands and answers under any input and any split: no panic, the same result however the bytes are
+//! split, and no more input buffered than the limits allow.
 
-use doorcourse_resp::{Answer, Answers, CommandLimits, Commands, Fault, Spoilt, command};
+use doorcourse_resp::{Answer, Answers, CommandLimits, Commands, Fault, MalformedAnswer, command};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 const LIMITS: CommandLimits = CommandLimits { words: 6, word: 512, bytes: 1024 };
 
-/// All commands in the bytes, given piece by piece as a connection would.
-fn commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<Fault>) {
-    let (mut reader, mut held, mut found) = (Commands::new(LIMITS), Vec::new(), Vec::new());
+/// All commands in the bytes, read piece by piece as from a connection.
+fn read_commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<Fault>) {
+    let mut reader = Commands::new(LIMITS);
+    let mut unconsumed = Vec::new();
+    let mut commands = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     ends.sort_unstable();
     ends.push(bytes.len());
     let mut from = 0;
     for end in ends {
-        held.extend_from_slice(&bytes[from..end]);
+        unconsumed.extend_from_slice(&bytes[from..end]);
         from = end;
         loop {
-            match reader.read(&held) {
+            match reader.read(&unconsumed) {
                 Ok(None) => break,
-                Ok(Some((words, took))) => {
-                    found.push(words.into_iter().map(|w| held[w].to_vec()).collect());
-                    held.drain(..took);
+                Ok(Some((arguments, consumed))) => {
+                    commands.push(arguments.into_iter().map(|range| unconsumed[range].to_vec()).collect());
+                    unconsumed.drain(..consumed);
                 }
-                Err(fault) => return (found, Some(fault)),
+                Err(fault) => return (commands, Some(fault)),
             }
         }
-        assert!(held.len() <= LIMITS.bytes + 6 * 30 + (end - from) + 64 || end == bytes.len());
+        assert!(unconsumed.len() <= LIMITS.bytes + 6 * 30 + (end - from) + 64 || end == bytes.len());
     }
-    (found, None)
+    (commands, None)
 }
 
-fn answer(bytes: &[u8], cut: usize) -> Result<Option<(Answer, usize)>, Spoilt> {
+fn read_answer(bytes: &[u8], cut: usize) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
     let mut reader = Answers::default();
     match reader.read(&bytes[..cut.min(bytes.len())]) {
         Ok(None) => reader.read(bytes),
@@ -58,41 +60,42 @@
 
 proptest! {
     #[test]
-    fn commands_read_the_same_however_they_are_cut(
+    fn commands_read_the_same_for_any_split(
         all in vec(vec(vec(any::<u8>(), 0..40), 1..6), 0..8), noise in vec(any::<u8>(), 0..40),
         cuts in vec(any::<usize>(), 0..20),
     ) {
         let mut bytes = Vec::new();
-        for words in &all {
-            bytes.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-            for word in words {
-                bytes.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-                bytes.extend_from_slice(word);
+        for arguments in &all {
+            bytes.extend_from_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+            for argument in arguments {
+                bytes.extend_from_slice(format!("${}\r\n", argument.len()).as_bytes());
+                bytes.extend_from_slice(argument);
                 bytes.extend_from_slice(b"\r\n");
             }
         }
-        prop_assert_eq!(commands(&bytes, &cuts), (all.clone(), None));
+        prop_assert_eq!(read_commands(&bytes, &cuts), (all.clone(), None));
         bytes.extend_from_slice(&noise);
-        let (whole, cut) = (commands(&bytes, &[]), commands(&bytes, &cuts));
-        prop_assert_eq!(&whole, &cut);
-        prop_assert!(whole.0.starts_with(&all));
+        let unsplit = read_commands(&bytes, &[]);
+        let split = read_commands(&bytes, &cuts);
+        prop_assert_eq!(&unsplit, &split);
+        prop_assert!(unsplit.0.starts_with(&all));
     }
 
     #[test]
-    fn anything_reads_the_same_however_it_is_cut(bytes in resp_like(), cuts in vec(any::<usize>(), 0..20)) {
-        prop_assert_eq!(commands(&bytes, &[]), commands(&bytes, &cuts));
-        let whole = Answers::default().read(&bytes);
+    fn arbitrary_bytes_read_the_same_for_any_split(bytes in resp_like(), cuts in vec(any::<usize>(), 0..20)) {
+        prop_assert_eq!(read_commands(&bytes, &[]), read_commands(&bytes, &cuts));
+        let unsplit = Answers::default().read(&bytes);
         for cut in 0..=bytes.len() {
-            prop_assert_eq!(&answer(&bytes, cut), &whole);
+            prop_assert_eq!(&read_answer(&bytes, cut), &unsplit);
         }
     }
 
     #[test]
-    fn what_was_written_is_read(words in vec("[a-z0-9=,.]{0,40}", 1..6)) {
-        let refs: Vec<&str> = words.iter().map(String::as_str).collect();
+    fn encoded_command_is_read_back(arguments in vec("[a-z0-9=,.]{0,40}", 1..6)) {
+        let refs: Vec<&str> = arguments.iter().map(String::as_str).collect();
         let mut bytes = Vec::new();
         command(&mut bytes, &refs);
-        let wanted: Vec<Vec<u8>> = words.iter().map(|w| w.clone().into_bytes()).collect();
-        prop_assert_eq!(commands(&bytes, &[]), (vec![wanted], None));
+        let expected: Vec<Vec<u8>> = arguments.iter().map(|argument| argument.clone().into_bytes()).collect();
+        prop_assert_eq!(read_commands(&bytes, &[]), (vec![expected], None));
     }
 }
