--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -1,167 +1,201 @@
-//! Values on the wire, incremental: whatever is not whole yet is asked for again with more behind it.
+//! Values of RESP2 and RESP3: decoding from a prefix of the input, and encoding.
 
+use crate::line::LINE_END_BYTES;
 use std::io::Write;
 
-/// One value of RESP.
+/// One value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// `+OK`
+    /// A simple string, `+OK`.
     Simple(String),
-    /// `-ERR ...`, and RESP3's `!` form.
+    /// A simple error, `-ERR ...`, or RESP3's bulk error, `!`.
     Error(String),
-    /// `:7`
+    /// An integer, `:7`.
     Integer(i64),
-    /// `$3`, and RESP3's verbatim strings.
+    /// A bulk string, `$3`, or RESP3's verbatim string, `=`, without its format prefix.
     Bulk(Vec<u8>),
-    /// `*2`, and RESP3's sets and pushes; a map that was read is an array of keys and values.
+    /// An array, `*2`, or RESP3's set, `~`, or push, `>`. A decoded map is an array of alternating keys and values.
     Array(Vec<Value>),
-    /// RESP3's `%1`, to be written: keys and values by turns.
+    /// RESP3's map, `%1`, for encoding only: alternating keys and values.
     Map(Vec<Value>),
-    /// RESP3's `,1.5`
+    /// RESP3's double, `,1.5`.
     Double(f64),
-    /// RESP3's `#t`
+    /// RESP3's boolean, `#t`.
     Boolean(bool),
-    /// `$-1`, `*-1` and RESP3's `_`
+    /// A null bulk string, `$-1`, a null array, `*-1`, or RESP3's null, `_`.
     Null,
 }
 
 impl Value {
-    /// The value as a number, where it is one or spells one.
+    /// The value as a finite number, if it is a number or a string that holds one.
     #[must_use]
     pub fn number(&self) -> Option<f64> {
         match self {
-            Self::Integer(n) => Some(*n as f64),
-            Self::Double(n) => Some(*n),
-            Self::Bulk(b) => std::str::from_utf8(b).ok()?.trim().parse().ok(),
-            Self::Simple(s) => s.parse().ok(),
+            Self::Integer(number) => Some(*number as f64),
+            Self::Double(number) => Some(*number),
+            Self::Bulk(bytes) => std::str::from_utf8(bytes).ok()?.trim().parse().ok(),
+            Self::Simple(text) => text.parse().ok(),
             _ => None,
         }
-        .filter(|n: &f64| n.is_finite())
+        .filter(|number: &f64| number.is_finite())
     }
 }
 
-/// Bytes that are no RESP, or past a limit. The connection is of no further use.
+/// Why bytes cannot be decoded. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// An unknown type byte, a bad number or a missing line end.
+    /// An unknown type byte, an invalid number or a missing line end.
     #[error("malformed RESP")]
     Malformed,
-    /// Longer, more or deeper than [`MOST`] and [`DEPTH`] allow.
+    /// A value passes [`MAX_STRING_BYTES`], [`MAX_ELEMENTS`] or [`MAX_DEPTH`].
     #[error("a RESP value is too large")]
     TooLarge,
 }
 
-/// The longest line or string in bytes, and the most elements of an aggregate.
-pub const MOST: usize = 1 << 20;
+/// The longest string in bytes, and the bytes that may arrive without a line end where one is due.
+pub const MAX_STRING_BYTES: usize = 1 << 20;
+/// The most elements of one aggregate; an entry of a map counts as two.
+pub const MAX_ELEMENTS: usize = 1 << 20;
 /// How deep aggregates may nest.
-pub const DEPTH: usize = 8;
+pub const MAX_DEPTH: usize = 8;
+/// The length of a null bulk string and the count of a null array.
+const NULL_LENGTH: i64 = -1;
+/// Bytes of the format and the colon that begin a verbatim string, as in `txt:`.
+const VERBATIM_PREFIX_BYTES: usize = 4;
 
-/// Reads one value from the start of the input: the value and how many bytes it took, or `None` for more.
+/// Decodes the value at the start of the input: the value and how many bytes it consumed, or `None` while it is not
+/// complete. The caller then passes the same bytes again with more behind them.
 ///
 /// # Errors
-/// When the bytes are no RESP or pass a limit.
+/// When the bytes are not RESP or pass a limit.
 pub fn decode(input: &[u8]) -> Result<Option<(Value, usize)>, Error> {
-    let mut at = 0;
-    let value = next(input, &mut at, DEPTH)?;
-    Ok(value.map(|v| (v, at)))
+    let mut parser = Parser { input, position: 0 };
+    let value = parser.value(MAX_DEPTH)?;
+    Ok(value.map(|value| (value, parser.position)))
 }
 
-fn next(input: &[u8], at: &mut usize, depth: usize) -> Result<Option<Value>, Error> {
-    let Some(kind) = input.get(*at).copied() else { return Ok(None) };
-    let rest = &input[*at + 1..];
-    let Some(end) = rest.iter().position(|b| *b == b'\n') else {
-        return if rest.len() > MOST { Err(Error::TooLarge) } else { Ok(None) };
-    };
-    if end == 0 || rest[end - 1] != b'\r' {
-        return Err(Error::Malformed);
+/// Parses one value. `None` from any method means that more input is needed.
+struct Parser<'a> {
+    input: &'a [u8],
+    /// Bytes of the input that are parsed.
+    position: usize,
+}
+
+impl<'a> Parser<'a> {
+    /// The value at the position; aggregates may nest `depth` deep.
+    fn value(&mut self, depth: usize) -> Result<Option<Value>, Error> {
+        let Some((type_byte, line)) = self.header_line()? else { return Ok(None) };
+        match type_byte {
+            b'$' | b'!' | b'=' => self.string(type_byte, line),
+            b'*' | b'~' | b'>' | b'%' => self.aggregate(type_byte, line, depth),
+            _ => line_value(type_byte, line).map(Some),
+        }
+    }
+
+    /// The type byte and the rest of its line, without the CRLF.
+    fn header_line(&mut self) -> Result<Option<(u8, &'a str)>, Error> {
+        let Some((type_byte, rest)) = self.input[self.position..].split_first() else { return Ok(None) };
+        let Some(line_feed) = rest.iter().position(|byte| *byte == b'\n') else {
+            return if rest.len() > MAX_STRING_BYTES { Err(Error::TooLarge) } else { Ok(None) };
+        };
+        let line = rest[..line_feed].strip_suffix(b"\r").ok_or(Error::Malformed)?;
+        let text = std::str::from_utf8(line).map_err(|_| Error::Malformed)?;
+        self.position += 1 + line_feed + 1;
+        Ok(Some((*type_byte, text)))
+    }
+
+    /// A string whose length is on its header line.
+    fn string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, Error> {
+        let length = parse_integer(header)?;
+        if length == NULL_LENGTH && type_byte == b'$' {
+            return Ok(Some(Value::Null));
+        }
+        let length = usize::try_from(length).map_err(|_| Error::Malformed)?;
+        if length > MAX_STRING_BYTES {
+            return Err(Error::TooLarge);
+        }
+        let end = self.position + length + LINE_END_BYTES;
+        let Some(bytes) = self.input.get(self.position..end) else { return Ok(None) };
+        let bytes = bytes.strip_suffix(b"\r\n").ok_or(Error::Malformed)?;
+        self.position = end;
+        Ok(Some(match type_byte {
+            b'!' => Value::Error(String::from_utf8_lossy(bytes).into_owned()),
+            b'=' => Value::Bulk(bytes.get(VERBATIM_PREFIX_BYTES..).ok_or(Error::Malformed)?.to_vec()),
+            _ => Value::Bulk(bytes.to_vec()),
+        }))
     }
-    let line = std::str::from_utf8(&rest[..end - 1]).map_err(|_| Error::Malformed)?;
-    *at += end + 2;
-    let number = || line.parse::<i64>().map_err(|_| Error::Malformed);
-    Ok(Some(match kind {
-        b'+' => Value::Simple(line.into()),
-        b'-' => Value::Error(line.into()),
-        b':' => Value::Integer(number()?),
-        b',' => Value::Double(line.parse().map_err(|_| Error::Malformed)?),
-        b'#' => Value::Boolean(match line {
-            "t" => true,
-            "f" => false,
-            _ => return Err(Error::Malformed),
-        }),
-        b'_' if line.is_empty() => Value::Null,
-        b'$' | b'!' | b'=' => {
-            let length = number()?;
-            if length == -1 && kind == b'$' {
-                return Ok(Some(Value::Null));
-            }
-            let length = usize::try_from(length).map_err(|_| Error::Malformed)?;
-            if length > MOST {
-                return Err(Error::TooLarge);
-            }
-            let Some(bytes) = input.get(*at..*at + length + 2) else { return Ok(None) };
-            if !bytes.ends_with(b"\r\n") {
-                return Err(Error::Malformed);
-            }
-            *at += length + 2;
-            let bytes = &bytes[..length];
-            match kind {
-                b'!' => Value::Error(String::from_utf8_lossy(bytes).into_owned()),
-                b'=' => Value::Bulk(bytes.get(4..).ok_or(Error::Malformed)?.to_vec()),
-                _ => Value::Bulk(bytes.to_vec()),
-            }
+
+    /// An aggregate whose count of elements is on its header line.
+    fn aggregate(&mut self, type_byte: u8, header: &str, depth: usize) -> Result<Option<Value>, Error> {
+        let count = parse_integer(header)?;
+        if count == NULL_LENGTH && type_byte == b'*' {
+            return Ok(Some(Value::Null));
+        }
+        let count = usize::try_from(count).map_err(|_| Error::Malformed)?;
+        let elements = if type_byte == b'%' { count.saturating_mul(2) } else { count };
+        if elements > MAX_ELEMENTS || depth == 0 {
+            return Err(Error::TooLarge);
         }
-        b'*' | b'~' | b'>' | b'%' => {
-            let count = number()?;
-            if count == -1 && kind == b'*' {
-                return Ok(Some(Value::Null));
-            }
-            let count = usize::try_from(count).map_err(|_| Error::Malformed)?;
-            let count = if kind == b'%' { count.saturating_mul(2) } else { count };
-            if count > MOST || depth == 0 {
-                return Err(Error::TooLarge);
-            }
-            let mut values = Vec::new();
-            for _ in 0..count {
-                let Some(value) = next(input, at, depth - 1)? else { return Ok(None) };
-                values.push(value);
-            }
-            Value::Array(values)
+        // Not reserved ahead: the count alone must not make the decoder allocate.
+        let mut values = Vec::new();
+        for _ in 0..elements {
+            let Some(value) = self.value(depth - 1)? else { return Ok(None) };
+            values.push(value);
         }
-        _ => return Err(Error::Malformed),
-    }))
+        Ok(Some(Value::Array(values)))
+    }
+}
+
+/// A value that its header line holds entirely.
+fn line_value(type_byte: u8, line: &str) -> Result<Value, Error> {
+    match type_byte {
+        b'+' => Ok(Value::Simple(line.into())),
+        b'-' => Ok(Value::Error(line.into())),
+        b':' => parse_integer(line).map(Value::Integer),
+        b',' => line.parse().map(Value::Double).map_err(|_| Error::Malformed),
+        b'#' if line == "t" => Ok(Value::Boolean(true)),
+        b'#' if line == "f" => Ok(Value::Boolean(false)),
+        b'_' if line.is_empty() => Ok(Value::Null),
+        _ => Err(Error::Malformed),
+    }
+}
+
+fn parse_integer(text: &str) -> Result<i64, Error> {
+    text.parse().map_err(|_| Error::Malformed)
 }
 
 /// Appends a command: an array of bulk strings.
-pub fn command(out: &mut Vec<u8>, words: &[&str]) {
-    let _ = write!(out, "*{}\r\n", words.len());
-    for word in words {
-        let _ = write!(out, "${}\r\n{word}\r\n", word.len());
+pub fn command(out: &mut Vec<u8>, arguments: &[&str]) {
+    // Writing to a Vec cannot fail, here and below.
+    let _ = write!(out, "*{}\r\n", arguments.len());
+    for argument in arguments {
+        let _ = write!(out, "${}\r\n{argument}\r\n", argument.len());
     }
 }
 
-/// Appends a value, in its RESP2 form where there is one.
+/// Appends a value, in its RESP2 form if it has one.
 pub fn encode(out: &mut Vec<u8>, value: &Value) {
     let _ = match value {
-        Value::Simple(s) => write!(out, "+{s}\r\n"),
-        Value::Error(s) => write!(out, "-{s}\r\n"),
-        Value::Integer(n) => write!(out, ":{n}\r\n"),
-        Value::Double(n) => write!(out, ",{n}\r\n"),
-        Value::Boolean(b) => write!(out, "#{}\r\n", if *b { 't' } else { 'f' }),
+        Value::Simple(text) => write!(out, "+{text}\r\n"),
+        Value::Error(text) => write!(out, "-{text}\r\n"),
+        Value::Integer(number) => write!(out, ":{number}\r\n"),
+        Value::Double(number) => write!(out, ",{number}\r\n"),
+        Value::Boolean(boolean) => write!(out, "#{}\r\n", if *boolean { 't' } else { 'f' }),
         Value::Null => write!(out, "$-1\r\n"),
-        Value::Bulk(b) => {
-            let _ = write!(out, "${}\r\n", b.len());
-            out.extend_from_slice(b);
+        Value::Bulk(bytes) => {
+            let _ = write!(out, "${}\r\n", bytes.len());
+            out.extend_from_slice(bytes);
             write!(out, "\r\n")
         }
         Value::Map(values) => {
-            let head = write!(out, "%{}\r\n", values.len() / 2);
-            values.iter().for_each(|v| encode(out, v));
-            head
+            let header = write!(out, "%{}\r\n", values.len() / 2);
+            values.iter().for_each(|value| encode(out, value));
+            header
         }
         Value::Array(values) => {
-            let head = write!(out, "*{}\r\n", values.len());
-            values.iter().for_each(|v| encode(out, v));
-            head
+            let header = write!(out, "*{}\r\n", values.len());
+            values.iter().for_each(|value| encode(out, value));
+            header
         }
     };
 }
