--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -13,7 +13,8 @@
 use std::collections::VecDeque;
 
 /// A value is 64 KiB at most; the other arguments are short.
-pub(super) const COMMAND_LIMITS: CommandLimits = CommandLimits { words: 8, word: 64 << 10, bytes: 66 << 10 };
+pub(super) const COMMAND_LIMITS: CommandLimits =
+    CommandLimits { arguments: 8, argument_bytes: 64 << 10, bytes: 66 << 10 };
 /// Commands of one connection whose responses are due; reading stops there.
 const MAX_PIPELINED_COMMANDS: usize = 64;
 /// Bytes of responses that one connection may leave unread; reading stops beyond.
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -146,7 +146,8 @@
 }
 
 fn serve(mut stream: TcpStream, connection: usize, received: &Shared<Vec<Command>>, script: &Script) {
-    let mut commands = Commands::new(CommandLimits { words: 8, word: 64 << 10, bytes: 128 << 10 });
+    let mut commands =
+        Commands::new(CommandLimits { arguments: 8, argument_bytes: 64 << 10, bytes: 128 << 10 });
     let mut input = Vec::new();
     let mut buffer = [0; 4096];
     loop {
--- a/crates/resp/src/answers.rs
+++ b/crates/resp/src/answers.rs
@@ -186,7 +186,7 @@
     } else if let Some(rest) = strip_error_code(line, b"-ERR failed") {
         Answer::Failed { report: report_text(rest) }
     } else if line.starts_with(b"-") {
-        // Any other error leaves open whether the request was executed.
+        // Any other error may come after execution.
         Answer::Failed { report: None }
     } else {
         return Err(MalformedAnswer);
--- a/crates/resp/src/answers/tests.rs
+++ b/crates/resp/src/answers/tests.rs
@@ -65,11 +65,11 @@
 #[test]
 fn answer_split_at_any_byte_reads_the_same() {
     for all in [SERVED, b"-ERR failed queue=2\r\n", b"$3\r\na=1\r\n"] {
-        let whole = read_first(all).unwrap().unwrap();
+        let unsplit = read_first(all).unwrap().unwrap();
         for cut in 0..all.len() {
             let mut answers = Answers::default();
             assert_eq!(answers.read(&all[..cut]), Ok(None), "cut at {cut}");
-            assert_eq!(answers.read(all), Ok(Some(whole.clone())), "cut at {cut}");
+            assert_eq!(answers.read(all), Ok(Some(unsplit.clone())), "cut at {cut}");
         }
     }
 }
--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CommandLimits {
     /// Arguments, the command's name included.
-    pub words: usize,
+    pub arguments: usize,
     /// Bytes of one argument.
-    pub word: usize,
+    pub argument_bytes: usize,
     /// Bytes of all arguments together, without their headers and line ends.
     pub bytes: usize,
 }
@@ -71,8 +71,8 @@
     state: State,
     /// Bytes of the input that are parsed.
     position: usize,
-    /// Announced bytes of the command's arguments so far.
-    argument_bytes: usize,
+    /// Sum of the lengths that the argument headers of the command have announced.
+    announced_bytes: usize,
     /// Where the complete arguments are in the input.
     arguments: Vec<Range<usize>>,
 }
@@ -81,7 +81,7 @@
     /// A reader at the start of a connection.
     #[must_use]
     pub fn new(limits: CommandLimits) -> Self {
-        Self { limits, state: State::ArrayHeader, position: 0, argument_bytes: 0, arguments: Vec::new() }
+        Self { limits, state: State::ArrayHeader, position: 0, announced_bytes: 0, arguments: Vec::new() }
     }
 
     /// Whether the array header of a command has been read and its arguments are not complete.
@@ -120,7 +120,7 @@
         if count == 0 {
             return Err(Fault::InvalidLength);
         }
-        if count > self.limits.words {
+        if count > self.limits.arguments {
             return Err(Fault::TooLarge);
         }
         Ok(Some(State::BulkHeader { remaining: count }))
@@ -128,10 +128,10 @@
 
     fn read_bulk_length(&mut self, input: &[u8], remaining: usize) -> Result<Option<State>, Fault> {
         let Some(length) = self.read_header(input, b'$', Fault::ExpectedBulkString)? else { return Ok(None) };
-        if length > self.limits.word || self.argument_bytes + length > self.limits.bytes {
+        if length > self.limits.argument_bytes || self.announced_bytes + length > self.limits.bytes {
             return Err(Fault::TooLarge);
         }
-        self.argument_bytes += length;
+        self.announced_bytes += length;
         Ok(Some(State::BulkData { remaining, length }))
     }
 
@@ -168,7 +168,7 @@
 
     /// Hands out the complete command and prepares for the next one.
     fn take_command(&mut self) -> ParsedCommand {
-        self.argument_bytes = 0;
+        self.announced_bytes = 0;
         let arguments = std::mem::take(&mut self.arguments);
         let consumed = std::mem::take(&mut self.position);
         (arguments, consumed)
--- a/crates/resp/src/commands/tests.rs
+++ b/crates/resp/src/commands/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn reader() -> Commands {
-    Commands::new(CommandLimits { words: 5, word: 64 << 10, bytes: 70 << 10 })
+    Commands::new(CommandLimits { arguments: 5, argument_bytes: 64 << 10, bytes: 70 << 10 })
 }
 
 fn read_arguments(input: &[u8]) -> Result<Option<Vec<Vec<u8>>>, Fault> {
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -5,7 +5,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const LIMITS: CommandLimits = CommandLimits { words: 6, word: 512, bytes: 1024 };
+const LIMITS: CommandLimits = CommandLimits { arguments: 6, argument_bytes: 512, bytes: 1024 };
 
 /// All commands in the bytes, read piece by piece as from a connection.
 fn read_commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<Fault>) {
