--- /dev/null
+++ b/crates/http/src/decode/head.rs
@@ -0,0 +1,172 @@
+//! The head of a message: its extent, limits, start line and field lines (RFC 9112 sections 2 to 5).
+
+use super::Role;
+use super::line::{LINE_END_BYTES, LineFeedSearch};
+use crate::{Error, Framing, Head, Limits};
+
+/// Reads one head at a time.
+#[derive(Clone, Debug, Default)]
+pub(super) struct HeadReader {
+    search: LineFeedSearch,
+    /// Where the lines of the head end so far, their CRLF excluded.
+    line_ends: Vec<usize>,
+}
+
+impl HeadReader {
+    /// The head at the start of the unconsumed input and how many bytes it consumed, or `None` until its end arrives.
+    /// The framing and the persistence of the connection are not determined yet.
+    ///
+    /// # Errors
+    /// When a line is malformed or a limit is passed; limits show before the end of the head arrives.
+    pub fn read(
+        &mut self, input: &[u8], role: Role, limits: &Limits,
+    ) -> Result<Option<(usize, Head)>, Error> {
+        // An empty line before a request is allowed (RFC 9112 section 2.2), here once for each message.
+        let has_empty_line = role == Role::Requests && input.starts_with(b"\r\n");
+        let skipped = if has_empty_line { LINE_END_BYTES } else { 0 };
+        let input = &input[skipped..];
+        let Some(length) = self.find_end(input, limits)? else { return Ok(None) };
+        self.search.continue_at(0);
+        let line_ends = std::mem::take(&mut self.line_ends);
+        let head = parse_head(input, &line_ends, role)?;
+        Ok(Some((skipped + length, head)))
+    }
+
+    /// Finds the ends of the lines up to the empty one: the length of the head with its last CRLF.
+    fn find_end(&mut self, input: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
+        loop {
+            let line_start = self.line_ends.last().map_or(0, |end| end + LINE_END_BYTES);
+            let Some(line_feed) = self.search.find(input) else {
+                // The last byte may be the carriage return.
+                self.check_limits(line_start, input.len().saturating_sub(1), limits)?;
+                return Ok(None);
+            };
+            if line_feed == line_start || input[line_feed - 1] != b'\r' {
+                return Err(Error::BareLineFeed);
+            }
+            let line_end = line_feed - 1;
+            self.check_limits(line_start, line_end, limits)?;
+            self.search.continue_at(line_feed + 1);
+            self.line_ends.push(line_end);
+            let is_start_line = line_start == 0;
+            if !is_start_line && line_end == line_start {
+                return Ok(Some(line_feed + 1));
+            }
+        }
+    }
+
+    /// Checks the head against the limits when its last line so far starts and ends at these positions.
+    fn check_limits(&self, line_start: usize, line_end: usize, limits: &Limits) -> Result<(), Error> {
+        let is_start_line = line_start == 0;
+        if is_start_line && line_end > limits.line {
+            return Err(Error::StartLineTooLong);
+        }
+        let fields = self.line_ends.len().saturating_sub(1);
+        if line_end > limits.head || fields > limits.fields {
+            return Err(Error::HeadTooLarge);
+        }
+        Ok(())
+    }
+}
+
+/// Parses a head whose lines end at these positions; the last one is empty.
+fn parse_head(input: &[u8], line_ends: &[usize], role: Role) -> Result<Head, Error> {
+    let mut head = parse_start_line(&input[..line_ends[0]], role)?;
+    let before_empty_line = &line_ends[..line_ends.len() - 1];
+    for ends in before_empty_line.windows(2) {
+        let start = ends[0] + LINE_END_BYTES;
+        let end = ends[1];
+        head.fields.push(parse_field(&input[start..end])?);
+    }
+    Ok(head)
+}
+
+/// The elements of a start line.
+struct StartLine<'a> {
+    method: &'a str,
+    target: &'a str,
+    status: u16,
+    version: &'a str,
+}
+
+fn parse_start_line(line: &[u8], role: Role) -> Result<Head, Error> {
+    let text = std::str::from_utf8(line).map_err(|_| Error::MalformedStartLine)?;
+    if text.bytes().any(|byte| byte.is_ascii_control()) {
+        return Err(Error::MalformedStartLine);
+    }
+    let start_line = match role {
+        Role::Requests => parse_request_line(text)?,
+        Role::Responses => parse_status_line(text)?,
+    };
+    let minor = parse_minor_version(start_line.version)?;
+    Ok(Head {
+        method: start_line.method.to_owned(),
+        target: start_line.target.to_owned(),
+        status: start_line.status,
+        minor,
+        fields: Vec::new(),
+        framing: Framing::None,
+        keep_alive: false,
+    })
+}
+
+/// `METHOD SP TARGET SP VERSION` (RFC 9112 section 3).
+fn parse_request_line(text: &str) -> Result<StartLine<'_>, Error> {
+    let mut elements = text.split(' ');
+    let method = elements.next().ok_or(Error::MalformedStartLine)?;
+    let target = elements.next().ok_or(Error::MalformedStartLine)?;
+    let version = elements.next().ok_or(Error::MalformedStartLine)?;
+    let has_more = elements.next().is_some();
+    if has_more || target.is_empty() || !is_token(method.as_bytes()) {
+        return Err(Error::MalformedStartLine);
+    }
+    Ok(StartLine { method, target, status: 0, version })
+}
+
+/// `VERSION SP STATUS [SP REASON]` (RFC 9112 section 4); a status has three digits, the first of them not 0.
+fn parse_status_line(text: &str) -> Result<StartLine<'_>, Error> {
+    let mut elements = text.splitn(3, ' ');
+    let version = elements.next().unwrap_or("");
+    let digits = elements.next().ok_or(Error::MalformedStartLine)?;
+    if digits.len() != 3 || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(Error::MalformedStartLine);
+    }
+    let status: u16 = digits.parse().map_err(|_| Error::MalformedStartLine)?;
+    if status < 100 {
+        return Err(Error::MalformedStartLine);
+    }
+    Ok(StartLine { method: "", target: "", status, version })
+}
+
+fn parse_minor_version(version: &str) -> Result<u8, Error> {
+    match version {
+        "HTTP/1.1" => Ok(1),
+        "HTTP/1.0" => Ok(0),
+        other if other.starts_with("HTTP/") => Err(Error::UnsupportedVersion),
+        _ => Err(Error::MalformedStartLine),
+    }
+}
+
+/// Parses a field line (RFC 9112 section 5): the name in lower case and the value without surrounding white space.
+pub(super) fn parse_field(line: &[u8]) -> Result<(String, String), Error> {
+    let colon = line.iter().position(|byte| *byte == b':').ok_or(Error::MalformedField)?;
+    let name = &line[..colon];
+    let value = &line[colon + 1..];
+    // This also rejects white space in front of the name, which is a folded line (RFC 9112 section 5.2), and between
+    // the name and the colon (section 5.1).
+    if !is_token(name) {
+        return Err(Error::MalformedField);
+    }
+    if value.iter().any(|byte| byte.is_ascii_control() && *byte != b'\t') {
+        return Err(Error::MalformedField);
+    }
+    let name = String::from_utf8_lossy(name).to_ascii_lowercase();
+    let value = String::from_utf8_lossy(value);
+    Ok((name, value.trim_matches([' ', '\t']).to_owned()))
+}
+
+/// Whether bytes are a token (RFC 9110 section 5.6.2).
+fn is_token(bytes: &[u8]) -> bool {
+    let is_token_byte = |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
+    !bytes.is_empty() && bytes.iter().all(is_token_byte)
+}
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,40 +1,42 @@
-//! Writing messages. Callers give field values without line ends; a line end in one is left out, so that no
-//! value can start a line of its own.
+//! Encodes messages. Carriage returns and line feeds in field values are left out, so that no value can begin a line of
+//! its own (response splitting, RFC 9112 section 11.1).
 
 use crate::Framing;
 use std::io::Write;
 
-fn fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
+// `write!` to a Vec cannot fail: its results are dropped.
+
+fn encode_fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
     for (name, value) in fields {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
-        out.extend(value.bytes().filter(|b| *b != b'\r' && *b != b'\n'));
+        out.extend(value.bytes().filter(|byte| !matches!(byte, b'\r' | b'\n')));
         out.extend_from_slice(b"\r\n");
     }
 }
 
-/// Appends a whole request with a body of known length.
-pub fn request(out: &mut Vec<u8>, method: &str, target: &str, head: &[(&str, &str)], body: &[u8]) {
+/// Appends a complete request with its body. Content-Length is added to the fields.
+pub fn request(out: &mut Vec<u8>, method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) {
     let _ = write!(out, "{method} {target} HTTP/1.1\r\n");
-    fields(out, head);
+    encode_fields(out, fields);
     let _ = write!(out, "content-length: {}\r\n\r\n", body.len());
     out.extend_from_slice(body);
 }
 
-/// Appends the head of a response with a body that is framed as told. A body that ends with the connection is
-/// for clients of version 1.0, which know no chunks.
-pub fn response_head(out: &mut Vec<u8>, status: u16, head: &[(&str, &str)], framing: Framing) {
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
-    fields(out, head);
+/// Appends the head of a response. The field that `framing` needs is added to the fields; [`Framing::Close`] is for
+/// clients of version 1.0, which do not know chunked transfer coding.
+pub fn response_head(out: &mut Vec<u8>, status: u16, fields: &[(&str, &str)], framing: Framing) {
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
+    encode_fields(out, fields);
     match framing {
-        Framing::Length(n) => drop(write!(out, "content-length: {n}\r\n\r\n")),
+        Framing::Length(length) => drop(write!(out, "content-length: {length}\r\n\r\n")),
         Framing::Chunked => out.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n"),
         Framing::Close => out.extend_from_slice(b"connection: close\r\n\r\n"),
         Framing::None => out.extend_from_slice(b"\r\n"),
     }
 }
 
-/// Appends one chunk; nothing for no bytes, since an empty chunk is the end.
+/// Appends one chunk (RFC 9112 section 7.1), or nothing if `data` is empty: a chunk of size 0 ends the body.
 pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
     if !data.is_empty() {
         let _ = write!(out, "{:x}\r\n", data.len());
@@ -43,12 +45,13 @@
     }
 }
 
-/// Appends the end of a chunked body.
+/// Appends the last chunk and an empty trailer section, which end a chunked body.
 pub fn chunk_end(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status code (RFC 9110 section 15).
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,51 +1,55 @@
 //! Why a message is rejected, and the status code that says so.
 
-/// Why a message cannot be taken. The connection is of no further use.
+/// Why a message cannot be decoded. The connection must be closed.
+///
+/// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// A line ends without a carriage return.
     #[error("a line ends in a bare line feed")]
     BareLineFeed,
-    /// The first line is not one of HTTP.
+    /// The start line is neither a request line nor a status line of HTTP.
     #[error("malformed start line")]
-    StartLine,
+    MalformedStartLine,
     /// A version other than 1.0 and 1.1.
     #[error("unsupported HTTP version")]
-    Version,
+    UnsupportedVersion,
     /// A field line is malformed, folded or has white space before its colon.
     #[error("malformed field line")]
-    Field,
-    /// Two lengths, a length beside chunks, or a length that is no number.
+    MalformedField,
+    /// More than one of Content-Length and Transfer-Encoding, a length that is not a number, or a message that the end
+    /// of the connection cut short.
     #[error("the message's length is ambiguous")]
-    Framing,
+    InvalidFraming,
     /// A transfer coding other than chunked.
     #[error("unknown transfer coding")]
-    Coding,
-    /// No host, or several.
+    UnknownTransferCoding,
+    /// A request of version 1.1 without a Host field, or one with several.
     #[error("a request needs exactly one host field")]
-    Host,
-    /// A chunk's size or end is malformed.
+    InvalidHost,
+    /// A chunk's size line is malformed, or no CRLF follows a chunk's data.
     #[error("malformed chunk")]
-    Chunk,
-    /// The first line passes its limit.
+    MalformedChunk,
+    /// The start line passes [`Limits::line`](crate::Limits::line).
     #[error("the start line is too long")]
-    LineTooLong,
-    /// The head passes its limit, in bytes or in fields.
+    StartLineTooLong,
+    /// The head or the trailer section passes [`Limits::head`](crate::Limits::head), or the head passes
+    /// [`Limits::fields`](crate::Limits::fields).
     #[error("the head is too large")]
     HeadTooLarge,
-    /// The body passes its limit.
+    /// The body passes [`Limits::body`](crate::Limits::body).
     #[error("the body is too large")]
     BodyTooLarge,
 }
 
 impl Error {
-    /// The status that a server answers before it closes.
+    /// The status code of the response that a server sends before it closes the connection.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
-            Self::Version => 505,
-            Self::Coding => 501,
-            Self::LineTooLong => 414,
+            Self::UnsupportedVersion => 505,
+            Self::UnknownTransferCoding => 501,
+            Self::StartLineTooLong => 414,
             Self::HeadTooLarge => 431,
             Self::BodyTooLarge => 413,
             _ => 400,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 messages (RFC 9112), incremental and without I/O, for both directions.
+//! HTTP/1.1 messages (RFC 9112) in both directions: incremental decoding and encoding, without I/O.
 //!
-//! A [`Decoder`] is given all bytes that are not yet consumed and answers how many it consumed and which
-//! [`Part`] they held. It keeps no copy of the input, so a message costs the memory of its head only. Shapes on
-//! which two parsers could disagree about where a message ends (request smuggling, RFC 9112 section 11.2) are
-//! errors that end the connection, never repaired.
+//! A [`Decoder`] is passed all bytes that are not yet consumed and returns how many it consumed and which [`Part`] of a
+//! message they were. It keeps no copy of the input, so a message costs the memory of its head only. Messages on whose
+//! end two parsers could disagree (request smuggling, RFC 9112 section 11.2) are errors that end the connection; they
+//! are never repaired.
 
 mod decode;
 mod encode;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,11 +1,11 @@
 //! The head of a message, the framing of its body and the limits on both.
 
-/// Bounds on a message. A peer that passes one gets the status of [`Error::status`](crate::Error::status).
+/// Limits on one message. A peer that passes one is sent the status code of [`Error::status`](crate::Error::status).
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the first line, without its end.
+    /// Bytes of the start line, without its CRLF.
     pub line: usize,
-    /// Bytes of the whole head.
+    /// Bytes of the head, without its last CRLF; also bytes of the trailer section.
     pub head: usize,
     /// Header fields.
     pub fields: usize,
@@ -19,55 +19,66 @@
     }
 }
 
-/// How the end of a body is told (RFC 9112 section 6.3).
+/// How the length of a body is determined (RFC 9112 section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     None,
-    /// So many bytes.
+    /// A number of bytes, from Content-Length.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// Until the connection closes; responses only.
+    /// All bytes until the connection closes; responses only.
     Close,
 }
 
-/// The first line and the fields of a message.
+/// The start line and the header fields of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The method; empty in a response.
     pub method: String,
     /// The request target; empty in a response.
     pub target: String,
-    /// The status; 0 in a request.
+    /// The status code; 0 in a request.
     pub status: u16,
     /// The minor version: 0 or 1.
     pub minor: u8,
-    /// Names in lower case, values without surrounding white space, in their order.
+    /// Names in lower case and values without surrounding white space, in the order of the message.
     pub fields: Vec<(String, String)>,
-    /// How the body ends.
+    /// How the length of the body is determined.
     pub framing: Framing,
-    /// Whether the connection may carry another message after this one.
+    /// Whether the connection may carry another message after this one (RFC 9112 section 9.3).
     pub keep_alive: bool,
 }
 
 impl Head {
-    /// The first value of a field; the name in lower case.
+    /// The value of the first field with a name, which must be in lower case.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.fields.iter().find(|(field_name, _)| field_name == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether a comma-separated field holds a word, in any case.
+    /// Whether a field whose value is a comma-separated list has a token as a member, in any case. The name must be in
+    /// lower case.
     #[must_use]
-    pub fn has_word(&self, name: &str, word: &str) -> bool {
-        let mut values = self.fields.iter().filter(|(n, _)| n == name);
-        values.any(|(_, v)| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut lists = self.fields.iter().filter(|(field_name, _)| field_name == name);
+        lists.any(|(_, list)| list.split(',').any(|member| member.trim().eq_ignore_ascii_case(token)))
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110 section 10.1.1).
     #[must_use]
     pub fn expects_continue(&self) -> bool {
-        self.minor == 1 && self.has_word("expect", "100-continue")
+        self.minor == 1 && self.has_token("expect", "100-continue")
+    }
+
+    /// Whether this is an interim response, which a final one follows (RFC 9110 section 15.2).
+    pub(crate) fn is_interim(&self) -> bool {
+        (100..200).contains(&self.status)
+    }
+
+    /// How many field lines have a name, which must be in lower case.
+    pub(crate) fn count(&self, name: &str) -> usize {
+        self.fields.iter().filter(|(field_name, _)| field_name == name).count()
     }
 }
--- a/crates/resp/src/answers/tests.rs
+++ b/crates/resp/src/answers/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn units_that_are_not_text_leave_the_answer_valid() {
+fn units_that_are_not_text_are_ignored() {
     let bytes = b"*3\r\n$1\r\nv\r\n$4\r\n\xff\xfe\x00\x01\r\n$3\r\n???\r\n";
     let served = Answer::Served { value: 8..9, used: None, report: Some("???".into()) };
     assert_eq!(read_first(bytes), Ok(Some((served, bytes.len()))));
