--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -1,203 +1,197 @@
-//! What clients send: commands, each an array of bulk strings. The reader keeps its place, so that a byte is looked at
-//! once however the input is split, and checks every size at its length line, before a byte of it is kept.
+//! Reads the commands that clients send: each an array of bulk strings, the arguments.
+//!
+//! The reader is incremental: it keeps its position, so a byte is examined once however the input is split. Every
+//! size is checked when its header line is read, before the caller has to buffer the bytes it announces.
 
+use crate::line::{LINE_END_BYTES, LengthError, LineError, first_line, parse_length};
 use std::ops::Range;
 
-/// Bounds on one command.
+/// Limits on one command.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandLimits {
-    /// Words.
-    pub words: usize,
-    /// Bytes of one word.
-    pub word: usize,
-    /// Bytes of all words together.
+    /// Arguments, the command's name included.
+    pub arguments: usize,
+    /// Bytes of one argument.
+    pub argument_bytes: usize,
+    /// Bytes of all arguments together, without their headers and line ends.
     pub bytes: usize,
 }
 
-/// Why a command cannot be read. Where the next one begins is not known then: the connection is of no further use.
+/// Why a command cannot be read. The start of the next command is unknown then, so the connection must be closed.
+///
+/// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It does not begin with `*`.
+    /// The command does not begin with `*`.
     #[error("Protocol error: expected an array of bulk strings")]
-    NoArray,
-    /// A word does not begin with `$`.
+    ExpectedArray,
+    /// An argument does not begin with `$`.
     #[error("Protocol error: expected a bulk string")]
-    NoWord,
-    /// A length is not a number that may stand there.
+    ExpectedBulkString,
+    /// A length is not a decimal number, or an argument count is zero.
     #[error("Protocol error: invalid length")]
-    Length,
-    /// A line or a word does not end where it must.
+    InvalidLength,
+    /// A header line or an argument does not end in CRLF.
     #[error("Protocol error: a line or a word does not end where it must")]
-    End,
-    /// More words or bytes than allowed.
+    MissingLineEnd,
+    /// A count or length passes [`CommandLimits`].
     #[error("Protocol error: too large")]
     TooLarge,
 }
 
-/// Digits of a length, its sign and its line end: a longer line is none.
-const LENGTH_LINE: usize = 24;
-
-/// A whole command: where its words stand in the input, and how many bytes it took.
-pub type Found = (Vec<Range<usize>>, usize);
+/// The longest header line in bytes: its type byte, a length and CRLF.
+const MAX_HEADER_LINE_BYTES: usize = 24;
+
+/// A complete command: the ranges of its arguments in the input, and how many bytes it consumed.
+pub type ParsedCommand = (Vec<Range<usize>>, usize);
+
+/// What is read next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    /// The array header, which holds the argument count.
+    ArrayHeader,
+    /// The header of a bulk string, which holds its length.
+    BulkHeader {
+        /// Arguments still to come, this one included.
+        remaining: usize,
+    },
+    /// The bytes of a bulk string and their CRLF.
+    BulkData {
+        /// Arguments still to come, this one included.
+        remaining: usize,
+        /// The length of this argument in bytes.
+        length: usize,
+    },
+}
 
 /// Reads the commands of one connection.
 #[derive(Debug)]
 pub struct Commands {
     limits: CommandLimits,
-    /// How much of the input is read.
-    at: usize,
-    /// Words that are still to come; `None` before the command's first line.
-    left: Option<usize>,
-    /// The length of the word at hand, once its line is read.
-    word: Option<usize>,
-    bytes: usize,
-    words: Vec<Range<usize>>,
+    state: State,
+    /// Bytes of the input that are parsed.
+    position: usize,
+    /// Sum of the lengths that the argument headers of the command have announced.
+    announced_bytes: usize,
+    /// Where the complete arguments are in the input.
+    arguments: Vec<Range<usize>>,
 }
 
 impl Commands {
     /// A reader at the start of a connection.
     #[must_use]
     pub fn new(limits: CommandLimits) -> Self {
-        Self { limits, at: 0, left: None, word: None, bytes: 0, words: Vec::new() }
+        Self { limits, state: State::ArrayHeader, position: 0, announced_bytes: 0, arguments: Vec::new() }
     }
 
-    /// Whether a part of a command has come.
+    /// Whether the array header of a command has been read and its arguments are not complete.
     #[must_use]
-    pub fn is_midway(&self) -> bool {
-        self.left.is_some()
+    pub fn is_partial(&self) -> bool {
+        self.state != State::ArrayHeader
     }
 
-    /// Reads on in the unconsumed input: where the words of the next command stand in it and how many bytes it took,
-    /// or `None` for more. What was not taken must be given again, in front of what follows.
+    /// Reads on in the unconsumed input: the next command, or `None` until more input arrives.
+    ///
+    /// Bytes that were not consumed must be passed again, in front of those that follow.
     ///
     /// # Errors
-    /// When the bytes are no command; the reader must not be used again.
-    pub fn read(&mut self, input: &[u8]) -> Result<Option<Found>, Fault> {
-        let mut left = match self.left {
-            Some(left) => left,
-            None => {
-                let Some(count) = self.length(input, b'*', Fault::NoArray)? else { return Ok(None) };
-                if count == 0 || count > self.limits.words {
-                    return Err(if count == 0 { Fault::Length } else { Fault::TooLarge });
-                }
-                count
-            }
-        };
-        while left > 0 {
-            self.left = Some(left);
-            let length = match self.word {
-                Some(length) => length,
-                None => {
-                    let Some(length) = self.length(input, b'$', Fault::NoWord)? else { return Ok(None) };
-                    if length > self.limits.word || self.bytes + length > self.limits.bytes {
-                        return Err(Fault::TooLarge);
-                    }
-                    self.bytes += length;
-                    length
-                }
-            };
-            self.word = Some(length);
-            let end = self.at + length;
-            match input.get(end..end + 2) {
-                Some(b"\r\n") => {}
-                Some(_) => return Err(Fault::End),
-                None => return Ok(None),
+    /// When the bytes are not a command or pass a limit; the reader must not be used again.
+    pub fn read(&mut self, input: &[u8]) -> Result<Option<ParsedCommand>, Fault> {
+        while let Some(state) = self.read_element(input)? {
+            self.state = state;
+            if state == State::ArrayHeader {
+                return Ok(Some(self.take_command()));
             }
-            self.words.push(self.at..end);
-            (self.at, self.word) = (end + 2, None);
-            left -= 1;
         }
-        (self.left, self.bytes) = (None, 0);
-        Ok(Some((std::mem::take(&mut self.words), std::mem::take(&mut self.at))))
+        Ok(None)
     }
 
-    /// The length on the line at hand, behind the byte that it must begin with.
-    fn length(&mut self, input: &[u8], kind: u8, other: Fault) -> Result<Option<usize>, Fault> {
-        let rest = &input[self.at.min(input.len())..];
-        match rest.first() {
-            None => return Ok(None),
-            Some(first) if *first != kind => return Err(other),
-            Some(_) => {}
+    /// Reads what [`State`] expects and returns the state that follows, or `None` until more input arrives.
+    fn read_element(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
+        match self.state {
+            State::ArrayHeader => self.read_argument_count(input),
+            State::BulkHeader { remaining } => self.read_bulk_length(input, remaining),
+            State::BulkData { remaining, length } => self.read_bulk_data(input, remaining, length),
         }
-        let Some(end) = rest.iter().take(LENGTH_LINE).position(|b| *b == b'\n') else {
-            return if rest.len() >= LENGTH_LINE { Err(Fault::Length) } else { Ok(None) };
-        };
-        let digits = rest[1..end].strip_suffix(b"\r").ok_or(Fault::End)?;
-        if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-            return Err(Fault::Length);
+    }
+
+    fn read_argument_count(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
+        let Some(count) = self.read_header(input, b'*', Fault::ExpectedArray)? else { return Ok(None) };
+        if count == 0 {
+            return Err(Fault::InvalidLength);
         }
-        let text = std::str::from_utf8(digits).map_err(|_| Fault::Length)?;
-        let length = text.parse().map_err(|_| Fault::TooLarge)?;
-        self.at += end + 1;
-        Ok(Some(length))
+        if count > self.limits.arguments {
+            return Err(Fault::TooLarge);
+        }
+        Ok(Some(State::BulkHeader { remaining: count }))
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    fn read_bulk_length(&mut self, input: &[u8], remaining: usize) -> Result<Option<State>, Fault> {
+        let Some(length) = self.read_header(input, b'$', Fault::ExpectedBulkString)? else { return Ok(None) };
+        if length > self.limits.argument_bytes || self.announced_bytes + length > self.limits.bytes {
+            return Err(Fault::TooLarge);
+        }
+        self.announced_bytes += length;
+        Ok(Some(State::BulkData { remaining, length }))
+    }
 
-    fn reader() -> Commands {
-        Commands::new(CommandLimits { words: 5, word: 64 << 10, bytes: 70 << 10 })
+    fn read_bulk_data(
+        &mut self, input: &[u8], remaining: usize, length: usize,
+    ) -> Result<Option<State>, Fault> {
+        let end = self.position + length;
+        match input.get(end..end + LINE_END_BYTES) {
+            Some(b"\r\n") => {}
+            Some(_) => return Err(Fault::MissingLineEnd),
+            None => return Ok(None),
+        }
+        self.arguments.push(self.position..end);
+        self.position = end + LINE_END_BYTES;
+        let is_last = remaining == 1;
+        Ok(Some(if is_last { State::ArrayHeader } else { State::BulkHeader { remaining: remaining - 1 } }))
     }
 
-    fn one(input: &[u8]) -> Result<Option<Vec<Vec<u8>>>, Fault> {
-        let found = reader().read(input)?;
-        Ok(found.map(|(words, _)| words.into_iter().map(|w| input[w].to_vec()).collect()))
+    /// The number on the header line at the current position, behind its type byte.
+    fn read_header(
+        &mut self, input: &[u8], type_byte: u8, wrong_type: Fault,
+    ) -> Result<Option<usize>, Fault> {
+        let rest = &input[self.position.min(input.len())..];
+        match rest.first() {
+            None => return Ok(None),
+            Some(first) if *first != type_byte => return Err(wrong_type),
+            Some(_) => {}
+        }
+        let Some(line) = first_line(rest, MAX_HEADER_LINE_BYTES)? else { return Ok(None) };
+        let length = parse_length(&line[1..])?;
+        self.position += line.len() + LINE_END_BYTES;
+        Ok(Some(length))
     }
 
-    #[test]
-    fn words_stand_where_the_reader_says() {
-        assert_eq!(one(b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n"), Ok(Some(vec![b"PING".to_vec(), Vec::new()])));
-        let two = b"*1\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n";
-        let mut commands = reader();
-        let (_, took) = commands.read(two).unwrap().unwrap();
-        assert_eq!(took, 14);
-        let (words, took) = commands.read(&two[14..]).unwrap().unwrap();
-        assert_eq!((words.len(), words[0].clone(), took), (1, 8..9, 11));
+    /// Hands out the complete command and prepares for the next one.
+    fn take_command(&mut self) -> ParsedCommand {
+        self.announced_bytes = 0;
+        let arguments = std::mem::take(&mut self.arguments);
+        let consumed = std::mem::take(&mut self.position);
+        (arguments, consumed)
     }
+}
 
-    #[test]
-    fn each_fault_shows_at_its_line() {
-        let faults: [(&[u8], Fault); 16] = [
-            (b"PING\r\n", Fault::NoArray),
-            (b"\x00", Fault::NoArray),
-            (b"*0\r\n", Fault::Length),
-            (b"*-1\r\n", Fault::Length),
-            (b"*1x\r\n", Fault::Length),
-            (b"*\r\n", Fault::Length),
-            (b"*1\n", Fault::End),
-            (b"*6\r\n", Fault::TooLarge),
-            (b"*99999999999999999999\r\n", Fault::TooLarge),
-            (b"*1111111111111111111111111111", Fault::Length),
-            (b"*1\r\n:4\r\n", Fault::NoWord),
-            (b"*1\r\n$-1\r\n", Fault::Length),
-            (b"*1\r\n$+4\r\n", Fault::Length),
-            (b"*1\r\n$60000000\r\n", Fault::TooLarge),
-            (b"*2\r\n$65536\r\n", Fault::Length),
-            (b"*1\r\n$4\r\nPINGS\r\n", Fault::End),
-        ];
-        for (bytes, fault) in faults {
-            if bytes.starts_with(b"*2") {
-                assert_eq!(one(bytes), Ok(None), "the largest word that may come");
-            } else {
-                assert_eq!(one(bytes), Err(fault), "{:?}", String::from_utf8_lossy(bytes));
-            }
+impl From<LineError> for Fault {
+    fn from(error: LineError) -> Self {
+        match error {
+            LineError::TooLong => Self::InvalidLength,
+            LineError::MissingCarriageReturn => Self::MissingLineEnd,
         }
-        let many = b"*2\r\n$65536\r\n".iter().copied().chain(std::iter::repeat_n(b'x', 65536));
-        let many: Vec<u8> = many.chain(*b"\r\n$9000\r\n").collect();
-        assert_eq!(one(&many), Err(Fault::TooLarge), "all words together are bounded too");
     }
+}
 
-    #[test]
-    fn any_split_reads_the_same() {
-        let all = b"*3\r\n$5\r\nQ.ASK\r\n$3\r\na\r\n\r\n$1\r\nb\r\n";
-        for cut in 0..all.len() {
-            let mut commands = reader();
-            assert_eq!(commands.read(&all[..cut]), Ok(None), "cut at {cut}");
-            assert_eq!(commands.is_midway(), cut >= 4);
-            let (words, took) = commands.read(all).unwrap().unwrap();
-            assert_eq!((words.len(), took), (3, all.len()), "cut at {cut}");
+impl From<LengthError> for Fault {
+    fn from(error: LengthError) -> Self {
+        match error {
+            LengthError::NotDecimal => Self::InvalidLength,
+            LengthError::Overflow => Self::TooLarge,
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
