--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -57,10 +57,11 @@
 #[test]
 fn idle_clients_do_not_use_up_the_reserved_descriptors() {
     let backend = Backend::start(|_| Reply::Bytes(value("good")));
-    let (down, counter) = (silent_peer(), Counter::start());
+    let down = silent_peer();
+    let counter = Counter::start();
     let mut file = config(&Discovery::start(Vec::new()), &counter);
-    (file["discovery"], file["limits"]["sockets"]) =
-        (json!(down.local_addr().unwrap().to_string()), json!(512));
+    file["discovery"] = json!(down.local_addr().unwrap().to_string());
+    file["limits"]["sockets"] = json!(512);
     let path = std::env::temp_dir().join(format!("doorcourse-smoke-{}-idle.json", std::process::id()));
     std::fs::write(&path, file.to_string()).unwrap();
     let program = command(&path).get_program().to_owned();
@@ -95,8 +96,8 @@
         "Q.DO" => Reply::Withheld,
         _ => Reply::Bytes(value("good")),
     });
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", backend.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", backend.address, "active")]);
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     for class in file["settings"]["classes"].as_array_mut().unwrap() {
         class["hard-limit-ms"] = json!(15_000.0);
@@ -124,7 +125,8 @@
 #[test]
 fn restarted_processes_become_ready_whichever_peer_is_down() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (discovery, counter) = (silent_peer(), silent_peer());
+    let discovery = silent_peer();
+    let counter = silent_peer();
     let address = |of: &TcpListener| json!(of.local_addr().unwrap().to_string());
     let good = config(&Discovery::start(Vec::new()), &Counter::start());
     let old = json!({"seq": 7, "whole": true, "hosts": [endpoint("b0", gone, "active")]});
@@ -133,7 +135,9 @@
         for count in [address(&counter), json!(gone.to_string())] {
             for known in [good["known"].clone(), old.clone()] {
                 let mut file = good.clone();
-                (file["discovery"], file["counter"], file["known"]) = (down.clone(), count.clone(), known);
+                file["discovery"] = down.clone();
+                file["counter"] = count.clone();
+                file["known"] = known;
                 files.push(file);
             }
         }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -12,8 +12,8 @@
 #[test]
 fn process_serves_reloads_and_shuts_down_gracefully() {
     let backend = Backend::start(|_| Reply::Bytes(value("good")));
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", backend.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", backend.address, "active")]);
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     let mut gateway = start("life", &config);
     let mut client = Client::open(gateway.address);
@@ -45,8 +45,8 @@
         "Q.DO" => Reply::Withheld,
         _ => Reply::Bytes(value("good")),
     });
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", backend.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", backend.address, "active")]);
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     let mut gateway = start("kill", &config);
     let mut client = Client::open(gateway.address);
@@ -67,7 +67,8 @@
 
 #[test]
 fn unusable_file_is_reported_in_one_line_that_names_file_and_field() {
-    let (discovery, counter) = (Discovery::start(Vec::new()), Counter::start());
+    let discovery = Discovery::start(Vec::new());
+    let counter = Counter::start();
     let good = config(&discovery, &counter);
     let mut faults = Vec::new();
     for (field, bad) in [
@@ -99,8 +100,8 @@
 #[test]
 fn accept_queue_is_accepted_before_the_listener_closes() {
     let backend = Backend::start(|_| Reply::Bytes(value("good")));
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", backend.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", backend.address, "active")]);
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     config["limits"]["sockets"] = json!(1024);
     let mut gateway = start("accept-queue", &config);
@@ -126,7 +127,8 @@
 /// with 0.
 #[test]
 fn signal_during_the_start_leads_to_a_graceful_exit_once_it_listens() {
-    let (discovery, counter) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), Counter::start());
+    let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let counter = Counter::start();
     let mut config = config(&Discovery::start(Vec::new()), &counter);
     config["discovery"] = json!(discovery.local_addr().unwrap().to_string());
     let file = std::env::temp_dir().join(format!("doorcourse-smoke-{}-early.json", std::process::id()));
@@ -155,7 +157,8 @@
     let hosts: Vec<Json> = (0..1024)
         .map(|n| endpoint(&format!("s-{n:08x}-of-a-long-name"), backend.address, "active"))
         .collect();
-    let (discovery, counter) = (Discovery::start(hosts.clone()), Counter::start());
+    let discovery = Discovery::start(hosts.clone());
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     config["settings"]["fleet-size"] = json!(1024);
     config["known"] = json!({"seq": 0, "whole": true, "hosts": hosts});
@@ -185,8 +188,8 @@
         std::thread::sleep(std::time::Duration::from_millis(60));
         Reply::Bytes(value("good"))
     });
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", backend.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", backend.address, "active")]);
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     config["limits"]["sockets"] = json!(96);
     let gateway = start("crowd", &config);
@@ -216,7 +219,8 @@
     let late = LateBackend::start(|_| Reply::Bytes(value("late")));
     let good = Backend::start(|_| Reply::Bytes(value("good")));
     let hosts = vec![endpoint("b0", late.address(), "active"), endpoint("b1", good.address, "active")];
-    let (discovery, counter) = (Discovery::start(hosts), Counter::start());
+    let discovery = Discovery::start(hosts);
+    let counter = Counter::start();
     let mut config = config(&discovery, &counter);
     config["settings"]["extra"]["has-counter"] = json!(false);
     // Far longer than it takes to stop the process, also on a busy machine.
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -110,7 +110,8 @@
 fn client(
     mut random: ChaCha8Rng, places: &Shared<Vec<Option<SocketAddr>>>, over: &AtomicBool,
 ) -> Vec<RequestRecord> {
-    let (mut seen, mut ended) = (Vec::new(), Vec::new());
+    let mut seen = Vec::new();
+    let mut ended = Vec::new();
     while !over.load(Ordering::SeqCst) {
         let place = places.update(|p| p[random.random_range(0..GATEWAYS)]);
         let Some(at) = place else { continue };
@@ -158,7 +159,8 @@
     }
     let list = |later: bool| -> Vec<Json> {
         let good = (0..4).map(|n| {
-            let (drains, moves) = (later && n == 0, later && n == 1);
+            let drains = later && n == 0;
+            let moves = later && n == 1;
             let at = served[if moves { 4 } else { n }].0.address;
             let mut host = endpoint(&format!("b{n}"), at, if drains { "leaving" } else { "active" });
             host["born_ms"] = json!(u8::from(moves));
@@ -166,7 +168,8 @@
         });
         good.chain([endpoint("hangs", hangs.address, "active")]).collect()
     };
-    let (discovery, counter) = (Discovery::start(list(false)), Counter::start());
+    let discovery = Discovery::start(list(false));
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     file["settings"] = settings();
     file["settings"]["rules"]["drain-grace-ms"] = json!(DRAIN_GRACE.as_millis());
@@ -177,17 +180,19 @@
     let mut fleet: Vec<_> = (0..GATEWAYS).map(|at| start(&format!("rare-{seed}-{at}"), &file)).collect();
     let places = Shared::new(fleet.iter().map(|g| Some(g.address)).collect::<Vec<_>>());
     let over = Arc::new(AtomicBool::new(false));
-    let (client_places, stop) = (places.clone(), over.clone());
+    let client_places = places.clone();
+    let stop = over.clone();
     let clients = spawn_clients(CLIENTS, seed, move |random| client(random, &client_places, &stop));
     served[1].0.commands.wait("the load", |c| c.len() >= CLIENTS * 4);
     // Two are killed while discovery is down and restarted before it returns; one is stopped across its return.
     let mut killed = HashSet::new();
     let first = random.random_range(0..GATEWAYS);
-    let [a, b, halted] = [first, (first + 3) % GATEWAYS, (first + 5) % GATEWAYS];
+    let [a, b, stopped] = [first, (first + 3) % GATEWAYS, (first + 5) % GATEWAYS];
     discovery.stop_responding();
     // No backend replies meanwhile: queued requests stay queued, also those of clients that disconnect.
     frozen.update(|f| *f = true);
-    let (mut seen, mut ended) = (Vec::new(), Vec::new());
+    let mut seen = Vec::new();
+    let mut ended = Vec::new();
     for gateway in &fleet {
         let (client, ids) = send_requests(gateway.address, UNREAD_COMMANDS).expect("it listens");
         end_own_side(gateway.address, client, ids, &mut seen, &mut ended);
@@ -201,78 +206,123 @@
     }
     // An instant before the return each gateway has a request out that will not be answered.
     std::thread::sleep(Duration::from_millis(random.random_range(700..1100)));
-    fleet[halted].signal(Signal::STOP);
+    fleet[stopped].signal(Signal::STOP);
     discovery.resume_with(list(true));
-    let back = Instant::now();
+    let discovery_returned_at = Instant::now();
     std::thread::sleep(STOP_DURATION);
-    fleet[halted].signal(Signal::CONT);
-    let resumed = Instant::now();
+    fleet[stopped].signal(Signal::CONT);
+    let resumed_at = Instant::now();
     frozen.update(|f| *f = false);
     // As long as attempts for disconnected clients could go on, beside the load.
     std::thread::sleep(Duration::from_millis(3500));
     over.store(true, Ordering::SeqCst);
     seen.extend(clients.into_iter().flat_map(|c| c.join().unwrap()));
-    judge(seed, &seen, &killed, fleet[halted].address, &at_hanging, &served, back, resumed)
+    let records = RunRecords {
+        seed,
+        requests: &seen,
+        killed_gateways: &killed,
+        stopped_gateway: fleet[stopped].address,
+        resumed_at,
+        hanging: &at_hanging,
+        served: &served,
+        discovery_returned_at,
+    };
+    records.violations()
+}
+
+/// The records of one run, and when its events took place.
+struct RunRecords<'a> {
+    seed: u64,
+    requests: &'a [RequestRecord],
+    killed_gateways: &'a HashSet<SocketAddr>,
+    /// The gateway that was stopped while discovery returned, and when it resumed.
+    stopped_gateway: SocketAddr,
+    resumed_at: Instant,
+    /// The arrivals at the backend that hangs.
+    hanging: &'a Arrivals,
+    /// The other backends: the first drains when discovery returns, the second moves to the address of the last.
+    served: &'a [(Backend, Arrivals)],
+    discovery_returned_at: Instant,
 }
 
-#[allow(clippy::too_many_arguments, reason = "the records, and what was done when")]
-fn judge(
-    seed: u64, seen: &[RequestRecord], killed: &HashSet<SocketAddr>, halted: SocketAddr, hanging: &Arrivals,
-    served: &[(Backend, Arrivals)], back: Instant, resumed: Instant,
-) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut gone: HashMap<&str, Instant> = HashMap::new();
-    let (mut answered, mut lost) = (0, 0);
-    for seen in seen {
-        match seen.outcome {
-            Outcome::Answered => answered += 1,
-            Outcome::Lost if killed.contains(&seen.at) => lost += 1,
-            Outcome::Lost => faults.push(format!("seed {seed}: request {} has no response", seen.id)),
-            Outcome::Disconnected(at) => drop(gone.insert(&seen.id, at)),
+impl RunRecords<'_> {
+    /// Requests without a response, late attempts and attempts at a backend that must not receive them.
+    fn violations(&self) -> Vec<String> {
+        let seed = self.seed;
+        let mut faults = Vec::new();
+        let mut disconnected: HashMap<&str, Instant> = HashMap::new();
+        let mut answered = 0;
+        let mut lost = 0;
+        for request in self.requests {
+            match request.outcome {
+                Outcome::Answered => answered += 1,
+                Outcome::Lost if self.killed_gateways.contains(&request.at) => lost += 1,
+                Outcome::Lost => faults.push(format!("seed {seed}: request {} has no response", request.id)),
+                Outcome::Disconnected(at) => drop(disconnected.insert(&request.id, at)),
+            }
         }
+        let mut late = self.attempts_after_the_disconnect(&disconnected);
+        let started_late = late.len();
+        if started_late > 2 {
+            faults.append(&mut late);
+        }
+        faults.extend(self.attempts_after_the_drain_or_move());
+        let moved_to = self.served[4].0.command_count();
+        assert!(moved_to > 0, "nothing was sent to the new address of the second");
+        eprintln!(
+            "seed {seed}: {} requests, {answered} answered, {lost} lost with killed gateways, {} of clients that \
+             disconnected, {started_late} started late, {} faults",
+            self.requests.len(),
+            disconnected.len(),
+            faults.len()
+        );
+        assert!(answered > CLIENTS * 20 && disconnected.len() > CLIENTS * 4, "hardly any request was sent");
+        faults
     }
-    let mut late = Vec::new();
-    for arrivals in served.iter().map(|(_, arrivals)| arrivals).chain([hanging]) {
-        arrivals.update(|arrivals| {
-            for (id, came) in arrivals.iter() {
-                let after = gone.get(id.as_str()).map_or(Duration::ZERO, |went| came.duration_since(*went));
-                if after > DISCONNECT_LIMIT {
-                    late.push(format!(
-                        "seed {seed}: attempt of {id} started {after:?} after its client had disconnected"
-                    ));
+
+    fn attempts_after_the_disconnect(&self, disconnected: &HashMap<&str, Instant>) -> Vec<String> {
+        let seed = self.seed;
+        let mut late = Vec::new();
+        for arrivals in self.served.iter().map(|(_, arrivals)| arrivals).chain([self.hanging]) {
+            arrivals.update(|arrivals| {
+                for (id, arrived_at) in arrivals.iter() {
+                    let disconnected_at = disconnected.get(id.as_str());
+                    let after = disconnected_at.map_or(Duration::ZERO, |at| arrived_at.duration_since(*at));
+                    if after > DISCONNECT_LIMIT {
+                        late.push(format!(
+                            "seed {seed}: attempt of {id} started {after:?} after its client had disconnected"
+                        ));
+                    }
                 }
-            }
-        });
-    }
-    let started_late = late.len();
-    if started_late > 2 {
-        faults.append(&mut late);
+            });
+        }
+        late
     }
-    // The first drains, the second has moved: neither gets any more attempts.
-    for (what, (_, arrivals)) in ["drained", "moved"].iter().zip(served) {
-        arrivals.update(|arrivals| {
-            for (id, came) in arrivals.iter().filter(|(_, came)| *came > back + DRAIN_GRACE + SLACK) {
-                let after = came.duration_since(back);
-                // The one that was stopped is notified when it resumes.
-                if *came > resumed + DRAIN_GRACE + SLACK
-                    || !seen.iter().any(|s| s.id == *id && s.at == halted)
-                {
-                    faults.push(format!("seed {seed}: {id} was sent to a backend {after:?} after it {what}"));
+
+    /// The first backend drains, the second has moved: neither may receive any more attempts. The gateway that was
+    /// stopped is notified when it resumes.
+    fn attempts_after_the_drain_or_move(&self) -> Vec<String> {
+        let seed = self.seed;
+        let returned_at = self.discovery_returned_at;
+        let by_stopped_gateway =
+            |id: &str| self.requests.iter().any(|r| r.id == id && r.at == self.stopped_gateway);
+        let mut faults = Vec::new();
+        for (what, (_, arrivals)) in ["drained", "moved"].iter().zip(self.served) {
+            arrivals.update(|arrivals| {
+                let is_late = |at: Instant| at > returned_at + DRAIN_GRACE + SLACK;
+                for (id, arrived_at) in arrivals.iter().filter(|(_, at)| is_late(*at)) {
+                    let after = arrived_at.duration_since(returned_at);
+                    let is_late_after_resume = *arrived_at > self.resumed_at + DRAIN_GRACE + SLACK;
+                    if is_late_after_resume || !by_stopped_gateway(id) {
+                        faults.push(format!(
+                            "seed {seed}: {id} was sent to a backend {after:?} after it {what}"
+                        ));
+                    }
                 }
-            }
-        });
+            });
+        }
+        faults
     }
-    let moved_to = served[4].0.command_count();
-    assert!(moved_to > 0, "nothing was sent to the new address of the second");
-    eprintln!(
-        "seed {seed}: {} requests, {answered} answered, {lost} lost with killed gateways, {} of clients that disconnected, {started_late} \
-         started late, {} faults",
-        seen.len(),
-        gone.len(),
-        faults.len()
-    );
-    assert!(answered > CLIENTS * 20 && gone.len() > CLIENTS * 4, "hardly any request was sent");
-    faults
 }
 
 #[test]
@@ -302,8 +352,8 @@
 #[test]
 fn accept_queue_is_answered_when_the_listener_closes() {
     let (good, _) = backend(|_| Reply::Bytes(value("good")));
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", good.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", good.address, "active")]);
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     // Enough descriptors for all of them: a table that is full of requests is another test.
     file["limits"]["sockets"] = json!(1024);
@@ -323,8 +373,8 @@
 #[test]
 fn response_due_with_the_idle_timeout_of_its_connection_is_written() {
     let (silent, _) = backend(|_| Reply::Withheld);
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", silent.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", silent.address, "active")]);
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     set_max_timeout(&mut file, MAX_TIMEOUT_MS);
     let gateway = start("age", &file);
@@ -349,7 +399,8 @@
     // Enough backends for a request on each connection.
     let silent: Vec<_> = (0..16).map(|_| backend(|_| Reply::Withheld)).collect();
     let hosts = silent.iter().enumerate().map(|(n, (b, _))| endpoint(&format!("b{n}"), b.address, "active"));
-    let (discovery, counter) = (Discovery::start(hosts.collect()), Counter::start());
+    let discovery = Discovery::start(hosts.collect());
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     file["limits"]["sockets"] = json!(64);
     file["settings"]["extra"]["has-counter"] = json!(false);
@@ -394,12 +445,13 @@
         std::thread::sleep(Duration::from_millis(1200));
         Reply::Bytes(value("good"))
     });
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b0", silent.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b0", silent.address, "active")]);
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     set_max_timeout(&mut file, MAX_TIMEOUT_MS);
     let mut gateway = start("kill", &file);
-    let (mut early, mut busy) = (Client::open(gateway.address), Client::open(gateway.address));
+    let mut early = Client::open(gateway.address);
+    let mut busy = Client::open(gateway.address);
     early.send_request("order", 2500);
     silent.commands.wait("the first", |c| c.len() == 1);
     busy.send_request("order", 3000);
--- a/crates/cli/tests/rolling.rs
+++ b/crates/cli/tests/rolling.rs
@@ -121,7 +121,8 @@
     }
     let hosts =
         backends.iter().enumerate().map(|(n, b)| endpoint(&format!("b{n}"), b.address, "active")).collect();
-    let (discovery, counter) = (Discovery::start(hosts), Counter::start());
+    let discovery = Discovery::start(hosts);
+    let counter = Counter::start();
     let mut file = config(&discovery, &counter);
     file["settings"] = settings();
     for class in file["settings"]["classes"].as_array_mut().unwrap() {
@@ -132,7 +133,8 @@
         (0..GATEWAYS).map(|at| Some(start(&format!("roll-{seed}-{at}"), &file))).collect();
     let places = Shared::new(fleet.iter().map(|g| g.as_ref().map(|g| g.address)).collect::<Vec<_>>());
     let over = Arc::new(AtomicBool::new(false));
-    let (client_places, stop) = (places.clone(), over.clone());
+    let client_places = places.clone();
+    let stop = over.clone();
     let clients = spawn_clients(CLIENTS, seed, move |random| client(random, &client_places, &stop));
     backends[1].commands.wait("the load", |c| c.len() >= CLIENTS);
     let mut faults = Vec::new();
--- a/crates/counter/src/link/tests.rs
+++ b/crates/counter/src/link/tests.rs
@@ -36,7 +36,8 @@
 
 #[test]
 fn calls_end_once_in_order_when_replies_come_byte_by_byte() {
-    let (mut link, mut actions) = (ready_link(), Vec::new());
+    let mut link = ready_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.take_output();
     link.call(1.0, call(2), &mut actions);
@@ -49,7 +50,8 @@
 
 #[test]
 fn late_reply_after_timeout_reports_added_and_next_call_has_its_own_total() {
-    let (mut link, mut actions) = (ready_link(), Vec::new());
+    let mut link = ready_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.take_output();
     link.handle_timeout(50.0, &mut actions);
@@ -62,7 +64,8 @@
 
 #[test]
 fn unresponsive_connection_is_replaced_with_exponential_backoff() {
-    let (mut link, mut actions) = (ready_link(), Vec::new());
+    let mut link = ready_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.take_output();
     link.handle_timeout(499.0, &mut actions);
@@ -81,7 +84,8 @@
 
 #[test]
 fn refused_transaction_is_not_added_and_interrupted_one_is_unknown() {
-    let (mut link, mut actions) = (ready_link(), Vec::new());
+    let mut link = ready_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.take_output();
     let refused = b"+OK\r\n-ERR no\r\n+QUEUED\r\n-EXECABORT discarded\r\n";
@@ -94,7 +98,8 @@
 
 #[test]
 fn unreadable_reply_closes_the_connection_once() {
-    let (mut link, mut actions) = (ready_link(), Vec::new());
+    let mut link = ready_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.take_output();
     link.handle_input(1.0, b"HTTP/1.1 400\r\n", &mut actions);
@@ -125,7 +130,8 @@
 
 #[test]
 fn partially_written_call_is_not_added_when_the_connection_is_lost() {
-    let (mut link, mut actions) = (http_link(), Vec::new());
+    let mut link = http_link();
+    let mut actions = Vec::new();
     link.call(0.0, call(1), &mut actions);
     link.call(0.0, call(2), &mut actions);
     let all = link.take_output().len();
@@ -141,7 +147,8 @@
 
 #[test]
 fn idle_connection_is_replaced_after_the_idle_timeout() {
-    let (mut link, mut actions) = (http_link(), Vec::new());
+    let mut link = http_link();
+    let mut actions = Vec::new();
     assert_eq!(link.handle_timeout(2999.0, &mut actions), 3000.0);
     assert!(actions.is_empty());
     link.handle_timeout(3000.0, &mut actions);
@@ -152,7 +159,8 @@
 
 #[test]
 fn connection_that_is_never_made_is_closed_after_the_unresponsive_timeout() {
-    let (mut link, mut actions) = (CounterLink::new(settings(), HttpCodec::new("c")), Vec::new());
+    let mut link = CounterLink::new(settings(), HttpCodec::new("c"));
+    let mut actions = Vec::new();
     assert_eq!(link.handle_timeout(0.0, &mut actions), 500.0);
     actions.clear();
     assert_eq!(link.handle_timeout(500.0, &mut actions), 600.0);
@@ -164,7 +172,8 @@
 
 #[test]
 fn unreadable_total_leaves_its_call_and_later_calls_unknown() {
-    let (mut link, mut actions) = (http_link(), Vec::new());
+    let mut link = http_link();
+    let mut actions = Vec::new();
     for counter in 1..4 {
         link.call(0.0, call(counter), &mut actions);
     }
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -120,7 +120,8 @@
                 if let Some(open) = open {
                     open.is_sent = true;
                     let queued_ms = now - open.received_at;
-                    let (customer, plan) = (&open.customer, &open.plan);
+                    let customer = &open.customer;
+                    let plan = &open.plan;
                     tracing::trace!(target: LOG_TARGET, %customer, %plan, queued_ms, "request forwarded");
                 }
             }
--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -127,7 +127,8 @@
 fn second_request_with_an_open_id_is_rejected_and_the_first_goes_on() {
     let backend = Backend::start(|_| Reply::Withheld);
     let rig = TestGateway::with_backends(&[backend.address]);
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let mut first = rig.client();
+    let mut second = rig.client();
     let id = first.send_request("order", 900);
     backend.commands.wait("the attempt of the first request", |c| c.len() == 1);
     let list = "c=order,t=team,d=480,units=1,spread=1,first=0";
@@ -239,7 +240,8 @@
         unread_client.stream.write_all(&bytes).unwrap();
     }
     // Others are served beside it, for longer than it may leave its responses unread.
-    let (began, mut served) = (Instant::now(), 0);
+    let began = Instant::now();
+    let mut served = 0;
     while began.elapsed() < Duration::from_millis(3500) {
         served += usize::from(matches!(rig.client().request("lookup", 2000), Value::Bulk(_)));
     }
--- a/crates/resp-gateway/tests/discovery.rs
+++ b/crates/resp-gateway/tests/discovery.rs
@@ -37,7 +37,10 @@
     std::thread::spawn(move || {
         let counts = std::sync::Arc::new(std::sync::Mutex::new((0, 0)));
         for stream in listener.incoming().flatten() {
-            let (script, list, wrong, counts) = (script.clone(), list.clone(), wrong.clone(), counts.clone());
+            let script = script.clone();
+            let list = list.clone();
+            let wrong = wrong.clone();
+            let counts = counts.clone();
             std::thread::spawn(move || serve(stream, &script, &counts, &list, &wrong));
         }
     });
@@ -132,7 +135,9 @@
     let runs = scripts.into_iter().map(|script| {
         std::thread::spawn(move || {
             let backend = |text: &'static str| Backend::start(move |_| Reply::Bytes(value(text)));
-            let (old, new, wrong) = (backend("old"), backend("new"), backend("wrong"));
+            let old = backend("old");
+            let new = backend("new");
+            let wrong = backend("wrong");
             let mut rig = TestGateway::with_backends(&[old.address]);
             assert!(is_served(&rig.client().request("lookup", 2000), "old"));
             let list = |other: SocketAddr| {
@@ -143,7 +148,8 @@
             rig.file["discovery"] = json!(moved.to_string());
             rig.write_config();
             rig.handle.reload();
-            let (began, mut client) = (Instant::now(), rig.client());
+            let began = Instant::now();
+            let mut client = rig.client();
             while !is_served(&client.request("lookup", 500), "new") {
                 assert!(began.elapsed() < WAIT_LIMIT, "{script:?}: never followed");
             }
--- a/crates/resp-gateway/tests/gone.rs
+++ b/crates/resp-gateway/tests/gone.rs
@@ -15,7 +15,8 @@
     settings["extra"]["has-counter"] = false.into();
     settings["permissions"]["dial-timeout-ms"] = 3000.into();
     for class in settings["classes"].as_array_mut().unwrap() {
-        (class["goal-time-ms"], class["hard-limit-ms"]) = (8000.into(), 16_000.into());
+        class["goal-time-ms"] = 8000.into();
+        class["hard-limit-ms"] = 16_000.into();
     }
     settings
 }
@@ -46,7 +47,8 @@
 fn close_behind_unread_commands_is_noticed_and_no_attempt_follows() {
     let held = Arc::new(Mutex::new(()));
     let open = Arc::new(AtomicBool::new(false));
-    let (gate, through) = (held.clone(), open.clone());
+    let gate = held.clone();
+    let through = open.clone();
     let backend = Backend::start(move |_| {
         if through.load(Ordering::SeqCst) {
             return Reply::Bytes(value("good"));
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -28,7 +28,8 @@
 
 #[test]
 fn draining_backend_gets_no_new_attempts() {
-    let (first, second) = (good(), good());
+    let first = good();
+    let second = good();
     let rig = TestGateway::with_backends(&[first.address, second.address]);
     serve_until(&rig, "both to serve", || first.command_count() > 0 && second.command_count() > 0);
     rig.discovery.publish_changes(vec![endpoint("b0", first.address, "leaving")]);
@@ -59,7 +60,8 @@
 
 #[test]
 fn unreadable_line_makes_the_gateway_request_the_complete_list() {
-    let (first, second) = (good(), good());
+    let first = good();
+    let second = good();
     let rig = TestGateway::with_backends(&[first.address]);
     rig.discovery.set_endpoints(vec![endpoint("b1", second.address, "active")]);
     rig.discovery.publish_line("{\"seq\":7,\"whole\":fal");
@@ -68,7 +70,8 @@
 
 #[test]
 fn ended_watch_is_resumed_from_its_version() {
-    let (first, second) = (good(), good());
+    let first = good();
+    let second = good();
     let rig = TestGateway::with_backends(&[first.address]);
     rig.discovery.close_watches();
     rig.discovery.wait_for_requests(2);
@@ -78,10 +81,11 @@
 
 #[test]
 fn reload_moves_discovery_and_counter_while_requests_go_on() {
-    let (first, second) = (good(), good());
+    let first = good();
+    let second = good();
     let mut rig = TestGateway::with_backends(&[first.address]);
-    let (discovery, counter) =
-        (Discovery::start(vec![endpoint("b1", second.address, "active")]), Counter::start());
+    let discovery = Discovery::start(vec![endpoint("b1", second.address, "active")]);
+    let counter = Counter::start();
     serve_until(&rig, "the first to serve", || first.command_count() > 0);
     rig.file["discovery"] = json!(discovery.address.to_string());
     rig.file["counter"] = json!(counter.address.to_string());
@@ -134,7 +138,8 @@
         Reply::Bytes(value("good"))
     });
     let mut rig = TestGateway::with_backends(&[backend.address]);
-    let (mut first, mut idle) = (rig.client(), rig.client());
+    let mut first = rig.client();
+    let mut idle = rig.client();
     first.send_request("lookup", 2400);
     backend.commands.wait("the attempt", |c| c.len() == 1);
     rig.handle.stop();
@@ -183,7 +188,8 @@
     let stopped_at = Shared::new(None::<Instant>);
     let clients: Vec<_> = (0..12)
         .map(|_| {
-            let (mut client, stopped_at) = (rig.client(), stopped_at.clone());
+            let mut client = rig.client();
+            let stopped_at = stopped_at.clone();
             std::thread::spawn(move || {
                 let mut answered = 0;
                 // A client that sees the close of its connection goes elsewhere; a request that crosses the close is sent again.
@@ -248,7 +254,9 @@
         Reply::Bytes(text.clone())
     });
     let mut rig = TestGateway::with_backends(&[backend.address]);
-    let (mut piped, mut half, mut slow) = (rig.client(), rig.client(), rig.client());
+    let mut piped = rig.client();
+    let mut half = rig.client();
+    let mut slow = rig.client();
     let encoded = half.encode_request("lookup", 2000);
     half.stream.write_all(&encoded[..encoded.len() / 2]).unwrap();
     rig.handle.stop();
@@ -308,7 +316,8 @@
         Reply::Bytes(value("good"))
     });
     let mut rig = TestGateway::with_backends(&[backend.address]);
-    let (mut client, mut idle) = (rig.client(), rig.client());
+    let mut client = rig.client();
+    let mut idle = rig.client();
     client.send_request("lookup", 2400);
     backend.commands.wait("the attempt", |c| c.len() == 1);
     rig.handle.stop();
--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -13,7 +13,8 @@
     settings["extra"]["has-counter"] = json!(false);
     settings["permissions"]["dial-timeout-ms"] = json!(8000.0);
     for class in settings["classes"].as_array_mut().unwrap() {
-        (class["goal-time-ms"], class["hard-limit-ms"]) = (json!(8000.0), json!(16_000.0));
+        class["goal-time-ms"] = json!(8000.0);
+        class["hard-limit-ms"] = json!(16_000.0);
     }
     settings
 }
@@ -28,8 +29,8 @@
 /// Requests to the new address must not wait for a connection that is still being made to the old one.
 #[test]
 fn request_to_a_moved_backend_does_not_wait_for_the_connection_to_its_old_address() {
-    let (old, new) =
-        (LateBackend::start(|_| Reply::Bytes(value("old"))), Backend::start(|_| Reply::Bytes(value("new"))));
+    let old = LateBackend::start(|_| Reply::Bytes(value("old")));
+    let new = Backend::start(|_| Reply::Bytes(value("new")));
     let rig = TestGateway::new(vec![backend_started_at(old.address(), 0)], long_connect_timeout(), 1024);
     let mut client = rig.client();
     client.send_request("order", 4000);
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -160,8 +160,9 @@
 fn short_window(window_ms: f64) -> serde_json::Value {
     let mut settings = rig::settings();
     let save = &mut settings["classes"][1];
-    (save["goal-time-ms"], save["hard-limit-ms"], save["window-ms"]) =
-        (8000.into(), 16_000.into(), window_ms.into());
+    save["goal-time-ms"] = 8000.into();
+    save["hard-limit-ms"] = 16_000.into();
+    save["window-ms"] = window_ms.into();
     settings["permissions"]["dial-timeout-ms"] = 3000.into();
     settings
 }
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -94,7 +94,9 @@
             let count = AtomicUsize::new(0);
             for stream in listener.incoming().flatten() {
                 let connection = count.fetch_add(1, Ordering::SeqCst) + 1;
-                let (received, closed, script) = (received.clone(), closed.clone(), script.clone());
+                let received = received.clone();
+                let closed = closed.clone();
+                let script = script.clone();
                 std::thread::spawn(move || {
                     serve(stream, connection, &received, &*script);
                     closed.update(|closed| closed.push(connection));
@@ -313,10 +315,12 @@
         let address = listener.local_addr().unwrap();
         let totals = Shared::new(HashMap::new());
         let fault = Shared::new(CounterFault::None);
-        let (shared_totals, shared_fault) = (totals.clone(), fault.clone());
+        let shared_totals = totals.clone();
+        let shared_fault = fault.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (totals, fault) = (shared_totals.clone(), shared_fault.clone());
+                let totals = shared_totals.clone();
+                let fault = shared_fault.clone();
                 std::thread::spawn(move || Self::serve(stream, &totals, &fault));
             }
         });
@@ -424,7 +428,8 @@
     }
 
     pub fn new(endpoints: Vec<Json>, settings: Json, descriptors: usize) -> Self {
-        let (discovery, counter) = (Discovery::start(endpoints), Counter::start());
+        let discovery = Discovery::start(endpoints);
+        let counter = Counter::start();
         let file = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 128, "sockets": descriptors},
@@ -436,7 +441,8 @@
             .join(format!("doorcourse-resp-gateway-{}-{number}.json", std::process::id()));
         std::fs::write(&path, file.to_string()).unwrap();
         let mut gateway = RespGateway::new(path.clone(), Config::open(&path).unwrap()).unwrap();
-        let (address, handle) = (gateway.address(), gateway.handle().unwrap());
+        let address = gateway.address();
+        let handle = gateway.handle().unwrap();
         let thread = Some(std::thread::spawn(move || gateway.run()));
         let rig = Self { address, discovery, counter, handle, path, file, thread };
         let mut client = rig.client();
