--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -8,6 +8,8 @@
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
 mod running;
+#[path = "rare/verdict.rs"]
+mod verdict;
 
 use doorcourse_connection_limits::DescriptorBudget;
 use rand::{RngExt, SeedableRng};
@@ -20,11 +22,12 @@
 use rustix::net::sockopt::set_socket_linger;
 use rustix::process::Signal;
 use serde_json::{Value as Json, json};
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
+use verdict::{Arrivals, Outcome, RequestRecord, RunRecords};
 
 const GATEWAYS: usize = 8;
 const CLIENTS: usize = 24;
@@ -36,29 +39,9 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// What a busy machine may add to any limit.
 const SLACK: Duration = Duration::from_millis(1000);
-/// An attempt started this long after its client disconnected is late: the limit is 0.1 s, and the third late one is a
-/// violation.
-const DISCONNECT_LIMIT: Duration = Duration::from_millis(400);
 /// How long one gateway is stopped.
 const STOP_DURATION: Duration = Duration::from_millis(1200);
 
-/// A request as its client saw it.
-struct RequestRecord {
-    id: String,
-    at: SocketAddr,
-    outcome: Outcome,
-}
-
-enum Outcome {
-    Answered,
-    /// The connection closed without a response.
-    Lost,
-    /// The client disconnected at that time.
-    Disconnected(Instant),
-}
-
-type Arrivals = Arc<Shared<Vec<(String, Instant)>>>;
-
 /// A backend that records when each command arrived.
 fn backend(script: impl Fn(&rig::Command) -> Reply + Send + Sync + 'static) -> (Backend, Arrivals) {
     let arrivals: Arrivals = Shared::new(Vec::new());
@@ -230,101 +213,6 @@
     records.violations()
 }
 
-/// The records of one run, and when its events took place.
-struct RunRecords<'a> {
-    seed: u64,
-    requests: &'a [RequestRecord],
-    killed_gateways: &'a HashSet<SocketAddr>,
-    /// The gateway that was stopped while discovery returned, and when it resumed.
-    stopped_gateway: SocketAddr,
-    resumed_at: Instant,
-    /// The arrivals at the backend that hangs.
-    hanging: &'a Arrivals,
-    /// The other backends: the first drains when discovery returns, the second moves to the address of the last.
-    served: &'a [(Backend, Arrivals)],
-    discovery_returned_at: Instant,
-}
-
-impl RunRecords<'_> {
-    /// Requests without a response, late attempts and attempts at a backend that must not receive them.
-    fn violations(&self) -> Vec<String> {
-        let seed = self.seed;
-        let mut faults = Vec::new();
-        let mut disconnected: HashMap<&str, Instant> = HashMap::new();
-        let mut answered = 0;
-        let mut lost = 0;
-        for request in self.requests {
-            match request.outcome {
-                Outcome::Answered => answered += 1,
-                Outcome::Lost if self.killed_gateways.contains(&request.at) => lost += 1,
-                Outcome::Lost => faults.push(format!("seed {seed}: request {} has no response", request.id)),
-                Outcome::Disconnected(at) => drop(disconnected.insert(&request.id, at)),
-            }
-        }
-        let mut late = self.attempts_after_the_disconnect(&disconnected);
-        let started_late = late.len();
-        if started_late > 2 {
-            faults.append(&mut late);
-        }
-        faults.extend(self.attempts_after_the_drain_or_move());
-        let moved_to = self.served[4].0.command_count();
-        assert!(moved_to > 0, "nothing was sent to the new address of the second");
-        eprintln!(
-            "seed {seed}: {} requests, {answered} answered, {lost} lost with killed gateways, {} of clients that \
-             disconnected, {started_late} started late, {} faults",
-            self.requests.len(),
-            disconnected.len(),
-            faults.len()
-        );
-        assert!(answered > CLIENTS * 20 && disconnected.len() > CLIENTS * 4, "hardly any request was sent");
-        faults
-    }
-
-    fn attempts_after_the_disconnect(&self, disconnected: &HashMap<&str, Instant>) -> Vec<String> {
-        let seed = self.seed;
-        let mut late = Vec::new();
-        for arrivals in self.served.iter().map(|(_, arrivals)| arrivals).chain([self.hanging]) {
-            arrivals.update(|arrivals| {
-                for (id, arrived_at) in arrivals.iter() {
-                    let disconnected_at = disconnected.get(id.as_str());
-                    let after = disconnected_at.map_or(Duration::ZERO, |at| arrived_at.duration_since(*at));
-                    if after > DISCONNECT_LIMIT {
-                        late.push(format!(
-                            "seed {seed}: attempt of {id} started {after:?} after its client had disconnected"
-                        ));
-                    }
-                }
-            });
-        }
-        late
-    }
-
-    /// The first backend drains, the second has moved: neither may receive any more attempts. The gateway that was
-    /// stopped is notified when it resumes.
-    fn attempts_after_the_drain_or_move(&self) -> Vec<String> {
-        let seed = self.seed;
-        let returned_at = self.discovery_returned_at;
-        let by_stopped_gateway =
-            |id: &str| self.requests.iter().any(|r| r.id == id && r.at == self.stopped_gateway);
-        let mut faults = Vec::new();
-        for (what, (_, arrivals)) in ["drained", "moved"].iter().zip(self.served) {
-            arrivals.update(|arrivals| {
-                let is_late = |at: Instant| at > returned_at + DRAIN_GRACE + SLACK;
-                for (id, arrived_at) in arrivals.iter().filter(|(_, at)| is_late(*at)) {
-                    let after = arrived_at.duration_since(returned_at);
-                    let is_late_after_resume = *arrived_at > self.resumed_at + DRAIN_GRACE + SLACK;
-                    if is_late_after_resume || !by_stopped_gateway(id) {
-                        faults.push(format!(
-                            "seed {seed}: {id} was sent to a backend {after:?} after it {what}"
-                        ));
-                    }
-                }
-            });
-        }
-        faults
-    }
-}
-
 #[test]
 fn fleet_keeps_its_limits_while_discovery_clients_and_gateways_fail() {
     let seeds = std::env::var("DOORCOURSE_SEEDS")
--- /dev/null
+++ b/crates/resp-gateway/tests/rig/backend.rs
@@ -0,0 +1,147 @@
+//! Scripted backends.
+
+use super::Shared;
+use doorcourse_resp::{CommandLimits, Commands};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+/// Chooses the reply of a backend to a command.
+pub type Script = dyn Fn(&Command) -> Reply + Send + Sync;
+
+/// A command that a backend received.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Command {
+    pub arguments: Vec<String>,
+    /// The number of its connection at this backend, from 1.
+    pub connection: usize,
+}
+
+/// What a scripted backend does about a command.
+pub enum Reply {
+    Bytes(Vec<u8>),
+    /// Writes this and closes the connection in order.
+    BytesAndClose(Vec<u8>),
+    /// Resets the connection.
+    Reset,
+    /// Does not reply.
+    Withheld,
+}
+
+/// A successful reply with this value.
+pub fn value(text: &str) -> Vec<u8> {
+    format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes()
+}
+
+pub struct Backend {
+    pub address: SocketAddr,
+    pub commands: Arc<Shared<Vec<Command>>>,
+    /// The numbers of connections that have closed.
+    pub closed_connections: Arc<Shared<Vec<usize>>>,
+}
+
+impl Backend {
+    pub fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), Box::new(script))
+    }
+
+    fn on(listener: TcpListener, script: Box<Script>) -> Self {
+        let address = listener.local_addr().unwrap();
+        let commands = Shared::new(Vec::new());
+        let closed_connections = Shared::new(Vec::new());
+        let received = commands.clone();
+        let closed = closed_connections.clone();
+        let script = Arc::new(script);
+        std::thread::spawn(move || {
+            let count = AtomicUsize::new(0);
+            for stream in listener.incoming().flatten() {
+                let connection = count.fetch_add(1, Ordering::SeqCst) + 1;
+                let received = received.clone();
+                let closed = closed.clone();
+                let script = script.clone();
+                std::thread::spawn(move || {
+                    serve(stream, connection, &received, &*script);
+                    closed.update(|closed| closed.push(connection));
+                });
+            }
+        });
+        Self { address, commands, closed_connections }
+    }
+
+    pub fn command_count(&self) -> usize {
+        self.commands.update(|commands| commands.len())
+    }
+}
+
+/// A backend whose connections are not made until it is opened: its accept queue is full, as on an overloaded machine.
+pub struct LateBackend {
+    listener: TcpListener,
+    queued: Vec<TcpStream>,
+    script: Box<Script>,
+}
+
+impl LateBackend {
+    pub fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
+        use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
+        let fd = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
+        bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        listen(&fd, 0).unwrap();
+        let listener = TcpListener::from(fd);
+        let address = listener.local_addr().unwrap();
+        // The queue is full once a connection is not made any more.
+        let mut queued = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
+            queued.push(stream);
+        }
+        Self { listener, queued, script: Box::new(script) }
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        self.listener.local_addr().unwrap()
+    }
+
+    /// Accepts connections. Those refused so far are made when the system retries, within a second or so.
+    pub fn open(self) -> Backend {
+        let Self { listener, queued, script } = self;
+        let backend = Backend::on(listener, script);
+        drop(queued);
+        backend
+    }
+}
+
+fn serve(mut stream: TcpStream, connection: usize, received: &Shared<Vec<Command>>, script: &Script) {
+    let mut commands = Commands::new(CommandLimits { words: 8, word: 64 << 10, bytes: 128 << 10 });
+    let mut input = Vec::new();
+    let mut buffer = [0; 4096];
+    loop {
+        while let Some((ranges, length)) = commands.read(&input).expect("the gateway writes valid commands") {
+            let argument = |range: std::ops::Range<usize>| String::from_utf8(input[range].to_vec()).unwrap();
+            let arguments = ranges.into_iter().map(argument).collect();
+            input.drain(..length);
+            let command = Command { arguments, connection };
+            received.update(|received| received.push(command.clone()));
+            match script(&command) {
+                Reply::Bytes(bytes) => {
+                    if stream.write_all(&bytes).is_err() {
+                        return;
+                    }
+                }
+                Reply::BytesAndClose(bytes) => {
+                    let _ = stream.write_all(&bytes);
+                    return;
+                }
+                Reply::Reset => {
+                    rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
+                    return;
+                }
+                Reply::Withheld => {}
+            }
+        }
+        match stream.read(&mut buffer) {
+            Ok(n @ 1..) => input.extend_from_slice(&buffer[..n]),
+            _ => return,
+        }
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/tests/rig/discovery.rs
@@ -0,0 +1,114 @@
+//! Scripted discovery.
+
+use super::Shared;
+use super::http::each_target;
+use serde_json::{Value as Json, json};
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+
+/// Discovery: an endpoint list, and changes that are pushed to all watches.
+pub struct Discovery {
+    pub address: SocketAddr,
+    state: Arc<Shared<DiscoveryState>>,
+}
+
+#[derive(Default)]
+struct DiscoveryState {
+    version: u64,
+    endpoints: Vec<Json>,
+    watches: Vec<TcpStream>,
+    request_count: usize,
+    /// Requests are read and never answered.
+    is_silent: bool,
+}
+
+pub fn endpoint(name: &str, address: SocketAddr, health: &str) -> Json {
+    json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 1,
+        "health": health, "share": 1.0, "born_ms": 0})
+}
+
+fn chunk(text: &str) -> Vec<u8> {
+    format!("{:x}\r\n{text}\n\r\n", text.len() + 1).into_bytes()
+}
+
+impl Discovery {
+    pub fn start(endpoints: Vec<Json>) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let state = Shared::new(DiscoveryState { version: 1, endpoints, ..DiscoveryState::default() });
+        let shared = state.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let shared = shared.clone();
+                std::thread::spawn(move || Self::serve(stream, &shared));
+            }
+        });
+        Self { address, state }
+    }
+
+    fn serve(stream: TcpStream, state: &Shared<DiscoveryState>) {
+        each_target(stream, |target, stream| {
+            state.update(|s| {
+                s.request_count += 1;
+                if s.is_silent {
+                    return Ok(());
+                }
+                let list = json!({"seq": s.version, "whole": true, "hosts": s.endpoints}).to_string();
+                if !target.contains("watch=1") {
+                    return write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
+                }
+                let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+                stream.write_all(&[&head[..], &chunk(&list)].concat())?;
+                s.watches.push(stream.try_clone()?);
+                Ok(())
+            })
+        });
+    }
+
+    /// Sends changes to all watches.
+    pub fn publish_changes(&self, endpoints: Vec<Json>) {
+        self.state.update(|s| {
+            s.version += 1;
+            let line = chunk(&json!({"seq": s.version, "whole": false, "hosts": endpoints}).to_string());
+            s.watches.retain_mut(|w| w.write_all(&line).is_ok());
+        });
+    }
+
+    /// Writes a line unchanged to all watches.
+    pub fn publish_line(&self, line: &str) {
+        self.state.update(|s| s.watches.retain_mut(|w| w.write_all(&chunk(line)).is_ok()));
+    }
+
+    /// Goes down: all watches are closed, and requests are never answered, also those that are open at the return.
+    pub fn stop_responding(&self) {
+        self.state.update(|s| s.is_silent = true);
+        self.close_watches();
+    }
+
+    /// Returns with this list.
+    pub fn resume_with(&self, endpoints: Vec<Json>) {
+        self.state.update(|s| {
+            s.is_silent = false;
+            s.version += 1;
+            s.endpoints = endpoints;
+        });
+    }
+
+    /// Closes all watches.
+    pub fn close_watches(&self) {
+        self.state.update(|s| s.watches.drain(..).for_each(|w| drop(w.shutdown(std::net::Shutdown::Both))));
+    }
+
+    /// Replaces the list without notifying the watches.
+    pub fn set_endpoints(&self, endpoints: Vec<Json>) {
+        self.state.update(|s| {
+            s.version += 1;
+            s.endpoints = endpoints;
+        });
+    }
+
+    pub fn wait_for_requests(&self, count: usize) {
+        self.state.wait("requests to discovery", |s| s.request_count >= count);
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/tests/rig/http.rs
@@ -0,0 +1,32 @@
+//! Reads the requests of scripted HTTP servers.
+
+use doorcourse_http::{Decoder, Limits, Part, Role};
+use std::io::Read;
+use std::net::TcpStream;
+
+/// Passes each HTTP request's target to `respond`, until the connection closes or a response cannot be written.
+pub(super) fn each_target(
+    mut stream: TcpStream, mut respond: impl FnMut(&str, &mut TcpStream) -> std::io::Result<()>,
+) {
+    let mut decoder = Decoder::new(Role::Requests, Limits::default());
+    let mut input = Vec::new();
+    let mut buffer = [0; 4096];
+    loop {
+        let (length, target) = match decoder.decode(&input) {
+            Ok((length, Some(Part::Head(head)))) => (length, Some(head.target)),
+            Ok((length, _)) => (length, None),
+            Err(_) => return,
+        };
+        input.drain(..length);
+        if let Some(target) = target {
+            if respond(&target, &mut stream).is_err() {
+                return;
+            }
+        } else if length == 0 {
+            match stream.read(&mut buffer) {
+                Ok(n @ 1..) => input.extend_from_slice(&buffer[..n]),
+                _ => return,
+            }
+        }
+    }
+}
