--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -10,4 +10,4 @@
 mod settings;
 
 pub use load::report;
-pub use settings::{Host, Site, parse, read};
+pub use settings::{Deployment, HostSettings, parse, read};
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -50,39 +50,39 @@
 
 /// The settings that only the host of the decisions needs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Host {
+pub struct HostSettings {
     /// Timeout of a connect to a backend, in ms.
-    pub dial_timeout: Millis,
+    pub connect_timeout: Millis,
     /// Backends close a connection that was idle for this long, in ms; 0 for never.
-    pub keepalive: Millis,
+    pub backend_idle_timeout: Millis,
     /// Requests that one connection to a backend carries at once, at most.
-    pub streams: u32,
+    pub requests_per_connection: u32,
     /// Whether a request may have two attempts in flight (hedged requests).
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Whether rejected clients may be told when to retry.
-    pub advice: bool,
+    pub retry_after_allowed: bool,
     /// How long requests may still be sent to a backend after the endpoint list says that it drains, in ms.
     pub drain_grace: Millis,
     /// How long after a client's deadline a final response still counts, in ms.
-    pub answer_slack: Millis,
+    pub response_slack: Millis,
     /// The longest client timeout of each class, in ms, in the order of the decisions' classes.
-    pub patience: Vec<Millis>,
+    pub client_timeouts: Vec<Millis>,
 }
 
 /// The settings of a deployment, for the decisions and for their host.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Deployment {
     /// The settings of the decisions.
     pub settings: Settings,
     /// The settings of their host.
-    pub host: Host,
+    pub host: HostSettings,
 }
 
 /// Reads the settings object in a text; unknown keys are skipped.
 ///
 /// # Errors
 /// A line that names the field at fault.
-pub fn parse(text: &str) -> Result<Site, String> {
+pub fn parse(text: &str) -> Result<Deployment, String> {
     read(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
 }
 
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// A line that names the field at fault.
-pub fn read(root: &Value) -> Result<Site, String> {
+pub fn read(root: &Value) -> Result<Deployment, String> {
     if !root.is_object() {
         return Err("settings: not an object".into());
     }
@@ -131,17 +131,20 @@
         cross_zone_price: prices.number("cross-zone")?,
         routing: Routing::default(),
     };
-    let host = Host {
-        dial_timeout: permissions.number("dial-timeout-ms")?,
-        keepalive: permissions.number("keepalive-ms")?,
-        streams: permissions.count("max-streams")?,
-        second_copies: permissions.flag("second-copies")?,
-        advice: permissions.flag("retry-after")?,
+    let host = HostSettings {
+        connect_timeout: permissions.number("dial-timeout-ms")?,
+        backend_idle_timeout: permissions.number("keepalive-ms")?,
+        requests_per_connection: permissions.count("max-streams")?,
+        hedging_allowed: permissions.flag("second-copies")?,
+        retry_after_allowed: permissions.flag("retry-after")?,
         drain_grace: rules.number("drain-grace-ms")?,
-        answer_slack: rules.number("answer-slack-ms")?,
-        patience: classes.iter().map(|c| Object(c).number("hard-limit-ms")).collect::<Result<_, _>>()?,
+        response_slack: rules.number("answer-slack-ms")?,
+        client_timeouts: classes
+            .iter()
+            .map(|c| Object(c).number("hard-limit-ms"))
+            .collect::<Result<_, _>>()?,
     };
-    Ok(Site { settings, host })
+    Ok(Deployment { settings, host })
 }
 
 fn class(value: &Value) -> Result<RequestClass, String> {
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -16,7 +16,7 @@
 use connection::{ClientConnection, ResponseSlot};
 use doorcourse::{Millis, RequestId};
 use doorcourse_connection_limits::{ConnectionActivity, ConnectionTimeouts};
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use doorcourse_event_loop::{Flow, Interest, Ready};
 use doorcourse_fail_points::rule_disabled;
 use doorcourse_graceful_shutdown::GracefulShutdown;
@@ -73,7 +73,7 @@
 
     /// Handles what the poller reports of a connection.
     pub fn handle_readiness(
-        &mut self, reactor: &mut Reactor, site: &Site, token: Token, ready: Ready,
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, token: Token, ready: Ready,
         events: &mut Vec<ClientEvent>,
     ) {
         let connection = self.connections.get_mut(token.index);
@@ -88,17 +88,20 @@
             schedule_flush(&mut self.to_flush, connection);
         }
         if ready.read && connection.reads_input(reactor.now) {
-            self.read(reactor, site, token.index, events);
+            self.read(reactor, deployment, token.index, events);
         } else {
             connection.update_interest(reactor);
         }
     }
 
-    fn read(&mut self, reactor: &mut Reactor, site: &Site, index: usize, events: &mut Vec<ClientEvent>) {
+    fn read(
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, index: usize,
+        events: &mut Vec<ClientEvent>,
+    ) {
         let Some(connection) = self.connections.get_mut(index) else { return };
         let flow = connection.read();
         if connection.activity.lingering_close_until.is_none() {
-            self.process_commands(reactor, site, index, events);
+            self.process_commands(reactor, deployment, index, events);
         }
         if flow != Flow::Open {
             self.remove(index, events);
@@ -106,10 +109,10 @@
     }
 
     fn process_commands(
-        &mut self, reactor: &Reactor, site: &Site, index: usize, events: &mut Vec<ClientEvent>,
+        &mut self, reactor: &Reactor, deployment: &Deployment, index: usize, events: &mut Vec<ClientEvent>,
     ) {
         let Some(connection) = self.connections.get_mut(index) else { return };
-        if connection.process_commands(reactor.now, site, events) {
+        if connection.process_commands(reactor.now, deployment, events) {
             schedule_flush(&mut self.to_flush, connection);
         }
     }
@@ -118,11 +121,11 @@
     /// Bytes that come later are discarded: the client sees the end of the connection and sends its request elsewhere.
     /// Returns false where the connection stays, because `may_close` does not hold after the last read.
     fn close_after_last_read(
-        &mut self, reactor: &mut Reactor, site: &Site, index: usize,
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, index: usize,
         may_close: impl Fn(&ConnectionActivity) -> bool, events: &mut Vec<ClientEvent>,
     ) -> bool {
         if !rule_disabled("last-read-before-close") {
-            self.read(reactor, site, index, events);
+            self.read(reactor, deployment, index, events);
         }
         let Some(connection) = self.connections.get_mut(index) else { return true };
         if !may_close(&connection.activity) {
@@ -181,7 +184,7 @@
     /// Writes the responses of the iteration. Commands that waited for buffers are processed then, and while the gateway
     /// drains, connections on which nothing is open end.
     pub fn flush(
-        &mut self, reactor: &mut Reactor, site: &Site, shutdown: &GracefulShutdown,
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, shutdown: &GracefulShutdown,
         events: &mut Vec<ClientEvent>,
     ) {
         let now = reactor.now;
@@ -199,10 +202,10 @@
                 continue;
             }
             if !connection.registered.socket.input.is_empty() {
-                self.process_commands(reactor, site, index, events);
+                self.process_commands(reactor, deployment, index, events);
             }
             if self.connections.get(index).is_some_and(|connection| may_close(&connection.activity)) {
-                self.close_after_last_read(reactor, site, index, may_close, events);
+                self.close_after_last_read(reactor, deployment, index, may_close, events);
             }
             self.update_interest(reactor, index);
         }
@@ -224,7 +227,9 @@
     }
 
     /// Closes connections that have expired, and reads again from those whose backoff is over.
-    pub fn handle_timeout(&mut self, reactor: &mut Reactor, site: &Site, events: &mut Vec<ClientEvent>) {
+    pub fn handle_timeout(
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
+    ) {
         if reactor.now < self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL_MS {
             return;
         }
@@ -236,9 +241,9 @@
         for index in 0..self.connections.capacity() {
             let Some(connection) = self.connections.get(index) else { continue };
             if is_expired(&connection.activity) {
-                self.close_after_last_read(reactor, site, index, is_expired, events);
+                self.close_after_last_read(reactor, deployment, index, is_expired, events);
             } else if connection.has_faults() && connection.reads_input(now) {
-                self.process_commands(reactor, site, index, events);
+                self.process_commands(reactor, deployment, index, events);
                 self.update_interest(reactor, index);
             }
         }
--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -6,7 +6,7 @@
 use crate::request::{self, ClientCommand, RequestError};
 use doorcourse::{Millis, RequestId};
 use doorcourse_connection_limits::{ConnectionActivity, fault_backoff};
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use doorcourse_event_loop::{Flow, Socket};
 use doorcourse_fail_points::rule_disabled;
 use doorcourse_resp::{CommandLimits, Commands};
@@ -114,7 +114,9 @@
     }
 
     /// Processes the commands that have been received completely; whether bytes were consumed.
-    pub fn process_commands(&mut self, now: Millis, site: &Site, events: &mut Vec<ClientEvent>) -> bool {
+    pub fn process_commands(
+        &mut self, now: Millis, deployment: &Deployment, events: &mut Vec<ClientEvent>,
+    ) -> bool {
         let input = std::mem::take(&mut self.registered.socket.input);
         let mut used = 0;
         while used < input.len() && self.reads_input(now) {
@@ -124,7 +126,7 @@
                 Ok(Some((arguments, length))) => {
                     used += length;
                     self.activity.partial_request_since = None;
-                    self.process_command(now, request::parse(site, rest, &arguments), events);
+                    self.process_command(now, request::parse(deployment, rest, &arguments), events);
                 }
                 Err(fault) => {
                     // The error is written behind the responses that are still due, and nothing follows it.
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -6,9 +6,9 @@
     r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
 
 /// A table with one client that has sent a request, and the id of its command.
-fn table_with_request(max_connections: usize) -> (Reactor, Site, ClientTable, CommandId, TcpStream) {
+fn table_with_request(max_connections: usize) -> (Reactor, Deployment, ClientTable, CommandId, TcpStream) {
     let mut reactor = Reactor::new().unwrap();
-    let site = doorcourse_deployment::parse(SETTINGS).unwrap();
+    let deployment = doorcourse_deployment::parse(SETTINGS).unwrap();
     let listener = doorcourse_event_loop::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let words = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
@@ -18,19 +18,19 @@
     let mut clients = ClientTable::new(&mut reactor, listener, max_connections).unwrap();
     let mut events = Vec::new();
     while events.is_empty() {
-        clients.accept(&mut reactor, &site, &mut events);
+        clients.accept(&mut reactor, &deployment, &mut events);
         for index in 0..clients.connections.len() {
-            clients.read(&mut reactor, &site, index, &mut events);
+            clients.read(&mut reactor, &deployment, index, &mut events);
         }
     }
     let Some(ClientEvent::RequestReceived { command, .. }) = events.pop() else { panic!("a good request") };
-    (reactor, site, clients, command, client)
+    (reactor, deployment, clients, command, client)
 }
 
 fn written_response(
-    mut clients: ClientTable, mut reactor: Reactor, site: &Site, mut client: TcpStream,
+    mut clients: ClientTable, mut reactor: Reactor, deployment: &Deployment, mut client: TcpStream,
 ) -> String {
-    clients.flush(&mut reactor, site, &GracefulShutdown::default(), &mut Vec::new());
+    clients.flush(&mut reactor, deployment, &GracefulShutdown::default(), &mut Vec::new());
     drop(clients);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
@@ -39,46 +39,48 @@
 
 #[test]
 fn response_sent_long_after_its_command_is_written_before_the_idle_timeout_closes() {
-    let (mut reactor, site, mut clients, command, client) = table_with_request(8);
+    let (mut reactor, deployment, mut clients, command, client) = table_with_request(8);
     reactor.now += 2.0 * CONNECTION_TIMEOUTS.idle_timeout;
     clients.respond(reactor.now, command, Response::Failed(RequestFailure::DeadlineExpired));
     // Timeouts are checked before the flush of the same iteration.
-    clients.handle_timeout(&mut reactor, &site, &mut Vec::new());
-    assert_eq!(written_response(clients, reactor, &site, client), "-ERR failed: no answer in time\r\n");
+    clients.handle_timeout(&mut reactor, &deployment, &mut Vec::new());
+    assert_eq!(written_response(clients, reactor, &deployment, client), "-ERR failed: no answer in time\r\n");
 }
 
 #[test]
 fn connection_with_an_unwritten_response_is_not_evicted() {
-    let (mut reactor, site, mut clients, command, client) = table_with_request(1);
+    let (mut reactor, deployment, mut clients, command, client) = table_with_request(1);
     clients.respond(reactor.now, command, Response::Rejected { retry_after_ms: None });
-    assert!(!clients.evict_connection(&mut reactor, &site, &mut Vec::new()));
-    assert_eq!(written_response(clients, reactor, &site, client), "-BUSY\r\n");
+    assert!(!clients.evict_connection(&mut reactor, &deployment, &mut Vec::new()));
+    assert_eq!(written_response(clients, reactor, &deployment, client), "-BUSY\r\n");
 }
 
 #[test]
 fn command_received_just_before_the_close_is_served() {
     for cause in ["idle timeout", "eviction", "shutdown"] {
-        let (mut reactor, site, mut clients, command, mut client) = table_with_request(1);
+        let (mut reactor, deployment, mut clients, command, mut client) = table_with_request(1);
         clients.respond(reactor.now, command, Response::Rejected { retry_after_ms: None });
-        clients.flush(&mut reactor, &site, &GracefulShutdown::default(), &mut Vec::new());
+        clients.flush(&mut reactor, &deployment, &GracefulShutdown::default(), &mut Vec::new());
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
         let mut events = Vec::new();
         let mut shutdown = GracefulShutdown::default();
         reactor.now += 2.0 * CONNECTION_TIMEOUTS.idle_timeout;
         match cause {
-            "idle timeout" => clients.handle_timeout(&mut reactor, &site, &mut events),
-            "eviction" => assert!(!clients.evict_connection(&mut reactor, &site, &mut events), "{cause}"),
+            "idle timeout" => clients.handle_timeout(&mut reactor, &deployment, &mut events),
+            "eviction" => {
+                assert!(!clients.evict_connection(&mut reactor, &deployment, &mut events), "{cause}")
+            }
             _ => {
                 shutdown.begin(0.0, 1000.0);
                 clients.schedule_flush_of_all();
-                clients.flush(&mut reactor, &site, &shutdown, &mut events);
+                clients.flush(&mut reactor, &deployment, &shutdown, &mut events);
             }
         }
         let Some(ClientEvent::PingReceived { command }) = events.pop() else {
             panic!("{cause}: the command was lost")
         };
         clients.respond(reactor.now, command, Response::Pong);
-        clients.flush(&mut reactor, &site, &shutdown, &mut events);
+        clients.flush(&mut reactor, &deployment, &shutdown, &mut events);
         let mut text = String::new();
         if cause == "shutdown" {
             // The connection lingers: this side is closed, and bytes that still come are discarded.
@@ -90,7 +92,7 @@
                     .all(|(_, connection)| connection.activity.lingering_close_until.is_some())
             );
         } else {
-            text = written_response(clients, reactor, &site, client);
+            text = written_response(clients, reactor, &deployment, client);
         }
         assert_eq!(text, "-BUSY\r\n+PONG\r\n", "{cause}");
     }
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::EndpointList;
 use anyhow::Context;
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -39,7 +39,7 @@
     /// The endpoint list that this gateway had last.
     pub known_endpoints: Option<EndpointList>,
     /// The settings of the deployment.
-    pub site: Site,
+    pub deployment: Deployment,
 }
 
 impl Config {
@@ -70,8 +70,8 @@
             None | Some(Value::Null) => None,
             Some(known) => Some(EndpointList::from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
         };
-        let site = doorcourse_deployment::read(root.get("settings").ok_or("settings: missing")?)?;
-        let counter = if site.settings.has_counter { Some(address(&root, "counter")?) } else { None };
+        let deployment = doorcourse_deployment::read(root.get("settings").ok_or("settings: missing")?)?;
+        let counter = if deployment.settings.has_counter { Some(address(&root, "counter")?) } else { None };
         Ok(Self {
             name: string(&root, "name")?.to_owned(),
             listen: address(&root, "listen")?,
@@ -80,7 +80,7 @@
             seed,
             limits,
             known_endpoints,
-            site,
+            deployment,
         })
     }
 }
--- a/crates/resp-gateway/src/endpoints.rs
+++ b/crates/resp-gateway/src/endpoints.rs
@@ -100,7 +100,7 @@
     host: String,
     dial: String,
     #[serde(default)]
-    site: String,
+    deployment: String,
     #[serde(default)]
     block: u64,
     health: String,
@@ -139,7 +139,7 @@
         };
         let entry = BackendEntry {
             name: Name::from(host.host),
-            zone: Name::from(host.site),
+            zone: Name::from(host.deployment),
             cell: host.block,
             state,
             started: Some(host.born_ms).filter(|started| started.is_finite() && *started > 0.0),
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -32,7 +32,7 @@
 use configuration::ReservedDescriptor;
 use doorcourse::{Action, Event, Gateway, Millis, RequestId};
 use doorcourse_connection_limits::DescriptorBudget;
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use doorcourse_discovery::Readiness;
 use doorcourse_event_loop::{Ready, listen, most_descriptors};
 use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, GracefulShutdown, ShutdownPhase, needs_repoll};
@@ -53,7 +53,7 @@
     reactor: Reactor,
     config_path: PathBuf,
     reserved_descriptor: ReservedDescriptor,
-    site: Site,
+    deployment: Deployment,
     /// The decisions.
     decisions: Gateway,
     clients: ClientTable,
@@ -102,22 +102,22 @@
     /// When the settings cannot be used or the address cannot be bound.
     pub fn new(config_path: PathBuf, config: Config) -> anyhow::Result<Self> {
         let mut reactor = Reactor::new()?;
-        let site = config.site;
-        let decisions = Gateway::new(site.settings.clone(), config.seed)?;
+        let deployment = config.deployment;
+        let decisions = Gateway::new(deployment.settings.clone(), config.seed)?;
         let listener = listen(config.listen)
             .map_err(|error| anyhow::anyhow!("cannot listen on {}: {error}", config.listen))?;
         let address = listener.local_addr()?;
         // The file may state more descriptors than the system allows.
         let budget = DescriptorBudget::for_limit(config.limits.descriptors.min(most_descriptors()));
         let clients = ClientTable::new(&mut reactor, listener, budget.clients)?;
-        let host = &site.host;
-        tracing::debug!(settings = ?site.settings, ?host, "settings");
+        let host = &deployment.host;
+        tracing::debug!(settings = ?deployment.settings, ?host, "settings");
         let known = config.known_endpoints;
         let known_version = known.as_ref().map(|list| list.version);
         let known_backends = known.as_ref().map(|list| list.endpoints.len());
         let mut gateway = Self {
-            backends: Backends::new(budget.backends, host.dial_timeout, host.keepalive),
-            counter: CounterPool::new(config.counter, site.settings.counter_timeout),
+            backends: Backends::new(budget.backends, host.connect_timeout, host.backend_idle_timeout),
+            counter: CounterPool::new(config.counter, deployment.settings.counter_timeout),
             discovery: DiscoveryClient::new(config.discovery, known_version, host.drain_grace),
             signals: SignalPipes::new(&mut reactor)?,
             diagnostics: Diagnostics::new(reactor.now),
@@ -125,7 +125,7 @@
             reactor,
             config_path,
             reserved_descriptor: ReservedDescriptor::default(),
-            site,
+            deployment,
             decisions,
             clients,
             requests: RequestTable::default(),
@@ -153,8 +153,8 @@
             client_connections = budget.clients,
             backend_connections = budget.backends,
             known_backends,
-            keepalive_ms = self.site.host.keepalive,
-            connect_timeout_ms = self.site.host.dial_timeout,
+            keepalive_ms = self.deployment.host.backend_idle_timeout,
+            connect_timeout_ms = self.deployment.host.connect_timeout,
             "started"
         );
     }
@@ -229,7 +229,7 @@
         for ready in order.after_timers {
             self.handle_readiness(*ready);
         }
-        self.clients.handle_timeout(&mut self.reactor, &self.site, &mut self.pending.clients);
+        self.clients.handle_timeout(&mut self.reactor, &self.deployment, &mut self.pending.clients);
         if self.shutdown.is_draining(self.reactor.now) {
             self.drain_clients();
         }
@@ -254,9 +254,9 @@
             TokenKind::Backend => {
                 self.backends.handle_readiness(reactor, token, ready, &mut pending.attempts);
             }
-            TokenKind::Listener => self.clients.accept(reactor, &self.site, &mut pending.clients),
+            TokenKind::Listener => self.clients.accept(reactor, &self.deployment, &mut pending.clients),
             TokenKind::Client => {
-                self.clients.handle_readiness(reactor, &self.site, token, ready, &mut pending.clients);
+                self.clients.handle_readiness(reactor, &self.deployment, token, ready, &mut pending.clients);
             }
         }
         self.process_pending_events();
@@ -319,14 +319,14 @@
         if std::mem::replace(&mut self.stopped_accepting, true) {
             self.clients.schedule_flush_of_all();
         } else {
-            self.clients.stop_accepting(&mut self.reactor, &self.site, &mut self.pending.clients);
+            self.clients.stop_accepting(&mut self.reactor, &self.deployment, &mut self.pending.clients);
         }
     }
 
     /// Responds to every open request by the rules: the deadlines of the attempts that are out expire, and the decisions
     /// choose the final response. What they send anew reaches no socket, since nothing is written before the last round.
     fn respond_to_all(&mut self) {
-        let mut rounds = FinalRounds::new(self.site.settings.max_attempts);
+        let mut rounds = FinalRounds::new(self.deployment.settings.max_attempts);
         loop {
             match rounds.next(self.requests.awaiting_response()) {
                 FinalRound::ExpireAttempts(open) => {
@@ -352,7 +352,7 @@
             self.backends.flush(&mut self.reactor, &mut self.pending.attempts);
             self.counter.flush(&mut self.reactor, &mut self.pending.counter);
             let client_events = &mut self.pending.clients;
-            self.clients.flush(&mut self.reactor, &self.site, &self.shutdown, client_events);
+            self.clients.flush(&mut self.reactor, &self.deployment, &self.shutdown, client_events);
             if self.pending.components_are_quiet() {
                 return;
             }
--- a/crates/resp-gateway/src/gateway/actions.rs
+++ b/crates/resp-gateway/src/gateway/actions.rs
@@ -46,7 +46,7 @@
         }
         let attempt = outgoing.attempt;
         let deadline = outgoing.deadline;
-        let max_connect_timeout = self.site.host.dial_timeout;
+        let max_connect_timeout = self.deployment.host.connect_timeout;
         let request_timeout = deadline - outgoing.request_started_at;
         let elapsed = now - outgoing.request_started_at;
         let connect_timeout = connect_timeout(max_connect_timeout, request_timeout, elapsed);
@@ -103,7 +103,7 @@
             return;
         }
         let now = self.reactor.now;
-        let response = match self.requests.start(now, &self.site, &self.shutdown, command, request) {
+        let response = match self.requests.start(now, &self.deployment, &self.shutdown, command, request) {
             StartOutcome::Started { request, deadline, event } => {
                 self.clients.request_started(command, request);
                 self.reactor.timers.set(deadline, Timer::RequestDeadline { request });
@@ -119,7 +119,7 @@
 
     pub(super) fn handle_attempt_update(&mut self, update: AttemptUpdate) {
         let now = self.reactor.now;
-        let send_retry_after = self.site.host.advice;
+        let send_retry_after = self.deployment.host.retry_after_allowed;
         let commands = &mut self.commands;
         self.requests.handle_attempt_event(now, update.request, update.event, send_retry_after, commands);
         self.execute_commands();
@@ -127,7 +127,7 @@
 
     pub(super) fn handle_request_event(&mut self, request: RequestId, event: LifecycleEvent) {
         let now = self.reactor.now;
-        let send_retry_after = self.site.host.advice;
+        let send_retry_after = self.deployment.host.retry_after_allowed;
         self.requests.handle_event(now, request, event, send_retry_after, &mut self.commands);
         self.execute_commands();
     }
--- a/crates/resp-gateway/src/gateway/configuration.rs
+++ b/crates/resp-gateway/src/gateway/configuration.rs
@@ -43,18 +43,18 @@
                 );
             }
         };
-        let site = config.site;
+        let deployment = config.deployment;
         let counter = config.counter.map(|address| address.to_string());
         tracing::info!(discovery = %config.discovery, counter, "configuration reloaded");
         self.discovery.set_address(config.discovery);
-        self.discovery.set_drain_grace(site.host.drain_grace);
-        self.counter.configure(self.reactor.now, config.counter, site.settings.counter_timeout);
-        self.backends.configure(site.host.dial_timeout, site.host.keepalive);
-        if site.settings != self.site.settings {
-            let settings = Box::new(site.settings.clone());
+        self.discovery.set_drain_grace(deployment.host.drain_grace);
+        self.counter.configure(self.reactor.now, config.counter, deployment.settings.counter_timeout);
+        self.backends.configure(deployment.host.connect_timeout, deployment.host.backend_idle_timeout);
+        if deployment.settings != self.deployment.settings {
+            let settings = Box::new(deployment.settings.clone());
             self.pending.decisions.push_back(Event::SettingsChanged(settings));
         }
-        self.site = site;
+        self.deployment = deployment;
     }
 
     pub(super) fn handle_discovery_readiness(&mut self, token: Token, ready: Ready) {
--- a/crates/resp-gateway/src/gateway/health_checks.rs
+++ b/crates/resp-gateway/src/gateway/health_checks.rs
@@ -26,7 +26,7 @@
         let id = self.backends.start_health_check(&mut self.reactor, &backend, updates);
         let now = self.reactor.now;
         self.health_checks.in_flight.insert(id, HealthCheck { backend, started_at: now });
-        let timeout = self.site.host.dial_timeout.max(self.site.settings.tick);
+        let timeout = self.deployment.host.connect_timeout.max(self.deployment.settings.tick);
         self.reactor.timers.set(now + timeout, Timer::HealthCheckTimeout { check: id });
     }
 
--- a/crates/resp-gateway/src/gateway/signals.rs
+++ b/crates/resp-gateway/src/gateway/signals.rs
@@ -137,7 +137,7 @@
 
     /// Begins the graceful shutdown; a second signal changes nothing.
     fn begin_shutdown(&mut self) {
-        let longest_timeout = self.site.host.patience.iter().copied().fold(0.0, Millis::max);
+        let longest_timeout = self.deployment.host.client_timeouts.iter().copied().fold(0.0, Millis::max);
         if self.shutdown.begin(self.reactor.now, longest_timeout) {
             tracing::info!(open_requests = self.requests.len(), "shutting down");
             self.pending.decisions.push_back(Event::ShutdownStarted);
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -6,7 +6,7 @@
 pub use forwarded::ForwardedCommand;
 
 use doorcourse::{Idempotency, Millis, Name, Settings};
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use fields::RequestFields;
 use std::ops::Range;
 
@@ -94,7 +94,9 @@
 ///
 /// # Errors
 /// When the command cannot be accepted.
-pub fn parse(site: &Site, input: &[u8], arguments: &[Range<usize>]) -> Result<ClientCommand, RequestError> {
+pub fn parse(
+    deployment: &Deployment, input: &[u8], arguments: &[Range<usize>],
+) -> Result<ClientCommand, RequestError> {
     let argument = |index: usize| &input[arguments[index].clone()];
     let command = argument(0);
     if command.eq_ignore_ascii_case(b"PING") {
@@ -112,7 +114,7 @@
     let id = parse_hex(argument(2)).ok_or(RequestError::RequestId)?;
     let list = std::str::from_utf8(argument(3)).map_err(|_| RequestError::Fields)?;
     let fields = RequestFields::parse(list)?;
-    let settings = &site.settings;
+    let settings = &deployment.settings;
     let class = parse_class(settings, &fields, is_idempotent_command)?;
     let plan = settings.plans.iter().position(|plan| Some(&*plan.name) == fields.plan);
     let plan = plan.ok_or(RequestError::Plan)?;
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -7,7 +7,7 @@
 use crate::clients::{CommandId, RequestFailure, Response};
 use crate::request::{ForwardedCommand, Request};
 use doorcourse::{AttemptEnd, AttemptOutcome, Event, IncomingRequest, LoadReport, Millis, Name, RequestId};
-use doorcourse_deployment::Site;
+use doorcourse_deployment::Deployment;
 use doorcourse_graceful_shutdown::{Admission, GracefulShutdown};
 use doorcourse_request_lifecycle::{
     FailureReason, FinalResponse, LifecycleAction, LifecycleEvent, RequestLifecycle, request_timeout,
@@ -82,20 +82,21 @@
 impl RequestTable {
     /// Opens a request, unless its id, its deadline or the shutdown forbids it.
     pub fn start(
-        &mut self, now: Millis, site: &Site, shutdown: &GracefulShutdown, command: CommandId,
+        &mut self, now: Millis, deployment: &Deployment, shutdown: &GracefulShutdown, command: CommandId,
         request: Request,
     ) -> StartOutcome {
         if self.by_client_id.contains_key(&request.id) {
             return StartOutcome::DuplicateId;
         }
-        let max_timeout = site.host.patience.get(request.class).copied().filter(|timeout| *timeout > 0.0);
+        let max_timeout =
+            deployment.host.client_timeouts.get(request.class).copied().filter(|timeout| *timeout > 0.0);
         let max_timeout = max_timeout.unwrap_or(f64::INFINITY);
         let timeout = request_timeout(max_timeout, Some(request.timeout), max_timeout, RESPONSE_TRANSIT_MS);
         let Some(timeout) = timeout else {
             tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), "request deadline too short");
             return StartOutcome::DeadlineTooShort;
         };
-        let latency_objective = site.settings.classes[request.class].latency_objective;
+        let latency_objective = deployment.settings.classes[request.class].latency_objective;
         let Admission::Admit(timeout) = shutdown.admit(now, timeout, latency_objective) else {
             tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), "request rejected by shutdown");
             return StartOutcome::ShuttingDown;
@@ -107,8 +108,8 @@
         let incoming = IncomingRequest {
             id,
             customer: request.customer,
-            plan: site.settings.plans[request.plan].name.clone(),
-            class: site.settings.classes[request.class].name.clone(),
+            plan: deployment.settings.plans[request.plan].name.clone(),
+            class: deployment.settings.classes[request.class].name.clone(),
             units: request.units,
             client_retry: request.client_retry,
             timeout,
