--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -14,7 +14,11 @@
         /// Whether the client has had its final response, or is gone.
         final_response_sent: bool,
     },
-    /// Report to the decision library that the client no longer waits.
+    /// Report to the decision library that the client no longer waits, so that it drops the request and starts no
+    /// attempt for it.
+    ///
+    /// The client may still be connected: where the deadline of a queued request expires,
+    /// [`Respond`](Self::Respond) follows.
     ClientDisconnected,
     /// Send the client this final response.
     Respond(FinalResponse),
@@ -35,7 +39,8 @@
 /// A final response made by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The request was rejected: it was not executed, and a retry is harmless.
+    /// The request was rejected, and a retry by the client is harmless: no backend executed the request, or its
+    /// idempotency allows that it is executed again.
     Rejected {
         /// After how many ms the client may retry.
         retry_after: f64,
--- a/crates/request-lifecycle/src/attempt.rs
+++ b/crates/request-lifecycle/src/attempt.rs
@@ -1,6 +1,6 @@
 //! The state of one attempt on the wire, and what its end means for the request.
 //!
-//! | ended by | connecting | connected, nothing written | bytes written, or a response head received |
+//! | ended by | connecting | connected, unsent | sent, or a response head received |
 //! | --- | --- | --- | --- |
 //! | `ConnectionLost` | `ConnectFailed` | `NeverSent` | `ConnectionLost` |
 //! | `DeadlineExpired` | `ConnectFailed` | `ConnectFailed` | `TimedOut` |
@@ -8,6 +8,9 @@
 //! | `Withdrawn`, `ClientDisconnected` | `NeverSent` | `NeverSent` | the attempt goes on |
 //! | `InvalidResponse` | `Error` | `Error` | `Error` |
 //!
+//! An attempt is sent from [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten) on, which the HTTP gateway
+//! reports at the first bytes that the operating system accepts and the RESP gateway at the last.
+//!
 //! `ConnectFailed`, `NeverSent` and `Rejected` say that the request was not executed; after every other outcome it may
 //! have been.
 
@@ -22,10 +25,12 @@
 pub enum WireState {
     /// It has no connection yet.
     Connecting,
-    /// It has a connection, and no byte of the request was accepted by the operating system.
+    /// It has a connection, and the host has not reported
+    /// [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten).
     Connected,
-    /// Bytes were accepted. The backend may execute the request from now on, whatever happens to the connection: a
-    /// pooled connection that closes just as the request is written does not show whether it was read.
+    /// The operating system accepted the bytes from which on the backend may execute the request: in the HTTP gateway the
+    /// first ones, in the RESP gateway all of them. It may do so whatever happens to the connection: a pooled connection
+    /// that closes just as the request is written does not show whether it was read.
     Sent,
     /// The response head arrived.
     Responding,
@@ -61,12 +66,13 @@
         self.received_bytes
     }
 
-    /// Whether nothing of the request can have reached the backend.
+    /// Whether the backend cannot have executed the request, since it was not [`Sent`](WireState::Sent).
     pub(crate) fn is_unsent(&self) -> bool {
         matches!(self.wire, WireState::Connecting | WireState::Connected)
     }
 
-    /// Whether the request was written and no response head arrived, so that a complete response can belong to it.
+    /// Whether the request was [`Sent`](WireState::Sent) and no response head arrived, so that a complete response can
+    /// belong to it.
     pub(crate) fn awaits_response_head(&self) -> bool {
         self.wire == WireState::Sent
     }
@@ -88,8 +94,8 @@
         }
     }
 
-    /// The outcome where the connection is lost: only before the first byte was written is it certain that the request
-    /// was not executed.
+    /// The outcome where the connection is lost: only before the request was [`Sent`](WireState::Sent) is it certain that
+    /// it was not executed.
     pub(crate) fn outcome_at_connection_loss(&self) -> AttemptOutcome {
         match self.wire {
             WireState::Connecting => AttemptOutcome::ConnectFailed,
@@ -103,7 +109,10 @@
         if self.is_unsent() { AttemptOutcome::NeverSent } else { AttemptOutcome::Cancelled }
     }
 
-    /// The outcome where the deadline expires: a request of which nothing was written was not executed.
+    /// The outcome where the deadline expires: a request that was not [`Sent`](WireState::Sent) was not executed.
+    ///
+    /// An unsent one ends as `ConnectFailed` also where the connection was made: unlike `NeverSent`, that counts as a
+    /// failure in the backend's health.
     pub(crate) fn outcome_at_deadline(&self) -> AttemptOutcome {
         if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut }
     }
--- a/crates/request-lifecycle/src/event.rs
+++ b/crates/request-lifecycle/src/event.rs
@@ -9,7 +9,11 @@
     AttemptStarted,
     /// The attempt has a connection.
     Connected,
-    /// The operating system accepted bytes of the request for sending.
+    /// The operating system accepted bytes of the request for sending: from now on a backend may execute it.
+    ///
+    /// From which byte on that is so depends on the protocol, so the host decides when it reports this event. The HTTP
+    /// gateway reports the first bytes: a backend may act on a part of a request. The RESP gateway reports the last
+    /// byte: a command counts as executed only once it was written in full.
     BytesWritten,
     /// The response head arrived.
     ResponseHead {
@@ -35,8 +39,8 @@
         /// The cost in units, where the response names it.
         units: Option<f64>,
     },
-    /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, if no byte was
-    /// written yet.
+    /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, unless
+    /// [`BytesWritten`](Self::BytesWritten) was reported.
     Withdrawn,
     /// The attempt's connection was lost or could not be made.
     ConnectionLost,
@@ -44,7 +48,8 @@
     InvalidResponse,
     /// The decision library cancels the attempt.
     Cancelled,
-    /// The deadline of the attempt, or of the request without an attempt, expired.
+    /// The deadline of the attempt, or of the request without an attempt, expired. At the end of a graceful shutdown
+    /// the host reports it for every open request, whatever time is left.
     DeadlineExpired,
     /// The client closed its connection.
     ClientDisconnected,
@@ -66,6 +71,6 @@
     Value,
     /// An error; the request may have been executed.
     Failed,
-    /// The backend rejected the request before any work.
+    /// The backend rejected the request before any work: a retry is harmless.
     Rejected,
 }
--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -156,7 +156,8 @@
     ) {
         let Some(attempt) = self.attempt else { return };
         if !attempt.awaits_response_head() {
-            // A response to a request that was not written in full belongs to something else.
+            // Reported by the RESP gateway alone, where `Sent` means written in full: a response to a request that was
+            // not belongs to something else.
             self.handle_invalid_response(actions);
             return;
         }
@@ -195,16 +196,20 @@
         }
     }
 
+    /// Ends the attempt in flight; without one, fails the request.
     fn handle_deadline(&mut self, actions: &mut Vec<LifecycleAction>) {
         if let Some(attempt) = self.attempt {
             actions.push(LifecycleAction::CloseBackendConnection);
             self.abort_attempt(attempt.outcome_at_deadline(), actions);
-            // If the request fails after this, its client learns of the deadline, also where no connection was made.
+            // An unsent attempt counts as `ConnectFailed` in its backend's health; if the request fails after this, its
+            // client is notified of the deadline.
             self.last_outcome = Some(AttemptOutcome::TimedOut);
             return;
         }
         if self.client == ClientState::AwaitingResponse {
-            // The decision library queues no request beyond its deadline; this holds if it should.
+            // The decision library queues no request beyond its deadline, but the end of a graceful shutdown expires the
+            // deadline of every open request. The client is still connected: `ClientDisconnected` only makes the
+            // decision library drop the request.
             actions.push(LifecycleAction::ClientDisconnected);
             self.respond(FinalResponse::Failed(FailureReason::DeadlineExpired), actions);
         }
