--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -14,14 +14,15 @@
 /// Eviction rank of every other connection, by the time since which it is idle.
 const IDLE_RANK: u8 = 1;
 
-/// After which inactivity client connections are closed, in ms.
+/// After which inactivity the RESP gateway closes client connections, in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
     /// For a connection without a complete request so far, and for one whose request is received in part.
     pub silent_timeout: Millis,
     /// For a connection between requests.
     pub idle_timeout: Millis,
-    /// For a connection whose client reads nothing of a response.
+    /// For a connection whose client reads nothing of a response. In the HTTP gateway it is
+    /// [`ClientLimits::unread_timeout`](crate::ClientLimits::unread_timeout).
     pub unread_timeout: Millis,
 }
 
--- a/crates/connection-limits/src/client_limits.rs
+++ b/crates/connection-limits/src/client_limits.rs
@@ -4,7 +4,7 @@
 use doorcourse::{Millis, Name};
 use std::collections::HashMap;
 
-/// The limits on what is kept open and buffered for clients.
+/// The limits on what the HTTP gateway keeps open and buffers for clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
     /// Client connections.
@@ -17,7 +17,8 @@
     pub max_customer_bytes: u64,
     /// Response bytes that a client may leave unread when its connection's next request starts.
     pub max_unread_bytes: usize,
-    /// After how many ms a connection is reset whose client has bytes to read and reads none.
+    /// After how many ms a connection is reset whose client has bytes to read and reads none. In the RESP gateway it is
+    /// [`ConnectionTimeouts::unread_timeout`](crate::ConnectionTimeouts::unread_timeout).
     pub unread_timeout: Millis,
 }
 
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -1,10 +1,17 @@
-//! How the descriptors of the process are divided among their users.
+//! How the descriptors of the process are divided among the program, its clients and its backends.
+//!
+//! | limit | reserved for the program | clients | backends |
+//! | --- | --- | --- | --- |
+//! | 32 | 16 | 8 | 8 |
+//! | 100 | 25 | 41 | 34 |
+//! | 1024 | 40 | 541 | 443 |
 
 /// Descriptors that the program itself uses: 3 standard streams, the poller, the listener, 4 pairs that wake the event
 /// loop, the settings file and the descriptor kept for it, the discovery call and a superseded one, 4 connections to
 /// the counter and 4 to an address of it that was replaced.
 const PROGRAM_DESCRIPTORS: usize = 25;
-/// Descriptors reserved for the program where the limit allows: connections are replaced while the old ones still end.
+/// Descriptors reserved for the program where the limit allows: what it uses, and 15 for connections that are replaced
+/// while the old ones still end.
 const RESERVED_DESCRIPTORS: usize = 40;
 /// The clients' fraction of the rest. An open request may use one connection on either side; beside these, clients keep
 /// idle ones, and pools those of past peaks.
@@ -30,9 +37,12 @@
     }
 }
 
-/// The descriptors reserved for the program: a quarter of a small limit, but what the program uses up to a half of it.
+/// The descriptors reserved for the program: the larger of a quarter of the limit, up to [`RESERVED_DESCRIPTORS`], and of
+/// a half of the limit, up to [`PROGRAM_DESCRIPTORS`]. The quarter decides from a limit of 104 on.
 fn reserved_descriptors(descriptors: usize) -> usize {
-    RESERVED_DESCRIPTORS.min(descriptors / 4).max(PROGRAM_DESCRIPTORS.min(descriptors / 2))
+    let with_replacements = RESERVED_DESCRIPTORS.min(descriptors / 4);
+    let used_by_program = PROGRAM_DESCRIPTORS.min(descriptors / 2);
+    with_replacements.max(used_by_program)
 }
 
 #[cfg(test)]
