--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// The descriptors reserved for the program: the larger of a quarter of the limit, up to [`RESERVED_DESCRIPTORS`], and of
-/// a half of the limit, up to [`PROGRAM_DESCRIPTORS`]. The quarter decides from a limit of 104 on.
+/// The descriptors reserved for the program: the larger of a quarter of the limit, up to [`RESERVED_DESCRIPTORS`], and
+/// of a half of the limit, up to [`PROGRAM_DESCRIPTORS`]. The quarter decides from a limit of 104 on.
 fn reserved_descriptors(descriptors: usize) -> usize {
     let with_replacements = RESERVED_DESCRIPTORS.min(descriptors / 4);
     let used_by_program = PROGRAM_DESCRIPTORS.min(descriptors / 2);
--- a/crates/discovery/src/readiness.rs
+++ b/crates/discovery/src/readiness.rs
@@ -1,12 +1,15 @@
-//! When a gateway that has just started may take requests.
+//! When a gateway that has just started reports itself ready.
+//!
+//! This decides the answer to a client's PING alone. Requests are accepted from the start on, with the endpoint list of
+//! the earlier process or none.
 
 use doorcourse::Millis;
 
-/// How long after its start a gateway waits for an endpoint list. After that it serves with the list of its earlier
-/// process, so that a fleet whose discovery is down still comes up.
+/// How long after its start a gateway waits for an endpoint list. After that it reports itself ready with the list of
+/// its earlier process, so that a fleet whose discovery is down still comes up.
 const ENDPOINT_LIST_TIMEOUT: Millis = 1000.0;
 
-/// Whether a gateway that has just started is ready to take requests.
+/// Whether a gateway that has just started reports itself ready.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
     started_at: Millis,
@@ -25,7 +28,7 @@
         self.list_received = true;
     }
 
-    /// Whether the gateway takes requests at `now`: with a list, or one second after its start without one.
+    /// Whether the gateway reports itself ready at `now`: with a list, or one second after its start without one.
     #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
         self.list_received || now >= self.started_at + ENDPOINT_LIST_TIMEOUT
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -18,7 +18,7 @@
 //! | open, head received | list or message timeout | backoff, by `connection_lost` | `Close` |
 //! | any | `connection_lost` | backoff | |
 //! | any | `address_changed` | backoff that is over at once; no call is superseded | |
-//! | any | `superseded_response_started` | open, no head, with the call that was superseded | |
+//! | any | `superseded_response_started` | open, no head, with the call that was superseded; `response_started` is reported next | |
 //! | any | timeout of the superseded call | the same; no call is superseded | `CloseSuperseded` |
 //!
 //! At most one superseded call is open at a time.
@@ -32,6 +32,7 @@
 //! | complete message of a watch | 3.5 s | the request, then the last message |
 //! | backoff | a quarter of the drain grace, 20 ms to 250 ms | the loss, or the superseding |
 
+use crate::availability::SourceAvailability;
 use doorcourse::Millis;
 use doorcourse_fail_points::rule_disabled;
 use thiserror::Error;
@@ -41,8 +42,11 @@
 const WATCH_MESSAGE_TIMEOUT: Millis = 3500.0;
 /// Limit for a complete endpoint list, from the request on, however slowly its bytes arrive.
 const FULL_LIST_TIMEOUT: Millis = 2000.0;
-/// Limit for a response head, from the request on, also for a superseded call.
-const RESPONSE_HEAD_TIMEOUT: Millis = 1000.0;
+/// Upper bound of the call timeout, which limits the connect and then the response head of the current call.
+const MAX_CALL_TIMEOUT: Millis = 1000.0;
+/// Limit for the response head of a superseded call, from its request on. It equals [`MAX_CALL_TIMEOUT`] by choice: a
+/// call that was current for so long is closed as soon as it is superseded.
+const SUPERSEDED_HEAD_TIMEOUT: Millis = 1000.0;
 /// Longest backoff before the next connect.
 const MAX_BACKOFF: Millis = 250.0;
 /// Shortest backoff: a source that refuses connections at once is not called in a tight loop.
@@ -131,10 +135,7 @@
     backoff: Millis,
     /// The version of the list held; `None` where the full list has to be requested.
     version: Option<u64>,
-    /// Whether a list was applied since the last loss of a connection that had delivered something.
-    available: bool,
-    /// Whether the loss of the source has been reported and no message of a watch has arrived since.
-    loss_reported: bool,
+    availability: SourceAvailability,
 }
 
 impl DiscoveryWatch {
@@ -158,8 +159,7 @@
             call_timeout: call_timeout(drain_grace),
             backoff: backoff(drain_grace),
             version,
-            available: false,
-            loss_reported: false,
+            availability: SourceAvailability::default(),
         }
     }
 
@@ -174,7 +174,7 @@
     pub fn address_changed(&mut self) {
         self.connection = Connection::Backoff { until: f64::NEG_INFINITY };
         self.superseded = None;
-        self.loss_reported = false;
+        self.availability.clear_reported_loss();
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) has to be called next.
@@ -232,8 +232,11 @@
         }
     }
 
-    /// The response head of the superseded call arrived: it becomes the current call, whose connection the host closes.
-    /// Returns whether it is a watch; false also where no call is superseded.
+    /// The response head of the superseded call arrived: it replaces the current call, whose connection the host closes.
+    /// The host then decodes the head as that of the current call and reports
+    /// [`response_started`](Self::response_started).
+    ///
+    /// Returns true where the call is a watch; false where it asks for the full list, and where no call is superseded.
     pub fn superseded_response_started(&mut self) -> bool {
         let Some(SupersededCall { from_version, complete_by, .. }) = self.superseded.take() else {
             return false;
@@ -257,12 +260,15 @@
         if call.is_watch() {
             call.message_received = true;
             *deadline = now + WATCH_MESSAGE_TIMEOUT;
-            self.loss_reported = false;
+            self.availability.clear_reported_loss();
         }
     }
 
-    /// Records the version of a list that arrived, a `full_list` or the changes since the version held. Returns whether
-    /// the source becomes available with it, which the host reports to the operator.
+    /// Records the version of a list that arrived. `full_list` is true for the full list, false for the changes since
+    /// the version held.
+    ///
+    /// Returns true where the source becomes available with it, which the host reports to the operator; false where it
+    /// was available already.
     ///
     /// A full list may have a lower version than the one held: its source was set up anew.
     ///
@@ -273,10 +279,8 @@
         if !full_list && self.version.is_none_or(|held| version < held) {
             return Err(ApplyVersionError { version, held_version: self.version });
         }
-        let becomes_available = !self.available;
         self.version = Some(version);
-        self.available = true;
-        Ok(becomes_available)
+        Ok(self.availability.list_applied())
     }
 
     /// What arrived cannot be applied: the next call requests the full list.
@@ -285,19 +289,14 @@
     }
 
     /// The current connection was closed, was lost or could not be made: the next connect is due after the backoff.
-    /// Returns whether the host reports the loss to the operator: once for an outage, however many connects fail.
+    /// Returns true where the host reports the loss to the operator: once for an outage, however many connects fail.
     pub fn connection_lost(&mut self, now: Millis) -> bool {
         let silent_watch = matches!(self.connection, Connection::Open { call, .. } if call.is_silent_watch());
-        let mut report = !self.loss_reported;
         if silent_watch {
             self.version = None;
-        } else {
-            report |= self.available;
-            self.available = false;
         }
-        self.loss_reported = true;
         self.connection = Connection::Backoff { until: now + self.backoff };
-        report
+        self.availability.connection_lost(silent_watch)
     }
 
     fn connection_deadline(&self) -> Millis {
@@ -311,7 +310,7 @@
     /// never deliver a change.
     fn supersede(&mut self, now: Millis, call: Call) {
         // Its request was sent one call timeout before now.
-        let deadline = (now - self.call_timeout + RESPONSE_HEAD_TIMEOUT).max(now);
+        let deadline = (now - self.call_timeout + SUPERSEDED_HEAD_TIMEOUT).max(now);
         self.superseded =
             Some(SupersededCall { from_version: call.from_version, deadline, complete_by: call.complete_by });
         self.connection = Connection::Backoff { until: now + self.backoff };
@@ -325,7 +324,7 @@
     if rule_disabled("discovery-call-timeout") {
         return WATCH_MESSAGE_TIMEOUT;
     }
-    (drain_grace / 2.0).clamp(2.0 * MIN_BACKOFF, RESPONSE_HEAD_TIMEOUT)
+    (drain_grace / 2.0).clamp(2.0 * MIN_BACKOFF, MAX_CALL_TIMEOUT)
 }
 
 /// The pause before the next connect.
--- a/crates/request-lifecycle/src/attempt.rs
+++ b/crates/request-lifecycle/src/attempt.rs
@@ -8,8 +8,8 @@
 //! | `Withdrawn`, `ClientDisconnected` | `NeverSent` | `NeverSent` | the attempt goes on |
 //! | `InvalidResponse` | `Error` | `Error` | `Error` |
 //!
-//! An attempt is sent from [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten) on, which the HTTP gateway
-//! reports at the first bytes that the operating system accepts and the RESP gateway at the last.
+//! An attempt is sent from [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten) on, which the HTTP
+//! gateway reports at the first bytes that the operating system accepts and the RESP gateway at the last.
 //!
 //! `ConnectFailed`, `NeverSent` and `Rejected` say that the request was not executed; after every other outcome it may
 //! have been.
@@ -28,9 +28,9 @@
     /// It has a connection, and the host has not reported
     /// [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten).
     Connected,
-    /// The operating system accepted the bytes from which on the backend may execute the request: in the HTTP gateway the
-    /// first ones, in the RESP gateway all of them. It may do so whatever happens to the connection: a pooled connection
-    /// that closes just as the request is written does not show whether it was read.
+    /// The operating system accepted the bytes from which on the backend may execute the request: in the HTTP gateway
+    /// the first ones, in the RESP gateway all of them. It may do so whatever happens to the connection: a pooled
+    /// connection that closes just as the request is written does not show whether it was read.
     Sent,
     /// The response head arrived.
     Responding,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// The outcome where the connection is lost: only before the request was [`Sent`](WireState::Sent) is it certain that
-    /// it was not executed.
+    /// The outcome where the connection is lost: only before the request was [`Sent`](WireState::Sent) is it certain
+    /// that it was not executed.
     pub(crate) fn outcome_at_connection_loss(&self) -> AttemptOutcome {
         match self.wire {
             WireState::Connecting => AttemptOutcome::ConnectFailed,
