--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -7,7 +7,8 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// Descriptors that one wait reports at most: as many as the platform lets a process hold.
+/// Descriptors that one wait reports at most: as many as the platform lets a RESP gateway hold, so that it sees all that
+/// are ready at once. A process that holds more, as `doorcourse serve` may, sees the others by its next waits.
 const MAX_EVENTS: usize = 1024;
 /// Added to each timeout: a wait that ends before the timer it was made for would spin.
 const EARLY_WAKE_MARGIN: Duration = Duration::from_micros(200);
@@ -54,7 +55,7 @@
 /// One descriptor that is ready.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// The token given when it was registered.
+    /// The token of its registration.
     pub token: u64,
     /// It can be read, or a read reports the end of the stream or an error.
     pub read: bool,
@@ -72,7 +73,7 @@
 }
 
 impl Poller {
-    /// A new one.
+    /// Creates an epoll instance.
     ///
     /// # Errors
     /// When the system has no descriptor left.
@@ -108,8 +109,10 @@
     }
 
     /// Waits until a descriptor is ready or `timeout` has passed. A signal ends the wait; what is ready by then is still
-    /// reported, so that no timer runs ahead of it. Up to [`MAX_EVENTS`] descriptors are reported at once: a host that
-    /// handles closed connections first has to see all of them.
+    /// reported, so that no timer runs ahead of it.
+    ///
+    /// Up to `MAX_EVENTS` (1,024) descriptors are reported at once. A host that handles closed connections first, or
+    /// before timers, does so only among these: where more are ready, a later wait reports the others.
     ///
     /// # Errors
     /// When the system fails.
--- a/crates/event-loop/src/socket.rs
+++ b/crates/event-loop/src/socket.rs
@@ -23,14 +23,19 @@
     stream: TcpStream,
     /// Bytes received and not consumed.
     pub input: Vec<u8>,
+    /// The send buffer.
     output: Vec<u8>,
-    sent: usize,
+    /// Bytes at the front of the send buffer that the system has accepted already.
+    written: usize,
 }
 
-/// Bytes that one read asks for.
-const READ: usize = 16 << 10;
-/// Connections that the system holds for a listener until they are accepted.
-const ACCEPT_QUEUE: i32 = 1024;
+/// Bytes that one read asks for. An empty receive buffer that has grown beyond it is freed.
+const READ_BYTES: usize = 16 << 10;
+/// A send buffer that has grown beyond this is freed once all of it is written; before that, its written bytes are
+/// removed once they are more than this.
+const MAX_KEPT_OUTPUT_BYTES: usize = 4 * READ_BYTES;
+/// Connections that the system keeps for a listener until they are accepted.
+const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
 impl Socket {
     /// Wraps a connected stream.
@@ -41,15 +46,16 @@
         stream.set_nonblocking(true)?;
         // Responses are written at once: Nagle's algorithm would only add latency.
         let _ = stream.set_nodelay(true);
-        Ok(Self { stream, input: Vec::new(), output: Vec::new(), sent: 0 })
+        Ok(Self { stream, input: Vec::new(), output: Vec::new(), written: 0 })
     }
 
-    /// Reads once, so that one peer does not hold up the others. Returns how many bytes came and the state of the stream.
+    /// Reads once, so that one peer does not delay the others. Returns how many bytes arrived and the state of the
+    /// stream.
     pub fn read(&mut self) -> (usize, Flow) {
-        let held = self.input.len();
-        self.input.resize(held + READ, 0);
+        let buffered = self.input.len();
+        self.input.resize(buffered + READ_BYTES, 0);
         count(|c| c.reads += 1);
-        let result = self.stream.read(&mut self.input[held..]);
+        let result = self.stream.read(&mut self.input[buffered..]);
         let (count, flow) = match result {
             Ok(0) => (0, Flow::Ended),
             Ok(n) => (n, Flow::Open),
@@ -58,8 +64,8 @@
             }
             Err(_) => (0, Flow::Broken),
         };
-        self.input.truncate(held + count);
-        if self.input.is_empty() && self.input.capacity() > READ {
+        self.input.truncate(buffered + count);
+        if self.input.is_empty() && self.input.capacity() > READ_BYTES {
             self.input = Vec::new();
         }
         (count, flow)
@@ -69,7 +75,7 @@
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
         if self.input.is_empty() {
-            // An idle connection holds no buffer.
+            // An idle connection keeps no buffer.
             self.input = Vec::new();
         }
     }
@@ -82,27 +88,31 @@
     /// Bytes in the send buffer that are not written yet.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.output.len() - self.sent
+        self.output.len() - self.written
     }
 
     /// Writes as much as the system takes.
     pub fn flush(&mut self) -> Flow {
-        while self.sent < self.output.len() {
+        while self.written < self.output.len() {
             count(|c| c.writes += 1);
-            match self.stream.write(&self.output[self.sent..]) {
+            match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Flow::Broken,
-                Ok(n) => self.sent += n,
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Flow::Broken,
             }
         }
-        if self.sent == self.output.len() {
-            self.sent = 0;
-            if self.output.capacity() > 4 * READ { self.output = Vec::new() } else { self.output.clear() }
-        } else if self.sent > 4 * READ {
-            self.output.drain(..self.sent);
-            self.sent = 0;
+        if self.written == self.output.len() {
+            self.written = 0;
+            if self.output.capacity() > MAX_KEPT_OUTPUT_BYTES {
+                self.output = Vec::new()
+            } else {
+                self.output.clear()
+            }
+        } else if self.written > MAX_KEPT_OUTPUT_BYTES {
+            self.output.drain(..self.written);
+            self.written = 0;
         }
         Flow::Open
     }
@@ -131,7 +141,7 @@
     /// The local address of the connection.
     ///
     /// # Errors
-    /// When the socket is gone.
+    /// When the system does not know the address.
     pub fn local(&self) -> io::Result<SocketAddr> {
         self.stream.local_addr()
     }
@@ -161,8 +171,8 @@
 /// Whether an error means that the process or the machine has no descriptor left (EMFILE, ENFILE).
 #[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
-    let full = [rustix::io::Errno::MFILE, rustix::io::Errno::NFILE];
-    error.raw_os_error().is_some_and(|n| full.iter().any(|e| e.raw_os_error() == n))
+    let out_of_descriptors = [rustix::io::Errno::MFILE, rustix::io::Errno::NFILE];
+    error.raw_os_error().is_some_and(|code| out_of_descriptors.iter().any(|e| e.raw_os_error() == code))
 }
 
 /// The number of descriptors that this process may hold (RLIMIT_NOFILE).
@@ -182,6 +192,6 @@
     let fd = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
     rustix::net::bind(&fd, &address)?;
-    rustix::net::listen(&fd, ACCEPT_QUEUE)?;
+    rustix::net::listen(&fd, ACCEPT_QUEUE_LENGTH)?;
     Ok(TcpListener::from(fd))
 }
