--- a/crates/fail-points/src/lib.rs
+++ b/crates/fail-points/src/lib.rs
@@ -3,18 +3,33 @@
 //!
 //! A build with the feature `failpoints` disables the one rule that the environment variable `DOORCOURSE_FAIL_POINT`
 //! names, or none. Without the feature no rule can be disabled: [`rule_disabled`] is constant, and no fail point is left
-//! in the program. `docs/platform.md` lists the names and the rules; `.ci/run` disables each in turn and fails where the
-//! tests still pass.
+//! in the program. `.ci/run` disables each rule in turn and fails where the tests still pass; `docs/platform.md` says
+//! which tests catch its absence.
+//!
+//! | rule | package | what it ensures |
+//! | --- | --- | --- |
+//! | `discovery-call-timeout` | `discovery` | an unanswered request to discovery is repeated within the drain grace |
+//! | `shutdown-deadline` | `graceful-shutdown` | requests are admitted, and get their final responses, only until just before SIGKILL |
+//! | `close-idle-until-exit` | `graceful-shutdown` | after SIGTERM each connection closes once it is idle |
+//! | `poll-peer-close` | `resp-gateway` | the poller reports a client's close apart from reading |
+//! | `drain-accept-queue` | `resp-gateway` | the accept queue is accepted before the listener closes |
+//! | `track-written-responses` | `resp-gateway` | a response that is not written yet keeps its connection from its idle timeout |
+//! | `last-read-before-close` | `resp-gateway` | a connection is read once more before it closes |
+//! | `pool-per-incarnation` | `resp-gateway` | a backend that was restarted or has another address gets connections of its own |
+//! | `superseded-call-kept-apart` | `resp-gateway` | a part of the response head of a superseded call does not make it the current one |
+//! | `pool-per-endpoint` | `http-gateway` | no connection to a backend's former address is used |
+//! | `withdraw-unwritten-attempts` | `http-gateway` | attempts that a backend must not receive are withdrawn unless written |
+//! | `re-poll-stalled-iteration` | `http-gateway` | a stalled iteration polls again for disconnected clients |
 //!
 //! A rule asks where it applies:
 //!
 //! ```
 //! use doorcourse_fail_points::rule_disabled;
 //!
-//! fn may_accept(open_connections: usize, limit: usize) -> bool {
-//!     open_connections < limit || rule_disabled("connection-limit")
+//! fn may_use(connection_endpoint: &str, backend_endpoint: &str) -> bool {
+//!     connection_endpoint == backend_endpoint || rule_disabled("pool-per-endpoint")
 //! }
-//! # assert!(may_accept(1, 2) && !may_accept(2, 2));
+//! # assert!(may_use("10.0.0.1:80", "10.0.0.1:80") && !may_use("10.0.0.1:80", "10.0.0.2:80"));
 //! ```
 
 #![forbid(unsafe_code)]
