--- a/crates/request-lifecycle/src/event.rs
+++ b/crates/request-lifecycle/src/event.rs
@@ -49,7 +49,7 @@
     /// The decision library cancels the attempt.
     Cancelled,
     /// The deadline of the attempt, or of the request without an attempt, expired. At the end of a graceful shutdown
-    /// the host reports it for every open request, whatever time is left.
+    /// the host reports it for the requests that remain, whatever time is left.
     DeadlineExpired,
     /// The client closed its connection.
     ClientDisconnected,
--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -208,7 +208,7 @@
         }
         if self.client == ClientState::AwaitingResponse {
             // The decision library queues no request beyond its deadline, but the end of a graceful shutdown expires
-            // the deadline of every open request. The client is still connected: `ClientDisconnected` only makes the
+            // the deadlines of all that remain. The client is still connected: `ClientDisconnected` only makes the
             // decision library drop the request.
             actions.push(LifecycleAction::ClientDisconnected);
             self.respond(FinalResponse::Failed(FailureReason::DeadlineExpired), actions);
