--- /dev/null
+++ b/crates/http-gateway/src/counter/connection.rs
@@ -0,0 +1,88 @@
+//! The TCP connection to the shared counter: connects, reads and writes without blocking.
+
+use crate::io::{Io, Token};
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
+use std::io;
+use std::net::SocketAddr;
+
+/// A counter connection.
+pub(super) struct Connection {
+    socket: Socket,
+    /// Distinguishes this connection from earlier ones in the poller's tokens.
+    generation: u32,
+    is_connected: bool,
+    interest: Interest,
+}
+
+/// What one readiness of a connection brought.
+pub(super) struct Progress {
+    /// The connection was established.
+    pub opened: bool,
+    /// Bytes that were received.
+    pub input: Vec<u8>,
+    /// Whether the other side closed the connection, or it broke while reading.
+    pub closed: bool,
+}
+
+impl Connection {
+    /// Starts to connect.
+    ///
+    /// # Errors
+    /// The connection cannot be started, or not be registered with the poller.
+    pub fn start(io: &mut Io, address: SocketAddr) -> io::Result<Self> {
+        let generation = io.generation();
+        let interest = Interest::BOTH;
+        let socket = connect(address)?;
+        io.poller.add(&socket, Token::Counter(generation).pack(), interest)?;
+        Ok(Self { socket, generation, is_connected: false, interest })
+    }
+
+    /// The generation in this connection's token.
+    pub fn generation(&self) -> u32 {
+        self.generation
+    }
+
+    /// Whether the connection is established.
+    pub fn is_connected(&self) -> bool {
+        self.is_connected
+    }
+
+    /// Ends the connection attempt or reads, as far as the socket is ready.
+    ///
+    /// # Errors
+    /// The connection attempt failed.
+    pub fn handle_readiness(&mut self, ready: Ready) -> io::Result<Progress> {
+        let mut progress = Progress { opened: false, input: Vec::new(), closed: false };
+        if !self.is_connected && (ready.write || ready.broken) {
+            self.socket.finish_connect()?;
+            self.is_connected = true;
+            progress.opened = true;
+        }
+        if self.is_connected && ready.read {
+            let (_, flow) = self.socket.read();
+            progress.input = std::mem::take(&mut self.socket.input);
+            progress.closed = flow != Flow::Open;
+        }
+        Ok(progress)
+    }
+
+    /// Queues bytes and writes what the socket takes. Returns whether the connection is intact or broken.
+    pub fn write(&mut self, bytes: &[u8]) -> Flow {
+        self.socket.output().extend_from_slice(bytes);
+        self.socket.flush()
+    }
+
+    /// Bytes that are queued and not written.
+    pub fn unwritten_bytes(&self) -> usize {
+        self.socket.pending()
+    }
+
+    /// Waits for writability only while bytes are queued.
+    pub fn update_interest(&mut self, io: &Io) {
+        let interest = Interest::of(true, self.socket.pending() > 0);
+        if interest != self.interest {
+            self.interest = interest;
+            let _ = io.poller.change(&self.socket, Token::Counter(self.generation).pack(), interest);
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-gateway/src/counter/shared.rs
@@ -0,0 +1,145 @@
+//! The host of the link to the shared counter: executes the link's actions and reports connections and bytes to it.
+
+use super::connection::Connection;
+use crate::io::Io;
+use doorcourse::{Event, Millis};
+use doorcourse_config::Counter as Settings;
+use doorcourse_counter::{CallOutcome, CounterCall, CounterLink, LinkAction, LinkSettings, RespCodec};
+use doorcourse_event_loop::{Flow, Ready};
+use std::net::SocketAddr;
+
+/// Why a connection was lost, as the log has it.
+const CLOSED_BY_COUNTER: &str = "closed by the counter";
+const BROKEN_WHILE_WRITING: &str = "broken while writing";
+
+/// The shared counter, and the connection to it.
+pub(crate) struct SharedCounter {
+    address: SocketAddr,
+    link: CounterLink<RespCodec>,
+    /// `None` while the link backs off.
+    connection: Option<Connection>,
+    /// Calls that have not ended. Unlike those of the link, without the ones that timed out.
+    calls_in_flight: usize,
+}
+
+impl SharedCounter {
+    /// A counter that is not connected; the first [`SharedCounter::handle_timeout`] connects.
+    pub fn new(settings: &Settings) -> Self {
+        let link = CounterLink::new(link_settings(settings), RespCodec::new(settings.password.clone()));
+        Self { address: settings.address, link, connection: None, calls_in_flight: 0 }
+    }
+
+    /// Calls that have not ended.
+    pub fn calls_in_flight(&self) -> usize {
+        self.calls_in_flight
+    }
+
+    /// Makes a call. It is written at the next readiness or timeout, together with the other calls of this iteration.
+    pub fn call(&mut self, io: &mut Io, call: CounterCall) {
+        self.calls_in_flight += 1;
+        let mut actions = Vec::new();
+        self.link.call(io.now(), call, &mut actions);
+        self.execute_actions(io, actions);
+    }
+
+    /// Does what is due and writes pending calls. Returns when the link is due next, in ms.
+    pub fn handle_timeout(&mut self, io: &mut Io) -> Millis {
+        let mut actions = Vec::new();
+        let next_timeout = self.link.handle_timeout(io.now(), &mut actions);
+        self.execute_actions(io, actions);
+        self.flush(io);
+        next_timeout
+    }
+
+    /// The connection of this generation is ready; an earlier connection's readiness is ignored.
+    pub fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
+        let now = io.now();
+        let connection = self.connection.as_mut().filter(|found| found.generation() == generation);
+        let Some(connection) = connection else { return };
+        let mut actions = Vec::new();
+        match connection.handle_readiness(ready) {
+            Ok(progress) => {
+                if progress.opened {
+                    self.link.connection_opened(now);
+                }
+                if !progress.input.is_empty() {
+                    self.link.handle_input(now, &progress.input, &mut actions);
+                }
+                if progress.closed && !actions.contains(&LinkAction::Close) {
+                    self.drop_connection(now, CLOSED_BY_COUNTER, &mut actions);
+                }
+            }
+            Err(error) => self.drop_connection(now, &error.to_string(), &mut actions),
+        }
+        self.execute_actions(io, actions);
+        self.flush(io);
+    }
+
+    fn execute_actions(&mut self, io: &mut Io, actions: Vec<LinkAction>) {
+        for action in actions {
+            match action {
+                LinkAction::Connect => self.connect(io),
+                LinkAction::Close => self.connection = None,
+                LinkAction::LogAvailable => {
+                    tracing::info!(target: "doorcourse::counter", "counter connection up");
+                }
+                LinkAction::LogUnavailable { reason } => {
+                    tracing::info!(target: "doorcourse::counter", reason, "counter connection lost");
+                }
+                LinkAction::CallEnded { counter, outcome, latency } => {
+                    // A late reply belongs to a call that has ended already, as timed out.
+                    if !matches!(outcome, CallOutcome::Late { .. }) {
+                        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
+                    }
+                    io.events.push_back(Event::CounterCallEnded {
+                        counter,
+                        outcome: outcome.into(),
+                        latency,
+                    });
+                }
+            }
+        }
+    }
+
+    fn connect(&mut self, io: &mut Io) {
+        let now = io.now();
+        match Connection::start(io, self.address) {
+            Ok(connection) => self.connection = Some(connection),
+            Err(error) => {
+                let mut actions = Vec::new();
+                self.link.connection_lost(now, &error.to_string(), &mut actions);
+                self.execute_actions(io, actions);
+            }
+        }
+    }
+
+    /// Writes the calls that the link has encoded.
+    fn flush(&mut self, io: &mut Io) {
+        let now = io.now();
+        let Some(connection) = self.connection.as_mut().filter(|found| found.is_connected()) else { return };
+        let flow = connection.write(&self.link.take_output());
+        self.link.set_unwritten_bytes(connection.unwritten_bytes());
+        if flow != Flow::Broken {
+            return connection.update_interest(io);
+        }
+        let mut actions = Vec::new();
+        self.drop_connection(now, BROKEN_WHILE_WRITING, &mut actions);
+        self.execute_actions(io, actions);
+    }
+
+    fn drop_connection(&mut self, now: Millis, reason: &str, actions: &mut Vec<LinkAction>) {
+        self.connection = None;
+        self.link.connection_lost(now, reason, actions);
+    }
+}
+
+/// The link's settings. Idle connections are kept: the shared counter does not close them.
+fn link_settings(settings: &Settings) -> LinkSettings {
+    LinkSettings {
+        call_timeout: settings.timeout,
+        initial_backoff: settings.first_wait(),
+        max_backoff: settings.longest_wait,
+        unresponsive_timeout: settings.dead_after,
+        idle_timeout: f64::INFINITY,
+    }
+}
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -109,7 +109,7 @@
         loop {
             self.process_pending();
             self.fire_timers()?;
-            let counter_due = self.counter.tick(&mut self.io);
+            let counter_due = self.counter.handle_timeout(&mut self.io);
             self.tick_fleet();
             self.exchange_outliers();
             self.process_pending();
@@ -150,7 +150,7 @@
             connections: self.clients.count(),
             // Counted only in a drain: it looks at every connection.
             busy_connections: if self.lifecycle.is_ready() { 0 } else { self.clients.busy_count() },
-            counter_calls: self.counter.out,
+            counter_calls: self.counter.calls_in_flight(),
             idle_for: self.io.now() - self.clients.last_input_at,
         };
         self.handle_process_event(ProcessEvent::Tick(pending));
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -63,7 +63,7 @@
                 self.process_attempt_events(slot, generation);
             }
             Token::Link | Token::Call(..) => self.handle_fleet_readiness(ready),
-            Token::Counter(generation) => self.counter.ready(&mut self.io, generation, ready),
+            Token::Counter(generation) => self.counter.connection_ready(&mut self.io, generation, ready),
             Token::Signal => self.handle_signals(),
             Token::Reload => self.handle_reload_readiness(),
             Token::MonitoringListener | Token::Monitoring(..) => self.handle_monitoring_readiness(ready),
--- a/crates/http-gateway/src/gateway/status.rs
+++ b/crates/http-gateway/src/gateway/status.rs
@@ -38,7 +38,7 @@
             "listeners": listeners.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "requests": self.requests.count(),
             "clients": self.clients.count(),
-            "counter_calls": self.counter.out,
+            "counter_calls": self.counter.calls_in_flight(),
             "counter_silent": self.decisions.is_counter_silent(),
             "requests_so_far": self.requests.total,
             "buffered_bytes": self.clients.budget.bytes(),
