--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -22,10 +22,11 @@
 mod settings;
 mod status;
 
-pub(crate) use status::Seen;
+pub(crate) use calls::CallCounts;
+pub(crate) use status::FleetMetrics;
 
 use crate::io::Io;
-use calls::{CallCounts, CallSchedules};
+use calls::CallSchedules;
 use connections::Connection;
 use doorcourse_config::{Config, LeaseConfig};
 use doorcourse_event_loop::awake_or_not;
@@ -51,8 +52,8 @@
     outliers: Option<OutlierMonitor>,
     /// When the outlier gossip is next shown how the decisions see the nodes.
     next_observation_at: Millis,
-    /// Verdicts that the decisions are to follow.
-    pub(crate) hints: VecDeque<Verdict>,
+    /// Verdicts that are not yet applied to the decisions.
+    pub(crate) verdicts: VecDeque<Verdict>,
     shut_down: bool,
 }
 
@@ -76,7 +77,7 @@
             connections: slab::Slab::new(),
             outliers: None,
             next_observation_at: now,
-            hints: VecDeque::new(),
+            verdicts: VecDeque::new(),
             shut_down: false,
         };
         if let Err(error) = fleet.link.bind(io)
@@ -117,7 +118,7 @@
     }
 
     /// The gateway shuts down: every lease is released, and so is the address for a process that takes over.
-    pub(crate) fn leave(&mut self, io: &mut Io) {
+    pub(crate) fn shut_down(&mut self, io: &mut Io) {
         if !self.shut_down {
             self.shut_down = true;
             self.handle_lease_input(io, awake_or_not(), Input::ShutdownStarted);
@@ -127,7 +128,7 @@
     }
 
     /// How long until [`Fleet::tick`] is to be called, in ms; infinity where nothing is due.
-    pub(crate) fn due(&self) -> f64 {
+    pub(crate) fn next_timeout_in(&self) -> f64 {
         if self.shut_down {
             return f64::INFINITY;
         }
--- a/crates/http-gateway/src/fleet/calls.rs
+++ b/crates/http-gateway/src/fleet/calls.rs
@@ -47,13 +47,13 @@
 
 /// The calls of one task so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct CallCounts {
+pub(crate) struct CallCounts {
     /// Answered with a status of 2xx.
-    pub(super) succeeded: u64,
+    pub(crate) succeeded: u64,
     /// Answered otherwise, not answered, or not written.
-    pub(super) failed: u64,
+    pub(crate) failed: u64,
     /// Not written because the lease was too short.
-    pub(super) withheld: u64,
+    pub(crate) withheld: u64,
 }
 
 /// The tasks of the settings, when their calls are made, and how they ended.
--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -130,7 +130,7 @@
     }
 
     /// A connection is ready: its request is written, or its response read.
-    pub(crate) fn call_ready(&mut self, io: &mut Io, slot: usize, generation: u32, ready: Ready) {
+    pub(crate) fn connection_ready(&mut self, io: &mut Io, slot: usize, generation: u32, ready: Ready) {
         let now = awake_or_not();
         let connection = self.connections.get_mut(slot).filter(|found| found.generation == generation);
         let Some(connection) = connection else { return };
--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -182,7 +182,7 @@
 
 impl Fleet {
     /// The socket is readable: receives datagrams and processes their payloads.
-    pub(crate) fn ready(&mut self, io: &mut Io) {
+    pub(crate) fn link_ready(&mut self, io: &mut Io) {
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Some(ReceivedDatagram { received_at, payload }) = self.link.receive(io) else { return };
             let Some(payload) = payload else { continue };
--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -42,13 +42,13 @@
 }
 
 impl Fleet {
-    /// Whether the outlier gossip is to be shown how the decisions see the nodes, by [`Fleet::view`].
-    pub(crate) fn wants_view(&self) -> bool {
+    /// Whether the outlier gossip is to be shown how the decisions see the nodes, by [`Fleet::observe_nodes`].
+    pub(crate) fn wants_observation(&self) -> bool {
         !self.shut_down && self.outliers.is_some() && awake_or_not() >= self.next_observation_at
     }
 
     /// Shows the outlier gossip how the decisions see the nodes, and does what it asks for. `nodes` has their addresses.
-    pub(crate) fn view(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
+    pub(crate) fn observe_nodes(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some(monitor) = &mut self.outliers else { return };
         let interval = (monitor.config.probe_interval_ms / 2).max(MIN_OBSERVATION_INTERVAL_MS);
@@ -90,7 +90,7 @@
             target: "doorcourse::fleet", node, is_outlier, age_ms, reporting_gateways, "outlier verdict"
         );
         if self.outliers.as_ref().is_some_and(|monitor| monitor.config.affects_decisions) {
-            self.hints.push_back(verdict);
+            self.verdicts.push_back(verdict);
         }
     }
 
--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -14,37 +14,62 @@
     /// The peer.
     pub number: GatewayNumber,
     /// How long ago a datagram was accepted from it; `None` if none ever was.
-    pub heard: Option<Millis>,
+    pub last_received_ago: Option<Millis>,
     /// The smoothed round trip.
     pub round_trip: Option<f64>,
     /// By how much its wall clock is ahead of this gateway's.
-    pub clock: Option<f64>,
+    pub clock_offset: Option<f64>,
     /// Datagrams accepted from it.
-    pub taken: u64,
+    pub received: u64,
     /// Datagrams from it that were lost.
     pub lost: u64,
 }
 
 /// What metrics show of link and leases.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct FleetMetrics {
     pub peers: Vec<PeerMetrics>,
-    /// Dropped datagrams, by the name of the reason.
-    pub drops: Vec<(&'static str, u64)>,
-    /// Each task, and whether this gateway holds it.
-    pub held: Vec<(String, bool)>,
-    /// Each task's calls: succeeded, failed, withheld.
-    pub calls: Vec<(String, [u64; 3])>,
+    /// The number of dropped datagrams for each reason.
+    pub drops: Vec<DropMetrics>,
+    /// The lease of each task of the settings.
+    pub leases: Vec<LeaseMetrics>,
+    /// The calls of each task that was ever called.
+    pub calls: Vec<CallMetrics>,
+}
+
+/// Datagrams dropped for one reason.
+#[derive(Debug)]
+pub(crate) struct DropMetrics {
+    /// The reason's name in the metric.
+    pub reason: &'static str,
+    pub count: u64,
+}
+
+/// The lease of one task.
+#[derive(Debug)]
+pub(crate) struct LeaseMetrics {
+    /// The task's name.
+    pub task: String,
+    /// Whether this gateway holds it.
+    pub is_held: bool,
+}
+
+/// The calls of one task.
+#[derive(Debug)]
+pub(crate) struct CallMetrics {
+    /// The task's name.
+    pub task: String,
+    pub counts: CallCounts,
 }
 
 impl From<PeerStatus> for PeerMetrics {
     fn from(status: PeerStatus) -> Self {
         Self {
             number: status.gateway,
-            heard: status.last_received_ago,
+            last_received_ago: status.last_received_ago,
             round_trip: status.round_trip,
-            clock: status.clock_offset,
-            taken: status.received,
+            clock_offset: status.clock_offset,
+            received: status.received,
             lost: status.lost,
         }
     }
@@ -55,7 +80,7 @@
     ///
     /// # Errors
     /// Why not, as text for the operator.
-    pub(crate) fn hand_over(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
+    pub(crate) fn transfer(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
         let now = awake_or_not();
         let task = task_of(name);
         let mut statuses = self.leases.iter().flat_map(|leases| leases.statuses(now));
@@ -136,20 +161,19 @@
     }
 
     /// The figures for metrics.
-    pub(crate) fn seen(&self) -> Seen {
+    pub(crate) fn metrics(&self) -> FleetMetrics {
         let now = awake_or_not();
-        let held = |status: LeaseStatus| {
-            let name = self.calls.task_name(status.task).to_owned();
-            (name, matches!(status.stage, LeaseStage::Held(_)))
-        };
-        let calls = |(name, counts): (&str, CallCounts)| {
-            (name.to_owned(), [counts.succeeded, counts.failed, counts.withheld])
+        let lease = |status: LeaseStatus| LeaseMetrics {
+            task: self.calls.task_name(status.task).to_owned(),
+            is_held: matches!(status.stage, LeaseStage::Held(_)),
         };
-        Seen {
+        let call = |(task, counts): (&str, CallCounts)| CallMetrics { task: task.to_owned(), counts };
+        let drop = |(reason, count)| DropMetrics { reason, count };
+        FleetMetrics {
             peers: self.link.statuses(now).map(PeerMetrics::from).collect(),
-            drops: self.link.drops().by_name().collect(),
-            held: self.leases.iter().flat_map(|leases| leases.statuses(now)).map(held).collect(),
-            calls: self.calls.counts().map(calls).collect(),
+            drops: self.link.drops().by_name().map(drop).collect(),
+            leases: self.leases.iter().flat_map(|leases| leases.statuses(now)).map(lease).collect(),
+            calls: self.calls.counts().map(call).collect(),
         }
     }
 }
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -160,7 +160,7 @@
     fn wait_for_readiness(&mut self, counter_due: Millis, ready: &mut Vec<Ready>) -> anyhow::Result<()> {
         let lifecycle_due = self.lifecycle.next_timeout(self.io.now());
         let due = self.io.timers.first().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
-        let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::due);
+        let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::next_timeout_in);
         let wait = if due.is_finite() { self.io.clock.until(due) } else { duration(MAX_WAIT) };
         let wait = wait.min(duration(fleet_due_in.min(MAX_WAIT)));
         self.io.poller.wait(Some(wait), ready)?;
--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -59,7 +59,7 @@
         let Some(fleet) = &mut self.fleet else {
             return Outcome::InvalidParams("the settings have no fleet.link".to_owned());
         };
-        match fleet.hand_over(&mut self.io, task, to) {
+        match fleet.transfer(&mut self.io, task, to) {
             Ok(()) => Outcome::Reply(json!({"task": task, "to": to})),
             Err(message) => Outcome::InvalidParams(message),
         }
--- a/crates/http-gateway/src/gateway/outliers.rs
+++ b/crates/http-gateway/src/gateway/outliers.rs
@@ -13,9 +13,9 @@
     /// Passes the decisions' view of the backends to the gossip, when it is due.
     fn report_backends(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
-        if fleet.wants_view() {
+        if fleet.wants_observation() {
             let observations = self.decisions.backends().map(observation).collect();
-            fleet.view(&mut self.io, observations, self.endpoints.listed());
+            fleet.observe_nodes(&mut self.io, observations, self.endpoints.listed());
         }
     }
 
@@ -24,7 +24,7 @@
         let Some(fleet) = &mut self.fleet else { return };
         let now = self.io.now();
         let mut statuses = Vec::new();
-        while let Some(report) = fleet.hints.pop_front() {
+        while let Some(report) = fleet.verdicts.pop_front() {
             let Some(status) = self.decisions.backends().find(|b| *b.name == *report.node) else { continue };
             let keep = self.config.leases.as_ref().and_then(|l| l.suspects).map_or(0, |s| s.keep);
             let (failures, ejected_for) = remembered(&report, keep, status.consecutive_failures);
--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -51,7 +51,7 @@
     fn announce_close(&mut self) {
         self.clients.announce_close = true;
         if let Some(fleet) = &mut self.fleet {
-            fleet.leave(&mut self.io);
+            fleet.shut_down(&mut self.io);
         }
     }
 
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -74,8 +74,8 @@
     fn handle_fleet_readiness(&mut self, ready: Ready) {
         let Some(fleet) = &mut self.fleet else { return };
         match Token::unpack(ready.token) {
-            Token::Call(slot, generation) => fleet.call_ready(&mut self.io, slot, generation, ready),
-            _ => fleet.ready(&mut self.io),
+            Token::Call(slot, generation) => fleet.connection_ready(&mut self.io, slot, generation, ready),
+            _ => fleet.link_ready(&mut self.io),
         }
     }
 
--- a/crates/http-gateway/src/gateway/status.rs
+++ b/crates/http-gateway/src/gateway/status.rs
@@ -23,7 +23,7 @@
             counter_unavailable: self.decisions.is_counter_silent(),
             leased_units: leased_units.into_iter().collect(),
             backends: self.decisions.backends().map(|backend| backend_gauges(&backend, now)).collect(),
-            fleet: self.fleet.as_ref().map(Fleet::seen).unwrap_or_default(),
+            fleet: self.fleet.as_ref().map(Fleet::metrics).unwrap_or_default(),
         }
     }
 
--- a/crates/http-gateway/src/monitoring/metrics.rs
+++ b/crates/http-gateway/src/monitoring/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics in OpenMetrics text. Names, labels and help texts are a stable format.
 
-use crate::fleet::Seen;
+use crate::fleet::{CallCounts, FleetMetrics};
 use crate::requests::{FinalResponseRecord, SERVED};
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram};
@@ -9,10 +9,8 @@
 
 /// Upper bounds of the response time buckets, in seconds.
 const RESPONSE_TIME_BUCKETS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
-/// How the calls of a task ended, in the order in which the fleet counts them.
-const CALL_ENDS: [&str; 3] = ["good", "failed", "kept_back"];
 /// Shown in place of a time for a peer from which no datagram has come yet.
-const NEVER_HEARD: i64 = -1;
+const NEVER_RECEIVED: i64 = -1;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ClassLabels {
@@ -80,7 +78,7 @@
     pub leased_units: Vec<(String, f64)>,
     pub backends: Vec<BackendGauges>,
     /// The link to the other gateways and the tasks.
-    pub fleet: Seen,
+    pub fleet: FleetMetrics,
 }
 
 /// All metrics of a gateway. Responses are recorded as they happen, the gauges when they are scraped.
@@ -110,7 +108,7 @@
 }
 
 struct PeerFamilies {
-    last_heard_ms: Family<PeerLabels, Gauge>,
+    since_last_received_ms: Family<PeerLabels, Gauge>,
     round_trip_ms: Family<PeerLabels, FloatGauge>,
     datagrams: Family<PeerLabels, Gauge>,
     datagrams_lost: Family<PeerLabels, Gauge>,
@@ -220,7 +218,11 @@
 impl PeerFamilies {
     fn register(r: &mut Registry) -> Self {
         Self {
-            last_heard_ms: register(r, "peer_heard_ms", "Since a peer gateway was heard last; -1 if never"),
+            since_last_received_ms: register(
+                r,
+                "peer_heard_ms",
+                "Since a peer gateway was heard last; -1 if never",
+            ),
             round_trip_ms: register(r, "peer_round_trip_ms", "Round trip to a peer gateway"),
             datagrams: register(r, "peer_datagrams", "Datagrams taken from a peer gateway"),
             datagrams_lost: register(
@@ -237,26 +239,28 @@
         }
     }
 
-    fn set(&self, seen: &Seen) {
-        self.last_heard_ms.clear();
+    fn set(&self, fleet: &FleetMetrics) {
+        self.since_last_received_ms.clear();
         self.round_trip_ms.clear();
         self.datagrams.clear();
         self.datagrams_lost.clear();
         self.clock_ahead_ms.clear();
-        for peer in &seen.peers {
+        for peer in &fleet.peers {
             let labels = PeerLabels { peer: peer.number };
-            self.last_heard_ms.get_or_create(&labels).set(peer.heard.map_or(NEVER_HEARD, saturating));
-            self.datagrams.get_or_create(&labels).set(saturating(peer.taken));
+            self.since_last_received_ms
+                .get_or_create(&labels)
+                .set(peer.last_received_ago.map_or(NEVER_RECEIVED, saturating));
+            self.datagrams.get_or_create(&labels).set(saturating(peer.received));
             self.datagrams_lost.get_or_create(&labels).set(saturating(peer.lost));
-            if let Some(ms) = peer.clock {
+            if let Some(ms) = peer.clock_offset {
                 self.clock_ahead_ms.get_or_create(&labels).set(ms);
             }
             if let Some(ms) = peer.round_trip {
                 self.round_trip_ms.get_or_create(&labels).set(ms);
             }
         }
-        for (cause, count) in &seen.drops {
-            self.dropped.get_or_create(&DropLabels { cause }).set(saturating(*count));
+        for drop in &fleet.drops {
+            self.dropped.get_or_create(&DropLabels { cause: drop.reason }).set(saturating(drop.count));
         }
     }
 }
@@ -269,21 +273,26 @@
         }
     }
 
-    fn set(&self, seen: &Seen) {
+    fn set(&self, fleet: &FleetMetrics) {
         self.held.clear();
         self.calls.clear();
-        for (task, held) in &seen.held {
-            self.held.get_or_create(&TaskLabels { task: task.clone() }).set((*held).into());
+        for lease in &fleet.leases {
+            self.held.get_or_create(&TaskLabels { task: lease.task.clone() }).set(lease.is_held.into());
         }
-        for (task, calls) in &seen.calls {
-            for (end, count) in CALL_ENDS.into_iter().zip(calls) {
-                let labels = CallLabels { task: task.clone(), end };
-                self.calls.get_or_create(&labels).set(saturating(*count));
+        for call in &fleet.calls {
+            for (end, count) in counts_by_end(call.counts) {
+                let labels = CallLabels { task: call.task.clone(), end };
+                self.calls.get_or_create(&labels).set(saturating(count));
             }
         }
     }
 }
 
+/// The counts of a task's calls, by the label of their end.
+fn counts_by_end(counts: CallCounts) -> [(&'static str, u64); 3] {
+    [("good", counts.succeeded), ("failed", counts.failed), ("kept_back", counts.withheld)]
+}
+
 /// A count as a gauge holds it.
 fn saturating(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
