--- a/crates/http-gateway/src/gateway/outliers.rs
+++ b/crates/http-gateway/src/gateway/outliers.rs
@@ -1,13 +1,15 @@
-//! Outlier reports: what the decisions observe of backends goes to the other gateways, and theirs come back.
+//! Outlier gossip: the gossip observes the backends as the decisions see them, and its verdicts are applied to the
+//! decisions.
 
 use super::Gateway;
 use doorcourse::{BackendStatus, Event};
-use doorcourse_outlier_gossip::{Seen, remembered};
+use doorcourse_outlier_gossip::{NodeStatus, verdict_effect};
 
 impl Gateway {
+    /// Exchanges observations and verdicts with the outlier gossip. Without a fleet there is nothing to do.
     pub(super) fn exchange_outliers(&mut self) {
         self.report_backends();
-        self.apply_reports();
+        self.apply_verdicts();
     }
 
     /// Passes the decisions' view of the backends to the gossip, when it is due.
@@ -19,18 +21,20 @@
         }
     }
 
-    /// Applies the other gateways' reports, in the form of a restored state of the backends.
-    fn apply_reports(&mut self) {
+    /// Applies the verdicts of the gossip, in the form of a restored state of the backends.
+    fn apply_verdicts(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let now = self.io.now();
         let mut statuses = Vec::new();
-        while let Some(report) = fleet.verdicts.pop_front() {
-            let Some(status) = self.decisions.backends().find(|b| *b.name == *report.node) else { continue };
-            let keep = self.config.leases.as_ref().and_then(|l| l.suspects).map_or(0, |s| s.keep);
-            let (failures, ejected_for) = remembered(&report, keep, status.consecutive_failures);
+        while let Some(verdict) = fleet.verdicts.pop_front() {
+            let backend = self.decisions.backends().find(|backend| *backend.name == *verdict.node);
+            let Some(status) = backend else { continue };
+            let gossip_config = self.config.leases.as_ref().and_then(|leases| leases.suspects);
+            let retention = gossip_config.map_or(0, |config| config.keep);
+            let effect = verdict_effect(&verdict, retention, status.consecutive_failures);
             statuses.push(BackendStatus {
-                consecutive_failures: failures,
-                ejected_until: now + ejected_for as f64,
+                consecutive_failures: effect.consecutive_failures,
+                ejected_until: now + effect.ejected_for as f64,
                 ..status
             });
         }
@@ -41,8 +45,9 @@
     }
 }
 
-fn observation(backend: BackendStatus) -> Seen {
-    Seen {
+/// A backend as the gossip observes it.
+fn observation(backend: BackendStatus) -> NodeStatus {
+    NodeStatus {
         node: backend.name.to_string(),
         started: backend.started.unwrap_or_default() as u64,
         failures: backend.consecutive_failures,
--- a/crates/outlier-gossip/src/gossip/tests.rs
+++ b/crates/outlier-gossip/src/gossip/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{is_well, remembered};
+use crate::{VerdictEffect, is_well, verdict_effect};
 
 fn node(node: &str, failures: u32) -> NodeStatus {
     NodeStatus { node: node.into(), started: 5, failures, ready: true }
@@ -112,12 +112,13 @@
         age_ms,
         reporting_gateways: 2,
     };
-    assert_eq!(remembered(&verdict(true, 400), 1000, 0), (1, 600));
-    assert_eq!(remembered(&verdict(true, 400), 1000, 7), (7, 600), "its own failures stay");
-    assert_eq!(remembered(&verdict(false, 0), 1000, 7), (0, 0));
+    let effect = |consecutive_failures, ejected_for| VerdictEffect { consecutive_failures, ejected_for };
+    assert_eq!(verdict_effect(&verdict(true, 400), 1000, 0), effect(1, 600));
+    assert_eq!(verdict_effect(&verdict(true, 400), 1000, 7), effect(7, 600), "its own failures stay");
+    assert_eq!(verdict_effect(&verdict(false, 0), 1000, 7), effect(0, 0));
     // Otherwise a verdict would return as evidence and never expire.
-    let (failures, _) = remembered(&verdict(true, 0), 1000, 0);
-    assert!(tick(&mut gossip(1), 0, &[failures], None).is_empty());
+    let VerdictEffect { consecutive_failures, .. } = verdict_effect(&verdict(true, 0), 1000, 0);
+    assert!(tick(&mut gossip(1), 0, &[consecutive_failures], None).is_empty());
     assert!(is_well(200) && is_well(400) && !is_well(503) && !is_well(100));
 }
 
--- a/crates/outlier-gossip/src/lib.rs
+++ b/crates/outlier-gossip/src/lib.rs
@@ -29,12 +29,10 @@
 pub use gossip::OutlierGossip;
 pub use message::{FailureReport, Message, Verdict, decode, encode};
 pub use probes::is_well;
-pub use verdicts::remembered;
+pub use verdicts::{VerdictEffect, verdict_effect};
 
 /// A gateway's number in the fleet.
 pub type GatewayNumber = u32;
-/// [`NodeStatus`], by the name that the gateway's event loop uses.
-pub type Seen = NodeStatus;
 /// Milliseconds: a duration, or a point in time on this gateway's monotonic clock.
 pub type Millis = u64;
 
--- a/crates/outlier-gossip/src/verdicts.rs
+++ b/crates/outlier-gossip/src/verdicts.rs
@@ -65,12 +65,28 @@
     ((node_count as f64 * fraction) as usize).max(1)
 }
 
-/// The effect of a verdict on a gateway that sees `failures` consecutive failures of the node itself: the consecutive
-/// failures that its decisions remember, and for how many ms the node is ejected.
+/// What a verdict changes in a gateway's decisions about its node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VerdictEffect {
+    /// The consecutive failures of the node that the decisions are to assume.
+    pub consecutive_failures: u32,
+    /// For how long the node is ejected, in ms; 0 where it is not.
+    pub ejected_for: Millis,
+}
+
+/// The effect of a verdict on a gateway whose own requests to the node failed `consecutive_failures` times in a row.
+/// Verdicts are valid for `retention`, in ms.
 ///
 /// An outlier is treated as after one failure of the gateway's own until the verdict expires or is withdrawn. It never
 /// counts as enough failures for a report: otherwise a verdict would return as evidence and never expire.
 #[must_use]
-pub fn remembered(verdict: &Verdict, retention: Millis, failures: u32) -> (u32, Millis) {
-    if verdict.is_outlier { (failures.max(1), retention.saturating_sub(verdict.age_ms)) } else { (0, 0) }
+pub fn verdict_effect(verdict: &Verdict, retention: Millis, consecutive_failures: u32) -> VerdictEffect {
+    if verdict.is_outlier {
+        VerdictEffect {
+            consecutive_failures: consecutive_failures.max(1),
+            ejected_for: retention.saturating_sub(verdict.age_ms),
+        }
+    } else {
+        VerdictEffect { consecutive_failures: 0, ejected_for: 0 }
+    }
 }
