--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -174,7 +174,7 @@
         event
     }
 
-    /// Drops the decoded input, once for all parts of a read.
+    /// Drops the decoded input, once for all that one read decoded.
     pub fn consume(&mut self) {
         let decoded = std::mem::take(&mut self.decoded);
         self.socket.consume(decoded);
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -50,7 +50,7 @@
     connections: slab::Slab<Connection>,
     /// `None` where the settings have no outlier gossip.
     outliers: Option<OutlierMonitor>,
-    /// When the outlier gossip is next shown how the decisions see the nodes.
+    /// When the outlier gossip next observes the nodes.
     next_observation_at: Millis,
     /// Verdicts that are not yet applied to the decisions.
     pub(crate) verdicts: VecDeque<Verdict>,
--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -18,7 +18,7 @@
 /// Between two attempts to bind the address while a process that hands over still has it, in ms.
 const BIND_RETRY_MS: Millis = 50;
 
-/// The parts of the program that send payloads over the link.
+/// The components that send payloads over the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Channel {
     /// Messages of the leases.
--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -24,7 +24,7 @@
 }
 
 impl OutlierMonitor {
-    /// Applies settings. What an earlier monitor knows is kept.
+    /// Applies settings. The state of an earlier monitor is kept.
     pub(super) fn configured(
         earlier: Option<Self>, gateway: GatewayNumber, config: OutlierGossipConfig,
     ) -> Self {
@@ -42,12 +42,13 @@
 }
 
 impl Fleet {
-    /// Whether the outlier gossip is to be shown how the decisions see the nodes, by [`Fleet::observe_nodes`].
+    /// Whether an observation of the nodes is due: a call of [`Fleet::observe_nodes`].
     pub(crate) fn wants_observation(&self) -> bool {
         !self.shut_down && self.outliers.is_some() && awake_or_not() >= self.next_observation_at
     }
 
-    /// Shows the outlier gossip how the decisions see the nodes, and does what it asks for. `nodes` has their addresses.
+    /// Reports to the outlier gossip the status of the nodes in the decisions, and executes its outputs. `nodes` has the
+    /// addresses for probes.
     pub(crate) fn observe_nodes(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
         let now = awake_or_not();
         let Some(monitor) = &mut self.outliers else { return };
--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -136,7 +136,7 @@
         })
     }
 
-    /// The reply on one task. Tokens are texts: they exceed the whole numbers that JSON readers represent exactly.
+    /// The reply on one task. Tokens are texts: they exceed the integers that JSON readers represent exactly.
     fn lease_reply(&self, status: &LeaseStatus) -> Value {
         let (stage, remaining_ms) = match status.stage {
             LeaseStage::Waiting(ms) => ("waiting", ms),
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -77,7 +77,7 @@
     instance_name: String,
     signals: SignalPipe,
     state: Option<StatePersistence>,
-    /// The life cycle has asked for the exit.
+    /// The life cycle has requested the exit.
     exiting: bool,
     last_poll_at: Millis,
     /// The process from which this one takes over, until this one serves.
@@ -88,7 +88,7 @@
     /// The addresses on which clients are served.
     ///
     /// # Errors
-    /// When the system cannot tell the address of a listener.
+    /// When the operating system does not return the address of a listener.
     pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         self.clients.addresses()
     }
--- a/crates/http-gateway/src/gateway/signals.rs
+++ b/crates/http-gateway/src/gateway/signals.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A pipe that turns termination signals into readiness: one byte a signal.
+/// A pipe that converts termination signals to readiness: one byte a signal.
 pub(super) struct SignalPipe {
     receiver: UnixStream,
     sender: UnixStream,
--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -1,8 +1,8 @@
 //! GraphQL over HTTP: from an HTTP request to a request for the decisions, and from a final response to HTTP.
 //!
 //! Only this module knows the client's protocol; it holds no state and does no I/O. A request passes three steps: its head
-//! ([`check_head`]), before its body is read; its parameters; its operation ([`request`]), checked against the schema,
-//! priced, and given its class and timeout. Each step may end it with a [`Response`].
+//! ([`check_head`]), before its body is read; its parameters; its operation ([`request`]), which is validated against the
+//! schema and determines cost, class and timeout. Each step may end it with a [`Response`].
 
 mod head;
 mod operation;
--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -11,7 +11,7 @@
 /// The fields that are forwarded to the backend; cookies as well, where sessions are sticky by cookie.
 const FORWARDED_FIELDS: [&str; 4] = ["idempotency-key", REQUEST_ID_FIELD, "traceparent", "tracestate"];
 
-/// Checks a request's head: which customer sends it, and whether its body is worth reading.
+/// Checks a request's head: which customer sends it, and whether its body can be processed and is to be read.
 ///
 /// # Errors
 /// The response that rejects it.
@@ -78,11 +78,11 @@
 /// Checks that the body is unencoded JSON in UTF-8.
 fn check_content(head: &Head) -> Result<(), Response> {
     let content_type = head.field("content-type").unwrap_or("").to_ascii_lowercase();
-    let mut parts = content_type.split(';').map(str::trim);
-    let is_json = parts.next() == Some("application/json");
+    let mut segments = content_type.split(';').map(str::trim);
+    let is_json = segments.next() == Some("application/json");
     let other_charset =
-        |part: &str| part.starts_with("charset=") && part.trim_matches('"') != "charset=utf-8";
-    if !is_json || parts.any(other_charset) {
+        |segment: &str| segment.starts_with("charset=") && segment.trim_matches('"') != "charset=utf-8";
+    if !is_json || segments.any(other_charset) {
         return reject(415, "UNSUPPORTED_MEDIA_TYPE", "the body must be application/json in UTF-8");
     }
     if head.field("content-encoding").is_some_and(|value| !value.eq_ignore_ascii_case("identity")) {
@@ -152,14 +152,14 @@
     best.map(|(_, media)| media)
 }
 
-/// The weight of a media range and the type that it stands for; `None` where neither type is in it.
+/// The weight of a media range and the type that it matches; `None` where neither type is in it.
 fn media_range(range: &str) -> Option<(f64, MediaType)> {
-    let mut parts = range.split(';').map(|part| part.trim().to_ascii_lowercase());
-    let media = match parts.next().as_deref() {
+    let mut segments = range.split(';').map(|segment| segment.trim().to_ascii_lowercase());
+    let media = match segments.next().as_deref() {
         Some("application/graphql-response+json") => MediaType::GraphqlResponse,
         Some("application/json" | "application/*" | "*/*") => MediaType::Json,
         _ => return None,
     };
-    let quality = parts.find_map(|part| part.strip_prefix("q=").map(str::to_owned));
+    let quality = segments.find_map(|segment| segment.strip_prefix("q=").map(str::to_owned));
     Some((quality.map_or(1.0, |quality| quality.parse().unwrap_or(0.0)), media))
 }
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -1,4 +1,4 @@
-//! The operation of a request: checked against the schema, priced, and given its class and timeout.
+//! The operation of a request: validated against the schema, with its cost, class and timeout.
 
 use super::parameters::{self, OperationParameters};
 use super::response::{Response, error, query_errors};
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -99,7 +99,7 @@
         RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
     };
     let mut response = error(media, status, rejection_code(reason), message);
-    // Whole seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
+    // In seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
     let retry_after_seconds = (retry_after / 1000.0).ceil().max(1.0);
     response.fields.push(("retry-after", retry_after_seconds.to_string()));
     response
--- a/crates/http-gateway/src/requests/command.rs
+++ b/crates/http-gateway/src/requests/command.rs
@@ -1,4 +1,4 @@
-//! What the request table asks the event loop to do.
+//! The commands of the request table to the event loop.
 
 use crate::clients::ForwardedHead;
 use crate::graphql_front::MediaType;
@@ -12,7 +12,7 @@
     NotifyDecisions(Event),
     /// Send a final response of the gateway's own.
     Respond { client: usize, media: MediaType, response: FinalResponse, request_name: Name },
-    /// Forward bytes of a backend's response, behind its head where one is given.
+    /// Forward bytes of a backend's response, after its head where `head` has one.
     ForwardResponse {
         client: usize,
         head: Option<ForwardedHead>,
--- a/crates/http-gateway/src/state_file.rs
+++ b/crates/http-gateway/src/state_file.rs
@@ -88,7 +88,7 @@
         let temporary = temporary_path(&self.path);
         let mut file = std::fs::File::create(&temporary)?;
         file.write_all(format!("{head}\n{body}\n").as_bytes())?;
-        // On the disk before it replaces the old file: a power failure must not leave an empty one.
+        // On the disk before it replaces the old file: an empty one must not remain after a power failure.
         file.sync_data()?;
         std::fs::rename(&temporary, &self.path)
     }
--- a/crates/http-gateway/src/state_file/tests.rs
+++ b/crates/http-gateway/src/state_file/tests.rs
@@ -33,14 +33,14 @@
 fn a_file_truncated_at_any_byte_or_with_any_byte_of_its_body_changed_is_rejected() {
     let file = file("torn");
     file.write(1000.0, [backend("a")].into_iter()).expect("written");
-    let whole = std::fs::read(&file.path).expect("read");
-    for cut in 0..whole.len() {
-        std::fs::write(&file.path, &whole[..cut]).expect("cut");
+    let complete = std::fs::read(&file.path).expect("read");
+    for cut in 0..complete.len() {
+        std::fs::write(&file.path, &complete[..cut]).expect("cut");
         assert!(file.read(2000.0).is_err(), "cut at {cut}");
     }
-    let end = whole.iter().position(|b| *b == b'\n').expect("a head");
-    for at in end + 1..whole.len() {
-        let mut changed = whole.clone();
+    let end = complete.iter().position(|b| *b == b'\n').expect("a head");
+    for at in end + 1..complete.len() {
+        let mut changed = complete.clone();
         changed[at] ^= 1;
         std::fs::write(&file.path, &changed).expect("changed");
         assert!(file.read(2000.0).is_err(), "changed at {at}");
--- a/crates/http-gateway/src/takeover.rs
+++ b/crates/http-gateway/src/takeover.rs
@@ -19,7 +19,7 @@
 
 /// Requests the listening sockets of the process that serves at the admin socket `path`.
 ///
-/// Returns them with the connection, which is kept open: its end tells the old process that this one is gone, and
+/// Returns them with the connection, which is kept open: its end notifies the old process that this one is gone, and
 /// [`confirm`] uses it.
 ///
 /// # Errors
@@ -58,7 +58,7 @@
     Ok((reply, descriptors))
 }
 
-/// Tells the old process that this one serves, and waits for its reply.
+/// Notifies the old process that this one serves, and waits for its reply.
 ///
 /// # Errors
 /// When the old process does not confirm.
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages as protobuf. A message that is invalid in any part is rejected as a whole.
+//! The encoding of messages as protobuf. A message with any invalid field is rejected.
 
 use crate::{Item, LeaseRequest, Message, Refusal, TaskId};
 use prost::Message as _;
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -54,7 +54,7 @@
     shutting_down: bool,
     #[cfg(feature = "fault-injection")]
     disabled_rule: DisabledRule,
-    /// The token of each task that was ever held: all that a build without the lease check goes by.
+    /// The token of each task that was ever held: the only condition in a build without the lease check.
     #[cfg(feature = "disable-lease-check")]
     ever_held: BTreeMap<TaskId, FencingToken>,
 }
--- a/crates/lease/src/leases/guard.rs
+++ b/crates/lease/src/leases/guard.rs
@@ -5,7 +5,7 @@
 use super::state::LeaseState;
 use crate::{GuardError, Millis, Permit, TaskId};
 
-/// Added to the duration of an act: `now` was cut to whole ms.
+/// Added to the duration of an act: `now` was rounded down to ms.
 #[cfg(not(feature = "disable-lease-check"))]
 const ROUNDING_MS: Millis = 1;
 
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,4 +1,4 @@
-//! Leases for fleet-wide tasks: at most one gateway believes that it holds a task at any moment of real time.
+//! Leases for fleet-wide tasks: at most one gateway regards itself as the holder of a task at any moment of real time.
 //!
 //! A state machine without I/O and without a clock: [`Leases::handle`] takes an [`Input`] with the current time and
 //! appends [`Output`]s; [`Leases::next_timeout`] says when to call it next. `docs/leases.md` has the design, the proof and
--- a/crates/lease/src/settings.rs
+++ b/crates/lease/src/settings.rs
@@ -12,7 +12,7 @@
 const CLOCK_DRIFT_LIMIT_PPM: u64 = 500_000;
 /// Parts per million.
 const MILLION: u64 = 1_000_000;
-/// Added to a wait because times are sent in whole ms: one ms for each of the two clocks.
+/// Added to a wait because times are sent as integers of ms: one ms for each of the two clocks.
 const ROUNDING_MS: Millis = 2;
 
 /// The settings of one gateway's leases.
@@ -24,7 +24,7 @@
     pub incarnation: u64,
     /// Seeds the jitter that keeps candidates apart.
     pub seed: u64,
-    /// The duration of a lease, in ms: 20 to 600,000. The same in the whole fleet, or not longer than voters grant.
+    /// The duration of a lease, in ms: 20 to 600,000. The same in all gateways, or not longer than voters grant.
     pub lease_duration: Millis,
     /// The longest lease that this gateway grants as a voter, and how long it does not vote after a start, in ms: from
     /// `lease_duration` to 600,000.
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,11 +1,11 @@
-//! The grants of one voter. It knows no majorities: it only keeps its own promises.
+//! The grants of one voter. It does not count majorities: it only honours its own grants.
 
 use crate::{FencingToken, GatewayNumber, HolderId, LeaseRequest, Millis, Refusal, TaskId};
 use std::collections::BTreeMap;
 
 /// The most tasks that a voter knows of: four times the most tasks that the settings allow.
 const MAX_TASKS: usize = 4096;
-/// Added to the duration of a grant: the time of the request was cut to whole ms, and a grant must not expire early.
+/// Added to the duration of a grant: the time of the request was rounded down to ms, and a grant must not expire early.
 const ROUNDING_MS: Millis = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages and
-//! is partitioned by pairs and directions, processes that pause and restart. Who believes to hold a task is checked at every
+//! is partitioned by pairs and directions, processes that pause and restart. The holders of each task are checked at every
 //! step.
 #![allow(dead_code)]
 
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Records who believes to hold each task at this point of real time.
+    /// Records which gateways regard themselves as holder of each task at this point of real time.
     fn check_holders(&mut self) {
         for task in 1..=self.scenario.tasks {
             let mut holders = BTreeSet::new();
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -94,7 +94,7 @@
         let now = self.local(number, state.time);
         let (leases, incarnation) = &mut state.nodes[number as usize];
         let mut out = Vec::new();
-        // The wall clock stands at 0: tokens must grow without it.
+        // The wall clock is always 0: tokens must grow without it.
         leases.handle(now, 0, input, &mut out);
         for output in out {
             match output {
--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -1,4 +1,4 @@
-//! What the life cycle asks the host to do.
+//! The actions that the host is to execute for the life cycle.
 
 use crate::ProcessState;
 
@@ -59,7 +59,7 @@
     },
     /// Refuse a takeover.
     RefuseTakeover {
-        /// The connection that asked.
+        /// The connection of the request.
         peer: u64,
         /// Why.
         reason: RefusalReason,
--- a/crates/lifecycle/src/event.rs
+++ b/crates/lifecycle/src/event.rs
@@ -22,15 +22,15 @@
 pub enum ProcessEvent {
     /// The listeners are bound and the first endpoint list is applied.
     Started,
-    /// An operator asked for a drain; a repeated one changes nothing.
+    /// An operator requested a drain; a repeated one changes nothing.
     DrainRequested,
     /// A termination signal: the first one drains, the second one answers open requests at once.
     TerminateSignal,
-    /// A reload of the settings was asked for.
+    /// A reload of the settings was requested.
     ReloadRequested,
     /// The settings were read and are valid.
     SettingsRead,
-    /// A new process asks for the listening sockets.
+    /// A new process requests the listening sockets.
     TakeoverRequested {
         /// Its connection.
         peer: u64,
--- a/crates/outlier-gossip/src/events.rs
+++ b/crates/outlier-gossip/src/events.rs
@@ -7,7 +7,7 @@
 pub struct Settings {
     /// This gateway.
     pub gateway: GatewayNumber,
-    /// Between two probes of the whole fleet, in ms.
+    /// Between two probes of all gateways of the fleet together, in ms.
     pub probe_interval: Millis,
     /// The fraction of the nodes that may be outliers at the same time, from 0 to 1; one always may be.
     pub max_outlier_fraction: f64,
--- a/crates/outlier-gossip/src/gossip.rs
+++ b/crates/outlier-gossip/src/gossip.rs
@@ -9,7 +9,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one gateway knows of outliers.
+/// The outlier gossip of one gateway.
 #[derive(Clone, Debug)]
 pub struct OutlierGossip {
     settings: Settings,
--- a/crates/outlier-gossip/src/probes.rs
+++ b/crates/outlier-gossip/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of reported nodes: one at a time in the whole fleet, the node that waited longest first.
+//! Probes of reported nodes: one at a time in the fleet, the node that waited longest first.
 
 use crate::{Millis, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Forgets nodes that are no longer to be probed, once no probe of them is in flight.
-    pub(crate) fn retain(&mut self, wanted: &BTreeSet<String>) {
-        self.by_node.retain(|node, probe| wanted.contains(node) || probe.state == ProbeState::InFlight);
+    /// Removes nodes that are no longer suspected, once no probe of them is in flight.
+    pub(crate) fn retain(&mut self, suspects: &BTreeSet<String>) {
+        self.by_node.retain(|node, probe| suspects.contains(node) || probe.state == ProbeState::InFlight);
     }
 
     /// Takes the results that were not used yet.
@@ -68,9 +68,9 @@
         results
     }
 
-    /// Starts the probe of one of the wanted nodes if one is due. Returns its name.
+    /// Starts the probe of one of the suspected nodes if one is due. Returns its name.
     pub(crate) fn start_due(
-        &mut self, now: Millis, wanted: &BTreeSet<String>, settings: &Settings,
+        &mut self, now: Millis, suspects: &BTreeSet<String>, settings: &Settings,
     ) -> Option<String> {
         if now < self.next_probe_at {
             return None;
@@ -78,7 +78,7 @@
         let may_start = |probe: &Probe| probe.state != ProbeState::InFlight && probe.next_at <= now;
         let is_due = |node: &&String| self.by_node.get(*node).is_none_or(may_start);
         let due_since = |node: &&String| self.by_node.get(*node).map_or(0, |probe| probe.next_at);
-        let node = wanted.iter().filter(is_due).min_by_key(due_since)?.clone();
+        let node = suspects.iter().filter(is_due).min_by_key(due_since)?.clone();
         self.next_probe_at = now + settings.probe_interval;
         let next_at = now + settings.probe_interval.max(settings.retention / PROBES_PER_RETENTION);
         self.by_node.insert(node.clone(), Probe { state: ProbeState::InFlight, next_at });
--- a/crates/peers/fuzz/fuzz_targets/datagram.rs
+++ b/crates/peers/fuzz/fuzz_targets/datagram.rs
@@ -1,4 +1,4 @@
-//! Any bytes as a datagram, and as what a datagram carries: nothing is believed of them, and nothing breaks.
+//! Arbitrary bytes as a datagram and as payloads: none is accepted as a datagram, and no decoder panics.
 #![no_main]
 
 use doorcourse_peers::{Link, Settings, fleet_of};
--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -44,11 +44,11 @@
 fn a_payload_is_accepted_after_an_exchange_of_hellos() {
     let (mut a, mut b) = (link(0, 11), link(1, 22));
     exchange_hellos(10, &mut a, &mut b, 1);
-    let out = a.send(20, 20, 1, 7, b"hear".to_vec()).expect("a datagram");
+    let out = a.send(20, 20, 1, 7, b"ping".to_vec()).expect("a datagram");
     let received = deliver(24, &mut a, &mut b, out.clone()).expect("a payload");
     assert_eq!(
         (received.sender, received.incarnation, received.channel, &received.payload[..]),
-        (0, 11, 7, &b"hear"[..])
+        (0, 11, 7, &b"ping"[..])
     );
     // The same datagram again is a replay.
     assert_eq!(deliver(25, &mut a, &mut b, out), None);
