--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -33,7 +33,8 @@
 
 impl InFlightRequest {
     pub fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
-        let (plan, class) = (self.plan.clone(), self.class.clone());
+        let plan = self.plan.clone();
+        let class = self.class.clone();
         FinalResponseRecord { code, plan, class, elapsed: now - self.received_at }
     }
 
--- a/crates/http-gateway/tests/life.rs
+++ b/crates/http-gateway/tests/life.rs
@@ -3,6 +3,7 @@
 mod helper;
 
 use helper::*;
+use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, mpsc};
@@ -13,6 +14,17 @@
     (0..100_000).map(|_| respond()).collect()
 }
 
+/// Sends requests on one connection until `finished` is set. Returns the number of responses by status and code.
+fn count_responses(client: &mut Client, key: &str, finished: &AtomicBool) -> BTreeMap<String, u32> {
+    let mut counts = BTreeMap::new();
+    while !finished.load(Ordering::SeqCst) {
+        client.send(key, PREVIEW, "");
+        let response = client.response().expect("each request gets its response, on the same connection");
+        *counts.entry(format!("{} {}", response.status, response.code())).or_default() += 1;
+    }
+    counts
+}
+
 #[test]
 fn reloads_under_load_lose_no_request() {
     let nodes: Vec<ScriptedBackend> = (0..4).map(|_| scripted_backend(respond_always())).collect();
@@ -37,16 +49,7 @@
         .map(|key| {
             let mut client = gateway.client();
             let finished = Arc::clone(&finished);
-            std::thread::spawn(move || {
-                let mut counts = std::collections::BTreeMap::<String, u32>::new();
-                while !finished.load(Ordering::SeqCst) {
-                    client.send(key, PREVIEW, "");
-                    let answer =
-                        client.response().expect("each request gets its response, on the same connection");
-                    *counts.entry(format!("{} {}", answer.status, answer.code())).or_default() += 1;
-                }
-                counts
-            })
+            std::thread::spawn(move || count_responses(&mut client, key, &finished))
         })
         .collect();
     let start = Instant::now();
@@ -277,7 +280,8 @@
 #[test]
 fn an_unwritten_attempt_is_withdrawn_from_a_backend_that_drains_is_removed_or_moves() {
     for change in ["drained", "removed", "moved"] {
-        let (late, other) = (PendingBackend::start(), scripted_backend(vec![respond(), respond()]));
+        let late = PendingBackend::start();
+        let other = scripted_backend(vec![respond(), respond()]);
         let n1 = format!("nodes {{ name: \"n1\" address: \"{}\" }}", other.address);
         let next = match change {
             "drained" => listing("next", late.address, "DRAINING", &n1),
@@ -375,7 +379,8 @@
 fn no_attempt_starts_for_a_client_that_disconnected_while_the_loop_stalled() {
     let directory = std::env::temp_dir().join(format!("doorcourse-stalled-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
-    let (file, pipe) = (directory.join("state"), directory.join("state.new"));
+    let file = directory.join("state");
+    let pipe = directory.join("state.new");
     let _ = std::fs::remove_file(&pipe);
     rustix::fs::mkfifoat(rustix::fs::CWD, &pipe, 0o600.into()).expect("a pipe");
     // Rejected by the backend without execution, on a connection that stays open; the backend is ejected for 2 s.
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -25,7 +25,8 @@
         memory: 4000.0,
     };
     let nodes = (0..nodes).map(node).collect();
-    let (password, seed) = (None, 1);
+    let password = None;
+    let seed = 1;
     let spec = WorldSpec {
         nodes,
         listen: None,
@@ -229,7 +230,8 @@
         let (first, rest) = body.as_bytes().split_at(50_000);
         stream.write_all(first).is_ok() && stream.write_all(rest).is_ok()
     });
-    let (one, two) = (scripted_backend(vec![overloaded]), scripted_backend(vec![large, respond()]));
+    let one = scripted_backend(vec![overloaded]);
+    let two = scripted_backend(vec![large, respond()]);
     let gateway = TestGateway::new(&[one.address, two.address], "");
     let mut client = gateway.client();
     client.send("free", PREVIEW, "");
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -97,26 +97,32 @@
     pub longest_without_holder: Micros,
 }
 
+impl Node {
+    /// A node that is not started, with clocks drawn at random. `drift` is in parts per million.
+    fn new(rng: &mut ChaCha8Rng, drift: u64, configured_voters: VoterConfiguration) -> Self {
+        let rate = 1_000_000 + rng.random_range(0..=drift);
+        let offset = rng.random_range(0..1_000_000) * MS;
+        let wall_offset = rng.random_range(-20..=20);
+        Self {
+            leases: None,
+            incarnation: 0,
+            offset,
+            rate,
+            wall_offset,
+            paused_until: 0,
+            wake_at: 0,
+            configured_voters,
+        }
+    }
+}
+
 impl World {
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let newest_voters = VoterConfiguration::first(0..scenario.voters);
         let mut nodes = BTreeMap::new();
         for number in 0..scenario.gateways {
-            let rate = 1_000_000 + rng.random_range(0..=scenario.drift);
-            let offset = rng.random_range(0..1_000_000) * MS;
-            let wall_offset = rng.random_range(-20..=20);
-            let node = Node {
-                leases: None,
-                incarnation: 0,
-                offset,
-                rate,
-                wall_offset,
-                paused_until: 0,
-                wake_at: 0,
-                configured_voters: newest_voters.clone(),
-            };
-            nodes.insert(number, node);
+            nodes.insert(number, Node::new(&mut rng, scenario.drift, newest_voters.clone()));
         }
         let mut world = Self {
             now: 0,
@@ -210,7 +216,8 @@
     }
 
     pub fn handle(&mut self, number: GatewayNumber, input: Input) {
-        let (now, real) = (self.local(number), self.now);
+        let now = self.local(number);
+        let real = self.now;
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let Some(leases) = node.leases.as_mut() else { return };
         let wall = (1_000_000 + (real / MS) as i64 + node.wall_offset) as u64;
@@ -359,27 +366,11 @@
                 }
             }
             4 | 5 => self.cut(number, other, true),
-            6 => {
-                for peer in 0..self.scenario.gateways {
-                    self.cut(number, peer, true);
-                    self.cut(peer, number, true);
-                }
-            }
-            7 => {
-                for a in 0..self.scenario.gateways {
-                    for b in 0..self.scenario.gateways {
-                        self.cut(a, b, (a < number) != (b < number));
-                    }
-                }
-            }
+            6 => self.isolate(number),
+            7 => self.partition_at(number),
             8 | 9 => self.cut_links.clear(),
             10 if self.scenario.reloads && self.not_reloaded.is_empty() && self.is_in_force() => {
-                let mut next = self.newest_voters.voters.clone();
-                if !next.remove(&number) || next.is_empty() {
-                    next.insert(number);
-                }
-                self.newest_voters = self.newest_voters.with_voters(next);
-                self.not_reloaded = self.nodes.keys().copied().collect();
+                self.change_voter(number);
             }
             _ => {
                 if let Some(holder) = self.holder(1) {
@@ -387,7 +378,40 @@
                 }
             }
         }
-        // An operator reloads the settings at some gateways.
+        self.reload_some_gateways();
+        let at = self.now + self.rng.random_range(0..self.scenario.fault_interval * 2);
+        self.push(at, 0, Event::Fault);
+    }
+
+    /// Cuts all links of a gateway, in both directions.
+    fn isolate(&mut self, number: GatewayNumber) {
+        for peer in 0..self.scenario.gateways {
+            self.cut(number, peer, true);
+            self.cut(peer, number, true);
+        }
+    }
+
+    /// Partitions the fleet: gateways below `first` and those from it on do not reach each other.
+    fn partition_at(&mut self, first: GatewayNumber) {
+        for a in 0..self.scenario.gateways {
+            for b in 0..self.scenario.gateways {
+                self.cut(a, b, (a < first) != (b < first));
+            }
+        }
+    }
+
+    /// Adds a gateway to the voters in the settings or removes it; one voter always stays.
+    fn change_voter(&mut self, number: GatewayNumber) {
+        let mut next = self.newest_voters.voters.clone();
+        if !next.remove(&number) || next.is_empty() {
+            next.insert(number);
+        }
+        self.newest_voters = self.newest_voters.with_voters(next);
+        self.not_reloaded = self.nodes.keys().copied().collect();
+    }
+
+    /// An operator reloads the settings at up to three gateways that do not have the newest voters.
+    fn reload_some_gateways(&mut self) {
         for _ in 0..3 {
             if let Some(number) = self.not_reloaded.pop() {
                 let newest_voters = self.newest_voters.clone();
@@ -397,7 +421,5 @@
                 self.handle(number, Input::VotersChanged(newest_voters));
             }
         }
-        let at = self.now + self.rng.random_range(0..self.scenario.fault_interval * 2);
-        self.push(at, 0, Event::Fault);
     }
 }
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -92,7 +92,9 @@
         spans.push((world.now - at) / MS);
     }
     spans.sort_unstable();
-    let (p50, p99, most) = (spans[100], spans[197], spans[199]);
+    let p50 = spans[100];
+    let p99 = spans[197];
+    let most = spans[199];
     println!("lease 300 ms; without a holder after its death: p50 {p50} ms, p99 {p99} ms, most {most} ms");
     assert!(most <= 900, "{most} ms");
 }
@@ -122,7 +124,8 @@
         assert!(world.violations.is_empty() && (1..=tasks).all(|t| world.holder(t).is_some()));
         world.sent - before
     };
-    let (one, many) = (sent(1), sent(1_000));
+    let one = sent(1);
+    let many = sent(1_000);
     println!("messages in 4 s, 5 gateways, lease 1 s: {one} with one task, {many} with a thousand");
     assert!(many < one * 20, "{one} and {many}");
 }
@@ -131,7 +134,8 @@
 fn a_transferred_lease_is_acquired_by_the_requested_gateway() {
     let mut world = World::new(Scenario::default(), 5);
     world.run_while(5_000 * MS, |w| w.holder(1).is_none());
-    let (from, at) = (world.holder(1).expect("held"), world.now);
+    let from = world.holder(1).expect("held");
+    let at = world.now;
     let to = (from + 2) % 5;
     world.handle(from, doorcourse_lease::Input::TransferRequested { task: 1, to });
     assert_eq!(world.holder(1), None, "released at once");
@@ -146,7 +150,8 @@
     use doorcourse_lease::{
         Input, Item, LeaseRequest, Leases, Message, Refusal, Settings, VoterConfiguration,
     };
-    let (voters, fleet) = (VoterConfiguration::first(0..3), (0..3).collect());
+    let voters = VoterConfiguration::first(0..3);
+    let fleet = (0..3).collect();
     let settings = Settings {
         gateway: 0,
         incarnation: 1,
--- a/crates/lifecycle/tests/process_lifecycle.rs
+++ b/crates/lifecycle/tests/process_lifecycle.rs
@@ -163,6 +163,24 @@
     assert_eq!(did[1..], [DisconnectPeer { peer: 7 }, SetReady(false), AnnounceClose]);
 }
 
+/// Listeners are closed, leases released and the exit requested once at most; listeners are closed after the process was
+/// reported as not ready.
+fn assert_actions_are_ordered(did: &[ProcessAction]) {
+    let count = |wanted: ProcessAction| did.iter().filter(|o| **o == wanted).count();
+    assert!(
+        count(ProcessAction::CloseListeners) <= 1
+            && count(ProcessAction::ReleaseLeases) <= 1
+            && count(ProcessAction::Exit) <= 1,
+        "{did:?}"
+    );
+    let at = |wanted: ProcessAction| did.iter().position(|o| *o == wanted);
+    if let (Some(unready), Some(closed)) =
+        (at(ProcessAction::SetReady(false)), at(ProcessAction::CloseListeners))
+    {
+        assert!(unready < closed, "{did:?}");
+    }
+}
+
 #[test]
 fn invariants_hold_for_any_order_of_events() {
     let mut seed = 3u64;
@@ -171,7 +189,9 @@
         (seed >> 33) % n
     };
     for _ in 0..20_000 {
-        let (mut lifecycle, mut did, mut now) = (ProcessLifecycle::new(SETTINGS), Vec::new(), 0.0);
+        let mut lifecycle = ProcessLifecycle::new(SETTINGS);
+        let mut did = Vec::new();
+        let mut now = 0.0;
         for _ in 0..14 {
             now += chance(300) as f64;
             let input = match chance(9) {
@@ -190,19 +210,7 @@
                 assert_eq!(lifecycle.state(), ProcessState::Stopped);
             }
         }
-        let count = |wanted: ProcessAction| did.iter().filter(|o| **o == wanted).count();
-        assert!(
-            count(ProcessAction::CloseListeners) <= 1
-                && count(ProcessAction::ReleaseLeases) <= 1
-                && count(ProcessAction::Exit) <= 1,
-            "{did:?}"
-        );
-        let at = |wanted: ProcessAction| did.iter().position(|o| *o == wanted);
-        if let (Some(unready), Some(closed)) =
-            (at(ProcessAction::SetReady(false)), at(ProcessAction::CloseListeners))
-        {
-            assert!(unready < closed, "{did:?}");
-        }
+        assert_actions_are_ordered(&did);
         // A drain ends the process within bounded time.
         if !matches!(lifecycle.state(), ProcessState::Starting) {
             let mut did = Vec::new();
--- a/crates/peers/tests/datagram_samples.rs
+++ b/crates/peers/tests/datagram_samples.rs
@@ -37,11 +37,13 @@
 
 #[test]
 fn an_exchange_keeps_its_datagrams() {
-    let (mut a, mut b) = (link(0, 0x0b0b), link(1, 0x1616));
+    let mut a = link(0, 0x0b0b);
+    let mut b = link(1, 0x1616);
     let hello =
         a.send(10, 1_700_000_000_010, 1, 1, b"not sent: the peer is unknown".to_vec()).expect("a hello");
     assert_eq!(hex(&hello.bytes), HELLO);
-    let (mut replies, mut events) = (Vec::new(), Vec::new());
+    let mut replies = Vec::new();
+    let mut events = Vec::new();
     assert_eq!(b.receive(12, 1_700_000_000_013, &hello.bytes, &mut replies, &mut events), None);
     assert_eq!(hex(&replies[0].bytes), HELLO_REPLY);
     assert_eq!(a.receive(15, 1_700_000_000_015, &replies[0].bytes, &mut Vec::new(), &mut events), None);
@@ -54,7 +56,8 @@
 
 #[test]
 fn a_recorded_exchange_is_accepted() {
-    let (mut a, mut b) = (link(0, 0x0b0b), link(1, 0x1616));
+    let mut a = link(0, 0x0b0b);
+    let mut b = link(1, 0x1616);
     let mut replies = Vec::new();
     assert_eq!(b.receive(12, 1_700_000_000_013, &bytes_of(HELLO), &mut replies, &mut Vec::new()), None);
     assert_eq!(replies.len(), 1, "a hello is answered");
--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -27,7 +27,8 @@
 
 /// Delivers a datagram, and the hellos that it causes, until there are none.
 fn deliver(now: Millis, from: &mut Link, to: &mut Link, out: OutgoingDatagram) -> Option<ReceivedPayload> {
-    let (mut hellos, mut events) = (Vec::new(), Vec::new());
+    let mut hellos = Vec::new();
+    let mut events = Vec::new();
     let received = to.receive(now, now, &out.bytes, &mut hellos, &mut events);
     for hello in hellos {
         deliver(now, to, from, hello);
@@ -42,7 +43,8 @@
 
 #[test]
 fn a_payload_is_accepted_after_an_exchange_of_hellos() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let out = a.send(20, 20, 1, 7, b"ping".to_vec()).expect("a datagram");
     let received = deliver(24, &mut a, &mut b, out.clone()).expect("a payload");
@@ -62,7 +64,8 @@
 
 #[test]
 fn datagrams_of_former_starts_are_dropped() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let old = a.send(20, 20, 1, 7, b"old".to_vec()).expect("a datagram");
     // The receiver restarts: it drops what was for its last start, and both exchange hellos again.
@@ -83,7 +86,8 @@
 
 #[test]
 fn each_invalid_datagram_is_dropped_for_its_reason() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let good = a.send(20, 20, 1, 7, vec![1; 100]).expect("a datagram");
     let mut forged = good.clone();
@@ -113,7 +117,8 @@
 
 #[test]
 fn secrets_rotate_without_loss() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     // One accepts both before either sends with the new one.
     b.configure(20, settings(1, 99, &[SECRET, OTHER])).expect("usable");
@@ -133,7 +138,8 @@
 
 #[test]
 fn a_peer_becomes_unreachable_once_and_reachable_once() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let known = a.send(20, 20, 1, 1, Vec::new()).expect("a datagram");
     deliver(20, &mut a, &mut b, known);
@@ -156,7 +162,8 @@
 
 #[test]
 fn sending_to_a_peer_is_rate_limited() {
-    let (mut a, mut b) = (link(0, 11), link(1, 22));
+    let mut a = link(0, 11);
+    let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let sent = (0..5000).filter(|_| a.send(20, 20, 1, 7, Vec::new()).is_some()).count();
     assert!(sent <= 800, "{sent}");
@@ -175,7 +182,8 @@
     /// One bit flipped anywhere in a valid datagram: it is dropped.
     #[test]
     fn a_datagram_with_one_flipped_bit_is_dropped(at in 0usize..4000, bit in 0u8..8) {
-        let (mut a, mut b) = (link(0, 11), link(1, 22));
+        let mut a = link(0, 11);
+        let mut b = link(1, 22);
         exchange_hellos(10, &mut a, &mut b, 1);
         let mut out = a.send(20, 20, 1, 7, vec![9; 40]).expect("a datagram");
         let at = at % out.bytes.len();
