--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -106,6 +106,7 @@
         })
     }
 
+    /// Accepts one connection.
     pub fn accept(&mut self, io: &mut Io) {
         let generation = io.generation();
         let Ok((stream, _)) = self.listener.accept() else { return };
@@ -226,6 +227,7 @@
         self.write(*slot, &reply);
     }
 
+    /// Replies to a takeover call that its process may not take over, and why.
     pub fn refuse_takeover(&mut self, peer: u64, message: &str) {
         let slot = peer as usize;
         let Some(connection) = self.connections.get_mut(slot) else { return };
--- a/crates/http-gateway/src/admin/protocol.rs
+++ b/crates/http-gateway/src/admin/protocol.rs
@@ -66,6 +66,7 @@
 }
 
 impl CallError {
+    /// The JSON-RPC error code.
     pub fn code(&self) -> ErrorCode {
         match self {
             Self::NodeNameMissing | Self::HandOverParamsMissing => ErrorCode::InvalidParams,
@@ -107,10 +108,12 @@
     }
 }
 
+/// A JSON-RPC reply with an error.
 pub(super) fn error_reply(id: &Value, code: ErrorCode, message: &str) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "error": {"code": code.number(), "message": message}})
 }
 
+/// A JSON-RPC reply with a result.
 pub(super) fn result_reply(id: &Value, result: Value) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "result": result})
 }
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -66,18 +66,25 @@
         })
     }
 
+    /// Applies the connection limits of changed settings.
     pub fn update_limits(&mut self, config: &Config) {
         self.budget.set_limits(client_limits(config));
     }
 
+    /// The addresses of the listeners.
+    ///
+    /// # Errors
+    /// The operating system does not return one.
     pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         self.listeners.iter().map(TcpListener::local_addr).collect()
     }
 
+    /// The listeners; none once they are closed.
     pub fn listeners(&self) -> &[TcpListener] {
         &self.listeners
     }
 
+    /// Closes the listeners. Connections stay.
     pub fn close_listeners(&mut self) {
         self.listeners.clear();
     }
--- a/crates/http-gateway/src/clients/accept.rs
+++ b/crates/http-gateway/src/clients/accept.rs
@@ -23,6 +23,7 @@
 pub(super) struct ReserveDescriptor(Option<File>);
 
 impl ReserveDescriptor {
+    /// Opens the reserve; it stays empty where no descriptor is left.
     pub fn new() -> Self {
         Self(Self::open())
     }
--- a/crates/http-gateway/src/clients/connection.rs
+++ b/crates/http-gateway/src/clients/connection.rs
@@ -53,6 +53,7 @@
 }
 
 impl ClientConnection {
+    /// A connection that waits for its first request head until `timeout_at`.
     pub fn new(
         socket: Socket, generation: u32, decoder: Decoder, interest: Interest, timeout_at: Millis,
     ) -> Self {
@@ -94,6 +95,7 @@
         matches!(self.phase, ConnectionPhase::AwaitingAdmission | ConnectionPhase::Responding(_))
     }
 
+    /// Whether the gateway has ended its side and only waits for the client to close.
     pub fn is_lingering(&self) -> bool {
         matches!(self.phase, ConnectionPhase::Lingering)
     }
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -28,6 +28,7 @@
 }
 
 impl EndpointList {
+    /// A list that has not been read. `poll_interval` in ms.
     pub fn new(path: PathBuf, poll_interval: Millis) -> Self {
         Self { path, poll_interval, last_version: None, routing: None }
     }
--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -60,6 +60,10 @@
 }
 
 impl PeerLink {
+    /// A link without a socket.
+    ///
+    /// # Errors
+    /// The settings are out of range.
     pub(super) fn new(
         now: Millis, config: LinkConfig, gateway: GatewayNumber, incarnation: u64,
     ) -> Result<Self, SettingsError> {
@@ -73,6 +77,10 @@
         })
     }
 
+    /// Applies changed settings.
+    ///
+    /// # Errors
+    /// The settings are out of range; the former ones stay in force.
     pub(super) fn configure(
         &mut self, now: Millis, config: LinkConfig, gateway: GatewayNumber,
     ) -> Result<(), SettingsError> {
@@ -81,10 +89,12 @@
         Ok(())
     }
 
+    /// The settings in force.
     pub(super) fn config(&self) -> &LinkConfig {
         &self.config
     }
 
+    /// The address of the settings, which the socket is to be bound to.
     pub(super) fn listen_address(&self) -> SocketAddr {
         self.config.listen
     }
@@ -94,6 +104,10 @@
         self.socket.as_ref().and_then(|socket| socket.local_addr().ok())
     }
 
+    /// Binds the socket and registers it with the poller.
+    ///
+    /// # Errors
+    /// The address cannot be bound, or the socket not be registered.
     pub(super) fn bind(&mut self, io: &Io) -> std::io::Result<()> {
         let socket = UdpSocket::bind(self.config.listen)?;
         socket.set_nonblocking(true)?;
@@ -103,6 +117,7 @@
         Ok(())
     }
 
+    /// Closes the socket, which releases its address.
     pub(super) fn close(&mut self) {
         self.socket = None;
     }
@@ -162,6 +177,7 @@
         Some(ReceivedDatagram { received_at, payload })
     }
 
+    /// Whether the settings have a gateway of this number as a peer.
     pub(super) fn is_peer(&self, gateway: GatewayNumber) -> bool {
         self.config.peers.contains_key(&gateway)
     }
@@ -175,6 +191,7 @@
         self.link.statuses(now)
     }
 
+    /// The datagrams dropped so far, by reason.
     pub(super) fn drops(&self) -> DropCounters {
         self.link.drops()
     }
--- a/crates/http-gateway/src/fleet/settings.rs
+++ b/crates/http-gateway/src/fleet/settings.rs
@@ -16,6 +16,7 @@
     leases.tasks.iter().map(|task| task_of(&task.name)).chain(probes).collect()
 }
 
+/// The settings of the link. `incarnation` identifies this start of the gateway.
 pub(super) fn link_settings(
     link: &LinkConfig, gateway: GatewayNumber, incarnation: u64,
 ) -> doorcourse_peers::Settings {
@@ -29,6 +30,7 @@
     }
 }
 
+/// The settings of the leases. `incarnation` identifies this start of the gateway, and seeds its jitter.
 pub(super) fn lease_settings(
     leases: &LeaseConfig, link: &LinkConfig, gateway: GatewayNumber, incarnation: u64,
 ) -> doorcourse_lease::Settings {
@@ -45,6 +47,7 @@
     }
 }
 
+/// The settings of the outlier gossip.
 pub(super) fn outlier_settings(
     gateway: GatewayNumber, config: &OutlierGossipConfig,
 ) -> doorcourse_outlier_gossip::Settings {
--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -16,6 +16,7 @@
 }
 
 impl Gateway {
+    /// Executes a call of the admin socket, and replies to it unless its result comes later.
     pub(super) fn handle_admin_call(&mut self, call: AdminCall) {
         let AdminCall { slot, id, request } = call;
         let outcome = match request {
--- a/crates/http-gateway/src/gateway/endpoints.rs
+++ b/crates/http-gateway/src/gateway/endpoints.rs
@@ -20,6 +20,7 @@
 }
 
 impl Endpoints {
+    /// The endpoints before the first list is applied. The path of a list file is relative to `directory`.
     pub(super) fn new(config: &Config, directory: &Path) -> Self {
         let open =
             |(file, poll_interval): &(String, f64)| EndpointList::new(directory.join(file), *poll_interval);
@@ -27,6 +28,7 @@
         Self { file, listed: Vec::new(), manual_drains: ManualDrains::default() }
     }
 
+    /// Whether the endpoints come from a list file; otherwise from the settings.
     pub(super) fn has_list_file(&self) -> bool {
         self.file.is_some()
     }
@@ -36,6 +38,7 @@
         self.file.as_ref().and_then(|file| file.routing.clone())
     }
 
+    /// The list in force.
     pub(super) fn listed(&self) -> &[Node] {
         &self.listed
     }
@@ -45,6 +48,7 @@
         self.manual_drains.is_drained(name)
     }
 
+    /// Applies a changed poll interval. The path of the list file stays that of the start.
     pub(super) fn update_settings(&mut self, config: &Config) {
         if let (Some(file), Some((_, poll_interval))) = (&mut self.file, &config.node_list) {
             file.poll_interval = *poll_interval;
@@ -53,6 +57,10 @@
 }
 
 impl Gateway {
+    /// Applies the first list, from the list file or the settings.
+    ///
+    /// # Errors
+    /// The list file cannot be used.
     pub(super) fn apply_first_endpoints(&mut self) -> anyhow::Result<()> {
         if self.endpoints.has_list_file() {
             return self.poll_endpoint_list();
@@ -82,6 +90,7 @@
         Ok(())
     }
 
+    /// Replaces the list, and reports it to the decisions.
     pub(super) fn apply_endpoints(&mut self, endpoints: &[Node]) {
         let unchanged = self.backends.update_endpoints(endpoints);
         self.endpoints.listed = endpoints.to_vec();
--- a/crates/http-gateway/src/gateway/settings.rs
+++ b/crates/http-gateway/src/gateway/settings.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// The settings of the life cycle. Times in ms.
 pub(super) fn lifecycle_settings(config: &Config) -> LifecycleSettings {
     LifecycleSettings {
         readiness_notice: config.life.notice,
--- a/crates/http-gateway/src/gateway/status.rs
+++ b/crates/http-gateway/src/gateway/status.rs
@@ -27,6 +27,7 @@
         }
     }
 
+    /// The reply of `ctl status`.
     pub(super) fn status_reply(&self) -> Value {
         let listeners = self.addresses().unwrap_or_default();
         json!({
@@ -45,6 +46,7 @@
         })
     }
 
+    /// The reply of `ctl nodes`.
     pub(super) fn backends_reply(&self) -> Value {
         let now = self.io.now();
         let reply = |backend: BackendStatus| {
@@ -62,6 +64,7 @@
         self.decisions.backends().map(reply).collect()
     }
 
+    /// The reply of `ctl customers`.
     pub(super) fn customers_reply(&self) -> Value {
         let reply = |customer: CustomerStatus| {
             json!({
--- a/crates/http-gateway/src/graphql_front/parameters.rs
+++ b/crates/http-gateway/src/graphql_front/parameters.rs
@@ -14,6 +14,7 @@
     pub variables: Option<&'a Map<String, Value>>,
 }
 
+/// The response to parameters that cannot be read.
 pub(super) fn bad_request(media: MediaType, message: &str) -> Response {
     error(media, 400, "BAD_REQUEST", message)
 }
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -111,6 +111,10 @@
 }
 
 impl Io {
+    /// Opens the poller.
+    ///
+    /// # Errors
+    /// The operating system has no descriptor for it.
     pub fn new() -> anyhow::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -92,10 +92,15 @@
         Ok(Self { listener, connections: Slab::new(), metrics, page_requests: VecDeque::new() })
     }
 
+    /// The address of the listener.
+    ///
+    /// # Errors
+    /// The operating system does not return it.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
+    /// The listener, to be passed to a process that takes over.
     pub fn listener(&self) -> &TcpListener {
         &self.listener
     }
@@ -105,6 +110,7 @@
         self.metrics.record_final_response(record);
     }
 
+    /// Accepts one connection.
     pub fn accept(&mut self, io: &mut Io) {
         let Ok((stream, _)) = self.listener.accept() else { return };
         let Ok(socket) = Socket::new(stream) else { return };
@@ -134,6 +140,7 @@
         }
     }
 
+    /// Reads from or writes to a connection, as far as its socket is ready.
     pub fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -30,10 +30,12 @@
 }
 
 impl Requests {
+    /// The number of requests in flight.
     pub fn count(&self) -> usize {
         self.requests.len()
     }
 
+    /// The ids of the requests in flight.
     pub fn open_ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -32,6 +32,7 @@
 }
 
 impl InFlightRequest {
+    /// What metrics and logs record of the final response. `code` is its error code, or `SERVED`.
     pub fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
         let plan = self.plan.clone();
         let class = self.class.clone();
@@ -105,6 +106,7 @@
         self.scan.reset();
     }
 
+    /// Stores the head of the response. The backend's cookies are kept only with `forward_cookies`.
     pub fn set_head(&mut self, head: &Head, forward_cookies: bool) {
         let content_type = head.field("content-type").unwrap_or("application/json").to_owned();
         let cookies = head.fields.iter().filter(|(name, _)| forward_cookies && name == "set-cookie");
@@ -116,6 +118,7 @@
         });
     }
 
+    /// Buffers bytes of the body, and scans them for the cost.
     pub fn append(&mut self, mut data: Vec<u8>) {
         self.scan.feed(&data);
         if self.buffer.is_empty() {
@@ -125,6 +128,7 @@
         }
     }
 
+    /// The response has been received completely.
     pub fn set_complete(&mut self) {
         self.complete = true;
     }
