--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -47,6 +47,11 @@
 }
 
 impl ListeningSockets {
+    /// Takes the sockets over from the process that serves at the admin socket, or binds them.
+    fn open(config: &Config, admin_path: Option<&PathBuf>, take_over: bool) -> anyhow::Result<Self> {
+        if take_over { Self::take_over(config, admin_path) } else { Self::bind(config) }
+    }
+
     fn bind(config: &Config) -> anyhow::Result<Self> {
         let mut clients = Vec::with_capacity(config.listen.len());
         for address in &config.listen {
@@ -87,11 +92,7 @@
         let io = Io::new()?;
         let decisions = doorcourse::Gateway::new(config.decisions.clone(), seed.unwrap_or_else(random_seed))?;
         let admin_path = config.admin.as_ref().map(|path| directory.join(path));
-        let sockets = if take_over {
-            ListeningSockets::take_over(&config, admin_path.as_ref())?
-        } else {
-            ListeningSockets::bind(&config)?
-        };
+        let sockets = ListeningSockets::open(&config, admin_path.as_ref(), take_over)?;
         let clients = Clients::new(&io, &config, sockets.clients)?;
         let monitoring = sockets.monitoring.map(|listener| Monitoring::new(&io, listener)).transpose()?;
         let admin = admin_path.map(|path| Admin::bind(&io, &path, take_over)).transpose()?;
