--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -77,7 +77,7 @@
     instance_name: String,
     signals: SignalPipe,
     state: Option<StatePersistence>,
-    /// The life cycle has asked for the exit.
+    /// The life cycle has requested the exit.
     exiting: bool,
     last_poll_at: Millis,
     /// The process from which this one takes over, until this one serves.
@@ -88,7 +88,7 @@
     /// The addresses on which clients are served.
     ///
     /// # Errors
-    /// When the system cannot tell the address of a listener.
+    /// When the operating system does not return the address of a listener.
     pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         self.clients.addresses()
     }
@@ -109,7 +109,7 @@
         loop {
             self.process_pending();
             self.fire_timers()?;
-            let counter_due = self.counter.tick(&mut self.io);
+            let counter_due = self.counter.handle_timeout(&mut self.io);
             self.tick_fleet();
             self.exchange_outliers();
             self.process_pending();
@@ -150,7 +150,7 @@
             connections: self.clients.count(),
             // Counted only in a drain: it looks at every connection.
             busy_connections: if self.lifecycle.is_ready() { 0 } else { self.clients.busy_count() },
-            counter_calls: self.counter.out,
+            counter_calls: self.counter.calls_in_flight(),
             idle_for: self.io.now() - self.clients.last_input_at,
         };
         self.handle_process_event(ProcessEvent::Tick(pending));
@@ -160,7 +160,7 @@
     fn wait_for_readiness(&mut self, counter_due: Millis, ready: &mut Vec<Ready>) -> anyhow::Result<()> {
         let lifecycle_due = self.lifecycle.next_timeout(self.io.now());
         let due = self.io.timers.first().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
-        let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::due);
+        let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::next_timeout_in);
         let wait = if due.is_finite() { self.io.clock.until(due) } else { duration(MAX_WAIT) };
         let wait = wait.min(duration(fleet_due_in.min(MAX_WAIT)));
         self.io.poller.wait(Some(wait), ready)?;
--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -16,6 +16,7 @@
 }
 
 impl Gateway {
+    /// Executes a call of the admin socket, and replies to it unless its result comes later.
     pub(super) fn handle_admin_call(&mut self, call: AdminCall) {
         let AdminCall { slot, id, request } = call;
         let outcome = match request {
@@ -59,7 +60,7 @@
         let Some(fleet) = &mut self.fleet else {
             return Outcome::InvalidParams("the settings have no fleet.link".to_owned());
         };
-        match fleet.hand_over(&mut self.io, task, to) {
+        match fleet.transfer(&mut self.io, task, to) {
             Ok(()) => Outcome::Reply(json!({"task": task, "to": to})),
             Err(message) => Outcome::InvalidParams(message),
         }
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -63,7 +63,7 @@
                 self.process_attempt_events(slot, generation);
             }
             Token::Link | Token::Call(..) => self.handle_fleet_readiness(ready),
-            Token::Counter(generation) => self.counter.ready(&mut self.io, generation, ready),
+            Token::Counter(generation) => self.counter.connection_ready(&mut self.io, generation, ready),
             Token::Signal => self.handle_signals(),
             Token::Reload => self.handle_reload_readiness(),
             Token::MonitoringListener | Token::Monitoring(..) => self.handle_monitoring_readiness(ready),
@@ -74,8 +74,8 @@
     fn handle_fleet_readiness(&mut self, ready: Ready) {
         let Some(fleet) = &mut self.fleet else { return };
         match Token::unpack(ready.token) {
-            Token::Call(slot, generation) => fleet.call_ready(&mut self.io, slot, generation, ready),
-            _ => fleet.ready(&mut self.io),
+            Token::Call(slot, generation) => fleet.connection_ready(&mut self.io, slot, generation, ready),
+            _ => fleet.link_ready(&mut self.io),
         }
     }
 
--- a/crates/http-gateway/src/gateway/status.rs
+++ b/crates/http-gateway/src/gateway/status.rs
@@ -23,10 +23,11 @@
             counter_unavailable: self.decisions.is_counter_silent(),
             leased_units: leased_units.into_iter().collect(),
             backends: self.decisions.backends().map(|backend| backend_gauges(&backend, now)).collect(),
-            fleet: self.fleet.as_ref().map(Fleet::seen).unwrap_or_default(),
+            fleet: self.fleet.as_ref().map(Fleet::metrics).unwrap_or_default(),
         }
     }
 
+    /// The reply of `ctl status`.
     pub(super) fn status_reply(&self) -> Value {
         let listeners = self.addresses().unwrap_or_default();
         json!({
@@ -38,13 +39,14 @@
             "listeners": listeners.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "requests": self.requests.count(),
             "clients": self.clients.count(),
-            "counter_calls": self.counter.out,
+            "counter_calls": self.counter.calls_in_flight(),
             "counter_silent": self.decisions.is_counter_silent(),
             "requests_so_far": self.requests.total,
             "buffered_bytes": self.clients.budget.bytes(),
         })
     }
 
+    /// The reply of `ctl nodes`.
     pub(super) fn backends_reply(&self) -> Value {
         let now = self.io.now();
         let reply = |backend: BackendStatus| {
@@ -62,6 +64,7 @@
         self.decisions.backends().map(reply).collect()
     }
 
+    /// The reply of `ctl customers`.
     pub(super) fn customers_reply(&self) -> Value {
         let reply = |customer: CustomerStatus| {
             json!({
