--- a/crates/emulators/src/crowd.rs
+++ b/crates/emulators/src/crowd.rs
@@ -133,7 +133,7 @@
                     self.shoot(shot, source);
                 }
             }
-            while let Some((slot, generation)) = self.timers.due(self.clock.now()) {
+            while let Some((slot, generation)) = self.timers.pop_expired(self.clock.now()) {
                 self.time(slot, generation, source);
             }
             let open = self.connections.iter().any(|(_, c)| c.open.is_some());
@@ -141,7 +141,7 @@
             if first.is_none() && !open {
                 return Ok(());
             }
-            let first = first.into_iter().chain(self.timers.first()).reduce(f64::min);
+            let first = first.into_iter().chain(self.timers.next_deadline()).reduce(f64::min);
             self.poller
                 .wait(first.map(|t| self.clock.until(t)).or(Some(Duration::from_secs(1))), &mut ready)?;
             for event in ready.drain(..) {
@@ -203,7 +203,7 @@
         request(connection.socket.output(), "POST", "/graphql", &fields, shot.body.as_bytes());
         let leave = shot.leave.filter(|l| *l < shot.patience);
         let until = now + leave.unwrap_or(shot.patience + self.slack);
-        self.timers.set(until, (slot, connection.generation));
+        self.timers.schedule(until, (slot, connection.generation));
         (connection.status, connection.retry_after) = (0, None);
         connection.body.clear();
         connection.open = Some(Open { shot, until, leaves: leave.is_some() });
--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -74,7 +74,7 @@
             let (mut held, mut ready, mut buffer) =
                 (Timers::<(usize, Vec<u8>)>::default(), Vec::new(), vec![0; 65_536]);
             while !ends.load(Ordering::Relaxed) {
-                let wait = held.first().map_or(Duration::from_millis(20), |at| clock.until(at));
+                let wait = held.next_deadline().map_or(Duration::from_millis(20), |at| clock.until(at));
                 if poller.wait(Some(wait.min(Duration::from_millis(20))), &mut ready).is_err() {
                     return;
                 }
@@ -89,11 +89,11 @@
                         }
                         for _ in 0..1 + u32::from(dice.random_bool(way.doubled)) {
                             let delay = if way.delay > 0.0 { dice.random_range(0.0..way.delay) } else { 0.0 };
-                            held.set(clock.now() + delay, (at, buffer[..length].to_vec()));
+                            held.schedule(clock.now() + delay, (at, buffer[..length].to_vec()));
                         }
                     }
                 }
-                while let Some((at, bytes)) = held.due(clock.now()) {
+                while let Some((at, bytes)) = held.pop_expired(clock.now()) {
                     let to = lock(&shared).to[at % gateways];
                     if let Some(to) = to {
                         let _ = sockets[at].send_to(&bytes, to);
--- a/crates/emulators/src/world.rs
+++ b/crates/emulators/src/world.rs
@@ -233,7 +233,7 @@
     fn run(&mut self) {
         let mut ready = Vec::new();
         loop {
-            while let Some(due) = self.timers.due(self.clock.now()) {
+            while let Some(due) = self.timers.pop_expired(self.clock.now()) {
                 match due {
                     Due::Finished(attempt) => self.finished(attempt),
                     Due::Counter(slot, bytes) => {
@@ -244,7 +244,7 @@
                     }
                 }
             }
-            let wait = self.timers.first().map(|t| self.clock.until(t));
+            let wait = self.timers.next_deadline().map(|t| self.clock.until(t));
             if self.poller.wait(wait, &mut ready).is_err() {
                 return;
             }
@@ -454,7 +454,7 @@
             match action {
                 NodeAction::Began { job, dropped, after } => {
                     self.recorder.write(Event::Ran { id: job.id, node: name, dropped });
-                    self.timers.set(self.clock.now() + after, Due::Finished(job.attempt));
+                    self.timers.schedule(self.clock.now() + after, Due::Finished(job.attempt));
                 }
                 NodeAction::Full { attempt } => {
                     if let Some(pending) = self.pending.remove(&attempt) {
@@ -561,7 +561,7 @@
         connection.socket.input.extend_from_slice(&input[at..]);
         let replies = std::mem::take(due);
         if self.counter.slow > 0.0 && !replies.is_empty() {
-            return self.timers.set(now + self.counter.slow, Due::Counter(slot, replies));
+            return self.timers.schedule(now + self.counter.slow, Due::Counter(slot, replies));
         }
         connection.socket.output().extend_from_slice(&replies);
         self.flush(slot);
--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -45,7 +45,7 @@
 
 /// Milliseconds since the machine was started, including time asleep: for deadlines that must pass while it sleeps.
 #[must_use]
-pub fn awake_or_not() -> u64 {
+pub fn boot_time_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec.unsigned_abs() * 1000 + now.tv_nsec.unsigned_abs() / 1_000_000
 }
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -5,13 +5,13 @@
 #![warn(missing_docs)]
 
 mod clock;
-mod counts;
 mod poll;
 mod socket;
+mod system_calls;
 mod timers;
 
-pub use clock::{Clock, awake_or_not};
-pub use counts::{Counts, counts};
+pub use clock::{Clock, boot_time_ms};
 pub use poll::{Interest, Poller, Ready, Waker};
-pub use socket::{Flow, Socket, connect, is_out_of_descriptors, listen, most_descriptors};
+pub use socket::{Flow, Socket, connect, is_out_of_descriptors, listen, max_descriptors};
+pub use system_calls::{SystemCalls, system_calls};
 pub use timers::Timers;
--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -1,6 +1,6 @@
 //! Readiness by epoll, level-triggered: a descriptor with unread bytes is reported again by the next wait.
 
-use crate::counts::count;
+use crate::system_calls::count;
 use rustix::event::{Timespec, epoll};
 use std::io;
 use std::mem::MaybeUninit;
@@ -22,7 +22,7 @@
     pub write: bool,
     /// The peer's close (EPOLLRDHUP), apart from reading: reported also while reading is paused, and ahead of bytes that
     /// are not read yet.
-    pub end: bool,
+    pub peer_close: bool,
 }
 
 impl Interest {
@@ -34,20 +34,20 @@
     /// Reading and writing as stated, without the peer's close.
     #[must_use]
     pub const fn of(read: bool, write: bool) -> Self {
-        Self { read, write, end: false }
+        Self { read, write, peer_close: false }
     }
 
     /// The same with the peer's close.
     #[must_use]
-    pub const fn with_end(self) -> Self {
-        Self { end: true, ..self }
+    pub const fn with_peer_close(self) -> Self {
+        Self { peer_close: true, ..self }
     }
 
     fn flags(self) -> epoll::EventFlags {
         let mut flags = epoll::EventFlags::empty();
         flags.set(epoll::EventFlags::IN, self.read);
         flags.set(epoll::EventFlags::OUT, self.write);
-        flags.set(epoll::EventFlags::RDHUP, self.end);
+        flags.set(epoll::EventFlags::RDHUP, self.peer_close);
         flags
     }
 }
@@ -64,7 +64,7 @@
     /// Both directions are closed, or the connection failed.
     pub broken: bool,
     /// The peer closed its side, or the connection failed; reported where the interest includes the peer's close.
-    pub ended: bool,
+    pub peer_closed: bool,
 }
 
 /// An epoll instance.
@@ -86,7 +86,7 @@
     /// # Errors
     /// When the system refuses.
     pub fn add(&self, fd: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        count(|c| c.changes += 1);
+        count(|c| c.registrations += 1);
         Ok(epoll::add(&self.epoll, fd, epoll::EventData::new_u64(token), interest.flags())?)
     }
 
@@ -95,7 +95,7 @@
     /// # Errors
     /// When the system refuses.
     pub fn change(&self, fd: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        count(|c| c.changes += 1);
+        count(|c| c.registrations += 1);
         Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(token), interest.flags())?)
     }
 
@@ -104,7 +104,7 @@
     /// # Errors
     /// When the system refuses.
     pub fn remove(&self, fd: impl AsFd) -> io::Result<()> {
-        count(|c| c.changes += 1);
+        count(|c| c.registrations += 1);
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
@@ -145,7 +145,7 @@
         read: has(EventFlags::IN | EventFlags::HUP | EventFlags::ERR),
         write: has(EventFlags::OUT),
         broken: has(EventFlags::HUP | EventFlags::ERR),
-        ended: has(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR),
+        peer_closed: has(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR),
     }
 }
 
--- a/crates/event-loop/src/socket.rs
+++ b/crates/event-loop/src/socket.rs
@@ -1,6 +1,6 @@
 //! Non-blocking TCP sockets with buffers on both sides.
 
-use crate::counts::count;
+use crate::system_calls::count;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -123,7 +123,7 @@
     }
 
     /// Closes the sending direction: the peer reads what was written and then the end of the stream.
-    pub fn end_writing(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// When the system does not know the address.
-    pub fn local(&self) -> io::Result<SocketAddr> {
+    pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.stream.local_addr()
     }
 }
@@ -177,7 +177,7 @@
 
 /// The number of descriptors that this process may hold (RLIMIT_NOFILE).
 #[must_use]
-pub fn most_descriptors() -> usize {
+pub fn max_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
--- a/crates/event-loop/src/counts.rs
+++ b/crates/event-loop/src/system_calls.rs
@@ -4,7 +4,7 @@
 
 /// System calls of one thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SystemCalls {
     /// Reads from sockets.
     pub reads: u64,
     /// Writes to sockets.
@@ -12,24 +12,24 @@
     /// Waits for readiness.
     pub waits: u64,
     /// Registrations with the poller, and their changes and removals.
-    pub changes: u64,
+    pub registrations: u64,
     /// Connects started.
     pub connects: u64,
 }
 
-impl Counts {
+impl SystemCalls {
     /// The sum of all kinds.
     #[must_use]
     pub fn total(&self) -> u64 {
-        self.reads + self.writes + self.waits + self.changes + self.connects
+        self.reads + self.writes + self.waits + self.registrations + self.connects
     }
 }
 
 thread_local! {
-    static COUNTS: Cell<Counts> = const { Cell::new(Counts { reads: 0, writes: 0, waits: 0, changes: 0, connects: 0 }) };
+    static COUNTS: Cell<SystemCalls> = const { Cell::new(SystemCalls { reads: 0, writes: 0, waits: 0, registrations: 0, connects: 0 }) };
 }
 
-pub(crate) fn count(add: impl FnOnce(&mut Counts)) {
+pub(crate) fn count(add: impl FnOnce(&mut SystemCalls)) {
     COUNTS.with(|cell| {
         let mut counts = cell.get();
         add(&mut counts);
@@ -39,6 +39,6 @@
 
 /// The counts of this thread so far.
 #[must_use]
-pub fn counts() -> Counts {
+pub fn system_calls() -> SystemCalls {
     COUNTS.with(Cell::get)
 }
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -45,19 +45,19 @@
 
 impl<T> Timers<T> {
     /// Sets a timer for `at`.
-    pub fn set(&mut self, at: f64, what: T) {
+    pub fn schedule(&mut self, at: f64, what: T) {
         self.order += 1;
         self.heap.push(Reverse(Entry { at, order: self.order, what }));
     }
 
     /// The earliest deadline.
     #[must_use]
-    pub fn first(&self) -> Option<f64> {
+    pub fn next_deadline(&self) -> Option<f64> {
         self.heap.peek().map(|e| e.0.at)
     }
 
     /// Removes and returns the earliest timer if its deadline has passed.
-    pub fn due(&mut self, now: f64) -> Option<T> {
-        if self.first()? <= now { self.heap.pop().map(|e| e.0.what) } else { None }
+    pub fn pop_expired(&mut self, now: f64) -> Option<T> {
+        if self.next_deadline()? <= now { self.heap.pop().map(|e| e.0.what) } else { None }
     }
 }
--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -177,7 +177,7 @@
             {
                 pool.idle.push(slot);
                 let timer = Timer::BackendIdle(slot, connection.generation);
-                io.timers.set(connection.idle_until, timer);
+                io.timers.schedule(connection.idle_until, timer);
             }
             _ => self.close(slot),
         }
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -18,7 +18,7 @@
 use doorcourse::{Millis, RequestId};
 use doorcourse_config::Config;
 use doorcourse_connection_limits::{ClientBudget, ClientLimits, DescriptorBudget};
-use doorcourse_event_loop::{Interest, most_descriptors};
+use doorcourse_event_loop::{Interest, max_descriptors};
 use slab::Slab;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -111,7 +111,7 @@
     let limits = &config.limits;
     // The system's limit on descriptors is shared with the backends' side and the program's own files; a connection
     // beyond the clients' share is answered with 503.
-    let descriptor_budget = DescriptorBudget::for_limit(most_descriptors());
+    let descriptor_budget = DescriptorBudget::for_limit(max_descriptors());
     ClientLimits {
         max_connections: limits.connections.min(descriptor_budget.clients),
         max_requests: limits.requests,
--- a/crates/http-gateway/src/clients/accept.rs
+++ b/crates/http-gateway/src/clients/accept.rs
@@ -12,7 +12,7 @@
 
 /// The interest of a new connection. A client's disconnect is reported apart from its bytes: it is to be noticed also
 /// behind bytes that are not read yet (RFC 9112 section 9.5).
-const NEW_CONNECTION: Interest = Interest::READ.with_end();
+const NEW_CONNECTION: Interest = Interest::READ.with_peer_close();
 /// Connections accepted in one go, so that a flood of connections does not delay the open ones.
 const MAX_ACCEPTS: usize = 64;
 /// Connections that the system may hold in the accept queue of a listener.
@@ -92,7 +92,7 @@
         }
         let timeout_at = io.now() + limits.idle_time.min(limits.head_time);
         entry.insert(ClientConnection::new(socket, generation, decoder, NEW_CONNECTION, timeout_at));
-        io.timers.set(timeout_at, Timer::ClientTimeout(slot, generation));
+        io.timers.schedule(timeout_at, Timer::ClientTimeout(slot, generation));
     }
 }
 
--- a/crates/http-gateway/src/clients/connection.rs
+++ b/crates/http-gateway/src/clients/connection.rs
@@ -118,7 +118,7 @@
     /// the last response on its way (RFC 9112 section 9.6).
     pub fn start_lingering(&mut self) {
         self.phase = ConnectionPhase::Lingering;
-        self.socket.end_writing();
+        self.socket.shutdown_write();
         self.socket.input = Vec::new();
     }
 }
--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -32,7 +32,7 @@
         if known.is_none() {
             return;
         }
-        if ready.ended {
+        if ready.peer_closed {
             // A client that closes its side is taken as gone: so it looks when one gives up.
             return self.handle_disconnect(slot);
         }
--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -135,14 +135,14 @@
         let held_back = between_requests && !self.budget.may_start_request(unread);
         let buffers_input = client.has_request() || client.closing || held_back;
         let read = client.is_lingering() || !buffers_input || client.socket.input.len() < MAX_PIPELINED_BYTES;
-        let interest = Interest::of(read, unread > 0).with_end();
+        let interest = Interest::of(read, unread > 0).with_peer_close();
         let bytes = (client.socket.input.len() + client.body.len() + unread) as u64;
         let progressed = std::mem::take(&mut client.progressed);
         self.budget.update(io.now(), &mut client.usage, client.customer.as_ref(), bytes, unread, progressed);
         let reset_at = self.budget.reset_at(&client.usage);
         if reset_at.is_finite() && client.unread_check_at.is_infinite() {
             client.unread_check_at = reset_at;
-            io.timers.set(reset_at, Timer::ClientTimeout(slot, client.generation));
+            io.timers.schedule(reset_at, Timer::ClientTimeout(slot, client.generation));
         }
         if interest != client.interest {
             client.interest = interest;
--- a/crates/http-gateway/src/clients/timeouts.rs
+++ b/crates/http-gateway/src/clients/timeouts.rs
@@ -16,7 +16,7 @@
         let sooner = timeout_at < client.timeout_at;
         client.timeout_at = timeout_at;
         if sooner {
-            io.timers.set(timeout_at, Timer::ClientTimeout(slot, client.generation));
+            io.timers.schedule(timeout_at, Timer::ClientTimeout(slot, client.generation));
         }
     }
 
@@ -33,7 +33,7 @@
             client.timeout_at = now + config.limits.idle_time;
         }
         if client.timeout_at > now {
-            io.timers.set(client.timeout_at, Timer::ClientTimeout(slot, generation));
+            io.timers.schedule(client.timeout_at, Timer::ClientTimeout(slot, generation));
         } else if client.is_in_request() {
             self.respond(io, config, slot, &front::request_timeout_response(), None);
         } else {
@@ -58,7 +58,7 @@
         }
         if reset_at.is_finite() {
             client.unread_check_at = reset_at;
-            io.timers.set(reset_at, Timer::ClientTimeout(slot, client.generation));
+            io.timers.schedule(reset_at, Timer::ClientTimeout(slot, client.generation));
         }
         false
     }
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -29,7 +29,7 @@
 use calls::CallSchedules;
 use connections::Connection;
 use doorcourse_config::{Config, LeaseConfig};
-use doorcourse_event_loop::awake_or_not;
+use doorcourse_event_loop::boot_time_ms;
 use doorcourse_lease::{Input, Leases, Millis};
 use doorcourse_outlier_gossip::Verdict;
 use doorcourse_peers::GatewayNumber;
@@ -65,7 +65,7 @@
     /// The address cannot be bound, or the settings cannot be used.
     pub(crate) fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
         let Some(link_config) = config.link.clone() else { return Ok(None) };
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let gateway = config.decisions.gateway_index;
         let incarnation = seed | 1;
         let mut fleet = Self {
@@ -96,7 +96,7 @@
 
     /// Follows a change of the settings: peers, secrets, voters, tasks.
     pub(crate) fn configure(&mut self, io: &mut Io, config: &Config) {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let Some(link_config) = config.link.clone() else { return };
         if let Err(error) = self.link.configure(now, link_config, self.gateway) {
             return tracing::error!(target: "doorcourse::fleet", %error, "link settings rejected");
@@ -121,7 +121,7 @@
     pub(crate) fn shut_down(&mut self, io: &mut Io) {
         if !self.shut_down {
             self.shut_down = true;
-            self.handle_lease_input(io, awake_or_not(), Input::ShutdownStarted);
+            self.handle_lease_input(io, boot_time_ms(), Input::ShutdownStarted);
             self.connections.clear();
             self.link.close();
         }
@@ -132,7 +132,7 @@
         if self.shut_down {
             return f64::INFINITY;
         }
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let leases = self.leases.as_ref().map_or(Millis::MAX, |leases| {
             leases.next_timeout().min(self.calls.schedule.next_timeout(now, leases))
         });
@@ -146,7 +146,7 @@
         if self.shut_down {
             return;
         }
-        let now = awake_or_not();
+        let now = boot_time_ms();
         self.link.tick(io, now);
         if self.leases.as_ref().is_some_and(|leases| leases.next_timeout() <= now) {
             self.handle_lease_input(io, now, Input::Tick);
--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::calls::CallFailure;
 use crate::io::{Io, Token};
-use doorcourse_event_loop::{Flow, Interest, Ready, Socket, awake_or_not, connect};
+use doorcourse_event_loop::{Flow, Interest, Ready, Socket, boot_time_ms, connect};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use doorcourse_lease::{Millis, TaskId};
 use std::net::SocketAddr;
@@ -131,7 +131,7 @@
 
     /// A connection is ready: its request is written, or its response read.
     pub(crate) fn connection_ready(&mut self, io: &mut Io, slot: usize, generation: u32, ready: Ready) {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let connection = self.connections.get_mut(slot).filter(|found| found.generation == generation);
         let Some(connection) = connection else { return };
         let purpose = connection.purpose.clone();
--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -4,7 +4,7 @@
 use super::settings::link_settings;
 use crate::io::{Io, Token};
 use doorcourse_config::LinkConfig;
-use doorcourse_event_loop::{Interest, awake_or_not};
+use doorcourse_event_loop::{Interest, boot_time_ms};
 use doorcourse_lease::{Input, Millis};
 use doorcourse_peers::{
     DropCounters, GatewayNumber, Link, MAX_DATAGRAM_BYTES, OutgoingDatagram, PeerEvent, PeerStatus,
@@ -167,7 +167,7 @@
     /// Receives one datagram and replies to it where it needs a hello. `None` where there is none.
     fn receive(&mut self, io: &Io) -> Option<ReceivedDatagram> {
         let (length, _) = self.socket.as_ref()?.recv_from(&mut self.receive_buffer).ok()?;
-        let received_at = awake_or_not();
+        let received_at = boot_time_ms();
         let mut hellos = Vec::new();
         let mut events = Vec::new();
         let bytes = &self.receive_buffer[..length];
--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -7,7 +7,7 @@
 use super::settings::outlier_settings;
 use crate::io::Io;
 use doorcourse_config::{Node, OUTLIER_PROBE_TASK, OutlierGossipConfig};
-use doorcourse_event_loop::awake_or_not;
+use doorcourse_event_loop::boot_time_ms;
 use doorcourse_lease::{Millis, task_of};
 use doorcourse_outlier_gossip::{Input, NodeStatus, OutlierGossip, Output, Verdict, decode, encode};
 use doorcourse_peers::{GatewayNumber, ReceivedPayload};
@@ -44,13 +44,13 @@
 impl Fleet {
     /// Whether an observation of the nodes is due: a call of [`Fleet::observe_nodes`].
     pub(crate) fn wants_observation(&self) -> bool {
-        !self.shut_down && self.outliers.is_some() && awake_or_not() >= self.next_observation_at
+        !self.shut_down && self.outliers.is_some() && boot_time_ms() >= self.next_observation_at
     }
 
     /// Reports to the outlier gossip the status of the nodes in the decisions, and executes its outputs. `nodes` has the
     /// addresses for probes.
     pub(crate) fn observe_nodes(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let Some(monitor) = &mut self.outliers else { return };
         let interval = (monitor.config.probe_interval_ms / 2).max(MIN_OBSERVATION_INTERVAL_MS);
         self.next_observation_at = now + interval;
--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -2,7 +2,7 @@
 
 use super::{CallCounts, Fleet};
 use crate::io::Io;
-use doorcourse_event_loop::awake_or_not;
+use doorcourse_event_loop::boot_time_ms;
 use doorcourse_lease::{Input, LeaseStage, LeaseStatus, Millis, Refusal, task_of};
 use doorcourse_peers::{GatewayNumber, PeerStatus};
 use serde_json::{Value, json};
@@ -81,7 +81,7 @@
     /// # Errors
     /// Why not, as text for the operator.
     pub(crate) fn transfer(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let task = task_of(name);
         let mut statuses = self.leases.iter().flat_map(|leases| leases.statuses(now));
         let status = statuses.find(|status| status.task == task);
@@ -103,7 +103,7 @@
     /// The reply of `ctl peers`.
     pub(crate) fn peers(&self) -> Value {
         let peers: Vec<Value> =
-            self.link.statuses(awake_or_not()).map(|peer| self.peer_reply(&peer)).collect();
+            self.link.statuses(boot_time_ms()).map(|peer| self.peer_reply(&peer)).collect();
         let dropped: BTreeMap<_, _> = self.link.drops().by_name().collect();
         let address = self.link.local_address().map(|address| address.to_string());
         json!({"address": address, "peers": peers, "dropped": dropped})
@@ -125,7 +125,7 @@
 
     /// The reply of `ctl leases`; null where the settings have none.
     pub(crate) fn leases(&self) -> Value {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let Some(leases) = &self.leases else { return Value::Null };
         let tasks: Vec<Value> = leases.statuses(now).map(|status| self.lease_reply(&status)).collect();
         json!({
@@ -162,7 +162,7 @@
 
     /// The figures for metrics.
     pub(crate) fn metrics(&self) -> FleetMetrics {
-        let now = awake_or_not();
+        let now = boot_time_ms();
         let lease = |status: LeaseStatus| LeaseMetrics {
             task: self.calls.task_name(status.task).to_owned(),
             is_held: matches!(status.stage, LeaseStage::Held(_)),
--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -42,7 +42,7 @@
 use crate::settings_reload::SettingsReload;
 use doorcourse::{Action, Millis};
 use doorcourse_config::Config;
-use doorcourse_event_loop::{Counts, Ready};
+use doorcourse_event_loop::{Ready, SystemCalls};
 use doorcourse_graceful_shutdown::needs_repoll;
 use doorcourse_lifecycle::{PendingWork, ProcessEvent, ProcessLifecycle};
 use endpoints::Endpoints;
@@ -159,7 +159,8 @@
     /// Waits until a descriptor is ready or a timeout is due.
     fn wait_for_readiness(&mut self, counter_due: Millis, ready: &mut Vec<Ready>) -> anyhow::Result<()> {
         let lifecycle_due = self.lifecycle.next_timeout(self.io.now());
-        let due = self.io.timers.first().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
+        let due =
+            self.io.timers.next_deadline().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
         let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::next_timeout_in);
         let wait = if due.is_finite() { self.io.clock.until(due) } else { duration(MAX_WAIT) };
         let wait = wait.min(duration(fleet_due_in.min(MAX_WAIT)));
@@ -175,7 +176,8 @@
     /// Logs the totals of the process, with a last copy of its state on disk.
     fn finish(&mut self) {
         self.save_state();
-        let Counts { reads, writes, waits, changes, connects } = doorcourse_event_loop::counts();
+        let SystemCalls { reads, writes, waits, registrations: changes, connects } =
+            doorcourse_event_loop::system_calls();
         tracing::info!(requests = self.requests.total, reads, writes, waits, changes, connects, "stopped");
     }
 }
--- a/crates/http-gateway/src/gateway/endpoints.rs
+++ b/crates/http-gateway/src/gateway/endpoints.rs
@@ -73,7 +73,7 @@
     /// Applies the list file if it has changed, and sets the timer of the next poll.
     pub(super) fn poll_endpoint_list(&mut self) -> anyhow::Result<()> {
         let Some(list) = &mut self.endpoints.file else { return Ok(()) };
-        self.io.timers.set(self.io.clock.now() + list.poll_interval, Timer::EndpointListPoll);
+        self.io.timers.schedule(self.io.clock.now() + list.poll_interval, Timer::EndpointListPoll);
         let file = match list.read_if_changed() {
             None => return Ok(()),
             Some(read) => read.map_err(|e| anyhow::anyhow!(e))?,
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -59,7 +59,7 @@
                 self.requests.handle_event(now, id, LifecycleEvent::Rejected { retry_after, reason });
             }
             Action::Fail { id } => self.requests.handle_event(now, id, LifecycleEvent::Failed),
-            Action::SetTimer { after, token } => self.io.timers.set(now + after, Timer::Decision(token)),
+            Action::SetTimer { after, token } => self.io.timers.schedule(now + after, Timer::Decision(token)),
             Action::AddToCounter { counter, amount, time_to_live } => {
                 self.counter.call(&mut self.io, CounterCall { counter, amount, time_to_live });
             }
@@ -77,7 +77,7 @@
     fn send_attempt(&mut self, id: RequestId, backend: &Name, write_window: Option<Millis>) {
         let attempt = self.requests.attempt_started(self.io.now(), id, backend.clone());
         if let Some(window) = write_window {
-            self.io.timers.set(self.io.now() + window, Timer::RetryDeadline(id, attempt));
+            self.io.timers.schedule(self.io.now() + window, Timer::RetryDeadline(id, attempt));
         }
         let Some(request) = self.requests.backend_request(id, &self.config.path) else { return };
         match self.backends.send_request(&mut self.io, &self.config.limits, id, backend, &request) {
@@ -168,7 +168,7 @@
         self.clients.budget.reserve(admitted.body_bytes);
         self.clients.request_admitted(client, incoming.id);
         let deadline = self.io.now() + incoming.timeout;
-        self.io.timers.set(deadline, Timer::RequestDeadline(incoming.id));
+        self.io.timers.schedule(deadline, Timer::RequestDeadline(incoming.id));
         self.io.events.push_back(Event::RequestReceived(incoming));
     }
 }
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -28,7 +28,7 @@
 
     /// Fires the timers that are due, each with the messages that follow from it.
     pub(super) fn fire_timers(&mut self) -> anyhow::Result<()> {
-        while let Some(timer) = self.io.timers.due(self.io.now()) {
+        while let Some(timer) = self.io.timers.pop_expired(self.io.now()) {
             self.poll_disconnects_if_stalled()?;
             self.handle_timer(timer);
             self.process_pending();
@@ -142,5 +142,5 @@
 }
 
 fn is_client_disconnect(ready: &Ready) -> bool {
-    ready.ended && matches!(Token::unpack(ready.token), Token::Client(..))
+    ready.peer_closed && matches!(Token::unpack(ready.token), Token::Client(..))
 }
--- a/crates/http-gateway/src/gateway/state_persistence.rs
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -41,7 +41,7 @@
     pub(super) fn restore_state(&mut self) {
         let now = self.io.now();
         let Some(state) = &self.state else { return };
-        self.io.timers.set(now + state.save_interval, Timer::StateFileSave);
+        self.io.timers.schedule(now + state.save_interval, Timer::StateFileSave);
         match state.file.read(now) {
             Ok(Some(backends)) => {
                 tracing::info!(nodes = backends.len(), "state file taken");
@@ -59,7 +59,7 @@
     pub(super) fn save_state(&mut self) {
         let now = self.io.now();
         let Some(state) = &mut self.state else { return };
-        self.io.timers.set(now + state.save_interval, Timer::StateFileSave);
+        self.io.timers.schedule(now + state.save_interval, Timer::StateFileSave);
         let result = state.file.write(now, self.decisions.backends());
         state.record_save(result);
     }
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -133,7 +133,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let event = match event {
             AttemptEvent::Connected => LifecycleEvent::Connected,
-            AttemptEvent::BytesWritten => LifecycleEvent::BytesWritten,
+            AttemptEvent::BytesWritten => LifecycleEvent::RequestSent,
             AttemptEvent::InvalidResponse => LifecycleEvent::InvalidResponse,
             AttemptEvent::ConnectionLost => {
                 request.attempt.connection = None;
@@ -205,7 +205,7 @@
                 let end = request.attempt_end(now, id, outcome, true_units, final_response_sent);
                 self.commands.push_back(RequestCommand::NotifyDecisions(Event::AttemptEnded(end)));
             }
-            LifecycleAction::ClientDisconnected => {
+            LifecycleAction::AbandonRequest => {
                 let record = request.record(now, "CLIENT_LEFT");
                 self.commands.push_back(RequestCommand::RecordFinalResponse(record));
                 self.commands.push_back(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }));
--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -19,7 +19,7 @@
     ///
     /// The client may still be connected: where the deadline of a queued request expires,
     /// [`Respond`](Self::Respond) follows.
-    ClientDisconnected,
+    AbandonRequest,
     /// Send the client this final response.
     Respond(FinalResponse),
     /// Forward what is buffered of the backend's response to the client, and what follows as it arrives.
--- a/crates/request-lifecycle/src/attempt.rs
+++ b/crates/request-lifecycle/src/attempt.rs
@@ -8,7 +8,7 @@
 //! | `Withdrawn`, `ClientDisconnected` | `NeverSent` | `NeverSent` | the attempt goes on |
 //! | `InvalidResponse` | `Error` | `Error` | `Error` |
 //!
-//! An attempt is sent from [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten) on, which the HTTP
+//! An attempt is sent from [`LifecycleEvent::RequestSent`](crate::LifecycleEvent::RequestSent) on, which the HTTP
 //! gateway reports at the first bytes that the operating system accepts and the RESP gateway at the last.
 //!
 //! `ConnectFailed`, `NeverSent` and `Rejected` say that the request was not executed; after every other outcome it may
@@ -26,7 +26,7 @@
     /// It has no connection yet.
     Connecting,
     /// It has a connection, and the host has not reported
-    /// [`LifecycleEvent::BytesWritten`](crate::LifecycleEvent::BytesWritten).
+    /// [`LifecycleEvent::RequestSent`](crate::LifecycleEvent::RequestSent).
     Connected,
     /// The operating system accepted the bytes from which on the backend may execute the request: in the HTTP gateway
     /// the first ones, in the RESP gateway all of them. It may do so whatever happens to the connection: a pooled
--- a/crates/request-lifecycle/src/event.rs
+++ b/crates/request-lifecycle/src/event.rs
@@ -14,7 +14,7 @@
     /// From which byte on that is so depends on the protocol, so the host decides when it reports this event. The HTTP
     /// gateway reports the first bytes: a backend may act on a part of a request. The RESP gateway reports the last
     /// byte: a command counts as executed only once it was written in full.
-    BytesWritten,
+    RequestSent,
     /// The response head arrived.
     ResponseHead {
         /// The HTTP status.
@@ -40,7 +40,7 @@
         units: Option<f64>,
     },
     /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, unless
-    /// [`BytesWritten`](Self::BytesWritten) was reported.
+    /// [`RequestSent`](Self::RequestSent) was reported.
     Withdrawn,
     /// The attempt's connection was lost or could not be made.
     ConnectionLost,
--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -86,7 +86,7 @@
         match event {
             LifecycleEvent::AttemptStarted => self.start_attempt(),
             LifecycleEvent::Connected => self.advance_attempt(WireState::Connected),
-            LifecycleEvent::BytesWritten => self.advance_attempt(WireState::Sent),
+            LifecycleEvent::RequestSent => self.advance_attempt(WireState::Sent),
             LifecycleEvent::ResponseHead { status } => self.handle_response_head(status),
             LifecycleEvent::ResponseData { bytes } => self.handle_response_data(bytes, actions),
             LifecycleEvent::ResponseEnd { complete, units } => {
@@ -210,7 +210,7 @@
             // The decision library queues no request beyond its deadline, but the end of a graceful shutdown expires
             // the deadlines of all that remain. The client is still connected: `ClientDisconnected` only makes the
             // decision library drop the request.
-            actions.push(LifecycleAction::ClientDisconnected);
+            actions.push(LifecycleAction::AbandonRequest);
             self.respond(FinalResponse::Failed(FailureReason::DeadlineExpired), actions);
         }
     }
@@ -227,7 +227,7 @@
             self.report_attempt_end(AttemptOutcome::NeverSent, None, actions);
         }
         if was_waiting {
-            actions.push(LifecycleAction::ClientDisconnected);
+            actions.push(LifecycleAction::AbandonRequest);
         }
         self.finish_if_done(actions);
     }
--- a/crates/request-lifecycle/tests/lifecycle.rs
+++ b/crates/request-lifecycle/tests/lifecycle.rs
@@ -9,7 +9,7 @@
 
 /// The events of an attempt up to the writing of its request.
 const SENT: [LifecycleEvent; 3] =
-    [LifecycleEvent::AttemptStarted, LifecycleEvent::Connected, LifecycleEvent::BytesWritten];
+    [LifecycleEvent::AttemptStarted, LifecycleEvent::Connected, LifecycleEvent::RequestSent];
 const STATUS_200: LifecycleEvent = LifecycleEvent::ResponseHead { status: 200 };
 const RESPONSE_END: LifecycleEvent = LifecycleEvent::ResponseEnd { complete: true, units: 2.0 };
 
@@ -196,7 +196,7 @@
 #[test]
 fn a_written_attempt_goes_on_after_its_client_disconnects_and_its_end_is_reported() {
     let (mut lifecycle, mut actions) = run(&[&SENT[..], &[LifecycleEvent::ClientDisconnected]].concat());
-    assert_eq!(actions, [LifecycleAction::ClientDisconnected]);
+    assert_eq!(actions, [LifecycleAction::AbandonRequest]);
     lifecycle.handle(STATUS_200, &mut actions);
     lifecycle.handle(LifecycleEvent::ResponseData { bytes: 1000 }, &mut actions);
     lifecycle.handle(LifecycleEvent::ResponseEnd { complete: true, units: 3.0 }, &mut actions);
@@ -215,12 +215,12 @@
                 LifecycleAction::CloseBackendConnection,
                 LifecycleAction::DiscardResponse,
                 attempt_ended(AttemptOutcome::NeverSent, None, true),
-                LifecycleAction::ClientDisconnected,
+                LifecycleAction::AbandonRequest,
                 LifecycleAction::Finished
             ]
         );
         let mut actions_after_end = Vec::new();
-        for event in [LifecycleEvent::Connected, LifecycleEvent::BytesWritten, LifecycleEvent::ConnectionLost]
+        for event in [LifecycleEvent::Connected, LifecycleEvent::RequestSent, LifecycleEvent::ConnectionLost]
         {
             lifecycle.handle(event, &mut actions_after_end);
         }
@@ -233,11 +233,7 @@
     let actions = run(&[LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed]).1;
     assert_eq!(
         actions,
-        [
-            LifecycleAction::ClientDisconnected,
-            failed(FailureReason::DeadlineExpired),
-            LifecycleAction::Finished
-        ]
+        [LifecycleAction::AbandonRequest, failed(FailureReason::DeadlineExpired), LifecycleAction::Finished]
     );
 }
 
@@ -260,7 +256,7 @@
     match draws.below(12) {
         0 | 1 if without_attempt => LifecycleEvent::AttemptStarted,
         2 => LifecycleEvent::Connected,
-        3 => LifecycleEvent::BytesWritten,
+        3 => LifecycleEvent::RequestSent,
         4 => LifecycleEvent::ResponseHead { status: [200, 429, 500][draws.below(3) as usize] },
         5 => LifecycleEvent::ResponseData { bytes: draws.below(200) as usize },
         6 => LifecycleEvent::ResponseEnd { complete: draws.below(2) == 0, units: 1.0 },
--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -3,7 +3,7 @@
 use crate::request::ForwardedCommand;
 use doorcourse::{LoadReport, Millis, Name, RequestId};
 use doorcourse_request_lifecycle::BackendReply;
-use doorcourse_resp::Answer;
+use doorcourse_resp::Reply;
 use std::sync::Arc;
 
 /// The command of a health check.
@@ -58,21 +58,21 @@
 impl BackendResponse {
     /// The response in these input bytes; `None` where it does not belong to what was sent. Unreadable units or an
     /// unreadable load report leave the rest of the response valid.
-    pub(super) fn from_answer(answer: Answer, input: &[u8], is_health_check: bool) -> Option<Self> {
+    pub(super) fn from_answer(answer: Reply, input: &[u8], is_health_check: bool) -> Option<Self> {
         match answer {
-            Answer::Served { value, used, report } if !is_health_check => Some(Self {
+            Reply::Served { value, units: used, report } if !is_health_check => Some(Self {
                 reply: BackendReply::Value,
                 value: input[value].to_vec(),
                 units: used.and_then(|u| u.parse().ok()).filter(|u: &f64| u.is_finite() && *u > 0.0),
                 load_report: parse_load_report(report),
             }),
-            Answer::Failed { report } => Some(Self::without_value(BackendReply::Failed, report)),
-            Answer::Busy { report } => Some(Self::without_value(BackendReply::Rejected, report)),
-            Answer::Bulk(text) if is_health_check => {
+            Reply::Failed { report } => Some(Self::without_value(BackendReply::Failed, report)),
+            Reply::Busy { report } => Some(Self::without_value(BackendReply::Rejected, report)),
+            Reply::Bulk(text) if is_health_check => {
                 let text = std::str::from_utf8(&input[text]).ok().map(str::to_owned);
                 Some(Self::without_value(BackendReply::Value, text))
             }
-            Answer::Served { .. } | Answer::Pong | Answer::Bulk(_) => None,
+            Reply::Served { .. } | Reply::Pong | Reply::Bulk(_) => None,
         }
     }
 
--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -4,7 +4,7 @@
 use crate::reactor::RegisteredSocket;
 use doorcourse::{Millis, Name, RequestId};
 use doorcourse_event_loop::Flow;
-use doorcourse_resp::Answers;
+use doorcourse_resp::ReplyReader;
 
 pub(super) enum ConnectionState {
     Connecting {
@@ -26,7 +26,7 @@
     /// The incarnation of its backend that it was made for.
     pub incarnation: u64,
     pub state: ConnectionState,
-    answers: Answers,
+    answers: ReplyReader,
     /// Whether the next flush handles this connection.
     pub flush_scheduled: bool,
     usage: Usage,
@@ -50,7 +50,7 @@
             backend,
             incarnation,
             state: ConnectionState::Connecting { since: now },
-            answers: Answers::default(),
+            answers: ReplyReader::default(),
             flush_scheduled: false,
             usage: Usage::default(),
         }
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -80,7 +80,7 @@
         let Some(connection) = connection.filter(|connection| connection.registered.token == token) else {
             return;
         };
-        if ready.ended {
+        if ready.peer_closed {
             // The protocol counts a client that closes its side as disconnected, whatever it left unread.
             return self.remove(token.index, events);
         }
--- a/crates/resp-gateway/src/clients/accept.rs
+++ b/crates/resp-gateway/src/clients/accept.rs
@@ -18,7 +18,7 @@
 /// What a new connection is registered for. The client's close is reported apart from reading, so that it is processed
 /// while reading is held back and ahead of unread bytes.
 fn client_interest() -> Interest {
-    if rule_disabled("poll-peer-close") { Interest::READ } else { Interest::READ.with_end() }
+    if rule_disabled("poll-peer-close") { Interest::READ } else { Interest::READ.with_peer_close() }
 }
 
 /// Whether the accept queue may hold more.
--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -9,7 +9,7 @@
 use doorcourse_deployment::Deployment;
 use doorcourse_event_loop::{Flow, Socket};
 use doorcourse_fail_points::rule_disabled;
-use doorcourse_resp::{CommandLimits, Commands};
+use doorcourse_resp::{CommandLimits, CommandReader};
 use std::collections::VecDeque;
 
 /// A value is 64 KiB at most; the other arguments are short.
@@ -46,7 +46,7 @@
 /// The state of one client connection.
 pub(super) struct ClientConnection {
     pub registered: RegisteredSocket,
-    commands: Commands,
+    commands: CommandReader,
     slots: VecDeque<ResponseSlot>,
     /// Sequence number of the first slot.
     first_sequence: u64,
@@ -67,7 +67,7 @@
     pub fn new(registered: RegisteredSocket, now: Millis) -> Self {
         Self {
             registered,
-            commands: Commands::new(COMMAND_LIMITS),
+            commands: CommandReader::new(COMMAND_LIMITS),
             slots: VecDeque::new(),
             first_sequence: 0,
             activity: ConnectionActivity::new(now),
@@ -232,7 +232,7 @@
     /// Ends this side after the last response. Bytes that still come are discarded, so that nothing is unread when the
     /// connection closes.
     pub fn begin_lingering_close(&mut self, now: Millis) {
-        self.registered.socket.end_writing();
+        self.registered.socket.shutdown_write();
         self.registered.socket.input = Vec::new();
         self.input_closed = true;
         self.activity.lingering_close_until = Some(now + LINGER_MS);
@@ -260,12 +260,12 @@
     socket.read();
     let input = std::mem::take(&mut socket.input);
     let mut used = 0;
-    let mut commands = Commands::new(COMMAND_LIMITS);
+    let mut commands = CommandReader::new(COMMAND_LIMITS);
     while let Ok(Some((_, length))) = commands.read(&input[used..]) {
         used += length;
         Response::Rejected { retry_after_ms: None }.encode(socket.output());
     }
     // What is read at once makes few responses: they fit into the system's buffer of a new connection.
     socket.flush();
-    socket.end_writing();
+    socket.shutdown_write();
 }
--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -1,7 +1,7 @@
 //! The responses that clients receive, and their RESP encoding.
 
 use crate::request::RequestError;
-use doorcourse_resp::Fault;
+use doorcourse_resp::CommandError;
 use std::io::Write;
 
 /// Why a request failed; the client has no promise whether it was executed.
@@ -42,7 +42,7 @@
     /// The command cannot be accepted; the connection stays open.
     InvalidRequest(RequestError),
     /// The framing is lost; the connection ends.
-    InvalidFraming(Fault),
+    InvalidFraming(CommandError),
     Pong,
     /// The gateway is not ready to serve yet.
     Loading,
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -217,7 +217,7 @@
         counter_connections = components.counter.connection_count(),
         counter_unavailable = gateway.is_counter_silent(),
         customers = gateway.customers().count(),
-        system_calls = doorcourse_event_loop::counts().total(),
+        system_calls = doorcourse_event_loop::system_calls().total(),
         "connections"
     );
 }
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -34,7 +34,7 @@
 use doorcourse_connection_limits::DescriptorBudget;
 use doorcourse_deployment::Deployment;
 use doorcourse_discovery::Readiness;
-use doorcourse_event_loop::{Ready, listen, most_descriptors};
+use doorcourse_event_loop::{Ready, listen, max_descriptors};
 use doorcourse_graceful_shutdown::{FinalRound, FinalRounds, GracefulShutdown, ShutdownPhase, needs_repoll};
 use doorcourse_request_lifecycle::LifecycleEvent;
 use health_checks::HealthChecks;
@@ -108,7 +108,7 @@
             .map_err(|error| anyhow::anyhow!("cannot listen on {}: {error}", config.listen))?;
         let address = listener.local_addr()?;
         // The file may state more descriptors than the system allows.
-        let budget = DescriptorBudget::for_limit(config.limits.descriptors.min(most_descriptors()));
+        let budget = DescriptorBudget::for_limit(config.limits.descriptors.min(max_descriptors()));
         let clients = ClientTable::new(&mut reactor, listener, budget.clients)?;
         let host = &deployment.host;
         tracing::debug!(settings = ?deployment.settings, ?host, "settings");
@@ -213,7 +213,7 @@
             self.counter.next_timeout(),
             self.backends.next_timeout(),
             self.clients.next_timeout(),
-            self.reactor.timers.first().unwrap_or(f64::INFINITY),
+            self.reactor.timers.next_deadline().unwrap_or(f64::INFINITY),
             self.shutdown.next_timeout(self.reactor.now),
         ];
         timeouts.into_iter().fold(f64::INFINITY, f64::min)
@@ -270,7 +270,7 @@
     }
 
     fn handle_timers(&mut self) {
-        while let Some(timer) = self.reactor.timers.due(self.reactor.now) {
+        while let Some(timer) = self.reactor.timers.pop_expired(self.reactor.now) {
             self.handle_timer(timer);
             self.process_pending_events();
         }
@@ -383,7 +383,7 @@
 impl<'a> ReadyOrder<'a> {
     fn sort(ready: &'a mut [Ready]) -> Self {
         let is_disconnect =
-            |ready: &Ready| ready.ended && Token::kind_of(ready.token) == Some(TokenKind::Client);
+            |ready: &Ready| ready.peer_closed && Token::kind_of(ready.token) == Some(TokenKind::Client);
         let is_before_timers = |ready: &Ready| {
             is_disconnect(ready) || Token::kind_of(ready.token).is_some_and(|kind| kind < TokenKind::Listener)
         };
--- a/crates/resp-gateway/src/gateway/actions.rs
+++ b/crates/resp-gateway/src/gateway/actions.rs
@@ -22,7 +22,7 @@
             Action::Fail { id } => self.handle_request_event(id, LifecycleEvent::Failed),
             Action::CancelAttempt { id, .. } => self.handle_request_event(id, LifecycleEvent::Cancelled),
             Action::SetTimer { after, token } => {
-                self.reactor.timers.set(self.reactor.now + after, Timer::Decision { token });
+                self.reactor.timers.schedule(self.reactor.now + after, Timer::Decision { token });
             }
             Action::CheckHealth { backend } => self.start_health_check(backend),
             Action::AddToCounter { counter, amount, time_to_live } => {
@@ -42,7 +42,7 @@
         let now = self.reactor.now;
         let Some(outgoing) = self.requests.start_attempt(now, request, backend) else { return };
         if let Some(timeout) = timeout {
-            self.reactor.timers.set(now + timeout, Timer::RequestDeadline { request });
+            self.reactor.timers.schedule(now + timeout, Timer::RequestDeadline { request });
         }
         let attempt = outgoing.attempt;
         let deadline = outgoing.deadline;
@@ -54,10 +54,10 @@
         let reactor = &mut self.reactor;
         self.backends.start_attempt(reactor, request, backend, outgoing.command, deadline, updates);
         if self.backends.awaits_connection(request) && max_connect_timeout > 0.0 {
-            self.reactor.timers.set(now + connect_timeout, Timer::ConnectTimeout { request, attempt });
+            self.reactor.timers.schedule(now + connect_timeout, Timer::ConnectTimeout { request, attempt });
         }
         if let Some(window) = must_be_written_within {
-            self.reactor.timers.set(now + window, Timer::WriteDeadline { request, attempt });
+            self.reactor.timers.schedule(now + window, Timer::WriteDeadline { request, attempt });
         }
     }
 
@@ -106,7 +106,7 @@
         let response = match self.requests.start(now, &self.deployment, &self.shutdown, command, request) {
             StartOutcome::Started { request, deadline, event } => {
                 self.clients.request_started(command, request);
-                self.reactor.timers.set(deadline, Timer::RequestDeadline { request });
+                self.reactor.timers.schedule(deadline, Timer::RequestDeadline { request });
                 return self.pending.decisions.push_back(event);
             }
             StartOutcome::DuplicateId => Response::InvalidRequest(RequestError::DuplicateId),
--- a/crates/resp-gateway/src/gateway/health_checks.rs
+++ b/crates/resp-gateway/src/gateway/health_checks.rs
@@ -27,7 +27,7 @@
         let now = self.reactor.now;
         self.health_checks.in_flight.insert(id, HealthCheck { backend, started_at: now });
         let timeout = self.deployment.host.connect_timeout.max(self.deployment.settings.tick);
-        self.reactor.timers.set(now + timeout, Timer::HealthCheckTimeout { check: id });
+        self.reactor.timers.schedule(now + timeout, Timer::HealthCheckTimeout { check: id });
     }
 
     pub(super) fn handle_health_check_event(&mut self, update: AttemptUpdate) {
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -156,7 +156,7 @@
     ) {
         let event = match event {
             AttemptEvent::Connected => LifecycleEvent::Connected,
-            AttemptEvent::Written => LifecycleEvent::BytesWritten,
+            AttemptEvent::Written => LifecycleEvent::RequestSent,
             AttemptEvent::Responded(response) => {
                 if let Some(open) = self.open.get_mut(&id) {
                     open.value = response.value;
@@ -178,7 +178,7 @@
     ) {
         let Some(open) = self.open.get_mut(&id) else { return };
         match event {
-            LifecycleEvent::BytesWritten => {
+            LifecycleEvent::RequestSent => {
                 tracing::trace!(target: LOG_TARGET, number = id, "attempt written");
             }
             LifecycleEvent::ClientDisconnected => {
@@ -238,7 +238,7 @@
                 let end = self.attempt_end(now, id, outcome, true_units, final_response_sent);
                 Some(RequestCommand::NotifyDecisions(Event::AttemptEnded(end)))
             }
-            LifecycleAction::ClientDisconnected => {
+            LifecycleAction::AbandonRequest => {
                 Some(RequestCommand::NotifyDecisions(Event::ClientDisconnected { id }))
             }
             LifecycleAction::Respond(response) => {
--- a/crates/resp-gateway/tests/rig/backend.rs
+++ b/crates/resp-gateway/tests/rig/backend.rs
@@ -1,7 +1,7 @@
 //! Scripted backends.
 
 use super::Shared;
-use doorcourse_resp::{CommandLimits, Commands};
+use doorcourse_resp::{CommandLimits, CommandReader};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -113,7 +113,7 @@
 
 fn serve(mut stream: TcpStream, connection: usize, received: &Shared<Vec<Command>>, script: &Script) {
     let mut commands =
-        Commands::new(CommandLimits { arguments: 8, argument_bytes: 64 << 10, bytes: 128 << 10 });
+        CommandReader::new(CommandLimits { arguments: 8, argument_bytes: 64 << 10, bytes: 128 << 10 });
     let mut input = Vec::new();
     let mut buffer = [0; 4096];
     loop {
--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -21,7 +21,7 @@
 ///
 /// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum CommandError {
     /// The command does not begin with `*`.
     #[error("Protocol error: expected an array of bulk strings")]
     ExpectedArray,
@@ -66,7 +66,7 @@
 
 /// Reads the commands of one connection.
 #[derive(Debug)]
-pub struct Commands {
+pub struct CommandReader {
     limits: CommandLimits,
     state: State,
     /// Bytes of the input that are parsed.
@@ -77,7 +77,7 @@
     arguments: Vec<Range<usize>>,
 }
 
-impl Commands {
+impl CommandReader {
     /// A reader at the start of a connection.
     #[must_use]
     pub fn new(limits: CommandLimits) -> Self {
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// When the bytes are not a command or pass a limit; the reader must not be used again.
-    pub fn read(&mut self, input: &[u8]) -> Result<Option<ParsedCommand>, Fault> {
+    pub fn read(&mut self, input: &[u8]) -> Result<Option<ParsedCommand>, CommandError> {
         while let Some(state) = self.read_element(input)? {
             self.state = state;
             if state == State::ArrayHeader {
@@ -107,7 +107,7 @@
     }
 
     /// Reads what [`State`] expects and returns the state that follows, or `None` until more input arrives.
-    fn read_element(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
+    fn read_element(&mut self, input: &[u8]) -> Result<Option<State>, CommandError> {
         match self.state {
             State::ArrayHeader => self.read_argument_count(input),
             State::BulkHeader { remaining } => self.read_bulk_length(input, remaining),
@@ -115,21 +115,25 @@
         }
     }
 
-    fn read_argument_count(&mut self, input: &[u8]) -> Result<Option<State>, Fault> {
-        let Some(count) = self.read_header(input, b'*', Fault::ExpectedArray)? else { return Ok(None) };
+    fn read_argument_count(&mut self, input: &[u8]) -> Result<Option<State>, CommandError> {
+        let Some(count) = self.read_header(input, b'*', CommandError::ExpectedArray)? else {
+            return Ok(None);
+        };
         if count == 0 {
-            return Err(Fault::InvalidLength);
+            return Err(CommandError::InvalidLength);
         }
         if count > self.limits.arguments {
-            return Err(Fault::TooLarge);
+            return Err(CommandError::TooLarge);
         }
         Ok(Some(State::BulkHeader { remaining: count }))
     }
 
-    fn read_bulk_length(&mut self, input: &[u8], remaining: usize) -> Result<Option<State>, Fault> {
-        let Some(length) = self.read_header(input, b'$', Fault::ExpectedBulkString)? else { return Ok(None) };
+    fn read_bulk_length(&mut self, input: &[u8], remaining: usize) -> Result<Option<State>, CommandError> {
+        let Some(length) = self.read_header(input, b'$', CommandError::ExpectedBulkString)? else {
+            return Ok(None);
+        };
         if length > self.limits.argument_bytes || self.announced_bytes + length > self.limits.bytes {
-            return Err(Fault::TooLarge);
+            return Err(CommandError::TooLarge);
         }
         self.announced_bytes += length;
         Ok(Some(State::BulkData { remaining, length }))
@@ -137,11 +141,11 @@
 
     fn read_bulk_data(
         &mut self, input: &[u8], remaining: usize, length: usize,
-    ) -> Result<Option<State>, Fault> {
+    ) -> Result<Option<State>, CommandError> {
         let end = self.position + length;
         match input.get(end..end + LINE_END_BYTES) {
             Some(b"\r\n") => {}
-            Some(_) => return Err(Fault::MissingLineEnd),
+            Some(_) => return Err(CommandError::MissingLineEnd),
             None => return Ok(None),
         }
         self.arguments.push(self.position..end);
@@ -152,8 +156,8 @@
 
     /// The number on the header line at the current position, behind its type byte.
     fn read_header(
-        &mut self, input: &[u8], type_byte: u8, wrong_type: Fault,
-    ) -> Result<Option<usize>, Fault> {
+        &mut self, input: &[u8], type_byte: u8, wrong_type: CommandError,
+    ) -> Result<Option<usize>, CommandError> {
         let rest = &input[self.position.min(input.len())..];
         match rest.first() {
             None => return Ok(None),
@@ -175,7 +179,7 @@
     }
 }
 
-impl From<LineError> for Fault {
+impl From<LineError> for CommandError {
     fn from(error: LineError) -> Self {
         match error {
             LineError::TooLong => Self::InvalidLength,
@@ -184,7 +188,7 @@
     }
 }
 
-impl From<LengthError> for Fault {
+impl From<LengthError> for CommandError {
     fn from(error: LengthError) -> Self {
         match error {
             LengthError::NotDecimal => Self::InvalidLength,
--- a/crates/resp/src/commands/tests.rs
+++ b/crates/resp/src/commands/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn reader() -> Commands {
-    Commands::new(CommandLimits { arguments: 5, argument_bytes: 64 << 10, bytes: 70 << 10 })
+fn reader() -> CommandReader {
+    CommandReader::new(CommandLimits { arguments: 5, argument_bytes: 64 << 10, bytes: 70 << 10 })
 }
 
-fn read_arguments(input: &[u8]) -> Result<Option<Vec<Vec<u8>>>, Fault> {
+fn read_arguments(input: &[u8]) -> Result<Option<Vec<Vec<u8>>>, CommandError> {
     let found = reader().read(input)?;
     Ok(found.map(|(arguments, _)| arguments.into_iter().map(|range| input[range].to_vec()).collect()))
 }
@@ -27,22 +27,22 @@
 
 #[test]
 fn malformed_or_oversized_command_is_rejected() {
-    let faults: [(&[u8], Fault); 15] = [
-        (b"PING\r\n", Fault::ExpectedArray),
-        (b"\x00", Fault::ExpectedArray),
-        (b"*0\r\n", Fault::InvalidLength),
-        (b"*-1\r\n", Fault::InvalidLength),
-        (b"*1x\r\n", Fault::InvalidLength),
-        (b"*\r\n", Fault::InvalidLength),
-        (b"*1\n", Fault::MissingLineEnd),
-        (b"*6\r\n", Fault::TooLarge),
-        (b"*99999999999999999999\r\n", Fault::TooLarge),
-        (b"*1111111111111111111111111111", Fault::InvalidLength),
-        (b"*1\r\n:4\r\n", Fault::ExpectedBulkString),
-        (b"*1\r\n$-1\r\n", Fault::InvalidLength),
-        (b"*1\r\n$+4\r\n", Fault::InvalidLength),
-        (b"*1\r\n$60000000\r\n", Fault::TooLarge),
-        (b"*1\r\n$4\r\nPINGS\r\n", Fault::MissingLineEnd),
+    let faults: [(&[u8], CommandError); 15] = [
+        (b"PING\r\n", CommandError::ExpectedArray),
+        (b"\x00", CommandError::ExpectedArray),
+        (b"*0\r\n", CommandError::InvalidLength),
+        (b"*-1\r\n", CommandError::InvalidLength),
+        (b"*1x\r\n", CommandError::InvalidLength),
+        (b"*\r\n", CommandError::InvalidLength),
+        (b"*1\n", CommandError::MissingLineEnd),
+        (b"*6\r\n", CommandError::TooLarge),
+        (b"*99999999999999999999\r\n", CommandError::TooLarge),
+        (b"*1111111111111111111111111111", CommandError::InvalidLength),
+        (b"*1\r\n:4\r\n", CommandError::ExpectedBulkString),
+        (b"*1\r\n$-1\r\n", CommandError::InvalidLength),
+        (b"*1\r\n$+4\r\n", CommandError::InvalidLength),
+        (b"*1\r\n$60000000\r\n", CommandError::TooLarge),
+        (b"*1\r\n$4\r\nPINGS\r\n", CommandError::MissingLineEnd),
     ];
     for (bytes, fault) in faults {
         assert_eq!(read_arguments(bytes), Err(fault), "{:?}", String::from_utf8_lossy(bytes));
@@ -52,7 +52,7 @@
     let two_arguments: Vec<u8> = longest.chain(*b"\r\n$9000\r\n").collect();
     assert_eq!(
         read_arguments(&two_arguments),
-        Err(Fault::TooLarge),
+        Err(CommandError::TooLarge),
         "the sum of all arguments is limited too"
     );
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -2,16 +2,16 @@
 //!
 //! The types are those of the protocol's specification (<https://redis.io/docs/latest/develop/reference/protocol-spec/>):
 //! simple strings, simple and bulk errors, integers, bulk and verbatim strings, arrays, maps, sets, pushes, doubles,
-//! booleans and nulls. Readers are incremental, bounded and without I/O: [`decode`] reads any value, [`Commands`] what
-//! clients send and [`Answers`] what backends answer.
+//! booleans and nulls. Readers are incremental, bounded and without I/O: [`decode`] reads any value, [`CommandReader`] what
+//! clients send and [`ReplyReader`] what backends reply.
 
 #![forbid(unsafe_code)]
 
-mod answers;
 mod commands;
 mod line;
+mod replies;
 mod value;
 
-pub use answers::{Answer, Answers, MalformedAnswer};
-pub use commands::{CommandLimits, Commands, Fault};
+pub use commands::{CommandError, CommandLimits, CommandReader};
+pub use replies::{MalformedReply, Reply, ReplyReader};
 pub use value::{Error, Value, command, decode, encode};
--- a/crates/resp/src/line.rs
+++ b/crates/resp/src/line.rs
@@ -1,4 +1,4 @@
-//! Lines that end in CRLF, and the decimal lengths on them: the framing that commands and answers share.
+//! Lines that end in CRLF, and the decimal lengths on them: the framing that commands and replies share.
 
 /// Bytes of the CRLF that ends a header line and the data of a bulk string.
 pub(crate) const LINE_END_BYTES: usize = 2;
--- a/crates/resp/src/answers.rs
+++ b/crates/resp/src/replies.rs
@@ -1,4 +1,4 @@
-//! Reads the answers of the platform's backends.
+//! Reads the replies of the platform's backends.
 //!
 //! A served request is answered by an array of three: the value, the units that it used and the load report. The value
 //! counts only when both elements behind it are complete and well framed: a wrong bulk length shows only in what
@@ -8,15 +8,15 @@
 use crate::value::{Value, decode};
 use std::ops::Range;
 
-/// One complete answer; ranges are positions in the input.
+/// One complete reply; ranges are positions in the input.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Reply {
     /// The request was served.
     Served {
         /// The value.
         value: Range<usize>,
         /// The units that the request used, if present and text.
-        used: Option<String>,
+        units: Option<String>,
         /// The load report, if present and text.
         report: Option<String>,
     },
@@ -30,44 +30,44 @@
         /// The load report behind `-BUSY`, if present and text.
         report: Option<String>,
     },
-    /// The answer to `PING`.
+    /// The reply to `PING`.
     Pong,
-    /// A bulk string outside an array: the answer to a health check that asks for the load.
+    /// A bulk string outside an array: the reply to a health check that asks for the load.
     Bulk(Range<usize>),
 }
 
-/// Bytes that are no answer, or that pass a limit.
+/// Bytes that are no reply, or that pass a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an answer that cannot be read")]
-pub struct MalformedAnswer;
+pub struct MalformedReply;
 
 /// The longest value in bytes.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The longest answer of a single line, in bytes, with its CRLF.
+/// The longest reply of a single line, in bytes, with its CRLF.
 const MAX_LINE_BYTES: usize = 4 << 10;
 /// The longest element behind a value, in bytes, with its framing.
 const MAX_TRAILING_ELEMENT_BYTES: usize = 4 << 10;
 /// The longest length on a header line, in bytes, with its CRLF and without its type byte.
 const MAX_LENGTH_BYTES: usize = 16;
-/// Elements of the array that answers a served request.
+/// Elements of the array that replies a served request.
 const SERVED_ELEMENTS: usize = 3;
 /// Bytes of the type byte that begins a header line.
 const TYPE_BYTES: usize = 1;
 
-/// Reads the answers of one connection.
+/// Reads the replies of one connection.
 #[derive(Debug, Default)]
-pub struct Answers {
+pub struct ReplyReader {
     /// Where the value of a served request is, once its length is known: no byte before its end is read again.
     value: Option<Range<usize>>,
 }
 
-impl Answers {
-    /// Reads on in the unconsumed input: the next answer and how many bytes it consumed, or `None` until more input
+impl ReplyReader {
+    /// Reads on in the unconsumed input: the next reply and how many bytes it consumed, or `None` until more input
     /// arrives.
     ///
     /// # Errors
-    /// When the bytes are no answer or pass a limit; the reader must not be used again.
-    pub fn read(&mut self, input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+    /// When the bytes are no reply or pass a limit; the reader must not be used again.
+    pub fn read(&mut self, input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
         if let Some(value) = self.value.clone() {
             return self.read_served(input, value);
         }
@@ -80,14 +80,14 @@
                 self.value = Some(value.clone());
                 self.read_served(input, value)
             }
-            Some(_) => Err(MalformedAnswer),
+            Some(_) => Err(MalformedReply),
         }
     }
 
     /// Reads the end of the value and the two elements behind it.
     fn read_served(
         &mut self, input: &[u8], value: Range<usize>,
-    ) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+    ) -> Result<Option<(Reply, usize)>, MalformedReply> {
         if !has_line_end(input, value.end)? {
             return Ok(None);
         }
@@ -95,58 +95,58 @@
         let Some(used) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         let Some(report) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         self.value = None;
-        Ok(Some((Answer::Served { value, used, report }, position)))
+        Ok(Some((Reply::Served { value, units: used, report }, position)))
     }
 }
 
 /// Reads the headers of a served request's array and of its value: the range of the value, of which no byte need
 /// have arrived.
-fn read_value_range(input: &[u8]) -> Result<Option<Range<usize>>, MalformedAnswer> {
+fn read_value_range(input: &[u8]) -> Result<Option<Range<usize>>, MalformedReply> {
     let Some((count, value_header)) = read_length(input, 0)? else { return Ok(None) };
     if count != SERVED_ELEMENTS {
-        return Err(MalformedAnswer);
+        return Err(MalformedReply);
     }
     match input.get(value_header) {
         None => Ok(None),
         Some(b'$') => read_bulk_range(input, value_header),
-        Some(_) => Err(MalformedAnswer),
+        Some(_) => Err(MalformedReply),
     }
 }
 
 /// Reads the header of the bulk string at `position`: the range of its bytes.
-fn read_bulk_range(input: &[u8], position: usize) -> Result<Option<Range<usize>>, MalformedAnswer> {
+fn read_bulk_range(input: &[u8], position: usize) -> Result<Option<Range<usize>>, MalformedReply> {
     let Some((length, start)) = read_length(input, position)? else { return Ok(None) };
     Ok(Some(start..start + length))
 }
 
-fn read_bulk_answer(input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+fn read_bulk_answer(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
     let Some(range) = read_bulk_range(input, 0)? else { return Ok(None) };
     if !has_line_end(input, range.end)? {
         return Ok(None);
     }
     let consumed = range.end + LINE_END_BYTES;
-    Ok(Some((Answer::Bulk(range), consumed)))
+    Ok(Some((Reply::Bulk(range), consumed)))
 }
 
 /// The number on the header line at `position`, behind its type byte, and the position behind the line.
-fn read_length(input: &[u8], position: usize) -> Result<Option<(usize, usize)>, MalformedAnswer> {
+fn read_length(input: &[u8], position: usize) -> Result<Option<(usize, usize)>, MalformedReply> {
     let rest = &input[position + TYPE_BYTES..];
     let Some(digits) = first_line(rest, MAX_LENGTH_BYTES)? else { return Ok(None) };
     let length = parse_length(digits)?;
     if length > MAX_VALUE_BYTES {
-        return Err(MalformedAnswer);
+        return Err(MalformedReply);
     }
     Ok(Some((length, position + TYPE_BYTES + digits.len() + LINE_END_BYTES)))
 }
 
 /// Whether CRLF is at `position`; false until it has arrived.
-fn has_line_end(input: &[u8], position: usize) -> Result<bool, MalformedAnswer> {
+fn has_line_end(input: &[u8], position: usize) -> Result<bool, MalformedReply> {
     match input.get(position..position + LINE_END_BYTES) {
         Some(b"\r\n") => Ok(true),
-        Some(_) => Err(MalformedAnswer),
+        Some(_) => Err(MalformedReply),
         None => match input.get(position) {
             None | Some(b'\r') => Ok(false),
-            Some(_) => Err(MalformedAnswer),
+            Some(_) => Err(MalformedReply),
         },
     }
 }
@@ -155,11 +155,11 @@
 /// one if it is null, an aggregate or not text.
 fn read_trailing_element(
     input: &[u8], position: &mut usize,
-) -> Result<Option<Option<String>>, MalformedAnswer> {
+) -> Result<Option<Option<String>>, MalformedReply> {
     let rest = &input[*position..];
     let bounded = &rest[..rest.len().min(MAX_TRAILING_ELEMENT_BYTES)];
-    let Some((value, consumed)) = decode(bounded).map_err(|_| MalformedAnswer)? else {
-        return if rest.len() >= MAX_TRAILING_ELEMENT_BYTES { Err(MalformedAnswer) } else { Ok(None) };
+    let Some((value, consumed)) = decode(bounded).map_err(|_| MalformedReply)? else {
+        return if rest.len() >= MAX_TRAILING_ELEMENT_BYTES { Err(MalformedReply) } else { Ok(None) };
     };
     *position += consumed;
     Ok(Some(scalar_text(value)))
@@ -176,20 +176,20 @@
     }
 }
 
-/// Reads an answer of a single line: a simple string or an error.
-fn read_line_answer(input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
+/// Reads a reply of a single line: a simple string or an error.
+fn read_line_answer(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
     let Some(line) = first_line(input, MAX_LINE_BYTES)? else { return Ok(None) };
     let answer = if line == b"+PONG" {
-        Answer::Pong
+        Reply::Pong
     } else if let Some(rest) = strip_error_code(line, b"-BUSY") {
-        Answer::Busy { report: report_text(rest) }
+        Reply::Busy { report: report_text(rest) }
     } else if let Some(rest) = strip_error_code(line, b"-ERR failed") {
-        Answer::Failed { report: report_text(rest) }
+        Reply::Failed { report: report_text(rest) }
     } else if line.starts_with(b"-") {
         // Any other error may come after execution.
-        Answer::Failed { report: None }
+        Reply::Failed { report: None }
     } else {
-        return Err(MalformedAnswer);
+        return Err(MalformedReply);
     };
     Ok(Some((answer, line.len() + LINE_END_BYTES)))
 }
@@ -205,13 +205,13 @@
     std::str::from_utf8(report).ok().map(str::to_owned)
 }
 
-impl From<LineError> for MalformedAnswer {
+impl From<LineError> for MalformedReply {
     fn from(_: LineError) -> Self {
         Self
     }
 }
 
-impl From<LengthError> for MalformedAnswer {
+impl From<LengthError> for MalformedReply {
     fn from(_: LengthError) -> Self {
         Self
     }
--- a/crates/resp/src/answers/tests.rs
+++ b/crates/resp/src/replies/tests.rs
@@ -2,35 +2,35 @@
 
 use super::*;
 
-fn read_first(input: &[u8]) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
-    Answers::default().read(input)
+fn read_first(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
+    ReplyReader::default().read(input)
 }
 
 const SERVED: &[u8] = b"*3\r\n$5\r\nhello\r\n$1\r\n3\r\n$18\r\ninflight=7,queue=2\r\n";
 
-fn served_answer() -> Answer {
-    Answer::Served { value: 8..13, used: Some("3".into()), report: Some("inflight=7,queue=2".into()) }
+fn served_answer() -> Reply {
+    Reply::Served { value: 8..13, units: Some("3".into()), report: Some("inflight=7,queue=2".into()) }
 }
 
 #[test]
 fn each_form_of_an_answer_is_read() {
     assert_eq!(read_first(SERVED), Ok(Some((served_answer(), SERVED.len()))));
     let bare = b"*3\r\n$0\r\n\r\n$-1\r\n*-1\r\n";
-    let served = Answer::Served { value: 8..8, used: None, report: None };
+    let served = Reply::Served { value: 8..8, units: None, report: None };
     assert_eq!(read_first(bare), Ok(Some((served, bare.len()))));
-    assert_eq!(read_first(b"-ERR failed\r\n"), Ok(Some((Answer::Failed { report: None }, 13))));
+    assert_eq!(read_first(b"-ERR failed\r\n"), Ok(Some((Reply::Failed { report: None }, 13))));
     let report = Some("queue=2".into());
-    assert_eq!(read_first(b"-ERR failed queue=2\r\n"), Ok(Some((Answer::Failed { report }, 21))));
-    assert_eq!(read_first(b"-BUSY\r\n"), Ok(Some((Answer::Busy { report: None }, 7))));
-    assert_eq!(read_first(b"-BUSYBODY\r\n"), Ok(Some((Answer::Failed { report: None }, 11))));
-    assert_eq!(read_first(b"+PONG\r\n"), Ok(Some((Answer::Pong, 7))));
-    assert_eq!(read_first(b"$3\r\na=1\r\n"), Ok(Some((Answer::Bulk(4..7), 9))));
+    assert_eq!(read_first(b"-ERR failed queue=2\r\n"), Ok(Some((Reply::Failed { report }, 21))));
+    assert_eq!(read_first(b"-BUSY\r\n"), Ok(Some((Reply::Busy { report: None }, 7))));
+    assert_eq!(read_first(b"-BUSYBODY\r\n"), Ok(Some((Reply::Failed { report: None }, 11))));
+    assert_eq!(read_first(b"+PONG\r\n"), Ok(Some((Reply::Pong, 7))));
+    assert_eq!(read_first(b"$3\r\na=1\r\n"), Ok(Some((Reply::Bulk(4..7), 9))));
 }
 
 #[test]
 fn units_that_are_not_text_are_ignored() {
     let bytes = b"*3\r\n$1\r\nv\r\n$4\r\n\xff\xfe\x00\x01\r\n$3\r\n???\r\n";
-    let served = Answer::Served { value: 8..9, used: None, report: Some("???".into()) };
+    let served = Reply::Served { value: 8..9, units: None, report: Some("???".into()) };
     assert_eq!(read_first(bytes), Ok(Some((served, bytes.len()))));
 }
 
@@ -52,14 +52,14 @@
         b"-ERR failed\n",
     ];
     for bytes in malformed {
-        assert_eq!(read_first(bytes), Err(MalformedAnswer), "{:?}", String::from_utf8_lossy(bytes));
+        assert_eq!(read_first(bytes), Err(MalformedReply), "{:?}", String::from_utf8_lossy(bytes));
     }
     let endless = [b"-ERR ".to_vec(), vec![b'x'; MAX_LINE_BYTES]].concat();
-    assert_eq!(read_first(&endless), Err(MalformedAnswer), "a line that never ends");
+    assert_eq!(read_first(&endless), Err(MalformedReply), "a line that never ends");
     let endless = [&b"*3\r\n$1\r\nv\r\n+"[..], &vec![b'x'; MAX_TRAILING_ELEMENT_BYTES]].concat();
-    assert_eq!(read_first(&endless), Err(MalformedAnswer), "an element behind the value that never ends");
+    assert_eq!(read_first(&endless), Err(MalformedReply), "an element behind the value that never ends");
     // A bulk length that is too long takes in the elements behind the value.
-    assert_eq!(read_first(b"*3\r\n$12\r\nhello\r\n$-1\r\n$-1\r\n"), Err(MalformedAnswer));
+    assert_eq!(read_first(b"*3\r\n$12\r\nhello\r\n$-1\r\n$-1\r\n"), Err(MalformedReply));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     for all in [SERVED, b"-ERR failed queue=2\r\n", b"$3\r\na=1\r\n"] {
         let unsplit = read_first(all).unwrap().unwrap();
         for cut in 0..all.len() {
-            let mut answers = Answers::default();
+            let mut answers = ReplyReader::default();
             assert_eq!(answers.read(&all[..cut]), Ok(None), "cut at {cut}");
             assert_eq!(answers.read(all), Ok(Some(unsplit.clone())), "cut at {cut}");
         }
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -47,7 +47,7 @@
     /// An unknown type byte, an invalid number or a missing line end.
     #[error("malformed RESP")]
     Malformed,
-    /// A value passes [`MAX_STRING_BYTES`], [`MAX_ELEMENTS`] or [`MAX_DEPTH`].
+    /// A value passes `MAX_STRING_BYTES`, `MAX_ELEMENTS` or `MAX_DEPTH`.
     #[error("a RESP value is too large")]
     TooLarge,
 }
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -1,15 +1,17 @@
 //! The readers of commands and answers under any input and any split: no panic, the same result however the bytes are
 //! split, and no more input buffered than the limits allow.
 
-use doorcourse_resp::{Answer, Answers, CommandLimits, Commands, Fault, MalformedAnswer, command};
+use doorcourse_resp::{
+    CommandError, CommandLimits, CommandReader, MalformedReply, Reply, ReplyReader, command,
+};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 const LIMITS: CommandLimits = CommandLimits { arguments: 6, argument_bytes: 512, bytes: 1024 };
 
 /// All commands in the bytes, read piece by piece as from a connection.
-fn read_commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<Fault>) {
-    let mut reader = Commands::new(LIMITS);
+fn read_commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<CommandError>) {
+    let mut reader = CommandReader::new(LIMITS);
     let mut unconsumed = Vec::new();
     let mut commands = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
@@ -34,8 +36,8 @@
     (commands, None)
 }
 
-fn read_answer(bytes: &[u8], cut: usize) -> Result<Option<(Answer, usize)>, MalformedAnswer> {
-    let mut reader = Answers::default();
+fn read_answer(bytes: &[u8], cut: usize) -> Result<Option<(Reply, usize)>, MalformedReply> {
+    let mut reader = ReplyReader::default();
     match reader.read(&bytes[..cut.min(bytes.len())]) {
         Ok(None) => reader.read(bytes),
         other => other,
@@ -84,7 +86,7 @@
     #[test]
     fn arbitrary_bytes_read_the_same_for_any_split(bytes in resp_like(), cuts in vec(any::<usize>(), 0..20)) {
         prop_assert_eq!(read_commands(&bytes, &[]), read_commands(&bytes, &cuts));
-        let unsplit = Answers::default().read(&bytes);
+        let unsplit = ReplyReader::default().read(&bytes);
         for cut in 0..=bytes.len() {
             prop_assert_eq!(&read_answer(&bytes, cut), &unsplit);
         }
