--- a/src/action.rs
+++ b/src/action.rs
@@ -26,7 +26,8 @@
         /// The attempt is withdrawn unless it is completely written by then.
         must_be_written_within: Option<Millis>,
     },
-    /// Final response: rejected, harmless to retry.
+    /// Final response: rejected. The client may safely retry; this does not say that the request was not executed:
+    /// one that is idempotent, or whose key all backends share, is rejected after a possible execution too.
     Reject {
         /// The request.
         id: RequestId,
@@ -35,12 +36,12 @@
         /// Why.
         reason: RejectReason,
     },
-    /// Final response: failed; the request may have been executed.
+    /// Final response: failed. The request may have been executed, or there is no time left to reject it.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt. Not used yet: the gateway never emits it.
     CancelAttempt {
         /// The request.
         id: RequestId,
@@ -54,7 +55,7 @@
         /// What the timer brings back.
         token: u64,
     },
-    /// Send a health check to a backend.
+    /// Send a health check to a backend. Not used yet: the gateway never emits it.
     CheckHealth {
         /// The backend.
         backend: Name,
--- a/src/event.rs
+++ b/src/event.rs
@@ -76,7 +76,8 @@
     pub placement: Placement,
 }
 
-/// A backend's report of its own load; each value only where the deployment has it.
+/// A backend's report of its own load; each value only where the deployment has it. Not used yet: the decisions read
+/// no load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that it holds.
@@ -156,7 +157,7 @@
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, from 0.
+    /// The host's number of the attempt. The decisions do not use it, so hosts may count from 0 or from 1.
     pub attempt: u32,
     /// The backend it was sent to.
     pub backend: Name,
@@ -166,9 +167,9 @@
     pub latency: Millis,
     /// The units it used, where the response reports them.
     pub true_units: Option<f64>,
-    /// Whether the client has had its final response.
+    /// Whether the client has had its final response, or left: the gateway sends no other.
     pub final_response_sent: bool,
-    /// A load report, where one came with the response.
+    /// A load report, where one came with the response. Not used yet.
     pub load_report: Option<LoadReport>,
 }
 
@@ -178,7 +179,10 @@
     /// The settings changed. The gateway's index stays; requests in flight go on under the class and plan they came
     /// with.
     SettingsChanged(Box<Settings>),
-    /// What an earlier process of this gateway had learnt of the backends; reported once, after the first list.
+    /// What is known of backends from elsewhere. Reported after the first list: once with what an earlier process of
+    /// this gateway had learnt, and any number of times with what the host's outlier gossip says of a backend. Each
+    /// status replaces the concurrency limit, the failures in a row and the ejection of the backend that it names;
+    /// other backends stay as they are.
     StateRestored(Vec<BackendStatus>),
     /// The process shuts down: it leases no more than it needs and returns what it has.
     ShutdownStarted,
@@ -190,14 +194,14 @@
     BackendListFailed,
     /// A client sent a request.
     RequestReceived(IncomingRequest),
-    /// A stream began on an attempt; it belongs to the client from now on.
+    /// A stream began on an attempt; it belongs to the client from now on. Not used yet: the gateway ignores it.
     StreamStarted {
         /// The request.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A health check ended.
+    /// A health check ended. Not used yet: the gateway asks for none and ignores this.
     HealthCheckEnded {
         /// The backend.
         backend: Name,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -39,7 +39,7 @@
     pub deduplication_window: Millis,
     /// The value of a response, relative to those of other classes; 0 or more.
     pub priority_weight: f64,
-    /// The share of the value that a response after the latency objective still has, 0 to 1.
+    /// The share of the value that a response after the latency objective still has, 0 to 1. Not used yet.
     pub late_response_value: f64,
 }
 
@@ -107,13 +107,15 @@
 /// All that a gateway is configured with. The default is all zeros and no classes: a start to fill in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// How many gateways there are in all; a customer may use fewer, see `IncomingRequest::gateway_count`.
     pub gateway_count: u32,
     /// This gateway's index among them, from 0.
     pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
-    /// The shortest time between two calls of `handle`, in ms.
+    /// The shortest time between two calls of `handle` at different times, in ms: a simulator's time between batches
+    /// (`period-ms` of the deployment document, which the RESP gateway reads as well), 1 ms in the HTTP gateway, the
+    /// resolution of its timers.
     pub tick: Millis,
     /// The request classes; at least one.
     pub classes: Vec<RequestClass>,
@@ -123,17 +125,18 @@
     pub has_counter: bool,
     /// A counter call without a response for this long, in ms, has timed out.
     pub counter_timeout: Millis,
-    /// Whether responses report the units that their requests used.
+    /// Whether responses report the units that their requests used. Not used yet: units are settled by each response
+    /// that reports them.
     pub responses_report_units: bool,
-    /// The most units of one request.
+    /// The most units of one request. Not used yet, only checked.
     pub max_request_units: f64,
-    /// Where load reports come from.
+    /// Where load reports come from. Not used yet.
     pub load_reports: LoadReportSource,
-    /// Whether backends may be sent health checks.
+    /// Whether backends may be sent health checks. Not used yet.
     pub health_checks_allowed: bool,
     /// Whether gateways may send each other messages.
     pub gossip_allowed: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be cancelled. Not used yet.
     pub cancellation_allowed: bool,
     /// Whether the endpoint list has to be asked for.
     pub watch_on_request: bool,
@@ -145,11 +148,13 @@
     pub slow_start_share: f64,
     /// A backend has warmed up after this time at most, in ms.
     pub slow_start_duration: Millis,
-    /// A backend that warms up fails when it is sent more than this multiple of its present capacity.
+    /// A backend that warms up fails when it is sent more than this multiple of its present capacity. Not used yet, only
+    /// checked.
     pub overload_multiple: f64,
-    /// The time over which that is judged, in ms.
+    /// The time over which that is judged, in ms. Not used yet, only checked.
     pub overload_window: Millis,
-    /// What it costs that a request crosses from one zone to another, in points.
+    /// What crossing zones costs, in points: so much is taken off the score, the share of the value that was served
+    /// (0 to 1), if each request's first attempt goes to a backend in another zone; less in proportion.
     pub cross_zone_price: f64,
     /// How backends with a stated placement are chosen.
     pub routing: Routing,
