--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -81,6 +81,11 @@
         self.bucket.available_units += units;
     }
 
+    /// Adds the units of a request that used none to the lease, whatever they were spent from.
+    pub(crate) fn refund(&mut self, units: f64) {
+        self.lease.units += units;
+    }
+
     /// Removes a request from those that wait for the counter.
     pub(crate) fn stop_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| *waiting != id);
--- a/src/request.rs
+++ b/src/request.rs
@@ -6,9 +6,10 @@
 use crate::{Action, Gateway, IncomingRequest, Millis, Name, RejectReason, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// `Retry-After` of a request rejected for lack of capacity is drawn evenly from this share of the longest one ...
+/// The least `Retry-After` of a request rejected for lack of capacity, as a share of the longest one.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.3;
-/// ... and this much more of it, so that clients do not return all at once.
+/// The width of the range above [`MIN_RETRY_AFTER_SHARE`] that this `Retry-After` is drawn from evenly, as a share of
+/// the longest one: without it clients would return all at once.
 const RETRY_AFTER_SPREAD: f64 = 0.4;
 /// The units of a request whose estimate is not a number.
 const DEFAULT_UNITS: f64 = 1.0;
@@ -16,7 +17,7 @@
 /// Where a request is.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum RequestStage {
-    /// It waits for the answer of the counter.
+    /// It waits for the response of the counter.
     #[default]
     AwaitingCounter,
     /// Its quota is paid; it waits for a backend.
@@ -64,7 +65,7 @@
         let class = self.settings.classes.iter().position(|class| class.name == incoming.class);
         let plan = self.settings.plans.iter().position(|plan| plan.name == incoming.plan);
         let (Some(class_index), Some(plan_index)) = (class, plan) else {
-            return out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
+            return reject_unknown_class_or_plan(id, out);
         };
         let units = if incoming.units.is_finite() { incoming.units.max(0.0) } else { DEFAULT_UNITS };
         let name = incoming.customer.clone();
@@ -105,8 +106,9 @@
         customer.demand.record(units, now, refill_period(plan));
     }
 
-    /// The final response of a request that gets no further attempt: rejected where a retry of the client is harmless,
-    /// else failed.
+    /// The final response of a request that gets no further attempt: rejected where a retry of the client is harmless
+    /// and there is time left to tell it so, else failed. "Rejected" does not say that no backend executed the request,
+    /// see [`is_rejection_harmless`].
     pub(crate) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class_index];
@@ -130,19 +132,31 @@
         out.push(Action::Reject { id, retry_after, reason });
     }
 
-    /// Removes a request. Units of one that was never sent return to its customer's lease.
+    /// Removes a request. Units of one that was never sent are refunded to its customer's lease.
+    ///
+    /// So are units that were not spent from the lease but from the fallback budget or by a sampled quota, or that a
+    /// plan without a rate never counted: no request remembers where its units came from. The end of the window bounds
+    /// the error: a lease ends with it.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         match request.stage {
             RequestStage::AwaitingCounter => customer.stop_waiting(id),
             RequestStage::InFlight => customer.in_flight = customer.in_flight.saturating_sub(1),
-            RequestStage::Queued if request.attempts == 0 => customer.lease.units += request.units,
+            RequestStage::Queued if request.attempts == 0 => customer.refund(request.units),
             RequestStage::Queued => {}
         }
     }
 }
 
+/// Rejects a request whose class or plan the settings do not name, as after a change of settings that removed it.
+///
+/// The reason is `Overloaded` because hosts have no third one and the customer is not over its quota; the `Retry-After`
+/// is 0 because no time is known after which a retry would be admitted. Hosts send both to clients: they stay.
+fn reject_unknown_class_or_plan(id: RequestId, out: &mut Vec<Action>) {
+    out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
+}
+
 /// The sum of a value over requests, those that are over left out.
 pub(crate) fn sum_over(
     ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -6,7 +6,9 @@
     RequestId,
 };
 
-/// The final response must leave this many ticks before the client's timeout.
+/// The final response must leave this many ticks before the client's timeout: the end of an attempt is noticed up to
+/// one tick late, and the response leaves up to one tick after that. In ticks, as the delay is the host's: see
+/// [`crate::Settings::tick`].
 const RESPONSE_MARGIN_TICKS: f64 = 2.0;
 /// An idempotent request that may have been executed gets at most this many attempts: what two backends could not
 /// serve is likely to be costly.
@@ -35,6 +37,9 @@
 
 /// Whether the client may safely retry a request that is rejected. A retry may reach any backend, so an idempotency
 /// key helps only where all backends share it.
+///
+/// Harmless to retry is not the same as not executed: an idempotent request is rejected even if an attempt may have
+/// been executed, since executing it once more changes nothing.
 pub(crate) fn is_rejection_harmless(possibly_executed: bool, class: &RequestClass) -> bool {
     match class.idempotency {
         _ if !possibly_executed => true,
@@ -47,8 +52,8 @@
 /// Until when an attempt may begin: while its response can reach the client, and one with an idempotency key while
 /// backends still drop it as a repetition, however long it waited in the queue.
 ///
-/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the shortest time
-/// between two events, in ms.
+/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the host's, in ms, see
+/// [`crate::Settings::tick`].
 fn attempt_deadline(client_deadline: Millis, deduplicated_until: Option<Millis>, tick: Millis) -> Millis {
     client_deadline.min(deduplicated_until.unwrap_or(f64::INFINITY)) - RESPONSE_MARGIN_TICKS * tick
 }
@@ -73,8 +78,11 @@
         customer.in_flight = customer.in_flight.saturating_sub(1);
         request.stage = RequestStage::Queued;
         if end.final_response_sent || is_served {
-            // The client left before anything was written: an attempt that no backend received uses no units.
-            request.attempts -= u32::from(end.outcome == AttemptOutcome::NeverSent);
+            let is_unsent = end.outcome == AttemptOutcome::NeverSent && request.attempts == 1;
+            if is_unsent {
+                // The client left before anything was written: a request that no backend received uses no units.
+                customer.refund(request.units);
+            }
             return self.remove_request(id);
         }
         if !was_never_executed(end.outcome) && request.first_execution.is_none() {
