--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -26,7 +26,7 @@
     /// customer or too many calls are in flight.
     pub(crate) fn call_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
         let call_limit = max_calls_in_flight(self.call_rate.get());
-        let is_at_limit = self.counter_calls.len() as f64 >= call_limit && !self.draining;
+        let is_at_limit = self.counter_calls.len() as f64 >= call_limit && !self.returns_leases;
         let Some(customer) = self.customers.get_mut(name) else { return };
         if customer.pending_call.is_some() || !self.settings.has_counter || is_at_limit {
             return;
@@ -37,7 +37,7 @@
             sum_over(&customer.waiting, &self.requests, |request| request.weighted_units)
         } else {
             let needed_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
-            customer.units_to_lease(needed_units, plan, self.draining)
+            customer.units_to_lease(needed_units, plan, self.returns_leases)
         };
         let report_units = std::mem::take(&mut customer.unreported_units);
         let call = LeaseCall { window: customer.lease.window, lease_units, report_units };
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -31,8 +31,9 @@
     /// The latest time of an event; it never goes back.
     pub(crate) now: Millis,
     pub(crate) maintenance_started: bool,
-    /// The process shuts down.
-    pub(crate) draining: bool,
+    /// Whether the process shuts down: leases are returned at once, and none is larger than what requests wait for.
+    /// Requests are handled as before; whether clients are still served is the host's concern.
+    pub(crate) returns_leases: bool,
 
     pub(crate) backends: BTreeMap<Name, Backend>,
     pub(crate) endpoints: EndpointTable,
@@ -82,7 +83,7 @@
         match event {
             Event::SettingsChanged(settings) => self.change_settings(*settings, out),
             Event::StateRestored(statuses) => self.restore_backends(statuses),
-            Event::ShutdownStarted => self.start_draining(out),
+            Event::ShutdownStarted => self.start_returning_leases(out),
             Event::BackendList(entries) => self.replace_endpoints(entries, out),
             Event::BackendChanges(entries) => self.change_endpoints(entries, out),
             Event::BackendListFailed => out.push(Action::WatchBackends),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -87,7 +87,6 @@
 mod admission;
 mod balancer;
 mod counter;
-mod drain;
 mod event;
 mod gateway;
 mod gossip;
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -16,8 +16,8 @@
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1;
 
 /// The least unreported units, used or to be returned, that are worth a counter call of their own.
-fn min_reported_units(burst: f64, is_draining: bool) -> f64 {
-    if is_draining { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(MIN_CALL_UNITS) }
+fn min_reported_units(burst: f64, returns_leases: bool) -> f64 {
+    if returns_leases { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(MIN_CALL_UNITS) }
 }
 
 impl Backend {
@@ -29,17 +29,18 @@
 }
 
 impl Customer {
-    /// Whether its lease is to be returned: unused for a while and needed elsewhere, or the gateway drains.
-    fn should_return_lease(&self, now: Millis, plan: &Plan, is_draining: bool) -> bool {
+    /// Whether its lease is to be returned: unused for a while and needed elsewhere, or the gateway returns
+    /// all leases.
+    fn should_return_lease(&self, now: Millis, plan: &Plan, returns_leases: bool) -> bool {
         let idle = now - self.demand.updated_at;
         let is_scarce = self.bucket.available_units < plan.burst * SCARCE_SHARE;
         let is_idle = idle > refill_period(plan) * LEASE_SHARE;
-        is_scarce && is_idle && self.lease.units >= MIN_CALL_UNITS || is_draining
+        is_scarce && is_idle && self.lease.units >= MIN_CALL_UNITS || returns_leases
     }
 
     /// Whether it has requests waiting or use to report, and no call is in flight.
-    fn needs_counter_call(&self, plan: &Plan, is_draining: bool) -> bool {
-        let min_units = min_reported_units(plan.burst, is_draining);
+    fn needs_counter_call(&self, plan: &Plan, returns_leases: bool) -> bool {
+        let min_units = min_reported_units(plan.burst, returns_leases);
         let has_report = !is_sampled(plan, self.gateway_count) && self.unreported_units.abs() >= min_units;
         self.pending_call.is_none() && (has_report || !self.waiting.is_empty())
     }
@@ -95,14 +96,14 @@
         let mut to_call = Vec::new();
         let now = self.now;
         let plans = &self.settings.plans;
-        let is_draining = self.draining;
+        let returns_leases = self.returns_leases;
         self.customers.retain(|name, customer| {
             let plan = &plans[customer.plan_index];
             customer.advance(now, plan);
-            if customer.should_return_lease(now, plan, is_draining) {
+            if customer.should_return_lease(now, plan, returns_leases) {
                 customer.return_lease();
             }
-            if customer.needs_counter_call(plan, is_draining) {
+            if customer.needs_counter_call(plan, returns_leases) {
                 to_call.push(name.clone());
             }
             customer.is_in_use(now, plan)
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -119,10 +119,10 @@
     }
 
     /// The units to lease beyond those leased already. Waiting requests need at most what is available, or one unit of
-    /// an empty bucket; a gateway that drains leases no more than they need.
-    pub(crate) fn units_to_lease(&self, waiting_units: f64, plan: &Plan, is_draining: bool) -> f64 {
+    /// an empty bucket; a gateway that returns its leases takes no more than they need.
+    pub(crate) fn units_to_lease(&self, waiting_units: f64, plan: &Plan, returns_leases: bool) -> f64 {
         let needed_units = waiting_units.min(self.bucket.available_units.max(MIN_CALL_UNITS));
-        let lease_units = if is_draining { needed_units } else { self.lease_units(needed_units, plan) };
+        let lease_units = if returns_leases { needed_units } else { self.lease_units(needed_units, plan) };
         (lease_units - self.lease.units).max(0.0)
     }
 
--- a/src/drain.rs
+++ b/src/quota/lease_return.rs
@@ -1,12 +1,13 @@
-//! Shutdown of the process: quota leases are returned, so that the other gateways can use them.
+//! Returns quota leases when the process shuts down, so that the other gateways can use them.
 
 use crate::quota::UNITS_EPSILON;
 use crate::{Action, Gateway, Name};
 
 impl Gateway {
-    /// Returns all leases at once. Requests that still arrive lease no more than they need.
-    pub(crate) fn start_draining(&mut self, out: &mut Vec<Action>) {
-        self.draining = true;
+    /// Returns all leases at once, and from now on those of each maintenance tick. Requests that still arrive lease no
+    /// more than they need.
+    pub(crate) fn start_returning_leases(&mut self, out: &mut Vec<Action>) {
+        self.returns_leases = true;
         let names: Vec<Name> = self.customers.keys().cloned().collect();
         for name in names {
             let Some(customer) = self.customers.get_mut(&name) else { continue };
