--- a/src/admission/in_flight_limit.rs
+++ b/src/admission/in_flight_limit.rs
@@ -5,10 +5,10 @@
 /// This gateway's even part of a limit on requests in flight. The first gateways of the customer's set take what does
 /// not divide; each has at least one, else a limit below the number of gateways would stop some of them.
 ///
-/// `gateway_rank` counts from 0, `gateway_count` is at least 1.
-fn in_flight_limit(max_in_flight: u32, gateway_rank: u32, gateway_count: u32) -> u32 {
-    let remainder = max_in_flight % gateway_count;
-    (max_in_flight / gateway_count + u32::from(gateway_rank < remainder)).max(1)
+/// `gateway_rank` counts from 0, `customer_gateways` is at least 1.
+fn in_flight_limit(max_in_flight: u32, gateway_rank: u32, customer_gateways: u32) -> u32 {
+    let remainder = max_in_flight % customer_gateways;
+    (max_in_flight / customer_gateways + u32::from(gateway_rank < remainder)).max(1)
 }
 
 impl Gateway {
@@ -20,7 +20,7 @@
         if max_in_flight == 0 {
             return true;
         }
-        let gateway_count = customer.gateway_count as u32;
-        customer.in_flight < in_flight_limit(max_in_flight, customer.gateway_rank, gateway_count)
+        let customer_gateways = customer.customer_gateways as u32;
+        customer.in_flight < in_flight_limit(max_in_flight, customer.gateway_rank, customer_gateways)
     }
 }
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -33,7 +33,7 @@
         }
         let plan = &self.settings.plans[customer.plan_index];
         customer.advance(self.now, plan);
-        let lease_units = if is_sampled(plan, customer.gateway_count) {
+        let lease_units = if is_sampled(plan, customer.customer_gateways) {
             sum_over(&customer.waiting, &self.requests, |request| request.weighted_units)
         } else {
             let needed_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -68,7 +68,7 @@
         let outage = self.counter_availability.last_outage();
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        if is_sampled(plan, customer.gateway_count) {
+        if is_sampled(plan, customer.customer_gateways) {
             return self.sampled_total_received(name, call, total, out);
         }
         customer.advance(self.now, plan);
@@ -113,7 +113,7 @@
         customer.advance(self.now, plan);
         if !added {
             customer.unreported_units += call.report_units.min(0.0);
-        } else if !is_sampled(plan, customer.gateway_count) {
+        } else if !is_sampled(plan, customer.customer_gateways) {
             customer.unreported_units -= call.report_units.max(0.0);
             let is_present = call.window == customer.lease.window;
             let newer_total = total.filter(|total| is_present && *total >= customer.lease.last_total);
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -41,7 +41,8 @@
     /// Whether it has requests waiting or use to report, and no call is in flight.
     fn needs_counter_call(&self, plan: &Plan, returns_leases: bool) -> bool {
         let min_units = min_reported_units(plan.burst, returns_leases);
-        let has_report = !is_sampled(plan, self.gateway_count) && self.unreported_units.abs() >= min_units;
+        let has_report =
+            !is_sampled(plan, self.customer_gateways) && self.unreported_units.abs() >= min_units;
         self.pending_call.is_none() && (has_report || !self.waiting.is_empty())
     }
 
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -15,8 +15,9 @@
 pub(crate) struct Customer {
     /// The index of its plan in the settings.
     pub plan_index: usize,
-    /// How many gateways its requests come in through, at least 1 from the first request on.
-    pub gateway_count: f64,
+    /// How many gateways its requests come in through, a whole number, at least 1 from the first request on. At most
+    /// [`crate::Settings::gateway_count`], the number of all gateways.
+    pub customer_gateways: f64,
     /// This gateway's rank among them, from 0.
     pub gateway_rank: u32,
     /// 56 bits that stand for its name in counters and gossip.
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Follows a change in the number of gateways. More gateways split the fallback budget further; with fewer it
+    /// Follows a change in the number of the customer's gateways. More gateways split the fallback budget further; with fewer it
     /// grows by the rate alone, so that no change grants units anew.
-    pub(crate) fn set_gateways(&mut self, gateway_count: f64, gateway_rank: u32) {
-        let is_known = self.gateway_count > 0.0;
-        let share = if is_known { (self.gateway_count / gateway_count).min(1.0) } else { 1.0 };
+    pub(crate) fn set_gateways(&mut self, customer_gateways: f64, gateway_rank: u32) {
+        let is_known = self.customer_gateways > 0.0;
+        let share = if is_known { (self.customer_gateways / customer_gateways).min(1.0) } else { 1.0 };
         if let Some(budget) = &mut self.fallback_budget {
             budget.units *= share;
         }
-        self.gateway_count = gateway_count;
+        self.customer_gateways = customer_gateways;
         self.gateway_rank = gateway_rank;
     }
 
@@ -92,7 +93,8 @@
     }
 }
 
-/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round.
+/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round all
+/// `gateway_count` gateways.
 pub(crate) fn gateway_rank(gateway_index: u32, first_gateway: u32, gateway_count: u32) -> u32 {
     (gateway_index + gateway_count - first_gateway % gateway_count) % gateway_count
 }
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -14,15 +14,15 @@
 
 impl FallbackBudget {
     /// The even part of the bucket as last known.
-    fn new(available_units: f64, gateway_count: f64, now: Millis) -> Self {
-        Self { units: available_units.max(0.0) / gateway_count, filled_at: now }
+    fn new(available_units: f64, customer_gateways: f64, now: Millis) -> Self {
+        Self { units: available_units.max(0.0) / customer_gateways, filled_at: now }
     }
 
     /// Adds the even part of what the rate brought, up to the even part of the burst, then spends `units` where they
     /// fit. The budget holds at least `units`: a request larger than the even part of a burst is admitted in time.
-    fn try_spend(&mut self, units: f64, now: Millis, plan: &Plan, gateway_count: f64) -> bool {
-        let filled_units = self.units + plan.rate * (now - self.filled_at) / 1000.0 / gateway_count;
-        self.units = filled_units.min((plan.burst / gateway_count).max(units));
+    fn try_spend(&mut self, units: f64, now: Millis, plan: &Plan, customer_gateways: f64) -> bool {
+        let filled_units = self.units + plan.rate * (now - self.filled_at) / 1000.0 / customer_gateways;
+        self.units = filled_units.min((plan.burst / customer_gateways).max(units));
         self.filled_at = now;
         let fits = self.units >= units;
         if fits {
@@ -37,11 +37,11 @@
     /// spent is reported once the counter answers again.
     fn try_spend_fallback(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
         let available_units = self.bucket.available_units;
-        let gateway_count = self.gateway_count;
+        let customer_gateways = self.customer_gateways;
         let budget = self
             .fallback_budget
-            .get_or_insert_with(|| FallbackBudget::new(available_units, gateway_count, now));
-        let fits = budget.try_spend(units, now, plan, gateway_count);
+            .get_or_insert_with(|| FallbackBudget::new(available_units, customer_gateways, now));
+        let fits = budget.try_spend(units, now, plan, customer_gateways);
         if fits {
             self.unreported_units += units;
             self.bucket.available_units -= units;
@@ -57,7 +57,7 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
         let plan = &self.settings.plans[request.plan_index];
         customer.stop_waiting(id);
-        if is_sampled(plan, customer.gateway_count) {
+        if is_sampled(plan, customer.customer_gateways) {
             return self.admit_without_total(id, out);
         }
         customer.advance(self.now, plan);
@@ -65,7 +65,7 @@
             return self.forward_or_enqueue(id, out);
         }
         let missing_units = request.units - customer.fallback_budget.map_or(0.0, |budget| budget.units);
-        let units_per_second = plan.rate / customer.gateway_count;
+        let units_per_second = plan.rate / customer.customer_gateways;
         self.reject_over_quota(id, missing_units, units_per_second, out);
     }
 }
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -86,23 +86,23 @@
 /// The lease that smoothed demand asks for, rounded down to units: the demand of a part of the refill period, at most
 /// an even part of what is available.
 fn demand_lease_units(
-    demand_units_per_ms: f64, refill_period: Millis, available_units: f64, gateway_count: f64,
+    demand_units_per_ms: f64, refill_period: Millis, available_units: f64, customer_gateways: f64,
 ) -> f64 {
     let demand_units = demand_units_per_ms * refill_period * LEASE_SHARE;
-    demand_units.min(available_units * SCARCE_SHARE / gateway_count).floor()
+    demand_units.min(available_units * SCARCE_SHARE / customer_gateways).floor()
 }
 
 /// The lease taken while units are not scarce, rounded up to units: an even part of all above the scarce share. Large
 /// leases save calls while no gateway can run short; below zero while units are scarce.
-fn plentiful_lease_units(available_units: f64, burst: f64, gateway_count: f64) -> f64 {
-    ((available_units - burst * SCARCE_SHARE) / gateway_count).ceil()
+fn plentiful_lease_units(available_units: f64, burst: f64, customer_gateways: f64) -> f64 {
+    ((available_units - burst * SCARCE_SHARE) / customer_gateways).ceil()
 }
 
 impl Customer {
     /// The lease that smoothed demand asks for, rounded down to units.
     fn demand_lease_units(&self, plan: &Plan) -> f64 {
         let demand = self.demand.units_per_ms;
-        demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.gateway_count)
+        demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.customer_gateways)
     }
 
     /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what
@@ -110,10 +110,10 @@
     fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
         let wanted_units = if self.has_total {
             let available_units = self.bucket.available_units;
-            let plentiful = plentiful_lease_units(available_units, plan.burst, self.gateway_count);
+            let plentiful = plentiful_lease_units(available_units, plan.burst, self.customer_gateways);
             self.demand_lease_units(plan).max(plentiful)
         } else {
-            plan.burst / self.gateway_count
+            plan.burst / self.customer_gateways
         };
         needed_units.max(wanted_units.floor()).max(0.0)
     }
@@ -153,7 +153,7 @@
         let usable_units = customer.bucket.available_units + customer.lease.units;
         if plan.rate <= 0.0 {
             self.forward_or_enqueue(id, out);
-        } else if is_sampled(plan, customer.gateway_count) {
+        } else if is_sampled(plan, customer.customer_gateways) {
             return self.admit_sampled(id, out);
         } else if customer.lease_covers(units) {
             customer.lease.units -= units;
--- a/src/quota/plan_change.rs
+++ b/src/quota/plan_change.rs
@@ -40,7 +40,7 @@
             self.unreported_units = 0.0;
         }
         if let Some(budget) = &mut self.fallback_budget {
-            budget.units = budget.units.min(new.burst / self.gateway_count.max(1.0));
+            budget.units = budget.units.min(new.burst / self.customer_gateways.max(1.0));
         }
     }
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -28,8 +28,8 @@
 const MIN_MEAN_LOSS: f64 = 1e-9;
 
 /// Whether a quota is too small to be leased. Never under a ceiling, which sampling could exceed.
-pub(crate) fn is_sampled(plan: &Plan, gateway_count: f64) -> bool {
-    plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < MIN_LEASABLE_UNITS * gateway_count
+pub(crate) fn is_sampled(plan: &Plan, customer_gateways: f64) -> bool {
+    plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < MIN_LEASABLE_UNITS * customer_gateways
 }
 
 /// What one wrongly admitted request of a plan costs, relative to the value of a response.
--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -15,7 +15,7 @@
         let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
         let is_recent = now < outage.ended_at + refill_period(plan);
         let outage_span = outage.ended_at - outage.started_at;
-        self.bucket.limit_overflow(payable_overflow(plan, outage_span, is_recent, self.gateway_count));
+        self.bucket.limit_overflow(payable_overflow(plan, outage_span, is_recent, self.customer_gateways));
         if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < outage.ended_at {
             // The counter may have come back empty, and what others spent in the outage is reported nowhere: only this
             // gateway's own part is sure to be left.
--- a/src/request.rs
+++ b/src/request.rs
@@ -99,10 +99,10 @@
             customer.change_plan(now, &plans[customer.plan_index], plan);
             customer.plan_index = plan_index;
         }
-        let all_gateways = self.settings.gateway_count;
-        let gateway_count = f64::from(incoming.gateway_count.clamp(1, all_gateways));
-        let rank = gateway_rank(self.settings.gateway_index, incoming.first_gateway, all_gateways);
-        customer.set_gateways(gateway_count, rank);
+        let gateway_count = self.settings.gateway_count;
+        let customer_gateways = f64::from(incoming.gateway_count.clamp(1, gateway_count));
+        let rank = gateway_rank(self.settings.gateway_index, incoming.first_gateway, gateway_count);
+        customer.set_gateways(customer_gateways, rank);
         customer.demand.record(units, now, refill_period(plan));
     }
 
