--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -12,12 +12,18 @@
 pub(crate) const MAX_RETENTION: Millis = 60_000.0;
 /// The time between maintenance ticks, in ms: short beside any latency objective.
 const MAINTENANCE_INTERVAL: Millis = 25.0;
+/// While units are scarce, a lease is returned when no request of the customer arrived for this share of a refill
+/// period. Equal by choice to the share that a lease covers: it was meant to be spent by then.
+const EARLY_RETURN_SHARE: f64 = LEASE_SHARE;
+/// Units are reported without a new lease once they reach this share of the burst. Equal by choice to the share of a
+/// refill period that a lease covers: the rate brings as much in that time.
+const REPORT_SHARE: f64 = LEASE_SHARE;
 /// The token of the maintenance timer; tokens of requests are even.
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1;
 
 /// The least unreported units, used or to be returned, that are worth a counter call of their own.
 fn min_reported_units(burst: f64, returns_leases: bool) -> f64 {
-    if returns_leases { UNITS_EPSILON } else { (burst * LEASE_SHARE).max(MIN_CALL_UNITS) }
+    if returns_leases { UNITS_EPSILON } else { (burst * REPORT_SHARE).max(MIN_CALL_UNITS) }
 }
 
 impl Backend {
@@ -34,7 +40,7 @@
     fn should_return_lease(&self, now: Millis, plan: &Plan, returns_leases: bool) -> bool {
         let idle = now - self.demand.updated_at;
         let is_scarce = self.bucket.available_units < plan.burst * SCARCE_SHARE;
-        let is_idle = idle > refill_period(plan) * LEASE_SHARE;
+        let is_idle = idle > refill_period(plan) * EARLY_RETURN_SHARE;
         is_scarce && is_idle && self.lease.units >= MIN_CALL_UNITS || returns_leases
     }
 
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -7,12 +7,14 @@
 use crate::request::RequestStage;
 use crate::{Action, Gateway, Millis, Plan, RejectReason, RequestId};
 
-/// A lease covers the demand of this share of a refill period. One unused for as long is returned while units are
-/// scarce; use is reported without a new lease once it reaches this share of the burst.
+/// A lease covers the demand of this share of a refill period.
 pub(crate) const LEASE_SHARE: f64 = 0.15;
-/// Units are scarce while less than this share of the burst is available. A lease takes at most this share of what is
-/// available, or all above this share of the burst, each split evenly over the customer's gateways.
+/// Units are scarce while less than this share of the burst is available. While they are not, a lease takes its even
+/// part of all above this share.
 pub(crate) const SCARCE_SHARE: f64 = 0.5;
+/// A lease that follows demand takes at most its even part of this share of what is available. Equal by choice to the
+/// share at which units become scarce: one figure says how much is kept for the other gateways.
+const MAX_DEMAND_LEASE_SHARE: f64 = SCARCE_SHARE;
 /// A lease is renewed when less than this share of it is left.
 const RENEWAL_SHARE: f64 = 0.4;
 /// Demand is smoothed over this share of a refill period.
@@ -89,7 +91,7 @@
     demand_units_per_ms: f64, refill_period: Millis, available_units: f64, customer_gateways: f64,
 ) -> f64 {
     let demand_units = demand_units_per_ms * refill_period * LEASE_SHARE;
-    demand_units.min(available_units * SCARCE_SHARE / customer_gateways).floor()
+    demand_units.min(available_units * MAX_DEMAND_LEASE_SHARE / customer_gateways).floor()
 }
 
 /// The lease taken while units are not scarce, rounded up to units: an even part of all above the scarce share. Large
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -22,6 +22,9 @@
 const ADMIT_FADE_PERIODS: f64 = 4.0;
 /// An admit probability below this is gossiped, and again when it falls below this share of the last one.
 const GOSSIP_THRESHOLD: f64 = 0.7;
+/// A first total fits where the others asked for less than this share of the granted units. Equal by choice to
+/// the share at which units of a leased quota become scarce.
+const PRIOR_FIT_SHARE: f64 = SCARCE_SHARE;
 /// Weight of the newest first total in a plan's prior.
 const PRIOR_WEIGHT: f64 = 0.1;
 /// The least mean loss that losses are compared with.
@@ -200,7 +203,7 @@
         if !std::mem::replace(&mut customer.has_total, true) {
             let is_retry =
                 waiting.iter().any(|id| self.requests.get(id).is_some_and(|request| request.client_retry));
-            let fits = asked_units < window.granted_units * SCARCE_SHARE;
+            let fits = asked_units < window.granted_units * PRIOR_FIT_SHARE;
             self.plan_priors[customer.plan_index].record(is_retry, fits);
         }
         self.record_admit_probability(name_hash, window.admit_probability, period, out);
