--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -2,7 +2,6 @@
 
 use crate::maintenance::MAX_RETENTION;
 use crate::quota::bucket::idle_retention;
-use crate::quota::lease::LeaseCall;
 use crate::quota::sampled::is_sampled;
 use crate::random::{GOLDEN_GAMMA, mix_bits};
 use crate::request::sum_over;
@@ -21,6 +20,25 @@
     mix_bits(name_hash ^ window.wrapping_mul(GOLDEN_GAMMA)) >> 1
 }
 
+/// One call to a customer's counter.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct CounterCall {
+    /// The window whose counter was called.
+    pub window: u64,
+    /// Units for requests to come and those that wait: the new lease, or for a sampled quota, where nothing is leased,
+    /// the weighted units of the requests that wait.
+    pub new_units: f64,
+    /// Units used earlier that the call reports; negative where it returns units.
+    pub report_units: f64,
+}
+
+impl CounterCall {
+    /// What the call adds to the counter.
+    pub(crate) fn amount(&self) -> f64 {
+        self.new_units + self.report_units
+    }
+}
+
 impl Gateway {
     /// Adds to the customer's counter what it needs and what it has not reported yet. Does nothing while a call of the
     /// customer or too many calls are in flight.
@@ -33,14 +51,14 @@
         }
         let plan = &self.settings.plans[customer.plan_index];
         customer.advance(self.now, plan);
-        let lease_units = if is_sampled(plan, customer.customer_gateways) {
+        let new_units = if is_sampled(plan, customer.customer_gateways) {
             sum_over(&customer.waiting, &self.requests, |request| request.weighted_units)
         } else {
             let needed_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
             customer.units_to_lease(needed_units, plan, self.returns_leases)
         };
         let report_units = std::mem::take(&mut customer.unreported_units);
-        let call = LeaseCall { window: customer.lease.window, lease_units, report_units };
+        let call = CounterCall { window: customer.lease.window, new_units, report_units };
         let counter = counter_name(customer.name_hash, call.window);
         customer.pending_call = Some(call);
         self.counter_calls.insert(counter, name.clone());
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -1,7 +1,7 @@
 //! Results of counter calls: totals, failures and late results.
 
+use crate::counter::calls::CounterCall;
 use crate::quota::MIN_CALL_UNITS;
-use crate::quota::lease::LeaseCall;
 use crate::quota::sampled::is_sampled;
 use crate::{Action, CounterOutcome, Gateway, Millis, Name};
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
     /// The counter's name.
     counter: u64,
     customer: Name,
-    call: LeaseCall,
+    call: CounterCall,
 }
 
 /// The calls that timed out last, oldest first.
@@ -23,7 +23,7 @@
 
 impl TimedOutCalls {
     /// Remembers a call; the oldest one is dropped where there are too many.
-    fn push(&mut self, counter: u64, customer: Name, call: LeaseCall) {
+    fn push(&mut self, counter: u64, customer: Name, call: CounterCall) {
         self.0.push_back(TimedOutCall { counter, customer, call });
         self.0.drain(..self.0.len().saturating_sub(MAX_TIMED_OUT_CALLS));
     }
@@ -64,7 +64,7 @@
 
     /// Handles a total, then admits the requests that waited for it. Calls again where some still wait or units are to
     /// be returned.
-    fn total_received(&mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>) {
+    fn total_received(&mut self, name: &Name, call: CounterCall, total: f64, out: &mut Vec<Action>) {
         let outage = self.counter_availability.last_outage();
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -1,8 +1,9 @@
 //! The state that a gateway keeps of one customer.
 
+use crate::counter::calls::CounterCall;
 use crate::quota::bucket::{TokenBucket, initial_units, refill_period, window_at};
 use crate::quota::fallback::FallbackBudget;
-use crate::quota::lease::{Demand, LeaseCall, QuotaLease};
+use crate::quota::lease::{Demand, QuotaLease};
 use crate::random::hash_text;
 use crate::{Millis, Name, Plan, RequestId};
 use std::collections::VecDeque;
@@ -32,7 +33,7 @@
     /// Units used and not yet added to the counter; negative where units are to be returned.
     pub unreported_units: f64,
     /// The counter call in flight.
-    pub pending_call: Option<LeaseCall>,
+    pub pending_call: Option<CounterCall>,
     /// Requests that wait for the counter, in order of arrival.
     pub waiting: VecDeque<RequestId>,
     /// Set while the counter does not answer.
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -46,24 +46,6 @@
     }
 }
 
-/// A counter call that leases units and reports use.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct LeaseCall {
-    /// The window whose counter was called.
-    pub window: u64,
-    /// Units to lease.
-    pub lease_units: f64,
-    /// Units used earlier that the call reports; negative where it returns units.
-    pub report_units: f64,
-}
-
-impl LeaseCall {
-    /// What the call adds to the counter.
-    pub(crate) fn amount(&self) -> f64 {
-        self.lease_units + self.report_units
-    }
-}
-
 /// The smoothed demand of a customer at this gateway.
 #[derive(Default)]
 pub(crate) struct Demand {
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -5,9 +5,10 @@
 //! probability that the last total suggests.
 
 use crate::counter::call_rate::{MAX_CALL_RATE, MIN_CALL_RATE};
+use crate::counter::calls::CounterCall;
 use crate::gossip::AdmitReport;
 use crate::quota::bucket::{refill_period, window_at};
-use crate::quota::lease::{LeaseCall, SCARCE_SHARE};
+use crate::quota::lease::SCARCE_SHARE;
 use crate::request::sum_over;
 use crate::{Action, Gateway, Millis, Name, Plan, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -187,16 +188,16 @@
     /// Handles the counter's total for a sampled quota: learns the admit probability and decides for the requests that
     /// wait.
     pub(crate) fn sampled_total_received(
-        &mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>,
+        &mut self, name: &Name, call: CounterCall, total: f64, out: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let asked_units = total - call.lease_units - call.report_units;
+        let asked_units = total - call.new_units - call.report_units;
         let own_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
-        let excess_units = (call.lease_units - own_units).max(0.0);
+        let excess_units = (call.new_units - own_units).max(0.0);
         let period = refill_period(plan);
         let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
-        let window = SampledWindow::new(plan, elapsed, asked_units, call.lease_units, excess_units);
+        let window = SampledWindow::new(plan, elapsed, asked_units, call.new_units, excess_units);
         let units_per_second = plan.rate;
         let name_hash = customer.name_hash;
         let waiting = std::mem::take(&mut customer.waiting);
--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -1,16 +1,16 @@
 //! Updates a customer's token bucket and lease by the counter's totals.
 
 use crate::counter::availability::Outage;
+use crate::counter::calls::CounterCall;
 use crate::quota::UNITS_EPSILON;
 use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
 use crate::quota::customer::Customer;
-use crate::quota::lease::LeaseCall;
 use crate::{Millis, Plan};
 
 impl Customer {
     /// Updates bucket and lease by the total of a call.
     pub(crate) fn record_total(
-        &mut self, call: LeaseCall, total: f64, outage: Outage, now: Millis, plan: &Plan,
+        &mut self, call: CounterCall, total: f64, outage: Outage, now: Millis, plan: &Plan,
     ) {
         let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
         let is_recent = now < outage.ended_at + refill_period(plan);
@@ -25,12 +25,12 @@
         self.last_total_at = now;
         if call.window == self.lease.window {
             self.add_lease(call, total, plan);
-            self.return_overdrawn(call.lease_units);
+            self.return_overdrawn(call.new_units);
         }
     }
 
     /// Adds the units of a call of the present window to the lease.
-    fn add_lease(&mut self, call: LeaseCall, total: f64, plan: &Plan) {
+    fn add_lease(&mut self, call: CounterCall, total: f64, plan: &Plan) {
         self.lease.reported_units += call.amount();
         if !self.has_total {
             self.bucket.available_units = initial_units(plan) - total;
@@ -39,13 +39,13 @@
             // The counter was emptied. What this gateway holds is reported again, so that new leases do not stack on
             // those still held.
             self.unreported_units += self.lease.reported_units - total;
-            self.bucket.available_units -= call.lease_units;
+            self.bucket.available_units -= call.new_units;
         } else {
             let used_units = total - self.lease.last_total - call.report_units;
-            self.bucket.settle_total(used_units, call.lease_units, plan.burst);
+            self.bucket.settle_total(used_units, call.new_units, plan.burst);
         }
         self.lease.last_total = total;
-        self.lease.units += call.lease_units;
+        self.lease.units += call.new_units;
     }
 
     /// Returns as much of a new lease as the bucket is overdrawn by.
@@ -61,13 +61,13 @@
 
     /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is
     /// returned.
-    pub(crate) fn return_late_lease(&mut self, call: LeaseCall, plan: &Plan) {
-        self.unreported_units -= call.lease_units;
+    pub(crate) fn return_late_lease(&mut self, call: CounterCall, plan: &Plan) {
+        self.unreported_units -= call.new_units;
         if call.window == self.lease.window {
             self.lease.last_total += call.amount();
             self.lease.reported_units += call.amount();
         } else {
-            let late_units = self.bucket.available_units + call.lease_units + call.report_units.max(0.0);
+            let late_units = self.bucket.available_units + call.new_units + call.report_units.max(0.0);
             self.bucket.available_units = late_units.min(plan.burst);
         }
     }
