--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -26,6 +26,9 @@
 /// A first total fits where the others asked for less than this share of the granted units. Equal by choice to
 /// the share at which units of a leased quota become scarce.
 const PRIOR_FIT_SHARE: f64 = SCARCE_SHARE;
+/// The least sampling probability: a plan or class of little weight lowers the least call rate by at most the same
+/// factor again, so that some requests of each customer are counted even while calls are scarce.
+const MIN_SAMPLING_PROBABILITY: f64 = MIN_CALL_RATE * MIN_CALL_RATE;
 /// Weight of the newest first total in a plan's prior.
 const PRIOR_WEIGHT: f64 = 0.1;
 /// The least mean loss that losses are compared with.
@@ -53,7 +56,21 @@
 /// Inputs: `call_rate` as in [`crate::counter::call_rate`], `relative_loss` and `relative_priority` relative to the
 /// means of all plans and classes.
 fn sampling_probability(call_rate: f64, relative_loss: f64, relative_priority: f64) -> f64 {
-    (call_rate * relative_loss * relative_priority).clamp(MIN_CALL_RATE * MIN_CALL_RATE, MAX_CALL_RATE)
+    (call_rate * relative_loss * relative_priority).clamp(MIN_SAMPLING_PROBABILITY, MAX_CALL_RATE)
+}
+
+/// Whether a request is in the sample, by `draw` in 0..1. A client's retry is in it only by what the probability
+/// exceeds 1 by.
+fn is_in_sample(draw: f64, sampling_probability: f64, client_retry: bool) -> bool {
+    let first_requests_part = if client_retry { 1.0 } else { 0.0 };
+    draw < sampling_probability - first_requests_part
+}
+
+/// The units that a request in the sample adds to the counter: its own over its sampling probability, so that it
+/// stands for those outside the sample too. A client's retry adds nothing: it is in the counter since its first
+/// request.
+fn weigh_units(units: f64, sampling_probability: f64, client_retry: bool) -> f64 {
+    if client_retry { 0.0 } else { units / sampling_probability.min(1.0) }
 }
 
 /// The probability of admitting a request without a total of its own.
@@ -157,12 +174,10 @@
             relative_loss(&self.settings.plans, request.plan_index),
             self.relative_priority(request.class_index),
         );
-        let is_retry = f64::from(request.client_retry);
-        let is_sampled = self.settings.has_counter && draw < probability - is_retry;
-        // A client's retry is in the counter since its first request.
-        let weighted_units = (1.0 - is_retry) * request.units / probability.min(1.0);
+        let is_counted = self.settings.has_counter && is_in_sample(draw, probability, request.client_retry);
+        let weighted_units = weigh_units(request.units, probability, request.client_retry);
         let Some(customer) = self.customers.get(&request.customer) else { return false };
-        if is_sampled && customer.pending_call.is_none() {
+        if is_counted && customer.pending_call.is_none() {
             self.requests.entry(id).and_modify(|request| request.weighted_units = weighted_units);
             return self.wait_for_counter(id, out);
         }
