--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -2,6 +2,7 @@
 
 use crate::counter::calls::CounterCall;
 use crate::quota::MIN_CALL_UNITS;
+use crate::quota::admit::QuotaAdmission;
 use crate::quota::sampled::is_sampled;
 use crate::{Action, CounterOutcome, Gateway, Millis, Name};
 use std::collections::VecDeque;
@@ -75,8 +76,11 @@
         customer.record_total(call, total, outage, self.now, plan);
         let waiting = std::mem::take(&mut customer.waiting);
         let has_units_to_return = customer.unreported_units <= -MIN_CALL_UNITS;
-        let still_waiting = waiting.into_iter().filter(|id| self.admit_by_quota(*id, out)).count();
-        if still_waiting > 0 || has_units_to_return {
+        let mut is_still_waiting = false;
+        for id in waiting {
+            is_still_waiting |= self.admit_by_quota(id, out) == QuotaAdmission::AwaitsCounter;
+        }
+        if is_still_waiting || has_units_to_return {
             self.call_counter(name, out);
         }
     }
--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -3,9 +3,7 @@
 use crate::quota::MIN_CALL_UNITS;
 use crate::quota::bucket::refill_period;
 use crate::quota::customer::Customer;
-use crate::quota::sampled::is_sampled;
-use crate::request::RequestStage;
-use crate::{Action, Gateway, Millis, Plan, RejectReason, RequestId};
+use crate::{Millis, Plan};
 
 /// A lease covers the demand of this share of a refill period.
 pub(crate) const LEASE_SHARE: f64 = 0.15;
@@ -19,12 +17,6 @@
 const RENEWAL_SHARE: f64 = 0.4;
 /// Demand is smoothed over this share of a refill period.
 const DEMAND_SMOOTHING_SHARE: f64 = 0.5;
-/// A request waits for the counter at most this share of its latency objective.
-const LEASE_WAIT_SHARE: f64 = 0.12;
-/// `Retry-After` of a request over quota is lengthened by up to this share, so that clients do not return all at once.
-const RETRY_AFTER_JITTER: f64 = 0.5;
-/// The least refill rate that a `Retry-After` is computed from, in units per second.
-const MIN_UNITS_PER_SECOND: f64 = 1e-9;
 
 /// The units leased for one window of the counter.
 #[derive(Default)]
@@ -111,75 +103,8 @@
     }
 
     /// Whether the lease has fallen so low that it should be renewed before it is spent.
-    fn should_renew_lease(&self, plan: &Plan) -> bool {
+    pub(crate) fn should_renew_lease(&self, plan: &Plan) -> bool {
         let target_units = self.demand_lease_units(plan);
         target_units >= MIN_CALL_UNITS && self.lease.units < target_units * RENEWAL_SHARE
     }
-
-    /// Whether the lease covers a request. Requests that wait go first.
-    fn lease_covers(&self, units: f64) -> bool {
-        self.waiting.is_empty() && self.lease.units >= units
-    }
-}
-
-impl Gateway {
-    /// Admits a request by its customer's quota: from the lease, without the counter during an outage, or after the
-    /// counter's answer; rejects it once lease and bucket are spent. Returns whether the request waits for the
-    /// counter.
-    pub(crate) fn admit_by_quota(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let is_unavailable = self.is_counter_silent();
-        let Some(request) = self.requests.get(&id) else { return false };
-        let name = request.customer.clone();
-        let units = request.units;
-        let Some(customer) = self.customers.get_mut(&name) else { return false };
-        let plan = &self.settings.plans[customer.plan_index];
-        customer.advance(self.now, plan);
-        let usable_units = customer.bucket.available_units + customer.lease.units;
-        if plan.rate <= 0.0 {
-            self.forward_or_enqueue(id, out);
-        } else if is_sampled(plan, customer.customer_gateways) {
-            return self.admit_sampled(id, out);
-        } else if customer.lease_covers(units) {
-            customer.lease.units -= units;
-            if !is_unavailable && customer.should_renew_lease(plan) {
-                self.call_counter(&name, out);
-            }
-            self.forward_or_enqueue(id, out);
-        } else if is_unavailable {
-            self.admit_by_fallback(id, out);
-            self.probe_counter(&name, out);
-        } else if customer.has_total && usable_units < units {
-            let units_per_second = plan.rate;
-            self.reject_over_quota(id, units - usable_units, units_per_second, out);
-        } else {
-            return self.wait_for_counter(id, out);
-        }
-        false
-    }
-
-    /// Lets a request wait for the answer of the counter. Returns whether it waits.
-    pub(crate) fn wait_for_counter(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id) else { return false };
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
-        customer.waiting.push_back(id);
-        let objective = self.settings.classes[request.class_index].latency_objective;
-        let until = request.arrived_at + objective * LEASE_WAIT_SHARE;
-        self.start_wait(id, RequestStage::AwaitingCounter, until, out);
-        true
-    }
-
-    /// Rejects a request that lacks `missing_units`, with the time in which they come in as `Retry-After`.
-    pub(crate) fn reject_over_quota(
-        &mut self, id: RequestId, missing_units: f64, units_per_second: f64, out: &mut Vec<Action>,
-    ) {
-        let draw = self.random.draw();
-        let retry_after = over_quota_retry_after(missing_units, units_per_second, draw);
-        self.reject(id, retry_after, RejectReason::QuotaExceeded, out);
-    }
-}
-
-/// How long a client over quota should wait, in ms: until the missing units have come in, and by `draw` in 0..1 a
-/// little longer.
-fn over_quota_retry_after(missing_units: f64, units_per_second: f64, draw: f64) -> Millis {
-    missing_units / units_per_second.max(MIN_UNITS_PER_SECOND) * 1000.0 * (1.0 + RETRY_AFTER_JITTER * draw)
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -7,6 +7,7 @@
 use crate::counter::call_rate::{MAX_CALL_RATE, MIN_CALL_RATE};
 use crate::counter::calls::CounterCall;
 use crate::gossip::AdmitReport;
+use crate::quota::admit::QuotaAdmission;
 use crate::quota::bucket::{refill_period, window_at};
 use crate::quota::lease::SCARCE_SHARE;
 use crate::request::sum_over;
@@ -164,11 +165,10 @@
 }
 
 impl Gateway {
-    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total. Returns
-    /// whether the request waits for the counter.
-    pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total.
+    pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> QuotaAdmission {
         let draw = self.random.draw();
-        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(&id) else { return QuotaAdmission::Decided };
         let probability = sampling_probability(
             self.call_rate.get(),
             relative_loss(&self.settings.plans, request.plan_index),
@@ -176,13 +176,13 @@
         );
         let is_counted = self.settings.has_counter && is_in_sample(draw, probability, request.client_retry);
         let weighted_units = weigh_units(request.units, probability, request.client_retry);
-        let Some(customer) = self.customers.get(&request.customer) else { return false };
+        let Some(customer) = self.customers.get(&request.customer) else { return QuotaAdmission::Decided };
         if is_counted && customer.pending_call.is_none() {
             self.requests.entry(id).and_modify(|request| request.weighted_units = weighted_units);
             return self.wait_for_counter(id, out);
         }
         self.admit_without_total(id, out);
-        false
+        QuotaAdmission::Decided
     }
 
     /// Admits or rejects a request of a sampled quota by the customer's admit probability.
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,5 +1,6 @@
 //! The state of one request, its arrival and its final response.
 
+use crate::quota::admit::QuotaAdmission;
 use crate::quota::bucket::refill_period;
 use crate::quota::customer::{Customer, gateway_rank};
 use crate::retry::{FirstExecution, is_rejection_harmless};
@@ -82,7 +83,7 @@
             ..Request::default()
         };
         self.requests.insert(id, request);
-        if self.admit_by_quota(id, out) {
+        if self.admit_by_quota(id, out) == QuotaAdmission::AwaitsCounter {
             self.call_counter(&name, out);
         }
     }
