--- a/src/counter/availability.rs
+++ b/src/counter/availability.rs
@@ -1,51 +1,53 @@
-//! Whether the shared counter answers.
+//! Whether the shared counter is available: it is while it responds to calls.
 
 use crate::Millis;
 
-/// The counter is unavailable after this many timeouts' time without an answer: one call alone may be late.
+/// The counter is unavailable after this many timeouts' time without a response: one call alone may be late.
 const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
-/// A time in which the counter was unavailable.
+/// A period in which the counter was unavailable.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Outage {
+pub(crate) struct Unavailability {
     pub started_at: Millis,
     /// Minus infinity while it lasts.
     pub ended_at: Millis,
 }
 
-/// Whether an outage is going on; it begins and ends with a log line.
+/// Whether the counter is unavailable at present; such a period begins and ends with a log line.
 enum CounterState {
-    Available { last_outage: Outage },
+    Available { last_unavailability: Unavailability },
     Unavailable { since: Millis },
 }
 
 /// What is known of the counter's availability.
 pub(crate) struct CounterAvailability {
     consecutive_failures: u32,
-    last_answer_at: Millis,
+    last_response_at: Millis,
     state: CounterState,
 }
 
 impl Default for CounterAvailability {
     fn default() -> Self {
-        let state = CounterState::Available { last_outage: Outage::default() };
-        Self { consecutive_failures: 0, last_answer_at: 0.0, state }
+        let state = CounterState::Available { last_unavailability: Unavailability::default() };
+        Self { consecutive_failures: 0, last_response_at: 0.0, state }
     }
 }
 
 impl CounterAvailability {
-    /// Whether the counter has failed more than one call and has not answered for too long.
+    /// Whether the counter has failed more than one call and has not responded for too long.
     pub(crate) fn is_unavailable(&self, now: Millis, counter_timeout: Millis) -> bool {
-        let since_answer = now - self.last_answer_at;
-        self.consecutive_failures > 1 && since_answer > counter_timeout * UNAVAILABLE_AFTER_TIMEOUTS
+        let since_response = now - self.last_response_at;
+        self.consecutive_failures > 1 && since_response > counter_timeout * UNAVAILABLE_AFTER_TIMEOUTS
     }
 
-    /// Records an answer. Returns whether it ended an outage.
-    pub(crate) fn record_answer(&mut self, now: Millis) -> bool {
+    /// Records a response. Returns whether the counter was unavailable until now.
+    pub(crate) fn record_response(&mut self, now: Millis) -> bool {
         self.consecutive_failures = 0;
-        self.last_answer_at = now;
+        self.last_response_at = now;
         let CounterState::Unavailable { since } = self.state else { return false };
-        self.state = CounterState::Available { last_outage: Outage { started_at: since, ended_at: now } };
+        self.state = CounterState::Available {
+            last_unavailability: Unavailability { started_at: since, ended_at: now },
+        };
         true
     }
 
@@ -54,8 +56,8 @@
         self.consecutive_failures += 1;
     }
 
-    /// Begins an outage. Returns whether there was none yet.
-    pub(crate) fn begin_outage(&mut self, now: Millis) -> bool {
+    /// Records that the counter is unavailable. Returns whether that is news.
+    pub(crate) fn begin_unavailability(&mut self, now: Millis) -> bool {
         if matches!(self.state, CounterState::Unavailable { .. }) {
             return false;
         }
@@ -63,11 +65,13 @@
         true
     }
 
-    /// The present or else the last outage.
-    pub(crate) fn last_outage(&self) -> Outage {
+    /// The period in which the counter is unavailable, or else the last such one.
+    pub(crate) fn last_unavailability(&self) -> Unavailability {
         match self.state {
-            CounterState::Available { last_outage } => last_outage,
-            CounterState::Unavailable { since } => Outage { started_at: since, ended_at: f64::NEG_INFINITY },
+            CounterState::Available { last_unavailability } => last_unavailability,
+            CounterState::Unavailable { since } => {
+                Unavailability { started_at: since, ended_at: f64::NEG_INFINITY }
+            }
         }
     }
 }
--- a/src/counter/call_rate.rs
+++ b/src/counter/call_rate.rs
@@ -1,14 +1,14 @@
-//! The adaptive rate of counter calls: fewer are made while the counter answers slowly.
+//! The adaptive rate of counter calls: fewer are made while the counter responds slowly.
 
 use crate::Millis;
 
-/// Answers within this share of the timeout raise the call rate; slower ones lower it.
+/// Responses within this share of the timeout raise the call rate; slower ones lower it.
 const TARGET_LATENCY_SHARE: f64 = 0.3;
-/// The share by which an answer without latency raises the call rate.
+/// The share by which a response without latency raises the call rate.
 const MAX_INCREASE: f64 = 0.2;
 /// A call that was slow or failed lowers the rate by at most this multiple of [`MAX_INCREASE`].
 const MAX_DECREASE_FACTOR: f64 = 2.0;
-/// The least call rate: without calls a gateway would not learn that the counter answers again.
+/// The least call rate: without calls a gateway would not learn that the counter is available again.
 pub(crate) const MIN_CALL_RATE: f64 = 0.1;
 /// The largest call rate: at 1 all first requests of sampled quotas are counted, at 2 all retries of clients as well.
 pub(crate) const MAX_CALL_RATE: f64 = 2.0;
--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -66,7 +66,7 @@
         out.push(Action::AddToCounter { counter, amount: call.amount(), time_to_live });
     }
 
-    /// During an outage, calls the counter now and then to learn whether it answers again.
+    /// While the counter is unavailable, calls it now and then to learn whether it responds again.
     pub(crate) fn probe_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
         if self.counter_calls.is_empty() && self.random.draw() < self.call_rate.get() {
             self.call_counter(name, out);
--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -10,6 +10,12 @@
 /// So many calls that timed out are remembered, in case their results arrive late.
 const MAX_TIMED_OUT_CALLS: usize = 256;
 
+/// The counter is unavailable: leases ("blocks") are spent, then fallback budgets ("even slices"). The text is frozen: it
+/// is recorded on the simulator's wire, and operators search for it.
+const COUNTER_UNAVAILABLE_LOG: &str = "counter silent: spending blocks and even slices";
+/// The counter is available again. The text is frozen like [`COUNTER_UNAVAILABLE_LOG`].
+const COUNTER_AVAILABLE_LOG: &str = "counter back";
+
 /// A call without a result in time; its units may have been added.
 struct TimedOutCall {
     /// The counter's name.
@@ -45,35 +51,35 @@
             return self.late_result_received(counter, added, total, out);
         }
         let Some(name) = self.counter_calls.remove(&counter) else { return };
-        let answered = matches!(outcome, CounterOutcome::Total(_));
-        self.call_rate.record(answered.then_some(latency), self.settings.counter_timeout);
+        let has_total = matches!(outcome, CounterOutcome::Total(_));
+        self.call_rate.record(has_total.then_some(latency), self.settings.counter_timeout);
         let CounterOutcome::Total(total) = outcome else {
             let may_be_added = outcome == CounterOutcome::Unknown;
             return self.counter_call_failed(counter, &name, may_be_added, out);
         };
-        self.counter_answered(out);
+        self.counter_responded(out);
         let call = self.customers.get_mut(&name).and_then(|customer| customer.pending_call.take());
         self.total_received(&name, call.unwrap_or_default(), total, out);
     }
 
-    /// Records that the counter answers, and logs the end of an outage.
-    fn counter_answered(&mut self, out: &mut Vec<Action>) {
-        if self.counter_availability.record_answer(self.now) {
-            out.push(Action::Log("counter back".into()));
+    /// Records a response of the counter, and logs that it is available again.
+    fn counter_responded(&mut self, out: &mut Vec<Action>) {
+        if self.counter_availability.record_response(self.now) {
+            out.push(Action::Log(COUNTER_AVAILABLE_LOG.into()));
         }
     }
 
     /// Handles a total, then admits the requests that waited for it. Calls again where some still wait or units are to
     /// be returned.
     fn total_received(&mut self, name: &Name, call: CounterCall, total: f64, out: &mut Vec<Action>) {
-        let outage = self.counter_availability.last_outage();
+        let unavailability = self.counter_availability.last_unavailability();
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
         if is_sampled(plan, customer.customer_gateways) {
             return self.sampled_total_received(name, call, total, out);
         }
         customer.advance(self.now, plan);
-        customer.record_total(call, total, outage, self.now, plan);
+        customer.record_total(call, total, unavailability, self.now, plan);
         let waiting = std::mem::take(&mut customer.waiting);
         let has_units_to_return = customer.unreported_units <= -MIN_CALL_UNITS;
         let mut is_still_waiting = false;
@@ -89,8 +95,8 @@
     /// dropped: what was to be reported is reported again, what was to be returned is not returned twice.
     fn counter_call_failed(&mut self, counter: u64, name: &Name, may_be_added: bool, out: &mut Vec<Action>) {
         self.counter_availability.record_failure();
-        if self.is_counter_silent() && self.counter_availability.begin_outage(self.now) {
-            out.push(Action::Log("counter silent: spending blocks and even slices".into()));
+        if self.is_counter_unavailable() && self.counter_availability.begin_unavailability(self.now) {
+            out.push(Action::Log(COUNTER_UNAVAILABLE_LOG.into()));
         }
         let Some(customer) = self.customers.get_mut(name) else { return };
         let call = customer.pending_call.take().unwrap_or_default();
@@ -122,7 +128,7 @@
             let is_present = call.window == customer.lease.window;
             let newer_total = total.filter(|total| is_present && *total >= customer.lease.last_total);
             if let Some(total) = newer_total {
-                self.counter_answered(out);
+                self.counter_responded(out);
                 return self.total_received(&name, call, total, out);
             }
             customer.return_late_lease(call, plan);
--- a/src/event.rs
+++ b/src/event.rs
@@ -93,7 +93,7 @@
 pub enum AttemptOutcome {
     /// The backend served it.
     Served,
-    /// The backend answered with an error; it may have been executed.
+    /// The backend responded with an error; it may have been executed.
     Error,
     /// The backend rejected it before any work.
     Rejected,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -106,6 +106,11 @@
 
     /// Whether the shared counter is unavailable; always where there is none.
     pub fn is_counter_silent(&self) -> bool {
+        self.is_counter_unavailable()
+    }
+
+    /// Whether the shared counter is unavailable, by the name that the decisions use.
+    pub(crate) fn is_counter_unavailable(&self) -> bool {
         let counter_timeout = self.settings.counter_timeout;
         !self.settings.has_counter || self.counter_availability.is_unavailable(self.now, counter_timeout)
     }
--- a/src/health/outcome.rs
+++ b/src/health/outcome.rs
@@ -1,7 +1,7 @@
 //! Records the outcome of an attempt in the state of its backend.
 
 use crate::health::outlier::{CONFIRMED_FAILURES, Failure};
-use crate::{Action, AttemptEnd, AttemptOutcome, Gateway, Millis};
+use crate::{Action, AttemptEnd, AttemptOutcome, Gateway, Millis, Name};
 
 /// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the
 /// network and for waiting in the queue.
@@ -36,6 +36,16 @@
     }
 }
 
+/// The line that says that a backend is no longer ejected. The text is frozen: it is recorded on the simulator's wire.
+fn readmitted_log(backend: &Name) -> String {
+    format!("backend {backend} back: it answers again")
+}
+
+/// The line that says that a backend is ejected. The text is frozen like that of [`readmitted_log`].
+fn ejected_log(backend: &Name) -> String {
+    format!("backend {backend} ejected: {CONFIRMED_FAILURES} failures in a row")
+}
+
 impl Gateway {
     /// Records the outcome of an attempt in its backend's concurrency limit and outlier state and in load shedding.
     pub(crate) fn record_backend_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
@@ -49,7 +59,7 @@
             AttemptOutcome::Error if !backend.outlier.record_error(class_index) => return,
             AttemptOutcome::Served => {
                 if backend.outlier.record_success() {
-                    out.push(Action::Log(format!("backend {name} back: it answers again")));
+                    out.push(Action::Log(readmitted_log(name)));
                 }
                 usual_latency.record(end.latency);
             }
@@ -64,8 +74,7 @@
             let failure = Failure { latency: end.latency, connection_lost };
             let slow_start_duration = self.settings.slow_start_duration;
             if backend.outlier.record_failure(&failure, self.now, slow_start_duration) {
-                let line = format!("backend {name} ejected: {CONFIRMED_FAILURES} failures in a row");
-                out.push(Action::Log(line));
+                out.push(Action::Log(ejected_log(name)));
             }
         }
         if end.outcome == AttemptOutcome::ConnectFailed && self.settings.routing.assume_restart {
--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct OutlierState {
     pub consecutive_failures: u32,
-    /// The class of the last request answered with an error, until a request is served.
+    /// The class of the last request whose response was an error, until a request is served.
     error_class: Option<usize>,
     /// Nothing is sent until then.
     pub ejected_until: Millis,
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -77,7 +77,7 @@
         self.admit_estimates.expire(self.now, MAX_RETENTION);
         self.forget_backends();
         let to_call = self.maintain_customers();
-        if !self.is_counter_silent() {
+        if !self.is_counter_unavailable() {
             for name in to_call {
                 self.call_counter(&name, out);
             }
--- a/src/quota/admit.rs
+++ b/src/quota/admit.rs
@@ -67,7 +67,7 @@
     /// Admits a request by its customer's quota, or rejects it once lease and bucket are spent, or lets it wait for the
     /// counter.
     pub(crate) fn admit_by_quota(&mut self, id: RequestId, out: &mut Vec<Action>) -> QuotaAdmission {
-        let is_counter_unavailable = self.is_counter_silent();
+        let is_counter_unavailable = self.is_counter_unavailable();
         let Some(request) = self.requests.get(&id) else { return QuotaAdmission::Decided };
         let units = request.units;
         let Some(customer) = self.customers.get_mut(&request.customer) else {
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -88,13 +88,16 @@
     Window { number: number as u64, started_at: number * refill_period - offset }
 }
 
-/// The most overflow, in units, that may pay for what other gateways used during a counter outage of `outage` ms.
+/// The most overflow, in units, that may pay for what other gateways used while the counter was unavailable
+/// for `unavailable_ms`.
 ///
-/// Gateways report what they used in an outage all at once after it, while a bucket that was full could not keep what
+/// Gateways report what they used meanwhile all at once after it, while a bucket that was full could not keep what
 /// came in: the other gateways' even share of that pays for their reports. Not under a ceiling, which many gateways
 /// would exceed together.
-pub(crate) fn payable_overflow(plan: &Plan, outage: Millis, is_recent: bool, customer_gateways: f64) -> f64 {
+pub(crate) fn payable_overflow(
+    plan: &Plan, unavailable_ms: Millis, is_recent: bool, customer_gateways: f64,
+) -> f64 {
     let pays = is_recent && plan.ceiling_rate <= 0.0;
     let others_share = if pays { 1.0 - 1.0 / customer_gateways } else { 0.0 };
-    plan.rate * outage / 1000.0 * others_share
+    plan.rate * unavailable_ms / 1000.0 * others_share
 }
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -1,4 +1,4 @@
-//! Admission while the counter does not answer: each gateway spends an even part of the customer's quota.
+//! Admission while the counter is unavailable: each gateway spends an even part of the customer's quota.
 
 use crate::quota::customer::Customer;
 use crate::quota::sampled::is_sampled;
@@ -33,8 +33,8 @@
 }
 
 impl Customer {
-    /// Spends from the fallback budget, which starts with the first request after the counter's last answer. What is
-    /// spent is reported once the counter answers again.
+    /// Spends from the fallback budget, which starts with the first request after the counter's last response. What
+    /// is spent is reported once the counter is available again.
     fn try_spend_fallback(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
         let available_units = self.bucket.available_units;
         let customer_gateways = self.customer_gateways;
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,9 +1,9 @@
 //! The quota of each customer, kept together with the other gateways over a shared counter.
 //!
-//! A request is admitted by one of six cases ([`admit`]). A gateway leases units from the counter and spends them
-//! without further calls ([`lease`]). What a customer may
-//! still use follows from the counter's totals ([`bucket`]). While the counter does not answer, a gateway spends its
-//! even part ([`fallback`]). Quotas too small to be leased are enforced by sampled counter calls ([`sampled`]).
+//! A request is admitted by one of six rules ([`admit`]). A gateway leases units from the counter and spends them
+//! without further calls ([`lease`]). What a customer may still use follows from the counter's totals ([`bucket`]).
+//! While the counter is unavailable, a gateway spends its even part ([`fallback`]). Quotas too small to be leased are
+//! enforced by sampled counter calls ([`sampled`]).
 
 pub(crate) mod admit;
 pub(crate) mod bucket;
--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -1,6 +1,6 @@
 //! Updates a customer's token bucket and lease by the counter's totals.
 
-use crate::counter::availability::Outage;
+use crate::counter::availability::Unavailability;
 use crate::counter::calls::CounterCall;
 use crate::quota::UNITS_EPSILON;
 use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
@@ -10,14 +10,14 @@
 impl Customer {
     /// Updates bucket and lease by the total of a call.
     pub(crate) fn record_total(
-        &mut self, call: CounterCall, total: f64, outage: Outage, now: Millis, plan: &Plan,
+        &mut self, call: CounterCall, total: f64, unavailability: Unavailability, now: Millis, plan: &Plan,
     ) {
         let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
-        let is_recent = now < outage.ended_at + refill_period(plan);
-        let outage_span = outage.ended_at - outage.started_at;
-        self.bucket.limit_overflow(payable_overflow(plan, outage_span, is_recent, self.customer_gateways));
-        if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < outage.ended_at {
-            // The counter may have come back empty, and what others spent in the outage is reported nowhere: only this
+        let is_recent = now < unavailability.ended_at + refill_period(plan);
+        let unavailable_ms = unavailability.ended_at - unavailability.started_at;
+        self.bucket.limit_overflow(payable_overflow(plan, unavailable_ms, is_recent, self.customer_gateways));
+        if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < unavailability.ended_at {
+            // The counter may have come back empty, and what others spent meanwhile is reported nowhere: only this
             // gateway's own part is sure to be left.
             let sure_units = fallback_units.unwrap_or(initial_units(plan));
             self.bucket.available_units = self.bucket.available_units.min(sure_units);
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -3,6 +3,11 @@
 use crate::validation::validate;
 use crate::{Action, Gateway, Name, Plan, RequestClass, Settings};
 
+/// The settings cannot be used or have another gateway index ("number"). The text is frozen: operators search for it.
+const SETTINGS_REFUSED_LOG: &str = "changed settings refused: not usable, or another number";
+/// Changed settings are in force. The text is frozen like [`SETTINGS_REFUSED_LOG`].
+const SETTINGS_CHANGED_LOG: &str = "settings changed";
+
 /// An item of the settings that requests and customers refer to by index.
 trait Named {
     fn name(&self) -> &Name;
@@ -76,7 +81,7 @@
     /// the class and plan they came with.
     pub(crate) fn change_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
         if validate(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
-            return out.push(Action::Log("changed settings refused: not usable, or another number".into()));
+            return out.push(Action::Log(SETTINGS_REFUSED_LOG.into()));
         }
         let old = std::mem::replace(&mut self.settings, settings);
         let classes = carry_over(&old.classes, &mut self.settings.classes, |index| {
@@ -98,6 +103,6 @@
             customer.change_plan(self.now, &old.plans[customer.plan_index], &self.settings.plans[new_index]);
             customer.plan_index = new_index;
         }
-        out.push(Action::Log("settings changed".into()));
+        out.push(Action::Log(SETTINGS_CHANGED_LOG.into()));
     }
 }
