--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -10,8 +10,8 @@
 /// So many calls that timed out are remembered, in case their results arrive late.
 const MAX_TIMED_OUT_CALLS: usize = 256;
 
-/// The counter is unavailable: leases ("blocks") are spent, then fallback budgets ("even slices"). The text is frozen: it
-/// is recorded on the simulator's wire, and operators search for it.
+/// The counter is unavailable: leases ("blocks") are spent, then fallback budgets ("even slices"). The text is frozen:
+/// it is recorded on the simulator's wire, and operators search for it.
 const COUNTER_UNAVAILABLE_LOG: &str = "counter silent: spending blocks and even slices";
 /// The counter is available again. The text is frozen like [`COUNTER_UNAVAILABLE_LOG`].
 const COUNTER_AVAILABLE_LOG: &str = "counter back";
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Follows a change in the number of the customer's gateways. More gateways split the fallback budget further; with fewer it
-    /// grows by the rate alone, so that no change grants units anew.
+    /// Follows a change in the number of the customer's gateways. More gateways split the fallback budget further; with
+    /// fewer it grows by the rate alone, so that no change grants units anew.
     pub(crate) fn set_gateways(&mut self, customer_gateways: f64, gateway_rank: u32) {
         let is_known = self.customer_gateways > 0.0;
         let share = if is_known { (self.customer_gateways / customer_gateways).min(1.0) } else { 1.0 };
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -52,7 +52,7 @@
 /// Until when an attempt may begin: while its response can reach the client, and one with an idempotency key while
 /// backends still drop it as a repetition, however long it waited in the queue.
 ///
-/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the host's, in ms, see
+/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the host's, in ms:
 /// [`crate::Settings::tick`].
 fn attempt_deadline(client_deadline: Millis, deduplicated_until: Option<Millis>, tick: Millis) -> Millis {
     client_deadline.min(deduplicated_until.unwrap_or(f64::INFINITY)) - RESPONSE_MARGIN_TICKS * tick
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -148,8 +148,8 @@
     pub slow_start_share: f64,
     /// A backend has warmed up after this time at most, in ms.
     pub slow_start_duration: Millis,
-    /// A backend that warms up fails when it is sent more than this multiple of its present capacity. Not used yet, only
-    /// checked.
+    /// A backend that warms up fails when it is sent more than this multiple of its present capacity. Not used yet,
+    /// only checked.
     pub overload_multiple: f64,
     /// The time over which that is judged, in ms. Not used yet, only checked.
     pub overload_window: Millis,
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,7 +1,8 @@
 //! Checks whether settings can be used.
 //!
 //! The texts that name a value are frozen: hosts print them as part of error messages. They use the words of the
-//! settings files ("aim", "worth", "fall time"), not the terms of the code; the field beside each text is what it means.
+//! settings files ("aim", "worth", "fall time"), not the terms of the code; the field beside each text is what it
+//! means.
 
 use crate::{Settings, SettingsError};
 
--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -81,7 +81,7 @@
     for id in 1..=40 {
         let mut actions = gateway.request(id, &format!("c{id}"), "plain", "safe");
         let (name, amount) = first_counter_call(&actions).expect("call");
-        actions.extend(gateway.answer_counter(name, amount));
+        actions.extend(gateway.counter_responds(name, amount));
         out += count_attempts(&actions);
         rejected += usize::from(is_rejected(&actions, id));
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -162,17 +162,17 @@
         }))
     }
 
-    /// The counter answers a call with a total.
-    pub fn answer_counter(&mut self, counter: u64, total: f64) -> Vec<Action> {
+    /// The counter responds to a call with a total.
+    pub fn counter_responds(&mut self, counter: u64, total: f64) -> Vec<Action> {
         let outcome = CounterOutcome::Total(total);
         self.handle(Event::CounterCallEnded { counter, outcome, latency: 2.0 })
     }
 
-    /// A request that is forwarded once the counter has answered with what this gateway adds; returns the backend.
+    /// A request that is forwarded once the counter has responded with what this gateway adds; returns the backend.
     pub fn forward(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
         let mut actions = self.request(id, customer, plan, class);
         if let Some((counter, amount)) = first_counter_call(&actions) {
-            actions = self.answer_counter(counter, amount);
+            actions = self.counter_responds(counter, amount);
         }
         first_attempt(&actions).expect("an attempt").1
     }
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -9,8 +9,8 @@
     gateway.handle(Event::CounterCallEnded { counter: name, outcome: CounterOutcome::Unknown, latency: 50.0 })
 }
 
-/// Sends a request every 20 ms while the counter does not answer; returns how many were admitted.
-fn admitted_in_outage(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
+/// Sends a request every 20 ms while the counter is unavailable; returns how many were admitted.
+fn admitted_while_unavailable(gateway: &mut TestGateway, plan: &str, span: Millis) -> usize {
     let mut admitted = 0;
     let mut id = 1_000_000;
     let end = gateway.now + span;
@@ -29,7 +29,7 @@
     admitted
 }
 
-/// Sends a request under a ceiling while the counter answers with `total`, served at once; returns how many were
+/// Sends a request under a ceiling while the counter responds with `total`, served at once; returns how many were
 /// admitted.
 fn request_under_ceiling(gateway: &mut TestGateway, id: RequestId, total: &mut f64) -> usize {
     let mut admitted = Vec::new();
@@ -38,7 +38,7 @@
         admitted.extend(actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))));
         let Some((name, amount)) = first_counter_call(&actions) else { break };
         *total += amount;
-        actions = gateway.answer_counter(name, *total);
+        actions = gateway.counter_responds(name, *total);
     }
     for (id, at) in &admitted {
         gateway.end_attempt(*id, 0, at, AttemptOutcome::Served);
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn during_an_outage_a_gateway_spends_its_even_part_and_no_more() {
+fn while_the_counter_is_unavailable_a_gateway_spends_its_even_part_and_no_more() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
-    let admitted = admitted_in_outage(&mut gateway, "plain", 10_000.0);
+    let admitted = admitted_while_unavailable(&mut gateway, "plain", 10_000.0);
     assert!((26..=30).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn the_ceiling_holds_through_a_spent_burst_an_emptied_counter_a_restart_and_an_outage() {
+fn the_ceiling_holds_through_a_spent_burst_an_emptied_counter_a_restart_and_an_unavailable_counter() {
     // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
     // the counter emptied, leases what it grants, and then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
@@ -67,11 +67,14 @@
         id += 1;
         admitted += request_under_ceiling(&mut gateway, id, &mut total) as f64;
         let ceiling = 16.0 + 8.0 * (gateway.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling} before the outage");
+        assert!(
+            10.0 + admitted <= ceiling,
+            "10 + {admitted} against {ceiling} before the counter is unavailable"
+        );
         gateway.now += 20.0;
     }
-    // Two gateways during the outage: each may spend the same part.
-    admitted += 2.0 * admitted_in_outage(&mut gateway, "ceiling", 4000.0) as f64;
+    // Two gateways while the counter is unavailable: each may spend the same part.
+    admitted += 2.0 * admitted_while_unavailable(&mut gateway, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
     assert!(10.0 + admitted <= ceiling, "10 + {admitted} against {ceiling}");
 }
@@ -80,7 +83,7 @@
 fn leases_held_are_reported_again_to_an_emptied_counter() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
-    gateway.answer_counter(name, amount);
+    gateway.counter_responds(name, amount);
     let mut asked = None;
     for id in 2..=12 {
         asked = first_counter_call(&gateway.request(id, "c", "plain", "safe"));
@@ -89,14 +92,14 @@
         }
     }
     let (name, added) = asked.expect("a further lease");
-    gateway.answer_counter(name, added);
+    gateway.counter_responds(name, added);
     let reported =
         first_counter_call(&gateway.advance(60.0, &[])).expect("a report of what the counter lost");
     assert!(reported.1 >= amount, "{reported:?}");
 }
 
 #[test]
-fn an_outage_is_logged_once_and_the_counter_is_called_for_few_requests_only() {
+fn an_unavailable_counter_is_logged_once_and_the_counter_is_called_for_few_requests_only() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let mut calls = 0;
     let mut lines = 0;
@@ -116,7 +119,10 @@
         gateway.now += 10.0;
     }
     assert_eq!(lines, 1);
-    assert!(calls >= 3, "without calls the gateway would not learn that the counter answers again: {calls}");
+    assert!(
+        calls >= 3,
+        "without calls the gateway would not learn that the counter is available again: {calls}"
+    );
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
 }
 
@@ -126,13 +132,13 @@
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.advance(100.0, &[1]);
     gateway.now += 5000.0;
-    let actions = gateway.answer_counter(name, amount);
+    let actions = gateway.counter_responds(name, amount);
     assert_eq!(count_attempts(&actions), 0);
     assert_eq!(count_attempts(&gateway.request(2, "c", "plain", "safe")), 0, "no lease held");
 }
 
 #[test]
-fn after_an_outage_an_idle_gateway_does_not_assume_a_full_bucket_under_a_ceiling() {
+fn after_the_counter_was_unavailable_an_idle_gateway_does_not_assume_a_full_bucket_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let at = gateway.forward(1, "c", "ceiling", "safe");
     gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
@@ -153,7 +159,7 @@
     }
     assert!(
         admitted <= 5 && total <= 5.0,
-        "only its own part of the outage: {admitted} admitted, {total} added"
+        "only its own part while the counter is unavailable: {admitted} admitted, {total} added"
     );
 }
 
@@ -182,7 +188,7 @@
             }
             total += amount;
             actions.retain(|a| !matches!(a, Action::AddToCounter { .. }));
-            actions.extend(gateway.answer_counter(name, total));
+            actions.extend(gateway.counter_responds(name, total));
         }
         if let Some((id, backend)) = first_attempt(&actions) {
             left -= 1.0;
@@ -193,7 +199,7 @@
     assert!(lowest > -plan.ceiling_slack, "{:.1} units below the ceiling", -lowest);
 }
 
-fn answer_late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
+fn counter_responds_late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
     let outcome = CounterOutcome::Late { added: true, total };
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
@@ -215,7 +221,7 @@
     });
     // One unit was spent from the fallback budget in the meantime: it is reported with the next call.
     assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, 1.0));
-    answer_late(&mut gateway, name, Some(lease_units));
+    counter_responds_late(&mut gateway, name, Some(lease_units));
     assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (5.0, 1.0));
     assert!(
         first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(),
@@ -223,7 +229,7 @@
     );
     assert_eq!(one(&gateway).leased_units, 4.0);
     // The result of an unknown call, or a second result, changes nothing.
-    answer_late(&mut gateway, name, Some(99.0));
+    counter_responds_late(&mut gateway, name, Some(99.0));
     assert_eq!(one(&gateway).leased_units, 4.0);
 }
 
@@ -237,7 +243,7 @@
         outcome: CounterOutcome::Unknown,
         latency: 50.0,
     });
-    answer_late(&mut gateway, name, None);
+    counter_responds_late(&mut gateway, name, None);
     let unreported = 1.0 - lease_units;
     assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, unreported));
     let actions = gateway.advance(25.0, &[]);
@@ -264,8 +270,8 @@
 }
 
 #[test]
-fn late_answers_of_the_counter_cost_no_quota() {
-    // Each answer comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
+fn late_responses_of_the_counter_cost_no_quota() {
+    // Each response comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let mut totals = std::collections::BTreeMap::new();
     let mut served = 0;
@@ -274,7 +280,7 @@
         let mut actions = gateway.request(id, "c", "plain", "safe");
         actions.extend(gateway.advance(20.0, &[]));
         for (name, total) in std::mem::take(&mut waiting) {
-            actions.extend(answer_late(&mut gateway, name, Some(total)));
+            actions.extend(counter_responds_late(&mut gateway, name, Some(total)));
         }
         while let Some((name, amount)) = first_counter_call(&actions) {
             let total: &mut f64 = totals.entry(name).or_default();
@@ -297,12 +303,13 @@
 }
 
 #[test]
-fn use_of_others_in_an_outage_is_paid_by_the_overflow_of_the_outage() {
-    // A customer that uses its rate, at this gateway and at another, through an outage of four refill periods.
+fn use_of_others_while_the_counter_is_unavailable_is_paid_by_the_overflow_of_that_time() {
+    // A customer that uses its rate, at this gateway and at another, while the counter is unavailable for four
+    // refill periods.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, lease_units) =
         first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
-    gateway.answer_counter(name, lease_units);
+    gateway.counter_responds(name, lease_units);
     let mut id = 1;
     for _ in 0..80 {
         id += 1;
@@ -326,7 +333,7 @@
     for _ in 0..6 {
         if let Some((name, amount)) = first_counter_call(&actions) {
             total += amount;
-            actions = gateway.answer_counter(name, total);
+            actions = gateway.counter_responds(name, total);
         }
         actions.extend(gateway.advance(30.0, &[]));
     }
@@ -336,11 +343,11 @@
 }
 
 #[test]
-fn a_burst_that_others_use_without_an_outage_is_debited_completely() {
+fn a_burst_that_others_use_while_the_counter_is_available_is_debited_completely() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, lease_units) =
         first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a first lease");
-    gateway.answer_counter(name, lease_units);
+    gateway.counter_responds(name, lease_units);
     gateway.end_attempt(1, 0, &"a1".into(), AttemptOutcome::Served);
     gateway.end_attempt(1, 0, &"a2".into(), AttemptOutcome::Served);
     gateway.advance(1500.0, &[]);
@@ -353,10 +360,10 @@
     }
     let (name, amount) = first_counter_call(&actions).unwrap();
     let before = one(&gateway).available_units;
-    gateway.answer_counter(name, amount + lease_units + 8.0);
+    gateway.counter_responds(name, amount + lease_units + 8.0);
     assert!(
         one(&gateway).available_units <= before - 8.0 + 1.0,
-        "overflow without an outage pays for nothing: {:?}",
+        "overflow while the counter is available pays for nothing: {:?}",
         one(&gateway)
     );
 }
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -1,4 +1,4 @@
-//! A customer of many gateways under a ceiling: the counter becomes unavailable, loses answers, comes back
+//! A customer of many gateways under a ceiling: the counter becomes unavailable, loses responses, comes back
 //! emptied; one gateway restarts. What all gateways forward together is judged by the ceiling alone.
 
 mod common;
@@ -21,8 +21,8 @@
 /// Faults of the counter; times in ms from the start.
 #[derive(Clone, Copy, Debug)]
 struct CounterFault {
-    outage: (Millis, Millis),
-    /// This share of the answers is lost; the units are added.
+    unavailable: (Millis, Millis),
+    /// This share of the responses is lost; the units are added.
     lost: f64,
     /// It comes back without its totals.
     emptied: bool,
@@ -87,7 +87,7 @@
 
     fn add_to_counter(&mut self, at: usize, name: u64, amount: f64, time_to_live: Millis) -> Vec<Action> {
         let now = self.gateways[at].now;
-        let (from, back) = self.fault.outage;
+        let (from, back) = self.fault.unavailable;
         let (outcome, latency) = if now >= self.start + from && now < self.start + back {
             (CounterOutcome::NotAdded, 0.0)
         } else {
@@ -109,7 +109,7 @@
         let mut now = self.start;
         while now < self.start + span {
             now += 5.0;
-            if !std::mem::replace(&mut back, now >= self.start + self.fault.outage.1) && back {
+            if !std::mem::replace(&mut back, now >= self.start + self.fault.unavailable.1) && back {
                 if self.fault.emptied {
                     self.counters.clear();
                 }
@@ -149,19 +149,19 @@
 }
 
 fn counter_faults() -> [CounterFault; 5] {
-    let calm = CounterFault { outage: (0.0, 0.0), lost: 0.0, emptied: false, restart: false };
-    let outage = CounterFault { outage: (4000.0, 10_000.0), ..calm };
+    let calm = CounterFault { unavailable: (0.0, 0.0), lost: 0.0, emptied: false, restart: false };
+    let unavailable = CounterFault { unavailable: (4000.0, 10_000.0), ..calm };
     [
         CounterFault { lost: 0.05, ..calm },
-        outage,
-        CounterFault { lost: 0.1, ..outage },
-        CounterFault { emptied: true, ..outage },
-        CounterFault { emptied: true, restart: true, lost: 0.05, ..outage },
+        unavailable,
+        CounterFault { lost: 0.1, ..unavailable },
+        CounterFault { emptied: true, ..unavailable },
+        CounterFault { emptied: true, restart: true, lost: 0.05, ..unavailable },
     ]
 }
 
 /// The worst case: the customer uses all that it can get throughout, at all of its gateways. What each gateway
-/// assumes to be left after an outage is harmless with two gateways and would exceed the ceiling with 25.
+/// assumes to be left after that time is harmless with two gateways and would exceed the ceiling with 25.
 #[test]
 fn the_ceiling_holds_over_all_gateways_through_every_fault_of_the_counter() {
     let plan = plan();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -57,7 +57,7 @@
         if let Some((name, amount)) = first_counter_call(&actions) {
             let total = totals.entry(name).or_default();
             *total += amount;
-            actions.extend(gateway.answer_counter(name, *total));
+            actions.extend(gateway.counter_responds(name, *total));
         }
         admitted += count_attempts(&actions);
     }
@@ -111,7 +111,7 @@
     for gateway in &mut fleet {
         let mut actions = request_of_all(gateway, 1, "c", false);
         if let Some((name, _)) = first_counter_call(&actions) {
-            actions.extend(gateway.answer_counter(name, 1.0));
+            actions.extend(gateway.counter_responds(name, 1.0));
         }
         admitted += count_attempts(&actions);
     }
@@ -122,7 +122,7 @@
 fn gossip_of_a_customer_over_quota_is_sent_and_followed() {
     let mut fleet = fleet(GATEWAYS, &names(5), false, true);
     let (name, amount) = first_counter_call(&request_of_all(&mut fleet[0], 1, "c", false)).expect("a call");
-    let actions = fleet[0].answer_counter(name, 1000.0 + amount);
+    let actions = fleet[0].counter_responds(name, 1000.0 + amount);
     let message = actions
         .iter()
         .find_map(|a| if let Action::Gossip { bytes } = a { Some(bytes.clone()) } else { None });
@@ -150,10 +150,10 @@
     let mut fleet = fleet(GATEWAYS, &names(5), false, false);
     let mut seen = Vec::new();
     for id in 1..=60 {
-        // Quick answers raise the call rate: retries are sampled then.
+        // Quick responses raise the call rate: retries are sampled then.
         let actions = request_of_all(&mut fleet[0], id, &format!("c{id}"), id > 30);
         if let Some((name, amount)) = first_counter_call(&actions) {
-            fleet[0].answer_counter(name, 1.0);
+            fleet[0].counter_responds(name, 1.0);
             seen.push((id > 30, amount));
         }
     }
@@ -171,7 +171,7 @@
             id += 1;
             let mut actions = request_of_all(gateway, id, &format!("c{id}"), false);
             if let Some((name, amount)) = first_counter_call(&actions) {
-                actions.extend(gateway.answer_counter(name, amount));
+                actions.extend(gateway.counter_responds(name, amount));
             }
             for (id, backend) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
                 admitted += 1;
@@ -205,7 +205,7 @@
             bits ^= bits << 17;
             let mut actions = request_of_all(&mut gateway, id, &format!("c{id}"), false);
             if let Some((name, amount)) = first_counter_call(&actions) {
-                actions.extend(gateway.answer_counter(name, amount));
+                actions.extend(gateway.counter_responds(name, amount));
             }
             let Some((id, at)) = first_attempt(&actions) else {
                 shed += 1;
@@ -231,7 +231,7 @@
         let mut actions = gateway.request_through(id, &format!("c{id}"), "plain", class, false, GATEWAYS);
         if let Some((name, amount)) = first_counter_call(&actions) {
             *sampled.entry(class).or_default() += 1;
-            // The answer is slow each time, so that calls stay scarce.
+            // The response is slow each time, so that calls stay scarce.
             let outcome = CounterOutcome::Total(amount);
             actions.extend(gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 45.0 }));
         }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -21,7 +21,7 @@
             let id = incarnation * 100 + number;
             let mut actions = gateway.request(id, &format!("once{id}"), "plain", "safe");
             if let Some((name, amount)) = first_counter_call(&actions) {
-                actions = gateway.answer_counter(name, amount);
+                actions = gateway.counter_responds(name, amount);
             }
             if let Some((id, at)) = first_attempt(&actions) {
                 gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -11,7 +11,7 @@
     let (name, amount) = first_counter_call(&actions).expect("a counter call");
     assert_eq!(amount, 5.0);
     assert_eq!(count_attempts(&actions), 0, "waits for its lease");
-    assert_eq!(count_attempts(&gateway.answer_counter(name, 5.0)), 1);
+    assert_eq!(count_attempts(&gateway.counter_responds(name, 5.0)), 1);
     for id in 2..=5 {
         let actions = gateway.request(id, "c", "plain", "safe");
         assert_eq!(count_attempts(&actions), 1, "request {id} is paid from the lease");
@@ -23,7 +23,7 @@
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     // Others hold all of the burst and more than the window has refilled by now.
-    let actions = gateway.answer_counter(name, amount + 40.0);
+    let actions = gateway.counter_responds(name, amount + 40.0);
     let retry_after = actions.iter().find_map(|a| match a {
         Action::Reject { id: 1, retry_after, .. } => Some(*retry_after),
         _ => None,
@@ -50,7 +50,7 @@
 fn a_lease_is_not_spent_after_its_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
-    gateway.answer_counter(name, amount);
+    gateway.counter_responds(name, amount);
     gateway.now += 4_001.0;
     let actions = gateway.request(2, "c", "plain", "safe");
     assert_eq!(count_attempts(&actions), 0, "the old lease has expired");
@@ -62,7 +62,7 @@
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.handle(Event::BackendList(Vec::new()));
-    let actions = gateway.answer_counter(name, amount);
+    let actions = gateway.counter_responds(name, amount);
     assert_eq!(count_attempts(&actions), 0);
     gateway.advance(300.0, &[1]);
     gateway.handle(Event::BackendList(vec![backend_entry("a1", BackendState::Ready, None)]));
@@ -122,7 +122,7 @@
         let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
         let (name, _) =
             first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("a counter call");
-        let (_, backend) = first_attempt(&gateway.answer_counter(name, 5.0)).expect("an attempt");
+        let (_, backend) = first_attempt(&gateway.counter_responds(name, 5.0)).expect("an attempt");
         let end = AttemptEnd {
             id: 1,
             attempt: 0,
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -86,7 +86,7 @@
 fn without_backends_a_request_waits_its_queue_timeout_and_is_rejected_once() {
     let mut gateway = TestGateway::new(settings(), &[]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "unsafe")).expect("call");
-    let actions = gateway.answer_counter(name, amount);
+    let actions = gateway.counter_responds(name, amount);
     assert!(!is_rejected(&actions, 1));
     assert!(is_rejected(&gateway.advance(300.0, &[1]), 1));
     assert!(!is_rejected(&gateway.advance(300.0, &[1]), 1));
@@ -97,7 +97,7 @@
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
     gateway.handle(Event::ClientDisconnected { id: 1 });
-    let actions = gateway.answer_counter(name, amount);
+    let actions = gateway.counter_responds(name, amount);
     assert!(count_attempts(&actions) == 0 && !is_rejected(&actions, 1) && !is_failed(&actions, 1));
     let at = gateway.forward(2, "c", "plain", "safe");
     gateway.handle(Event::ClientDisconnected { id: 2 });
@@ -108,7 +108,7 @@
 fn events_about_unknown_requests_backends_and_timers_are_ignored() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     gateway.end_attempt(9, 3, &"nowhere".into(), AttemptOutcome::Served);
-    gateway.answer_counter(77, 5.0);
+    gateway.counter_responds(77, 5.0);
     gateway.handle(Event::TimerExpired { token: 999 });
     gateway.handle(Event::ClientDisconnected { id: 8 });
     assert!(is_rejected(&gateway.request(5, "c", "no such plan", "safe"), 5));
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -5,7 +5,7 @@
 use doorcourse::*;
 use std::collections::HashMap;
 
-/// Several gateways on one counter that answers at once.
+/// Several gateways on one counter that responds at once.
 struct Fleet {
     gateways: Vec<TestGateway>,
     counters: HashMap<u64, f64>,
@@ -37,7 +37,7 @@
                 Action::AddToCounter { counter: name, amount, .. } => {
                     let total = self.counters.entry(name).or_default();
                     *total += amount;
-                    actions.extend(self.gateways[at].answer_counter(name, *total));
+                    actions.extend(self.gateways[at].counter_responds(name, *total));
                 }
                 Action::SendAttempt { id, backend, .. } => {
                     sent += 1;
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn more_gateways_during_an_outage_split_the_fallback_budget_further() {
+fn more_gateways_while_the_counter_is_unavailable_split_the_fallback_budget_further() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2"]);
     let spend = |gateway: &mut TestGateway, from: u64, gateway_count| {
         (from..from + 20)
