--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -1,8 +1,9 @@
 //! The state that a gateway keeps of one customer.
 
+use crate::counter::calls::CounterCall;
 use crate::quota::bucket::{TokenBucket, initial_units, refill_period, window_at};
 use crate::quota::fallback::FallbackBudget;
-use crate::quota::lease::{Demand, LeaseCall, QuotaLease};
+use crate::quota::lease::{Demand, QuotaLease};
 use crate::random::hash_text;
 use crate::{Millis, Name, Plan, RequestId};
 use std::collections::VecDeque;
@@ -15,8 +16,9 @@
 pub(crate) struct Customer {
     /// The index of its plan in the settings.
     pub plan_index: usize,
-    /// How many gateways its requests come in through, at least 1 from the first request on.
-    pub gateway_count: f64,
+    /// How many gateways its requests come in through, a whole number, at least 1 from the first request on. At most
+    /// [`crate::Settings::gateway_count`], the number of all gateways.
+    pub customer_gateways: f64,
     /// This gateway's rank among them, from 0.
     pub gateway_rank: u32,
     /// 56 bits that stand for its name in counters and gossip.
@@ -31,10 +33,10 @@
     /// Units used and not yet added to the counter; negative where units are to be returned.
     pub unreported_units: f64,
     /// The counter call in flight.
-    pub pending_call: Option<LeaseCall>,
+    pub pending_call: Option<CounterCall>,
     /// Requests that wait for the counter, in order of arrival.
     pub waiting: VecDeque<RequestId>,
-    /// Set while the counter does not answer.
+    /// Set while the counter is unavailable.
     pub fallback_budget: Option<FallbackBudget>,
     /// Requests in flight at backends.
     pub in_flight: u32,
@@ -62,15 +64,15 @@
         }
     }
 
-    /// Follows a change in the number of gateways. More gateways split the fallback budget further; with fewer it
-    /// grows by the rate alone, so that no change grants units anew.
-    pub(crate) fn set_gateways(&mut self, gateway_count: f64, gateway_rank: u32) {
-        let is_known = self.gateway_count > 0.0;
-        let share = if is_known { (self.gateway_count / gateway_count).min(1.0) } else { 1.0 };
+    /// Follows a change in the number of the customer's gateways. More gateways split the fallback budget further; with
+    /// fewer it grows by the rate alone, so that no change grants units anew.
+    pub(crate) fn set_gateways(&mut self, customer_gateways: f64, gateway_rank: u32) {
+        let is_known = self.customer_gateways > 0.0;
+        let share = if is_known { (self.customer_gateways / customer_gateways).min(1.0) } else { 1.0 };
         if let Some(budget) = &mut self.fallback_budget {
             budget.units *= share;
         }
-        self.gateway_count = gateway_count;
+        self.customer_gateways = customer_gateways;
         self.gateway_rank = gateway_rank;
     }
 
@@ -81,13 +83,19 @@
         self.bucket.available_units += units;
     }
 
+    /// Adds the units of a request that used none to the lease, whatever they were spent from.
+    pub(crate) fn refund(&mut self, units: f64) {
+        self.lease.units += units;
+    }
+
     /// Removes a request from those that wait for the counter.
     pub(crate) fn stop_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|waiting| *waiting != id);
     }
 }
 
-/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round.
+/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round all
+/// `gateway_count` gateways.
 pub(crate) fn gateway_rank(gateway_index: u32, first_gateway: u32, gateway_count: u32) -> u32 {
     (gateway_index + gateway_count - first_gateway % gateway_count) % gateway_count
 }
--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -5,9 +5,11 @@
 //! probability that the last total suggests.
 
 use crate::counter::call_rate::{MAX_CALL_RATE, MIN_CALL_RATE};
+use crate::counter::calls::CounterCall;
 use crate::gossip::AdmitReport;
+use crate::quota::admit::QuotaAdmission;
 use crate::quota::bucket::{refill_period, window_at};
-use crate::quota::lease::{LeaseCall, SCARCE_SHARE};
+use crate::quota::lease::SCARCE_SHARE;
 use crate::request::sum_over;
 use crate::{Action, Gateway, Millis, Name, Plan, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -22,14 +24,20 @@
 const ADMIT_FADE_PERIODS: f64 = 4.0;
 /// An admit probability below this is gossiped, and again when it falls below this share of the last one.
 const GOSSIP_THRESHOLD: f64 = 0.7;
+/// A first total fits where the others asked for less than this share of the granted units. Equal by choice to
+/// the share at which units of a leased quota become scarce.
+const PRIOR_FIT_SHARE: f64 = SCARCE_SHARE;
+/// The least sampling probability: a plan or class of little weight lowers the least call rate by at most the same
+/// factor again, so that some requests of each customer are counted even while calls are scarce.
+const MIN_SAMPLING_PROBABILITY: f64 = MIN_CALL_RATE * MIN_CALL_RATE;
 /// Weight of the newest first total in a plan's prior.
 const PRIOR_WEIGHT: f64 = 0.1;
 /// The least mean loss that losses are compared with.
 const MIN_MEAN_LOSS: f64 = 1e-9;
 
 /// Whether a quota is too small to be leased. Never under a ceiling, which sampling could exceed.
-pub(crate) fn is_sampled(plan: &Plan, gateway_count: f64) -> bool {
-    plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < MIN_LEASABLE_UNITS * gateway_count
+pub(crate) fn is_sampled(plan: &Plan, customer_gateways: f64) -> bool {
+    plan.rate > 0.0 && plan.ceiling_rate <= 0.0 && plan.burst < MIN_LEASABLE_UNITS * customer_gateways
 }
 
 /// What one wrongly admitted request of a plan costs, relative to the value of a response.
@@ -49,7 +57,21 @@
 /// Inputs: `call_rate` as in [`crate::counter::call_rate`], `relative_loss` and `relative_priority` relative to the
 /// means of all plans and classes.
 fn sampling_probability(call_rate: f64, relative_loss: f64, relative_priority: f64) -> f64 {
-    (call_rate * relative_loss * relative_priority).clamp(MIN_CALL_RATE * MIN_CALL_RATE, MAX_CALL_RATE)
+    (call_rate * relative_loss * relative_priority).clamp(MIN_SAMPLING_PROBABILITY, MAX_CALL_RATE)
+}
+
+/// Whether a request is in the sample, by `draw` in 0..1. A client's retry is in it only by what the probability
+/// exceeds 1 by.
+fn is_in_sample(draw: f64, sampling_probability: f64, client_retry: bool) -> bool {
+    let first_requests_part = if client_retry { 1.0 } else { 0.0 };
+    draw < sampling_probability - first_requests_part
+}
+
+/// The units that a request in the sample adds to the counter: its own over its sampling probability, so that it
+/// stands for those outside the sample too. A client's retry adds nothing: it is in the counter since its first
+/// request.
+fn weigh_units(units: f64, sampling_probability: f64, client_retry: bool) -> f64 {
+    if client_retry { 0.0 } else { units / sampling_probability.min(1.0) }
 }
 
 /// The probability of admitting a request without a total of its own.
@@ -143,27 +165,24 @@
 }
 
 impl Gateway {
-    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total. Returns
-    /// whether the request waits for the counter.
-    pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total.
+    pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> QuotaAdmission {
         let draw = self.random.draw();
-        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(request) = self.requests.get(&id) else { return QuotaAdmission::Decided };
         let probability = sampling_probability(
             self.call_rate.get(),
             relative_loss(&self.settings.plans, request.plan_index),
             self.relative_priority(request.class_index),
         );
-        let is_retry = f64::from(request.client_retry);
-        let is_sampled = self.settings.has_counter && draw < probability - is_retry;
-        // A client's retry is in the counter since its first request.
-        let weighted_units = (1.0 - is_retry) * request.units / probability.min(1.0);
-        let Some(customer) = self.customers.get(&request.customer) else { return false };
-        if is_sampled && customer.pending_call.is_none() {
+        let is_counted = self.settings.has_counter && is_in_sample(draw, probability, request.client_retry);
+        let weighted_units = weigh_units(request.units, probability, request.client_retry);
+        let Some(customer) = self.customers.get(&request.customer) else { return QuotaAdmission::Decided };
+        if is_counted && customer.pending_call.is_none() {
             self.requests.entry(id).and_modify(|request| request.weighted_units = weighted_units);
             return self.wait_for_counter(id, out);
         }
         self.admit_without_total(id, out);
-        false
+        QuotaAdmission::Decided
     }
 
     /// Admits or rejects a request of a sampled quota by the customer's admit probability.
@@ -184,23 +203,23 @@
     /// Handles the counter's total for a sampled quota: learns the admit probability and decides for the requests that
     /// wait.
     pub(crate) fn sampled_total_received(
-        &mut self, name: &Name, call: LeaseCall, total: f64, out: &mut Vec<Action>,
+        &mut self, name: &Name, call: CounterCall, total: f64, out: &mut Vec<Action>,
     ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let asked_units = total - call.lease_units - call.report_units;
+        let asked_units = total - call.new_units - call.report_units;
         let own_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
-        let excess_units = (call.lease_units - own_units).max(0.0);
+        let excess_units = (call.new_units - own_units).max(0.0);
         let period = refill_period(plan);
         let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
-        let window = SampledWindow::new(plan, elapsed, asked_units, call.lease_units, excess_units);
+        let window = SampledWindow::new(plan, elapsed, asked_units, call.new_units, excess_units);
         let units_per_second = plan.rate;
         let name_hash = customer.name_hash;
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.has_total, true) {
             let is_retry =
                 waiting.iter().any(|id| self.requests.get(id).is_some_and(|request| request.client_retry));
-            let fits = asked_units < window.granted_units * SCARCE_SHARE;
+            let fits = asked_units < window.granted_units * PRIOR_FIT_SHARE;
             self.plan_priors[customer.plan_index].record(is_retry, fits);
         }
         self.record_admit_probability(name_hash, window.admit_probability, period, out);
