--- a/src/action.rs
+++ b/src/action.rs
@@ -20,7 +20,7 @@
         id: RequestId,
         /// The backend.
         backend: Name,
-        /// The attempt's timeout in ms; `None` for the client's own.
+        /// The attempt's timeout in ms; `None` for the client's own. Not used yet: the gateway always sets `None`.
         timeout: Option<Millis>,
         /// For a retry that backends drop as a repetition for a limited time only: what is left of that time, in ms.
         /// The attempt is withdrawn unless it is completely written by then.
--- a/src/event.rs
+++ b/src/event.rs
@@ -233,7 +233,7 @@
     },
     /// A message of another gateway arrived.
     GossipReceived {
-        /// The sender's index.
+        /// The sender's index. Not used yet.
         from: u32,
         /// The message.
         bytes: Vec<u8>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -128,7 +128,8 @@
     /// Whether responses report the units that their requests used. Not used yet: units are settled by each response
     /// that reports them.
     pub responses_report_units: bool,
-    /// The most units of one request. Not used yet, only checked.
+    /// The most units of one request; 0 for no limit. The RESP gateway responds with an error to a request of more; the
+    /// decisions do not use it.
     pub max_request_units: f64,
     /// Where load reports come from. Not used yet.
     pub load_reports: LoadReportSource,
