--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -130,7 +130,7 @@
     for gateways in [3, 200] {
         let mut run = |what: &str, mut host: Host, sticky_route: &Name| {
             group.bench_function(format!("{what}, {gateways} gateways"), |b| {
-                b.iter(|| host.request(sticky_route))
+                b.iter(|| host.request(sticky_route));
             });
         };
         run("plain", Host::new(gateways, |_| Placement::default()), &no_route);
--- a/crates/event-loop/src/socket.rs
+++ b/crates/event-loop/src/socket.rs
@@ -106,9 +106,9 @@
         if self.written == self.output.len() {
             self.written = 0;
             if self.output.capacity() > MAX_KEPT_OUTPUT_BYTES {
-                self.output = Vec::new()
+                self.output = Vec::new();
             } else {
-                self.output.clear()
+                self.output.clear();
             }
         } else if self.written > MAX_KEPT_OUTPUT_BYTES {
             self.output.drain(..self.written);
--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -85,7 +85,7 @@
     /// # Errors
     /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it. A
     /// socket that is left over from a dead process is replaced.
-    pub fn bind(io: &Io, path: &Path, taking_over: bool) -> anyhow::Result<Self> {
+    pub(crate) fn bind(io: &Io, path: &Path, taking_over: bool) -> anyhow::Result<Self> {
         if path.exists() {
             let alive = UnixStream::connect(path).is_ok();
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
@@ -107,7 +107,7 @@
     }
 
     /// Accepts one connection.
-    pub fn accept(&mut self, io: &mut Io) {
+    pub(crate) fn accept(&mut self, io: &mut Io) {
         let generation = io.generation();
         let Ok((stream, _)) = self.listener.accept() else { return };
         if stream.set_nonblocking(true).is_err() {
@@ -127,7 +127,7 @@
     }
 
     /// Reads the calls of a connection; those that are valid wait in `calls`.
-    pub fn handle_readiness(&mut self, slot: usize, generation: u32) {
+    pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
         let mut bytes = [0; READ_BYTES];
@@ -181,7 +181,7 @@
     }
 
     /// Closes the connection of a process that did not become ready.
-    pub fn disconnect(&mut self, peer: u64) {
+    pub(crate) fn disconnect(&mut self, peer: u64) {
         drop(self.connections.try_remove(peer as usize));
     }
 
@@ -199,23 +199,23 @@
     }
 
     /// Replies to a call.
-    pub fn reply(&mut self, slot: usize, id: &Value, value: Value) {
+    pub(crate) fn reply(&mut self, slot: usize, id: &Value, value: Value) {
         self.write(slot, &result_reply(id, value));
     }
 
     /// Replies that the parameters of a call name nothing that exists.
-    pub fn reply_invalid_params(&mut self, slot: usize, id: &Value, message: &str) {
+    pub(crate) fn reply_invalid_params(&mut self, slot: usize, id: &Value, message: &str) {
         self.write(slot, &error_reply(id, ErrorCode::InvalidParams, message));
     }
 
     /// The waiter of a call for a reload; `None` where its connection is closed.
-    pub fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
+    pub(crate) fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.connections.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
     }
 
     /// Replies to a call for a reload, if its connection is still open.
-    pub fn reply_reload(&mut self, reload: &ReloadReply) {
+    pub(crate) fn reply_reload(&mut self, reload: &ReloadReply) {
         let ReloadWaiter { slot, generation, id, .. } = &reload.waiter;
         if self.connections.get(*slot).is_none_or(|c| c.generation != *generation) {
             return;
@@ -228,7 +228,7 @@
     }
 
     /// Replies to a takeover call that its process may not take over, and why.
-    pub fn refuse_takeover(&mut self, peer: u64, message: &str) {
+    pub(crate) fn refuse_takeover(&mut self, peer: u64, message: &str) {
         let slot = peer as usize;
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.takes_over = false;
@@ -237,7 +237,7 @@
     }
 
     /// Passes the listening sockets (SCM_RIGHTS) with the reply to a takeover call.
-    pub fn pass_listeners(&mut self, peer: u64, listeners: &[&TcpListener]) {
+    pub(crate) fn pass_listeners(&mut self, peer: u64, listeners: &[&TcpListener]) {
         let slot = peer as usize;
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let line = line_of(&result_reply(&connection.takeover_id, json!({"listeners": listeners.len()})));
--- a/crates/http-gateway/src/admin/protocol.rs
+++ b/crates/http-gateway/src/admin/protocol.rs
@@ -67,7 +67,7 @@
 
 impl CallError {
     /// The JSON-RPC error code.
-    pub fn code(&self) -> ErrorCode {
+    pub(super) fn code(&self) -> ErrorCode {
         match self {
             Self::NodeNameMissing | Self::HandOverParamsMissing => ErrorCode::InvalidParams,
             Self::UnknownMethod(_) => ErrorCode::MethodNotFound,
--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -41,7 +41,7 @@
 impl Backends {
     /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the backends
     /// whose endpoint is unchanged.
-    pub fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
+    pub(crate) fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
         let mut former = std::mem::take(&mut self.pools);
         let mut unchanged = Vec::new();
         let mut unlisted = Vec::new();
@@ -67,8 +67,8 @@
 
     /// Starts an attempt on an idle connection, or on a new one where none is idle. `None` where the backend is not listed
     /// or no connection can be opened.
-    pub fn send_request(
-        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, wire: &BackendRequest,
+    pub(crate) fn send_request(
+        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, wire: &BackendRequest<'_>,
     ) -> Option<ConnectionId> {
         let pool = self.pools.get_mut(backend)?;
         let endpoint = pool.endpoint;
@@ -116,7 +116,7 @@
     }
 
     /// Reads what a connection is ready for; [`Self::next_event`] reports it.
-    pub fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
+    pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
         if connection.handle_readiness(ready) {
@@ -125,7 +125,7 @@
     }
 
     /// The next event of a connection, and the request that it belongs to. `None`: no more for now.
-    pub fn next_event(
+    pub(crate) fn next_event(
         &mut self, io: &mut Io, limits: &Limits, slot: usize, generation: u32,
     ) -> Option<(RequestId, AttemptEvent)> {
         let connection = self.connections.get_mut(slot).filter(|c| c.generation == generation)?;
@@ -184,7 +184,7 @@
     }
 
     /// The idle timeout of a connection may have passed.
-    pub fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
+    pub(crate) fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
         let now = io.now();
         if self.connections.get(slot).is_some_and(|c| c.is_idle_timeout(generation, now)) {
             self.close(slot);
@@ -192,7 +192,7 @@
     }
 
     /// Closes a connection, whatever it carries.
-    pub fn close(&mut self, slot: usize) {
+    pub(crate) fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         if let Some(pool) = self.pools.get_mut(&connection.backend) {
             pool.idle.retain(|s| *s != slot);
@@ -200,7 +200,7 @@
     }
 
     /// Stops reading a response until its client has read, or resumes.
-    pub fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
+    pub(crate) fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.paused = paused;
         }
--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -80,7 +80,7 @@
 
 impl BackendConnection {
     /// Starts a request on the connection, whose bytes are in its output.
-    pub fn start_request(&mut self, id: RequestId) {
+    pub(super) fn start_request(&mut self, id: RequestId) {
         self.request = Some(id);
         self.idle_until = Millis::INFINITY;
         self.connected_pending = !self.connecting;
@@ -89,7 +89,7 @@
 
     /// Reads and records what the socket is ready for. Returns whether the connection has to be closed: an idle one that
     /// ends, or on which unrequested bytes arrive, is of no further use.
-    pub fn handle_readiness(&mut self, ready: Ready) -> bool {
+    pub(super) fn handle_readiness(&mut self, ready: Ready) -> bool {
         if self.connecting {
             if ready.write || ready.broken {
                 self.finish_connect();
@@ -126,7 +126,7 @@
     }
 
     /// Writes what is left of the request; returns whether the system took bytes.
-    pub fn flush_request(&mut self) -> bool {
+    pub(super) fn flush_request(&mut self) -> bool {
         let before = self.socket.pending();
         if self.socket.flush() == Flow::Broken {
             self.set_broken();
@@ -135,7 +135,7 @@
     }
 
     /// Decodes the next piece of the response.
-    pub fn decode(&mut self) -> Decoded {
+    pub(super) fn decode(&mut self) -> Decoded {
         if !self.connecting
             && let Some(event) = self.decode_part()
         {
@@ -154,12 +154,9 @@
     /// One part of the response; also without a byte of input, since a message may be at its end.
     fn decode_part(&mut self) -> Option<AttemptEvent> {
         let input = &self.socket.input[self.decoded..];
-        let (used, part) = match self.decoder.decode(input) {
-            Ok(decoded) => decoded,
-            Err(_) => {
-                self.input_pending = false;
-                return Some(AttemptEvent::InvalidResponse);
-            }
+        let Ok((used, part)) = self.decoder.decode(input) else {
+            self.input_pending = false;
+            return Some(AttemptEvent::InvalidResponse);
         };
         let event = match part {
             None => None,
@@ -175,13 +172,13 @@
     }
 
     /// Drops the decoded input, once for all that one read decoded.
-    pub fn consume(&mut self) {
+    pub(super) fn consume(&mut self) {
         let decoded = std::mem::take(&mut self.decoded);
         self.socket.consume(decoded);
     }
 
     /// Ends the request whose response is complete. Returns whether the connection may carry another request.
-    pub fn finish_request(&mut self, idle_until: Millis) -> bool {
+    pub(super) fn finish_request(&mut self, idle_until: Millis) -> bool {
         self.consume();
         self.request = None;
         self.paused = false;
@@ -194,12 +191,12 @@
     }
 
     /// Whether an idle connection has to be closed by now.
-    pub fn is_idle_timeout(&self, generation: u32, now: Millis) -> bool {
+    pub(super) fn is_idle_timeout(&self, generation: u32, now: Millis) -> bool {
         self.generation == generation && self.request.is_none() && self.idle_until <= now
     }
 
     /// Brings the registration in line with what the connection waits for.
-    pub fn update_registration(&mut self, io: &Io, slot: usize) {
+    pub(super) fn update_registration(&mut self, io: &Io, slot: usize) {
         let write = self.connecting || self.socket.pending() > 0;
         let interest = Interest::of(!self.paused, write);
         if interest != self.interest {
--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -51,7 +51,7 @@
 
 impl Clients {
     /// Registers the listeners.
-    pub fn new(io: &Io, config: &Config, listeners: Vec<TcpListener>) -> std::io::Result<Self> {
+    pub(crate) fn new(io: &Io, config: &Config, listeners: Vec<TcpListener>) -> std::io::Result<Self> {
         for (index, listener) in listeners.iter().enumerate() {
             io.poller.add(listener, Token::Listener(index).pack(), Interest::READ)?;
         }
@@ -67,7 +67,7 @@
     }
 
     /// Applies the connection limits of changed settings.
-    pub fn update_limits(&mut self, config: &Config) {
+    pub(crate) fn update_limits(&mut self, config: &Config) {
         self.budget.set_limits(client_limits(config));
     }
 
@@ -75,27 +75,27 @@
     ///
     /// # Errors
     /// The operating system does not return one.
-    pub fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
+    pub(crate) fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         self.listeners.iter().map(TcpListener::local_addr).collect()
     }
 
     /// The listeners; none once they are closed.
-    pub fn listeners(&self) -> &[TcpListener] {
+    pub(crate) fn listeners(&self) -> &[TcpListener] {
         &self.listeners
     }
 
     /// Closes the listeners. Connections stay.
-    pub fn close_listeners(&mut self) {
+    pub(crate) fn close_listeners(&mut self) {
         self.listeners.clear();
     }
 
     /// The number of open connections.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.connections.len()
     }
 
     /// The number of connections with a request partially received or a response partially sent.
-    pub fn busy_count(&self) -> usize {
+    pub(crate) fn busy_count(&self) -> usize {
         self.connections.iter().filter(|(_, client)| client.is_busy()).count()
     }
 
--- a/crates/http-gateway/src/clients/accept.rs
+++ b/crates/http-gateway/src/clients/accept.rs
@@ -24,7 +24,7 @@
 
 impl ReserveDescriptor {
     /// Opens the reserve; it stays empty where no descriptor is left.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self(Self::open())
     }
 
@@ -43,7 +43,7 @@
 impl Clients {
     /// Accepts the connections that wait in the accept queues, then closes the listeners: the system has established
     /// these connections already, and requests may be written on them.
-    pub fn drain_accept_queues(&mut self, io: &mut Io, config: &Config) {
+    pub(crate) fn drain_accept_queues(&mut self, io: &mut Io, config: &Config) {
         let before = self.connections.len();
         for index in 0..self.listeners.len() {
             // As many as the queue holds: a flood that goes on ends here.
@@ -61,7 +61,7 @@
     }
 
     /// Accepts a bounded number of connections; returns whether the accept queue is empty.
-    pub fn accept(&mut self, io: &mut Io, config: &Config, index: usize) -> bool {
+    pub(crate) fn accept(&mut self, io: &mut Io, config: &Config, index: usize) -> bool {
         for _ in 0..MAX_ACCEPTS {
             let Some(listener) = self.listeners.get(index) else { return true };
             match listener.accept() {
--- a/crates/http-gateway/src/clients/connection.rs
+++ b/crates/http-gateway/src/clients/connection.rs
@@ -54,7 +54,7 @@
 
 impl ClientConnection {
     /// A connection that waits for its first request head until `timeout_at`.
-    pub fn new(
+    pub(super) fn new(
         socket: Socket, generation: u32, decoder: Decoder, interest: Interest, timeout_at: Millis,
     ) -> Self {
         Self {
@@ -78,7 +78,7 @@
     }
 
     /// Whether a request is partially received.
-    pub fn is_in_request(&self) -> bool {
+    pub(super) fn is_in_request(&self) -> bool {
         match self.phase {
             ConnectionPhase::ReadingHead => {
                 !self.closing && self.decoder.in_message(!self.socket.input.is_empty())
@@ -91,23 +91,23 @@
     }
 
     /// Whether a request is with the decisions, or its response not ended.
-    pub fn has_request(&self) -> bool {
+    pub(super) fn has_request(&self) -> bool {
         matches!(self.phase, ConnectionPhase::AwaitingAdmission | ConnectionPhase::Responding(_))
     }
 
     /// Whether the gateway has ended its side and only waits for the client to close.
-    pub fn is_lingering(&self) -> bool {
+    pub(super) fn is_lingering(&self) -> bool {
         matches!(self.phase, ConnectionPhase::Lingering)
     }
 
     /// Whether the rest of a request or of a response is outstanding. A connection that is closing counts until its
     /// client has had the time to read the last response: a close while bytes are unread would destroy it.
-    pub fn is_busy(&self) -> bool {
+    pub(super) fn is_busy(&self) -> bool {
         self.is_lingering() || self.closing || self.socket.pending() > 0 || self.is_in_request()
     }
 
     /// Writes buffered output and notes whether the client took some; returns how the write ended.
-    pub fn flush(&mut self) -> doorcourse_event_loop::Flow {
+    pub(super) fn flush(&mut self) -> doorcourse_event_loop::Flow {
         let before = self.socket.pending();
         let flow = self.socket.flush();
         self.progressed |= self.socket.pending() < before;
@@ -116,7 +116,7 @@
 
     /// Ends our side, and reads on for a while: closing with unread input would reset the connection, and could destroy
     /// the last response on its way (RFC 9112 section 9.6).
-    pub fn start_lingering(&mut self) {
+    pub(super) fn start_lingering(&mut self) {
         self.phase = ConnectionPhase::Lingering;
         self.socket.shutdown_write();
         self.socket.input = Vec::new();
--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -25,7 +25,7 @@
 
 impl Clients {
     /// Handles the readiness of a connection: a disconnect first, then input, then output.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self, io: &mut Io, config: &Config, slot: usize, generation: u32, ready: Ready,
     ) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
@@ -159,14 +159,14 @@
     }
 
     /// The reported request is admitted with this id.
-    pub fn request_admitted(&mut self, slot: usize, id: RequestId) {
+    pub(crate) fn request_admitted(&mut self, slot: usize, id: RequestId) {
         if let Some(client) = self.connections.get_mut(slot) {
             client.phase = ConnectionPhase::Responding(id);
         }
     }
 
     /// Decodes what a client sent behind the request that is answered (pipelining).
-    pub fn resume_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
+    pub(crate) fn resume_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
         self.decode_input(io, config, slot);
         self.update_registration(io, slot);
     }
--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -48,7 +48,7 @@
 
 impl Clients {
     /// Writes a response of the gateway's own.
-    pub fn respond(
+    pub(crate) fn respond(
         &mut self, io: &mut Io, config: &Config, slot: usize, response: &Response,
         request_name: Option<&Name>,
     ) {
@@ -61,7 +61,7 @@
 
     /// Writes bytes of a forwarded response, with its head in front of the first. Returns how many bytes the client has
     /// not read yet, as of before this write.
-    pub fn forward(
+    pub(crate) fn forward(
         &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<ForwardedHead>,
         request_name: &Name, bytes: &[u8],
     ) -> usize {
@@ -84,7 +84,7 @@
     }
 
     /// Ends a forwarded response.
-    pub fn end_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
+    pub(crate) fn end_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         if client.framing == Framing::Chunked {
             chunk_end(client.socket.output());
@@ -93,7 +93,7 @@
     }
 
     /// Resets the connection, so that its client cannot take a partial response for a complete one.
-    pub fn reset(&mut self, slot: usize) {
+    pub(crate) fn reset(&mut self, slot: usize) {
         if let Some(client) = self.connections.get(slot) {
             client.socket.reset_on_close();
         }
--- a/crates/http-gateway/src/clients/timeouts.rs
+++ b/crates/http-gateway/src/clients/timeouts.rs
@@ -21,7 +21,7 @@
     }
 
     /// A timer of a connection has fired.
-    pub fn handle_timeout(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
+    pub(crate) fn handle_timeout(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
         let now = io.now();
         let known = self.connections.get(slot).is_some_and(|client| client.generation == generation);
         if !known || self.reset_if_unread(io, slot, now) {
@@ -65,7 +65,7 @@
 
     /// Ends all connections at the end of a drain: idle ones are closed, partial requests get a last response, and last
     /// responses may still be read. A response that is cut off is reset, so that its client cannot take it for complete.
-    pub fn finish_all(&mut self, io: &mut Io, config: &Config) {
+    pub(crate) fn finish_all(&mut self, io: &mut Io, config: &Config) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             self.finish_connection(io, config, slot);
--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -29,7 +29,7 @@
 
 impl Counter {
     /// The shared counter of the settings; the in-process counter where there are none.
-    pub fn new(settings: Option<&Settings>) -> Self {
+    pub(crate) fn new(settings: Option<&Settings>) -> Self {
         match settings {
             None => Self::InProcess(InProcessCounter::default()),
             Some(settings) => Self::Shared(Box::new(SharedCounter::new(settings))),
@@ -37,7 +37,7 @@
     }
 
     /// Makes a call, which ends as [`Event::CounterCallEnded`]: at once where the counter is in-process.
-    pub fn call(&mut self, io: &mut Io, call: CounterCall) {
+    pub(crate) fn call(&mut self, io: &mut Io, call: CounterCall) {
         match self {
             Self::InProcess(counter) => {
                 let total = counter.add(io.now(), call);
@@ -52,7 +52,7 @@
     }
 
     /// Calls that have not ended.
-    pub fn calls_in_flight(&self) -> usize {
+    pub(crate) fn calls_in_flight(&self) -> usize {
         match self {
             Self::InProcess(_) => 0,
             Self::Shared(counter) => counter.calls_in_flight(),
@@ -61,7 +61,7 @@
 
     /// Does what is due and writes pending calls. Returns when it is to be called next, in ms on the clock of [`Io::now`];
     /// infinity where nothing is due.
-    pub fn handle_timeout(&mut self, io: &mut Io) -> Millis {
+    pub(crate) fn handle_timeout(&mut self, io: &mut Io) -> Millis {
         match self {
             Self::InProcess(_) => f64::INFINITY,
             Self::Shared(counter) => counter.handle_timeout(io),
@@ -69,7 +69,7 @@
     }
 
     /// The counter connection of this generation is ready; an earlier connection's readiness is ignored.
-    pub fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
+    pub(crate) fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
         match self {
             Self::InProcess(_) => {}
             Self::Shared(counter) => counter.connection_ready(io, generation, ready),
--- a/crates/http-gateway/src/counter/connection.rs
+++ b/crates/http-gateway/src/counter/connection.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// The connection cannot be started, or not be registered with the poller.
-    pub fn start(io: &mut Io, address: SocketAddr) -> io::Result<Self> {
+    pub(super) fn start(io: &mut Io, address: SocketAddr) -> io::Result<Self> {
         let generation = io.generation();
         let interest = Interest::BOTH;
         let socket = connect(address)?;
@@ -38,12 +38,12 @@
     }
 
     /// The generation in this connection's token.
-    pub fn generation(&self) -> u32 {
+    pub(super) fn generation(&self) -> u32 {
         self.generation
     }
 
     /// Whether the connection is established.
-    pub fn is_connected(&self) -> bool {
+    pub(super) fn is_connected(&self) -> bool {
         self.is_connected
     }
 
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// The connection attempt failed.
-    pub fn handle_readiness(&mut self, ready: Ready) -> io::Result<Progress> {
+    pub(super) fn handle_readiness(&mut self, ready: Ready) -> io::Result<Progress> {
         let mut progress = Progress { opened: false, input: Vec::new(), closed: false };
         if !self.is_connected && (ready.write || ready.broken) {
             self.socket.finish_connect()?;
@@ -67,18 +67,18 @@
     }
 
     /// Queues bytes and writes what the socket takes. Returns whether the connection is intact or broken.
-    pub fn write(&mut self, bytes: &[u8]) -> Flow {
+    pub(super) fn write(&mut self, bytes: &[u8]) -> Flow {
         self.socket.output().extend_from_slice(bytes);
         self.socket.flush()
     }
 
     /// Bytes that are queued and not written.
-    pub fn unwritten_bytes(&self) -> usize {
+    pub(super) fn unwritten_bytes(&self) -> usize {
         self.socket.pending()
     }
 
     /// Waits for writability only while bytes are queued.
-    pub fn update_interest(&mut self, io: &Io) {
+    pub(super) fn update_interest(&mut self, io: &Io) {
         let interest = Interest::of(true, self.socket.pending() > 0);
         if interest != self.interest {
             self.interest = interest;
--- a/crates/http-gateway/src/counter/in_process.rs
+++ b/crates/http-gateway/src/counter/in_process.rs
@@ -32,7 +32,7 @@
     /// Adds the amount of a call. Returns the new total.
     ///
     /// The time to live is set by the call that creates an entry and not extended by later ones, as in the shared counter.
-    pub fn add(&mut self, now: Millis, call: CounterCall) -> f64 {
+    pub(crate) fn add(&mut self, now: Millis, call: CounterCall) -> f64 {
         if now >= self.expired_removed_at + REMOVE_EXPIRED_INTERVAL_MS {
             self.remove_expired(now);
         }
--- a/crates/http-gateway/src/counter/shared.rs
+++ b/crates/http-gateway/src/counter/shared.rs
@@ -24,18 +24,18 @@
 
 impl SharedCounter {
     /// A counter that is not connected; the first [`SharedCounter::handle_timeout`] connects.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let link = CounterLink::new(link_settings(settings), RespCodec::new(settings.password.clone()));
         Self { address: settings.address, link, connection: None, calls_in_flight: 0 }
     }
 
     /// Calls that have not ended.
-    pub fn calls_in_flight(&self) -> usize {
+    pub(crate) fn calls_in_flight(&self) -> usize {
         self.calls_in_flight
     }
 
     /// Makes a call. It is written at the next readiness or timeout, together with the other calls of this iteration.
-    pub fn call(&mut self, io: &mut Io, call: CounterCall) {
+    pub(crate) fn call(&mut self, io: &mut Io, call: CounterCall) {
         self.calls_in_flight += 1;
         let mut actions = Vec::new();
         self.link.call(io.now(), call, &mut actions);
@@ -43,7 +43,7 @@
     }
 
     /// Does what is due and writes pending calls. Returns when the link is due next, in ms.
-    pub fn handle_timeout(&mut self, io: &mut Io) -> Millis {
+    pub(crate) fn handle_timeout(&mut self, io: &mut Io) -> Millis {
         let mut actions = Vec::new();
         let next_timeout = self.link.handle_timeout(io.now(), &mut actions);
         self.execute_actions(io, actions);
@@ -52,7 +52,7 @@
     }
 
     /// The connection of this generation is ready; an earlier connection's readiness is ignored.
-    pub fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
+    pub(crate) fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
         let now = io.now();
         let connection = self.connection.as_mut().filter(|found| found.generation() == generation);
         let Some(connection) = connection else { return };
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -29,7 +29,7 @@
 
 impl EndpointList {
     /// A list that has not been read. `poll_interval` in ms.
-    pub fn new(path: PathBuf, poll_interval: Millis) -> Self {
+    pub(crate) fn new(path: PathBuf, poll_interval: Millis) -> Self {
         Self { path, poll_interval, last_version: None, routing: None }
     }
 
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// Why a changed file cannot be used; once for each version.
-    pub fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
+    pub(crate) fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
         let version = match self.examine() {
             Ok(version) => version,
             Err(_) if self.last_version == Some(FileVersion::Unavailable) => return None,
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// When an address cannot be bound, a takeover is refused, or the endpoint list cannot be read.
-    pub fn new(options: GatewayOptions) -> anyhow::Result<Self> {
+    pub fn new(options: GatewayOptions<'_>) -> anyhow::Result<Self> {
         let GatewayOptions { config, directory, seed, read_settings, take_over } = options;
         let io = Io::new()?;
         let decisions = doorcourse::Gateway::new(config.decisions.clone(), seed.unwrap_or_else(random_seed))?;
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -42,7 +42,9 @@
     })
 }
 
-fn prepare(config: &Config, media: MediaType, operation: &OperationParameters) -> Result<Prepared, Response> {
+fn prepare(
+    config: &Config, media: MediaType, operation: &OperationParameters<'_>,
+) -> Result<Prepared, Response> {
     let OperationParameters { query, operation_name, variables } = *operation;
     let schema = Arc::clone(&config.schema);
     Prepared::new(schema, query, operation_name, variables, config.query_limits)
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -43,7 +43,7 @@
 
 impl Token {
     /// The token as the poller carries it.
-    pub fn pack(self) -> u64 {
+    pub(crate) fn pack(self) -> u64 {
         let (kind, slot, generation) = match self {
             Self::Listener(slot) => (1, slot, 0),
             Self::Client(slot, generation) => (2, slot, generation),
@@ -62,7 +62,7 @@
     }
 
     /// The token that [`Self::pack`] packed.
-    pub fn unpack(token: u64) -> Self {
+    pub(crate) fn unpack(token: u64) -> Self {
         let slot = (token & SLOT_MASK) as usize;
         let generation = (token >> GENERATION_SHIFT) as u32 & GENERATION_MASK;
         match token >> KIND_SHIFT {
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// The operating system has no descriptor for it.
-    pub fn new() -> anyhow::Result<Self> {
+    pub(crate) fn new() -> anyhow::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
             timers: Timers::default(),
@@ -126,12 +126,12 @@
     }
 
     /// The time now: wall time at the start of the process, plus monotonic time since.
-    pub fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
     /// A generation for a new connection that no recent one of its slot had.
-    pub fn generation(&mut self) -> u32 {
+    pub(crate) fn generation(&mut self) -> u32 {
         self.last_generation = self.last_generation.wrapping_add(1) & GENERATION_MASK;
         self.last_generation
     }
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -86,7 +86,7 @@
 
 impl Monitoring {
     /// Registers the listener.
-    pub fn new(io: &Io, listener: TcpListener) -> std::io::Result<Self> {
+    pub(crate) fn new(io: &Io, listener: TcpListener) -> std::io::Result<Self> {
         io.poller.add(&listener, Token::MonitoringListener.pack(), Interest::READ)?;
         let metrics = Metrics::new();
         Ok(Self { listener, connections: Slab::new(), metrics, page_requests: VecDeque::new() })
@@ -96,22 +96,22 @@
     ///
     /// # Errors
     /// The operating system does not return it.
-    pub fn address(&self) -> std::io::Result<SocketAddr> {
+    pub(crate) fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// The listener, to be passed to a process that takes over.
-    pub fn listener(&self) -> &TcpListener {
+    pub(crate) fn listener(&self) -> &TcpListener {
         &self.listener
     }
 
     /// Counts the final response of a request.
-    pub fn record_final_response(&self, record: &FinalResponseRecord) {
+    pub(crate) fn record_final_response(&self, record: &FinalResponseRecord) {
         self.metrics.record_final_response(record);
     }
 
     /// Accepts one connection.
-    pub fn accept(&mut self, io: &mut Io) {
+    pub(crate) fn accept(&mut self, io: &mut Io) {
         let Ok((stream, _)) = self.listener.accept() else { return };
         let Ok(socket) = Socket::new(stream) else { return };
         if self.connections.len() >= MAX_CONNECTIONS {
@@ -141,7 +141,7 @@
     }
 
     /// Reads from or writes to a connection, as far as its socket is ready.
-    pub fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
+    pub(crate) fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
         connection.last_active_at = io.now();
@@ -186,7 +186,7 @@
     }
 
     /// Answers a request for a page with the values of `snapshot`.
-    pub fn respond(&mut self, io: &Io, request: &PageRequest, snapshot: &Snapshot) {
+    pub(crate) fn respond(&mut self, io: &Io, request: &PageRequest, snapshot: &Snapshot) {
         let Some(connection) = self.connections.get_mut(request.slot) else { return };
         let keep_alive = request.keep_alive;
         match request.page {
--- a/crates/http-gateway/src/monitoring/metrics.rs
+++ b/crates/http-gateway/src/monitoring/metrics.rs
@@ -129,7 +129,7 @@
 }
 
 impl Metrics {
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         let mut registry = Registry::with_prefix("doorcourse");
         let r = &mut registry;
         let response_times: fn() -> Histogram = || Histogram::new(RESPONSE_TIME_BUCKETS);
@@ -144,7 +144,7 @@
     }
 
     /// Counts the final response of a request.
-    pub fn record_final_response(&self, record: &FinalResponseRecord) {
+    pub(super) fn record_final_response(&self, record: &FinalResponseRecord) {
         if record.code == SERVED {
             let labels = ClassLabels { class: record.class.to_string() };
             self.response_seconds.get_or_create(&labels).observe(record.elapsed / 1000.0);
@@ -154,7 +154,7 @@
     }
 
     /// The text of all metrics, with the gauges as in `snapshot`.
-    pub fn text(&self, snapshot: &Snapshot) -> String {
+    pub(super) fn text(&self, snapshot: &Snapshot) -> String {
         self.process.set(snapshot);
         self.backends.set(&snapshot.backends);
         self.peers.set(&snapshot.fleet);
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -31,17 +31,17 @@
 
 impl Requests {
     /// The number of requests in flight.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.requests.len()
     }
 
     /// The ids of the requests in flight.
-    pub fn open_ids(&self) -> Vec<RequestId> {
+    pub(crate) fn open_ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
     /// Adds a request. `instance_name`: prefix of the ids that this process makes.
-    pub fn admit(
+    pub(crate) fn admit(
         &mut self, now: Millis, config: &Config, client: usize, instance_name: &str, request: Request,
     ) -> AdmittedRequest {
         self.total += 1;
@@ -72,7 +72,7 @@
     }
 
     /// The decisions start an attempt at a backend; returns its number.
-    pub fn attempt_started(&mut self, now: Millis, id: RequestId, backend: Name) -> u32 {
+    pub(crate) fn attempt_started(&mut self, now: Millis, id: RequestId, backend: Name) -> u32 {
         let Some(request) = self.requests.get_mut(&id) else { return 0 };
         request.attempt.backend = backend;
         request.attempt.started_at = now;
@@ -82,14 +82,14 @@
     }
 
     /// The retry deadline of an attempt has passed: it is withdrawn unless it is written.
-    pub fn handle_retry_deadline(&mut self, now: Millis, id: RequestId, attempt: u32) {
+    pub(crate) fn handle_retry_deadline(&mut self, now: Millis, id: RequestId, attempt: u32) {
         if self.requests.get(&id).is_some_and(|request| request.has_attempt(attempt)) {
             self.handle_event(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
     /// Withdraws the attempts that are not written yet at all backends but these.
-    pub fn withdraw_unwritten_except(&mut self, now: Millis, backends: &HashSet<Name>) {
+    pub(crate) fn withdraw_unwritten_except(&mut self, now: Millis, backends: &HashSet<Name>) {
         let elsewhere = |request: &InFlightRequest| {
             request.lifecycle.has_attempt() && !backends.contains(&request.attempt.backend)
         };
@@ -101,7 +101,7 @@
     }
 
     /// The request as it is written to a backend.
-    pub fn backend_request<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
+    pub(crate) fn backend_request<'a>(&'a self, id: RequestId, path: &'a str) -> Option<BackendRequest<'a>> {
         let request = self.requests.get(&id)?;
         let mut fields: Vec<(&str, &str)> = vec![
             ("content-type", "application/json"),
@@ -120,14 +120,14 @@
     }
 
     /// The attempt in flight uses this connection.
-    pub fn set_connection(&mut self, id: RequestId, connection: ConnectionId) {
+    pub(crate) fn set_connection(&mut self, id: RequestId, connection: ConnectionId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempt.connection = Some(connection);
         }
     }
 
     /// Handles an event of a request's attempt.
-    pub fn handle_attempt_event(
+    pub(crate) fn handle_attempt_event(
         &mut self, now: Millis, forward_cookies: bool, id: RequestId, event: AttemptEvent,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -160,7 +160,7 @@
     }
 
     /// The client of a request has disconnected.
-    pub fn handle_client_disconnect(&mut self, now: Millis, id: RequestId) {
+    pub(crate) fn handle_client_disconnect(&mut self, now: Millis, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.client = None;
         }
@@ -169,14 +169,14 @@
     }
 
     /// The client of a request has read enough for more of its response.
-    pub fn handle_client_ready(&mut self, id: RequestId) {
+    pub(crate) fn handle_client_ready(&mut self, id: RequestId) {
         if let Some(connection) = self.requests.get(&id).and_then(|request| request.attempt.connection) {
             self.commands.push_back(RequestCommand::ResumeBackend { slot: connection.slot });
         }
     }
 
     /// Removes a request that does not end otherwise, at the end of a drain; its connections are closed.
-    pub fn abort(&mut self, id: RequestId) {
+    pub(crate) fn abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let Some(client) = request.client {
             self.commands.push_back(RequestCommand::ResetClient { client });
@@ -188,7 +188,7 @@
     }
 
     /// Reports an event to a request's life cycle and executes the actions that follow.
-    pub fn handle_event(&mut self, now: Millis, id: RequestId, event: LifecycleEvent) {
+    pub(crate) fn handle_event(&mut self, now: Millis, id: RequestId, event: LifecycleEvent) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let mut actions = Vec::new();
         request.lifecycle.handle(event, &mut actions);
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -33,14 +33,14 @@
 
 impl InFlightRequest {
     /// What metrics and logs record of the final response. `code` is its error code, or `SERVED`.
-    pub fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
+    pub(super) fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
         let plan = self.plan.clone();
         let class = self.class.clone();
         FinalResponseRecord { code, plan, class, elapsed: now - self.received_at }
     }
 
     /// The end of the attempt, as it is reported to the decisions.
-    pub fn attempt_end(
+    pub(super) fn attempt_end(
         &self, now: Millis, id: RequestId, outcome: AttemptOutcome, true_units: Option<f64>,
         final_response_sent: bool,
     ) -> AttemptEnd {
@@ -57,7 +57,7 @@
     }
 
     /// Whether an attempt with this number is in flight.
-    pub fn has_attempt(&self, number: u32) -> bool {
+    pub(super) fn has_attempt(&self, number: u32) -> bool {
         self.lifecycle.has_attempt() && self.lifecycle.attempts() == number
     }
 }
@@ -95,19 +95,19 @@
 }
 
 impl BufferedResponse {
-    pub fn new(scan: Scan) -> Self {
+    pub(super) fn new(scan: Scan) -> Self {
         Self { head: None, buffer: Vec::new(), complete: false, forwarding: false, scan }
     }
 
     /// Starts over for a new attempt: nothing of an earlier attempt's response may mix with this one's.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.discard();
         self.complete = false;
         self.scan.reset();
     }
 
     /// Stores the head of the response. The backend's cookies are kept only with `forward_cookies`.
-    pub fn set_head(&mut self, head: &Head, forward_cookies: bool) {
+    pub(super) fn set_head(&mut self, head: &Head, forward_cookies: bool) {
         let content_type = head.field("content-type").unwrap_or("application/json").to_owned();
         let cookies = head.fields.iter().filter(|(name, _)| forward_cookies && name == "set-cookie");
         self.head = Some(ResponseHead {
@@ -119,7 +119,7 @@
     }
 
     /// Buffers bytes of the body, and scans them for the cost.
-    pub fn append(&mut self, mut data: Vec<u8>) {
+    pub(super) fn append(&mut self, mut data: Vec<u8>) {
         self.scan.feed(&data);
         if self.buffer.is_empty() {
             self.buffer = data;
@@ -129,23 +129,23 @@
     }
 
     /// The response has been received completely.
-    pub fn set_complete(&mut self) {
+    pub(super) fn set_complete(&mut self) {
         self.complete = true;
     }
 
     /// Drops the bytes that are not forwarded yet.
-    pub fn clear_buffer(&mut self) {
+    pub(super) fn clear_buffer(&mut self) {
         self.buffer.clear();
     }
 
     /// Drops what is not forwarded yet of a response that must not reach the client.
-    pub fn discard(&mut self) {
+    pub(super) fn discard(&mut self) {
         self.buffer.clear();
         self.head = None;
     }
 
     /// The bytes to forward next, with the head in front of the first; `None` where no head has come yet.
-    pub fn take_forwardable(&mut self) -> Option<(Option<ForwardedHead>, Vec<u8>)> {
+    pub(super) fn take_forwardable(&mut self) -> Option<(Option<ForwardedHead>, Vec<u8>)> {
         let mut forwarded_head = None;
         if !self.forwarding {
             let head = self.head.as_ref()?;
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -50,7 +50,7 @@
 
 impl SettingsReload {
     /// Registers the pipe of signals and of the reading thread.
-    pub fn new(io: &Io, read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
+    pub(crate) fn new(io: &Io, read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         sender.set_nonblocking(true)?;
@@ -69,12 +69,12 @@
     }
 
     /// An end of the pipe for signals and other threads.
-    pub fn sender(&self) -> std::io::Result<UnixStream> {
+    pub(crate) fn sender(&self) -> std::io::Result<UnixStream> {
         self.sender.try_clone()
     }
 
     /// The pipe is ready.
-    pub fn handle_readiness(&mut self, config: &Arc<Config>) -> ReloadEvents {
+    pub(crate) fn handle_readiness(&mut self, config: &Arc<Config>) -> ReloadEvents {
         let mut bytes = [0; 16];
         let mut requested = false;
         while let Ok(count @ 1..) = self.receiver.read(&mut bytes) {
@@ -84,13 +84,13 @@
     }
 
     /// Adds a call that waits for the reload that starts next.
-    pub fn add_waiter(&mut self, waiter: ReloadWaiter) {
+    pub(crate) fn add_waiter(&mut self, waiter: ReloadWaiter) {
         if self.reading.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
     }
 
     /// Starts a thread that reads the settings and compares them with those in force; where one runs, another reload
     /// follows it.
-    pub fn start(&mut self, config: &Arc<Config>) {
+    pub(crate) fn start(&mut self, config: &Arc<Config>) {
         if self.reading.is_some() {
             self.requested_again = true;
             return;
@@ -135,7 +135,7 @@
     }
 
     /// Starts the reload that was requested while another one was running.
-    pub fn restart_if_requested(&mut self, config: &Arc<Config>) {
+    pub(crate) fn restart_if_requested(&mut self, config: &Arc<Config>) {
         if std::mem::take(&mut self.requested_again) {
             self.waiters = std::mem::take(&mut self.next_waiters);
             self.start(config);
@@ -143,12 +143,12 @@
     }
 
     /// The settings that were read, once the life cycle has decided to apply them.
-    pub fn take_settings(&mut self) -> Option<(Config, Change)> {
+    pub(crate) fn take_settings(&mut self) -> Option<(Config, Change)> {
         self.read.take()
     }
 
     /// The life cycle refuses the reload: all waiting calls get the reason.
-    pub fn refuse(&mut self, reason: String) {
+    pub(crate) fn refuse(&mut self, reason: String) {
         let mut next_waiters = std::mem::take(&mut self.next_waiters);
         self.waiters.append(&mut next_waiters);
         self.finish(Err(reason));
@@ -160,7 +160,7 @@
     }
 
     /// Ends the present reload: all calls that waited for it get its outcome.
-    pub fn finish(&mut self, outcome: Result<Change, String>) {
+    pub(crate) fn finish(&mut self, outcome: Result<Change, String>) {
         if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
             tracing::error!(reason, "settings not reloaded, the old ones hold");
         }
--- a/crates/http-gateway/src/state_file.rs
+++ b/crates/http-gateway/src/state_file.rs
@@ -77,7 +77,9 @@
     ///
     /// # Errors
     /// When the system refuses; an earlier file then stays as it is.
-    pub fn write(&self, now: Millis, backends: impl Iterator<Item = BackendStatus>) -> std::io::Result<()> {
+    pub(crate) fn write(
+        &self, now: Millis, backends: impl Iterator<Item = BackendStatus>,
+    ) -> std::io::Result<()> {
         let body = json!({"nodes": backends.map(encode_backend).collect::<Vec<_>>()}).to_string();
         let head = json!({
             "doorcourse_state": VERSION,
@@ -97,7 +99,7 @@
     ///
     /// # Errors
     /// Why the file cannot be used.
-    pub fn read(&self, now: Millis) -> Result<Option<Vec<BackendStatus>>, StateFileError> {
+    pub(crate) fn read(&self, now: Millis) -> Result<Option<Vec<BackendStatus>>, StateFileError> {
         let Some(text) = self.read_text()? else { return Ok(None) };
         let (head, rest) = text.split_once('\n').ok_or(StateFileError::SecondLineMissing)?;
         let body = rest.strip_suffix('\n').ok_or(StateFileError::SecondLineIncomplete)?;
--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Long enough for any machine: a test that waits this long has failed.
-pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub const CLASSES: &str = r#"
+pub(crate) const CLASSES: &str = r#"
 classes { name: "preview" aim_ms: 2000 give_up_ms: 8000 effect: SAFE query_fields: ["preview", "previews"] }
 classes { name: "search" aim_ms: 2000 give_up_ms: 8000 effect: SAFE query_fields: ["search", "similar", "shelf"] }
 classes { name: "playlist" aim_ms: 2000 give_up_ms: 8000 effect: KEYED group: CELL memory_ms: 4000 mutation_fields: "savePlaylist" }
@@ -25,14 +25,14 @@
 "#;
 
 /// A plan of ten units that refills next to nothing, and one without a quota.
-pub const PLANS: &str = "plans { name: \"ten\" rate: 0.001 burst: 10 }\nplans { name: \"free\" }\n";
+pub(crate) const PLANS: &str = "plans { name: \"ten\" rate: 0.001 burst: 10 }\nplans { name: \"free\" }\n";
 
 fn read(text: &str) -> Result<doorcourse_config::Config, String> {
     doorcourse_config::read("test", text, &|_| Ok(CATALOGUE.into())).map_err(|f| format!("{f:?}"))
 }
 
 /// A gateway that runs in a thread; it is stopped when dropped.
-pub struct TestGateway {
+pub(crate) struct TestGateway {
     pub address: SocketAddr,
     /// The listener of health checks and metrics.
     pub health: Option<SocketAddr>,
@@ -42,18 +42,18 @@
 
 impl TestGateway {
     /// A gateway with these backends and further settings. The customers `ten` and `free` have their names as keys.
-    pub fn new(nodes: &[SocketAddr], more: &str) -> Self {
+    pub(crate) fn new(nodes: &[SocketAddr], more: &str) -> Self {
         let config = read(&format!("{}{PLANS}{more}", Self::common(nodes))).expect("good settings");
         Self::start(config, None)
     }
 
     /// A gateway whose settings change: each reload takes the next of these, in a circle.
-    pub fn with_settings(nodes: &[SocketAddr], more: &[String]) -> Self {
+    pub(crate) fn with_settings(nodes: &[SocketAddr], more: &[String]) -> Self {
         Self::reloading(more.iter().map(|m| format!("{}{m}", Self::common(nodes))).collect())
     }
 
     /// The same with endpoint lists in the form of the settings.
-    pub fn with_endpoint_lists(lists: &[String]) -> Self {
+    pub(crate) fn with_endpoint_lists(lists: &[String]) -> Self {
         Self::reloading(lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common(&[]))).collect())
     }
 
@@ -97,21 +97,21 @@
     }
 
     /// Drains the gateway and waits until its loop has ended.
-    pub fn stop(&mut self) {
+    pub(crate) fn stop(&mut self) {
         self.stopper.stop();
         if let Some(thread) = self.thread.take() {
             thread.join().expect("the gateway did not panic");
         }
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("a connection");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         Client { stream, buffer: Vec::new() }
     }
 
     /// Sends one query on a connection of its own.
-    pub fn request(&self, key: &str, query: &str) -> Response {
+    pub(crate) fn request(&self, key: &str, query: &str) -> Response {
         let mut client = self.client();
         client.send(key, query, "");
         client.response().expect("a response")
@@ -125,30 +125,30 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Response {
+pub(crate) struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
 impl Response {
-    pub fn code(&self) -> String {
+    pub(crate) fn code(&self) -> String {
         let json: serde_json::Value = serde_json::from_str(&self.body).unwrap_or_default();
         json["errors"][0]["extensions"]["code"].as_str().unwrap_or("").to_owned()
     }
 
-    pub fn has(&self, field: &str) -> bool {
+    pub(crate) fn has(&self, field: &str) -> bool {
         self.head.to_ascii_lowercase().contains(&field.to_ascii_lowercase())
     }
 }
 
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 /// A request as a client writes it; `fields` are complete header lines.
-pub fn post(key: &str, query: &str, fields: &str) -> Vec<u8> {
+pub(crate) fn post(key: &str, query: &str, fields: &str) -> Vec<u8> {
     let body = serde_json::json!({ "query": query }).to_string();
     format!(
         "POST /graphql HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {key}\r\ncontent-type: application/json\r\n\
@@ -159,15 +159,15 @@
 }
 
 impl Client {
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         Self { stream, buffer: Vec::new() }
     }
 
-    pub fn send(&mut self, key: &str, query: &str, fields: &str) {
+    pub(crate) fn send(&mut self, key: &str, query: &str, fields: &str) {
         self.write(&post(key, query, fields));
     }
 
-    pub fn write(&mut self, bytes: &[u8]) {
+    pub(crate) fn write(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("the gateway reads");
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// The next response; `None` where the connection ends first, reset or not.
-    pub fn response(&mut self) -> Option<Response> {
+    pub(crate) fn response(&mut self) -> Option<Response> {
         let end = self.read_until(b"\r\n\r\n")?;
         let head = String::from_utf8(self.buffer[..end].to_vec()).expect("a text");
         self.buffer.drain(..end + 4);
@@ -242,12 +242,12 @@
     }
 
     /// Closes the client's side of the connection.
-    pub fn close_write(&mut self) {
+    pub(crate) fn close_write(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).expect("the connection is open");
     }
 
     /// Whether the connection ends with no more bytes on it.
-    pub fn reaches_end(&mut self) -> bool {
+    pub(crate) fn reaches_end(&mut self) -> bool {
         while self.read_more() {}
         self.buffer.is_empty()
     }
@@ -255,14 +255,14 @@
 
 /// A backend whose connections are not established until it is opened: its accept queue is full, as on an overloaded
 /// machine.
-pub struct PendingBackend {
+pub(crate) struct PendingBackend {
     pub address: SocketAddr,
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
 impl PendingBackend {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
         bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -275,23 +275,23 @@
     }
 
     /// Empties the accept queue. The system retries the connections that it had no place for, within a second or so.
-    pub fn open(self) -> TcpListener {
+    pub(crate) fn open(self) -> TcpListener {
         drop(self.queued);
         self.listener
     }
 }
 
 /// A backend that follows a script: each request gets the next step.
-pub struct ScriptedBackend {
+pub(crate) struct ScriptedBackend {
     pub address: SocketAddr,
     /// The requests that were read completely.
     pub requests: mpsc::Receiver<String>,
 }
 
 /// What a scripted backend does on a connection after a request; `true` keeps the connection for another one.
-pub type Step = Box<dyn FnMut(&mut TcpStream) -> bool + Send>;
+pub(crate) type Step = Box<dyn FnMut(&mut TcpStream) -> bool + Send>;
 
-pub fn scripted_backend(mut steps: Vec<Step>) -> ScriptedBackend {
+pub(crate) fn scripted_backend(mut steps: Vec<Step>) -> ScriptedBackend {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (sender, requests) = mpsc::channel();
@@ -311,7 +311,7 @@
 }
 
 /// The next request on a connection, head and body; `None` where the connection ends first.
-pub fn read_request(stream: &mut TcpStream) -> Option<String> {
+pub(crate) fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut buffer = Vec::new();
     let mut bytes = [0; 4096];
     loop {
@@ -331,29 +331,29 @@
 }
 
 /// A response of status 200 with this body.
-pub fn ok_response(body: &str) -> Vec<u8> {
+pub(crate) fn ok_response(body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-pub const RESPONSE_BODY: &str = r#"{"data":{"preview":{"id":"7"}}}"#;
-pub const PREVIEW: &str = "{ preview(id: 7) { id } }";
-pub const LICENCE: &str = "mutation { orderLicence(track: 7) { id } }";
-pub const PLAYLIST: &str = "mutation { savePlaylist(name: \"a\", tracks: []) { id } }";
+pub(crate) const RESPONSE_BODY: &str = r#"{"data":{"preview":{"id":"7"}}}"#;
+pub(crate) const PREVIEW: &str = "{ preview(id: 7) { id } }";
+pub(crate) const LICENCE: &str = "mutation { orderLicence(track: 7) { id } }";
+pub(crate) const PLAYLIST: &str = "mutation { savePlaylist(name: \"a\", tracks: []) { id } }";
 
 /// Responds with [`RESPONSE_BODY`].
-pub fn respond() -> Step {
+pub(crate) fn respond() -> Step {
     Box::new(|stream| stream.write_all(&ok_response(RESPONSE_BODY)).is_ok())
 }
 
 /// Closes the connection without a response.
-pub fn close() -> Step {
+pub(crate) fn close() -> Step {
     Box::new(|_| false)
 }
 
 /// Responds once it is signalled.
-pub fn respond_after(until: mpsc::Receiver<()>) -> Step {
+pub(crate) fn respond_after(until: mpsc::Receiver<()>) -> Step {
     Box::new(move |stream| {
         let _ = until.recv();
         let _ = stream.write_all(&ok_response(RESPONSE_BODY));
@@ -362,7 +362,7 @@
 }
 
 /// Reads one page of health checks or metrics, on a connection of its own.
-pub fn get_monitoring(gateway: &TestGateway, target: &str) -> Response {
+pub(crate) fn get_monitoring(gateway: &TestGateway, target: &str) -> Response {
     let stream = TcpStream::connect(gateway.health.expect("a monitoring listener")).expect("a connection");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
     let mut client = Client::new(stream);
--- a/crates/http/src/decode/head.rs
+++ b/crates/http/src/decode/head.rs
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// When a line is malformed or a limit is passed; limits show before the end of the head arrives.
-    pub fn read(
+    pub(super) fn read(
         &mut self, input: &[u8], role: Role, limits: &Limits,
     ) -> Result<Option<(usize, Head)>, Error> {
         // An empty line before a request is allowed (RFC 9112 section 2.2), here once for each message.
--- a/crates/http/src/decode/line.rs
+++ b/crates/http/src/decode/line.rs
@@ -14,7 +14,7 @@
 
 impl LineFeedSearch {
     /// The position of the next line feed in the unconsumed input. Without one, the next search continues behind it.
-    pub fn find(&mut self, input: &[u8]) -> Option<usize> {
+    pub(super) fn find(&mut self, input: &[u8]) -> Option<usize> {
         let start = self.searched.min(input.len());
         let offset = input[start..].iter().position(|byte| *byte == b'\n');
         if offset.is_none() {
@@ -24,7 +24,7 @@
     }
 
     /// Sets the position at which the next search continues.
-    pub fn continue_at(&mut self, position: usize) {
+    pub(super) fn continue_at(&mut self, position: usize) {
         self.searched = position;
     }
 }
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// `too_long` when the line, without its CRLF, is longer than `max_bytes`; that shows before its end arrives.
-    pub fn read<'a>(
+    pub(super) fn read<'a>(
         &mut self, input: &'a [u8], max_bytes: usize, too_long: Error,
     ) -> Result<Option<&'a [u8]>, Error> {
         let Some(line_feed) = self.search.find(input) else {
--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -91,7 +91,7 @@
 }
 
 fn encode_item(item: &Item) -> WireItem {
-    let wire = |kind, task, token| WireItem { kind, task, token, ..WireItem::default() };
+    let wire = |kind, task, token| WireItem { task, kind, token, ..WireItem::default() };
     match *item {
         Item::Request(LeaseRequest { task, token, duration }) => {
             WireItem { duration_ms: duration, ..wire(item_kind::REQUEST, task, token) }
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// Microseconds of real time.
-pub type Micros = u64;
-pub const MS: Micros = 1000;
+pub(crate) type Micros = u64;
+pub(crate) const MS: Micros = 1000;
 
 /// The conditions of a history.
 #[derive(Clone, Debug)]
-pub struct Scenario {
+pub(crate) struct Scenario {
     pub gateways: u32,
     pub voters: u32,
     pub tasks: u32,
@@ -73,7 +73,7 @@
     configured_voters: VoterConfiguration,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub scenario: Scenario,
     pub now: Micros,
     rng: ChaCha8Rng,
@@ -117,7 +117,7 @@
 }
 
 impl World {
-    pub fn new(scenario: Scenario, seed: u64) -> Self {
+    pub(crate) fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let newest_voters = VoterConfiguration::first(0..scenario.voters);
         let mut nodes = BTreeMap::new();
@@ -160,12 +160,12 @@
     }
 
     /// A gateway's own clock in ms.
-    pub fn local(&self, number: GatewayNumber) -> Millis {
+    pub(crate) fn local(&self, number: GatewayNumber) -> Millis {
         let node = &self.nodes[&number];
         (node.offset + self.now * node.rate / 1_000_000) / MS
     }
 
-    pub fn start(&mut self, number: GatewayNumber) {
+    pub(crate) fn start(&mut self, number: GatewayNumber) {
         let now = self.local(number);
         let seed = self.rng.random();
         let tasks = (0..self.scenario.tasks).map(|t| t + 1).collect();
@@ -190,24 +190,24 @@
         self.handle(number, Input::Tick);
     }
 
-    pub fn kill(&mut self, number: GatewayNumber) {
+    pub(crate) fn kill(&mut self, number: GatewayNumber) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.leases = None;
         }
         self.check_holders();
     }
 
-    pub fn is_up(&self, number: GatewayNumber) -> bool {
+    pub(crate) fn is_up(&self, number: GatewayNumber) -> bool {
         self.nodes[&number].leases.is_some()
     }
 
-    pub fn pause(&mut self, number: GatewayNumber, span: Micros) {
+    pub(crate) fn pause(&mut self, number: GatewayNumber, span: Micros) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.paused_until = self.now + span;
         }
     }
 
-    pub fn cut(&mut self, from: GatewayNumber, to: GatewayNumber, cut: bool) {
+    pub(crate) fn cut(&mut self, from: GatewayNumber, to: GatewayNumber, cut: bool) {
         if cut {
             self.cut_links.insert((from, to))
         } else {
@@ -215,7 +215,7 @@
         };
     }
 
-    pub fn handle(&mut self, number: GatewayNumber, input: Input) {
+    pub(crate) fn handle(&mut self, number: GatewayNumber, input: Input) {
         let now = self.local(number);
         let real = self.now;
         let Some(node) = self.nodes.get_mut(&number) else { return };
@@ -296,16 +296,16 @@
         }
     }
 
-    pub fn holder(&self, task: TaskId) -> Option<GatewayNumber> {
+    pub(crate) fn holder(&self, task: TaskId) -> Option<GatewayNumber> {
         self.holders.get(&task)?.first().copied()
     }
 
     /// Advances time to `until`, or to the first violation.
-    pub fn run(&mut self, until: Micros) {
+    pub(crate) fn run(&mut self, until: Micros) {
         self.run_while(until, |_| true);
     }
 
-    pub fn run_while(&mut self, until: Micros, on: impl Fn(&Self) -> bool) {
+    pub(crate) fn run_while(&mut self, until: Micros, on: impl Fn(&Self) -> bool) {
         while self.violations.is_empty() && on(self) {
             let Some(Reverse((at, sequence))) = self.queue.peek().copied().filter(|r| r.0.0 <= until) else {
                 break;
--- a/crates/lifecycle/tests/process_lifecycle.rs
+++ b/crates/lifecycle/tests/process_lifecycle.rs
@@ -1,5 +1,9 @@
 //! The life cycle of a process: its transitions, and the invariants that hold for any order of events.
 
+use doorcourse_lifecycle::ProcessAction::{
+    AnnounceClose, CloseListeners, DisconnectPeer, Exit, FinishRequests, PassListeners, RefuseTakeover,
+    ReleaseLeases, SetReady,
+};
 use doorcourse_lifecycle::{
     LifecycleSettings, PendingWork, ProcessAction, ProcessEvent, ProcessLifecycle, ProcessState,
     RefusalReason,
@@ -39,7 +43,6 @@
         (130.0, tick(0, 0, 4)),
         (140.0, tick(0, 0, 0)),
     ]);
-    use ProcessAction::*;
     assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, Exit]);
     assert_eq!(lifecycle.state(), ProcessState::Stopped);
 }
@@ -53,7 +56,6 @@
         (1310.0, tick(0, 0, 9)),
     ];
     let (lifecycle, did) = run(&ticks);
-    use ProcessAction::*;
     assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests, Exit]);
     assert_eq!(lifecycle.state(), ProcessState::Stopped);
 }
@@ -64,7 +66,6 @@
     assert_eq!(run(&twice).1, [ProcessAction::SetReady(false), ProcessAction::AnnounceClose]);
     assert!((run(&twice).0.next_timeout(20.0) - 110.0).abs() < 1e-9, "the deadlines of the first one stay");
     let (_, did) = run(&[(10.0, ProcessEvent::TerminateSignal), (20.0, ProcessEvent::TerminateSignal)]);
-    use ProcessAction::*;
     assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests]);
 }
 
@@ -137,7 +138,6 @@
         (1.0, ProcessEvent::TakeoverRequested { peer: 7 }),
         (9.0, ProcessEvent::TakeoverReady { peer: 7 }),
     ]);
-    use ProcessAction::*;
     assert_eq!(
         did,
         [PassListeners { peer: 7 }, SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases]
--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -90,10 +90,10 @@
             LifecycleEvent::ResponseHead { status } => self.handle_response_head(status),
             LifecycleEvent::ResponseData { bytes } => self.handle_response_data(bytes, actions),
             LifecycleEvent::ResponseEnd { complete, units } => {
-                self.handle_response_end(complete, units, actions)
+                self.handle_response_end(complete, units, actions);
             }
             LifecycleEvent::ResponseReceived { reply, units } => {
-                self.handle_response_received(reply, units, actions)
+                self.handle_response_received(reply, units, actions);
             }
             LifecycleEvent::Withdrawn => self.handle_withdrawal(actions),
             LifecycleEvent::ConnectionLost => self.handle_connection_loss(actions),
@@ -102,7 +102,7 @@
             LifecycleEvent::DeadlineExpired => self.handle_deadline(actions),
             LifecycleEvent::ClientDisconnected => self.handle_client_disconnect(actions),
             LifecycleEvent::Rejected { retry_after, reason } => {
-                self.respond(FinalResponse::Rejected { retry_after, reason }, actions)
+                self.respond(FinalResponse::Rejected { retry_after, reason }, actions);
             }
             LifecycleEvent::Failed => self.respond(FinalResponse::Failed(self.failure_reason()), actions),
         }
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -66,18 +66,18 @@
 }
 
 impl Backends {
-    pub fn new(max_connections: usize, connect_timeout: Millis, keepalive: Millis) -> Self {
+    pub(crate) fn new(max_connections: usize, connect_timeout: Millis, keepalive: Millis) -> Self {
         Self { max_connections, connect_timeout, keepalive, ..Self::default() }
     }
 
-    pub fn configure(&mut self, connect_timeout: Millis, keepalive: Millis) {
+    pub(crate) fn configure(&mut self, connect_timeout: Millis, keepalive: Millis) {
         self.connect_timeout = connect_timeout;
         self.keepalive = keepalive;
     }
 
     /// Applies an endpoint list, which the decisions have received already. Attempts that their backend must not receive
     /// any more are reported as withdrawn.
-    pub fn apply_endpoints(&mut self, list: &EndpointList, updates: &mut Vec<AttemptUpdate>) {
+    pub(crate) fn apply_endpoints(&mut self, list: &EndpointList, updates: &mut Vec<AttemptUpdate>) {
         if list.complete {
             self.backends.values_mut().for_each(|backend| backend.is_listed = false);
         }
@@ -171,7 +171,7 @@
     }
 
     /// Starts an attempt, on an idle connection or once one is made.
-    pub fn start_attempt(
+    pub(crate) fn start_attempt(
         &mut self, reactor: &mut Reactor, request: RequestId, backend: &Name, command: Arc<ForwardedCommand>,
         deadline: Millis, updates: &mut Vec<AttemptUpdate>,
     ) {
@@ -179,7 +179,7 @@
     }
 
     /// Starts a health check. Its updates come as those of an attempt, under the id that is returned.
-    pub fn start_health_check(
+    pub(crate) fn start_health_check(
         &mut self, reactor: &mut Reactor, backend: &Name, updates: &mut Vec<AttemptUpdate>,
     ) -> RequestId {
         self.health_checks_started += 1;
@@ -265,7 +265,7 @@
     }
 
     /// Ends an attempt whose response is not waited for any more; its connection is closed.
-    pub fn abandon(&mut self, request: RequestId) {
+    pub(crate) fn abandon(&mut self, request: RequestId) {
         let Some(attempt) = self.attempts.remove(&request) else { return };
         match attempt.connection {
             Some(index) => self.close(index),
@@ -278,18 +278,18 @@
     }
 
     /// Whether an attempt is out and has no connection yet.
-    pub fn awaits_connection(&self, request: RequestId) -> bool {
+    pub(crate) fn awaits_connection(&self, request: RequestId) -> bool {
         self.attempts.get(&request).is_some_and(|attempt| attempt.connection.is_none())
     }
 
     /// How many connections and waiting attempts a backend has.
-    pub fn pool_counts(&self, name: &Name) -> PoolCounts {
+    pub(crate) fn pool_counts(&self, name: &Name) -> PoolCounts {
         let Some(backend) = self.backends.get(name) else { return PoolCounts::default() };
         let (waiting, connecting, busy, idle) = backend.pool.counts();
         PoolCounts { busy, idle, waiting, connecting }
     }
 
-    pub fn connection_count(&self) -> usize {
+    pub(crate) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 }
--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -103,7 +103,7 @@
 
 impl Attempt {
     /// Appends the bytes to send.
-    pub fn encode(&self, now: Millis, output: &mut Vec<u8>) {
+    pub(super) fn encode(&self, now: Millis, output: &mut Vec<u8>) {
         match &self.payload {
             Payload::Request(command) => command.encode(self.deadline - now, output),
             Payload::HealthCheck => output.extend_from_slice(HEALTH_CHECK_COMMAND),
--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -44,7 +44,9 @@
 }
 
 impl BackendConnection {
-    pub fn connecting(registered: RegisteredSocket, backend: Name, incarnation: u64, now: Millis) -> Self {
+    pub(super) fn connecting(
+        registered: RegisteredSocket, backend: Name, incarnation: u64, now: Millis,
+    ) -> Self {
         Self {
             registered,
             backend,
@@ -57,7 +59,7 @@
     }
 
     /// The attempt of which no byte is known to be written.
-    pub fn unwritten_attempt(&self) -> Option<RequestId> {
+    pub(super) fn unwritten_attempt(&self) -> Option<RequestId> {
         match self.state {
             ConnectionState::Busy { request, written: false } => Some(request),
             _ => None,
@@ -65,7 +67,7 @@
     }
 
     /// Notes that an attempt starts; its bytes go to the output.
-    pub fn start_attempt(&mut self, request: RequestId, now: Millis) {
+    pub(super) fn start_attempt(&mut self, request: RequestId, now: Millis) {
         self.usage.idle_before = match self.state {
             ConnectionState::Idle { since } => now - since,
             _ => 0.0,
@@ -76,7 +78,7 @@
     }
 
     /// Reads once: the response to the attempt at hand, or how it failed; `None` while neither is there.
-    pub fn read_response(&mut self, request: RequestId) -> Option<ReadResponse> {
+    pub(super) fn read_response(&mut self, request: RequestId) -> Option<ReadResponse> {
         let (_, flow) = self.registered.socket.read();
         let input = &self.registered.socket.input;
         let result = match self.answers.read(input) {
@@ -95,7 +97,7 @@
     }
 
     /// Logs that the connection failed during an attempt.
-    pub fn log_failed_attempt(&self, now: Millis, event: &AttemptEvent) {
+    pub(super) fn log_failed_attempt(&self, now: Millis, event: &AttemptEvent) {
         tracing::trace!(
             target: "doorcourse::sockets",
             backend = &*self.backend,
--- a/crates/resp-gateway/src/backends/io.rs
+++ b/crates/resp-gateway/src/backends/io.rs
@@ -62,7 +62,7 @@
     }
 
     /// Handles what the poller reports of a connection.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, updates: &mut Vec<AttemptUpdate>,
     ) {
         let index = token.index;
@@ -133,7 +133,7 @@
     }
 
     /// Writes the attempts of the iteration.
-    pub fn flush(&mut self, reactor: &mut Reactor, updates: &mut Vec<AttemptUpdate>) {
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, updates: &mut Vec<AttemptUpdate>) {
         for index in std::mem::take(&mut self.to_flush) {
             let connection = self.connections.get_mut(index);
             let Some(connection) = connection.filter(|connection| connection.flush_scheduled) else {
@@ -156,7 +156,7 @@
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
-    pub fn next_timeout(&self) -> Millis {
+    pub(crate) fn next_timeout(&self) -> Millis {
         if self.connections.is_empty() {
             f64::INFINITY
         } else {
@@ -165,7 +165,7 @@
     }
 
     /// Closes connections that were not made in time, and those idle for too long.
-    pub fn handle_timeout(&mut self, reactor: &Reactor) {
+    pub(crate) fn handle_timeout(&mut self, reactor: &Reactor) {
         let now = reactor.now;
         if now < self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL_MS {
             return;
--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -57,7 +57,7 @@
 }
 
 impl ClientTable {
-    pub fn new(
+    pub(crate) fn new(
         reactor: &mut Reactor, listener: TcpListener, max_connections: usize,
     ) -> std::io::Result<Self> {
         reactor.poller.add(&listener, LISTENER_TOKEN.pack(), Interest::READ)?;
@@ -72,7 +72,7 @@
     }
 
     /// Handles what the poller reports of a connection.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, token: Token, ready: Ready,
         events: &mut Vec<ClientEvent>,
     ) {
@@ -143,19 +143,19 @@
     }
 
     /// Whether the response to a command is due and its client connected.
-    pub fn is_connected(&mut self, command: CommandId) -> bool {
+    pub(crate) fn is_connected(&mut self, command: CommandId) -> bool {
         self.slot_mut(command).is_some()
     }
 
     /// Notes the request that a command became.
-    pub fn request_started(&mut self, command: CommandId, request: RequestId) {
+    pub(crate) fn request_started(&mut self, command: CommandId, request: RequestId) {
         if let Some(slot) = self.slot_mut(command) {
             *slot = ResponseSlot::Pending(Some(request));
         }
     }
 
     /// Sends the response to a command; it is dropped where the client has disconnected.
-    pub fn respond(&mut self, now: Millis, command: CommandId, response: Response) {
+    pub(crate) fn respond(&mut self, now: Millis, command: CommandId, response: Response) {
         let is_fault = matches!(response, Response::InvalidRequest(_));
         let Some(slot) = self.slot_mut(command) else { return };
         *slot = ResponseSlot::Ready(response);
@@ -183,7 +183,7 @@
 
     /// Writes the responses of the iteration. Commands that waited for buffers are processed then, and while the gateway
     /// drains, connections on which nothing is open end.
-    pub fn flush(
+    pub(crate) fn flush(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, shutdown: &GracefulShutdown,
         events: &mut Vec<ClientEvent>,
     ) {
@@ -218,7 +218,7 @@
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
-    pub fn next_timeout(&self) -> Millis {
+    pub(crate) fn next_timeout(&self) -> Millis {
         if self.connections.is_empty() && self.listening {
             f64::INFINITY
         } else {
@@ -227,7 +227,7 @@
     }
 
     /// Closes connections that have expired, and reads again from those whose backoff is over.
-    pub fn handle_timeout(
+    pub(crate) fn handle_timeout(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) {
         if reactor.now < self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL_MS {
@@ -250,13 +250,13 @@
     }
 
     /// Has the next flush examine every connection.
-    pub fn schedule_flush_of_all(&mut self) {
+    pub(crate) fn schedule_flush_of_all(&mut self) {
         for (_, connection) in &mut self.connections {
             schedule_flush(&mut self.to_flush, connection);
         }
     }
 
-    pub fn connection_count(&self) -> usize {
+    pub(crate) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 }
--- a/crates/resp-gateway/src/clients/accept.rs
+++ b/crates/resp-gateway/src/clients/accept.rs
@@ -31,13 +31,15 @@
 impl ClientTable {
     /// Accepts connections from the listener. One that exceeds the table is rejected and closed at once: left in the
     /// accept queue it would wake the loop for ever.
-    pub fn accept(&mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>) {
+    pub(crate) fn accept(
+        &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
+    ) {
         self.accept_up_to(MAX_ACCEPTS_PER_ITERATION, reactor, deployment, events);
     }
 
     /// Begins to drain: accepts what is in the accept queue, closes the listener and has the next flush examine each
     /// connection, which ends the idle ones.
-    pub fn stop_accepting(
+    pub(crate) fn stop_accepting(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) {
         let batches = if rule_disabled("drain-accept-queue") {
--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -64,7 +64,7 @@
 }
 
 impl ClientConnection {
-    pub fn new(registered: RegisteredSocket, now: Millis) -> Self {
+    pub(super) fn new(registered: RegisteredSocket, now: Millis) -> Self {
         Self {
             registered,
             commands: CommandReader::new(COMMAND_LIMITS),
@@ -79,12 +79,12 @@
         }
     }
 
-    pub fn index(&self) -> usize {
+    pub(super) fn index(&self) -> usize {
         self.registered.token.index
     }
 
     /// Whether bytes of the client are read now.
-    pub fn reads_input(&self, now: Millis) -> bool {
+    pub(super) fn reads_input(&self, now: Millis) -> bool {
         if self.activity.lingering_close_until.is_some() {
             return self.discarded_bytes < MAX_DISCARDED_BYTES;
         }
@@ -94,17 +94,17 @@
     }
 
     /// Whether commands may still come.
-    pub fn accepts_commands(&self) -> bool {
+    pub(super) fn accepts_commands(&self) -> bool {
         !self.input_closed
     }
 
     /// Whether the client has sent commands that could not be accepted, so that reading may be backed off.
-    pub fn has_faults(&self) -> bool {
+    pub(super) fn has_faults(&self) -> bool {
         self.faults > 0
     }
 
     /// Reads once. Bytes that come during the lingering close are discarded.
-    pub fn read(&mut self) -> Flow {
+    pub(super) fn read(&mut self) -> Flow {
         let (count, flow) = self.registered.socket.read();
         if self.activity.lingering_close_until.is_some() {
             self.discarded_bytes += count;
@@ -114,7 +114,7 @@
     }
 
     /// Processes the commands that have been received completely; whether bytes were consumed.
-    pub fn process_commands(
+    pub(super) fn process_commands(
         &mut self, now: Millis, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) -> bool {
         let input = std::mem::take(&mut self.registered.socket.input);
@@ -182,20 +182,20 @@
     }
 
     /// The slot of a command whose response is not encoded yet.
-    pub fn slot_mut(&mut self, sequence: u64) -> Option<&mut ResponseSlot> {
+    pub(super) fn slot_mut(&mut self, sequence: u64) -> Option<&mut ResponseSlot> {
         let offset = sequence.checked_sub(self.first_sequence)?;
         self.slots.get_mut(usize::try_from(offset).ok()?)
     }
 
     /// Backs off from reading after a command that could not be accepted.
-    pub fn record_fault(&mut self, now: Millis) {
+    pub(super) fn record_fault(&mut self, now: Millis) {
         self.faults += 1;
         self.read_resumes_at = now + fault_backoff(self.faults);
     }
 
     /// Moves the responses that are next in order to the output. From here on they are unread, also while they are not
     /// written yet: nothing that looks at the connection before the iteration's flush may take it for idle.
-    pub fn encode_ready_responses(&mut self, now: Millis) {
+    pub(super) fn encode_ready_responses(&mut self, now: Millis) {
         while let Some(ResponseSlot::Ready(response)) = self.slots.front() {
             response.encode(self.registered.socket.output());
             self.slots.pop_front();
@@ -211,7 +211,7 @@
     }
 
     /// Writes as much as the client takes, and ends this side behind the error of a lost framing.
-    pub fn flush(&mut self, now: Millis) -> Flow {
+    pub(super) fn flush(&mut self, now: Millis) -> Flow {
         let pending_before = self.registered.socket.pending();
         if self.registered.socket.flush() == Flow::Broken {
             return Flow::Broken;
@@ -231,7 +231,7 @@
 
     /// Ends this side after the last response. Bytes that still come are discarded, so that nothing is unread when the
     /// connection closes.
-    pub fn begin_lingering_close(&mut self, now: Millis) {
+    pub(super) fn begin_lingering_close(&mut self, now: Millis) {
         self.registered.socket.shutdown_write();
         self.registered.socket.input = Vec::new();
         self.input_closed = true;
@@ -239,14 +239,14 @@
     }
 
     /// Registers for the readiness that is of use now.
-    pub fn update_interest(&mut self, reactor: &Reactor) {
+    pub(super) fn update_interest(&mut self, reactor: &Reactor) {
         let read = self.reads_input(reactor.now);
         let write = self.registered.socket.pending() > 0;
         self.registered.set_interest(reactor, read, write);
     }
 
     /// The requests whose responses are due.
-    pub fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
+    pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
         self.slots.into_iter().filter_map(|slot| match slot {
             ResponseSlot::Pending(request) => request,
             ResponseSlot::Ready(_) => None,
--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -50,7 +50,7 @@
 
 impl Response {
     /// Appends the response. Writing to a Vec cannot fail.
-    pub fn encode(&self, output: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, output: &mut Vec<u8>) {
         let _ = match self {
             Self::Value(value) => {
                 let _ = write!(output, "${}\r\n", value.len());
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -68,7 +68,7 @@
         match cause {
             "idle timeout" => clients.handle_timeout(&mut reactor, &deployment, &mut events),
             "eviction" => {
-                assert!(!clients.evict_connection(&mut reactor, &deployment, &mut events), "{cause}")
+                assert!(!clients.evict_connection(&mut reactor, &deployment, &mut events), "{cause}");
             }
             _ => {
                 shutdown.begin(0.0, 1000.0);
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -63,7 +63,7 @@
 }
 
 impl CounterPool {
-    pub fn new(address: Option<SocketAddr>, call_timeout: Millis) -> Self {
+    pub(crate) fn new(address: Option<SocketAddr>, call_timeout: Millis) -> Self {
         let mut pool = Self { links: Slab::new(), call_timeout };
         if let Some(address) = address {
             pool.add_links(address);
@@ -93,7 +93,7 @@
 
     /// Applies the configuration. Connections to another address take over as soon as they are made; calls in flight on
     /// the former ones end there.
-    pub fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
+    pub(crate) fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
         self.call_timeout = call_timeout;
         let is_current = |link: &PooledLink| link.retires_at.is_none() && Some(link.address) == address;
         if self.links.iter().any(|(_, link)| is_current(link)) {
@@ -109,7 +109,7 @@
     }
 
     /// Makes a call. Without a connection it ends as not added.
-    pub fn call(&mut self, reactor: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
+    pub(crate) fn call(&mut self, reactor: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
         let ready = self.links.iter().filter(|(_, link)| link.link.is_ready());
         let preferred = ready.min_by_key(|(_, link)| (link.retires_at.is_some(), link.link.in_flight()));
         let Some((index, _)) = preferred else {
@@ -128,12 +128,12 @@
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
-    pub fn next_timeout(&self) -> Millis {
+    pub(crate) fn next_timeout(&self) -> Millis {
         self.links.iter().map(|(_, link)| link.next_timeout).fold(f64::INFINITY, f64::min)
     }
 
     /// Times out calls, replaces connections and ends those to a former address.
-    pub fn handle_timeout(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
+    pub(crate) fn handle_timeout(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         let now = reactor.now;
         for index in 0..self.links.capacity() {
             let Some(link) = self.links.get_mut(index).filter(|link| now >= link.next_timeout) else {
@@ -153,7 +153,7 @@
     }
 
     /// Handles what the poller reports of a connection.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>,
     ) {
         let Some(link) = self.links.get_mut(token.index) else { return };
@@ -213,7 +213,7 @@
     }
 
     /// Writes the calls of the iteration.
-    pub fn flush(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         for index in 0..self.links.capacity() {
             let Some(link) = self.links.get_mut(index).filter(|link| link.flush_scheduled) else { continue };
             link.flush_scheduled = false;
@@ -224,7 +224,7 @@
     }
 
     /// How many connections there are, for the log.
-    pub fn connection_count(&self) -> usize {
+    pub(crate) fn connection_count(&self) -> usize {
         let connections = self.links.iter().map(|(_, link)| &link.connection);
         connections.filter(|connection| !matches!(connection, Connection::Closed)).count()
     }
--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -69,7 +69,7 @@
 }
 
 impl Diagnostics {
-    pub fn new(now: Millis) -> Self {
+    pub(crate) fn new(now: Millis) -> Self {
         Self {
             logged_at: now,
             is_enabled: tracing::enabled!(target: LOG_TARGET, tracing::Level::DEBUG),
@@ -82,7 +82,7 @@
     }
 
     /// Counts an event that the decisions receive.
-    pub fn record_event(&mut self, now: Millis, event: &Event) {
+    pub(crate) fn record_event(&mut self, now: Millis, event: &Event) {
         if !self.is_enabled {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Counts an action of the decisions.
-    pub fn record_action(&mut self, now: Millis, action: &Action, gateway: &Gateway) {
+    pub(crate) fn record_action(&mut self, now: Millis, action: &Action, gateway: &Gateway) {
         if !self.is_enabled {
             return;
         }
@@ -145,7 +145,7 @@
     }
 
     /// Logs the counts when the interval is over.
-    pub fn handle_timeout(&mut self, reactor: &Reactor, components: &Components) {
+    pub(crate) fn handle_timeout(&mut self, reactor: &Reactor, components: &Components<'_>) {
         if !self.is_enabled || reactor.now < self.logged_at + INTERVAL_MS {
             return;
         }
@@ -206,7 +206,7 @@
     }
 }
 
-fn log_connections(components: &Components) {
+fn log_connections(components: &Components<'_>) {
     let gateway = components.gateway;
     tracing::debug!(
         target: LOG_TARGET,
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -59,7 +59,7 @@
 impl DiscoveryClient {
     /// `version` is that of the list in hand. `drain_grace` is how long, in ms, requests may still be sent to a backend
     /// that drains.
-    pub fn new(address: SocketAddr, version: Option<u64>, drain_grace: Millis) -> Self {
+    pub(crate) fn new(address: SocketAddr, version: Option<u64>, drain_grace: Millis) -> Self {
         Self {
             address,
             connection: Connection::Closed,
@@ -70,12 +70,12 @@
         }
     }
 
-    pub fn set_drain_grace(&mut self, drain_grace: Millis) {
+    pub(crate) fn set_drain_grace(&mut self, drain_grace: Millis) {
         self.watch.set_drain_grace(drain_grace);
     }
 
     /// Another address takes over at once.
-    pub fn set_address(&mut self, address: SocketAddr) {
+    pub(crate) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connection = Connection::Closed;
         self.superseded = None;
@@ -83,11 +83,11 @@
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
-    pub fn next_timeout(&self) -> Millis {
+    pub(crate) fn next_timeout(&self) -> Millis {
         self.watch.next_timeout()
     }
 
-    pub fn handle_timeout(&mut self, reactor: &mut Reactor) {
+    pub(crate) fn handle_timeout(&mut self, reactor: &mut Reactor) {
         while let Some(action) = self.watch.handle_timeout(reactor.now) {
             match action {
                 WatchAction::Connect => self.connect(reactor),
@@ -146,7 +146,7 @@
     }
 
     /// Handles what the poller reports of a connection; the lists that were received are appended.
-    pub fn handle_readiness(
+    pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, lists: &mut Vec<EndpointList>,
     ) {
         if self.superseded.as_ref().is_some_and(|exchange| exchange.registered.token == token) {
--- a/crates/resp-gateway/src/gateway/signals.rs
+++ b/crates/resp-gateway/src/gateway/signals.rs
@@ -91,7 +91,7 @@
 }
 
 impl SignalPipes {
-    pub fn new(reactor: &mut Reactor) -> std::io::Result<Self> {
+    pub(super) fn new(reactor: &mut Reactor) -> std::io::Result<Self> {
         let (handle_sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         handle_sender.set_nonblocking(true)?;
@@ -100,7 +100,7 @@
         Ok(pipes)
     }
 
-    pub fn attach(&mut self, reactor: &mut Reactor, handlers: SignalHandlers) -> std::io::Result<()> {
+    pub(super) fn attach(&mut self, reactor: &mut Reactor, handlers: SignalHandlers) -> std::io::Result<()> {
         handlers.0.into_iter().try_for_each(|pipe| self.register(reactor, pipe))
     }
 
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    pub fn handle(&self) -> std::io::Result<GatewayHandle> {
+    pub(super) fn handle(&self) -> std::io::Result<GatewayHandle> {
         Ok(GatewayHandle(self.handle_sender.try_clone()?))
     }
 
--- a/crates/resp-gateway/src/reactor.rs
+++ b/crates/resp-gateway/src/reactor.rs
@@ -39,12 +39,12 @@
 
 impl Token {
     /// Packs the token: kind in bits 56 to 63, serial in 32 to 55, index in 0 to 31.
-    pub fn pack(self) -> u64 {
+    pub(crate) fn pack(self) -> u64 {
         let serial = u64::from(self.serial % SERIALS);
         (self.kind as u64) << 56 | serial << 32 | (self.index as u64 & 0xffff_ffff)
     }
 
-    pub fn unpack(token: u64) -> Option<Self> {
+    pub(crate) fn unpack(token: u64) -> Option<Self> {
         Some(Self {
             kind: Self::kind_of(token)?,
             serial: (token >> 32) as u32 % SERIALS,
@@ -53,7 +53,7 @@
     }
 
     /// The kind of a packed token.
-    pub fn kind_of(token: u64) -> Option<TokenKind> {
+    pub(crate) fn kind_of(token: u64) -> Option<TokenKind> {
         TOKEN_KINDS.get((token >> 56) as usize).copied()
     }
 }
@@ -84,7 +84,7 @@
 }
 
 impl Reactor {
-    pub fn new() -> std::io::Result<Self> {
+    pub(crate) fn new() -> std::io::Result<Self> {
         let clock = Clock::default();
         let poller = Poller::new()?;
         let now = clock.now();
@@ -92,7 +92,7 @@
     }
 
     /// The serial number of a descriptor that is about to be registered.
-    pub fn next_serial(&mut self) -> u32 {
+    pub(crate) fn next_serial(&mut self) -> u32 {
         self.last_serial = (self.last_serial + 1) % SERIALS;
         self.last_serial
     }
@@ -106,13 +106,15 @@
 }
 
 impl RegisteredSocket {
-    pub fn new(reactor: &Reactor, socket: Socket, token: Token, interest: Interest) -> std::io::Result<Self> {
+    pub(crate) fn new(
+        reactor: &Reactor, socket: Socket, token: Token, interest: Interest,
+    ) -> std::io::Result<Self> {
         reactor.poller.add(&socket, token.pack(), interest)?;
         Ok(Self { socket, token, interest })
     }
 
     /// Changes which readiness is reported, where it differs from the registration.
-    pub fn set_interest(&mut self, reactor: &Reactor, read: bool, write: bool) {
+    pub(crate) fn set_interest(&mut self, reactor: &Reactor, read: bool, write: bool) {
         let interest = Interest { read, write, ..self.interest };
         if interest != self.interest {
             self.interest = interest;
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -141,7 +141,7 @@
 
 /// The index of the class, which has to belong to the command: `Q.ASK` for idempotent classes, `Q.DO` for the others.
 fn parse_class(
-    settings: &Settings, fields: &RequestFields, is_idempotent_command: bool,
+    settings: &Settings, fields: &RequestFields<'_>, is_idempotent_command: bool,
 ) -> Result<usize, RequestError> {
     let class = settings.classes.iter().position(|class| Some(&*class.name) == fields.class);
     let class = class.ok_or(RequestError::Class)?;
@@ -149,14 +149,14 @@
     if is_idempotent_class == is_idempotent_command { Ok(class) } else { Err(RequestError::Class) }
 }
 
-fn parse_units(settings: &Settings, fields: &RequestFields) -> Result<f64, RequestError> {
+fn parse_units(settings: &Settings, fields: &RequestFields<'_>) -> Result<f64, RequestError> {
     let max = if settings.max_request_units > 0.0 { settings.max_request_units } else { f64::MAX };
     let units = fields.units.and_then(parse_decimal).filter(|units| *units > 0.0 && *units <= max);
     units.ok_or(RequestError::Units)
 }
 
 /// How many gateways serve the customer, and the first of them.
-fn parse_gateway_set(settings: &Settings, fields: &RequestFields) -> Result<(u32, u32), RequestError> {
+fn parse_gateway_set(settings: &Settings, fields: &RequestFields<'_>) -> Result<(u32, u32), RequestError> {
     let count = parse_integer(fields.gateway_count)
         .filter(|count| (1..=settings.gateway_count).contains(count))
         .ok_or(RequestError::GatewaySet)?;
--- a/crates/resp-gateway/src/request/fields.rs
+++ b/crates/resp-gateway/src/request/fields.rs
@@ -20,7 +20,7 @@
 }
 
 impl<'a> RequestFields<'a> {
-    pub fn parse(list: &'a str) -> Result<Self, RequestError> {
+    pub(super) fn parse(list: &'a str) -> Result<Self, RequestError> {
         let mut fields = Self::default();
         let mut start = 0;
         for pair in list.split(',') {
--- a/crates/resp-gateway/src/request/forwarded.rs
+++ b/crates/resp-gateway/src/request/forwarded.rs
@@ -23,7 +23,7 @@
 
 impl ForwardedCommand {
     /// Copies a command whose arguments are at these ranges of `input`.
-    pub(super) fn new(input: &[u8], arguments: &[Range<usize>], fields: &RequestFields) -> Self {
+    pub(super) fn new(input: &[u8], arguments: &[Range<usize>], fields: &RequestFields<'_>) -> Self {
         let argument = |index: usize| &input[arguments[index].clone()];
         let mut encoded_head = Vec::with_capacity(64);
         for index in 0..3 {
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -81,7 +81,7 @@
 
 impl RequestTable {
     /// Opens a request, unless its id, its deadline or the shutdown forbids it.
-    pub fn start(
+    pub(crate) fn start(
         &mut self, now: Millis, deployment: &Deployment, shutdown: &GracefulShutdown, command: CommandId,
         request: Request,
     ) -> StartOutcome {
@@ -125,7 +125,9 @@
     }
 
     /// Starts an attempt that the decisions send to a backend; `None` where the request is closed.
-    pub fn start_attempt(&mut self, now: Millis, id: RequestId, backend: &Name) -> Option<OutgoingAttempt> {
+    pub(crate) fn start_attempt(
+        &mut self, now: Millis, id: RequestId, backend: &Name,
+    ) -> Option<OutgoingAttempt> {
         let open = self.open.get_mut(&id)?;
         open.lifecycle.handle(LifecycleEvent::AttemptStarted, &mut self.actions);
         self.actions.clear();
@@ -143,14 +145,14 @@
     }
 
     /// Whether this attempt is out.
-    pub fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
+    pub(crate) fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
         self.open
             .get(&id)
             .is_some_and(|open| open.lifecycle.has_attempt() && open.lifecycle.attempts() == attempt)
     }
 
     /// Handles what happened to a request's attempt.
-    pub fn handle_attempt_event(
+    pub(crate) fn handle_attempt_event(
         &mut self, now: Millis, id: RequestId, event: AttemptEvent, send_retry_after: bool,
         commands: &mut Vec<RequestCommand>,
     ) {
@@ -172,7 +174,7 @@
     }
 
     /// Handles what happened to a request.
-    pub fn handle_event(
+    pub(crate) fn handle_event(
         &mut self, now: Millis, id: RequestId, event: LifecycleEvent, send_retry_after: bool,
         commands: &mut Vec<RequestCommand>,
     ) {
@@ -200,13 +202,13 @@
     }
 
     /// The requests whose clients wait for a response.
-    pub fn awaiting_response(&self) -> Vec<RequestId> {
+    pub(crate) fn awaiting_response(&self) -> Vec<RequestId> {
         let waiting = self.open.iter().filter(|(_, open)| open.lifecycle.awaits_response());
         waiting.map(|(id, _)| *id).collect()
     }
 
     /// Open requests, including those whose clients have disconnected while an attempt is out.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 }
--- a/crates/resp-gateway/tests/rig/backend.rs
+++ b/crates/resp-gateway/tests/rig/backend.rs
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 /// Chooses the reply of a backend to a command.
-pub type Script = dyn Fn(&Command) -> Reply + Send + Sync;
+pub(crate) type Script = dyn Fn(&Command) -> Reply + Send + Sync;
 
 /// A command that a backend received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Command {
+pub(crate) struct Command {
     pub arguments: Vec<String>,
     /// The number of its connection at this backend, from 1.
     pub connection: usize,
 }
 
 /// What a scripted backend does about a command.
-pub enum Reply {
+pub(crate) enum Reply {
     Bytes(Vec<u8>),
     /// Writes this and closes the connection in order.
     BytesAndClose(Vec<u8>),
@@ -31,11 +31,11 @@
 }
 
 /// A successful reply with this value.
-pub fn value(text: &str) -> Vec<u8> {
+pub(crate) fn value(text: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes()
 }
 
-pub struct Backend {
+pub(crate) struct Backend {
     pub address: SocketAddr,
     pub commands: Arc<Shared<Vec<Command>>>,
     /// The numbers of connections that have closed.
@@ -43,7 +43,7 @@
 }
 
 impl Backend {
-    pub fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), Box::new(script))
     }
 
@@ -70,20 +70,20 @@
         Self { address, commands, closed_connections }
     }
 
-    pub fn command_count(&self) -> usize {
+    pub(crate) fn command_count(&self) -> usize {
         self.commands.update(|commands| commands.len())
     }
 }
 
 /// A backend whose connections are not made until it is opened: its accept queue is full, as on an overloaded machine.
-pub struct LateBackend {
+pub(crate) struct LateBackend {
     listener: TcpListener,
     queued: Vec<TcpStream>,
     script: Box<Script>,
 }
 
 impl LateBackend {
-    pub fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let fd = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
         bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -98,12 +98,12 @@
         Self { listener, queued, script: Box::new(script) }
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
     /// Accepts connections. Those refused so far are made when the system retries, within a second or so.
-    pub fn open(self) -> Backend {
+    pub(crate) fn open(self) -> Backend {
         let Self { listener, queued, script } = self;
         let backend = Backend::on(listener, script);
         drop(queued);
--- a/crates/resp-gateway/tests/rig/client.rs
+++ b/crates/resp-gateway/tests/rig/client.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     input: Vec<u8>,
 }
@@ -14,57 +14,57 @@
 static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
 
 /// A request id that no other request has.
-pub fn new_id() -> String {
+pub(crate) fn new_id() -> String {
     format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst))
 }
 
 impl Client {
-    pub fn open(address: SocketAddr) -> Self {
+    pub(crate) fn open(address: SocketAddr) -> Self {
         Self::on(TcpStream::connect(address).unwrap())
     }
 
-    pub fn on(stream: TcpStream) -> Self {
+    pub(crate) fn on(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         Self { stream, input: Vec::new() }
     }
 
-    pub fn send(&mut self, arguments: &[&str]) {
+    pub(crate) fn send(&mut self, arguments: &[&str]) {
         let mut bytes = Vec::new();
         doorcourse_resp::command(&mut bytes, arguments);
         self.stream.write_all(&bytes).unwrap();
     }
 
-    pub fn call(&mut self, arguments: &[&str]) -> Value {
+    pub(crate) fn call(&mut self, arguments: &[&str]) -> Value {
         self.send(arguments);
         self.read_response().expect("a response")
     }
 
     /// Sends a request of a class with a deadline in ms and a new id; returns its response.
-    pub fn request(&mut self, class: &str, deadline_ms: u32) -> Value {
+    pub(crate) fn request(&mut self, class: &str, deadline_ms: u32) -> Value {
         self.send_request(class, deadline_ms);
         self.read_response().expect("a response")
     }
 
     /// The same on a connection that may close: `None` where it did.
-    pub fn try_request(&mut self, class: &str, deadline_ms: u32) -> Option<Value> {
+    pub(crate) fn try_request(&mut self, class: &str, deadline_ms: u32) -> Option<Value> {
         if self.begin_request(class, deadline_ms).1 { self.read_response() } else { None }
     }
 
     /// Sends a request without waiting: its id, and whether the connection took it.
-    pub fn begin_request(&mut self, class: &str, deadline_ms: u32) -> (String, bool) {
+    pub(crate) fn begin_request(&mut self, class: &str, deadline_ms: u32) -> (String, bool) {
         let mut bytes = Vec::new();
         let id = self.append_request(class, deadline_ms, &mut bytes);
         (id, self.stream.write_all(&bytes).is_ok())
     }
 
-    pub fn send_request(&mut self, class: &str, deadline_ms: u32) -> String {
+    pub(crate) fn send_request(&mut self, class: &str, deadline_ms: u32) -> String {
         let (id, taken) = self.begin_request(class, deadline_ms);
         assert!(taken, "the connection closed");
         id
     }
 
     /// The bytes of a request with a new id.
-    pub fn encode_request(&mut self, class: &str, deadline_ms: u32) -> Vec<u8> {
+    pub(crate) fn encode_request(&mut self, class: &str, deadline_ms: u32) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.append_request(class, deadline_ms, &mut bytes);
         bytes
@@ -81,7 +81,7 @@
     }
 
     /// Waits until the gateway has closed its side; what it wrote before is still to be read here.
-    pub fn wait_for_close(&self) {
+    pub(crate) fn wait_for_close(&self) {
         use rustix::event::{PollFd, PollFlags, Timespec, poll};
         let mut fds = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let limit = Timespec { tv_sec: WAIT_LIMIT.as_secs() as i64, tv_nsec: 0 };
@@ -89,14 +89,14 @@
     }
 
     /// Reads until the close, which must not be a reset.
-    pub fn read_to_end(&mut self) -> String {
+    pub(crate) fn read_to_end(&mut self) -> String {
         let mut text = String::from_utf8(std::mem::take(&mut self.input)).unwrap();
         self.stream.read_to_string(&mut text).expect("an orderly close, not a reset");
         text
     }
 
     /// The next response; `None` at the close of the connection.
-    pub fn read_response(&mut self) -> Option<Value> {
+    pub(crate) fn read_response(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
             if let Some((value, took)) = decode(&self.input).expect("the gateway speaks RESP") {
@@ -113,20 +113,20 @@
     }
 }
 
-pub fn is_served(value: &Value, text: &str) -> bool {
+pub(crate) fn is_served(value: &Value, text: &str) -> bool {
     *value == Value::Bulk(text.as_bytes().to_vec())
 }
 
 /// Failed; it may have been executed.
-pub fn is_failed(value: &Value) -> bool {
+pub(crate) fn is_failed(value: &Value) -> bool {
     matches!(value, Value::Error(text) if text.starts_with("ERR failed"))
 }
 
-pub fn is_rejected(value: &Value) -> bool {
+pub(crate) fn is_rejected(value: &Value) -> bool {
     matches!(value, Value::Error(text) if text == "BUSY" || text.starts_with("BUSY "))
 }
 
 /// An error about the command itself.
-pub fn is_invalid(value: &Value) -> bool {
+pub(crate) fn is_invalid(value: &Value) -> bool {
     matches!(value, Value::Error(text) if text.starts_with("ERR ") && !text.starts_with("ERR failed"))
 }
--- a/crates/resp-gateway/tests/rig/counter.rs
+++ b/crates/resp-gateway/tests/rig/counter.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// The counter: totals by name.
-pub struct Counter {
+pub(crate) struct Counter {
     pub address: SocketAddr,
     pub totals: Arc<Shared<HashMap<String, f64>>>,
     pub fault: Arc<Shared<CounterFault>>,
@@ -16,7 +16,7 @@
 
 /// How the counter misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CounterFault {
+pub(crate) enum CounterFault {
     None,
     /// Rejects each call with status 503.
     Rejects,
@@ -29,7 +29,7 @@
 }
 
 impl Counter {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let totals = Shared::new(HashMap::new());
--- a/crates/resp-gateway/tests/rig/discovery.rs
+++ b/crates/resp-gateway/tests/rig/discovery.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Discovery: an endpoint list, and changes that are pushed to all watches.
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub address: SocketAddr,
     state: Arc<Shared<DiscoveryState>>,
 }
@@ -23,7 +23,7 @@
     is_silent: bool,
 }
 
-pub fn endpoint(name: &str, address: SocketAddr, health: &str) -> Json {
+pub(crate) fn endpoint(name: &str, address: SocketAddr, health: &str) -> Json {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 1,
         "health": health, "share": 1.0, "born_ms": 0})
 }
@@ -33,7 +33,7 @@
 }
 
 impl Discovery {
-    pub fn start(endpoints: Vec<Json>) -> Self {
+    pub(crate) fn start(endpoints: Vec<Json>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let state = Shared::new(DiscoveryState { version: 1, endpoints, ..DiscoveryState::default() });
@@ -67,7 +67,7 @@
     }
 
     /// Sends changes to all watches.
-    pub fn publish_changes(&self, endpoints: Vec<Json>) {
+    pub(crate) fn publish_changes(&self, endpoints: Vec<Json>) {
         self.state.update(|s| {
             s.version += 1;
             let line = chunk(&json!({"seq": s.version, "whole": false, "hosts": endpoints}).to_string());
@@ -76,18 +76,18 @@
     }
 
     /// Writes a line unchanged to all watches.
-    pub fn publish_line(&self, line: &str) {
+    pub(crate) fn publish_line(&self, line: &str) {
         self.state.update(|s| s.watches.retain_mut(|w| w.write_all(&chunk(line)).is_ok()));
     }
 
     /// Goes down: all watches are closed, and requests are never answered, also those that are open at the return.
-    pub fn stop_responding(&self) {
+    pub(crate) fn stop_responding(&self) {
         self.state.update(|s| s.is_silent = true);
         self.close_watches();
     }
 
     /// Returns with this list.
-    pub fn resume_with(&self, endpoints: Vec<Json>) {
+    pub(crate) fn resume_with(&self, endpoints: Vec<Json>) {
         self.state.update(|s| {
             s.is_silent = false;
             s.version += 1;
@@ -96,19 +96,19 @@
     }
 
     /// Closes all watches.
-    pub fn close_watches(&self) {
+    pub(crate) fn close_watches(&self) {
         self.state.update(|s| s.watches.drain(..).for_each(|w| drop(w.shutdown(std::net::Shutdown::Both))));
     }
 
     /// Replaces the list without notifying the watches.
-    pub fn set_endpoints(&self, endpoints: Vec<Json>) {
+    pub(crate) fn set_endpoints(&self, endpoints: Vec<Json>) {
         self.state.update(|s| {
             s.version += 1;
             s.endpoints = endpoints;
         });
     }
 
-    pub fn wait_for_requests(&self, count: usize) {
+    pub(crate) fn wait_for_requests(&self, count: usize) {
         self.state.wait("requests to discovery", |s| s.request_count >= count);
     }
 }
--- a/crates/resp-gateway/tests/rig/gateway.rs
+++ b/crates/resp-gateway/tests/rig/gateway.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 
 /// Settings of a small deployment: a class of each kind of idempotency, and a plan.
-pub fn settings() -> Json {
+pub(crate) fn settings() -> Json {
     json!({
         "fleet-size": 1, "my-number": 0, "locality": "a", "period-ms": 4.0,
         "classes": [
@@ -33,7 +33,7 @@
 }
 
 /// A gateway in a thread of this process, with discovery and the counter.
-pub struct TestGateway {
+pub(crate) struct TestGateway {
     pub address: SocketAddr,
     pub discovery: Discovery,
     pub counter: Counter,
@@ -47,12 +47,12 @@
 
 impl TestGateway {
     /// A gateway with these backends, named b0, b1 and so on.
-    pub fn with_backends(backends: &[SocketAddr]) -> Self {
+    pub(crate) fn with_backends(backends: &[SocketAddr]) -> Self {
         let endpoints = backends.iter().enumerate().map(|(n, at)| endpoint(&format!("b{n}"), *at, "active"));
         Self::new(endpoints.collect(), settings(), 1024)
     }
 
-    pub fn new(endpoints: Vec<Json>, settings: Json, descriptors: usize) -> Self {
+    pub(crate) fn new(endpoints: Vec<Json>, settings: Json, descriptors: usize) -> Self {
         let discovery = Discovery::start(endpoints);
         let counter = Counter::start();
         let file = json!({
@@ -78,16 +78,16 @@
     }
 
     /// Writes `file` to the configuration file.
-    pub fn write_config(&self) {
+    pub(crate) fn write_config(&self) {
         std::fs::write(&self.path, self.file.to_string()).unwrap();
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         Client::open(self.address)
     }
 
     /// Waits until the gateway has shut down.
-    pub fn join(&mut self) {
+    pub(crate) fn join(&mut self) {
         self.thread.take().unwrap().join().unwrap().unwrap();
     }
 }
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -11,34 +11,34 @@
 mod gateway;
 mod http;
 
-pub use backend::{Backend, Command, LateBackend, Reply, Script, value};
-pub use client::{Client, is_failed, is_invalid, is_rejected, is_served, new_id};
-pub use counter::{Counter, CounterFault};
-pub use discovery::{Discovery, endpoint};
-pub use gateway::{TestGateway, settings};
+pub(crate) use backend::{Backend, Command, LateBackend, Reply, Script, value};
+pub(crate) use client::{Client, is_failed, is_invalid, is_rejected, is_served, new_id};
+pub(crate) use counter::{Counter, CounterFault};
+pub(crate) use discovery::{Discovery, endpoint};
+pub(crate) use gateway::{TestGateway, settings};
 
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
 /// The limit of every wait: far beyond what any of them takes.
-pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// State that tests and peers share, and wait for.
-pub struct Shared<T>(Mutex<T>, Condvar);
+pub(crate) struct Shared<T>(Mutex<T>, Condvar);
 
 impl<T> Shared<T> {
-    pub fn new(value: T) -> Arc<Self> {
+    pub(crate) fn new(value: T) -> Arc<Self> {
         Arc::new(Self(Mutex::new(value), Condvar::new()))
     }
 
-    pub fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
+    pub(crate) fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
         let result = update(&mut self.0.lock().unwrap());
         self.1.notify_all();
         result
     }
 
     /// Waits until the condition holds; `what` names it in the failure.
-    pub fn wait(&self, what: &str, condition: impl Fn(&T) -> bool) {
+    pub(crate) fn wait(&self, what: &str, condition: impl Fn(&T) -> bool) {
         let guard = self.0.lock().unwrap();
         let waited = self.1.wait_timeout_while(guard, WAIT_LIMIT, |value| !condition(value));
         let (guard, result) = waited.unwrap();
--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -43,7 +43,7 @@
 const MAX_HEADER_LINE_BYTES: usize = 24;
 
 /// A complete command: the ranges of its arguments in the input, and how many bytes it consumed.
-pub type ParsedCommand = (Vec<Range<usize>>, usize);
+pub(crate) type ParsedCommand = (Vec<Range<usize>>, usize);
 
 /// What is read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -53,11 +53,11 @@
 }
 
 /// The longest string in bytes, and the bytes that may arrive without a line end where one is due.
-pub const MAX_STRING_BYTES: usize = 1 << 20;
+pub(crate) const MAX_STRING_BYTES: usize = 1 << 20;
 /// The most elements of one aggregate; an entry of a map counts as two.
-pub const MAX_ELEMENTS: usize = 1 << 20;
+pub(crate) const MAX_ELEMENTS: usize = 1 << 20;
 /// How deep aggregates may nest.
-pub const MAX_DEPTH: usize = 8;
+pub(crate) const MAX_DEPTH: usize = 8;
 /// The length of a null bulk string and the count of a null array.
 const NULL_LENGTH: i64 = -1;
 /// Bytes of the format and the colon that begin a verbatim string, as in `txt:`.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -105,6 +105,7 @@
     }
 
     /// Whether the shared counter is unavailable; always where there is none.
+    #[must_use]
     pub fn is_counter_silent(&self) -> bool {
         self.is_counter_unavailable()
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 /// Classes `safe` (idempotent), `keyed` (with an idempotency key) and `unsafe` (neither); plans `plain`, `ceiling` and
 /// `capped` (two requests in flight).
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let class = |name: &str, idempotency, deduplication_scope| RequestClass {
         name: name.into(),
         latency_objective: 800.0,
@@ -53,7 +53,7 @@
 }
 
 /// An entry of the endpoint list; backends named `a…` are in cell 0, all others in cell 1.
-pub fn backend_entry(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
+pub(crate) fn backend_entry(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
     BackendEntry {
         name: name.into(),
@@ -66,19 +66,19 @@
 }
 
 /// A gateway, its clock and its actions on the last event.
-pub struct TestGateway {
+pub(crate) struct TestGateway {
     pub decisions: Gateway,
     pub now: Millis,
     pub actions: Vec<Action>,
 }
 
 impl TestGateway {
-    pub fn new(settings: Settings, backends: &[&str]) -> Self {
+    pub(crate) fn new(settings: Settings, backends: &[&str]) -> Self {
         Self::seeded(settings, 1, backends)
     }
 
     /// A gateway whose endpoint list names these backends, all ready.
-    pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
+    pub(crate) fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
         let decisions = Gateway::new(settings, seed).expect("usable settings");
         let mut gateway = Self { decisions, now: 1000.0, actions: Vec::new() };
         let list = backends.iter().map(|name| backend_entry(name, BackendState::Ready, None)).collect();
@@ -86,14 +86,14 @@
         gateway
     }
 
-    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         self.actions.clear();
         self.decisions.handle(self.now, event, &mut self.actions);
         self.actions.clone()
     }
 
     /// Lets time pass, then runs the maintenance timer and the queue timers of these requests.
-    pub fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
         let mut all = self.handle(Event::TimerExpired { token: 1 });
         for id in requests {
@@ -103,12 +103,12 @@
     }
 
     /// A first request of a customer of two gateways.
-    pub fn request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
+    pub(crate) fn request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
         self.request_through(id, customer, plan, class, false, 2)
     }
 
     /// A request of a customer of so many gateways, as a first one or as the client's retry.
-    pub fn request_through(
+    pub(crate) fn request_through(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, client_retry: bool,
         gateway_count: u32,
     ) -> Vec<Action> {
@@ -127,13 +127,13 @@
     }
 
     /// An attempt ends after 100 ms.
-    pub fn end_attempt(
+    pub(crate) fn end_attempt(
         &mut self, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
     ) -> Vec<Action> {
         self.end_attempt_after(100.0, id, attempt, backend, outcome)
     }
 
-    pub fn end_attempt_after(
+    pub(crate) fn end_attempt_after(
         &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: AttemptOutcome,
     ) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptEnd {
@@ -149,7 +149,7 @@
     }
 
     /// A first attempt is served, and its response reports the units that it used.
-    pub fn serve(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
+    pub(crate) fn serve(&mut self, id: RequestId, backend: &Name, units: f64) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt: 0,
@@ -163,13 +163,13 @@
     }
 
     /// The counter responds to a call with a total.
-    pub fn counter_responds(&mut self, counter: u64, total: f64) -> Vec<Action> {
+    pub(crate) fn counter_responds(&mut self, counter: u64, total: f64) -> Vec<Action> {
         let outcome = CounterOutcome::Total(total);
         self.handle(Event::CounterCallEnded { counter, outcome, latency: 2.0 })
     }
 
     /// A request that is forwarded once the counter has responded with what this gateway adds; returns the backend.
-    pub fn forward(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
+    pub(crate) fn forward(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
         let mut actions = self.request(id, customer, plan, class);
         if let Some((counter, amount)) = first_counter_call(&actions) {
             actions = self.counter_responds(counter, amount);
@@ -179,7 +179,7 @@
 }
 
 /// The first counter call among actions: the counter's name and the amount.
-pub fn first_counter_call(actions: &[Action]) -> Option<(u64, f64)> {
+pub(crate) fn first_counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|action| match action {
         Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
@@ -187,7 +187,7 @@
 }
 
 /// The first attempt among actions: the request and the backend.
-pub fn first_attempt(actions: &[Action]) -> Option<(RequestId, Name)> {
+pub(crate) fn first_attempt(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|action| match action {
         Action::SendAttempt { id, backend, .. } => Some((*id, backend.clone())),
         _ => None,
@@ -195,22 +195,22 @@
 }
 
 /// How many attempts were sent.
-pub fn count_attempts(actions: &[Action]) -> usize {
+pub(crate) fn count_attempts(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::SendAttempt { .. })).count()
 }
 
 /// Whether a request was rejected.
-pub fn is_rejected(actions: &[Action], which: RequestId) -> bool {
+pub(crate) fn is_rejected(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == which))
 }
 
 /// Whether a request failed.
-pub fn is_failed(actions: &[Action], which: RequestId) -> bool {
+pub(crate) fn is_failed(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { id } if *id == which))
 }
 
 /// An action as text that does not depend on any Rust name: recorded digests outlive renames.
-pub fn stable_text(action: &Action) -> String {
+pub(crate) fn stable_text(action: &Action) -> String {
     match action {
         Action::SendAttempt { id, backend, timeout, must_be_written_within: window } => {
             format!("Send {{ id: {id}, backend: {backend:?}, timeout: {timeout:?}, window: {window:?} }}")
--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -76,7 +76,7 @@
                         next.extend(self.gateways[at].end_attempt(id, 0, &backend, AttemptOutcome::Served));
                     }
                     Action::AddToCounter { counter: name, amount, time_to_live } => {
-                        next.extend(self.add_to_counter(at, name, amount, time_to_live))
+                        next.extend(self.add_to_counter(at, name, amount, time_to_live));
                     }
                     _ => {}
                 }
