--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -1,5 +1,5 @@
 //! When a client connection expires by its inactivity, and which one is evicted first when the table of connections is
-//! full. Silent and idle connections precede those in use; one with an open request is never evicted.
+//! full: first those being closed, then silent and idle ones; one with an open request or an unread response never.
 
 use doorcourse::Millis;
 
@@ -9,7 +9,7 @@
 /// without a request are those that were just accepted and are about to send one.
 const SILENT_CONNECTION_PENALTY: Millis = 500.0;
 
-/// Eviction rank of a connection that is closed after a fault: first.
+/// Eviction rank of a connection that is being closed: first.
 const LINGERING_RANK: u8 = 0;
 /// Eviction rank of every other connection, by the time since which it is idle.
 const IDLE_RANK: u8 = 1;
@@ -57,7 +57,8 @@
     pub unread_response_since: Option<Millis>,
     /// Requests that arrived and whose responses are not handed to the connection yet.
     pub open_requests: usize,
-    /// When the connection is closed after a fault that was reported to its client; `None` for one without such a fault.
+    /// When the connection is closed at the latest, once this side has sent its last byte (after a fault, an expiry or at
+    /// a shutdown); `None` before that.
     pub lingering_close_until: Option<Millis>,
 }
 
@@ -99,7 +100,8 @@
     }
 
     /// The order in which connections are evicted for a new one: lower ranks first, in one rank those with the earlier
-    /// time. `None` for a connection in use, which is never evicted.
+    /// time. `None` for a connection with an open request or an unread response, which is never evicted; one whose
+    /// request is received in part may be.
     #[must_use]
     pub fn eviction_rank(&self) -> Option<(u8, Millis)> {
         if let Some(until) = self.lingering_close_until {
--- a/crates/counter/src/call.rs
+++ b/crates/counter/src/call.rs
@@ -15,8 +15,9 @@
 
 /// How a call ended.
 ///
-/// Each call ends exactly once with one of the first four; [`Late`](Self::Late) may follow a call that ended as
-/// [`Unknown`](Self::Unknown).
+/// Each call ends exactly once, with one of the first three; [`Late`](Self::Late) may follow a call that ended as
+/// [`Unknown`](Self::Unknown). A codec reports [`AddedWithoutTotal`](Self::AddedWithoutTotal), which the link turns into
+/// `Unknown` and a `Late` that follows at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
     /// The total after the addition.
--- a/crates/counter/src/codec.rs
+++ b/crates/counter/src/codec.rs
@@ -27,6 +27,8 @@
     /// Reads on from the start of `input`: returns how many bytes were consumed, and the reply that they completed.
     ///
     /// # Errors
-    /// When the bytes are not of the protocol or the counter refuses this client.
+    /// When the bytes are not of the protocol or the counter refuses this client: the link closes the connection and its
+    /// calls end as unknown. A codec whose server responds only after the addition reports unreadable bytes as
+    /// `AddedWithoutTotal` instead.
     fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError>;
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -142,9 +142,9 @@
     /// The longest time from the moment at which the source can be reached until its list of that moment is held,
     /// whatever became of earlier calls.
     ///
-    /// The worst order: a watch requested an instant before sends a head and no message until its timeout; after a
-    /// backoff the next call's changes cannot be applied; the full list follows after another backoff. The delay of the
-    /// host's event loop comes on top. The platform allows 6 s, and 4 s after SIGHUP.
+    /// An upper bound, which the property tests hold every order of faults to: a watch requested an instant before sends
+    /// no message until its timeout, and two backoffs pass before the full list arrives. The delay of the host's event
+    /// loop comes on top. The platform allows 6 s, and 4 s after SIGHUP.
     pub const MAX_DELAY: Millis = WATCH_MESSAGE_TIMEOUT + 2.0 * MAX_BACKOFF;
 
     /// A watch whose first connect is due at once.
--- a/crates/graceful-shutdown/src/shutdown.rs
+++ b/crates/graceful-shutdown/src/shutdown.rs
@@ -7,8 +7,7 @@
 //!                                                                                    kill is due: exit
 //! ```
 //!
-//! The platform kills the process no earlier than the longest request timeout (3 s where it is longer) and 0.7 s after
-//! SIGTERM.
+//! The platform kills the process no earlier than `min(longest request timeout, 3 s) + 0.7 s` after SIGTERM.
 //!
 //! | phase | listener | connections | new requests |
 //! | --- | --- | --- | --- |
@@ -29,8 +28,8 @@
 const NOTICE_PERIOD: Millis = 700.0;
 /// The longest request timeout counts as no more than this for the time of the kill.
 const MAX_COUNTED_TIMEOUT: Millis = 3000.0;
-/// How long before the kill every request has its final response: the response has to travel, and the event loop may
-/// be late.
+/// How long before the earliest time of the kill every request has its final response: the response has to travel,
+/// and the event loop may be late. The process exits as soon as all connections are closed.
 const EXIT_MARGIN: Millis = 50.0;
 
 /// How long a connection that was just accepted is kept for its first request, which is on its way.
@@ -91,7 +90,7 @@
         Self { stop_accepting_at: now + NOTICE_PERIOD, final_responses_at }
     }
 
-    /// When the process exits whatever remains, just before the kill.
+    /// When the process exits whatever remains: the earliest time of the kill.
     fn exit_at(&self) -> Millis {
         self.final_responses_at + EXIT_MARGIN
     }
@@ -100,8 +99,8 @@
 impl GracefulShutdown {
     /// Begins the shutdown. Returns whether this is the first call; later ones change nothing.
     ///
-    /// `max_request_timeout` is the longest timeout that any request may have, in ms: the process is not killed before
-    /// that time, or 3 s where it is longer, and the notice period of 0.7 s have passed.
+    /// `max_request_timeout` is the longest timeout that any request may have, in ms; the kill comes no earlier than
+    /// `min(max_request_timeout, 3 s) + 0.7 s` from now.
     pub fn begin(&mut self, now: Millis, max_request_timeout: Millis) -> bool {
         let first = self.schedule.is_none();
         self.schedule.get_or_insert_with(|| ShutdownSchedule::new(now, max_request_timeout));
@@ -150,13 +149,13 @@
     /// response, no lingering close; one that was just accepted is kept for its first request.
     #[must_use]
     pub fn may_close(&self, now: Millis, connection: &ConnectionActivity) -> bool {
-        let in_use = connection.open_requests > 0
+        let is_busy = connection.open_requests > 0
             || connection.unread_response_since.is_some()
             || connection.partial_request_since.is_some()
             || connection.lingering_close_until.is_some();
         let awaits_first_request =
             connection.last_request_at.is_none() && now < connection.opened_at + FIRST_REQUEST_WAIT;
-        self.is_draining(now) && !in_use && !awaits_first_request && !self.keeps_idle_connections(now)
+        self.is_draining(now) && !is_busy && !awaits_first_request && !self.keeps_idle_connections(now)
     }
 
     /// The fault that the fail point `close-idle-until-exit` injects: connections are closed only just after the
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Starts an attempt. `write_window`: withdraw it unless its first byte is written within this time.
+    /// Starts an attempt. `write_window`: withdraw it unless its first bytes are written within
+    /// this time (`must_be_written_within` of the action).
     fn send_attempt(&mut self, id: RequestId, backend: &Name, write_window: Option<Millis>) {
         let attempt = self.requests.attempt_started(self.io.now(), id, backend.clone());
         if let Some(window) = write_window {
--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -63,7 +63,7 @@
     }
 
     /// Answers all open requests now: in-flight attempts end as timed out, and the decisions give the final response.
-    /// Only what was never executed is rejected.
+    /// A request is rejected only where a retry is harmless (`src/retry.rs`), else it fails.
     fn finish_requests(&mut self) {
         self.clients.close_listeners();
         let mut rounds = FinalRounds::new(self.config.decisions.max_attempts);
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// The operation was not executed.
+/// The response to an operation that the client may safely retry.
 fn rejection(media: MediaType, reason: RejectReason, retry_after: Millis) -> Response {
     let (status, message) = match reason {
         RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -47,17 +47,17 @@
         /// Why.
         reason: RejectReason,
     },
-    /// The request failed; it may have been executed.
+    /// The request failed. It may have been executed, also where the reason of the last attempt says otherwise.
     Failed(FailureReason),
 }
 
-/// Why a request failed, as far as the wire shows.
+/// Why a request failed, by its last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
     /// No response arrived before the deadline.
     DeadlineExpired,
     /// A backend broke off or responded with an error.
     BackendFailed,
-    /// No backend accepted the request: it was not executed.
+    /// The last attempt reached no backend, or was rejected by it.
     NoBackendReached,
 }
--- a/crates/request-lifecycle/src/timeouts.rs
+++ b/crates/request-lifecycle/src/timeouts.rs
@@ -19,8 +19,8 @@
 
 /// The timeout of a connect for an attempt, in ms.
 ///
-/// It is half of what is left of the first half of the request's timeout, no more than `max_connect_timeout`, and no
-/// less than a sixteenth of the request's timeout. So a request that reaches no backend ends before half of its
+/// It is half of what is left of the first half of the request's timeout, no more than `max_connect_timeout`, but no
+/// less than a sixteenth of the request's timeout, which wins where the two conflict. So a request that reaches no backend ends before half of its
 /// timeout, after a second connect where the first backend has vanished. `elapsed` is the age of the request, in ms.
 #[must_use]
 pub fn connect_timeout(max_connect_timeout: Millis, request_timeout: Millis, elapsed: Millis) -> Millis {
--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -41,7 +41,7 @@
     InvalidResponse,
     /// The connection broke, or could not be made.
     ConnectionLost,
-    /// The backend must not receive it any more; no byte of it was written.
+    /// The backend must not receive it any more, and its last byte was not written.
     Withdrawn,
 }
 
--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The attempt of which no byte is known to be written.
+    /// The attempt on this connection, unless its last byte was written.
     pub(super) fn unwritten_attempt(&self) -> Option<RequestId> {
         match self.state {
             ConnectionState::Busy { request, written: false } => Some(request),
--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -4,7 +4,7 @@
 use doorcourse_resp::CommandError;
 use std::io::Write;
 
-/// Why a request failed; the client has no promise whether it was executed.
+/// Why a request failed. The text promises the client nothing about execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestFailure {
     /// Its deadline is so close that no response could arrive in time.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Response {
     Value(Vec<u8>),
-    /// Rejected before execution: a retry is safe.
+    /// Rejected: a retry is harmless.
     Rejected {
         /// When to retry, in ms, where clients receive advice.
         retry_after_ms: Option<u64>,
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,5 +1,5 @@
-//! The connections to the shared counter: a few, with calls pipelined on each. A counter has one call in flight at a
-//! time, so any connection may carry the next; the one with the fewest calls does.
+//! The connections to the counter service: a few, with calls pipelined on each. A counter (one customer's number in one
+//! window) has one call in flight at a time, so any connection may carry its next call; the one with the fewest does.
 
 use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
 use doorcourse::{CounterOutcome, Event, Millis};
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -314,7 +314,7 @@
         self.actions = actions;
     }
 
-    /// Stops accepting when draining begins; from the next iteration on, examines every connection.
+    /// Stops accepting when draining begins; in that and every later iteration, examines every connection.
     fn drain_clients(&mut self) {
         if std::mem::replace(&mut self.stopped_accepting, true) {
             self.clients.schedule_flush_of_all();
--- a/crates/resp-gateway/src/gateway/configuration.rs
+++ b/crates/resp-gateway/src/gateway/configuration.rs
@@ -29,7 +29,7 @@
 }
 
 impl RespGateway {
-    /// Reads the configuration file again. One that cannot be used changes nothing.
+    /// Reads the configuration file again. One that cannot be read, or fails its checks, changes nothing.
     pub(super) fn reload_configuration(&mut self) {
         let path = &self.config_path;
         let config = match self.reserved_descriptor.released_for(|| Config::open(path)) {
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -15,7 +15,7 @@
 /// The longest idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 64;
 
-/// Why a command with good framing is rejected with an error; the connection stays open.
+/// Why a command with good framing is invalid; it is answered with an error and the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// No such command.
--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -72,7 +72,7 @@
 #[derive(Default)]
 pub(crate) struct RequestTable {
     open: HashMap<RequestId, OpenRequest>,
-    /// The ids that clients gave to open requests; a second request with such an id is rejected.
+    /// The ids that clients gave to open requests; a second request with such an id is an error.
     by_client_id: HashMap<u64, RequestId>,
     last_id: RequestId,
     /// Buffer for the actions of a lifecycle.
--- a/src/action.rs
+++ b/src/action.rs
@@ -7,7 +7,8 @@
 pub enum RejectReason {
     /// Its customer is beyond the quota.
     QuotaExceeded,
-    /// The backends have no capacity left, or the gateway sheds load.
+    /// No backend could take it in time: their limits or its customer's own `max_in_flight` were reached, or the gateway
+    /// sheds load. Also for a class or plan that the settings do not have.
     Overloaded,
 }
 
@@ -23,7 +24,8 @@
         /// The attempt's timeout in ms; `None` for the client's own. Not used yet: the gateway always sets `None`.
         timeout: Option<Millis>,
         /// For a retry that backends drop as a repetition for a limited time only: what is left of that time, in ms.
-        /// The attempt is withdrawn unless it is completely written by then.
+        /// The host withdraws the attempt unless it counts as sent by then: in the HTTP gateway with its first bytes, in
+        /// the RESP gateway with its last byte.
         must_be_written_within: Option<Millis>,
     },
     /// Final response: rejected. The client may safely retry; this does not say that the request was not executed:
--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -36,7 +36,7 @@
     pub pending_call: Option<CounterCall>,
     /// Requests that wait for the counter, in order of arrival.
     pub waiting: VecDeque<RequestId>,
-    /// Set while the counter is unavailable.
+    /// Set from the first request admitted without the counter until the counter's next response.
     pub fallback_budget: Option<FallbackBudget>,
     /// Requests in flight at backends.
     pub in_flight: u32,
--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -1,4 +1,5 @@
-//! Admission while the counter is unavailable: each gateway spends an even part of the customer's quota.
+//! Admission without the counter, while it is unavailable or where one call was too slow for the requests that waited:
+//! each gateway spends an even part of the customer's quota.
 
 use crate::quota::customer::Customer;
 use crate::quota::sampled::is_sampled;
