--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -1,5 +1,5 @@
 //! A small fleet played over the simulator's wire in a closed loop: every line in and out must be byte for byte the
-//! recorded one. `DOORCOURSE_RECORD=FILE` writes the transcript instead; a record is made anew only with a change that
+//! recorded one. `DOORCOURSE_RECORD=FILE` writes the transcript instead, and fails; a record is made anew only with a change that
 //! is meant to change a decision.
 
 use doorcourse_simulator_adapter::Host;
@@ -220,7 +220,7 @@
     let played = transcript();
     if let Some(file) = std::env::var_os("DOORCOURSE_RECORD") {
         std::fs::write(file, &played).expect("written");
-        return;
+        panic!("recorded, not compared: run again without DOORCOURSE_RECORD");
     }
     for (number, (recorded, line)) in RECORD.lines().zip(played.lines()).enumerate() {
         assert_eq!(recorded, line, "line {}", number + 1);
