--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,7 +1,7 @@
 //! `standin`: a stand-in node or counter by itself, for a tour and for trials.
 
 use clap::Subcommand;
-use doorcourse_emulators::{CATALOGUE, NodeSpec, Recorder, World, WorldSpec};
+use doorcourse_emulators::{CATALOGUE, EmulatorServer, EmulatorServerSpec, NodeSpec, Recorder};
 use doorcourse_event_loop::Clock;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -35,18 +35,18 @@
     match standin {
         Standin::Schema => say_on!("{CATALOGUE}"),
         Standin::Counter => {
-            let spec = WorldSpec {
+            let spec = EmulatorServerSpec {
                 nodes: Vec::new(),
                 listen: None,
                 counter: true,
                 password,
                 seed,
-                spread,
-                quiet: true,
+                service_time_spread: spread,
+                discard_records: true,
                 speed: 1.0,
             };
-            let world = World::start(&spec, clock, Recorder::new(clock))?;
-            say!("counter on {}", world.counter.map_or(String::new(), |a| a.to_string()));
+            let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
+            say!("counter on {}", world.counter_address.map_or(String::new(), |a| a.to_string()));
             world.wait();
         }
         Standin::Node { listen, cores, queue, speed } => {
@@ -62,10 +62,18 @@
                 memory: 4000.0,
             };
             let (nodes, listen, speed) = (vec![node], Some(*listen), *speed);
-            let spec =
-                WorldSpec { nodes, listen, counter: false, password, seed, spread, quiet: true, speed };
-            let world = World::start(&spec, clock, Recorder::new(clock))?;
-            say!("node on {}", world.nodes[0]);
+            let spec = EmulatorServerSpec {
+                nodes,
+                listen,
+                counter: false,
+                password,
+                seed,
+                service_time_spread: spread,
+                discard_records: true,
+                speed,
+            };
+            let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
+            say!("node on {}", world.node_addresses[0]);
             world.wait();
         }
     }
--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -2,7 +2,9 @@
 //! system calls, and what idle connections cost in memory. Figures are of this machine; ratios travel better.
 
 use anyhow::{Context, bail};
-use doorcourse_emulators::{CATALOGUE, Crowd, Load, NodeSpec, Recorder, World, WorldSpec, operations};
+use doorcourse_emulators::{
+    CATALOGUE, Crowd, EmulatorServer, EmulatorServerSpec, Load, NodeSpec, Recorder, operations,
+};
 use doorcourse_event_loop::Clock;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -150,17 +152,25 @@
         memory: 1000.0,
     };
     let (nodes, listen, password) = ((0..NODES).map(node).collect(), None, None);
-    let world =
-        WorldSpec { nodes, listen, counter: false, password, seed: 1, spread: 0.0, speed: 1e6, quiet: true };
-    let world = World::start(&world, clock, Recorder::none(clock))?;
-    let straight = world.nodes[0];
+    let world = EmulatorServerSpec {
+        nodes,
+        listen,
+        counter: false,
+        password,
+        seed: 1,
+        service_time_spread: 0.0,
+        speed: 1e6,
+        discard_records: true,
+    };
+    let world = EmulatorServer::start(&world, clock, Recorder::none(clock))?;
+    let straight = world.node_addresses[0];
     let (mut text, mut all) = (String::new(), Vec::new());
     for name in ["preview", "forty"] {
         let operations = operations();
         let query =
             operations.iter().find(|o| o.name == name).map(|o| o.query.as_str()).context("an operation")?;
         let node_most = highest(clock, straight, query)?;
-        let gateway = Process::start(binary, &folder, &world.nodes)?;
+        let gateway = Process::start(binary, &folder, &world.node_addresses)?;
         let most = highest(clock, gateway.address, query)?;
         let rate = (most / 2.0).max(100.0);
         let before = gateway.cpu()?;
@@ -197,7 +207,7 @@
             "rate": rate, "latency": quantiles, "system_calls": total}),
         );
     }
-    let gateway = Process::start(binary, &folder, &world.nodes)?;
+    let gateway = Process::start(binary, &folder, &world.node_addresses)?;
     let before = gateway.memory()?;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).maximum.unwrap_or(u64::MAX);
     let most = IDLE.min(usize::try_from(limit.saturating_sub(200)).unwrap_or(IDLE));
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, bail};
 use doorcourse_conformance::Event;
 use doorcourse_emulators::{
-    CATALOGUE, Command as Order, ListSource, ListedNode, NodeFault, NodeSpec, Recorder, Relay, World,
-    WorldSpec,
+    CATALOGUE, Command as Order, EmulatorServer, EmulatorServerSpec, ListSource, ListedNode, NodeFault,
+    NodeSpec, Recorder, Relay,
 };
 use doorcourse_event_loop::Clock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -66,7 +66,7 @@
     spec: FleetSpec,
     pub clock: Clock,
     pub recorder: Recorder,
-    pub world: World,
+    pub world: EmulatorServer,
     pub list: ListSource,
     /// Where each gateway listens; a restarted one has a new port.
     pub addresses: Arc<Mutex<Vec<SocketAddr>>>,
@@ -98,18 +98,18 @@
             memory: 4000.0,
         };
         let nodes: Vec<NodeSpec> = (0..spec.nodes).map(node).collect();
-        let world = WorldSpec {
+        let world = EmulatorServerSpec {
             nodes: nodes.clone(),
             listen: None,
             counter: true,
             password: Some("drill".into()),
             seed: spec.seed,
-            spread: 0.3,
+            service_time_spread: 0.3,
             speed: 1.0,
-            quiet: false,
+            discard_records: false,
         };
-        let world = World::start(&world, clock, recorder.clone())?;
-        let listed = nodes.iter().zip(&world.nodes).map(|(node, address)| ListedNode {
+        let world = EmulatorServer::start(&world, clock, recorder.clone())?;
+        let listed = nodes.iter().zip(&world.node_addresses).map(|(node, address)| ListedNode {
             name: node.name.clone(),
             address: *address,
             cell: node.cell,
@@ -121,7 +121,7 @@
         if spec.httpd.is_empty() {
             list.write()?;
         } else {
-            import(&spec, &world.nodes, "")?;
+            import(&spec, &world.node_addresses, "")?;
         }
         std::fs::write(spec.folder.join("catalogue.graphql"), CATALOGUE)?;
         let none = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -146,7 +146,7 @@
     }
 
     fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter.context("the fleet's counter has no address")?;
+        let counter = self.world.counter_address.context("the fleet's counter has no address")?;
         let mut text = format!(
             "fleet {{ gateways: {} number: {number} {} }}\nlisten: \"127.0.0.1:0\"\n\
              counter {{ address: \"{counter}\" password: \"drill\" timeout_ms: 50 dead_after_ms: 400 longest_wait_ms: 400 }}\n\
@@ -369,7 +369,7 @@
 
     /// The node list is imported anew, with this behind the configuration.
     pub fn import(&self, more: &str) -> anyhow::Result<()> {
-        import(&self.spec, &self.world.nodes, more)
+        import(&self.spec, &self.world.node_addresses, more)
     }
 
     /// The list's file holds nonsense, until it is written again.
@@ -413,7 +413,7 @@
 
     /// Tells a node something.
     pub fn node(&self, at: usize, fault: NodeFault) {
-        self.world.tell(Order::Node(at, fault));
+        self.world.send(Order::Node(at, fault));
     }
 }
 
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -4,7 +4,7 @@
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
 use doorcourse_conformance::{Act, acts};
-use doorcourse_emulators::{CATALOGUE, Recorder, Relay, Way, Witness, World, WorldSpec};
+use doorcourse_emulators::{CATALOGUE, EmulatorServer, EmulatorServerSpec, Recorder, Relay, Way, Witness};
 use doorcourse_event_loop::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -143,7 +143,7 @@
 
 struct Play {
     options: HolderOptions,
-    world: World,
+    world: EmulatorServer,
     relay: Relay,
     witnesses: [Witness; 2],
     gateways: Vec<Option<Child>>,
@@ -206,17 +206,17 @@
             format!("a drill's secret, of seed {:x}\n", options.seed),
         )?;
         let clock = Clock::default();
-        let spec = WorldSpec {
+        let spec = EmulatorServerSpec {
             nodes: Vec::new(),
             listen: None,
             counter: true,
             password: None,
             seed: options.seed,
-            spread: 0.0,
+            service_time_spread: 0.0,
             speed: 1.0,
-            quiet: true,
+            discard_records: true,
         };
-        let world = World::start(&spec, clock, Recorder::none(clock))?;
+        let world = EmulatorServer::start(&spec, clock, Recorder::none(clock))?;
         let witness = |at: usize| Witness::start(at == 0, WORK, options.seed ^ at as u64);
         let mut play = Self {
             world,
@@ -256,7 +256,7 @@
     // ---- Processes ----
 
     fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter.context("the counter has no address")?;
+        let counter = self.world.counter_address.context("the counter has no address")?;
         let gateways = self.options.gateways;
         let mut text = format!(
             "fleet {{ gateways: {gateways} number: {number} link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" \
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -125,9 +125,9 @@
                 fleet.node(fault.node as usize, order);
             }
             What::StateOf(state) => fleet.state_of(state.gateway as usize, state.what.as_ref())?,
-            What::CounterSilent(on) => fleet.world.tell(counter(CounterFault::Silent(*on))),
-            What::CounterSlowMs(ms) => fleet.world.tell(counter(CounterFault::Slow(*ms))),
-            What::CounterRestart(_) => fleet.world.tell(counter(CounterFault::Empty)),
+            What::CounterSilent(on) => fleet.world.send(counter(CounterFault::Silent(*on))),
+            What::CounterSlowMs(ms) => fleet.world.send(counter(CounterFault::Slow(*ms))),
+            What::CounterRestart(_) => fleet.world.send(counter(CounterFault::Empty)),
             What::KillGateway(g) => fleet.kill_gateway(*g as usize)?,
             What::StartGateway(g) => fleet.start_gateways(&[*g as usize])?,
             What::StartGateways(all) => {
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -9,8 +9,8 @@
 mod node;
 mod record;
 mod relay;
+mod server;
 mod witness;
-mod world;
 
 pub use catalogue::{CATALOGUE, Operation, operations};
 pub use counter::CounterFault;
@@ -20,5 +20,5 @@
 pub use node::{NodeFault, NodeSpec};
 pub use record::Recorder;
 pub use relay::{Relay, Way};
+pub use server::{Command, EmulatorServer, EmulatorServerSpec};
 pub use witness::Witness;
-pub use world::{Command, World, WorldSpec};
--- a/crates/emulators/src/world.rs
+++ b/crates/emulators/src/server.rs
@@ -21,7 +21,7 @@
 
 /// What a world is made of.
 #[derive(Clone, Debug)]
-pub struct WorldSpec {
+pub struct EmulatorServerSpec {
     /// Its nodes.
     pub nodes: Vec<NodeSpec>,
     /// Where the nodes listen; port 0 by default.
@@ -33,11 +33,11 @@
     /// The seed of all chance.
     pub seed: u64,
     /// The spread of service times: 0 for none; each is multiplied by e to a number of this deviation.
-    pub spread: f64,
+    pub service_time_spread: f64,
     /// Times by which the nodes are quicker than the catalogue's figures.
     pub speed: f64,
     /// Write no record: it would grow without end.
-    pub quiet: bool,
+    pub discard_records: bool,
 }
 
 /// What a world may be told.
@@ -53,42 +53,44 @@
 
 /// A running world.
 #[derive(Debug)]
-pub struct World {
+pub struct EmulatorServer {
     /// Where each node listens, also while it is down.
-    pub nodes: Vec<SocketAddr>,
+    pub node_addresses: Vec<SocketAddr>,
     /// Where the counter listens.
-    pub counter: Option<SocketAddr>,
+    pub counter_address: Option<SocketAddr>,
     sender: mpsc::Sender<Command>,
     waker: Waker,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl World {
+impl EmulatorServer {
     /// Binds all listeners and starts the thread.
     ///
     /// # Errors
     /// When a socket cannot be had.
-    pub fn start(spec: &WorldSpec, clock: Clock, recorder: Recorder) -> anyhow::Result<Self> {
+    pub fn start(spec: &EmulatorServerSpec, clock: Clock, recorder: Recorder) -> anyhow::Result<Self> {
         let (sender, receiver) = mpsc::channel();
-        let (waker, signal) = Waker::pair()?;
-        let (told, addresses) = mpsc::channel();
+        let (waker, wake_receiver) = Waker::pair()?;
+        let (start_sender, started) = mpsc::channel();
         let spec = spec.clone();
-        let recorder = if spec.quiet { Recorder::none(clock) } else { recorder };
-        let thread = std::thread::Builder::new().name("world".into()).spawn(move || {
-            match Running::new(&spec, clock, recorder, receiver, signal) {
-                Ok(mut running) => {
-                    let _ = told.send(Ok((running.addresses.clone(), running.counter_address)));
-                    running.run();
+        let recorder = if spec.discard_records { Recorder::none(clock) } else { recorder };
+        let thread =
+            std::thread::Builder::new().name("world".into()).spawn(move || {
+                match EventLoop::new(&spec, clock, recorder, receiver, wake_receiver) {
+                    Ok(mut event_loop) => {
+                        let _ =
+                            start_sender.send(Ok((event_loop.addresses.clone(), event_loop.counter_address)));
+                        event_loop.run();
+                    }
+                    Err(error) => drop(start_sender.send(Err(error))),
                 }
-                Err(error) => drop(told.send(Err(error))),
-            }
-        })?;
-        let (nodes, counter) = addresses.recv()??;
-        Ok(Self { nodes, counter, sender, waker, thread: Some(thread) })
+            })?;
+        let (node_addresses, counter_address) = started.recv()??;
+        Ok(Self { node_addresses, counter_address, sender, waker, thread: Some(thread) })
     }
 
     /// Tells the world something.
-    pub fn tell(&self, command: Command) {
+    pub fn send(&self, command: Command) {
         let _ = self.sender.send(command);
         self.waker.wake();
     }
@@ -101,23 +103,23 @@
     }
 }
 
-impl Drop for World {
+impl Drop for EmulatorServer {
     fn drop(&mut self) {
-        self.tell(Command::Stop);
+        self.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-enum Kind {
-    Node { node: usize, life: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
-    Counter { session: Session, due: Vec<u8> },
+enum ConnectionKind {
+    Node { node: usize, incarnation: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
+    Counter { session: Session, pending_replies: Vec<u8> },
 }
 
 struct Connection {
     socket: Socket,
-    kind: Kind,
+    kind: ConnectionKind,
     /// The attempts that are out on it.
     attempts: Vec<u64>,
     writing: bool,
@@ -126,85 +128,85 @@
     keep_alive: bool,
 }
 
-struct Pending {
+struct PendingRequest {
     connection: usize,
     node: usize,
-    life: u32,
+    incarnation: u32,
     prepared: Prepared,
 }
 
-enum Due {
+enum TimerEvent {
     Finished(u64),
     Counter(usize, Vec<u8>),
 }
 
-struct Running {
+struct EventLoop {
     clock: Clock,
     recorder: Recorder,
     poller: Poller,
-    timers: Timers<Due>,
+    timers: Timers<TimerEvent>,
     receiver: mpsc::Receiver<Command>,
-    signal: UnixStream,
+    wake_receiver: UnixStream,
     nodes: Vec<Node>,
     /// What the cells remember of keys.
-    memory: Memory,
+    idempotency_keys: Memory,
     /// How often each node was started: work of an earlier life is void.
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     listeners: Vec<Option<TcpListener>>,
     addresses: Vec<SocketAddr>,
     counter: Counter,
     counter_listener: Option<TcpListener>,
     counter_address: Option<SocketAddr>,
     connections: Slab<Connection>,
-    pending: HashMap<u64, Pending>,
+    pending: HashMap<u64, PendingRequest>,
     attempts: u64,
     schema: Arc<Schema>,
-    works: HashMap<String, f64>,
-    random: ChaCha8Rng,
-    spread: f64,
+    service_times: HashMap<String, f64>,
+    rng: ChaCha8Rng,
+    service_time_spread: f64,
     speed: f64,
 }
 
 /// What a gateway asks that tries a node: whoever speaks GraphQL answers it, and nothing is done.
-const TRIAL: &str = "{__typename}";
-const SIGNAL: u64 = 1;
-const COUNTER: u64 = 2;
-const LISTENERS: u64 = 1 << 32;
+const PROBE_QUERY: &str = "{__typename}";
+const WAKER_TOKEN: u64 = 1;
+const COUNTER_LISTENER: u64 = 2;
+const NODE_LISTENERS: u64 = 1 << 32;
 const CONNECTIONS: u64 = 1 << 33;
 
-impl Running {
+impl EventLoop {
     fn new(
-        spec: &WorldSpec, clock: Clock, recorder: Recorder, receiver: mpsc::Receiver<Command>,
-        signal: UnixStream,
+        spec: &EmulatorServerSpec, clock: Clock, recorder: Recorder, receiver: mpsc::Receiver<Command>,
+        wake_receiver: UnixStream,
     ) -> anyhow::Result<Self> {
         let poller = Poller::new()?;
-        poller.add(&signal, SIGNAL, Interest::READ)?;
+        poller.add(&wake_receiver, WAKER_TOKEN, Interest::READ)?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (mut nodes, mut listeners, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
-        for (at, node) in spec.nodes.iter().enumerate() {
+        for (index, node) in spec.nodes.iter().enumerate() {
             let listener = listen(spec.listen.unwrap_or(any))?;
-            poller.add(&listener, LISTENERS + at as u64, Interest::READ)?;
+            poller.add(&listener, NODE_LISTENERS + index as u64, Interest::READ)?;
             addresses.push(listener.local_addr()?);
             listeners.push(Some(listener));
             nodes.push(Node::new(node.clone()));
         }
         let counter_listener = if spec.counter { Some(listen(any)?) } else { None };
         if let Some(listener) = &counter_listener {
-            poller.add(listener, COUNTER, Interest::READ)?;
+            poller.add(listener, COUNTER_LISTENER, Interest::READ)?;
         }
         let counter_address = counter_listener.as_ref().map(TcpListener::local_addr).transpose()?;
         let schema = Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("catalogue: {e:?}"))?;
-        let works = operations().into_iter().map(|o| (o.query, o.work)).collect();
-        let running = Self {
+        let service_times = operations().into_iter().map(|o| (o.query, o.work)).collect();
+        let event_loop = Self {
             clock,
             recorder,
             poller,
             timers: Timers::default(),
             receiver,
-            signal,
-            lives: vec![0; nodes.len()],
+            wake_receiver,
+            incarnations: vec![0; nodes.len()],
             nodes,
-            memory: Memory::new(),
+            idempotency_keys: Memory::new(),
             listeners,
             addresses,
             counter: Counter::new(spec.password.clone()),
@@ -214,17 +216,17 @@
             pending: HashMap::new(),
             attempts: 0,
             schema: schema.into(),
-            works,
-            random: ChaCha8Rng::seed_from_u64(spec.seed),
-            spread: spec.spread,
+            service_times,
+            rng: ChaCha8Rng::seed_from_u64(spec.seed),
+            service_time_spread: spec.service_time_spread,
             speed: spec.speed.max(1e-6),
         };
-        (0..running.nodes.len()).for_each(|at| running.tell_up(at, false));
-        Ok(running)
+        (0..event_loop.nodes.len()).for_each(|index| event_loop.record_node_up(index, false));
+        Ok(event_loop)
     }
 
-    fn tell_up(&self, at: usize, cold: bool) {
-        let spec = &self.nodes[at].spec;
+    fn record_node_up(&self, index: usize, cold: bool) {
+        let spec = &self.nodes[index].spec;
         let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm);
         let capacity = spec.cores as f64;
         self.recorder.write(Event::NodeUp { node, cell, cold, share, warm, capacity });
@@ -233,10 +235,10 @@
     fn run(&mut self) {
         let mut ready = Vec::new();
         loop {
-            while let Some(due) = self.timers.pop_expired(self.clock.now()) {
-                match due {
-                    Due::Finished(attempt) => self.finished(attempt),
-                    Due::Counter(slot, bytes) => {
+            while let Some(event) = self.timers.pop_expired(self.clock.now()) {
+                match event {
+                    TimerEvent::Finished(attempt) => self.finish_request(attempt),
+                    TimerEvent::Counter(slot, bytes) => {
                         if let Some(connection) = self.connections.get_mut(slot) {
                             connection.socket.output().extend_from_slice(&bytes);
                             self.flush(slot);
@@ -250,53 +252,53 @@
             }
             for event in ready.drain(..) {
                 match event.token {
-                    SIGNAL => {
+                    WAKER_TOKEN => {
                         let mut bytes = [0; 64];
-                        while std::io::Read::read(&mut self.signal, &mut bytes).is_ok_and(|n| n > 0) {}
+                        while std::io::Read::read(&mut self.wake_receiver, &mut bytes).is_ok_and(|n| n > 0) {}
                         while let Ok(command) = self.receiver.try_recv() {
                             match command {
                                 Command::Stop => return,
-                                Command::Counter(fault) => self.counter_fault(fault),
-                                Command::Node(node, fault) => self.fault(node, fault),
+                                Command::Counter(fault) => self.apply_counter_fault(fault),
+                                Command::Node(node, fault) => self.apply_node_fault(node, fault),
                             }
                         }
                     }
-                    COUNTER => self.accept(None),
+                    COUNTER_LISTENER => self.accept(None),
                     token if token >= CONNECTIONS => {
                         self.connection_ready((token - CONNECTIONS) as usize, event.write)
                     }
-                    token => self.accept(Some((token - LISTENERS) as usize)),
+                    token => self.accept(Some((token - NODE_LISTENERS) as usize)),
                 }
             }
         }
     }
 
-    fn fault(&mut self, at: usize, fault: NodeFault) {
+    fn apply_node_fault(&mut self, index: usize, fault: NodeFault) {
         let mut out = Vec::new();
         let now = self.clock.now();
         match fault {
-            NodeFault::Kill => self.down(at),
+            NodeFault::Kill => self.stop_node(index),
             NodeFault::Start { cold } => {
-                self.lives[at] += 1;
-                if let Ok(listener) = listen(self.addresses[at]) {
-                    let _ = self.poller.add(&listener, LISTENERS + at as u64, Interest::READ);
-                    self.listeners[at] = Some(listener);
+                self.incarnations[index] += 1;
+                if let Ok(listener) = listen(self.addresses[index]) {
+                    let _ = self.poller.add(&listener, NODE_LISTENERS + index as u64, Interest::READ);
+                    self.listeners[index] = Some(listener);
                 }
-                self.tell_up(at, cold);
+                self.record_node_up(index, cold);
             }
             _ => {}
         }
-        self.nodes[at].fault(now, fault, &mut self.memory, &mut out);
-        self.carry_out(at, out);
+        self.nodes[index].fault(now, fault, &mut self.idempotency_keys, &mut out);
+        self.apply_actions(index, out);
     }
 
     /// A node stops: its listener goes, and its connections break.
-    fn down(&mut self, at: usize) {
-        self.listeners[at] = None;
-        let node = self.nodes[at].spec.name.clone();
+    fn stop_node(&mut self, index: usize) {
+        self.listeners[index] = None;
+        let node = self.nodes[index].spec.name.clone();
         self.recorder.write(Event::NodeDown { node });
-        let of = |c: &Connection| matches!(c.kind, Kind::Node { node, .. } if node == at);
-        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| of(c)).map(|(s, _)| s).collect();
+        let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Node { node, .. } if node == index);
+        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             let connection = self.connections.remove(slot);
             connection.socket.reset_on_close();
@@ -306,7 +308,7 @@
 
     fn accept(&mut self, node: Option<usize>) {
         let listener = match node {
-            Some(at) => self.listeners.get(at).and_then(Option::as_ref),
+            Some(index) => self.listeners.get(index).and_then(Option::as_ref),
             None => self.counter_listener.as_ref(),
         };
         let Some(listener) = listener else { return };
@@ -323,9 +325,15 @@
                 Some(node) => {
                     let limits = HttpLimits { body: 64 << 20, ..HttpLimits::default() };
                     let decoder = Box::new(Decoder::new(Role::Requests, limits));
-                    Kind::Node { node, life: self.lives[node], decoder, head: None, body: Vec::new() }
+                    ConnectionKind::Node {
+                        node,
+                        incarnation: self.incarnations[node],
+                        decoder,
+                        head: None,
+                        body: Vec::new(),
+                    }
                 }
-                None => Kind::Counter { session: Session::default(), due: Vec::new() },
+                None => ConnectionKind::Counter { session: Session::default(), pending_replies: Vec::new() },
             };
             let entry = self.connections.vacant_entry();
             if self.poller.add(&socket, CONNECTIONS + entry.key() as u64, Interest::READ).is_ok() {
@@ -349,8 +357,8 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (_, flow) = connection.socket.read();
         match connection.kind {
-            Kind::Node { .. } => self.node_input(slot),
-            Kind::Counter { .. } => self.counter_input(slot),
+            ConnectionKind::Node { .. } => self.node_input(slot),
+            ConnectionKind::Counter { .. } => self.counter_input(slot),
         }
         if flow != Flow::Open {
             self.close(slot);
@@ -385,8 +393,10 @@
     fn node_input(&mut self, slot: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
-            let Kind::Node { node, life, decoder, head, body } = &mut connection.kind else { return };
-            let (node, life) = (*node, *life);
+            let ConnectionKind::Node { node, incarnation, decoder, head, body } = &mut connection.kind else {
+                return;
+            };
+            let (node, incarnation) = (*node, *incarnation);
             let Ok((used, part)) = decoder.decode(&connection.socket.input) else { return self.close(slot) };
             match part {
                 None => return connection.socket.consume(used),
@@ -399,7 +409,7 @@
                     let (head, body) = (head.take(), std::mem::take(body));
                     connection.socket.consume(used);
                     if let Some(head) = head {
-                        self.got(slot, node, life, &head, &body);
+                        self.request_received(slot, node, incarnation, &head, &body);
                     }
                     continue;
                 }
@@ -408,21 +418,23 @@
         }
     }
 
-    fn got(&mut self, slot: usize, node: usize, life: u32, head: &Head, body: &[u8]) {
+    fn request_received(&mut self, slot: usize, node: usize, incarnation: u32, head: &Head, body: &[u8]) {
         self.attempts += 1;
         let attempt = self.attempts;
         let id = head.field("x-request-id").unwrap_or("").to_owned();
         let request: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let query = request["query"].as_str().unwrap_or("");
-        let work = self.works.get(query).copied().unwrap_or(10.0);
+        let work = self.service_times.get(query).copied().unwrap_or(10.0);
         // A log-normal spread with a mean near 1: a few are costly.
-        let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
-        let work = work / self.speed * (self.spread * normal - self.spread * self.spread / 2.0).exp();
+        let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
+        let work = work / self.speed
+            * (self.service_time_spread * normal - self.service_time_spread * self.service_time_spread / 2.0)
+                .exp();
         let name = self.nodes[node].spec.name.clone();
         // Who asks for no more than the type's name tries the node on its own behalf.
-        let trial = id.is_empty() && query == TRIAL;
-        let work = if trial { 0.0 } else { work };
-        self.recorder.write(if trial {
+        let probe = id.is_empty() && query == PROBE_QUERY;
+        let work = if probe { 0.0 } else { work };
+        self.recorder.write(if probe {
             Event::Tried { node: name }
         } else {
             Event::Got { id: id.clone(), node: name, attempt, work }
@@ -441,20 +453,25 @@
                 return self.reply(slot, attempt, 400, &answer, 0.0);
             }
         };
-        self.pending.insert(attempt, Pending { connection: slot, node, life, prepared });
+        self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
         let key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
-        self.nodes[node].got(self.clock.now(), Job { attempt, id, key, work }, &mut self.memory, &mut out);
-        self.carry_out(node, out);
+        self.nodes[node].got(
+            self.clock.now(),
+            Job { attempt, id, key, work },
+            &mut self.idempotency_keys,
+            &mut out,
+        );
+        self.apply_actions(node, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<NodeAction>) {
+    fn apply_actions(&mut self, node: usize, out: Vec<NodeAction>) {
         for action in out {
             let name = self.nodes[node].spec.name.clone();
             match action {
                 NodeAction::Began { job, dropped, after } => {
                     self.recorder.write(Event::Ran { id: job.id, node: name, dropped });
-                    self.timers.schedule(self.clock.now() + after, Due::Finished(job.attempt));
+                    self.timers.schedule(self.clock.now() + after, TimerEvent::Finished(job.attempt));
                 }
                 NodeAction::Full { attempt } => {
                     if let Some(pending) = self.pending.remove(&attempt) {
@@ -464,29 +481,29 @@
                 }
                 NodeAction::Fell => {
                     self.recorder.write(Event::NodeFell { node: name });
-                    self.down(node);
+                    self.stop_node(node);
                 }
             }
         }
     }
 
-    fn finished(&mut self, attempt: u64) {
+    fn finish_request(&mut self, attempt: u64) {
         let Some(mut pending) = self.pending.remove(&attempt) else { return };
-        if self.lives[pending.node] != pending.life {
+        if self.incarnations[pending.node] != pending.incarnation {
             return;
         }
         let (mut out, node) = (Vec::new(), &mut self.nodes[pending.node]);
-        let manner = node.finished(self.clock.now(), &mut self.random, &mut self.memory, &mut out);
+        let outcome = node.finished(self.clock.now(), &mut self.rng, &mut self.idempotency_keys, &mut out);
         let mut answer = String::from("{\"data\":");
-        pending.prepared.write_data(&mut Archive { oversize: node.oversize }, &mut answer);
+        pending.prepared.write_data(&mut ResponseShape { oversize: node.oversize }, &mut answer);
         let mut scan = pending.prepared.scan(100);
         scan.feed(answer.as_bytes());
         scan.feed(b"}");
         let units = scan.counted().units;
-        let claim = units * node.claim;
-        answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{claim}}}}}}}");
-        let at = pending.node;
-        match manner {
+        let reported_cost = units * node.claim;
+        answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{reported_cost}}}}}}}");
+        let index = pending.node;
+        match outcome {
             Manner::Whole => self.reply(pending.connection, attempt, 200, &answer, units),
             Manner::Malformed => {
                 let half = answer.len() / 2;
@@ -502,7 +519,7 @@
                 }
             }
         }
-        self.carry_out(at, out);
+        self.apply_actions(index, out);
     }
 
     fn reply(&mut self, slot: usize, attempt: u64, status: u16, answer: &str, units: f64) {
@@ -515,9 +532,9 @@
             connection.closing = true;
         }
         let out = connection.socket.output();
-        if answer.len() > CHUNKED {
+        if answer.len() > CHUNK_SIZE {
             response_head(out, status, &fields, Framing::Chunked);
-            answer.as_bytes().chunks(CHUNKED).for_each(|piece| chunk(out, piece));
+            answer.as_bytes().chunks(CHUNK_SIZE).for_each(|piece| chunk(out, piece));
             chunk_end(out);
         } else {
             response_head(out, status, &fields, Framing::Length(answer.len() as u64));
@@ -528,10 +545,10 @@
 
     // ---- The counter ----
 
-    fn counter_fault(&mut self, fault: CounterFault) {
+    fn apply_counter_fault(&mut self, fault: CounterFault) {
         self.counter.fault(fault);
-        let of = |c: &Connection| matches!(c.kind, Kind::Counter { .. });
-        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| of(c)).map(|(s, _)| s).collect();
+        let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Counter { .. });
+        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             // What was read in a silence is worked through behind it, late; a restart breaks the connections.
             if fault == CounterFault::Empty { self.close(slot) } else { self.counter_input(slot) }
@@ -544,24 +561,24 @@
         }
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let Kind::Counter { session, due } = &mut connection.kind else { return };
+        let ConnectionKind::Counter { session, pending_replies } = &mut connection.kind else { return };
         let input = std::mem::take(&mut connection.socket.input);
-        let mut at = 0;
+        let mut consumed = 0;
         loop {
-            match decode(&input[at..]) {
+            match decode(&input[consumed..]) {
                 Ok(Some((words, used))) => {
-                    at += used;
+                    consumed += used;
                     self.recorder.write(Event::CounterCall);
-                    encode(due, &self.counter.command(now, session, &words));
+                    encode(pending_replies, &self.counter.command(now, session, &words));
                 }
                 Ok(None) => break,
                 Err(_) => return self.close(slot),
             }
         }
-        connection.socket.input.extend_from_slice(&input[at..]);
-        let replies = std::mem::take(due);
+        connection.socket.input.extend_from_slice(&input[consumed..]);
+        let replies = std::mem::take(pending_replies);
         if self.counter.slow > 0.0 && !replies.is_empty() {
-            return self.timers.schedule(now + self.counter.slow, Due::Counter(slot, replies));
+            return self.timers.schedule(now + self.counter.slow, TimerEvent::Counter(slot, replies));
         }
         connection.socket.output().extend_from_slice(&replies);
         self.flush(slot);
@@ -570,14 +587,14 @@
 
 const JSON: &str = "application/graphql-response+json; charset=utf-8";
 /// Answers above this go out in chunks of this size.
-const CHUNKED: usize = 32 << 10;
+const CHUNK_SIZE: usize = 32 << 10;
 
 /// The archive's data: `similar` finds five times what it is priced as, a `shelf` a fifth.
-struct Archive {
+struct ResponseShape {
     oversize: usize,
 }
 
-impl Shape for Archive {
+impl Shape for ResponseShape {
     fn length(&mut self, field: &str, sized: f64) -> usize {
         match field {
             "similar" => sized as usize * 5,
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -3,14 +3,14 @@
 mod helper;
 
 use doorcourse_conformance::Event;
-use doorcourse_emulators::{Command, NodeFault, NodeSpec, Recorder, World, WorldSpec};
+use doorcourse_emulators::{Command, EmulatorServer, EmulatorServerSpec, NodeFault, NodeSpec, Recorder};
 use doorcourse_event_loop::Clock;
 use helper::*;
 use std::io::{Read, Write};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-fn world(nodes: usize) -> (World, Recorder) {
+fn world(nodes: usize) -> (EmulatorServer, Recorder) {
     let clock = Clock::default();
     let recorder = Recorder::new(clock);
     let node = |at: usize| NodeSpec {
@@ -27,17 +27,17 @@
     let nodes = (0..nodes).map(node).collect();
     let password = None;
     let seed = 1;
-    let spec = WorldSpec {
+    let spec = EmulatorServerSpec {
         nodes,
         listen: None,
         counter: false,
         password,
         seed,
-        spread: 0.0,
+        service_time_spread: 0.0,
         speed: 4.0,
-        quiet: false,
+        discard_records: false,
     };
-    (World::start(&spec, clock, recorder.clone()).expect("a world"), recorder)
+    (EmulatorServer::start(&spec, clock, recorder.clone()).expect("a world"), recorder)
 }
 
 /// The number of requests that reached backends.
@@ -48,7 +48,7 @@
 #[test]
 fn an_operation_above_the_plan_is_rejected_before_any_backend_is_asked() {
     let (world, recorder) = world(2);
-    let gateway = TestGateway::new(&world.nodes, "");
+    let gateway = TestGateway::new(&world.node_addresses, "");
     let many: String = (0..40).map(|n| format!("p{n}: preview(id: {n}) {{ id }} ")).collect();
     let response = gateway.request("ten", &format!("{{ {many} }}"));
     assert_eq!((response.status, response.code().as_str()), (429, "COST_EXCEEDS_PLAN"));
@@ -60,7 +60,7 @@
 #[test]
 fn a_response_that_costs_less_than_its_price_refunds_the_difference() {
     let (world, _) = world(2);
-    let gateway = TestGateway::new(&world.nodes, "");
+    let gateway = TestGateway::new(&world.node_addresses, "");
     // Priced as ten units, costs two: eight are refunded.
     assert_eq!(gateway.request("ten", "{ shelf(id: 1) { id } }").status, 200);
     assert_eq!(gateway.request("ten", "{ previews(first: 8) { id } }").status, 200);
@@ -72,7 +72,7 @@
 #[test]
 fn a_response_that_costs_more_than_its_price_is_charged_in_full() {
     let (world, _) = world(2);
-    let gateway = TestGateway::new(&world.nodes, "");
+    let gateway = TestGateway::new(&world.node_addresses, "");
     // Priced as two units, costs ten: no units are left.
     assert_eq!(gateway.request("ten", "{ similar(id: 1) { id } }").status, 200);
     assert_eq!(gateway.request("ten", PREVIEW).code(), "QUOTA_EXCEEDED");
@@ -82,14 +82,14 @@
 fn a_failed_or_missing_response_is_charged_by_its_price() {
     for fault in [NodeFault::Reset(1.0), NodeFault::Malformed(1.0), NodeFault::Stall(true)] {
         let (world, _) = world(2);
-        (0..2).for_each(|n| world.tell(Command::Node(n, fault)));
-        let gateway = TestGateway::new(&world.nodes, "");
+        (0..2).for_each(|n| world.send(Command::Node(n, fault)));
+        let gateway = TestGateway::new(&world.node_addresses, "");
         let mut client = gateway.client();
         client.send("ten", "{ shelf(id: 1) { id } }", "doorcourse-deadline-ms: 400\r\n");
         let failed = client.response().expect("a response");
         assert!(failed.status >= 500, "{fault:?}: {failed:?}");
         // A safe request may be rejected where its retry finds no capacity; it is charged once, by its price.
-        (0..2).for_each(|n| world.tell(Command::Node(n, NodeFault::Reset(0.0))));
+        (0..2).for_each(|n| world.send(Command::Node(n, NodeFault::Reset(0.0))));
         assert_eq!(gateway.request("ten", PREVIEW).code(), "QUOTA_EXCEEDED", "{fault:?}");
     }
 }
@@ -314,7 +314,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order_one_at_a_time() {
     let (world, _) = world(2);
-    let mut gateway = TestGateway::new(&world.nodes, "");
+    let mut gateway = TestGateway::new(&world.node_addresses, "");
     let mut client = gateway.client();
     let queries = ["{ preview(id: 1) { id } }", "{ nope }", "{ preview(id: 1) { url } }"];
     let all: Vec<u8> = queries.iter().flat_map(|q| post("free", q, "")).collect();
@@ -332,7 +332,7 @@
 #[test]
 fn statuses_follow_graphql_over_http() {
     let (world, _) = world(1);
-    let gateway = TestGateway::new(&world.nodes, "");
+    let gateway = TestGateway::new(&world.node_addresses, "");
     let raw = |text: String| {
         let mut client = gateway.client();
         client.write(text.as_bytes());
@@ -507,9 +507,11 @@
 #[test]
 fn pipelined_requests_of_a_reading_client_are_all_answered() {
     let (world, _) = world(2);
-    (0..2).for_each(|n| world.tell(Command::Node(n, NodeFault::Oversize(2000))));
-    let gateway =
-        TestGateway::new(&world.nodes, "limits { client_buffer_bytes: 1024 held_answer_bytes: 1000000 }");
+    (0..2).for_each(|n| world.send(Command::Node(n, NodeFault::Oversize(2000))));
+    let gateway = TestGateway::new(
+        &world.node_addresses,
+        "limits { client_buffer_bytes: 1024 held_answer_bytes: 1000000 }",
+    );
     let mut client = gateway.client();
     let many = post("free", "{ previews(first: 8) { id title } }", "").repeat(60);
     let mut stream = client.stream.try_clone().expect("a second handle");
@@ -523,7 +525,7 @@
 #[test]
 fn the_absolute_form_of_a_target_is_accepted() {
     let (world, _) = world(1);
-    let gateway = TestGateway::new(&world.nodes, "");
+    let gateway = TestGateway::new(&world.node_addresses, "");
     for (target, status) in [
         ("http://any.example:8080/graphql", 200),
         ("HTTP://any.example/graphql?", 200),
@@ -542,7 +544,7 @@
 #[test]
 fn health_checks_and_metrics_are_served_apart_from_clients() {
     let (world, _) = world(1);
-    let gateway = TestGateway::new(&world.nodes, "health { listen: \"127.0.0.1:0\" }");
+    let gateway = TestGateway::new(&world.node_addresses, "health { listen: \"127.0.0.1:0\" }");
     assert_eq!(
         (
             get_monitoring(&gateway, "/live").status,
@@ -587,8 +589,10 @@
 #[test]
 fn a_drain_is_reported_not_ready_before_any_listener_closes() {
     let (world, _) = world(1);
-    let mut gateway =
-        TestGateway::new(&world.nodes, "health { listen: \"127.0.0.1:0\" } life { notice_ms: 60000 }");
+    let mut gateway = TestGateway::new(
+        &world.node_addresses,
+        "health { listen: \"127.0.0.1:0\" } life { notice_ms: 60000 }",
+    );
     assert_eq!(get_monitoring(&gateway, "/ready").status, 200);
     gateway.stopper.stop();
     let started = Instant::now();
