--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::Args;
-use doorcourse_emulators::{Crowd, Load as Rate};
+use doorcourse_emulators::{ClientEmulator, Load as Rate};
 use doorcourse_event_loop::Clock;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     let body = json!({"query": query}).to_string();
     let start = clock.now();
     let mut rate = Rate::new(body, load.key.clone(), load.rate, load.seconds, load.patience, start)?;
-    let mut crowd = Crowd::new(clock, Arc::new(Mutex::new(vec![load.to])), None, 100.0)?;
+    let mut crowd = ClientEmulator::new(clock, Arc::new(Mutex::new(vec![load.to])), None, 100.0)?;
     crowd.run(&mut rate)?;
     let report = rate.report();
     let served = report.served.len();
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -1,7 +1,9 @@
 //! The clients of a drill: customers on plans, a mix of operations, retries, and manners that the script changes.
 
 use doorcourse_conformance::{Anew, Event, Kind, PlanBounds};
-use doorcourse_emulators::{CATALOGUE, End, Operation, Shot, Source, operations};
+use doorcourse_emulators::{
+    CATALOGUE, Operation, RequestOutcome, RequestSource, ScheduledRequest, operations,
+};
 use doorcourse_graphql::{Limits, Prepared, Schema};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -284,7 +286,7 @@
 
     fn shot(
         &mut self, now: f64, customer: usize, operation: usize, first: Option<String>, manner: &Manner,
-    ) -> Option<Shot> {
+    ) -> Option<ScheduledRequest> {
         self.count += 1;
         let id = format!("q{}", self.count);
         let gateway = self.gateway(customer);
@@ -316,12 +318,22 @@
             first,
         };
         let idempotency = if class.anew == Anew::Keyed { Some(key_of) } else { None };
-        Some(Shot { id, at: now, gateway, body, key, idempotency, patience, leave, ask: Some(ask) })
+        Some(ScheduledRequest {
+            id,
+            due_at: now,
+            gateway,
+            body,
+            key,
+            idempotency_key: idempotency,
+            timeout_ms: patience,
+            cancel_after_ms: leave,
+            sent_event: Some(ask),
+        })
     }
 }
 
-impl Source for Clients {
-    fn due(&mut self) -> Option<f64> {
+impl RequestSource for Clients {
+    fn next_due(&mut self) -> Option<f64> {
         let manner = self.manner();
         if manner.over {
             return None;
@@ -332,7 +344,7 @@
         ordinary.into_iter().chain(manner.flood.map(|_| self.flood_next)).reduce(f64::min)
     }
 
-    fn take(&mut self, now: f64) -> Vec<Shot> {
+    fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest> {
         let (manner, mut shots) = (self.manner(), Vec::new());
         while self.again.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
             let Some(Reverse((_, number))) = self.again.pop() else { break };
@@ -359,14 +371,20 @@
         shots
     }
 
-    fn ended(&mut self, now: f64, shot: &Shot, end: &End) {
+    fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
         let Some((customer, operation, first, repeat)) = self.known.remove(&shot.id) else { return };
         let class = self.operations[operation].operation.class;
         let anew = CLASSES.iter().find(|c| c.name == class).map_or(Anew::Unsafe, |c| c.anew);
         // A client tries once more: anything safe, the rest only where it was told that this is harmless.
         let wait = match end {
-            End::Answer { kind: Kind::Refused, retry_after, .. } => retry_after.unwrap_or(500.0),
-            End::Answer { kind: Kind::Failed, .. } | End::Cut | End::Lost if anew == Anew::Safe => 200.0,
+            RequestOutcome::Response { kind: Kind::Refused, retry_after, .. } => retry_after.unwrap_or(500.0),
+            RequestOutcome::Response { kind: Kind::Failed, .. }
+            | RequestOutcome::Truncated
+            | RequestOutcome::ConnectionLost
+                if anew == Anew::Safe =>
+            {
+                200.0
+            }
             _ => return,
         };
         if repeat || self.random.random::<f64>() < 0.5 {
--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -3,7 +3,7 @@
 
 use anyhow::{Context, bail};
 use doorcourse_emulators::{
-    CATALOGUE, Crowd, EmulatorServer, EmulatorServerSpec, Load, NodeSpec, Recorder, operations,
+    CATALOGUE, ClientEmulator, EmulatorServer, EmulatorServerSpec, Load, NodeSpec, Recorder, operations,
 };
 use doorcourse_event_loop::Clock;
 use hdrhistogram::Histogram;
@@ -112,7 +112,7 @@
 fn run(clock: Clock, to: SocketAddr, query: &str, rate: f64, seconds: f64) -> anyhow::Result<Run> {
     let body = json!({ "query": query }).to_string();
     let mut load = Load::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
-    Crowd::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
+    ClientEmulator::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
     let report = load.report();
     let served = report.served.clone();
     let share = served.len() as f64 / (rate * seconds).ceil();
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -8,7 +8,7 @@
 use crate::show::show;
 use anyhow::Context;
 use doorcourse_conformance::summary;
-use doorcourse_emulators::Crowd;
+use doorcourse_emulators::ClientEmulator;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -74,7 +74,7 @@
     let manner = Arc::new(Mutex::new(Manner { over: options.load <= 0.0, ..Manner::default() }));
     let (open, load) = (Arc::clone(&fleet.open), options.load.max(0.01));
     let mut clients = Clients::new(options.seed, open, Arc::clone(&manner), clock.now(), load)?;
-    let mut crowd = Crowd::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
+    let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
     let mut playing = Playing { fleet, manner, nodes: options.nodes };
     println!("{:#}", status(&playing));
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
 use doorcourse_conformance::{Answers, Bounds, Event, Kind, Record, Recovery, Report, recoveries, summary};
-use doorcourse_emulators::{Command, CounterFault, Crowd, NodeFault};
+use doorcourse_emulators::{ClientEmulator, Command, CounterFault, NodeFault};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -224,7 +224,8 @@
     let manner = Arc::new(Mutex::new(Manner::default()));
     let load = spec.load.unwrap_or(0.6);
     let mut clients = Clients::new(options.seed, Arc::clone(&fleet.open), Arc::clone(&manner), start, load)?;
-    let mut crowd = Crowd::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
+    let mut crowd =
+        ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
     let mut playing = Playing { fleet, manner, nodes: drill.nodes() };
     let played = steps(drill, &mut playing, start, length, seen);
--- a/crates/emulators/src/crowd.rs
+++ b/crates/emulators/src/client.rs
@@ -12,11 +12,11 @@
 
 /// One request of a client.
 #[derive(Clone, Debug)]
-pub struct Shot {
+pub struct ScheduledRequest {
     /// Its name, never used twice.
     pub id: String,
     /// When it was due, in ms on the crowd's clock.
-    pub at: f64,
+    pub due_at: f64,
     /// To which gateway.
     pub gateway: usize,
     /// The body, JSON.
@@ -24,20 +24,20 @@
     /// The client's key.
     pub key: String,
     /// What a repeat is known by.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// How long the client waits, in ms; told to the gateway.
-    pub patience: f64,
+    pub timeout_ms: f64,
     /// It leaves after this, in ms, answer or not.
-    pub leave: Option<f64>,
+    pub cancel_after_ms: Option<f64>,
     /// What is written to the record when it goes out.
-    pub ask: Option<Event>,
+    pub sent_event: Option<Event>,
 }
 
 /// How a shot ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum RequestOutcome {
     /// With a final answer.
-    Answer {
+    Response {
         /// How it read.
         kind: Kind,
         /// The status.
@@ -48,29 +48,29 @@
         retry_after: Option<f64>,
     },
     /// The answer broke off.
-    Cut,
+    Truncated,
     /// The connection ended before any answer or was never made.
-    Lost,
+    ConnectionLost,
     /// The client's time was up.
-    GaveUp,
+    TimedOut,
     /// The client left.
-    Left,
+    Cancelled,
 }
 
 /// What clients ask for, and when.
-pub trait Source: Send {
+pub trait RequestSource: Send {
     /// When the next shots are due; `None` when there will be none unless another one ends.
-    fn due(&mut self) -> Option<f64>;
+    fn next_due(&mut self) -> Option<f64>;
     /// The shots that are due now.
-    fn take(&mut self, now: f64) -> Vec<Shot>;
+    fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest>;
     /// A shot ended; it may be followed by others.
-    fn ended(&mut self, now: f64, shot: &Shot, end: &End);
+    fn request_ended(&mut self, now: f64, scheduled: &ScheduledRequest, outcome: &RequestOutcome);
 }
 
-struct Open {
-    shot: Shot,
-    until: f64,
-    leaves: bool,
+struct InFlight {
+    scheduled: ScheduledRequest,
+    deadline: f64,
+    cancels: bool,
 }
 
 struct Connection {
@@ -80,9 +80,9 @@
     address: SocketAddr,
     decoder: Decoder,
     connecting: bool,
-    open: Option<Open>,
+    in_flight: Option<InFlight>,
     /// The request answered last, for what comes behind its answer.
-    last: Option<String>,
+    last_request: Option<String>,
     status: u16,
     retry_after: Option<f64>,
     body: Vec<u8>,
@@ -91,7 +91,7 @@
 }
 
 /// The clients' event loop.
-pub struct Crowd {
+pub struct ClientEmulator {
     clock: Clock,
     recorder: Option<Recorder>,
     addresses: Arc<Mutex<Vec<SocketAddr>>>,
@@ -101,49 +101,59 @@
     idle: Vec<Vec<usize>>,
     generation: u64,
     /// How long after its patience a client still reads an answer, to tell a late one from none; in ms.
-    slack: f64,
+    late_window_ms: f64,
 }
 
 /// How much of an answer is kept to tell its kind.
-const KEPT: usize = 2048;
+const MAX_KEPT_BODY: usize = 2048;
 
-impl Crowd {
+impl ClientEmulator {
     /// A crowd of clients for gateways, whose addresses may change while it runs.
     ///
     /// # Errors
     /// When the system has no descriptor left.
     pub fn new(
-        clock: Clock, addresses: Arc<Mutex<Vec<SocketAddr>>>, recorder: Option<Recorder>, slack: f64,
+        clock: Clock, addresses: Arc<Mutex<Vec<SocketAddr>>>, recorder: Option<Recorder>, late_window_ms: f64,
     ) -> std::io::Result<Self> {
         let (timers, connections, idle) = (Timers::default(), Slab::new(), Vec::new());
         let poller = Poller::new()?;
-        Ok(Self { clock, recorder, addresses, poller, timers, connections, idle, generation: 0, slack })
+        Ok(Self {
+            clock,
+            recorder,
+            addresses,
+            poller,
+            timers,
+            connections,
+            idle,
+            generation: 0,
+            late_window_ms,
+        })
     }
 
     /// Plays a source to its end, until every shot has one.
     ///
     /// # Errors
     /// When waiting for readiness fails.
-    pub fn run(&mut self, source: &mut dyn Source) -> std::io::Result<()> {
+    pub fn run(&mut self, source: &mut dyn RequestSource) -> std::io::Result<()> {
         let mut ready = Vec::new();
         loop {
             let now = self.clock.now();
-            while source.due().is_some_and(|due| due <= now) {
-                for shot in source.take(now) {
-                    self.shoot(shot, source);
+            while source.next_due().is_some_and(|due| due <= now) {
+                for scheduled in source.take_due(now) {
+                    self.send(scheduled, source);
                 }
             }
             while let Some((slot, generation)) = self.timers.pop_expired(self.clock.now()) {
-                self.time(slot, generation, source);
+                self.expire(slot, generation, source);
             }
-            let open = self.connections.iter().any(|(_, c)| c.open.is_some());
-            let first = source.due();
-            if first.is_none() && !open {
+            let in_flight = self.connections.iter().any(|(_, c)| c.in_flight.is_some());
+            let next = source.next_due();
+            if next.is_none() && !in_flight {
                 return Ok(());
             }
-            let first = first.into_iter().chain(self.timers.next_deadline()).reduce(f64::min);
+            let next = next.into_iter().chain(self.timers.next_deadline()).reduce(f64::min);
             self.poller
-                .wait(first.map(|t| self.clock.until(t)).or(Some(Duration::from_secs(1))), &mut ready)?;
+                .wait(next.map(|t| self.clock.until(t)).or(Some(Duration::from_secs(1))), &mut ready)?;
             for event in ready.drain(..) {
                 let slot = (event.token & 0xffff_ffff) as usize;
                 if self.connections.get(slot).is_some_and(|c| c.generation & 0xffff_ffff == event.token >> 32)
@@ -154,25 +164,25 @@
         }
     }
 
-    fn write(&self, event: Event) {
+    fn record(&self, event: Event) {
         if let Some(recorder) = &self.recorder {
             recorder.write(event);
         }
     }
 
-    fn shoot(&mut self, mut shot: Shot, source: &mut dyn Source) {
+    fn send(&mut self, mut scheduled: ScheduledRequest, source: &mut dyn RequestSource) {
         let now = self.clock.now();
-        if let Some(ask) = shot.ask.take() {
-            self.write(ask);
+        if let Some(event) = scheduled.sent_event.take() {
+            self.record(event);
         }
         let addresses = self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let address = addresses[shot.gateway];
+        let address = addresses[scheduled.gateway];
         drop(addresses);
-        if self.idle.len() <= shot.gateway {
-            self.idle.resize_with(shot.gateway + 1, Vec::new);
+        if self.idle.len() <= scheduled.gateway {
+            self.idle.resize_with(scheduled.gateway + 1, Vec::new);
         }
-        let kept = loop {
-            match self.idle[shot.gateway].pop() {
+        let reused = loop {
+            match self.idle[scheduled.gateway].pop() {
                 Some(slot) if self.connections.get(slot).is_some_and(|c| c.address == address) => {
                     break Some(slot);
                 }
@@ -180,39 +190,39 @@
                 None => break None,
             }
         };
-        let slot = match kept.map_or_else(|| self.open(shot.gateway, address), Ok) {
+        let slot = match reused.map_or_else(|| self.open_connection(scheduled.gateway, address), Ok) {
             Ok(slot) => slot,
             Err(_) => {
-                self.write(Event::Lost { id: shot.id.clone() });
-                return source.ended(now, &shot, &End::Lost);
+                self.record(Event::Lost { id: scheduled.id.clone() });
+                return source.request_ended(now, &scheduled, &RequestOutcome::ConnectionLost);
             }
         };
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let (bearer, patience) = (format!("Bearer {}", shot.key), format!("{:.3}", shot.patience));
+        let (bearer, timeout) = (format!("Bearer {}", scheduled.key), format!("{:.3}", scheduled.timeout_ms));
         let mut fields = vec![
             ("host", "gateway"),
             ("authorization", bearer.as_str()),
             ("content-type", "application/json"),
             ("accept", "application/graphql-response+json"),
-            ("x-request-id", shot.id.as_str()),
-            ("doorcourse-deadline-ms", patience.as_str()),
+            ("x-request-id", scheduled.id.as_str()),
+            ("doorcourse-deadline-ms", timeout.as_str()),
         ];
-        if let Some(key) = &shot.idempotency {
+        if let Some(key) = &scheduled.idempotency_key {
             fields.push(("idempotency-key", key));
         }
-        request(connection.socket.output(), "POST", "/graphql", &fields, shot.body.as_bytes());
-        let leave = shot.leave.filter(|l| *l < shot.patience);
-        let until = now + leave.unwrap_or(shot.patience + self.slack);
-        self.timers.schedule(until, (slot, connection.generation));
+        request(connection.socket.output(), "POST", "/graphql", &fields, scheduled.body.as_bytes());
+        let cancel_after = scheduled.cancel_after_ms.filter(|l| *l < scheduled.timeout_ms);
+        let deadline = now + cancel_after.unwrap_or(scheduled.timeout_ms + self.late_window_ms);
+        self.timers.schedule(deadline, (slot, connection.generation));
         (connection.status, connection.retry_after) = (0, None);
         connection.body.clear();
-        connection.open = Some(Open { shot, until, leaves: leave.is_some() });
+        connection.in_flight = Some(InFlight { scheduled, deadline, cancels: cancel_after.is_some() });
         if !connection.connecting {
             self.flush(slot, source);
         }
     }
 
-    fn open(&mut self, gateway: usize, address: SocketAddr) -> std::io::Result<usize> {
+    fn open_connection(&mut self, gateway: usize, address: SocketAddr) -> std::io::Result<usize> {
         let socket = connect(address)?;
         self.generation += 1;
         let generation = self.generation;
@@ -228,8 +238,8 @@
             address,
             decoder: Decoder::new(Role::Responses, limits),
             connecting: true,
-            open: None,
-            last: None,
+            in_flight: None,
+            last_request: None,
             status: 0,
             retry_after: None,
             body: Vec::new(),
@@ -239,40 +249,40 @@
         Ok(slot)
     }
 
-    fn time(&mut self, slot: usize, generation: u64, source: &mut dyn Source) {
+    fn expire(&mut self, slot: usize, generation: u64, source: &mut dyn RequestSource) {
         let now = self.clock.now();
         let due = |c: &&mut Connection| {
-            c.generation == generation && c.open.as_ref().is_some_and(|o| o.until <= now)
+            c.generation == generation && c.in_flight.as_ref().is_some_and(|o| o.deadline <= now)
         };
         let Some(connection) = self.connections.get_mut(slot).filter(due) else { return };
-        let leaves = connection.open.as_ref().is_some_and(|o| o.leaves);
-        self.end(slot, if leaves { End::Left } else { End::GaveUp }, source);
+        let cancels = connection.in_flight.as_ref().is_some_and(|o| o.cancels);
+        self.finish(slot, if cancels { RequestOutcome::Cancelled } else { RequestOutcome::TimedOut }, source);
         drop(self.connections.try_remove(slot));
     }
 
-    fn end(&mut self, slot: usize, end: End, source: &mut dyn Source) {
-        let Some(open) = self.connections.get_mut(slot).and_then(|c| c.open.take()) else { return };
-        let id = open.shot.id.clone();
-        let event = match &end {
-            End::Answer { kind, status, code, .. } => {
+    fn finish(&mut self, slot: usize, outcome: RequestOutcome, source: &mut dyn RequestSource) {
+        let Some(in_flight) = self.connections.get_mut(slot).and_then(|c| c.in_flight.take()) else { return };
+        let id = in_flight.scheduled.id.clone();
+        let event = match &outcome {
+            RequestOutcome::Response { kind, status, code, .. } => {
                 Event::Answer { id: id.clone(), kind: *kind, status: *status, code: code.clone() }
             }
-            End::Cut => Event::Cut { id: id.clone() },
-            End::Lost => Event::Lost { id: id.clone() },
-            End::GaveUp => Event::GaveUp { id: id.clone() },
-            End::Left => Event::Left { id: id.clone() },
+            RequestOutcome::Truncated => Event::Cut { id: id.clone() },
+            RequestOutcome::ConnectionLost => Event::Lost { id: id.clone() },
+            RequestOutcome::TimedOut => Event::GaveUp { id: id.clone() },
+            RequestOutcome::Cancelled => Event::Left { id: id.clone() },
         };
-        self.write(event);
+        self.record(event);
         if let Some(connection) = self.connections.get_mut(slot) {
-            connection.last = Some(id);
+            connection.last_request = Some(id);
         }
-        source.ended(self.clock.now(), &open.shot, &end);
+        source.request_ended(self.clock.now(), &in_flight.scheduled, &outcome);
     }
 
-    fn flush(&mut self, slot: usize, source: &mut dyn Source) {
+    fn flush(&mut self, slot: usize, source: &mut dyn RequestSource) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.socket.flush() == Flow::Broken {
-            return self.broken(slot, source);
+            return self.connection_broken(slot, source);
         }
         let writing = connection.socket.pending() > 0;
         if writing != connection.writing {
@@ -283,25 +293,26 @@
     }
 
     /// The connection is over: what was open on it got nothing, or a part.
-    fn broken(&mut self, slot: usize, source: &mut dyn Source) {
+    fn connection_broken(&mut self, slot: usize, source: &mut dyn RequestSource) {
         let Some(connection) = self.connections.get(slot) else { return };
-        let end = if connection.status == 0 { End::Lost } else { End::Cut };
+        let outcome =
+            if connection.status == 0 { RequestOutcome::ConnectionLost } else { RequestOutcome::Truncated };
         let gateway = connection.gateway;
-        self.end(slot, end, source);
+        self.finish(slot, outcome, source);
         drop(self.connections.try_remove(slot));
         if let Some(idle) = self.idle.get_mut(gateway) {
             idle.retain(|s| *s != slot);
         }
     }
 
-    fn connection_ready(&mut self, slot: usize, write: bool, broken: bool, source: &mut dyn Source) {
+    fn connection_ready(&mut self, slot: usize, write: bool, broken: bool, source: &mut dyn RequestSource) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.connecting {
             if !write && !broken {
                 return;
             }
             if connection.socket.finish_connect().is_err() {
-                return self.broken(slot, source);
+                return self.connection_broken(slot, source);
             }
             connection.connecting = false;
             return self.flush(slot, source);
@@ -311,31 +322,31 @@
         }
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (_, flow) = connection.socket.read();
-        self.read(slot, source);
+        self.read_responses(slot, source);
         if flow != Flow::Open {
-            let whole = self.connections.get_mut(slot).is_some_and(|c| {
+            let complete = self.connections.get_mut(slot).is_some_and(|c| {
                 flow == Flow::Ended && c.decoder.closed(!c.socket.input.is_empty()).unwrap_or(false)
             });
-            if whole {
-                self.answered(slot, source);
+            if complete {
+                self.response_complete(slot, source);
             }
-            self.broken(slot, source);
+            self.connection_broken(slot, source);
         }
     }
 
-    fn read(&mut self, slot: usize, source: &mut dyn Source) {
+    fn read_responses(&mut self, slot: usize, source: &mut dyn RequestSource) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
-            if connection.open.is_none() && !connection.socket.input.is_empty() {
-                let extra = connection.last.clone().map(|id| Event::Extra { id });
+            if connection.in_flight.is_none() && !connection.socket.input.is_empty() {
+                let extra = connection.last_request.clone().map(|id| Event::Extra { id });
                 connection.socket.input.clear();
                 if let Some(extra) = extra {
-                    self.write(extra);
+                    self.record(extra);
                 }
                 return;
             }
             let Ok((used, part)) = connection.decoder.decode(&connection.socket.input) else {
-                return self.broken(slot, source);
+                return self.connection_broken(slot, source);
             };
             match part {
                 None => return connection.socket.consume(used),
@@ -347,32 +358,32 @@
                     connection.socket.consume(used);
                 }
                 Some(Part::Data(data)) => {
-                    let room = KEPT.saturating_sub(connection.body.len()).min(data.len());
-                    connection.body.extend_from_slice(&data[..room]);
+                    let kept = MAX_KEPT_BODY.saturating_sub(connection.body.len()).min(data.len());
+                    connection.body.extend_from_slice(&data[..kept]);
                     connection.socket.consume(used);
                 }
                 Some(Part::End) => {
                     connection.socket.consume(used);
-                    self.answered(slot, source);
+                    self.response_complete(slot, source);
                 }
             }
         }
     }
 
-    fn answered(&mut self, slot: usize, source: &mut dyn Source) {
+    fn response_complete(&mut self, slot: usize, source: &mut dyn RequestSource) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (status, retry_after) = (connection.status, connection.retry_after);
-        let (kind, code) = kind(status, &connection.body);
-        let (keep, gateway) = (connection.keep_alive, connection.gateway);
-        self.end(slot, End::Answer { kind, status, code, retry_after }, source);
-        if keep {
+        let (kind, code) = classify(status, &connection.body);
+        let (reusable, gateway) = (connection.keep_alive, connection.gateway);
+        self.finish(slot, RequestOutcome::Response { kind, status, code, retry_after }, source);
+        if reusable {
             self.idle[gateway].push(slot);
         }
     }
 }
 
 /// How an answer reads to a client: by its status, its data and its error's code.
-fn kind(status: u16, body: &[u8]) -> (Kind, String) {
+fn classify(status: u16, body: &[u8]) -> (Kind, String) {
     if status == 200 && body.starts_with(b"{\"data\":{") {
         return (Kind::Served, String::new());
     }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -2,8 +2,8 @@
 //! nodes, and clients. All on loopback, each with faults to order, each writing a traffic record.
 
 mod catalogue;
+mod client;
 mod counter;
-mod crowd;
 mod list;
 mod load;
 mod node;
@@ -13,8 +13,8 @@
 mod witness;
 
 pub use catalogue::{CATALOGUE, Operation, operations};
+pub use client::{ClientEmulator, RequestOutcome, RequestSource, ScheduledRequest};
 pub use counter::CounterFault;
-pub use crowd::{Crowd, End, Shot, Source};
 pub use list::{ListSource, ListedNode};
 pub use load::{Load, LoadReport};
 pub use node::{NodeFault, NodeSpec};
--- a/crates/emulators/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -1,7 +1,7 @@
 //! An open loop of a fixed rate: each request is due at its own time, and its latency counts from then, so a
 //! gateway that stalls is charged for all that should have been sent meanwhile (no coordinated omission).
 
-use crate::crowd::{End, Shot, Source};
+use crate::client::{RequestOutcome, RequestSource, ScheduledRequest};
 use doorcourse_conformance::Kind;
 use hdrhistogram::Histogram;
 
@@ -55,39 +55,39 @@
     }
 }
 
-impl Source for Load {
-    fn due(&mut self) -> Option<f64> {
+impl RequestSource for Load {
+    fn next_due(&mut self) -> Option<f64> {
         if self.left > 0 { Some(self.next) } else { None }
     }
 
-    fn take(&mut self, _: f64) -> Vec<Shot> {
+    fn take_due(&mut self, _: f64) -> Vec<ScheduledRequest> {
         let at = self.next;
         self.next += self.step;
         self.left -= 1;
         self.sent += 1;
-        vec![Shot {
+        vec![ScheduledRequest {
             id: format!("load-{}", self.sent),
-            at,
+            due_at: at,
             gateway: self.sent as usize % self.targets,
             body: self.body.clone(),
             key: self.key.clone(),
-            idempotency: None,
-            patience: self.patience,
-            leave: None,
-            ask: None,
+            idempotency_key: None,
+            timeout_ms: self.patience,
+            cancel_after_ms: None,
+            sent_event: None,
         }]
     }
 
-    fn ended(&mut self, now: f64, shot: &Shot, end: &End) {
+    fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
         self.report.ended = now;
         match end {
-            End::Answer { kind: Kind::Served, .. } => {
-                self.report.served.saturating_record(((now - shot.at) * 1000.0).max(1.0) as u64);
+            RequestOutcome::Response { kind: Kind::Served, .. } => {
+                self.report.served.saturating_record(((now - shot.due_at) * 1000.0).max(1.0) as u64);
             }
-            End::Answer { kind: Kind::Refused, .. } => self.report.others[0] += 1,
-            End::Answer { kind: Kind::Failed, .. } => self.report.others[1] += 1,
-            End::Cut | End::Lost => self.report.others[2] += 1,
-            End::GaveUp | End::Left => self.report.others[3] += 1,
+            RequestOutcome::Response { kind: Kind::Refused, .. } => self.report.others[0] += 1,
+            RequestOutcome::Response { kind: Kind::Failed, .. } => self.report.others[1] += 1,
+            RequestOutcome::Truncated | RequestOutcome::ConnectionLost => self.report.others[2] += 1,
+            RequestOutcome::TimedOut | RequestOutcome::Cancelled => self.report.others[3] += 1,
         }
     }
 }
