--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::Args;
-use doorcourse_emulators::{ClientEmulator, Load as Rate};
+use doorcourse_emulators::{ClientEmulator, FixedRateLoad as Rate};
 use doorcourse_event_loop::Clock;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -49,10 +49,10 @@
     let mut crowd = ClientEmulator::new(clock, Arc::new(Mutex::new(vec![load.to])), None, 100.0)?;
     crowd.run(&mut rate)?;
     let report = rate.report();
-    let served = report.served.len();
-    let seconds = ((report.ended - start) / 1000.0).max(load.seconds);
-    let at = |q: f64| report.served.value_at_quantile(q) as f64 / 1000.0;
-    let [refused, failed, lost, gave_up] = report.others;
+    let served = report.served_latency_us.len();
+    let seconds = ((report.last_ended_ms - start) / 1000.0).max(load.seconds);
+    let at = |q: f64| report.served_latency_us.value_at_quantile(q) as f64 / 1000.0;
+    let [refused, failed, lost, gave_up] = report.unserved;
     if load.json {
         let told = json!({"served": served, "refused": refused, "failed": failed, "lost": lost, "gave_up": gave_up,
             "per_second": served as f64 / seconds, "p50_ms": at(0.5), "p99_ms": at(0.99), "p999_ms": at(0.999)});
--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -3,7 +3,8 @@
 
 use anyhow::{Context, bail};
 use doorcourse_emulators::{
-    CATALOGUE, ClientEmulator, EmulatorServer, EmulatorServerSpec, Load, NodeSpec, Recorder, operations,
+    CATALOGUE, ClientEmulator, EmulatorServer, EmulatorServerSpec, FixedRateLoad, NodeSpec, Recorder,
+    operations,
 };
 use doorcourse_event_loop::Clock;
 use hdrhistogram::Histogram;
@@ -111,10 +112,10 @@
 
 fn run(clock: Clock, to: SocketAddr, query: &str, rate: f64, seconds: f64) -> anyhow::Result<Run> {
     let body = json!({ "query": query }).to_string();
-    let mut load = Load::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
+    let mut load = FixedRateLoad::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
     ClientEmulator::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
     let report = load.report();
-    let served = report.served.clone();
+    let served = report.served_latency_us.clone();
     let share = served.len() as f64 / (rate * seconds).ceil();
     let held = share >= HELD && served.value_at_quantile(0.99) as f64 / 1000.0 <= QUICK;
     Ok(Run { served, held })
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -16,7 +16,7 @@
 pub use client::{ClientEmulator, RequestOutcome, RequestSource, ScheduledRequest};
 pub use counter::CounterFault;
 pub use list::{ListSource, ListedNode};
-pub use load::{Load, LoadReport};
+pub use load::{FixedRateLoad, LoadReport};
 pub use node::{NodeFault, NodeSpec};
 pub use record::Recorder;
 pub use relay::{Relay, Way};
--- a/crates/emulators/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -7,14 +7,14 @@
 
 /// What to send.
 #[derive(Debug)]
-pub struct Load {
+pub struct FixedRateLoad {
     body: String,
     key: String,
     /// Between two requests, in ms.
-    step: f64,
-    patience: f64,
-    next: f64,
-    left: u64,
+    interval_ms: f64,
+    timeout_ms: f64,
+    next_due_ms: f64,
+    remaining: u64,
     sent: u64,
     targets: usize,
     report: LoadReport,
@@ -24,28 +24,38 @@
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// Latencies of served requests, in microseconds.
-    pub served: Histogram<u64>,
+    pub served_latency_us: Histogram<u64>,
     /// Refused, failed, cut or lost, given up.
-    pub others: [u64; 4],
+    pub unserved: [u64; 4],
     /// When the last one ended, in ms.
-    pub ended: f64,
+    pub last_ended_ms: f64,
 }
 
-impl Load {
+impl FixedRateLoad {
     /// A load that begins at a time: so many requests a second for so long.
     ///
     /// # Errors
     /// When a figure is out of its range.
     pub fn new(
-        body: String, key: String, rate: f64, seconds: f64, patience: f64, start: f64,
+        body: String, key: String, rate: f64, seconds: f64, timeout_ms: f64, start_ms: f64,
     ) -> anyhow::Result<Self> {
         anyhow::ensure!(rate > 0.0 && rate <= 1e6, "a rate above 0 and up to 1000000 a second is wanted");
         anyhow::ensure!(seconds > 0.0 && seconds <= 86_400.0, "a length above 0 and up to 86400 s is wanted");
         // A minute with three digits: what lies above is counted as a minute.
-        let served = Histogram::new_with_bounds(1, 60_000_000, 3)?;
-        let report = LoadReport { served, others: [0; 4], ended: start };
-        let left = (rate * seconds).ceil() as u64;
-        Ok(Self { body, key, step: 1000.0 / rate, patience, next: start, left, sent: 0, targets: 1, report })
+        let served_latency_us = Histogram::new_with_bounds(1, 60_000_000, 3)?;
+        let report = LoadReport { served_latency_us, unserved: [0; 4], last_ended_ms: start_ms };
+        let remaining = (rate * seconds).ceil() as u64;
+        Ok(Self {
+            body,
+            key,
+            interval_ms: 1000.0 / rate,
+            timeout_ms,
+            next_due_ms: start_ms,
+            remaining,
+            sent: 0,
+            targets: 1,
+            report,
+        })
     }
 
     /// What came back so far.
@@ -55,39 +65,41 @@
     }
 }
 
-impl RequestSource for Load {
+impl RequestSource for FixedRateLoad {
     fn next_due(&mut self) -> Option<f64> {
-        if self.left > 0 { Some(self.next) } else { None }
+        if self.remaining > 0 { Some(self.next_due_ms) } else { None }
     }
 
     fn take_due(&mut self, _: f64) -> Vec<ScheduledRequest> {
-        let at = self.next;
-        self.next += self.step;
-        self.left -= 1;
+        let due_at = self.next_due_ms;
+        self.next_due_ms += self.interval_ms;
+        self.remaining -= 1;
         self.sent += 1;
         vec![ScheduledRequest {
             id: format!("load-{}", self.sent),
-            due_at: at,
+            due_at,
             gateway: self.sent as usize % self.targets,
             body: self.body.clone(),
             key: self.key.clone(),
             idempotency_key: None,
-            timeout_ms: self.patience,
+            timeout_ms: self.timeout_ms,
             cancel_after_ms: None,
             sent_event: None,
         }]
     }
 
     fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
-        self.report.ended = now;
+        self.report.last_ended_ms = now;
         match end {
             RequestOutcome::Response { kind: Kind::Served, .. } => {
-                self.report.served.saturating_record(((now - shot.due_at) * 1000.0).max(1.0) as u64);
+                self.report
+                    .served_latency_us
+                    .saturating_record(((now - shot.due_at) * 1000.0).max(1.0) as u64);
             }
-            RequestOutcome::Response { kind: Kind::Refused, .. } => self.report.others[0] += 1,
-            RequestOutcome::Response { kind: Kind::Failed, .. } => self.report.others[1] += 1,
-            RequestOutcome::Truncated | RequestOutcome::ConnectionLost => self.report.others[2] += 1,
-            RequestOutcome::TimedOut | RequestOutcome::Cancelled => self.report.others[3] += 1,
+            RequestOutcome::Response { kind: Kind::Refused, .. } => self.report.unserved[0] += 1,
+            RequestOutcome::Response { kind: Kind::Failed, .. } => self.report.unserved[1] += 1,
+            RequestOutcome::Truncated | RequestOutcome::ConnectionLost => self.report.unserved[2] += 1,
+            RequestOutcome::TimedOut | RequestOutcome::Cancelled => self.report.unserved[3] += 1,
         }
     }
 }
