--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, bail};
 use doorcourse_conformance::Event;
 use doorcourse_emulators::{
-    CATALOGUE, Command as Order, EmulatorServer, EmulatorServerSpec, ListSource, ListedNode, NodeFault,
+    CATALOGUE, Command as Order, EmulatorServer, EmulatorServerSpec, ListedNode, NodeFault, NodeListFile,
     NodeSpec, Recorder, Relay,
 };
 use doorcourse_event_loop::Clock;
@@ -67,7 +67,7 @@
     pub clock: Clock,
     pub recorder: Recorder,
     pub world: EmulatorServer,
-    pub list: ListSource,
+    pub list: NodeListFile,
     /// Where each gateway listens; a restarted one has a new port.
     pub addresses: Arc<Mutex<Vec<SocketAddr>>>,
     /// Which gateways want clients.
@@ -113,11 +113,11 @@
             name: node.name.clone(),
             address: *address,
             cell: node.cell,
-            present: true,
+            listed: true,
             draining: false,
-            started: None,
+            started_ms: None,
         });
-        let list = ListSource::new(spec.folder.join("nodes.txtpb"), listed.collect(), recorder.clone());
+        let list = NodeListFile::new(spec.folder.join("nodes.txtpb"), listed.collect(), recorder.clone());
         if spec.httpd.is_empty() {
             list.write()?;
         } else {
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -146,7 +146,7 @@
             fleet.call(at, "status").map_or(json!("does not answer"), |v| v["result"]["state"].clone());
         json!({"gateway": at, "address": address.to_string(), "process": fleet.process(at), "state": state})
     };
-    let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.present, "drains": n.draining});
+    let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.listed, "drains": n.draining});
     json!({
         "gateways": addresses.iter().enumerate().map(gateway).collect::<Vec<_>>(),
         "nodes": fleet.list.nodes.iter().map(node).collect::<Vec<_>>(),
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -98,15 +98,15 @@
         match what {
             What::KillNode(n) => fleet.node(*n as usize, NodeFault::Kill),
             What::StartNode(n) => fleet.node(*n as usize, NodeFault::Start { cold: true }),
-            What::UnlistNode(n) => fleet.list.change(*n as usize, |node| node.present = false)?,
+            What::UnlistNode(n) => fleet.list.update_node(*n as usize, |node| node.listed = false)?,
             What::ListNode(n) => {
                 let now = fleet.clock.now();
-                fleet.list.change(*n as usize, |node| {
-                    (node.present, node.draining, node.started) = (true, false, Some(now));
+                fleet.list.update_node(*n as usize, |node| {
+                    (node.listed, node.draining, node.started_ms) = (true, false, Some(now));
                 })?;
             }
-            What::DrainNode(n) => fleet.list.change(*n as usize, |node| node.draining = true)?,
-            What::UndrainNode(n) => fleet.list.change(*n as usize, |node| node.draining = false)?,
+            What::DrainNode(n) => fleet.list.update_node(*n as usize, |node| node.draining = true)?,
+            What::UndrainNode(n) => fleet.list.update_node(*n as usize, |node| node.draining = false)?,
             What::StallCell(cell) | What::ResumeCell(cell) => {
                 let fault = NodeFault::Stall(matches!(what, What::StallCell(_)));
                 (0..self.nodes).filter(|n| n % 2 == *cell as usize).for_each(|n| fleet.node(n, fault));
--- a/crates/emulators/src/list.rs
+++ b/crates/emulators/src/node_list.rs
@@ -16,23 +16,23 @@
     /// Its cell.
     pub cell: u64,
     /// Whether it is listed at all.
-    pub present: bool,
+    pub listed: bool,
     /// Whether it drains.
     pub draining: bool,
     /// When it last started, in ms since the Unix epoch.
-    pub started: Option<f64>,
+    pub started_ms: Option<f64>,
 }
 
 /// The list and its file.
 #[derive(Debug)]
-pub struct ListSource {
+pub struct NodeListFile {
     /// The nodes.
     pub nodes: Vec<ListedNode>,
     path: PathBuf,
     recorder: Recorder,
 }
 
-impl ListSource {
+impl NodeListFile {
     /// A list that will be written to a file.
     #[must_use]
     pub fn new(path: PathBuf, nodes: Vec<ListedNode>, recorder: Recorder) -> Self {
@@ -43,11 +43,11 @@
     ///
     /// # Errors
     /// When the file cannot be written.
-    pub fn change(&mut self, node: usize, change: impl FnOnce(&mut ListedNode)) -> anyhow::Result<()> {
+    pub fn update_node(&mut self, node: usize, change: impl FnOnce(&mut ListedNode)) -> anyhow::Result<()> {
         change(&mut self.nodes[node]);
         self.write()?;
         let listed = &self.nodes[node];
-        let ready = listed.present && !listed.draining;
+        let ready = listed.listed && !listed.draining;
         self.recorder.write(Event::Listed { node: listed.name.clone(), ready });
         Ok(())
     }
@@ -58,17 +58,17 @@
     /// When the file cannot be written.
     pub fn write(&self) -> anyhow::Result<()> {
         let mut text = String::new();
-        for node in self.nodes.iter().filter(|n| n.present) {
+        for node in self.nodes.iter().filter(|n| n.listed) {
             let ListedNode { name, address, cell, .. } = node;
             let state = if node.draining { " state: DRAINING" } else { "" };
-            let started = node.started.map_or(String::new(), |s| format!(" started_ms: {s:.3}"));
+            let started = node.started_ms.map_or(String::new(), |s| format!(" started_ms: {s:.3}"));
             writeln!(
                 text,
                 "nodes {{ name: \"{name}\" address: \"{address}\" cell: {cell}{state}{started} }}"
             )?;
         }
-        let beside = self.path.with_extension("new");
-        std::fs::write(&beside, text)?;
-        Ok(std::fs::rename(beside, &self.path)?)
+        let temporary = self.path.with_extension("new");
+        std::fs::write(&temporary, text)?;
+        Ok(std::fs::rename(temporary, &self.path)?)
     }
 }
