--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -73,7 +73,8 @@
             }
         });
         let up = wait(&log, "link up");
-        self.relay.reach(at, up["address"].as_str().and_then(|a| a.parse().ok()).expect("an address"));
+        self.relay
+            .set_destination(at, up["address"].as_str().and_then(|a| a.parse().ok()).expect("an address"));
         (child, log)
     }
 
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -242,7 +242,10 @@
         };
         self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = address;
         if let Some(relay) = &self.relay {
-            relay.reach(at, link.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?);
+            relay.set_destination(
+                at,
+                link.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?,
+            );
         }
         Ok(child)
     }
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -4,7 +4,9 @@
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
 use doorcourse_conformance::{Act, acts};
-use doorcourse_emulators::{CATALOGUE, EmulatorServer, EmulatorServerSpec, Recorder, Relay, Way, Witness};
+use doorcourse_emulators::{
+    CATALOGUE, EmulatorServer, EmulatorServerSpec, LinkFaults, Recorder, Relay, Witness,
+};
 use doorcourse_event_loop::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -335,7 +337,7 @@
             let _ = child.wait();
             anyhow::bail!("gateway {at} did not come up; see its log in {}", self.options.folder.display());
         };
-        self.relay.reach(at, link);
+        self.relay.set_destination(at, link);
         self.gateways[at] = Some(child);
         Ok(())
     }
@@ -423,24 +425,31 @@
             }
             5 => {
                 self.tell(format!("holder {holder} cut off"));
-                self.relay.change(|a, b| a == holder || b == holder, |way| way.cut = true);
+                self.relay.update_links(|a, b| a == holder || b == holder, |way| way.cut = true);
                 self.pass(dice.random_range(0.5..3.0));
-                self.relay.change(|_, _| true, |way| way.cut = false);
+                self.relay.update_links(|_, _| true, |way| way.cut = false);
             }
             6 => {
                 let inward = dice.random_bool(0.5);
                 self.tell(format!("holder {holder} cut off {}", if inward { "inwards" } else { "outwards" }));
-                self.relay
-                    .change(|a, b| if inward { b == holder } else { a == holder }, |way| way.cut = true);
+                self.relay.update_links(
+                    |a, b| if inward { b == holder } else { a == holder },
+                    |way| way.cut = true,
+                );
                 self.pass(dice.random_range(0.5..3.0));
-                self.relay.change(|_, _| true, |way| way.cut = false);
+                self.relay.update_links(|_, _| true, |way| way.cut = false);
             }
             7 => {
                 self.tell("a third lost, delays, doubles".into());
-                let rough = Way { cut: false, loss: 0.3, doubled: 0.1, delay: self.options.lease / 8.0 };
-                self.relay.change(|_, _| true, |way| *way = rough);
+                let rough = LinkFaults {
+                    cut: false,
+                    loss: 0.3,
+                    duplication: 0.1,
+                    max_delay_ms: self.options.lease / 8.0,
+                };
+                self.relay.update_links(|_, _| true, |way| *way = rough);
                 self.pass(dice.random_range(2.0..5.0));
-                self.relay.change(|_, _| true, |way| *way = Way::PLAIN);
+                self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
             }
             8 => self.restart(&minority, "a minority")?,
             9 => {
@@ -494,7 +503,7 @@
 
     fn heal(&mut self) -> anyhow::Result<()> {
         self.tell("all is well again".into());
-        self.relay.change(|_, _| true, |way| *way = Way::PLAIN);
+        self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
         for at in 0..self.options.gateways {
             if self.gateways[at].is_none() {
                 self.start(at)?;
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -19,6 +19,6 @@
 pub use node::{NodeFault, NodeSpec};
 pub use node_list::{ListedNode, NodeListFile};
 pub use record::Recorder;
-pub use relay::{Relay, Way};
+pub use relay::{LinkFaults, Relay};
 pub use server::{Command, EmulatorServer, EmulatorServerSpec};
 pub use witness::Witness;
--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -12,41 +12,41 @@
 
 /// How a way behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// Nothing passes.
     pub cut: bool,
     /// The share that is lost, and that comes twice.
     pub loss: f64,
     /// See `loss`.
-    pub doubled: f64,
+    pub duplication: f64,
     /// Each is held for up to this many ms by chance: what was sent later may come first.
-    pub delay: f64,
+    pub max_delay_ms: f64,
 }
 
-impl Way {
+impl LinkFaults {
     /// A way that passes all at once.
-    pub const PLAIN: Self = Self { cut: false, loss: 0.0, doubled: 0.0, delay: 0.0 };
+    pub const NONE: Self = Self { cut: false, loss: 0.0, duplication: 0.0, max_delay_ms: 0.0 };
 }
 
-struct Ways {
+struct Links {
     gateways: usize,
-    to: Vec<Option<SocketAddr>>,
-    ways: Vec<Way>,
+    destinations: Vec<Option<SocketAddr>>,
+    links: Vec<LinkFaults>,
 }
 
 /// A running relay; it ends when it is dropped.
 pub struct Relay {
-    ways: Arc<Mutex<Ways>>,
+    links: Arc<Mutex<Links>>,
     addresses: Vec<SocketAddr>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     /// Datagrams and bytes that came to be passed on.
     datagrams: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
-fn lock(ways: &Mutex<Ways>) -> MutexGuard<'_, Ways> {
-    ways.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(links: &Mutex<Links>) -> MutexGuard<'_, Links> {
+    links.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Relay {
@@ -57,71 +57,80 @@
     pub fn start(gateways: usize, seed: u64) -> anyhow::Result<Self> {
         let poller = Poller::new()?;
         let mut sockets = Vec::new();
-        for at in 0..gateways * gateways {
+        for index in 0..gateways * gateways {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_nonblocking(true)?;
-            poller.add(&socket, at as u64, Interest::READ)?;
+            poller.add(&socket, index as u64, Interest::READ)?;
             sockets.push(socket);
         }
         let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
-        let ways = Ways { gateways, to: vec![None; gateways], ways: vec![Way::PLAIN; gateways * gateways] };
-        let (ways, over) = (Arc::new(Mutex::new(ways)), Arc::new(AtomicBool::new(false)));
+        let links = Links {
+            gateways,
+            destinations: vec![None; gateways],
+            links: vec![LinkFaults::NONE; gateways * gateways],
+        };
+        let (links, stopped) = (Arc::new(Mutex::new(links)), Arc::new(AtomicBool::new(false)));
         let (datagrams, bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let (shared, ends, count, size) =
-            (Arc::clone(&ways), Arc::clone(&over), Arc::clone(&datagrams), Arc::clone(&bytes));
+        let (shared_links, thread_stopped, datagram_count, byte_count) =
+            (Arc::clone(&links), Arc::clone(&stopped), Arc::clone(&datagrams), Arc::clone(&bytes));
         let thread = std::thread::Builder::new().name("relay".into()).spawn(move || {
-            let (clock, mut dice) = (Clock::default(), ChaCha8Rng::seed_from_u64(seed));
-            let (mut held, mut ready, mut buffer) =
+            let (clock, mut rng) = (Clock::default(), ChaCha8Rng::seed_from_u64(seed));
+            let (mut delayed, mut ready, mut buffer) =
                 (Timers::<(usize, Vec<u8>)>::default(), Vec::new(), vec![0; 65_536]);
-            while !ends.load(Ordering::Relaxed) {
-                let wait = held.next_deadline().map_or(Duration::from_millis(20), |at| clock.until(at));
+            while !thread_stopped.load(Ordering::Relaxed) {
+                let wait =
+                    delayed.next_deadline().map_or(Duration::from_millis(20), |index| clock.until(index));
                 if poller.wait(Some(wait.min(Duration::from_millis(20))), &mut ready).is_err() {
                     return;
                 }
                 for ready in ready.drain(..) {
-                    let at = ready.token as usize;
-                    while let Ok((length, _)) = sockets[at].recv_from(&mut buffer) {
-                        count.fetch_add(1, Ordering::Relaxed);
-                        size.fetch_add(length as u64, Ordering::Relaxed);
-                        let way = lock(&shared).ways[at];
-                        if way.cut || dice.random_bool(way.loss) {
+                    let index = ready.token as usize;
+                    while let Ok((length, _)) = sockets[index].recv_from(&mut buffer) {
+                        datagram_count.fetch_add(1, Ordering::Relaxed);
+                        byte_count.fetch_add(length as u64, Ordering::Relaxed);
+                        let faults = lock(&shared_links).links[index];
+                        if faults.cut || rng.random_bool(faults.loss) {
                             continue;
                         }
-                        for _ in 0..1 + u32::from(dice.random_bool(way.doubled)) {
-                            let delay = if way.delay > 0.0 { dice.random_range(0.0..way.delay) } else { 0.0 };
-                            held.schedule(clock.now() + delay, (at, buffer[..length].to_vec()));
+                        for _ in 0..1 + u32::from(rng.random_bool(faults.duplication)) {
+                            let delay = if faults.max_delay_ms > 0.0 {
+                                rng.random_range(0.0..faults.max_delay_ms)
+                            } else {
+                                0.0
+                            };
+                            delayed.schedule(clock.now() + delay, (index, buffer[..length].to_vec()));
                         }
                     }
                 }
-                while let Some((at, bytes)) = held.pop_expired(clock.now()) {
-                    let to = lock(&shared).to[at % gateways];
-                    if let Some(to) = to {
-                        let _ = sockets[at].send_to(&bytes, to);
+                while let Some((index, bytes)) = delayed.pop_expired(clock.now()) {
+                    let destination = lock(&shared_links).destinations[index % gateways];
+                    if let Some(destination) = destination {
+                        let _ = sockets[index].send_to(&bytes, destination);
                     }
                 }
             }
         })?;
-        Ok(Self { ways, addresses, over, datagrams, bytes, thread: Some(thread) })
+        Ok(Self { links, addresses, stopped, datagrams, bytes, thread: Some(thread) })
     }
 
     /// Where a gateway sends what is for another.
     #[must_use]
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
-        self.addresses[from * lock(&self.ways).gateways + to]
+        self.addresses[from * lock(&self.links).gateways + to]
     }
 
     /// Where a gateway is reached now.
-    pub fn reach(&self, gateway: usize, address: SocketAddr) {
-        lock(&self.ways).to[gateway] = Some(address);
+    pub fn set_destination(&self, gateway: usize, address: SocketAddr) {
+        lock(&self.links).destinations[gateway] = Some(address);
     }
 
     /// Changes the ways that a test picks by their ends.
-    pub fn change(&self, which: impl Fn(usize, usize) -> bool, change: impl Fn(&mut Way)) {
-        let mut ways = lock(&self.ways);
-        let gateways = ways.gateways;
-        for (at, way) in ways.ways.iter_mut().enumerate() {
-            if which(at / gateways, at % gateways) {
-                change(way);
+    pub fn update_links(&self, selects: impl Fn(usize, usize) -> bool, change: impl Fn(&mut LinkFaults)) {
+        let mut links = lock(&self.links);
+        let gateways = links.gateways;
+        for (index, faults) in links.links.iter_mut().enumerate() {
+            if selects(index / gateways, index % gateways) {
+                change(faults);
             }
         }
     }
@@ -135,7 +144,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
@@ -147,21 +156,24 @@
     #[test]
     fn a_way_that_is_cut_passes_nothing_and_the_other_way_all() {
         let relay = Relay::start(2, 1).unwrap();
-        let ends: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        for (at, end) in ends.iter().enumerate() {
-            end.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-            relay.reach(at, end.local_addr().unwrap());
+        let endpoints: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        for (index, endpoint) in endpoints.iter().enumerate() {
+            endpoint.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+            relay.set_destination(index, endpoint.local_addr().unwrap());
         }
-        relay.change(|from, _| from == 0, |way| way.cut = true);
-        ends[0].send_to(b"lost", relay.address(0, 1)).unwrap();
-        ends[1].send_to(b"passed", relay.address(1, 0)).unwrap();
+        relay.update_links(|from, _| from == 0, |faults| faults.cut = true);
+        endpoints[0].send_to(b"lost", relay.address(0, 1)).unwrap();
+        endpoints[1].send_to(b"passed", relay.address(1, 0)).unwrap();
         let mut bytes = [0; 16];
-        let (length, _) = ends[0].recv_from(&mut bytes).unwrap();
+        let (length, _) = endpoints[0].recv_from(&mut bytes).unwrap();
         assert_eq!(&bytes[..length], b"passed");
-        relay.change(|_, _| true, |way| *way = Way { doubled: 1.0, ..Way::PLAIN });
-        ends[0].send_to(b"twice", relay.address(0, 1)).unwrap();
+        relay.update_links(
+            |_, _| true,
+            |faults| *faults = LinkFaults { duplication: 1.0, ..LinkFaults::NONE },
+        );
+        endpoints[0].send_to(b"twice", relay.address(0, 1)).unwrap();
         for _ in 0..2 {
-            let (length, _) = ends[1].recv_from(&mut bytes).unwrap();
+            let (length, _) = endpoints[1].recv_from(&mut bytes).unwrap();
             assert_eq!(&bytes[..length], b"twice");
         }
         // Two ends may count as three datagrams: one of them was cut.
