--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Tasks of one holder at a time, with processes of the program: by hand, at a drain, at a takeover, with secrets changed.
 
 use doorcourse_conformance::acts;
-use doorcourse_emulators::{Relay, Witness};
+use doorcourse_emulators::{Relay, TaskEndpoint};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -18,7 +18,7 @@
 struct Fleet {
     folder: PathBuf,
     relay: Relay,
-    witness: Witness,
+    witness: TaskEndpoint,
     gateways: Vec<Child>,
     logs: Vec<mpsc::Receiver<Value>>,
 }
@@ -32,7 +32,7 @@
         std::fs::copy(tour.join("catalogue.graphql"), folder.join("catalogue.graphql")).expect("a schema");
         std::fs::write(folder.join("secret"), "the first secret of a fleet\n").expect("a secret");
         let relay = Relay::start(GATEWAYS, 1).expect("a relay");
-        let witness = Witness::start(false, 20.0, 1).expect("a witness");
+        let witness = TaskEndpoint::start(false, 20.0, 1).expect("a witness");
         let mut fleet = Self { folder, relay, witness, gateways: Vec::new(), logs: Vec::new() };
         for at in 0..GATEWAYS {
             fleet.settings(at);
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use doorcourse_conformance::{Act, acts};
 use doorcourse_emulators::{
-    CATALOGUE, EmulatorServer, EmulatorServerSpec, LinkFaults, Recorder, Relay, Witness,
+    CATALOGUE, EmulatorServer, EmulatorServerSpec, LinkFaults, Recorder, Relay, TaskEndpoint,
 };
 use doorcourse_event_loop::Clock;
 use rand::{RngExt, SeedableRng};
@@ -147,7 +147,7 @@
     options: HolderOptions,
     world: EmulatorServer,
     relay: Relay,
-    witnesses: [Witness; 2],
+    witnesses: [TaskEndpoint; 2],
     gateways: Vec<Option<Child>>,
     /// The list of voters in the settings: version, now, before.
     voters: (u64, BTreeSet<usize>, BTreeSet<usize>),
@@ -178,7 +178,7 @@
     (held.datagrams, held.bytes) = (datagrams as f64 / seconds, bytes as f64 / seconds);
     for (at, witness) in play.witnesses.iter().enumerate() {
         let all = witness.acts();
-        held.broken.extend(acts(&all, !witness.fences()));
+        held.broken.extend(acts(&all, !witness.checks_tokens()));
         let mut good: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
         good.sort_by(|a, b| a.begin.total_cmp(&b.begin));
         (held.accepted[at], held.refused[at]) = (good.len(), all.len() - good.len());
@@ -219,7 +219,7 @@
             discard_records: true,
         };
         let world = EmulatorServer::start(&spec, clock, Recorder::none(clock))?;
-        let witness = |at: usize| Witness::start(at == 0, WORK, options.seed ^ at as u64);
+        let witness = |at: usize| TaskEndpoint::start(at == 0, WORK, options.seed ^ at as u64);
         let mut play = Self {
             world,
             relay: Relay::start(options.gateways, options.seed)?,
@@ -417,7 +417,7 @@
                 self.tell(format!(
                     "holder {holder}'s calls held up on their way for {span:.1} leases, and it is killed"
                 ));
-                self.witnesses.iter().for_each(|w| w.hold_up(60.0, span * self.options.lease));
+                self.witnesses.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease));
                 std::thread::sleep(Duration::from_millis(60));
                 self.kill(holder);
                 self.pass(dice.random_range(0.0..span));
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -10,7 +10,7 @@
 mod record;
 mod relay;
 mod server;
-mod witness;
+mod task_endpoint;
 
 pub use catalogue::{CATALOGUE, Operation, operations};
 pub use client::{ClientEmulator, RequestOutcome, RequestSource, ScheduledRequest};
@@ -21,4 +21,4 @@
 pub use record::Recorder;
 pub use relay::{LinkFaults, Relay};
 pub use server::{Command, EmulatorServer, EmulatorServerSpec};
-pub use witness::Witness;
+pub use task_endpoint::TaskEndpoint;
--- a/crates/emulators/src/witness.rs
+++ b/crates/emulators/src/task_endpoint.rs
@@ -14,59 +14,60 @@
 
 const LIMITS: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 1024 };
 
-struct Inside {
+struct State {
     acts: Vec<Act>,
-    highest: HashMap<String, u64>,
-    dice: ChaCha8Rng,
+    highest_tokens: HashMap<String, u64>,
+    rng: ChaCha8Rng,
     /// The record's times count from here.
-    start: f64,
+    start_ms: f64,
     /// Calls that come before the first moment are held up for so many ms.
-    held_up: (f64, f64),
+    call_delay: (f64, f64),
 }
 
 /// A running witness; it ends when it is dropped.
-pub struct Witness {
+pub struct TaskEndpoint {
     address: SocketAddr,
-    fences: bool,
-    inside: Arc<Mutex<Inside>>,
-    over: Arc<AtomicBool>,
+    checks_tokens: bool,
+    state: Arc<Mutex<State>>,
+    stopped: Arc<AtomicBool>,
 }
 
-fn lock(inside: &Mutex<Inside>) -> MutexGuard<'_, Inside> {
-    inside.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn now() -> f64 {
+fn now_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-impl Witness {
+impl TaskEndpoint {
     /// Begins to take calls, each of which takes up to `work` ms by chance.
     ///
     /// # Errors
     /// When the system has no socket or thread left.
-    pub fn start(fences: bool, work: f64, seed: u64) -> anyhow::Result<Self> {
+    pub fn start(checks_tokens: bool, max_duration_ms: f64, seed: u64) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (address, over) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
-        let dice = ChaCha8Rng::seed_from_u64(seed);
-        let inside = Arc::new(Mutex::new(Inside {
+        let (address, stopped) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
+        let rng = ChaCha8Rng::seed_from_u64(seed);
+        let state = Arc::new(Mutex::new(State {
             acts: Vec::new(),
-            highest: HashMap::new(),
-            dice,
-            start: now(),
-            held_up: (0.0, 0.0),
+            highest_tokens: HashMap::new(),
+            rng,
+            start_ms: now_ms(),
+            call_delay: (0.0, 0.0),
         }));
-        let (shared, ends) = (Arc::clone(&inside), Arc::clone(&over));
+        let (shared_state, thread_stopped) = (Arc::clone(&state), Arc::clone(&stopped));
         std::thread::Builder::new().name("witness".into()).spawn(move || {
             for stream in listener.incoming() {
-                if ends.load(Ordering::Relaxed) {
+                if thread_stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let (Ok(stream), shared) = (stream, Arc::clone(&shared)) else { continue };
-                let _ = std::thread::Builder::new().spawn(move || serve(stream, &shared, fences, work));
+                let (Ok(stream), shared_state) = (stream, Arc::clone(&shared_state)) else { continue };
+                let _ = std::thread::Builder::new()
+                    .spawn(move || serve(stream, &shared_state, checks_tokens, max_duration_ms));
             }
         })?;
-        Ok(Self { address, fences, inside, over })
+        Ok(Self { address, checks_tokens, state, stopped })
     }
 
     /// Where it is called.
@@ -77,59 +78,63 @@
 
     /// Whether it knows tokens.
     #[must_use]
-    pub fn fences(&self) -> bool {
-        self.fences
+    pub fn checks_tokens(&self) -> bool {
+        self.checks_tokens
     }
 
     /// Calls that come within the next `window` ms are held up on their way for `span` ms.
-    pub fn hold_up(&self, window: f64, span: f64) {
-        lock(&self.inside).held_up = (now() + window, span);
+    pub fn delay_calls(&self, window: f64, delay: f64) {
+        lock(&self.state).call_delay = (now_ms() + window, delay);
     }
 
     /// All acts so far.
     #[must_use]
     pub fn acts(&self) -> Vec<Act> {
-        lock(&self.inside).acts.clone()
+        lock(&self.state).acts.clone()
     }
 }
 
-impl Drop for Witness {
+impl Drop for TaskEndpoint {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         // Wakes the listener for its end.
         drop(TcpStream::connect(self.address));
     }
 }
 
-fn serve(mut stream: TcpStream, inside: &Mutex<Inside>, fences: bool, work: f64) {
+fn serve(mut stream: TcpStream, state: &Mutex<State>, checks_tokens: bool, max_duration_ms: f64) {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(20)));
-    let Some(mut act) = read(&mut stream) else { return };
-    let (until, span) = lock(inside).held_up;
-    if now() < until {
-        std::thread::sleep(Duration::from_secs_f64(span / 1000.0));
+    let Some(mut act) = read_call(&mut stream) else { return };
+    let (delayed_until, delay) = lock(state).call_delay;
+    if now_ms() < delayed_until {
+        std::thread::sleep(Duration::from_secs_f64(delay / 1000.0));
     }
-    let span = {
-        let mut inside = lock(inside);
-        (act.begin, act.deadline) = (now() - inside.start, act.deadline - inside.start);
-        let highest = inside.highest.get(&act.task).copied().unwrap_or_default();
-        act.accepted = if fences { act.token >= highest } else { act.begin + work <= act.deadline };
-        if act.accepted && fences {
+    let duration = {
+        let mut state = lock(state);
+        (act.begin, act.deadline) = (now_ms() - state.start_ms, act.deadline - state.start_ms);
+        let highest_token = state.highest_tokens.get(&act.task).copied().unwrap_or_default();
+        act.accepted = if checks_tokens {
+            act.token >= highest_token
+        } else {
+            act.begin + max_duration_ms <= act.deadline
+        };
+        if act.accepted && checks_tokens {
             // A higher token ends what goes on under a lower one.
             let begin = act.begin;
-            let lower = |a: &&mut Act| a.task == act.task && a.token < act.token && a.end > begin;
-            inside.acts.iter_mut().filter(lower).for_each(|a| a.end = begin);
-            inside.highest.insert(act.task.clone(), act.token);
+            let superseded = |a: &&mut Act| a.task == act.task && a.token < act.token && a.end > begin;
+            state.acts.iter_mut().filter(superseded).for_each(|a| a.end = begin);
+            state.highest_tokens.insert(act.task.clone(), act.token);
         }
-        let span = if act.accepted { inside.dice.random_range(0.0..work) } else { 0.0 };
-        act.end = act.begin + span;
+        let duration = if act.accepted { state.rng.random_range(0.0..max_duration_ms) } else { 0.0 };
+        act.end = act.begin + duration;
         let accepted = act.accepted;
-        inside.acts.push(act);
-        accepted.then_some(span)
+        state.acts.push(act);
+        accepted.then_some(duration)
     };
-    let status = match span {
+    let status = match duration {
         None => "409 Conflict",
-        Some(span) => {
-            std::thread::sleep(Duration::from_secs_f64(span / 1000.0));
+        Some(duration) => {
+            std::thread::sleep(Duration::from_secs_f64(duration / 1000.0));
             "204 No Content"
         }
     };
@@ -137,7 +142,7 @@
 }
 
 /// Reads a call; nothing if it is none of a task's.
-fn read(stream: &mut TcpStream) -> Option<Act> {
+fn read_call(stream: &mut TcpStream) -> Option<Act> {
     let (mut decoder, mut input, mut bytes) = (Decoder::new(Role::Requests, LIMITS), Vec::new(), [0; 4096]);
     let mut act = Act {
         task: String::new(),
@@ -149,7 +154,7 @@
         accepted: false,
     };
     loop {
-        let (took, part) = decoder.decode(&input).ok()?;
+        let (used, part) = decoder.decode(&input).ok()?;
         match part {
             Some(Part::Head(head)) => {
                 let field = |name: &str| head.field(name).map(str::to_owned);
@@ -161,12 +166,12 @@
             Some(Part::End) => return Some(act),
             Some(Part::Data(_)) => {}
             None => {
-                input.drain(..took);
+                input.drain(..used);
                 let count = stream.read(&mut bytes).ok().filter(|n| *n > 0)?;
                 input.extend_from_slice(&bytes[..count]);
                 continue;
             }
         }
-        input.drain(..took);
+        input.drain(..used);
     }
 }
