--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -163,7 +163,7 @@
         speed: 1e6,
         discard_records: true,
     };
-    let world = EmulatorServer::start(&world, clock, Recorder::none(clock))?;
+    let world = EmulatorServer::start(&world, clock, Recorder::disabled(clock))?;
     let straight = world.node_addresses[0];
     let (mut text, mut all) = (String::new(), Vec::new());
     for name in ["preview", "forty"] {
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -206,7 +206,7 @@
             which.iter().zip(begun).map(|(at, begun)| self.came(*at, begun)).collect();
         for (at, child) in which.iter().zip(came) {
             self.gateways[*at] = Some(child?);
-            self.recorder.write(Event::GatewayUp { gateway: *at });
+            self.recorder.record(Event::GatewayUp { gateway: *at });
             self.want(*at, true);
         }
         Ok(())
@@ -269,7 +269,7 @@
         self.want(at, false);
         self.signal(at, Signal::TERM)?;
         std::thread::sleep(Duration::from_secs_f64(self.spec.notice / 1000.0));
-        self.recorder.write(Event::GatewayDown { gateway: at });
+        self.recorder.record(Event::GatewayDown { gateway: at });
         for _ in 1..times {
             self.signal(at, Signal::TERM)?;
         }
@@ -406,7 +406,7 @@
 
     /// Kills a gateway outright.
     pub fn kill_gateway(&mut self, at: usize) -> anyhow::Result<()> {
-        self.recorder.write(Event::GatewayDown { gateway: at });
+        self.recorder.record(Event::GatewayDown { gateway: at });
         if let Some(mut child) = self.gateways[at].take() {
             child.kill()?;
             child.wait()?;
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -218,7 +218,7 @@
             speed: 1.0,
             discard_records: true,
         };
-        let world = EmulatorServer::start(&spec, clock, Recorder::none(clock))?;
+        let world = EmulatorServer::start(&spec, clock, Recorder::disabled(clock))?;
         let witness = |at: usize| TaskEndpoint::start(at == 0, WORK, options.seed ^ at as u64);
         let mut play = Self {
             world,
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -67,7 +67,7 @@
         customers: customers(),
     })?;
     let (recorder, clock) = (fleet.recorder.clone(), fleet.clock);
-    recorder.write(bounds(1.0));
+    recorder.record(bounds(1.0));
     let _ = std::fs::remove_file(&path);
     let listener = UnixListener::bind(&path).with_context(|| path.display().to_string())?;
     listener.set_nonblocking(true)?;
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -218,7 +218,7 @@
         Some(What::ReloadPlans(times)) => Some(times),
         _ => None,
     });
-    recorder.write(bounds(times.fold(1.0, f64::max)));
+    recorder.record(bounds(times.fold(1.0, f64::max)));
     let clock = fleet.clock;
     let start = clock.now();
     let manner = Arc::new(Mutex::new(Manner::default()));
@@ -266,10 +266,10 @@
         until(playing, &phase, start + step.at * length);
         if !step.phase.is_empty() {
             phase.clone_from(&step.phase);
-            playing.fleet.recorder.write(Event::Phase { name: phase.clone() });
+            playing.fleet.recorder.record(Event::Phase { name: phase.clone() });
         }
         if !step.r#do.is_empty() {
-            playing.fleet.recorder.write(Event::Fault { what: phase.clone() });
+            playing.fleet.recorder.record(Event::Fault { what: phase.clone() });
         }
         step.r#do.iter().filter_map(|a| a.what.as_ref()).try_for_each(|what| playing.act(what))?;
         if let Some(wait) = &step.wait_until {
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -1,7 +1,7 @@
 //! Scripted clients on sockets: each shot is one request, sent when its time has come whatever became of the
 //! others, and followed to its end.
 
-use crate::record::Recorder;
+use crate::recorder::Recorder;
 use doorcourse_conformance::{Event, Kind};
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, connect};
 use doorcourse_http::{Decoder, Limits as HttpLimits, Part, Role, request};
@@ -166,7 +166,7 @@
 
     fn record(&self, event: Event) {
         if let Some(recorder) = &self.recorder {
-            recorder.write(event);
+            recorder.record(event);
         }
     }
 
--- a/crates/emulators/src/node_list.rs
+++ b/crates/emulators/src/node_list.rs
@@ -1,6 +1,6 @@
 //! The list source: a file of nodes that the gateways read again when it changes, written whole or not at all.
 
-use crate::record::Recorder;
+use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
         self.write()?;
         let listed = &self.nodes[node];
         let ready = listed.listed && !listed.draining;
-        self.recorder.write(Event::Listed { node: listed.name.clone(), ready });
+        self.recorder.record(Event::Listed { node: listed.name.clone(), ready });
         Ok(())
     }
 
--- a/crates/emulators/src/record.rs
+++ b/crates/emulators/src/recorder.rs
@@ -11,29 +11,29 @@
 pub struct Recorder {
     records: Arc<Mutex<Vec<Record>>>,
     clock: Clock,
-    start: f64,
-    quiet: bool,
+    start_ms: f64,
+    disabled: bool,
 }
 
 impl Recorder {
     /// An empty record whose time starts now.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
-        Self { records: Arc::default(), clock, start: clock.now(), quiet: false }
+        Self { records: Arc::default(), clock, start_ms: clock.now(), disabled: false }
     }
 
     /// A record that keeps nothing.
     #[must_use]
-    pub fn none(clock: Clock) -> Self {
-        Self { quiet: true, ..Self::new(clock) }
+    pub fn disabled(clock: Clock) -> Self {
+        Self { disabled: true, ..Self::new(clock) }
     }
 
     /// Writes what happened just now.
-    pub fn write(&self, event: Event) {
-        if self.quiet {
+    pub fn record(&self, event: Event) {
+        if self.disabled {
             return;
         }
-        let t = self.clock.now() - self.start;
+        let t = self.clock.now() - self.start_ms;
         self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(Record { t, event });
     }
 
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::{CATALOGUE, operations};
 use crate::counter::{Counter, CounterFault, Session};
 use crate::node::{Job, Manner, Memory, Node, NodeAction, NodeFault, NodeSpec};
-use crate::record::Recorder;
+use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
 use doorcourse_graphql::{Limits, Prepared, Schema, Shape};
@@ -73,7 +73,7 @@
         let (waker, wake_receiver) = Waker::pair()?;
         let (start_sender, started) = mpsc::channel();
         let spec = spec.clone();
-        let recorder = if spec.discard_records { Recorder::none(clock) } else { recorder };
+        let recorder = if spec.discard_records { Recorder::disabled(clock) } else { recorder };
         let thread =
             std::thread::Builder::new().name("world".into()).spawn(move || {
                 match EventLoop::new(&spec, clock, recorder, receiver, wake_receiver) {
@@ -229,7 +229,7 @@
         let spec = &self.nodes[index].spec;
         let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm);
         let capacity = spec.cores as f64;
-        self.recorder.write(Event::NodeUp { node, cell, cold, share, warm, capacity });
+        self.recorder.record(Event::NodeUp { node, cell, cold, share, warm, capacity });
     }
 
     fn run(&mut self) {
@@ -296,7 +296,7 @@
     fn stop_node(&mut self, index: usize) {
         self.listeners[index] = None;
         let node = self.nodes[index].spec.name.clone();
-        self.recorder.write(Event::NodeDown { node });
+        self.recorder.record(Event::NodeDown { node });
         let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Node { node, .. } if node == index);
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
@@ -319,7 +319,7 @@
         for stream in streams {
             let Ok(socket) = Socket::new(stream) else { continue };
             if let Some(node) = node {
-                self.recorder.write(Event::Connected { node: self.nodes[node].spec.name.clone() });
+                self.recorder.record(Event::Connected { node: self.nodes[node].spec.name.clone() });
             }
             let kind = match node {
                 Some(node) => {
@@ -368,7 +368,7 @@
     fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         for attempt in connection.attempts {
-            self.recorder.write(Event::Closed { attempt });
+            self.recorder.record(Event::Closed { attempt });
         }
     }
 
@@ -434,7 +434,7 @@
         // Who asks for no more than the type's name tries the node on its own behalf.
         let probe = id.is_empty() && query == PROBE_QUERY;
         let work = if probe { 0.0 } else { work };
-        self.recorder.write(if probe {
+        self.recorder.record(if probe {
             Event::Tried { node: name }
         } else {
             Event::Got { id: id.clone(), node: name, attempt, work }
@@ -470,7 +470,7 @@
             let name = self.nodes[node].spec.name.clone();
             match action {
                 NodeAction::Began { job, dropped, after } => {
-                    self.recorder.write(Event::Ran { id: job.id, node: name, dropped });
+                    self.recorder.record(Event::Ran { id: job.id, node: name, dropped });
                     self.timers.schedule(self.clock.now() + after, TimerEvent::Finished(job.attempt));
                 }
                 NodeAction::Full { attempt } => {
@@ -480,7 +480,7 @@
                     }
                 }
                 NodeAction::Fell => {
-                    self.recorder.write(Event::NodeFell { node: name });
+                    self.recorder.record(Event::NodeFell { node: name });
                     self.stop_node(node);
                 }
             }
@@ -525,7 +525,7 @@
     fn reply(&mut self, slot: usize, attempt: u64, status: u16, answer: &str, units: f64) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.attempts.retain(|a| *a != attempt);
-        self.recorder.write(Event::Replied { attempt, status, units });
+        self.recorder.record(Event::Replied { attempt, status, units });
         let mut fields = vec![("content-type", JSON)];
         if !connection.keep_alive {
             fields.push(("connection", "close"));
@@ -568,7 +568,7 @@
             match decode(&input[consumed..]) {
                 Ok(Some((words, used))) => {
                     consumed += used;
-                    self.recorder.write(Event::CounterCall);
+                    self.recorder.record(Event::CounterCall);
                     encode(pending_replies, &self.counter.command(now, session, &words));
                 }
                 Ok(None) => break,
