--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -56,10 +56,10 @@
                 cores: *cores,
                 queue: *queue,
                 cold_share: 1.0,
-                warm: 1.0,
+                warm_up_ms: 1.0,
                 fall_multiple: 100.0,
-                fall_time: 1000.0,
-                memory: 4000.0,
+                fall_window_ms: 1000.0,
+                key_retention_ms: 4000.0,
             };
             let (nodes, listen, speed) = (vec![node], Some(*listen), *speed);
             let spec = EmulatorServerSpec {
--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -147,10 +147,10 @@
         cores: 512,
         queue: 100_000,
         cold_share: 1.0,
-        warm: 1.0,
+        warm_up_ms: 1.0,
         fall_multiple: 1e9,
-        fall_time: 1000.0,
-        memory: 1000.0,
+        fall_window_ms: 1000.0,
+        key_retention_ms: 1000.0,
     };
     let (nodes, listen, password) = ((0..NODES).map(node).collect(), None, None);
     let world = EmulatorServerSpec {
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -92,10 +92,10 @@
             cores: 2,
             queue: 40,
             cold_share: COLD_SHARE,
-            warm: spec.warm,
+            warm_up_ms: spec.warm,
             fall_multiple: FALL_MULTIPLE,
-            fall_time: FALL_TIME,
-            memory: 4000.0,
+            fall_window_ms: FALL_TIME,
+            key_retention_ms: 4000.0,
         };
         let nodes: Vec<NodeSpec> = (0..spec.nodes).map(node).collect();
         let world = EmulatorServerSpec {
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -118,7 +118,7 @@
                     Some(NodeWhat::Slow(times)) => NodeFault::Slow(*times),
                     Some(NodeWhat::Reset(share)) => NodeFault::Reset(*share),
                     Some(NodeWhat::Malformed(share)) => NodeFault::Malformed(*share),
-                    Some(NodeWhat::Claim(times)) => NodeFault::Claim(*times),
+                    Some(NodeWhat::Claim(times)) => NodeFault::MisreportCost(*times),
                     Some(NodeWhat::Oversize(bytes)) => NodeFault::Oversize(*bytes as usize),
                     None => anyhow::bail!("a node fault without a fault"),
                 };
--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -18,13 +18,13 @@
     /// The share of its capacity that a cold one starts with.
     pub cold_share: f64,
     /// It is warm after this, in ms.
-    pub warm: f64,
+    pub warm_up_ms: f64,
     /// Sent more than this multiple of its present capacity over `fall_time`, a cold one falls over.
     pub fall_multiple: f64,
     /// In ms.
-    pub fall_time: f64,
+    pub fall_window_ms: f64,
     /// For how long a key is remembered in the cell, in ms.
-    pub memory: f64,
+    pub key_retention_ms: f64,
 }
 
 /// What a node may be made to do.
@@ -48,7 +48,7 @@
     /// This share of its answers is no JSON.
     Malformed(f64),
     /// Its claim of the cost is this many times what it returned.
-    Claim(f64),
+    MisreportCost(f64),
     /// Texts in its answers are this many bytes longer.
     Oversize(usize),
 }
@@ -68,9 +68,9 @@
 
 /// What happens to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ReplyOutcome {
     /// It is written whole.
-    Whole,
+    Complete,
     /// It breaks off.
     Reset,
     /// It is no JSON.
@@ -78,17 +78,17 @@
 }
 
 /// Keys seen in each cell, and until when they are remembered.
-pub type Memory = HashMap<(u64, String), f64>;
+pub type IdempotencyKeys = HashMap<(u64, String), f64>;
 
 /// What the host carries out.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
     /// Work began; whether its effect was dropped as a repeat; tell `finished` after so many ms.
-    Began { job: Job, dropped: bool, after: f64 },
+    Started { job: Job, dropped: bool, duration_ms: f64 },
     /// It was turned away unseen.
-    Full { attempt: u64 },
+    Rejected { attempt: u64 },
     /// Too much was sent to it while cold: it is down from now on.
-    Fell,
+    Crashed,
 }
 
 /// The state of a node.
@@ -99,128 +99,135 @@
     started: f64,
     cold: bool,
     running: usize,
-    waiting: VecDeque<Job>,
+    queue: VecDeque<Job>,
     stalled: bool,
     refusing: bool,
-    slow: f64,
-    reset: f64,
-    malformed: f64,
-    pub claim: f64,
-    pub oversize: usize,
-    got: VecDeque<(f64, f64)>,
+    slowdown: f64,
+    reset_share: f64,
+    malformed_share: f64,
+    pub cost_factor: f64,
+    pub extra_text_bytes: usize,
+    recent_work: VecDeque<(f64, f64)>,
 }
 
 impl Node {
     pub fn new(spec: NodeSpec) -> Self {
-        let (waiting, got) = Default::default();
+        let (queue, recent_work) = Default::default();
         let (up, cold, running, stalled, refusing) = (true, false, 0, false, false);
-        let (slow, reset, malformed, claim, oversize) = (1.0, 0.0, 0.0, 1.0, 0);
+        let (slowdown, reset_share, malformed_share, cost_factor, extra_text_bytes) = (1.0, 0.0, 0.0, 1.0, 0);
         Self {
             spec,
             up,
             started: 0.0,
             cold,
             running,
-            waiting,
+            queue,
             stalled,
             refusing,
-            slow,
-            reset,
-            malformed,
-            claim,
-            oversize,
-            got,
+            slowdown,
+            reset_share,
+            malformed_share,
+            cost_factor,
+            extra_text_bytes,
+            recent_work,
         }
     }
 
     /// The share of its capacity that it has.
-    fn warmth(&self, now: f64) -> f64 {
+    fn capacity_share(&self, now: f64) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let age = ((now - self.started) / self.spec.warm).clamp(0.0, 1.0);
+        let age = ((now - self.started) / self.spec.warm_up_ms).clamp(0.0, 1.0);
         self.spec.cold_share + (1.0 - self.spec.cold_share) * age
     }
 
     /// Orders a fault. Killing and starting empty the node; the host sees to its connections.
-    pub fn fault(&mut self, now: f64, fault: NodeFault, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    pub fn apply_fault(
+        &mut self, now: f64, fault: NodeFault, idempotency_keys: &mut IdempotencyKeys,
+        out: &mut Vec<NodeAction>,
+    ) {
         match fault {
-            NodeFault::Kill => self.clear(false),
+            NodeFault::Kill => self.clear_work(false),
             NodeFault::Start { cold } => {
-                self.clear(true);
+                self.clear_work(true);
                 (self.started, self.cold) = (now, cold);
-                (self.stalled, self.refusing, self.slow) = (false, false, 1.0);
+                (self.stalled, self.refusing, self.slowdown) = (false, false, 1.0);
             }
             NodeFault::Stall(on) => self.stalled = on,
             NodeFault::Refuse(on) => self.refusing = on,
-            NodeFault::Slow(times) => self.slow = times,
-            NodeFault::Reset(share) => self.reset = share,
-            NodeFault::Malformed(share) => self.malformed = share,
-            NodeFault::Claim(times) => self.claim = times,
-            NodeFault::Oversize(bytes) => self.oversize = bytes,
+            NodeFault::Slow(times) => self.slowdown = times,
+            NodeFault::Reset(share) => self.reset_share = share,
+            NodeFault::Malformed(share) => self.malformed_share = share,
+            NodeFault::MisreportCost(times) => self.cost_factor = times,
+            NodeFault::Oversize(bytes) => self.extra_text_bytes = bytes,
         }
-        self.begin(now, memory, out);
+        self.start_waiting(now, idempotency_keys, out);
     }
 
-    fn clear(&mut self, up: bool) {
+    fn clear_work(&mut self, up: bool) {
         self.up = up;
         self.running = 0;
-        self.waiting.clear();
-        self.got.clear();
+        self.queue.clear();
+        self.recent_work.clear();
     }
 
     /// A request came in whole.
-    pub fn got(&mut self, now: f64, job: Job, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    pub fn request_received(
+        &mut self, now: f64, job: Job, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>,
+    ) {
         if self.cold {
-            self.got.push_back((now, job.work));
-            while self.got.front().is_some_and(|(at, _)| *at <= now - self.spec.fall_time) {
-                self.got.pop_front();
+            self.recent_work.push_back((now, job.work));
+            while self.recent_work.front().is_some_and(|(at, _)| *at <= now - self.spec.fall_window_ms) {
+                self.recent_work.pop_front();
             }
-            let sent: f64 = self.got.iter().map(|(_, work)| work).sum();
-            let present = self.warmth(now) * self.spec.cores as f64;
-            let warm = now >= self.started + self.spec.warm;
-            if !warm && sent > self.spec.fall_multiple * present * self.spec.fall_time {
-                self.clear(false);
-                return out.push(NodeAction::Fell);
+            let sent: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+            let present = self.capacity_share(now) * self.spec.cores as f64;
+            let warm = now >= self.started + self.spec.warm_up_ms;
+            if !warm && sent > self.spec.fall_multiple * present * self.spec.fall_window_ms {
+                self.clear_work(false);
+                return out.push(NodeAction::Crashed);
             }
         }
-        if self.refusing || self.waiting.len() >= self.spec.queue {
-            return out.push(NodeAction::Full { attempt: job.attempt });
+        if self.refusing || self.queue.len() >= self.spec.queue {
+            return out.push(NodeAction::Rejected { attempt: job.attempt });
         }
-        self.waiting.push_back(job);
-        self.begin(now, memory, out);
+        self.queue.push_back(job);
+        self.start_waiting(now, idempotency_keys, out);
     }
 
-    fn begin(&mut self, now: f64, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    fn start_waiting(&mut self, now: f64, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>) {
         while self.up && !self.stalled && self.running < self.spec.cores {
-            let Some(job) = self.waiting.pop_front() else { return };
+            let Some(job) = self.queue.pop_front() else { return };
             self.running += 1;
-            let after = job.work * self.slow / self.warmth(now);
+            let duration_ms = job.work * self.slowdown / self.capacity_share(now);
             let dropped = job.key.as_ref().is_some_and(|key| {
-                let until = memory.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
-                let known = *until > now;
-                if !known {
-                    *until = now + self.spec.memory;
+                let until =
+                    idempotency_keys.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
+                let duplicate = *until > now;
+                if !duplicate {
+                    *until = now + self.spec.key_retention_ms;
                 }
-                known
+                duplicate
             });
-            out.push(NodeAction::Began { job, dropped, after });
+            out.push(NodeAction::Started { job, dropped, duration_ms });
         }
     }
 
     /// Work is done: how its answer goes out.
-    pub fn finished(
-        &mut self, now: f64, random: &mut ChaCha8Rng, memory: &mut Memory, out: &mut Vec<NodeAction>,
-    ) -> Manner {
+    pub fn request_finished(
+        &mut self, now: f64, rng: &mut ChaCha8Rng, idempotency_keys: &mut IdempotencyKeys,
+        out: &mut Vec<NodeAction>,
+    ) -> ReplyOutcome {
         self.running = self.running.saturating_sub(1);
-        self.begin(now, memory, out);
-        let chance: f64 = random.random();
-        if chance < self.reset {
-            Manner::Reset
-        } else if chance < self.reset + self.malformed {
-            Manner::Malformed
+        self.start_waiting(now, idempotency_keys, out);
+        let draw: f64 = rng.random();
+        if draw < self.reset_share {
+            ReplyOutcome::Reset
+        } else if draw < self.reset_share + self.malformed_share {
+            ReplyOutcome::Malformed
         } else {
-            Manner::Whole
+            ReplyOutcome::Complete
         }
     }
 }
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::catalogue::{CATALOGUE, operations};
 use crate::counter::{Counter, CounterFault, Session};
-use crate::node::{Job, Manner, Memory, Node, NodeAction, NodeFault, NodeSpec};
+use crate::node::{IdempotencyKeys, Job, Node, NodeAction, NodeFault, NodeSpec, ReplyOutcome};
 use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
@@ -149,7 +149,7 @@
     wake_receiver: UnixStream,
     nodes: Vec<Node>,
     /// What the cells remember of keys.
-    idempotency_keys: Memory,
+    idempotency_keys: IdempotencyKeys,
     /// How often each node was started: work of an earlier life is void.
     incarnations: Vec<u32>,
     listeners: Vec<Option<TcpListener>>,
@@ -206,7 +206,7 @@
             wake_receiver,
             incarnations: vec![0; nodes.len()],
             nodes,
-            idempotency_keys: Memory::new(),
+            idempotency_keys: IdempotencyKeys::new(),
             listeners,
             addresses,
             counter: Counter::new(spec.password.clone()),
@@ -227,7 +227,7 @@
 
     fn record_node_up(&self, index: usize, cold: bool) {
         let spec = &self.nodes[index].spec;
-        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm);
+        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
         let capacity = spec.cores as f64;
         self.recorder.record(Event::NodeUp { node, cell, cold, share, warm, capacity });
     }
@@ -288,7 +288,7 @@
             }
             _ => {}
         }
-        self.nodes[index].fault(now, fault, &mut self.idempotency_keys, &mut out);
+        self.nodes[index].apply_fault(now, fault, &mut self.idempotency_keys, &mut out);
         self.apply_actions(index, out);
     }
 
@@ -456,7 +456,7 @@
         self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
         let key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
-        self.nodes[node].got(
+        self.nodes[node].request_received(
             self.clock.now(),
             Job { attempt, id, key, work },
             &mut self.idempotency_keys,
@@ -469,17 +469,17 @@
         for action in out {
             let name = self.nodes[node].spec.name.clone();
             match action {
-                NodeAction::Began { job, dropped, after } => {
+                NodeAction::Started { job, dropped, duration_ms } => {
                     self.recorder.record(Event::Ran { id: job.id, node: name, dropped });
-                    self.timers.schedule(self.clock.now() + after, TimerEvent::Finished(job.attempt));
+                    self.timers.schedule(self.clock.now() + duration_ms, TimerEvent::Finished(job.attempt));
                 }
-                NodeAction::Full { attempt } => {
+                NodeAction::Rejected { attempt } => {
                     if let Some(pending) = self.pending.remove(&attempt) {
                         let answer = r#"{"errors":[{"message":"full"}]}"#;
                         self.reply(pending.connection, attempt, 429, answer, 0.0);
                     }
                 }
-                NodeAction::Fell => {
+                NodeAction::Crashed => {
                     self.recorder.record(Event::NodeFell { node: name });
                     self.stop_node(node);
                 }
@@ -493,23 +493,26 @@
             return;
         }
         let (mut out, node) = (Vec::new(), &mut self.nodes[pending.node]);
-        let outcome = node.finished(self.clock.now(), &mut self.rng, &mut self.idempotency_keys, &mut out);
+        let outcome =
+            node.request_finished(self.clock.now(), &mut self.rng, &mut self.idempotency_keys, &mut out);
         let mut answer = String::from("{\"data\":");
-        pending.prepared.write_data(&mut ResponseShape { oversize: node.oversize }, &mut answer);
+        pending
+            .prepared
+            .write_data(&mut ResponseShape { extra_text_bytes: node.extra_text_bytes }, &mut answer);
         let mut scan = pending.prepared.scan(100);
         scan.feed(answer.as_bytes());
         scan.feed(b"}");
         let units = scan.counted().units;
-        let reported_cost = units * node.claim;
+        let reported_cost = units * node.cost_factor;
         answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{reported_cost}}}}}}}");
         let index = pending.node;
         match outcome {
-            Manner::Whole => self.reply(pending.connection, attempt, 200, &answer, units),
-            Manner::Malformed => {
+            ReplyOutcome::Complete => self.reply(pending.connection, attempt, 200, &answer, units),
+            ReplyOutcome::Malformed => {
                 let half = answer.len() / 2;
                 self.reply(pending.connection, attempt, 200, &answer[..half], 0.0);
             }
-            Manner::Reset => {
+            ReplyOutcome::Reset => {
                 if let Some(connection) = self.connections.get_mut(pending.connection) {
                     let out = connection.socket.output();
                     response_head(out, 200, &[("content-type", JSON)], Framing::Length(answer.len() as u64));
@@ -591,7 +594,7 @@
 
 /// The archive's data: `similar` finds five times what it is priced as, a `shelf` a fifth.
 struct ResponseShape {
-    oversize: usize,
+    extra_text_bytes: usize,
 }
 
 impl Shape for ResponseShape {
@@ -605,8 +608,8 @@
 
     fn text(&mut self, field: &str, out: &mut String) {
         out.push_str(field);
-        if field == "waveform" || self.oversize > 0 {
-            out.extend(std::iter::repeat_n('~', self.oversize.max(64)));
+        if field == "waveform" || self.extra_text_bytes > 0 {
+            out.extend(std::iter::repeat_n('~', self.extra_text_bytes.max(64)));
         }
     }
 }
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -19,10 +19,10 @@
         cores: 2,
         queue: 50,
         cold_share: 1.0,
-        warm: 1.0,
+        warm_up_ms: 1.0,
         fall_multiple: 100.0,
-        fall_time: 1000.0,
-        memory: 4000.0,
+        fall_window_ms: 1000.0,
+        key_retention_ms: 4000.0,
     };
     let nodes = (0..nodes).map(node).collect();
     let password = None;
