--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -127,7 +127,7 @@
             What::StateOf(state) => fleet.state_of(state.gateway as usize, state.what.as_ref())?,
             What::CounterSilent(on) => fleet.world.send(counter(CounterFault::Silent(*on))),
             What::CounterSlowMs(ms) => fleet.world.send(counter(CounterFault::Slow(*ms))),
-            What::CounterRestart(_) => fleet.world.send(counter(CounterFault::Empty)),
+            What::CounterRestart(_) => fleet.world.send(counter(CounterFault::Restart)),
             What::KillGateway(g) => fleet.kill_gateway(*g as usize)?,
             What::StartGateway(g) => fleet.start_gateways(&[*g as usize])?,
             What::StartGateways(all) => {
--- a/crates/emulators/src/counter.rs
+++ b/crates/emulators/src/counter.rs
@@ -12,7 +12,7 @@
     /// Its answers take so many ms.
     Slow(f64),
     /// It starts again: its connections break and all counts are gone.
-    Empty,
+    Restart,
 }
 
 /// The counts, with the time at which each ends.
@@ -20,7 +20,7 @@
 pub struct Counter {
     counts: HashMap<String, (f64, Option<f64>)>,
     pub silent: bool,
-    pub slow: f64,
+    pub reply_delay_ms: f64,
     pub password: Option<String>,
 }
 
@@ -28,9 +28,9 @@
 #[derive(Debug, Default)]
 pub struct Session {
     queued: Option<Vec<Vec<String>>>,
-    known: bool,
+    authenticated: bool,
     /// Whether the client asked for RESP3, and the name that it gave itself.
-    three: bool,
+    resp3: bool,
     name: String,
 }
 
@@ -39,11 +39,11 @@
         Self { password, ..Self::default() }
     }
 
-    pub fn fault(&mut self, fault: CounterFault) {
+    pub fn apply_fault(&mut self, fault: CounterFault) {
         match fault {
             CounterFault::Silent(on) => self.silent = on,
-            CounterFault::Slow(ms) => self.slow = ms,
-            CounterFault::Empty => self.counts.clear(),
+            CounterFault::Slow(ms) => self.reply_delay_ms = ms,
+            CounterFault::Restart => self.counts.clear(),
         }
     }
 
@@ -66,7 +66,7 @@
                 _ => error("ERR wrong number of arguments for 'auth' command"),
             };
         }
-        if self.password.is_some() && !session.known {
+        if self.password.is_some() && !session.authenticated {
             return error("NOAUTH Authentication required.");
         }
         match name.as_str() {
@@ -87,14 +87,14 @@
             }
             "EXEC" => match session.queued.take() {
                 None => error("ERR EXEC without MULTI"),
-                Some(queued) => Value::Array(queued.iter().map(|w| self.run(now, w)).collect()),
+                Some(queued) => Value::Array(queued.iter().map(|w| self.execute(now, w)).collect()),
             },
             _ => match &mut session.queued {
                 Some(queued) => {
                     queued.push(words);
                     Value::Simple("QUEUED".into())
                 }
-                None => self.run(now, &words),
+                None => self.execute(now, &words),
             },
         }
     }
@@ -102,8 +102,8 @@
     fn auth(&self, session: &mut Session, user: &str, password: &str) -> Value {
         match &self.password {
             None => error("ERR AUTH <password> called without any password configured for the default user"),
-            Some(wanted) if user == "default" && wanted == password => {
-                session.known = true;
+            Some(expected) if user == "default" && expected == password => {
+                session.authenticated = true;
                 ok()
             }
             Some(_) => error("WRONGPASS invalid username-password pair or user is disabled."),
@@ -112,56 +112,56 @@
 
     /// HELLO [protover [AUTH username password] [SETNAME name]]: the first word of client libraries.
     fn hello(&self, session: &mut Session, words: &[String]) -> Value {
-        let mut three = session.three;
+        let mut resp3 = session.resp3;
         let mut rest = words;
         if let [version, more @ ..] = words {
-            three = match version.as_str() {
+            resp3 = match version.as_str() {
                 "2" => false,
                 "3" => true,
                 _ => return error("NOPROTO unsupported protocol version"),
             };
             rest = more;
         }
-        let mut named = None;
+        let mut new_name = None;
         while let [word, more @ ..] = rest {
             rest = match (word.to_ascii_uppercase().as_str(), more) {
                 ("AUTH", [user, password, more @ ..]) => {
-                    if let refused @ Value::Error(_) = self.auth(session, user, password) {
-                        return refused;
+                    if let rejection @ Value::Error(_) = self.auth(session, user, password) {
+                        return rejection;
                     }
                     more
                 }
                 ("SETNAME", [name, more @ ..]) => {
-                    named = Some(name.clone());
+                    new_name = Some(name.clone());
                     more
                 }
                 _ => return error(&format!("ERR Syntax error in HELLO option '{word}'")),
             };
         }
-        if self.password.is_some() && !session.known {
+        if self.password.is_some() && !session.authenticated {
             return error("NOAUTH HELLO must be called with the client already authenticated");
         }
-        session.three = three;
-        session.name = named.unwrap_or_else(|| std::mem::take(&mut session.name));
+        session.resp3 = resp3;
+        session.name = new_name.unwrap_or_else(|| std::mem::take(&mut session.name));
         let bulk = |text: &str| Value::Bulk(text.into());
-        let facts = vec![
+        let properties = vec![
             (bulk("server"), bulk("redis")),
             (bulk("version"), bulk("7.4.0")),
-            (bulk("proto"), Value::Integer(if three { 3 } else { 2 })),
+            (bulk("proto"), Value::Integer(if resp3 { 3 } else { 2 })),
             (bulk("id"), Value::Integer(1)),
             (bulk("mode"), bulk("standalone")),
             (bulk("role"), bulk("master")),
             (bulk("modules"), Value::Array(Vec::new())),
         ];
-        let facts = facts.into_iter().flat_map(|(k, v)| [k, v]).collect();
-        if three { Value::Map(facts) } else { Value::Array(facts) }
+        let properties = properties.into_iter().flat_map(|(k, v)| [k, v]).collect();
+        if resp3 { Value::Map(properties) } else { Value::Array(properties) }
     }
 
-    fn run(&mut self, now: f64, words: &[String]) -> Value {
+    fn execute(&mut self, now: f64, words: &[String]) -> Value {
         let name = words[0].to_ascii_uppercase();
-        let over =
+        let expired =
             |key: &&String| self.counts.get(*key).is_some_and(|(_, until)| until.is_some_and(|u| u <= now));
-        if let Some(key) = words.get(1).filter(over) {
+        if let Some(key) = words.get(1).filter(expired) {
             self.counts.remove(key);
         }
         match (name.as_str(), &words[1..]) {
@@ -169,19 +169,21 @@
             ("GET", [key]) => {
                 self.counts.get(key).map_or(Value::Null, |(n, _)| Value::Bulk(n.to_string().into()))
             }
-            ("INCRBYFLOAT", [key, amount]) => match amount.parse::<f64>().ok().filter(|a| a.is_finite()) {
-                None => error("ERR value is not a valid float"),
-                Some(amount) => {
-                    let entry = self.counts.entry(key.clone()).or_insert((0.0, None));
-                    entry.0 += amount;
-                    Value::Bulk(entry.0.to_string().into())
+            ("INCRBYFLOAT", [key, increment]) => {
+                match increment.parse::<f64>().ok().filter(|a| a.is_finite()) {
+                    None => error("ERR value is not a valid float"),
+                    Some(increment) => {
+                        let entry = self.counts.entry(key.clone()).or_insert((0.0, None));
+                        entry.0 += increment;
+                        Value::Bulk(entry.0.to_string().into())
+                    }
                 }
-            },
+            }
             ("PEXPIRE", [key, ms, rest @ ..]) => {
                 let Ok(ms) = ms.parse::<f64>() else { return error("ERR value is not an integer") };
-                let only_new = rest.first().is_some_and(|w| w.eq_ignore_ascii_case("NX"));
+                let only_without_expiry = rest.first().is_some_and(|w| w.eq_ignore_ascii_case("NX"));
                 match self.counts.get_mut(key) {
-                    Some(entry) if entry.1.is_none() || !only_new => {
+                    Some(entry) if entry.1.is_none() || !only_without_expiry => {
                         entry.1 = Some(now + ms);
                         Value::Integer(1)
                     }
@@ -263,8 +265,8 @@
         assert!(matches!(say("HELLO 3"), Value::Error(e) if e.starts_with("NOAUTH")));
         assert!(matches!(say("HELLO 3 AUTH default y"), Value::Error(e) if e.starts_with("WRONGPASS")));
         assert!(matches!(say("HELLO 4 AUTH default x"), Value::Error(e) if e.starts_with("NOPROTO")));
-        let Value::Map(facts) = say("HELLO 3 AUTH default x SETNAME me") else { panic!("no map") };
-        let proto = facts.chunks(2).find(|p| p[0] == Value::Bulk("proto".into())).expect("the version");
+        let Value::Map(properties) = say("HELLO 3 AUTH default x SETNAME me") else { panic!("no map") };
+        let proto = properties.chunks(2).find(|p| p[0] == Value::Bulk("proto".into())).expect("the version");
         assert_eq!(proto[1], Value::Integer(3));
         assert_eq!(say("CLIENT SETINFO LIB-NAME some"), Value::Simple("OK".into()));
         assert_eq!(say("CLIENT GETNAME"), Value::Bulk("me".into()));
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -549,12 +549,12 @@
     // ---- The counter ----
 
     fn apply_counter_fault(&mut self, fault: CounterFault) {
-        self.counter.fault(fault);
+        self.counter.apply_fault(fault);
         let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Counter { .. });
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             // What was read in a silence is worked through behind it, late; a restart breaks the connections.
-            if fault == CounterFault::Empty { self.close(slot) } else { self.counter_input(slot) }
+            if fault == CounterFault::Restart { self.close(slot) } else { self.counter_input(slot) }
         }
     }
 
@@ -580,8 +580,10 @@
         }
         connection.socket.input.extend_from_slice(&input[consumed..]);
         let replies = std::mem::take(pending_replies);
-        if self.counter.slow > 0.0 && !replies.is_empty() {
-            return self.timers.schedule(now + self.counter.slow, TimerEvent::Counter(slot, replies));
+        if self.counter.reply_delay_ms > 0.0 && !replies.is_empty() {
+            return self
+                .timers
+                .schedule(now + self.counter.reply_delay_ms, TimerEvent::Counter(slot, replies));
         }
         connection.socket.output().extend_from_slice(&replies);
         self.flush(slot);
