--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -63,7 +63,7 @@
     /// The client's key, where it has one.
     pub key: Option<String>,
     /// In ms of one core.
-    pub work: f64,
+    pub work_ms: f64,
 }
 
 /// What happens to an answer.
@@ -177,7 +177,7 @@
         &mut self, now: f64, job: Job, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>,
     ) {
         if self.cold {
-            self.recent_work.push_back((now, job.work));
+            self.recent_work.push_back((now, job.work_ms));
             while self.recent_work.front().is_some_and(|(at, _)| *at <= now - self.spec.fall_window_ms) {
                 self.recent_work.pop_front();
             }
@@ -200,7 +200,7 @@
         while self.up && !self.stalled && self.running < self.spec.cores {
             let Some(job) = self.queue.pop_front() else { return };
             self.running += 1;
-            let duration_ms = job.work * self.slowdown / self.capacity_share(now);
+            let duration_ms = job.work_ms * self.slowdown / self.capacity_share(now);
             let dropped = job.key.as_ref().is_some_and(|key| {
                 let until =
                     idempotency_keys.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -161,7 +161,7 @@
     pending: HashMap<u64, PendingRequest>,
     attempts: u64,
     schema: Arc<Schema>,
-    service_times: HashMap<String, f64>,
+    work_by_query: HashMap<String, f64>,
     rng: ChaCha8Rng,
     service_time_spread: f64,
     speed: f64,
@@ -196,7 +196,7 @@
         }
         let counter_address = counter_listener.as_ref().map(TcpListener::local_addr).transpose()?;
         let schema = Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("catalogue: {e:?}"))?;
-        let service_times = operations().into_iter().map(|o| (o.query, o.work)).collect();
+        let work_by_query = operations().into_iter().map(|o| (o.query, o.work_ms)).collect();
         let event_loop = Self {
             clock,
             recorder,
@@ -216,7 +216,7 @@
             pending: HashMap::new(),
             attempts: 0,
             schema: schema.into(),
-            service_times,
+            work_by_query,
             rng: ChaCha8Rng::seed_from_u64(spec.seed),
             service_time_spread: spec.service_time_spread,
             speed: spec.speed.max(1e-6),
@@ -424,7 +424,7 @@
         let id = head.field("x-request-id").unwrap_or("").to_owned();
         let request: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let query = request["query"].as_str().unwrap_or("");
-        let work = self.service_times.get(query).copied().unwrap_or(10.0);
+        let work = self.work_by_query.get(query).copied().unwrap_or(10.0);
         // A log-normal spread with a mean near 1: a few are costly.
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         let work = work / self.speed
@@ -458,7 +458,7 @@
         let mut out = Vec::new();
         self.nodes[node].request_received(
             self.clock.now(),
-            Job { attempt, id, key, work },
+            Job { attempt, id, key, work_ms: work },
             &mut self.idempotency_keys,
             &mut out,
         );
