--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what surrounds a gateway: nodes that serve a music catalogue, the shared counter, the list of
-//! nodes, and clients. All on loopback, each with faults to order, each writing a traffic record.
+//! Emulators of a gateway's environment, with fault injection: nodes that serve a music catalogue, the shared counter,
+//! the node list, clients, the network between gateways and the endpoint that tasks call. They listen on loopback
+//! unless an address is set. Nodes, counter, node list and clients write a common traffic record.
 
 mod catalogue;
 mod client;
