--- a/crates/emulators/src/catalogue.rs
+++ b/crates/emulators/src/catalogue.rs
@@ -1,22 +1,22 @@
-//! What the stand-in clients ask for.
+//! The GraphQL catalogue and the operations that emulated clients send.
 
-/// The catalogue's schema.
+/// The schema of the catalogue.
 pub const CATALOGUE: &str = include_str!("../../../examples/tour/catalogue.graphql");
 
-/// One kind of operation.
+/// A GraphQL operation with its class and cost.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Its name in drills.
+    /// Name of the operation in drills.
     pub name: &'static str,
-    /// The class it belongs to in the drills' settings.
+    /// Class of the operation in the drills' settings.
     pub class: &'static str,
-    /// The document.
+    /// The GraphQL document.
     pub query: String,
-    /// What a node's core does for it, in ms at full speed.
+    /// Time that one core of a warm node takes at normal speed, in ms.
     pub work_ms: f64,
 }
 
-/// The operations of the catalogue's clients.
+/// Returns the operations that clients of the catalogue send.
 #[must_use]
 pub fn operations() -> Vec<Operation> {
     let operation =
@@ -25,9 +25,9 @@
         operation("preview", "preview", "{ preview(id: \"7\") { id title url } }", 12.0),
         operation("previews", "preview", "{ previews(first: 4) { id title url } }", 20.0),
         operation("search", "search", "{ search(text: \"kolo\") { hits { id title } total } }", 10.0),
-        // Returns ten where it is priced as two: its true cost is five times the declared one.
+        // Returns ten items but is priced as two: the actual cost is five times the declared one.
         operation("similar", "search", "{ similar(id: \"7\") { id title url } }", 16.0),
-        // Returns two where it is priced as ten.
+        // Returns two items but is priced as ten.
         operation("shelf", "search", "{ shelf(id: \"7\") { id title } }", 10.0),
         operation(
             "playlist",
@@ -40,7 +40,7 @@
     ]
 }
 
-/// Forty previews and a save's worth of fields in one query.
+/// Builds one query with forty aliased previews.
 fn forty_previews() -> String {
     let fields: String = (0..40).map(|n| format!("p{n}: preview(id: \"{n}\") {{ id title url }} ")).collect();
     format!("{{ {fields}}}")
