--- a/crates/emulators/src/recorder.rs
+++ b/crates/emulators/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The traffic record: what each stand-in saw, on one clock.
+//! The traffic record: events seen by all emulators, timestamped by one clock.
 
 use doorcourse_conformance::{Event, Record};
 use doorcourse_event_loop::Clock;
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// Where stand-ins write; clones write to the same record.
+/// Collects the events of the emulators. Clones share one record.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     records: Arc<Mutex<Vec<Record>>>,
@@ -16,19 +16,19 @@
 }
 
 impl Recorder {
-    /// An empty record whose time starts now.
+    /// Creates an empty record; timestamps count from now.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self { records: Arc::default(), clock, start_ms: clock.now(), disabled: false }
     }
 
-    /// A record that keeps nothing.
+    /// Creates a recorder that discards all events.
     #[must_use]
     pub fn disabled(clock: Clock) -> Self {
         Self { disabled: true, ..Self::new(clock) }
     }
 
-    /// Writes what happened just now.
+    /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         if self.disabled {
             return;
@@ -37,16 +37,16 @@
         self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(Record { t, event });
     }
 
-    /// All that was written so far.
+    /// Returns a copy of all events recorded so far.
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
-    /// Writes the record to a file, one JSON object a line.
+    /// Writes the record to a file as JSON Lines.
     ///
     /// # Errors
-    /// When the file cannot be written.
+    /// Fails when the file cannot be written.
     pub fn save(&self, path: &Path) -> anyhow::Result<()> {
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         for record in self.records() {
