--- a/crates/emulators/src/node_list.rs
+++ b/crates/emulators/src/node_list.rs
@@ -1,4 +1,4 @@
-//! The list source: a file of nodes that the gateways read again when it changes, written whole or not at all.
+//! The node list: a file that gateways poll for changes. Each write replaces it atomically.
 
 use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
@@ -6,43 +6,43 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// One node of the list.
+/// An entry of the node list.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where it is.
+    /// Address on which the node accepts connections.
     pub address: SocketAddr,
-    /// Its cell.
+    /// Cell of the node.
     pub cell: u64,
-    /// Whether it is listed at all.
+    /// Whether the node appears in the file.
     pub listed: bool,
-    /// Whether it drains.
+    /// Whether the node is listed as draining.
     pub draining: bool,
-    /// When it last started, in ms since the Unix epoch.
+    /// Time of the last start, in ms since the Unix epoch.
     pub started_ms: Option<f64>,
 }
 
-/// The list and its file.
+/// The node list and the file that holds it.
 #[derive(Debug)]
 pub struct NodeListFile {
-    /// The nodes.
+    /// All nodes, listed or not.
     pub nodes: Vec<ListedNode>,
     path: PathBuf,
     recorder: Recorder,
 }
 
 impl NodeListFile {
-    /// A list that will be written to a file.
+    /// Creates a list for a file, without writing it yet.
     #[must_use]
     pub fn new(path: PathBuf, nodes: Vec<ListedNode>, recorder: Recorder) -> Self {
         Self { nodes, path, recorder }
     }
 
-    /// Changes one node, and writes the list.
+    /// Changes one node, writes the list and records whether the node is ready.
     ///
     /// # Errors
-    /// When the file cannot be written.
+    /// Fails when the file cannot be written.
     pub fn update_node(&mut self, node: usize, change: impl FnOnce(&mut ListedNode)) -> anyhow::Result<()> {
         change(&mut self.nodes[node]);
         self.write()?;
@@ -52,10 +52,10 @@
         Ok(())
     }
 
-    /// Writes the list beside its place and moves it there.
+    /// Writes the list to a temporary file and renames it into place, so that a reader never sees a partial list.
     ///
     /// # Errors
-    /// When the file cannot be written.
+    /// Fails when the file cannot be written.
     pub fn write(&self) -> anyhow::Result<()> {
         let mut text = String::new();
         for node in self.nodes.iter().filter(|n| n.listed) {
