--- a/crates/emulators/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -1,16 +1,16 @@
-//! An open loop of a fixed rate: each request is due at its own time, and its latency counts from then, so a
-//! gateway that stalls is charged for all that should have been sent meanwhile (no coordinated omission).
+//! An open-loop load of a fixed rate. Latency is measured from the time at which a request was due, so a stalled
+//! gateway is charged for every request that was due meanwhile (no coordinated omission).
 
 use crate::client::{RequestOutcome, RequestSource, ScheduledRequest};
 use doorcourse_conformance::Kind;
 use hdrhistogram::Histogram;
 
-/// What to send.
+/// Sends one request body at a fixed rate.
 #[derive(Debug)]
 pub struct FixedRateLoad {
     body: String,
     key: String,
-    /// Between two requests, in ms.
+    /// Time between two requests.
     interval_ms: f64,
     timeout_ms: f64,
     next_due_ms: f64,
@@ -20,28 +20,34 @@
     report: LoadReport,
 }
 
-/// What came back.
+/// Outcomes of a load.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// Latencies of served requests, in microseconds.
+    /// Latencies of served requests.
     pub served_latency_us: Histogram<u64>,
-    /// Refused, failed, cut or lost, given up.
+    /// Number of requests that were refused, failed, truncated or lost, and abandoned by the client, in this order.
     pub unserved: [u64; 4],
-    /// When the last one ended, in ms.
+    /// When the last request ended, on the clock of the client emulator.
     pub last_ended_ms: f64,
 }
 
 impl FixedRateLoad {
-    /// A load that begins at a time: so many requests a second for so long.
+    /// Creates a load of `rate` requests per second that begins at `start_ms` and lasts `seconds`.
     ///
     /// # Errors
-    /// When a figure is out of its range.
+    /// Fails when `rate` or `seconds` is out of range.
     pub fn new(
         body: String, key: String, rate: f64, seconds: f64, timeout_ms: f64, start_ms: f64,
     ) -> anyhow::Result<Self> {
-        anyhow::ensure!(rate > 0.0 && rate <= 1e6, "a rate above 0 and up to 1000000 a second is wanted");
-        anyhow::ensure!(seconds > 0.0 && seconds <= 86_400.0, "a length above 0 and up to 86400 s is wanted");
-        // A minute with three digits: what lies above is counted as a minute.
+        anyhow::ensure!(
+            rate > 0.0 && rate <= 1e6,
+            "the rate must be above 0 and at most 1000000 requests per second"
+        );
+        anyhow::ensure!(
+            seconds > 0.0 && seconds <= 86_400.0,
+            "the duration must be above 0 and at most 86400 seconds"
+        );
+        // Up to a minute with three significant digits; longer latencies count as a minute.
         let served_latency_us = Histogram::new_with_bounds(1, 60_000_000, 3)?;
         let report = LoadReport { served_latency_us, unserved: [0; 4], last_ended_ms: start_ms };
         let remaining = (rate * seconds).ceil() as u64;
@@ -58,7 +64,7 @@
         })
     }
 
-    /// What came back so far.
+    /// Returns the outcomes so far.
     #[must_use]
     pub fn report(&self) -> &LoadReport {
         &self.report
