--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay for datagrams between gateways: each ordered pair has a socket of its own, so that one way can be cut, lossy,
-//! slow or doubled without the other. It looks into none of them.
+//! A relay for datagrams between gateways. Each ordered pair of gateways has its own socket, so that faults can be
+//! injected in one direction only. The relay does not inspect the datagrams.
 
 use doorcourse_event_loop::{Clock, Interest, Poller, Timers};
 use rand::{RngExt, SeedableRng};
@@ -10,21 +10,21 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How a way behaves.
+/// Faults injected into a link, which is one direction between two gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFaults {
-    /// Nothing passes.
+    /// Drop every datagram.
     pub cut: bool,
-    /// The share that is lost, and that comes twice.
+    /// Probability that a datagram is lost, 0 to 1.
     pub loss: f64,
-    /// See `loss`.
+    /// Probability that a datagram is delivered twice, 0 to 1.
     pub duplication: f64,
-    /// Each is held for up to this many ms by chance: what was sent later may come first.
+    /// Upper bound of the random delay of each datagram, which may reorder datagrams.
     pub max_delay_ms: f64,
 }
 
 impl LinkFaults {
-    /// A way that passes all at once.
+    /// A link without faults.
     pub const NONE: Self = Self { cut: false, loss: 0.0, duplication: 0.0, max_delay_ms: 0.0 };
 }
 
@@ -34,12 +34,12 @@
     links: Vec<LinkFaults>,
 }
 
-/// A running relay; it ends when it is dropped.
+/// A running relay; it stops when dropped.
 pub struct Relay {
     links: Arc<Mutex<Links>>,
     addresses: Vec<SocketAddr>,
     stopped: Arc<AtomicBool>,
-    /// Datagrams and bytes that came to be passed on.
+    /// Datagrams and bytes received, including those that were dropped.
     datagrams: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
@@ -50,10 +50,11 @@
 }
 
 impl Relay {
-    /// Begins to relay between so many gateways, all ways plain, to nowhere yet.
+    /// Starts a relay between a number of gateways, without faults. Datagrams to a gateway are dropped until its
+    /// destination is set.
     ///
     /// # Errors
-    /// When the system has no socket or thread left.
+    /// Fails when a socket or the thread cannot be created.
     pub fn start(gateways: usize, seed: u64) -> anyhow::Result<Self> {
         let poller = Poller::new()?;
         let mut sockets = Vec::new();
@@ -78,8 +79,9 @@
             let (mut delayed, mut ready, mut buffer) =
                 (Timers::<(usize, Vec<u8>)>::default(), Vec::new(), vec![0; 65_536]);
             while !thread_stopped.load(Ordering::Relaxed) {
-                let wait =
-                    delayed.next_deadline().map_or(Duration::from_millis(20), |index| clock.until(index));
+                let wait = delayed
+                    .next_deadline()
+                    .map_or(Duration::from_millis(20), |deadline| clock.until(deadline));
                 if poller.wait(Some(wait.min(Duration::from_millis(20))), &mut ready).is_err() {
                     return;
                 }
@@ -113,18 +115,18 @@
         Ok(Self { links, addresses, stopped, datagrams, bytes, thread: Some(thread) })
     }
 
-    /// Where a gateway sends what is for another.
+    /// Returns the address to which gateway `from` sends its datagrams for gateway `to`.
     #[must_use]
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[from * lock(&self.links).gateways + to]
     }
 
-    /// Where a gateway is reached now.
+    /// Sets the address at which a gateway receives datagrams.
     pub fn set_destination(&self, gateway: usize, address: SocketAddr) {
         lock(&self.links).destinations[gateway] = Some(address);
     }
 
-    /// Changes the ways that a test picks by their ends.
+    /// Changes the faults of the links for which `selects(from, to)` holds.
     pub fn update_links(&self, selects: impl Fn(usize, usize) -> bool, change: impl Fn(&mut LinkFaults)) {
         let mut links = lock(&self.links);
         let gateways = links.gateways;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Datagrams and bytes that gateways have sent so far.
+    /// Returns the numbers of datagrams and bytes received from gateways so far.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (self.datagrams.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
@@ -176,7 +178,7 @@
             let (length, _) = endpoints[1].recv_from(&mut bytes).unwrap();
             assert_eq!(&bytes[..length], b"twice");
         }
-        // Two ends may count as three datagrams: one of them was cut.
+        // Three datagrams were sent; the one that was cut counts, the duplicate does not.
         assert_eq!(relay.counts().0, 3);
     }
 }
