--- a/crates/emulators/src/task_endpoint.rs
+++ b/crates/emulators/src/task_endpoint.rs
@@ -1,5 +1,6 @@
-//! A witness: what tasks call, with a record of each act's begin and end. One kind refuses tokens below the highest it has
-//! seen and ends what goes on under a lower one; the other knows no tokens and goes by the deadline sent along: an act that could not be over by then is refused.
+//! The endpoint that tasks call; it records the begin and end of each act. One kind checks fencing tokens: it rejects
+//! tokens below the highest one seen and ends acts that run under a lower one. The other kind ignores tokens and checks
+//! the deadline of the call: it rejects an act that might not be complete by then.
 
 use doorcourse_conformance::Act;
 use doorcourse_http::{Decoder, Limits, Part, Role};
@@ -18,13 +19,13 @@
     acts: Vec<Act>,
     highest_tokens: HashMap<String, u64>,
     rng: ChaCha8Rng,
-    /// The record's times count from here.
+    /// Origin of the times in the acts.
     start_ms: f64,
-    /// Calls that come before the first moment are held up for so many ms.
+    /// Calls that arrive before the first time are delayed by the second value, in ms.
     call_delay: (f64, f64),
 }
 
-/// A running witness; it ends when it is dropped.
+/// A running endpoint; it stops when dropped.
 pub struct TaskEndpoint {
     address: SocketAddr,
     checks_tokens: bool,
@@ -41,10 +42,10 @@
 }
 
 impl TaskEndpoint {
-    /// Begins to take calls, each of which takes up to `work` ms by chance.
+    /// Starts an endpoint whose accepted calls take a random time of up to `max_duration_ms`.
     ///
     /// # Errors
-    /// When the system has no socket or thread left.
+    /// Fails when the socket or the thread cannot be created.
     pub fn start(checks_tokens: bool, max_duration_ms: f64, seed: u64) -> anyhow::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (address, stopped) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
@@ -70,24 +71,24 @@
         Ok(Self { address, checks_tokens, state, stopped })
     }
 
-    /// Where it is called.
+    /// Returns the address of the endpoint.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it knows tokens.
+    /// Returns whether the endpoint checks fencing tokens instead of deadlines.
     #[must_use]
     pub fn checks_tokens(&self) -> bool {
         self.checks_tokens
     }
 
-    /// Calls that come within the next `window` ms are held up on their way for `span` ms.
+    /// Delays each call that arrives within the next `window` ms by `delay` ms before it is checked.
     pub fn delay_calls(&self, window: f64, delay: f64) {
         lock(&self.state).call_delay = (now_ms() + window, delay);
     }
 
-    /// All acts so far.
+    /// Returns all acts recorded so far, accepted or not.
     #[must_use]
     pub fn acts(&self) -> Vec<Act> {
         lock(&self.state).acts.clone()
@@ -97,7 +98,7 @@
 impl Drop for TaskEndpoint {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // Wakes the listener for its end.
+        // Wakes the accept loop so that it sees the flag.
         drop(TcpStream::connect(self.address));
     }
 }
@@ -119,7 +120,7 @@
             act.begin + max_duration_ms <= act.deadline
         };
         if act.accepted && checks_tokens {
-            // A higher token ends what goes on under a lower one.
+            // A higher token ends the acts that still run under a lower one.
             let begin = act.begin;
             let superseded = |a: &&mut Act| a.task == act.task && a.token < act.token && a.end > begin;
             state.acts.iter_mut().filter(superseded).for_each(|a| a.end = begin);
@@ -141,7 +142,7 @@
     let _ = write!(stream, "HTTP/1.1 {status}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
 }
 
-/// Reads a call; nothing if it is none of a task's.
+/// Reads a call; returns `None` when it is incomplete or lacks a field of a task's call.
 fn read_call(stream: &mut TcpStream) -> Option<Act> {
     let (mut decoder, mut input, mut bytes) = (Decoder::new(Role::Requests, LIMITS), Vec::new(), [0; 4096]);
     let mut act = Act {
