--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -61,7 +61,7 @@
     /// The request's name.
     pub id: String,
     /// The client's key, where it has one.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// In ms of one core.
     pub work_ms: f64,
 }
@@ -201,7 +201,7 @@
             let Some(job) = self.queue.pop_front() else { return };
             self.running += 1;
             let duration_ms = job.work_ms * self.slowdown / self.capacity_share(now);
-            let dropped = job.key.as_ref().is_some_and(|key| {
+            let dropped = job.idempotency_key.as_ref().is_some_and(|key| {
                 let until =
                     idempotency_keys.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
                 let duplicate = *until > now;
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -454,11 +454,11 @@
             }
         };
         self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
-        let key = head.field("idempotency-key").map(str::to_owned);
+        let idempotency_key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
         self.nodes[node].request_received(
             self.clock.now(),
-            Job { attempt, id, key, work_ms: work },
+            Job { attempt, id, idempotency_key, work_ms: work },
             &mut self.idempotency_keys,
             &mut out,
         );
