--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -1,93 +1,94 @@
-//! A stand-in node, without I/O: cores, a queue, warming after a start, keyed memory by cell, and faults.
+//! State machine of an emulated node, without I/O: cores, a queue, cold start, idempotency keys per cell, and faults.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{HashMap, VecDeque};
 
-/// What a node is like.
+/// Properties of an emulated node.
 #[derive(Clone, Debug)]
 pub struct NodeSpec {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its cell.
+    /// Cell of the node.
     pub cell: u64,
-    /// How many requests it works on at once.
+    /// Number of requests that are processed concurrently.
     pub cores: usize,
-    /// How many may wait; more are turned away with 429.
+    /// Maximum number of waiting requests; further ones are rejected with status 429.
     pub queue: usize,
-    /// The share of its capacity that a cold one starts with.
+    /// Share of its capacity that a cold node starts with, 0 to 1.
     pub cold_share: f64,
-    /// It is warm after this, in ms.
+    /// Time from a cold start until the node is warm.
     pub warm_up_ms: f64,
-    /// Sent more than this multiple of its present capacity over `fall_time`, a cold one falls over.
+    /// A cold node crashes when it is sent more than this multiple of its current capacity within `fall_window_ms`.
     pub fall_multiple: f64,
-    /// In ms.
+    /// Window over which the work sent to a cold node is summed.
     pub fall_window_ms: f64,
-    /// For how long a key is remembered in the cell, in ms.
+    /// How long the cell remembers an idempotency key.
     pub key_retention_ms: f64,
 }
 
-/// What a node may be made to do.
+/// A fault to inject into a node, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeFault {
-    /// It dies: its connections break and none is taken.
+    /// The node stops: its connections are reset and new ones are refused.
     Kill,
-    /// It starts again, cold or warm.
+    /// The node starts again, without `Stall`, `Refuse` and `Slow`.
     Start {
-        /// Whether it is cold.
+        /// Whether it starts cold.
         cold: bool,
     },
-    /// It accepts and reads and works on nothing, until told otherwise.
+    /// The node accepts and reads requests but processes none, while set.
     Stall(bool),
-    /// It turns everything away with 429.
+    /// The node rejects every request with status 429, while set.
     Refuse(bool),
-    /// Its work takes this many times as long.
+    /// Factor on the service time.
     Slow(f64),
-    /// This share of its answers breaks off in the middle.
+    /// Probability that the connection is closed in the middle of a response, 0 to 1.
     Reset(f64),
-    /// This share of its answers is no JSON.
+    /// Probability that a response is not valid JSON, 0 to 1.
     Malformed(f64),
-    /// Its claim of the cost is this many times what it returned.
+    /// Factor between the cost that a response reports and the actual cost of its data.
     MisreportCost(f64),
-    /// Texts in its answers are this many bytes longer.
+    /// Number of bytes appended to each text of a response, at least 64; 0 appends 64 to waveforms only.
     Oversize(usize),
 }
 
-/// Work that a node has.
+/// A request that waits for a core or is being processed.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The request's name.
+    /// Identifier of the request.
     pub id: String,
-    /// The client's key, where it has one.
+    /// Idempotency key of the request, if it has one.
     pub idempotency_key: Option<String>,
-    /// In ms of one core.
+    /// Time that one core of a warm node takes at normal speed.
     pub work_ms: f64,
 }
 
-/// What happens to an answer.
+/// How a reply is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// It is written whole.
+    /// In full.
     Complete,
-    /// It breaks off.
+    /// In part, then the connection is closed.
     Reset,
-    /// It is no JSON.
+    /// As invalid JSON.
     Malformed,
 }
 
-/// Keys seen in each cell, and until when they are remembered.
+/// Expiry times of idempotency keys, by cell and key.
 pub type IdempotencyKeys = HashMap<(u64, String), f64>;
 
-/// What the host carries out.
+/// An action that the caller carries out for the node.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
-    /// Work began; whether its effect was dropped as a repeat; tell `finished` after so many ms.
+    /// Processing began: call `request_finished` after `duration_ms`. `dropped` tells whether the effect of the request
+    /// was dropped as a duplicate.
     Started { job: Job, dropped: bool, duration_ms: f64 },
-    /// It was turned away unseen.
+    /// The request was rejected without processing.
     Rejected { attempt: u64 },
-    /// Too much was sent to it while cold: it is down from now on.
+    /// The node was overloaded while cold and is down from now on.
     Crashed,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The share of its capacity that it has.
+    /// Returns the share of its capacity that the node has now, 0 to 1.
     fn capacity_share(&self, now: f64) -> f64 {
         if !self.cold {
             return 1.0;
@@ -142,7 +143,7 @@
         self.spec.cold_share + (1.0 - self.spec.cold_share) * age
     }
 
-    /// Orders a fault. Killing and starting empty the node; the host sees to its connections.
+    /// Applies a fault. `Kill` and `Start` discard all requests; the caller closes the connections.
     pub fn apply_fault(
         &mut self, now: f64, fault: NodeFault, idempotency_keys: &mut IdempotencyKeys,
         out: &mut Vec<NodeAction>,
@@ -172,7 +173,7 @@
         self.recent_work.clear();
     }
 
-    /// A request came in whole.
+    /// Handles a request that has been read completely.
     pub fn request_received(
         &mut self, now: f64, job: Job, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>,
     ) {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Work is done: how its answer goes out.
+    /// Frees the core of a finished request and returns how its reply is sent.
     pub fn request_finished(
         &mut self, now: f64, rng: &mut ChaCha8Rng, idempotency_keys: &mut IdempotencyKeys,
         out: &mut Vec<NodeAction>,
