--- a/crates/emulators/src/counter.rs
+++ b/crates/emulators/src/counter.rs
@@ -1,21 +1,21 @@
-//! A stand-in for the shared counter, without I/O: the commands that the link uses, by the public specification
-//! of RESP and of the commands INCRBYFLOAT, PEXPIRE, MULTI, EXEC, DISCARD, AUTH, HELLO, CLIENT, SELECT, PING and GET.
+//! Emulator of the shared counter, without I/O: the commands that a gateway sends, after the public specifications of
+//! RESP and of the commands INCRBYFLOAT, PEXPIRE, MULTI, EXEC, DISCARD, AUTH, HELLO, CLIENT, SELECT, PING and GET.
 
 use doorcourse_resp::Value;
 use std::collections::HashMap;
 
-/// What the counter may be made to do.
+/// A fault to inject into the counter, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterFault {
-    /// It answers nothing; what was sent to it meanwhile takes effect once it is over.
+    /// The counter does not reply, while set; commands sent meanwhile take effect when the fault ends.
     Silent(bool),
-    /// Its answers take so many ms.
+    /// Replies are delayed by this time, in ms.
     Slow(f64),
-    /// It starts again: its connections break and all counts are gone.
+    /// The counter restarts: its connections are closed and all counts are lost.
     Restart,
 }
 
-/// The counts, with the time at which each ends.
+/// The counts, each with its expiry time.
 #[derive(Debug, Default)]
 pub struct Counter {
     counts: HashMap<String, (f64, Option<f64>)>,
@@ -24,13 +24,14 @@
     pub password: Option<String>,
 }
 
-/// One connection's state.
+/// State of one connection.
 #[derive(Debug, Default)]
 pub struct Session {
     queued: Option<Vec<Vec<String>>>,
     authenticated: bool,
-    /// Whether the client asked for RESP3, and the name that it gave itself.
+    /// Whether the client selected RESP3.
     resp3: bool,
+    /// Name that the client set for the connection.
     name: String,
 }
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /// One command of a connection, and its reply.
+    /// Handles one command of a connection and returns the reply.
     pub fn command(&mut self, now: f64, session: &mut Session, words: &Value) -> Value {
         let Value::Array(words) = words else { return error("ERR a command is an array") };
         let text = |v: &Value| if let Value::Bulk(b) = v { String::from_utf8(b.clone()).ok() } else { None };
@@ -59,7 +60,7 @@
             return self.hello(session, &words[1..]);
         }
         if name == "AUTH" {
-            // With one word the user is the default one.
+            // Without a user name, the default user is meant.
             return match &words[1..] {
                 [password] => self.auth(session, "default", password),
                 [user, password] => self.auth(session, user, password),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// HELLO [protover [AUTH username password] [SETNAME name]]: the first word of client libraries.
+    /// Handles `HELLO [protover [AUTH username password] [SETNAME name]]`, with which client libraries begin.
     fn hello(&self, session: &mut Session, words: &[String]) -> Value {
         let mut resp3 = session.resp3;
         let mut rest = words;
@@ -195,7 +196,7 @@
     }
 }
 
-/// What client libraries say of themselves.
+/// Handles `CLIENT`, with which client libraries describe themselves.
 fn client(session: &mut Session, words: &[String]) -> Value {
     let word = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
     match (word.as_str(), &words[words.len().min(1)..]) {
@@ -257,7 +258,7 @@
         assert_eq!(run(&mut counter, &mut session, 0.0, "PING"), Value::Simple("PONG".into()));
     }
 
-    /// What an ordinary client library says before its first command.
+    /// A client library must get through its handshake (HELLO, CLIENT and SELECT) and be refused without the password.
     #[test]
     fn a_client_library_s_first_words() {
         let (mut counter, mut session) = (Counter::new(Some("x".into())), Session::default());
