--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -1,5 +1,5 @@
-//! Scripted clients on sockets: each shot is one request, sent when its time has come whatever became of the
-//! others, and followed to its end.
+//! Emulated clients on sockets. Each request is sent when it is due, whatever the state of the others, and followed
+//! until its outcome is known.
 
 use crate::recorder::Recorder;
 use doorcourse_conformance::{Event, Kind};
@@ -10,60 +10,60 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// One request of a client.
+/// A request that a client is to send.
 #[derive(Clone, Debug)]
 pub struct ScheduledRequest {
-    /// Its name, never used twice.
+    /// Unique identifier of the request.
     pub id: String,
-    /// When it was due, in ms on the crowd's clock.
+    /// When the request is due, in ms on the emulator's clock.
     pub due_at: f64,
-    /// To which gateway.
+    /// Index of the gateway to which it is sent.
     pub gateway: usize,
-    /// The body, JSON.
+    /// JSON body.
     pub body: String,
-    /// The client's key.
+    /// API key of the client.
     pub key: String,
-    /// What a repeat is known by.
+    /// Idempotency key, the same for all repeats of an operation.
     pub idempotency_key: Option<String>,
-    /// How long the client waits, in ms; told to the gateway.
+    /// How long the client waits for a response; sent to the gateway as the deadline.
     pub timeout_ms: f64,
-    /// It leaves after this, in ms, answer or not.
+    /// Time after which the client disconnects without waiting any longer, if shorter than the timeout.
     pub cancel_after_ms: Option<f64>,
-    /// What is written to the record when it goes out.
+    /// Event to record when the request is sent.
     pub sent_event: Option<Event>,
 }
 
-/// How a shot ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// With a final answer.
+    /// The final response was read.
     Response {
-        /// How it read.
+        /// Classification of the response.
         kind: Kind,
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// The error's code, or nothing.
+        /// Code of the first error, or empty.
         code: String,
-        /// The advice, in ms.
+        /// Value of the `retry-after` field, in ms.
         retry_after: Option<f64>,
     },
-    /// The answer broke off.
+    /// The connection ended in the middle of the response.
     Truncated,
-    /// The connection ended before any answer or was never made.
+    /// The connection ended before the response or was never established.
     ConnectionLost,
-    /// The client's time was up.
+    /// The client gave up after its timeout.
     TimedOut,
-    /// The client left.
+    /// The client disconnected early.
     Cancelled,
 }
 
-/// What clients ask for, and when.
+/// Supplies the requests that clients send.
 pub trait RequestSource: Send {
-    /// When the next shots are due; `None` when there will be none unless another one ends.
+    /// Returns when the next request is due; `None` if there is none unless a request in flight ends.
     fn next_due(&mut self) -> Option<f64>;
-    /// The shots that are due now.
+    /// Returns the requests that are due now.
     fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest>;
-    /// A shot ended; it may be followed by others.
+    /// Handles the outcome of a request, which may cause further requests.
     fn request_ended(&mut self, now: f64, scheduled: &ScheduledRequest, outcome: &RequestOutcome);
 }
 
@@ -81,7 +81,7 @@
     decoder: Decoder,
     connecting: bool,
     in_flight: Option<InFlight>,
-    /// The request answered last, for what comes behind its answer.
+    /// The request that ended last on this connection; further input is recorded as extra data of it.
     last_request: Option<String>,
     status: u16,
     retry_after: Option<f64>,
@@ -90,7 +90,7 @@
     writing: bool,
 }
 
-/// The clients' event loop.
+/// Event loop of the emulated clients.
 pub struct ClientEmulator {
     clock: Clock,
     recorder: Option<Recorder>,
@@ -100,18 +100,18 @@
     connections: Slab<Connection>,
     idle: Vec<Vec<usize>>,
     generation: u64,
-    /// How long after its patience a client still reads an answer, to tell a late one from none; in ms.
+    /// How long after its timeout a client still reads a response, to tell a late response from a missing one.
     late_window_ms: f64,
 }
 
-/// How much of an answer is kept to tell its kind.
+/// Number of bytes of a response body that are kept to classify it.
 const MAX_KEPT_BODY: usize = 2048;
 
 impl ClientEmulator {
-    /// A crowd of clients for gateways, whose addresses may change while it runs.
+    /// Creates clients of the gateways at `addresses`, which may change while the clients run.
     ///
     /// # Errors
-    /// When the system has no descriptor left.
+    /// Fails when the poller cannot be created.
     pub fn new(
         clock: Clock, addresses: Arc<Mutex<Vec<SocketAddr>>>, recorder: Option<Recorder>, late_window_ms: f64,
     ) -> std::io::Result<Self> {
@@ -130,10 +130,10 @@
         })
     }
 
-    /// Plays a source to its end, until every shot has one.
+    /// Sends all requests of a source and returns when every one has ended.
     ///
     /// # Errors
-    /// When waiting for readiness fails.
+    /// Fails when waiting for readiness fails.
     pub fn run(&mut self, source: &mut dyn RequestSource) -> std::io::Result<()> {
         let mut ready = Vec::new();
         loop {
@@ -292,7 +292,7 @@
         }
     }
 
-    /// The connection is over: what was open on it got nothing, or a part.
+    /// Removes a connection that ended; a request in flight on it is lost or truncated.
     fn connection_broken(&mut self, slot: usize, source: &mut dyn RequestSource) {
         let Some(connection) = self.connections.get(slot) else { return };
         let outcome =
@@ -382,7 +382,7 @@
     }
 }
 
-/// How an answer reads to a client: by its status, its data and its error's code.
+/// Classifies a response by its status, its data and the code of its first error.
 fn classify(status: u16, body: &[u8]) -> (Kind, String) {
     if status == 200 && body.starts_with(b"{\"data\":{") {
         return (Kind::Served, String::new());
