--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -1,4 +1,5 @@
-//! The nodes and the counter on sockets: one thread, one event loop, faults by command.
+//! Serves the emulated nodes and the emulated counter on sockets, with one thread and one event loop. Faults are
+//! injected by commands.
 
 use crate::catalogue::{CATALOGUE, operations};
 use crate::counter::{Counter, CounterFault, Session};
@@ -19,44 +20,44 @@
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, mpsc};
 
-/// What a world is made of.
+/// Configuration of an emulator server.
 #[derive(Clone, Debug)]
 pub struct EmulatorServerSpec {
-    /// Its nodes.
+    /// The emulated nodes.
     pub nodes: Vec<NodeSpec>,
-    /// Where the nodes listen; port 0 by default.
+    /// Address on which each node listens; a free port on loopback by default.
     pub listen: Option<SocketAddr>,
-    /// Whether there is a counter.
+    /// Whether a counter is emulated.
     pub counter: bool,
-    /// What the counter asks for with AUTH.
+    /// Password that the counter requires, if any.
     pub password: Option<String>,
-    /// The seed of all chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The spread of service times: 0 for none; each is multiplied by e to a number of this deviation.
+    /// Standard deviation of the logarithm of the service times, which are log-normal; 0 for constant ones.
     pub service_time_spread: f64,
-    /// Times by which the nodes are quicker than the catalogue's figures.
+    /// Factor by which the nodes are faster than the work in the catalogue.
     pub speed: f64,
-    /// Write no record: it would grow without end.
+    /// Discard the traffic record, which would grow without bound in a server that runs on.
     pub discard_records: bool,
 }
 
-/// What a world may be told.
+/// A command to an emulator server.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// A node's fault.
+    /// Apply a fault to the node with this index.
     Node(usize, NodeFault),
-    /// The counter's fault.
+    /// Apply a fault to the counter.
     Counter(CounterFault),
-    /// The end.
+    /// Stop the server.
     Stop,
 }
 
-/// A running world.
+/// A running emulator server; it stops when dropped.
 #[derive(Debug)]
 pub struct EmulatorServer {
-    /// Where each node listens, also while it is down.
+    /// Address of each node, also while it is down.
     pub node_addresses: Vec<SocketAddr>,
-    /// Where the counter listens.
+    /// Address of the counter, if there is one.
     pub counter_address: Option<SocketAddr>,
     sender: mpsc::Sender<Command>,
     waker: Waker,
@@ -67,7 +68,7 @@
     /// Binds all listeners and starts the thread.
     ///
     /// # Errors
-    /// When a socket cannot be had.
+    /// Fails when a socket, the poller or the thread cannot be created.
     pub fn start(spec: &EmulatorServerSpec, clock: Clock, recorder: Recorder) -> anyhow::Result<Self> {
         let (sender, receiver) = mpsc::channel();
         let (waker, wake_receiver) = Waker::pair()?;
@@ -89,13 +90,13 @@
         Ok(Self { node_addresses, counter_address, sender, waker, thread: Some(thread) })
     }
 
-    /// Tells the world something.
+    /// Sends a command to the event loop.
     pub fn send(&self, command: Command) {
         let _ = self.sender.send(command);
         self.waker.wake();
     }
 
-    /// Waits until the world ends, which it does not by itself.
+    /// Blocks until the event loop ends, which happens only after an error of the poller.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -120,10 +121,10 @@
 struct Connection {
     socket: Socket,
     kind: ConnectionKind,
-    /// The attempts that are out on it.
+    /// Attempts that were received on the connection and are not answered yet.
     attempts: Vec<u64>,
     writing: bool,
-    /// Close once all is written.
+    /// Close the connection once the output is flushed.
     closing: bool,
     keep_alive: bool,
 }
@@ -148,9 +149,9 @@
     receiver: mpsc::Receiver<Command>,
     wake_receiver: UnixStream,
     nodes: Vec<Node>,
-    /// What the cells remember of keys.
+    /// Idempotency keys that the cells remember.
     idempotency_keys: IdempotencyKeys,
-    /// How often each node was started: work of an earlier life is void.
+    /// Number of starts of each node; requests of an earlier incarnation are discarded.
     incarnations: Vec<u32>,
     listeners: Vec<Option<TcpListener>>,
     addresses: Vec<SocketAddr>,
@@ -167,7 +168,7 @@
     speed: f64,
 }
 
-/// What a gateway asks that tries a node: whoever speaks GraphQL answers it, and nothing is done.
+/// The query with which a gateway probes a node: every GraphQL server answers it, and it has no effect.
 const PROBE_QUERY: &str = "{__typename}";
 const WAKER_TOKEN: u64 = 1;
 const COUNTER_LISTENER: u64 = 2;
@@ -292,7 +293,7 @@
         self.apply_actions(index, out);
     }
 
-    /// A node stops: its listener goes, and its connections break.
+    /// Stops a node: closes its listener and resets its connections.
     fn stop_node(&mut self, index: usize) {
         self.listeners[index] = None;
         let node = self.nodes[index].spec.name.clone();
@@ -425,13 +426,13 @@
         let request: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let query = request["query"].as_str().unwrap_or("");
         let work = self.work_by_query.get(query).copied().unwrap_or(10.0);
-        // A log-normal spread with a mean near 1: a few are costly.
+        // Log-normal with a mean near 1; the sum of twelve uniform numbers approximates a normal distribution.
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         let work = work / self.speed
             * (self.service_time_spread * normal - self.service_time_spread * self.service_time_spread / 2.0)
                 .exp();
         let name = self.nodes[node].spec.name.clone();
-        // Who asks for no more than the type's name tries the node on its own behalf.
+        // A probe query without a request id is sent by a gateway on its own behalf.
         let probe = id.is_empty() && query == PROBE_QUERY;
         let work = if probe { 0.0 } else { work };
         self.recorder.record(if probe {
@@ -553,7 +554,7 @@
         let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Counter { .. });
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
-            // What was read in a silence is worked through behind it, late; a restart breaks the connections.
+            // Input that was read while the counter was silent is processed now; a restart closes the connections.
             if fault == CounterFault::Restart { self.close(slot) } else { self.counter_input(slot) }
         }
     }
@@ -591,10 +592,10 @@
 }
 
 const JSON: &str = "application/graphql-response+json; charset=utf-8";
-/// Answers above this go out in chunks of this size.
+/// Responses above this size are sent in chunks of this size.
 const CHUNK_SIZE: usize = 32 << 10;
 
-/// The archive's data: `similar` finds five times what it is priced as, a `shelf` a fifth.
+/// Shape of the response data: `similar` returns five times the items it is priced as, `shelf` a fifth of them.
 struct ResponseShape {
     extra_text_bytes: usize,
 }
