--- a/crates/emulators/src/counter.rs
+++ b/crates/emulators/src/counter.rs
@@ -170,16 +170,14 @@
             ("GET", [key]) => {
                 self.counts.get(key).map_or(Value::Null, |(n, _)| Value::Bulk(n.to_string().into()))
             }
-            ("INCRBYFLOAT", [key, increment]) => {
-                match increment.parse::<f64>().ok().filter(|a| a.is_finite()) {
-                    None => error("ERR value is not a valid float"),
-                    Some(increment) => {
-                        let entry = self.counts.entry(key.clone()).or_insert((0.0, None));
-                        entry.0 += increment;
-                        Value::Bulk(entry.0.to_string().into())
-                    }
+            ("INCRBYFLOAT", [key, delta]) => match delta.parse::<f64>().ok().filter(|a| a.is_finite()) {
+                None => error("ERR value is not a valid float"),
+                Some(delta) => {
+                    let entry = self.counts.entry(key.clone()).or_insert((0.0, None));
+                    entry.0 += delta;
+                    Value::Bulk(entry.0.to_string().into())
                 }
-            }
+            },
             ("PEXPIRE", [key, ms, rest @ ..]) => {
                 let Ok(ms) = ms.parse::<f64>() else { return error("ERR value is not an integer") };
                 let only_without_expiry = rest.first().is_some_and(|w| w.eq_ignore_ascii_case("NX"));
