--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -113,14 +113,14 @@
     }
 }
 
-enum ConnectionKind {
+enum Owner {
     Node { node: usize, incarnation: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
     Counter { session: Session, pending_replies: Vec<u8> },
 }
 
 struct Connection {
     socket: Socket,
-    kind: ConnectionKind,
+    kind: Owner,
     /// Attempts that were received on the connection and are not answered yet.
     attempts: Vec<u64>,
     writing: bool,
@@ -298,7 +298,7 @@
         self.listeners[index] = None;
         let node = self.nodes[index].spec.name.clone();
         self.recorder.record(Event::NodeDown { node });
-        let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Node { node, .. } if node == index);
+        let belongs = |c: &Connection| matches!(c.kind, Owner::Node { node, .. } if node == index);
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             let connection = self.connections.remove(slot);
@@ -326,7 +326,7 @@
                 Some(node) => {
                     let limits = HttpLimits { body: 64 << 20, ..HttpLimits::default() };
                     let decoder = Box::new(Decoder::new(Role::Requests, limits));
-                    ConnectionKind::Node {
+                    Owner::Node {
                         node,
                         incarnation: self.incarnations[node],
                         decoder,
@@ -334,7 +334,7 @@
                         body: Vec::new(),
                     }
                 }
-                None => ConnectionKind::Counter { session: Session::default(), pending_replies: Vec::new() },
+                None => Owner::Counter { session: Session::default(), pending_replies: Vec::new() },
             };
             let entry = self.connections.vacant_entry();
             if self.poller.add(&socket, CONNECTIONS + entry.key() as u64, Interest::READ).is_ok() {
@@ -358,8 +358,8 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (_, flow) = connection.socket.read();
         match connection.kind {
-            ConnectionKind::Node { .. } => self.node_input(slot),
-            ConnectionKind::Counter { .. } => self.counter_input(slot),
+            Owner::Node { .. } => self.node_input(slot),
+            Owner::Counter { .. } => self.counter_input(slot),
         }
         if flow != Flow::Open {
             self.close(slot);
@@ -394,9 +394,7 @@
     fn node_input(&mut self, slot: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
-            let ConnectionKind::Node { node, incarnation, decoder, head, body } = &mut connection.kind else {
-                return;
-            };
+            let Owner::Node { node, incarnation, decoder, head, body } = &mut connection.kind else { return };
             let (node, incarnation) = (*node, *incarnation);
             let Ok((used, part)) = decoder.decode(&connection.socket.input) else { return self.close(slot) };
             match part {
@@ -551,7 +549,7 @@
 
     fn apply_counter_fault(&mut self, fault: CounterFault) {
         self.counter.apply_fault(fault);
-        let belongs = |c: &Connection| matches!(c.kind, ConnectionKind::Counter { .. });
+        let belongs = |c: &Connection| matches!(c.kind, Owner::Counter { .. });
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             // Input that was read while the counter was silent is processed now; a restart closes the connections.
@@ -565,7 +563,7 @@
         }
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let ConnectionKind::Counter { session, pending_replies } = &mut connection.kind else { return };
+        let Owner::Counter { session, pending_replies } = &mut connection.kind else { return };
         let input = std::mem::take(&mut connection.socket.input);
         let mut consumed = 0;
         loop {
