--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -2,7 +2,10 @@
 //! system calls, and what idle connections cost in memory. Figures are of this machine; ratios travel better.
 
 use anyhow::{Context, bail};
-use doorcourse_emulators::{CATALOGUE, Crowd, Load, NodeSpec, Recorder, World, WorldSpec, operations};
+use doorcourse_emulators::{
+    CATALOGUE, ClientEmulator, EmulatorServer, EmulatorServerSpec, FixedRateLoad, NodeSpec, Recorder,
+    operations,
+};
 use doorcourse_event_loop::Clock;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -109,10 +112,10 @@
 
 fn run(clock: Clock, to: SocketAddr, query: &str, rate: f64, seconds: f64) -> anyhow::Result<Run> {
     let body = json!({ "query": query }).to_string();
-    let mut load = Load::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
-    Crowd::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
+    let mut load = FixedRateLoad::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
+    ClientEmulator::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
     let report = load.report();
-    let served = report.served.clone();
+    let served = report.served_latency_us.clone();
     let share = served.len() as f64 / (rate * seconds).ceil();
     let held = share >= HELD && served.value_at_quantile(0.99) as f64 / 1000.0 <= QUICK;
     Ok(Run { served, held })
@@ -144,23 +147,31 @@
         cores: 512,
         queue: 100_000,
         cold_share: 1.0,
-        warm: 1.0,
+        warm_up_ms: 1.0,
         fall_multiple: 1e9,
-        fall_time: 1000.0,
-        memory: 1000.0,
+        fall_window_ms: 1000.0,
+        key_retention_ms: 1000.0,
     };
     let (nodes, listen, password) = ((0..NODES).map(node).collect(), None, None);
-    let world =
-        WorldSpec { nodes, listen, counter: false, password, seed: 1, spread: 0.0, speed: 1e6, quiet: true };
-    let world = World::start(&world, clock, Recorder::none(clock))?;
-    let straight = world.nodes[0];
+    let world = EmulatorServerSpec {
+        nodes,
+        listen,
+        counter: false,
+        password,
+        seed: 1,
+        service_time_spread: 0.0,
+        speed: 1e6,
+        discard_records: true,
+    };
+    let world = EmulatorServer::start(&world, clock, Recorder::disabled(clock))?;
+    let straight = world.node_addresses[0];
     let (mut text, mut all) = (String::new(), Vec::new());
     for name in ["preview", "forty"] {
         let operations = operations();
         let query =
             operations.iter().find(|o| o.name == name).map(|o| o.query.as_str()).context("an operation")?;
         let node_most = highest(clock, straight, query)?;
-        let gateway = Process::start(binary, &folder, &world.nodes)?;
+        let gateway = Process::start(binary, &folder, &world.node_addresses)?;
         let most = highest(clock, gateway.address, query)?;
         let rate = (most / 2.0).max(100.0);
         let before = gateway.cpu()?;
@@ -197,7 +208,7 @@
             "rate": rate, "latency": quantiles, "system_calls": total}),
         );
     }
-    let gateway = Process::start(binary, &folder, &world.nodes)?;
+    let gateway = Process::start(binary, &folder, &world.node_addresses)?;
     let before = gateway.memory()?;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).maximum.unwrap_or(u64::MAX);
     let most = IDLE.min(usize::try_from(limit.saturating_sub(200)).unwrap_or(IDLE));
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, bail};
 use doorcourse_conformance::Event;
 use doorcourse_emulators::{
-    CATALOGUE, Command as Order, ListSource, ListedNode, NodeFault, NodeSpec, Recorder, Relay, World,
-    WorldSpec,
+    CATALOGUE, Command as Order, EmulatorServer, EmulatorServerSpec, ListedNode, NodeFault, NodeListFile,
+    NodeSpec, Recorder, Relay,
 };
 use doorcourse_event_loop::Clock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -66,8 +66,8 @@
     spec: FleetSpec,
     pub clock: Clock,
     pub recorder: Recorder,
-    pub world: World,
-    pub list: ListSource,
+    pub world: EmulatorServer,
+    pub list: NodeListFile,
     /// Where each gateway listens; a restarted one has a new port.
     pub addresses: Arc<Mutex<Vec<SocketAddr>>>,
     /// Which gateways want clients.
@@ -92,36 +92,36 @@
             cores: 2,
             queue: 40,
             cold_share: COLD_SHARE,
-            warm: spec.warm,
+            warm_up_ms: spec.warm,
             fall_multiple: FALL_MULTIPLE,
-            fall_time: FALL_TIME,
-            memory: 4000.0,
+            fall_window_ms: FALL_TIME,
+            key_retention_ms: 4000.0,
         };
         let nodes: Vec<NodeSpec> = (0..spec.nodes).map(node).collect();
-        let world = WorldSpec {
+        let world = EmulatorServerSpec {
             nodes: nodes.clone(),
             listen: None,
             counter: true,
             password: Some("drill".into()),
             seed: spec.seed,
-            spread: 0.3,
+            service_time_spread: 0.3,
             speed: 1.0,
-            quiet: false,
+            discard_records: false,
         };
-        let world = World::start(&world, clock, recorder.clone())?;
-        let listed = nodes.iter().zip(&world.nodes).map(|(node, address)| ListedNode {
+        let world = EmulatorServer::start(&world, clock, recorder.clone())?;
+        let listed = nodes.iter().zip(&world.node_addresses).map(|(node, address)| ListedNode {
             name: node.name.clone(),
             address: *address,
             cell: node.cell,
-            present: true,
+            listed: true,
             draining: false,
-            started: None,
+            started_ms: None,
         });
-        let list = ListSource::new(spec.folder.join("nodes.txtpb"), listed.collect(), recorder.clone());
+        let list = NodeListFile::new(spec.folder.join("nodes.txtpb"), listed.collect(), recorder.clone());
         if spec.httpd.is_empty() {
             list.write()?;
         } else {
-            import(&spec, &world.nodes, "")?;
+            import(&spec, &world.node_addresses, "")?;
         }
         std::fs::write(spec.folder.join("catalogue.graphql"), CATALOGUE)?;
         let none = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -146,7 +146,7 @@
     }
 
     fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter.context("the fleet's counter has no address")?;
+        let counter = self.world.counter_address.context("the fleet's counter has no address")?;
         let mut text = format!(
             "fleet {{ gateways: {} number: {number} {} }}\nlisten: \"127.0.0.1:0\"\n\
              counter {{ address: \"{counter}\" password: \"drill\" timeout_ms: 50 dead_after_ms: 400 longest_wait_ms: 400 }}\n\
@@ -206,7 +206,7 @@
             which.iter().zip(begun).map(|(at, begun)| self.came(*at, begun)).collect();
         for (at, child) in which.iter().zip(came) {
             self.gateways[*at] = Some(child?);
-            self.recorder.write(Event::GatewayUp { gateway: *at });
+            self.recorder.record(Event::GatewayUp { gateway: *at });
             self.want(*at, true);
         }
         Ok(())
@@ -242,7 +242,10 @@
         };
         self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = address;
         if let Some(relay) = &self.relay {
-            relay.reach(at, link.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?);
+            relay.set_destination(
+                at,
+                link.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?,
+            );
         }
         Ok(child)
     }
@@ -266,7 +269,7 @@
         self.want(at, false);
         self.signal(at, Signal::TERM)?;
         std::thread::sleep(Duration::from_secs_f64(self.spec.notice / 1000.0));
-        self.recorder.write(Event::GatewayDown { gateway: at });
+        self.recorder.record(Event::GatewayDown { gateway: at });
         for _ in 1..times {
             self.signal(at, Signal::TERM)?;
         }
@@ -369,7 +372,7 @@
 
     /// The node list is imported anew, with this behind the configuration.
     pub fn import(&self, more: &str) -> anyhow::Result<()> {
-        import(&self.spec, &self.world.nodes, more)
+        import(&self.spec, &self.world.node_addresses, more)
     }
 
     /// The list's file holds nonsense, until it is written again.
@@ -403,7 +406,7 @@
 
     /// Kills a gateway outright.
     pub fn kill_gateway(&mut self, at: usize) -> anyhow::Result<()> {
-        self.recorder.write(Event::GatewayDown { gateway: at });
+        self.recorder.record(Event::GatewayDown { gateway: at });
         if let Some(mut child) = self.gateways[at].take() {
             child.kill()?;
             child.wait()?;
@@ -413,7 +416,7 @@
 
     /// Tells a node something.
     pub fn node(&self, at: usize, fault: NodeFault) {
-        self.world.tell(Order::Node(at, fault));
+        self.world.send(Order::Node(at, fault));
     }
 }
 
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -4,7 +4,9 @@
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
 use doorcourse_conformance::{Act, acts};
-use doorcourse_emulators::{CATALOGUE, Recorder, Relay, Way, Witness, World, WorldSpec};
+use doorcourse_emulators::{
+    CATALOGUE, EmulatorServer, EmulatorServerSpec, LinkFaults, Recorder, Relay, TaskEndpoint,
+};
 use doorcourse_event_loop::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -143,9 +145,9 @@
 
 struct Play {
     options: HolderOptions,
-    world: World,
+    world: EmulatorServer,
     relay: Relay,
-    witnesses: [Witness; 2],
+    witnesses: [TaskEndpoint; 2],
     gateways: Vec<Option<Child>>,
     /// The list of voters in the settings: version, now, before.
     voters: (u64, BTreeSet<usize>, BTreeSet<usize>),
@@ -176,7 +178,7 @@
     (held.datagrams, held.bytes) = (datagrams as f64 / seconds, bytes as f64 / seconds);
     for (at, witness) in play.witnesses.iter().enumerate() {
         let all = witness.acts();
-        held.broken.extend(acts(&all, !witness.fences()));
+        held.broken.extend(acts(&all, !witness.checks_tokens()));
         let mut good: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
         good.sort_by(|a, b| a.begin.total_cmp(&b.begin));
         (held.accepted[at], held.refused[at]) = (good.len(), all.len() - good.len());
@@ -206,18 +208,18 @@
             format!("a drill's secret, of seed {:x}\n", options.seed),
         )?;
         let clock = Clock::default();
-        let spec = WorldSpec {
+        let spec = EmulatorServerSpec {
             nodes: Vec::new(),
             listen: None,
             counter: true,
             password: None,
             seed: options.seed,
-            spread: 0.0,
+            service_time_spread: 0.0,
             speed: 1.0,
-            quiet: true,
+            discard_records: true,
         };
-        let world = World::start(&spec, clock, Recorder::none(clock))?;
-        let witness = |at: usize| Witness::start(at == 0, WORK, options.seed ^ at as u64);
+        let world = EmulatorServer::start(&spec, clock, Recorder::disabled(clock))?;
+        let witness = |at: usize| TaskEndpoint::start(at == 0, WORK, options.seed ^ at as u64);
         let mut play = Self {
             world,
             relay: Relay::start(options.gateways, options.seed)?,
@@ -256,7 +258,7 @@
     // ---- Processes ----
 
     fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter.context("the counter has no address")?;
+        let counter = self.world.counter_address.context("the counter has no address")?;
         let gateways = self.options.gateways;
         let mut text = format!(
             "fleet {{ gateways: {gateways} number: {number} link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" \
@@ -335,7 +337,7 @@
             let _ = child.wait();
             anyhow::bail!("gateway {at} did not come up; see its log in {}", self.options.folder.display());
         };
-        self.relay.reach(at, link);
+        self.relay.set_destination(at, link);
         self.gateways[at] = Some(child);
         Ok(())
     }
@@ -415,7 +417,7 @@
                 self.tell(format!(
                     "holder {holder}'s calls held up on their way for {span:.1} leases, and it is killed"
                 ));
-                self.witnesses.iter().for_each(|w| w.hold_up(60.0, span * self.options.lease));
+                self.witnesses.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease));
                 std::thread::sleep(Duration::from_millis(60));
                 self.kill(holder);
                 self.pass(dice.random_range(0.0..span));
@@ -423,24 +425,31 @@
             }
             5 => {
                 self.tell(format!("holder {holder} cut off"));
-                self.relay.change(|a, b| a == holder || b == holder, |way| way.cut = true);
+                self.relay.update_links(|a, b| a == holder || b == holder, |way| way.cut = true);
                 self.pass(dice.random_range(0.5..3.0));
-                self.relay.change(|_, _| true, |way| way.cut = false);
+                self.relay.update_links(|_, _| true, |way| way.cut = false);
             }
             6 => {
                 let inward = dice.random_bool(0.5);
                 self.tell(format!("holder {holder} cut off {}", if inward { "inwards" } else { "outwards" }));
-                self.relay
-                    .change(|a, b| if inward { b == holder } else { a == holder }, |way| way.cut = true);
+                self.relay.update_links(
+                    |a, b| if inward { b == holder } else { a == holder },
+                    |way| way.cut = true,
+                );
                 self.pass(dice.random_range(0.5..3.0));
-                self.relay.change(|_, _| true, |way| way.cut = false);
+                self.relay.update_links(|_, _| true, |way| way.cut = false);
             }
             7 => {
                 self.tell("a third lost, delays, doubles".into());
-                let rough = Way { cut: false, loss: 0.3, doubled: 0.1, delay: self.options.lease / 8.0 };
-                self.relay.change(|_, _| true, |way| *way = rough);
+                let rough = LinkFaults {
+                    cut: false,
+                    loss: 0.3,
+                    duplication: 0.1,
+                    max_delay_ms: self.options.lease / 8.0,
+                };
+                self.relay.update_links(|_, _| true, |way| *way = rough);
                 self.pass(dice.random_range(2.0..5.0));
-                self.relay.change(|_, _| true, |way| *way = Way::PLAIN);
+                self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
             }
             8 => self.restart(&minority, "a minority")?,
             9 => {
@@ -494,7 +503,7 @@
 
     fn heal(&mut self) -> anyhow::Result<()> {
         self.tell("all is well again".into());
-        self.relay.change(|_, _| true, |way| *way = Way::PLAIN);
+        self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
         for at in 0..self.options.gateways {
             if self.gateways[at].is_none() {
                 self.start(at)?;
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -8,7 +8,7 @@
 use crate::show::show;
 use anyhow::Context;
 use doorcourse_conformance::summary;
-use doorcourse_emulators::Crowd;
+use doorcourse_emulators::ClientEmulator;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -67,14 +67,14 @@
         customers: customers(),
     })?;
     let (recorder, clock) = (fleet.recorder.clone(), fleet.clock);
-    recorder.write(bounds(1.0));
+    recorder.record(bounds(1.0));
     let _ = std::fs::remove_file(&path);
     let listener = UnixListener::bind(&path).with_context(|| path.display().to_string())?;
     listener.set_nonblocking(true)?;
     let manner = Arc::new(Mutex::new(Manner { over: options.load <= 0.0, ..Manner::default() }));
     let (open, load) = (Arc::clone(&fleet.open), options.load.max(0.01));
     let mut clients = Clients::new(options.seed, open, Arc::clone(&manner), clock.now(), load)?;
-    let mut crowd = Crowd::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
+    let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
     let mut playing = Playing { fleet, manner, nodes: options.nodes };
     println!("{:#}", status(&playing));
@@ -146,7 +146,7 @@
             fleet.call(at, "status").map_or(json!("does not answer"), |v| v["result"]["state"].clone());
         json!({"gateway": at, "address": address.to_string(), "process": fleet.process(at), "state": state})
     };
-    let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.present, "drains": n.draining});
+    let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.listed, "drains": n.draining});
     json!({
         "gateways": addresses.iter().enumerate().map(gateway).collect::<Vec<_>>(),
         "nodes": fleet.list.nodes.iter().map(node).collect::<Vec<_>>(),
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
 use doorcourse_conformance::{Answers, Bounds, Event, Kind, Record, Recovery, Report, recoveries, summary};
-use doorcourse_emulators::{Command, CounterFault, Crowd, NodeFault};
+use doorcourse_emulators::{ClientEmulator, Command, CounterFault, NodeFault};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -98,15 +98,15 @@
         match what {
             What::KillNode(n) => fleet.node(*n as usize, NodeFault::Kill),
             What::StartNode(n) => fleet.node(*n as usize, NodeFault::Start { cold: true }),
-            What::UnlistNode(n) => fleet.list.change(*n as usize, |node| node.present = false)?,
+            What::UnlistNode(n) => fleet.list.update_node(*n as usize, |node| node.listed = false)?,
             What::ListNode(n) => {
                 let now = fleet.clock.now();
-                fleet.list.change(*n as usize, |node| {
-                    (node.present, node.draining, node.started) = (true, false, Some(now));
+                fleet.list.update_node(*n as usize, |node| {
+                    (node.listed, node.draining, node.started_ms) = (true, false, Some(now));
                 })?;
             }
-            What::DrainNode(n) => fleet.list.change(*n as usize, |node| node.draining = true)?,
-            What::UndrainNode(n) => fleet.list.change(*n as usize, |node| node.draining = false)?,
+            What::DrainNode(n) => fleet.list.update_node(*n as usize, |node| node.draining = true)?,
+            What::UndrainNode(n) => fleet.list.update_node(*n as usize, |node| node.draining = false)?,
             What::StallCell(cell) | What::ResumeCell(cell) => {
                 let fault = NodeFault::Stall(matches!(what, What::StallCell(_)));
                 (0..self.nodes).filter(|n| n % 2 == *cell as usize).for_each(|n| fleet.node(n, fault));
@@ -118,16 +118,16 @@
                     Some(NodeWhat::Slow(times)) => NodeFault::Slow(*times),
                     Some(NodeWhat::Reset(share)) => NodeFault::Reset(*share),
                     Some(NodeWhat::Malformed(share)) => NodeFault::Malformed(*share),
-                    Some(NodeWhat::Claim(times)) => NodeFault::Claim(*times),
+                    Some(NodeWhat::Claim(times)) => NodeFault::MisreportCost(*times),
                     Some(NodeWhat::Oversize(bytes)) => NodeFault::Oversize(*bytes as usize),
                     None => anyhow::bail!("a node fault without a fault"),
                 };
                 fleet.node(fault.node as usize, order);
             }
             What::StateOf(state) => fleet.state_of(state.gateway as usize, state.what.as_ref())?,
-            What::CounterSilent(on) => fleet.world.tell(counter(CounterFault::Silent(*on))),
-            What::CounterSlowMs(ms) => fleet.world.tell(counter(CounterFault::Slow(*ms))),
-            What::CounterRestart(_) => fleet.world.tell(counter(CounterFault::Empty)),
+            What::CounterSilent(on) => fleet.world.send(counter(CounterFault::Silent(*on))),
+            What::CounterSlowMs(ms) => fleet.world.send(counter(CounterFault::Slow(*ms))),
+            What::CounterRestart(_) => fleet.world.send(counter(CounterFault::Restart)),
             What::KillGateway(g) => fleet.kill_gateway(*g as usize)?,
             What::StartGateway(g) => fleet.start_gateways(&[*g as usize])?,
             What::StartGateways(all) => {
@@ -218,13 +218,14 @@
         Some(What::ReloadPlans(times)) => Some(times),
         _ => None,
     });
-    recorder.write(bounds(times.fold(1.0, f64::max)));
+    recorder.record(bounds(times.fold(1.0, f64::max)));
     let clock = fleet.clock;
     let start = clock.now();
     let manner = Arc::new(Mutex::new(Manner::default()));
     let load = spec.load.unwrap_or(0.6);
     let mut clients = Clients::new(options.seed, Arc::clone(&fleet.open), Arc::clone(&manner), start, load)?;
-    let mut crowd = Crowd::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
+    let mut crowd =
+        ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
     let mut playing = Playing { fleet, manner, nodes: drill.nodes() };
     let played = steps(drill, &mut playing, start, length, seen);
@@ -265,10 +266,10 @@
         until(playing, &phase, start + step.at * length);
         if !step.phase.is_empty() {
             phase.clone_from(&step.phase);
-            playing.fleet.recorder.write(Event::Phase { name: phase.clone() });
+            playing.fleet.recorder.record(Event::Phase { name: phase.clone() });
         }
         if !step.r#do.is_empty() {
-            playing.fleet.recorder.write(Event::Fault { what: phase.clone() });
+            playing.fleet.recorder.record(Event::Fault { what: phase.clone() });
         }
         step.r#do.iter().filter_map(|a| a.what.as_ref()).try_for_each(|what| playing.act(what))?;
         if let Some(wait) = &step.wait_until {
--- a/crates/emulators/src/counter.rs
+++ b/crates/emulators/src/counter.rs
@@ -1,36 +1,37 @@
-//! A stand-in for the shared counter, without I/O: the commands that the link uses, by the public specification
-//! of RESP and of the commands INCRBYFLOAT, PEXPIRE, MULTI, EXEC, DISCARD, AUTH, HELLO, CLIENT, SELECT, PING and GET.
+//! Emulator of the shared counter, without I/O: the commands that a gateway sends, after the public specifications of
+//! RESP and of the commands INCRBYFLOAT, PEXPIRE, MULTI, EXEC, DISCARD, AUTH, HELLO, CLIENT, SELECT, PING and GET.
 
 use doorcourse_resp::Value;
 use std::collections::HashMap;
 
-/// What the counter may be made to do.
+/// A fault to inject into the counter, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterFault {
-    /// It answers nothing; what was sent to it meanwhile takes effect once it is over.
+    /// The counter does not reply, while set; commands sent meanwhile take effect when the fault ends.
     Silent(bool),
-    /// Its answers take so many ms.
+    /// Replies are delayed by this time, in ms.
     Slow(f64),
-    /// It starts again: its connections break and all counts are gone.
-    Empty,
+    /// The counter restarts: its connections are closed and all counts are lost.
+    Restart,
 }
 
-/// The counts, with the time at which each ends.
+/// The counts, each with its expiry time.
 #[derive(Debug, Default)]
 pub struct Counter {
     counts: HashMap<String, (f64, Option<f64>)>,
     pub silent: bool,
-    pub slow: f64,
+    pub reply_delay_ms: f64,
     pub password: Option<String>,
 }
 
-/// One connection's state.
+/// State of one connection.
 #[derive(Debug, Default)]
 pub struct Session {
     queued: Option<Vec<Vec<String>>>,
-    known: bool,
-    /// Whether the client asked for RESP3, and the name that it gave itself.
-    three: bool,
+    authenticated: bool,
+    /// Whether the client selected RESP3.
+    resp3: bool,
+    /// Name that the client set for the connection.
     name: String,
 }
 
@@ -39,15 +40,15 @@
         Self { password, ..Self::default() }
     }
 
-    pub fn fault(&mut self, fault: CounterFault) {
+    pub fn apply_fault(&mut self, fault: CounterFault) {
         match fault {
             CounterFault::Silent(on) => self.silent = on,
-            CounterFault::Slow(ms) => self.slow = ms,
-            CounterFault::Empty => self.counts.clear(),
+            CounterFault::Slow(ms) => self.reply_delay_ms = ms,
+            CounterFault::Restart => self.counts.clear(),
         }
     }
 
-    /// One command of a connection, and its reply.
+    /// Handles one command of a connection and returns the reply.
     pub fn command(&mut self, now: f64, session: &mut Session, words: &Value) -> Value {
         let Value::Array(words) = words else { return error("ERR a command is an array") };
         let text = |v: &Value| if let Value::Bulk(b) = v { String::from_utf8(b.clone()).ok() } else { None };
@@ -59,14 +60,14 @@
             return self.hello(session, &words[1..]);
         }
         if name == "AUTH" {
-            // With one word the user is the default one.
+            // Without a user name, the default user is meant.
             return match &words[1..] {
                 [password] => self.auth(session, "default", password),
                 [user, password] => self.auth(session, user, password),
                 _ => error("ERR wrong number of arguments for 'auth' command"),
             };
         }
-        if self.password.is_some() && !session.known {
+        if self.password.is_some() && !session.authenticated {
             return error("NOAUTH Authentication required.");
         }
         match name.as_str() {
@@ -87,14 +88,14 @@
             }
             "EXEC" => match session.queued.take() {
                 None => error("ERR EXEC without MULTI"),
-                Some(queued) => Value::Array(queued.iter().map(|w| self.run(now, w)).collect()),
+                Some(queued) => Value::Array(queued.iter().map(|w| self.execute(now, w)).collect()),
             },
             _ => match &mut session.queued {
                 Some(queued) => {
                     queued.push(words);
                     Value::Simple("QUEUED".into())
                 }
-                None => self.run(now, &words),
+                None => self.execute(now, &words),
             },
         }
     }
@@ -102,66 +103,66 @@
     fn auth(&self, session: &mut Session, user: &str, password: &str) -> Value {
         match &self.password {
             None => error("ERR AUTH <password> called without any password configured for the default user"),
-            Some(wanted) if user == "default" && wanted == password => {
-                session.known = true;
+            Some(expected) if user == "default" && expected == password => {
+                session.authenticated = true;
                 ok()
             }
             Some(_) => error("WRONGPASS invalid username-password pair or user is disabled."),
         }
     }
 
-    /// HELLO [protover [AUTH username password] [SETNAME name]]: the first word of client libraries.
+    /// Handles `HELLO [protover [AUTH username password] [SETNAME name]]`, with which client libraries begin.
     fn hello(&self, session: &mut Session, words: &[String]) -> Value {
-        let mut three = session.three;
+        let mut resp3 = session.resp3;
         let mut rest = words;
         if let [version, more @ ..] = words {
-            three = match version.as_str() {
+            resp3 = match version.as_str() {
                 "2" => false,
                 "3" => true,
                 _ => return error("NOPROTO unsupported protocol version"),
             };
             rest = more;
         }
-        let mut named = None;
+        let mut new_name = None;
         while let [word, more @ ..] = rest {
             rest = match (word.to_ascii_uppercase().as_str(), more) {
                 ("AUTH", [user, password, more @ ..]) => {
-                    if let refused @ Value::Error(_) = self.auth(session, user, password) {
-                        return refused;
+                    if let rejection @ Value::Error(_) = self.auth(session, user, password) {
+                        return rejection;
                     }
                     more
                 }
                 ("SETNAME", [name, more @ ..]) => {
-                    named = Some(name.clone());
+                    new_name = Some(name.clone());
                     more
                 }
                 _ => return error(&format!("ERR Syntax error in HELLO option '{word}'")),
             };
         }
-        if self.password.is_some() && !session.known {
+        if self.password.is_some() && !session.authenticated {
             return error("NOAUTH HELLO must be called with the client already authenticated");
         }
-        session.three = three;
-        session.name = named.unwrap_or_else(|| std::mem::take(&mut session.name));
+        session.resp3 = resp3;
+        session.name = new_name.unwrap_or_else(|| std::mem::take(&mut session.name));
         let bulk = |text: &str| Value::Bulk(text.into());
-        let facts = vec![
+        let properties = vec![
             (bulk("server"), bulk("redis")),
             (bulk("version"), bulk("7.4.0")),
-            (bulk("proto"), Value::Integer(if three { 3 } else { 2 })),
+            (bulk("proto"), Value::Integer(if resp3 { 3 } else { 2 })),
             (bulk("id"), Value::Integer(1)),
             (bulk("mode"), bulk("standalone")),
             (bulk("role"), bulk("master")),
             (bulk("modules"), Value::Array(Vec::new())),
         ];
-        let facts = facts.into_iter().flat_map(|(k, v)| [k, v]).collect();
-        if three { Value::Map(facts) } else { Value::Array(facts) }
+        let properties = properties.into_iter().flat_map(|(k, v)| [k, v]).collect();
+        if resp3 { Value::Map(properties) } else { Value::Array(properties) }
     }
 
-    fn run(&mut self, now: f64, words: &[String]) -> Value {
+    fn execute(&mut self, now: f64, words: &[String]) -> Value {
         let name = words[0].to_ascii_uppercase();
-        let over =
+        let expired =
             |key: &&String| self.counts.get(*key).is_some_and(|(_, until)| until.is_some_and(|u| u <= now));
-        if let Some(key) = words.get(1).filter(over) {
+        if let Some(key) = words.get(1).filter(expired) {
             self.counts.remove(key);
         }
         match (name.as_str(), &words[1..]) {
@@ -169,19 +170,19 @@
             ("GET", [key]) => {
                 self.counts.get(key).map_or(Value::Null, |(n, _)| Value::Bulk(n.to_string().into()))
             }
-            ("INCRBYFLOAT", [key, amount]) => match amount.parse::<f64>().ok().filter(|a| a.is_finite()) {
+            ("INCRBYFLOAT", [key, delta]) => match delta.parse::<f64>().ok().filter(|a| a.is_finite()) {
                 None => error("ERR value is not a valid float"),
-                Some(amount) => {
+                Some(delta) => {
                     let entry = self.counts.entry(key.clone()).or_insert((0.0, None));
-                    entry.0 += amount;
+                    entry.0 += delta;
                     Value::Bulk(entry.0.to_string().into())
                 }
             },
             ("PEXPIRE", [key, ms, rest @ ..]) => {
                 let Ok(ms) = ms.parse::<f64>() else { return error("ERR value is not an integer") };
-                let only_new = rest.first().is_some_and(|w| w.eq_ignore_ascii_case("NX"));
+                let only_without_expiry = rest.first().is_some_and(|w| w.eq_ignore_ascii_case("NX"));
                 match self.counts.get_mut(key) {
-                    Some(entry) if entry.1.is_none() || !only_new => {
+                    Some(entry) if entry.1.is_none() || !only_without_expiry => {
                         entry.1 = Some(now + ms);
                         Value::Integer(1)
                     }
@@ -193,7 +194,7 @@
     }
 }
 
-/// What client libraries say of themselves.
+/// Handles `CLIENT`, with which client libraries describe themselves.
 fn client(session: &mut Session, words: &[String]) -> Value {
     let word = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
     match (word.as_str(), &words[words.len().min(1)..]) {
@@ -255,7 +256,7 @@
         assert_eq!(run(&mut counter, &mut session, 0.0, "PING"), Value::Simple("PONG".into()));
     }
 
-    /// What an ordinary client library says before its first command.
+    /// A client library must get through its handshake (HELLO, CLIENT and SELECT) and be refused without the password.
     #[test]
     fn a_client_library_s_first_words() {
         let (mut counter, mut session) = (Counter::new(Some("x".into())), Session::default());
@@ -263,8 +264,8 @@
         assert!(matches!(say("HELLO 3"), Value::Error(e) if e.starts_with("NOAUTH")));
         assert!(matches!(say("HELLO 3 AUTH default y"), Value::Error(e) if e.starts_with("WRONGPASS")));
         assert!(matches!(say("HELLO 4 AUTH default x"), Value::Error(e) if e.starts_with("NOPROTO")));
-        let Value::Map(facts) = say("HELLO 3 AUTH default x SETNAME me") else { panic!("no map") };
-        let proto = facts.chunks(2).find(|p| p[0] == Value::Bulk("proto".into())).expect("the version");
+        let Value::Map(properties) = say("HELLO 3 AUTH default x SETNAME me") else { panic!("no map") };
+        let proto = properties.chunks(2).find(|p| p[0] == Value::Bulk("proto".into())).expect("the version");
         assert_eq!(proto[1], Value::Integer(3));
         assert_eq!(say("CLIENT SETINFO LIB-NAME some"), Value::Simple("OK".into()));
         assert_eq!(say("CLIENT GETNAME"), Value::Bulk("me".into()));
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,24 +1,25 @@
-//! Stand-ins for what surrounds a gateway: nodes that serve a music catalogue, the shared counter, the list of
-//! nodes, and clients. All on loopback, each with faults to order, each writing a traffic record.
+//! Emulators of a gateway's environment, with fault injection: nodes that serve a music catalogue, the shared counter,
+//! the node list, clients, the network between gateways and the endpoint that tasks call. They listen on loopback
+//! unless an address is set. Nodes, counter, node list and clients write a common traffic record.
 
 mod catalogue;
+mod client;
 mod counter;
-mod crowd;
-mod list;
 mod load;
 mod node;
-mod record;
+mod node_list;
+mod recorder;
 mod relay;
-mod witness;
-mod world;
+mod server;
+mod task_endpoint;
 
 pub use catalogue::{CATALOGUE, Operation, operations};
+pub use client::{ClientEmulator, RequestOutcome, RequestSource, ScheduledRequest};
 pub use counter::CounterFault;
-pub use crowd::{Crowd, End, Shot, Source};
-pub use list::{ListSource, ListedNode};
-pub use load::{Load, LoadReport};
+pub use load::{FixedRateLoad, LoadReport};
 pub use node::{NodeFault, NodeSpec};
-pub use record::Recorder;
-pub use relay::{Relay, Way};
-pub use witness::Witness;
-pub use world::{Command, World, WorldSpec};
+pub use node_list::{ListedNode, NodeListFile};
+pub use recorder::Recorder;
+pub use relay::{LinkFaults, Relay};
+pub use server::{Command, EmulatorServer, EmulatorServerSpec};
+pub use task_endpoint::TaskEndpoint;
--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -1,94 +1,95 @@
-//! A stand-in node, without I/O: cores, a queue, warming after a start, keyed memory by cell, and faults.
+//! State machine of an emulated node, without I/O: cores, a queue, cold start, idempotency keys per cell, and faults.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{HashMap, VecDeque};
 
-/// What a node is like.
+/// Properties of an emulated node.
 #[derive(Clone, Debug)]
 pub struct NodeSpec {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its cell.
+    /// Cell of the node.
     pub cell: u64,
-    /// How many requests it works on at once.
+    /// Number of requests that are processed concurrently.
     pub cores: usize,
-    /// How many may wait; more are turned away with 429.
+    /// Maximum number of waiting requests; further ones are rejected with status 429.
     pub queue: usize,
-    /// The share of its capacity that a cold one starts with.
+    /// Share of its capacity that a cold node starts with, 0 to 1.
     pub cold_share: f64,
-    /// It is warm after this, in ms.
-    pub warm: f64,
-    /// Sent more than this multiple of its present capacity over `fall_time`, a cold one falls over.
+    /// Time from a cold start until the node is warm.
+    pub warm_up_ms: f64,
+    /// A cold node crashes when it is sent more than this multiple of its current capacity within `fall_window_ms`.
     pub fall_multiple: f64,
-    /// In ms.
-    pub fall_time: f64,
-    /// For how long a key is remembered in the cell, in ms.
-    pub memory: f64,
+    /// Window over which the work sent to a cold node is summed.
+    pub fall_window_ms: f64,
+    /// How long the cell remembers an idempotency key.
+    pub key_retention_ms: f64,
 }
 
-/// What a node may be made to do.
+/// A fault to inject into a node, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeFault {
-    /// It dies: its connections break and none is taken.
+    /// The node stops: its connections are reset and new ones are refused.
     Kill,
-    /// It starts again, cold or warm.
+    /// The node starts again, without `Stall`, `Refuse` and `Slow`.
     Start {
-        /// Whether it is cold.
+        /// Whether it starts cold.
         cold: bool,
     },
-    /// It accepts and reads and works on nothing, until told otherwise.
+    /// The node accepts and reads requests but processes none, while set.
     Stall(bool),
-    /// It turns everything away with 429.
+    /// The node rejects every request with status 429, while set.
     Refuse(bool),
-    /// Its work takes this many times as long.
+    /// Factor on the service time.
     Slow(f64),
-    /// This share of its answers breaks off in the middle.
+    /// Probability that the connection is closed in the middle of a response, 0 to 1.
     Reset(f64),
-    /// This share of its answers is no JSON.
+    /// Probability that a response is not valid JSON, 0 to 1.
     Malformed(f64),
-    /// Its claim of the cost is this many times what it returned.
-    Claim(f64),
-    /// Texts in its answers are this many bytes longer.
+    /// Factor between the cost that a response reports and the actual cost of its data.
+    MisreportCost(f64),
+    /// Number of bytes appended to each text of a response, at least 64; 0 appends 64 to waveforms only.
     Oversize(usize),
 }
 
-/// Work that a node has.
+/// A request that waits for a core or is being processed.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The request's name.
+    /// Identifier of the request.
     pub id: String,
-    /// The client's key, where it has one.
-    pub key: Option<String>,
-    /// In ms of one core.
-    pub work: f64,
+    /// Idempotency key of the request, if it has one.
+    pub idempotency_key: Option<String>,
+    /// Time that one core of a warm node takes at normal speed.
+    pub work_ms: f64,
 }
 
-/// What happens to an answer.
+/// How a reply is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// It is written whole.
-    Whole,
-    /// It breaks off.
+pub enum ReplyOutcome {
+    /// In full.
+    Complete,
+    /// In part, then the connection is closed.
     Reset,
-    /// It is no JSON.
+    /// As invalid JSON.
     Malformed,
 }
 
-/// Keys seen in each cell, and until when they are remembered.
-pub type Memory = HashMap<(u64, String), f64>;
+/// Expiry times of idempotency keys, by cell and key.
+pub type IdempotencyKeys = HashMap<(u64, String), f64>;
 
-/// What the host carries out.
+/// An action that the caller carries out for the node.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
-    /// Work began; whether its effect was dropped as a repeat; tell `finished` after so many ms.
-    Began { job: Job, dropped: bool, after: f64 },
-    /// It was turned away unseen.
-    Full { attempt: u64 },
-    /// Too much was sent to it while cold: it is down from now on.
-    Fell,
+    /// Processing began: call `request_finished` after `duration_ms`. `dropped` tells whether the effect of the request
+    /// was dropped as a duplicate.
+    Started { job: Job, dropped: bool, duration_ms: f64 },
+    /// The request was rejected without processing.
+    Rejected { attempt: u64 },
+    /// The node was overloaded while cold and is down from now on.
+    Crashed,
 }
 
 /// The state of a node.
@@ -99,128 +100,135 @@
     started: f64,
     cold: bool,
     running: usize,
-    waiting: VecDeque<Job>,
+    queue: VecDeque<Job>,
     stalled: bool,
     refusing: bool,
-    slow: f64,
-    reset: f64,
-    malformed: f64,
-    pub claim: f64,
-    pub oversize: usize,
-    got: VecDeque<(f64, f64)>,
+    slowdown: f64,
+    reset_share: f64,
+    malformed_share: f64,
+    pub cost_factor: f64,
+    pub extra_text_bytes: usize,
+    recent_work: VecDeque<(f64, f64)>,
 }
 
 impl Node {
     pub fn new(spec: NodeSpec) -> Self {
-        let (waiting, got) = Default::default();
+        let (queue, recent_work) = Default::default();
         let (up, cold, running, stalled, refusing) = (true, false, 0, false, false);
-        let (slow, reset, malformed, claim, oversize) = (1.0, 0.0, 0.0, 1.0, 0);
+        let (slowdown, reset_share, malformed_share, cost_factor, extra_text_bytes) = (1.0, 0.0, 0.0, 1.0, 0);
         Self {
             spec,
             up,
             started: 0.0,
             cold,
             running,
-            waiting,
+            queue,
             stalled,
             refusing,
-            slow,
-            reset,
-            malformed,
-            claim,
-            oversize,
-            got,
+            slowdown,
+            reset_share,
+            malformed_share,
+            cost_factor,
+            extra_text_bytes,
+            recent_work,
         }
     }
 
-    /// The share of its capacity that it has.
-    fn warmth(&self, now: f64) -> f64 {
+    /// Returns the share of its capacity that the node has now, 0 to 1.
+    fn capacity_share(&self, now: f64) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let age = ((now - self.started) / self.spec.warm).clamp(0.0, 1.0);
+        let age = ((now - self.started) / self.spec.warm_up_ms).clamp(0.0, 1.0);
         self.spec.cold_share + (1.0 - self.spec.cold_share) * age
     }
 
-    /// Orders a fault. Killing and starting empty the node; the host sees to its connections.
-    pub fn fault(&mut self, now: f64, fault: NodeFault, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    /// Applies a fault. `Kill` and `Start` discard all requests; the caller closes the connections.
+    pub fn apply_fault(
+        &mut self, now: f64, fault: NodeFault, idempotency_keys: &mut IdempotencyKeys,
+        out: &mut Vec<NodeAction>,
+    ) {
         match fault {
-            NodeFault::Kill => self.clear(false),
+            NodeFault::Kill => self.clear_work(false),
             NodeFault::Start { cold } => {
-                self.clear(true);
+                self.clear_work(true);
                 (self.started, self.cold) = (now, cold);
-                (self.stalled, self.refusing, self.slow) = (false, false, 1.0);
+                (self.stalled, self.refusing, self.slowdown) = (false, false, 1.0);
             }
             NodeFault::Stall(on) => self.stalled = on,
             NodeFault::Refuse(on) => self.refusing = on,
-            NodeFault::Slow(times) => self.slow = times,
-            NodeFault::Reset(share) => self.reset = share,
-            NodeFault::Malformed(share) => self.malformed = share,
-            NodeFault::Claim(times) => self.claim = times,
-            NodeFault::Oversize(bytes) => self.oversize = bytes,
+            NodeFault::Slow(times) => self.slowdown = times,
+            NodeFault::Reset(share) => self.reset_share = share,
+            NodeFault::Malformed(share) => self.malformed_share = share,
+            NodeFault::MisreportCost(times) => self.cost_factor = times,
+            NodeFault::Oversize(bytes) => self.extra_text_bytes = bytes,
         }
-        self.begin(now, memory, out);
+        self.start_waiting(now, idempotency_keys, out);
     }
 
-    fn clear(&mut self, up: bool) {
+    fn clear_work(&mut self, up: bool) {
         self.up = up;
         self.running = 0;
-        self.waiting.clear();
-        self.got.clear();
+        self.queue.clear();
+        self.recent_work.clear();
     }
 
-    /// A request came in whole.
-    pub fn got(&mut self, now: f64, job: Job, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    /// Handles a request that has been read completely.
+    pub fn request_received(
+        &mut self, now: f64, job: Job, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>,
+    ) {
         if self.cold {
-            self.got.push_back((now, job.work));
-            while self.got.front().is_some_and(|(at, _)| *at <= now - self.spec.fall_time) {
-                self.got.pop_front();
+            self.recent_work.push_back((now, job.work_ms));
+            while self.recent_work.front().is_some_and(|(at, _)| *at <= now - self.spec.fall_window_ms) {
+                self.recent_work.pop_front();
             }
-            let sent: f64 = self.got.iter().map(|(_, work)| work).sum();
-            let present = self.warmth(now) * self.spec.cores as f64;
-            let warm = now >= self.started + self.spec.warm;
-            if !warm && sent > self.spec.fall_multiple * present * self.spec.fall_time {
-                self.clear(false);
-                return out.push(NodeAction::Fell);
+            let sent: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+            let present = self.capacity_share(now) * self.spec.cores as f64;
+            let warm = now >= self.started + self.spec.warm_up_ms;
+            if !warm && sent > self.spec.fall_multiple * present * self.spec.fall_window_ms {
+                self.clear_work(false);
+                return out.push(NodeAction::Crashed);
             }
         }
-        if self.refusing || self.waiting.len() >= self.spec.queue {
-            return out.push(NodeAction::Full { attempt: job.attempt });
+        if self.refusing || self.queue.len() >= self.spec.queue {
+            return out.push(NodeAction::Rejected { attempt: job.attempt });
         }
-        self.waiting.push_back(job);
-        self.begin(now, memory, out);
+        self.queue.push_back(job);
+        self.start_waiting(now, idempotency_keys, out);
     }
 
-    fn begin(&mut self, now: f64, memory: &mut Memory, out: &mut Vec<NodeAction>) {
+    fn start_waiting(&mut self, now: f64, idempotency_keys: &mut IdempotencyKeys, out: &mut Vec<NodeAction>) {
         while self.up && !self.stalled && self.running < self.spec.cores {
-            let Some(job) = self.waiting.pop_front() else { return };
+            let Some(job) = self.queue.pop_front() else { return };
             self.running += 1;
-            let after = job.work * self.slow / self.warmth(now);
-            let dropped = job.key.as_ref().is_some_and(|key| {
-                let until = memory.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
-                let known = *until > now;
-                if !known {
-                    *until = now + self.spec.memory;
+            let duration_ms = job.work_ms * self.slowdown / self.capacity_share(now);
+            let dropped = job.idempotency_key.as_ref().is_some_and(|key| {
+                let until =
+                    idempotency_keys.entry((self.spec.cell, key.clone())).or_insert(f64::NEG_INFINITY);
+                let duplicate = *until > now;
+                if !duplicate {
+                    *until = now + self.spec.key_retention_ms;
                 }
-                known
+                duplicate
             });
-            out.push(NodeAction::Began { job, dropped, after });
+            out.push(NodeAction::Started { job, dropped, duration_ms });
         }
     }
 
-    /// Work is done: how its answer goes out.
-    pub fn finished(
-        &mut self, now: f64, random: &mut ChaCha8Rng, memory: &mut Memory, out: &mut Vec<NodeAction>,
-    ) -> Manner {
+    /// Frees the core of a finished request and returns how its reply is sent.
+    pub fn request_finished(
+        &mut self, now: f64, rng: &mut ChaCha8Rng, idempotency_keys: &mut IdempotencyKeys,
+        out: &mut Vec<NodeAction>,
+    ) -> ReplyOutcome {
         self.running = self.running.saturating_sub(1);
-        self.begin(now, memory, out);
-        let chance: f64 = random.random();
-        if chance < self.reset {
-            Manner::Reset
-        } else if chance < self.reset + self.malformed {
-            Manner::Malformed
+        self.start_waiting(now, idempotency_keys, out);
+        let draw: f64 = rng.random();
+        if draw < self.reset_share {
+            ReplyOutcome::Reset
+        } else if draw < self.reset_share + self.malformed_share {
+            ReplyOutcome::Malformed
         } else {
-            Manner::Whole
+            ReplyOutcome::Complete
         }
     }
 }
--- a/crates/emulators/src/world.rs
+++ b/crates/emulators/src/server.rs
@@ -1,9 +1,10 @@
-//! The nodes and the counter on sockets: one thread, one event loop, faults by command.
+//! Serves the emulated nodes and the emulated counter on sockets, with one thread and one event loop. Faults are
+//! injected by commands.
 
 use crate::catalogue::{CATALOGUE, operations};
 use crate::counter::{Counter, CounterFault, Session};
-use crate::node::{Job, Manner, Memory, Node, NodeAction, NodeFault, NodeSpec};
-use crate::record::Recorder;
+use crate::node::{IdempotencyKeys, Job, Node, NodeAction, NodeFault, NodeSpec, ReplyOutcome};
+use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
 use doorcourse_graphql::{Limits, Prepared, Schema, Shape};
@@ -19,81 +20,83 @@
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, mpsc};
 
-/// What a world is made of.
+/// Configuration of an emulator server.
 #[derive(Clone, Debug)]
-pub struct WorldSpec {
-    /// Its nodes.
+pub struct EmulatorServerSpec {
+    /// The emulated nodes.
     pub nodes: Vec<NodeSpec>,
-    /// Where the nodes listen; port 0 by default.
+    /// Address on which each node listens; a free port on loopback by default.
     pub listen: Option<SocketAddr>,
-    /// Whether there is a counter.
+    /// Whether a counter is emulated.
     pub counter: bool,
-    /// What the counter asks for with AUTH.
+    /// Password that the counter requires, if any.
     pub password: Option<String>,
-    /// The seed of all chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The spread of service times: 0 for none; each is multiplied by e to a number of this deviation.
-    pub spread: f64,
-    /// Times by which the nodes are quicker than the catalogue's figures.
+    /// Standard deviation of the logarithm of the service times, which are log-normal; 0 for constant ones.
+    pub service_time_spread: f64,
+    /// Factor by which the nodes are faster than the work in the catalogue.
     pub speed: f64,
-    /// Write no record: it would grow without end.
-    pub quiet: bool,
+    /// Discard the traffic record, which would grow without bound in a server that runs on.
+    pub discard_records: bool,
 }
 
-/// What a world may be told.
+/// A command to an emulator server.
 #[derive(Clone, Copy, Debug)]
 pub enum Command {
-    /// A node's fault.
+    /// Apply a fault to the node with this index.
     Node(usize, NodeFault),
-    /// The counter's fault.
+    /// Apply a fault to the counter.
     Counter(CounterFault),
-    /// The end.
+    /// Stop the server.
     Stop,
 }
 
-/// A running world.
+/// A running emulator server; it stops when dropped.
 #[derive(Debug)]
-pub struct World {
-    /// Where each node listens, also while it is down.
-    pub nodes: Vec<SocketAddr>,
-    /// Where the counter listens.
-    pub counter: Option<SocketAddr>,
+pub struct EmulatorServer {
+    /// Address of each node, also while it is down.
+    pub node_addresses: Vec<SocketAddr>,
+    /// Address of the counter, if there is one.
+    pub counter_address: Option<SocketAddr>,
     sender: mpsc::Sender<Command>,
     waker: Waker,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl World {
+impl EmulatorServer {
     /// Binds all listeners and starts the thread.
     ///
     /// # Errors
-    /// When a socket cannot be had.
-    pub fn start(spec: &WorldSpec, clock: Clock, recorder: Recorder) -> anyhow::Result<Self> {
+    /// Fails when a socket, the poller or the thread cannot be created.
+    pub fn start(spec: &EmulatorServerSpec, clock: Clock, recorder: Recorder) -> anyhow::Result<Self> {
         let (sender, receiver) = mpsc::channel();
-        let (waker, signal) = Waker::pair()?;
-        let (told, addresses) = mpsc::channel();
+        let (waker, wake_receiver) = Waker::pair()?;
+        let (start_sender, started) = mpsc::channel();
         let spec = spec.clone();
-        let recorder = if spec.quiet { Recorder::none(clock) } else { recorder };
-        let thread = std::thread::Builder::new().name("world".into()).spawn(move || {
-            match Running::new(&spec, clock, recorder, receiver, signal) {
-                Ok(mut running) => {
-                    let _ = told.send(Ok((running.addresses.clone(), running.counter_address)));
-                    running.run();
+        let recorder = if spec.discard_records { Recorder::disabled(clock) } else { recorder };
+        let thread =
+            std::thread::Builder::new().name("world".into()).spawn(move || {
+                match EventLoop::new(&spec, clock, recorder, receiver, wake_receiver) {
+                    Ok(mut event_loop) => {
+                        let _ =
+                            start_sender.send(Ok((event_loop.addresses.clone(), event_loop.counter_address)));
+                        event_loop.run();
+                    }
+                    Err(error) => drop(start_sender.send(Err(error))),
                 }
-                Err(error) => drop(told.send(Err(error))),
-            }
-        })?;
-        let (nodes, counter) = addresses.recv()??;
-        Ok(Self { nodes, counter, sender, waker, thread: Some(thread) })
+            })?;
+        let (node_addresses, counter_address) = started.recv()??;
+        Ok(Self { node_addresses, counter_address, sender, waker, thread: Some(thread) })
     }
 
-    /// Tells the world something.
-    pub fn tell(&self, command: Command) {
+    /// Sends a command to the event loop.
+    pub fn send(&self, command: Command) {
         let _ = self.sender.send(command);
         self.waker.wake();
     }
 
-    /// Waits until the world ends, which it does not by itself.
+    /// Blocks until the event loop ends, which happens only after an error of the poller.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -101,110 +104,110 @@
     }
 }
 
-impl Drop for World {
+impl Drop for EmulatorServer {
     fn drop(&mut self) {
-        self.tell(Command::Stop);
+        self.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-enum Kind {
-    Node { node: usize, life: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
-    Counter { session: Session, due: Vec<u8> },
+enum Owner {
+    Node { node: usize, incarnation: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
+    Counter { session: Session, pending_replies: Vec<u8> },
 }
 
 struct Connection {
     socket: Socket,
-    kind: Kind,
-    /// The attempts that are out on it.
+    kind: Owner,
+    /// Attempts that were received on the connection and are not answered yet.
     attempts: Vec<u64>,
     writing: bool,
-    /// Close once all is written.
+    /// Close the connection once the output is flushed.
     closing: bool,
     keep_alive: bool,
 }
 
-struct Pending {
+struct PendingRequest {
     connection: usize,
     node: usize,
-    life: u32,
+    incarnation: u32,
     prepared: Prepared,
 }
 
-enum Due {
+enum TimerEvent {
     Finished(u64),
     Counter(usize, Vec<u8>),
 }
 
-struct Running {
+struct EventLoop {
     clock: Clock,
     recorder: Recorder,
     poller: Poller,
-    timers: Timers<Due>,
+    timers: Timers<TimerEvent>,
     receiver: mpsc::Receiver<Command>,
-    signal: UnixStream,
+    wake_receiver: UnixStream,
     nodes: Vec<Node>,
-    /// What the cells remember of keys.
-    memory: Memory,
-    /// How often each node was started: work of an earlier life is void.
-    lives: Vec<u32>,
+    /// Idempotency keys that the cells remember.
+    idempotency_keys: IdempotencyKeys,
+    /// Number of starts of each node; requests of an earlier incarnation are discarded.
+    incarnations: Vec<u32>,
     listeners: Vec<Option<TcpListener>>,
     addresses: Vec<SocketAddr>,
     counter: Counter,
     counter_listener: Option<TcpListener>,
     counter_address: Option<SocketAddr>,
     connections: Slab<Connection>,
-    pending: HashMap<u64, Pending>,
+    pending: HashMap<u64, PendingRequest>,
     attempts: u64,
     schema: Arc<Schema>,
-    works: HashMap<String, f64>,
-    random: ChaCha8Rng,
-    spread: f64,
+    work_by_query: HashMap<String, f64>,
+    rng: ChaCha8Rng,
+    service_time_spread: f64,
     speed: f64,
 }
 
-/// What a gateway asks that tries a node: whoever speaks GraphQL answers it, and nothing is done.
-const TRIAL: &str = "{__typename}";
-const SIGNAL: u64 = 1;
-const COUNTER: u64 = 2;
-const LISTENERS: u64 = 1 << 32;
+/// The query with which a gateway probes a node: every GraphQL server answers it, and it has no effect.
+const PROBE_QUERY: &str = "{__typename}";
+const WAKER_TOKEN: u64 = 1;
+const COUNTER_LISTENER: u64 = 2;
+const NODE_LISTENERS: u64 = 1 << 32;
 const CONNECTIONS: u64 = 1 << 33;
 
-impl Running {
+impl EventLoop {
     fn new(
-        spec: &WorldSpec, clock: Clock, recorder: Recorder, receiver: mpsc::Receiver<Command>,
-        signal: UnixStream,
+        spec: &EmulatorServerSpec, clock: Clock, recorder: Recorder, receiver: mpsc::Receiver<Command>,
+        wake_receiver: UnixStream,
     ) -> anyhow::Result<Self> {
         let poller = Poller::new()?;
-        poller.add(&signal, SIGNAL, Interest::READ)?;
+        poller.add(&wake_receiver, WAKER_TOKEN, Interest::READ)?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (mut nodes, mut listeners, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
-        for (at, node) in spec.nodes.iter().enumerate() {
+        for (index, node) in spec.nodes.iter().enumerate() {
             let listener = listen(spec.listen.unwrap_or(any))?;
-            poller.add(&listener, LISTENERS + at as u64, Interest::READ)?;
+            poller.add(&listener, NODE_LISTENERS + index as u64, Interest::READ)?;
             addresses.push(listener.local_addr()?);
             listeners.push(Some(listener));
             nodes.push(Node::new(node.clone()));
         }
         let counter_listener = if spec.counter { Some(listen(any)?) } else { None };
         if let Some(listener) = &counter_listener {
-            poller.add(listener, COUNTER, Interest::READ)?;
+            poller.add(listener, COUNTER_LISTENER, Interest::READ)?;
         }
         let counter_address = counter_listener.as_ref().map(TcpListener::local_addr).transpose()?;
         let schema = Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("catalogue: {e:?}"))?;
-        let works = operations().into_iter().map(|o| (o.query, o.work)).collect();
-        let running = Self {
+        let work_by_query = operations().into_iter().map(|o| (o.query, o.work_ms)).collect();
+        let event_loop = Self {
             clock,
             recorder,
             poller,
             timers: Timers::default(),
             receiver,
-            signal,
-            lives: vec![0; nodes.len()],
+            wake_receiver,
+            incarnations: vec![0; nodes.len()],
             nodes,
-            memory: Memory::new(),
+            idempotency_keys: IdempotencyKeys::new(),
             listeners,
             addresses,
             counter: Counter::new(spec.password.clone()),
@@ -214,29 +217,29 @@
             pending: HashMap::new(),
             attempts: 0,
             schema: schema.into(),
-            works,
-            random: ChaCha8Rng::seed_from_u64(spec.seed),
-            spread: spec.spread,
+            work_by_query,
+            rng: ChaCha8Rng::seed_from_u64(spec.seed),
+            service_time_spread: spec.service_time_spread,
             speed: spec.speed.max(1e-6),
         };
-        (0..running.nodes.len()).for_each(|at| running.tell_up(at, false));
-        Ok(running)
+        (0..event_loop.nodes.len()).for_each(|index| event_loop.record_node_up(index, false));
+        Ok(event_loop)
     }
 
-    fn tell_up(&self, at: usize, cold: bool) {
-        let spec = &self.nodes[at].spec;
-        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm);
+    fn record_node_up(&self, index: usize, cold: bool) {
+        let spec = &self.nodes[index].spec;
+        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
         let capacity = spec.cores as f64;
-        self.recorder.write(Event::NodeUp { node, cell, cold, share, warm, capacity });
+        self.recorder.record(Event::NodeUp { node, cell, cold, share, warm, capacity });
     }
 
     fn run(&mut self) {
         let mut ready = Vec::new();
         loop {
-            while let Some(due) = self.timers.pop_expired(self.clock.now()) {
-                match due {
-                    Due::Finished(attempt) => self.finished(attempt),
-                    Due::Counter(slot, bytes) => {
+            while let Some(event) = self.timers.pop_expired(self.clock.now()) {
+                match event {
+                    TimerEvent::Finished(attempt) => self.finish_request(attempt),
+                    TimerEvent::Counter(slot, bytes) => {
                         if let Some(connection) = self.connections.get_mut(slot) {
                             connection.socket.output().extend_from_slice(&bytes);
                             self.flush(slot);
@@ -250,53 +253,53 @@
             }
             for event in ready.drain(..) {
                 match event.token {
-                    SIGNAL => {
+                    WAKER_TOKEN => {
                         let mut bytes = [0; 64];
-                        while std::io::Read::read(&mut self.signal, &mut bytes).is_ok_and(|n| n > 0) {}
+                        while std::io::Read::read(&mut self.wake_receiver, &mut bytes).is_ok_and(|n| n > 0) {}
                         while let Ok(command) = self.receiver.try_recv() {
                             match command {
                                 Command::Stop => return,
-                                Command::Counter(fault) => self.counter_fault(fault),
-                                Command::Node(node, fault) => self.fault(node, fault),
+                                Command::Counter(fault) => self.apply_counter_fault(fault),
+                                Command::Node(node, fault) => self.apply_node_fault(node, fault),
                             }
                         }
                     }
-                    COUNTER => self.accept(None),
+                    COUNTER_LISTENER => self.accept(None),
                     token if token >= CONNECTIONS => {
                         self.connection_ready((token - CONNECTIONS) as usize, event.write)
                     }
-                    token => self.accept(Some((token - LISTENERS) as usize)),
+                    token => self.accept(Some((token - NODE_LISTENERS) as usize)),
                 }
             }
         }
     }
 
-    fn fault(&mut self, at: usize, fault: NodeFault) {
+    fn apply_node_fault(&mut self, index: usize, fault: NodeFault) {
         let mut out = Vec::new();
         let now = self.clock.now();
         match fault {
-            NodeFault::Kill => self.down(at),
+            NodeFault::Kill => self.stop_node(index),
             NodeFault::Start { cold } => {
-                self.lives[at] += 1;
-                if let Ok(listener) = listen(self.addresses[at]) {
-                    let _ = self.poller.add(&listener, LISTENERS + at as u64, Interest::READ);
-                    self.listeners[at] = Some(listener);
+                self.incarnations[index] += 1;
+                if let Ok(listener) = listen(self.addresses[index]) {
+                    let _ = self.poller.add(&listener, NODE_LISTENERS + index as u64, Interest::READ);
+                    self.listeners[index] = Some(listener);
                 }
-                self.tell_up(at, cold);
+                self.record_node_up(index, cold);
             }
             _ => {}
         }
-        self.nodes[at].fault(now, fault, &mut self.memory, &mut out);
-        self.carry_out(at, out);
+        self.nodes[index].apply_fault(now, fault, &mut self.idempotency_keys, &mut out);
+        self.apply_actions(index, out);
     }
 
-    /// A node stops: its listener goes, and its connections break.
-    fn down(&mut self, at: usize) {
-        self.listeners[at] = None;
-        let node = self.nodes[at].spec.name.clone();
-        self.recorder.write(Event::NodeDown { node });
-        let of = |c: &Connection| matches!(c.kind, Kind::Node { node, .. } if node == at);
-        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| of(c)).map(|(s, _)| s).collect();
+    /// Stops a node: closes its listener and resets its connections.
+    fn stop_node(&mut self, index: usize) {
+        self.listeners[index] = None;
+        let node = self.nodes[index].spec.name.clone();
+        self.recorder.record(Event::NodeDown { node });
+        let belongs = |c: &Connection| matches!(c.kind, Owner::Node { node, .. } if node == index);
+        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             let connection = self.connections.remove(slot);
             connection.socket.reset_on_close();
@@ -306,7 +309,7 @@
 
     fn accept(&mut self, node: Option<usize>) {
         let listener = match node {
-            Some(at) => self.listeners.get(at).and_then(Option::as_ref),
+            Some(index) => self.listeners.get(index).and_then(Option::as_ref),
             None => self.counter_listener.as_ref(),
         };
         let Some(listener) = listener else { return };
@@ -317,15 +320,21 @@
         for stream in streams {
             let Ok(socket) = Socket::new(stream) else { continue };
             if let Some(node) = node {
-                self.recorder.write(Event::Connected { node: self.nodes[node].spec.name.clone() });
+                self.recorder.record(Event::Connected { node: self.nodes[node].spec.name.clone() });
             }
             let kind = match node {
                 Some(node) => {
                     let limits = HttpLimits { body: 64 << 20, ..HttpLimits::default() };
                     let decoder = Box::new(Decoder::new(Role::Requests, limits));
-                    Kind::Node { node, life: self.lives[node], decoder, head: None, body: Vec::new() }
+                    Owner::Node {
+                        node,
+                        incarnation: self.incarnations[node],
+                        decoder,
+                        head: None,
+                        body: Vec::new(),
+                    }
                 }
-                None => Kind::Counter { session: Session::default(), due: Vec::new() },
+                None => Owner::Counter { session: Session::default(), pending_replies: Vec::new() },
             };
             let entry = self.connections.vacant_entry();
             if self.poller.add(&socket, CONNECTIONS + entry.key() as u64, Interest::READ).is_ok() {
@@ -349,8 +358,8 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (_, flow) = connection.socket.read();
         match connection.kind {
-            Kind::Node { .. } => self.node_input(slot),
-            Kind::Counter { .. } => self.counter_input(slot),
+            Owner::Node { .. } => self.node_input(slot),
+            Owner::Counter { .. } => self.counter_input(slot),
         }
         if flow != Flow::Open {
             self.close(slot);
@@ -360,7 +369,7 @@
     fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         for attempt in connection.attempts {
-            self.recorder.write(Event::Closed { attempt });
+            self.recorder.record(Event::Closed { attempt });
         }
     }
 
@@ -385,8 +394,8 @@
     fn node_input(&mut self, slot: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
-            let Kind::Node { node, life, decoder, head, body } = &mut connection.kind else { return };
-            let (node, life) = (*node, *life);
+            let Owner::Node { node, incarnation, decoder, head, body } = &mut connection.kind else { return };
+            let (node, incarnation) = (*node, *incarnation);
             let Ok((used, part)) = decoder.decode(&connection.socket.input) else { return self.close(slot) };
             match part {
                 None => return connection.socket.consume(used),
@@ -399,7 +408,7 @@
                     let (head, body) = (head.take(), std::mem::take(body));
                     connection.socket.consume(used);
                     if let Some(head) = head {
-                        self.got(slot, node, life, &head, &body);
+                        self.request_received(slot, node, incarnation, &head, &body);
                     }
                     continue;
                 }
@@ -408,21 +417,23 @@
         }
     }
 
-    fn got(&mut self, slot: usize, node: usize, life: u32, head: &Head, body: &[u8]) {
+    fn request_received(&mut self, slot: usize, node: usize, incarnation: u32, head: &Head, body: &[u8]) {
         self.attempts += 1;
         let attempt = self.attempts;
         let id = head.field("x-request-id").unwrap_or("").to_owned();
         let request: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let query = request["query"].as_str().unwrap_or("");
-        let work = self.works.get(query).copied().unwrap_or(10.0);
-        // A log-normal spread with a mean near 1: a few are costly.
-        let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
-        let work = work / self.speed * (self.spread * normal - self.spread * self.spread / 2.0).exp();
+        let work = self.work_by_query.get(query).copied().unwrap_or(10.0);
+        // Log-normal with a mean near 1; the sum of twelve uniform numbers approximates a normal distribution.
+        let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
+        let work = work / self.speed
+            * (self.service_time_spread * normal - self.service_time_spread * self.service_time_spread / 2.0)
+                .exp();
         let name = self.nodes[node].spec.name.clone();
-        // Who asks for no more than the type's name tries the node on its own behalf.
-        let trial = id.is_empty() && query == TRIAL;
-        let work = if trial { 0.0 } else { work };
-        self.recorder.write(if trial {
+        // A probe query without a request id is sent by a gateway on its own behalf.
+        let probe = id.is_empty() && query == PROBE_QUERY;
+        let work = if probe { 0.0 } else { work };
+        self.recorder.record(if probe {
             Event::Tried { node: name }
         } else {
             Event::Got { id: id.clone(), node: name, attempt, work }
@@ -441,58 +452,66 @@
                 return self.reply(slot, attempt, 400, &answer, 0.0);
             }
         };
-        self.pending.insert(attempt, Pending { connection: slot, node, life, prepared });
-        let key = head.field("idempotency-key").map(str::to_owned);
+        self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
+        let idempotency_key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
-        self.nodes[node].got(self.clock.now(), Job { attempt, id, key, work }, &mut self.memory, &mut out);
-        self.carry_out(node, out);
+        self.nodes[node].request_received(
+            self.clock.now(),
+            Job { attempt, id, idempotency_key, work_ms: work },
+            &mut self.idempotency_keys,
+            &mut out,
+        );
+        self.apply_actions(node, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<NodeAction>) {
+    fn apply_actions(&mut self, node: usize, out: Vec<NodeAction>) {
         for action in out {
             let name = self.nodes[node].spec.name.clone();
             match action {
-                NodeAction::Began { job, dropped, after } => {
-                    self.recorder.write(Event::Ran { id: job.id, node: name, dropped });
-                    self.timers.schedule(self.clock.now() + after, Due::Finished(job.attempt));
+                NodeAction::Started { job, dropped, duration_ms } => {
+                    self.recorder.record(Event::Ran { id: job.id, node: name, dropped });
+                    self.timers.schedule(self.clock.now() + duration_ms, TimerEvent::Finished(job.attempt));
                 }
-                NodeAction::Full { attempt } => {
+                NodeAction::Rejected { attempt } => {
                     if let Some(pending) = self.pending.remove(&attempt) {
                         let answer = r#"{"errors":[{"message":"full"}]}"#;
                         self.reply(pending.connection, attempt, 429, answer, 0.0);
                     }
                 }
-                NodeAction::Fell => {
-                    self.recorder.write(Event::NodeFell { node: name });
-                    self.down(node);
+                NodeAction::Crashed => {
+                    self.recorder.record(Event::NodeFell { node: name });
+                    self.stop_node(node);
                 }
             }
         }
     }
 
-    fn finished(&mut self, attempt: u64) {
+    fn finish_request(&mut self, attempt: u64) {
         let Some(mut pending) = self.pending.remove(&attempt) else { return };
-        if self.lives[pending.node] != pending.life {
+        if self.incarnations[pending.node] != pending.incarnation {
             return;
         }
         let (mut out, node) = (Vec::new(), &mut self.nodes[pending.node]);
-        let manner = node.finished(self.clock.now(), &mut self.random, &mut self.memory, &mut out);
+        let outcome =
+            node.request_finished(self.clock.now(), &mut self.rng, &mut self.idempotency_keys, &mut out);
         let mut answer = String::from("{\"data\":");
-        pending.prepared.write_data(&mut Archive { oversize: node.oversize }, &mut answer);
+        pending
+            .prepared
+            .write_data(&mut ResponseShape { extra_text_bytes: node.extra_text_bytes }, &mut answer);
         let mut scan = pending.prepared.scan(100);
         scan.feed(answer.as_bytes());
         scan.feed(b"}");
         let units = scan.counted().units;
-        let claim = units * node.claim;
-        answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{claim}}}}}}}");
-        let at = pending.node;
-        match manner {
-            Manner::Whole => self.reply(pending.connection, attempt, 200, &answer, units),
-            Manner::Malformed => {
+        let reported_cost = units * node.cost_factor;
+        answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{reported_cost}}}}}}}");
+        let index = pending.node;
+        match outcome {
+            ReplyOutcome::Complete => self.reply(pending.connection, attempt, 200, &answer, units),
+            ReplyOutcome::Malformed => {
                 let half = answer.len() / 2;
                 self.reply(pending.connection, attempt, 200, &answer[..half], 0.0);
             }
-            Manner::Reset => {
+            ReplyOutcome::Reset => {
                 if let Some(connection) = self.connections.get_mut(pending.connection) {
                     let out = connection.socket.output();
                     response_head(out, 200, &[("content-type", JSON)], Framing::Length(answer.len() as u64));
@@ -502,22 +521,22 @@
                 }
             }
         }
-        self.carry_out(at, out);
+        self.apply_actions(index, out);
     }
 
     fn reply(&mut self, slot: usize, attempt: u64, status: u16, answer: &str, units: f64) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.attempts.retain(|a| *a != attempt);
-        self.recorder.write(Event::Replied { attempt, status, units });
+        self.recorder.record(Event::Replied { attempt, status, units });
         let mut fields = vec![("content-type", JSON)];
         if !connection.keep_alive {
             fields.push(("connection", "close"));
             connection.closing = true;
         }
         let out = connection.socket.output();
-        if answer.len() > CHUNKED {
+        if answer.len() > CHUNK_SIZE {
             response_head(out, status, &fields, Framing::Chunked);
-            answer.as_bytes().chunks(CHUNKED).for_each(|piece| chunk(out, piece));
+            answer.as_bytes().chunks(CHUNK_SIZE).for_each(|piece| chunk(out, piece));
             chunk_end(out);
         } else {
             response_head(out, status, &fields, Framing::Length(answer.len() as u64));
@@ -528,13 +547,13 @@
 
     // ---- The counter ----
 
-    fn counter_fault(&mut self, fault: CounterFault) {
-        self.counter.fault(fault);
-        let of = |c: &Connection| matches!(c.kind, Kind::Counter { .. });
-        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| of(c)).map(|(s, _)| s).collect();
+    fn apply_counter_fault(&mut self, fault: CounterFault) {
+        self.counter.apply_fault(fault);
+        let belongs = |c: &Connection| matches!(c.kind, Owner::Counter { .. });
+        let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
-            // What was read in a silence is worked through behind it, late; a restart breaks the connections.
-            if fault == CounterFault::Empty { self.close(slot) } else { self.counter_input(slot) }
+            // Input that was read while the counter was silent is processed now; a restart closes the connections.
+            if fault == CounterFault::Restart { self.close(slot) } else { self.counter_input(slot) }
         }
     }
 
@@ -544,24 +563,26 @@
         }
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let Kind::Counter { session, due } = &mut connection.kind else { return };
+        let Owner::Counter { session, pending_replies } = &mut connection.kind else { return };
         let input = std::mem::take(&mut connection.socket.input);
-        let mut at = 0;
+        let mut consumed = 0;
         loop {
-            match decode(&input[at..]) {
+            match decode(&input[consumed..]) {
                 Ok(Some((words, used))) => {
-                    at += used;
-                    self.recorder.write(Event::CounterCall);
-                    encode(due, &self.counter.command(now, session, &words));
+                    consumed += used;
+                    self.recorder.record(Event::CounterCall);
+                    encode(pending_replies, &self.counter.command(now, session, &words));
                 }
                 Ok(None) => break,
                 Err(_) => return self.close(slot),
             }
         }
-        connection.socket.input.extend_from_slice(&input[at..]);
-        let replies = std::mem::take(due);
-        if self.counter.slow > 0.0 && !replies.is_empty() {
-            return self.timers.schedule(now + self.counter.slow, Due::Counter(slot, replies));
+        connection.socket.input.extend_from_slice(&input[consumed..]);
+        let replies = std::mem::take(pending_replies);
+        if self.counter.reply_delay_ms > 0.0 && !replies.is_empty() {
+            return self
+                .timers
+                .schedule(now + self.counter.reply_delay_ms, TimerEvent::Counter(slot, replies));
         }
         connection.socket.output().extend_from_slice(&replies);
         self.flush(slot);
@@ -569,15 +590,15 @@
 }
 
 const JSON: &str = "application/graphql-response+json; charset=utf-8";
-/// Answers above this go out in chunks of this size.
-const CHUNKED: usize = 32 << 10;
+/// Responses above this size are sent in chunks of this size.
+const CHUNK_SIZE: usize = 32 << 10;
 
-/// The archive's data: `similar` finds five times what it is priced as, a `shelf` a fifth.
-struct Archive {
-    oversize: usize,
+/// Shape of the response data: `similar` returns five times the items it is priced as, `shelf` a fifth of them.
+struct ResponseShape {
+    extra_text_bytes: usize,
 }
 
-impl Shape for Archive {
+impl Shape for ResponseShape {
     fn length(&mut self, field: &str, sized: f64) -> usize {
         match field {
             "similar" => sized as usize * 5,
@@ -588,8 +609,8 @@
 
     fn text(&mut self, field: &str, out: &mut String) {
         out.push_str(field);
-        if field == "waveform" || self.oversize > 0 {
-            out.extend(std::iter::repeat_n('~', self.oversize.max(64)));
+        if field == "waveform" || self.extra_text_bytes > 0 {
+            out.extend(std::iter::repeat_n('~', self.extra_text_bytes.max(64)));
         }
     }
 }
