--- a/crates/lease/src/leases/acquisition.rs
+++ b/crates/lease/src/leases/acquisition.rs
@@ -3,7 +3,7 @@
 use super::Leases;
 use super::quorum::{Vote, VoteReply};
 use super::state::{DueStep, LeaseState};
-use super::timing::{BATCHING_FRACTION, RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, REPLY_TIMEOUT_FRACTION};
+use super::timing::{BATCHING_DIVISOR, RENEWAL_DIVISOR, RENEWAL_RETRY_DIVISOR, REPLY_TIMEOUT_DIVISOR};
 use crate::{
     AcquiredLease, DisabledRule, FencingToken, GatewayNumber, Item, LeaseRequest, LostLease, Millis, Output,
     TaskId,
@@ -19,7 +19,7 @@
             return;
         }
         let renewal_due = self.states.values().any(|state| state.is_renewal_due(now));
-        let batch_end = now + self.settings.lease_duration / BATCHING_FRACTION;
+        let batch_end = now + self.settings.lease_duration / BATCHING_DIVISOR;
         let renew_until = renewal_due.then_some(batch_end);
         let tasks: Vec<TaskId> = self.states.keys().copied().collect();
         for task in tasks {
@@ -38,7 +38,7 @@
     fn acquire(&mut self, now: Millis, wall_clock: Millis, task: TaskId, outputs: &mut Vec<Output>) {
         let token = self.next_token(task, wall_clock);
         let round = self.open_round(now);
-        let deadline = now + self.settings.lease_duration / REPLY_TIMEOUT_FRACTION;
+        let deadline = now + self.settings.lease_duration / REPLY_TIMEOUT_DIVISOR;
         self.states.insert(task, LeaseState::Acquiring { token, round, deadline });
         self.request_votes(now, task, token, outputs);
     }
@@ -48,7 +48,7 @@
         let token = *token;
         let expires_at = *expires_at;
         let round = self.open_round(now);
-        let renew_at = now + (self.settings.lease_duration / RENEWAL_RETRY_FRACTION).max(1);
+        let renew_at = now + (self.settings.lease_duration / RENEWAL_RETRY_DIVISOR).max(1);
         self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
         self.request_votes(now, task, token, outputs);
     }
@@ -100,7 +100,7 @@
             outputs.push(Output::Acquired(AcquiredLease { task, token, expires_at }));
         }
         self.last_refusals.remove(&task);
-        let renew_at = round.started_at + duration / RENEWAL_FRACTION;
+        let renew_at = round.started_at + duration / RENEWAL_DIVISOR;
         self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
     }
 }
--- a/crates/lease/src/leases/timing.rs
+++ b/crates/lease/src/leases/timing.rs
@@ -1,22 +1,23 @@
-//! The intervals of the protocol, as fractions of a lease, and the jitter that keeps candidates apart.
+//! The intervals of the protocol, relative to the duration of a lease, and the jitter that keeps candidates apart.
 
 use super::Leases;
 use crate::{GatewayNumber, Millis};
 
-/// A holder renews after this fraction (1/n) of its lease.
-pub(super) const RENEWAL_FRACTION: Millis = 3;
-/// A renewal is requested again each this fraction (1/n) of a lease until a majority has granted it.
-pub(super) const RENEWAL_RETRY_FRACTION: Millis = 8;
-/// Renewals and attempts that are due within this fraction (1/n) of a lease go into one message.
-pub(super) const BATCHING_FRACTION: Millis = 8;
-/// An attempt without a majority and without refusals is abandoned after this fraction (1/n) of a lease.
-pub(super) const REPLY_TIMEOUT_FRACTION: Millis = 4;
-/// After a transfer the next holder requests the task after this fraction (1/n) of a lease: the voters receive the release
-/// first.
-pub(super) const TRANSFER_DELAY_FRACTION: Millis = 8;
-/// The jitter of an attempt is at most this fraction (1/n) of a lease.
-const JITTER_FRACTION: Millis = 4;
-/// Heartbeats a lease: they carry voter versions and fencing tokens when there is nothing else to send.
+/// A holder renews its lease after the lease duration divided by this.
+pub(super) const RENEWAL_DIVISOR: Millis = 3;
+/// A renewal is requested again after the lease duration divided by this, until a majority has granted it.
+pub(super) const RENEWAL_RETRY_DIVISOR: Millis = 8;
+/// Renewals and attempts that are due within the lease duration divided by this go into one message.
+pub(super) const BATCHING_DIVISOR: Millis = 8;
+/// An attempt that neither a majority granted nor a majority refused is abandoned after the lease duration divided by
+/// this.
+pub(super) const REPLY_TIMEOUT_DIVISOR: Millis = 4;
+/// After a transfer the next holder requests the task after the lease duration divided by this, so that the voters
+/// receive the release first.
+pub(super) const TRANSFER_DELAY_DIVISOR: Millis = 8;
+/// The jitter of an attempt is below the lease duration divided by this.
+const JITTER_DIVISOR: Millis = 4;
+/// Heartbeats in the time of one lease. They carry voter versions and fencing tokens when there is nothing else to send.
 pub(super) const HEARTBEATS_PER_LEASE: Millis = 2;
 
 impl Leases {
@@ -25,8 +26,8 @@
         let lease = self.settings.lease_duration;
         self.jitter_draws += 1;
         let seed = self.settings.seed ^ u64::from(self.settings.gateway) << 32;
-        let jitter = random_below(lease / JITTER_FRACTION, seed, self.jitter_draws);
-        let spacing = (lease / BATCHING_FRACTION).max(1);
+        let jitter = random_below(lease / JITTER_DIVISOR, seed, self.jitter_draws);
+        let spacing = (lease / BATCHING_DIVISOR).max(1);
         let offset = slot_offset(self.settings.gateway, self.settings.gateways.len() as u64, spacing);
         next_slot(earliest + jitter, spacing, offset)
     }
--- a/crates/lease/src/leases/voting.rs
+++ b/crates/lease/src/leases/voting.rs
@@ -3,7 +3,7 @@
 use super::Leases;
 use super::quorum::{Vote, VoteReply};
 use super::state::LeaseState;
-use super::timing::TRANSFER_DELAY_FRACTION;
+use super::timing::TRANSFER_DELAY_DIVISOR;
 use crate::{
     DisabledRule, FencingToken, GatewayNumber, HolderId, Item, LeaseRequest, Message, Millis, Output,
     Refusal, TaskId,
@@ -79,7 +79,7 @@
 
     /// A holder has released a task for this gateway: it is requested soon.
     fn accept_transfer(&mut self, now: Millis, task: TaskId) {
-        let delay = (self.settings.lease_duration / TRANSFER_DELAY_FRACTION).max(1);
+        let delay = (self.settings.lease_duration / TRANSFER_DELAY_DIVISOR).max(1);
         if let Some(LeaseState::Idle { next_attempt_at }) = self.states.get_mut(&task) {
             *next_attempt_at = now + delay;
         }
