--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -123,7 +123,7 @@
             Input::TransferRequested { task, to } => self.transfer(now, task, to, outputs),
             Input::ShutdownStarted => {
                 self.shutting_down = true;
-                self.give_up_all(now, outputs);
+                self.release_all_tasks(now, outputs);
             }
         }
         self.advance_reconfiguration(now, outputs);
--- a/crates/lease/src/leases/reconfiguration.rs
+++ b/crates/lease/src/leases/reconfiguration.rs
@@ -69,7 +69,7 @@
         }
         let missed_versions = voters.version > self.voters_version() + 1 && voters.validate().is_ok();
         if missed_versions {
-            self.give_up_all(now, outputs);
+            self.release_all_tasks(now, outputs);
             self.flush(now, outputs);
             self.settings.voters = voters;
             self.reconfiguration = Reconfiguration::unconfirmed();
--- a/crates/lease/src/leases/release.rs
+++ b/crates/lease/src/leases/release.rs
@@ -11,22 +11,22 @@
     pub(super) fn transfer(
         &mut self, now: Millis, task: TaskId, to: GatewayNumber, outputs: &mut Vec<Output>,
     ) {
-        if self.give_up(now, task, Some(to), outputs) {
+        if self.release_task(now, task, Some(to), outputs) {
             let message = self.message(0, vec![Item::Transfer { task }]);
             self.flush(now, outputs);
             outputs.push(Output::Send { to, message });
         }
     }
 
-    /// Gives up all tasks of the settings.
-    pub(super) fn give_up_all(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+    /// Releases all tasks of the settings.
+    pub(super) fn release_all_tasks(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         for task in self.settings.tasks.clone() {
-            self.give_up(now, task, None, outputs);
+            self.release_task(now, task, None, outputs);
         }
     }
 
     /// Releases a task that is held or requested. Returns whether it was held.
-    pub(super) fn give_up(
+    pub(super) fn release_task(
         &mut self, now: Millis, task: TaskId, transfer_to: Option<GatewayNumber>, outputs: &mut Vec<Output>,
     ) -> bool {
         let Some(state) = self.states.get(&task) else { return false };
@@ -58,7 +58,7 @@
         self.settings.gateways = gateways;
         for task in std::mem::replace(&mut self.settings.tasks, tasks) {
             if !self.settings.tasks.contains(&task) {
-                self.give_up(now, task, None, outputs);
+                self.release_task(now, task, None, outputs);
                 self.states.remove(&task);
             }
         }
