--- a/crates/lease/src/leases/quorum.rs
+++ b/crates/lease/src/leases/quorum.rs
@@ -124,7 +124,7 @@
 
     /// Records a voter's reply and follows what its round decides.
     pub(super) fn record_vote(&mut self, now: Millis, reply: VoteReply, outputs: &mut Vec<Output>) {
-        self.note_refusal(&reply);
+        self.record_last_refusal(&reply);
         let voters = &self.settings.voters;
         match (self.states.get_mut(&reply.task), reply.vote) {
             (Some(LeaseState::Acquiring { token, round, .. }), vote)
@@ -158,7 +158,7 @@
 
     /// Keeps the last refusal of each of this gateway's own tasks. Others are not kept: a peer must not grow what this
     /// gateway holds.
-    fn note_refusal(&mut self, reply: &VoteReply) {
+    fn record_last_refusal(&mut self, reply: &VoteReply) {
         if let Vote::Refused(reason) = reply.vote
             && self.states.contains_key(&reply.task)
         {
