--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -121,7 +121,7 @@
             return Err(DropReason::Stale);
         }
         if envelope.receiver_incarnation != self.settings.incarnation {
-            hellos.extend(self.introduce(now, wall_clock, sender, incarnation));
+            hellos.extend(self.hello_reply(now, wall_clock, sender, incarnation));
             return Err(DropReason::Stale);
         }
         let was_known = peer.incarnation.is_some();
@@ -159,7 +159,7 @@
     }
 
     /// A hello for a peer that does not know this start, addressed to the start of the peer that sent.
-    fn introduce(
+    fn hello_reply(
         &mut self, now: Millis, wall_clock: Millis, to: GatewayNumber, incarnation: u64,
     ) -> Option<OutgoingDatagram> {
         self.may_send_hello(now, to).then_some(())?;
