--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -48,9 +48,10 @@
     pub(crate) incarnation: Option<u64>,
     former_incarnations: VecDeque<u64>,
     replay_window: ReplayWindow,
-    /// Datagrams of former starts.
-    received_before: u64,
-    lost_before: u64,
+    /// Datagrams accepted from former starts of the peer.
+    former_received: u64,
+    /// Datagrams of former starts of the peer that were numbered and not accepted.
+    former_lost: u64,
     /// The number of the last datagram sent to it.
     pub(crate) sequence: u64,
     pub(crate) last_received_at: Option<Millis>,
@@ -70,8 +71,8 @@
             incarnation: None,
             former_incarnations: VecDeque::new(),
             replay_window: ReplayWindow::default(),
-            received_before: 0,
-            lost_before: 0,
+            former_received: 0,
+            former_lost: 0,
             sequence: 0,
             last_received_at: None,
             unreachable: false,
@@ -101,8 +102,8 @@
                 self.former_incarnations.pop_front();
             }
         }
-        self.lost_before += self.replay_window.missing();
-        self.received_before += self.replay_window.accepted();
+        self.former_lost += self.replay_window.missing();
+        self.former_received += self.replay_window.accepted();
         self.replay_window = ReplayWindow::default();
         self.echo = Echo::default();
         self.round_trip = None;
@@ -145,8 +146,8 @@
             unreachable: self.unreachable,
             round_trip: self.round_trip,
             clock_offset: self.clock_offset,
-            received: self.received_before + self.replay_window.accepted(),
-            lost: self.lost_before + self.replay_window.missing(),
+            received: self.former_received + self.replay_window.accepted(),
+            lost: self.former_lost + self.replay_window.missing(),
             sent: self.sequence,
         }
     }
