--- a/crates/peers/src/replay_window.rs
+++ b/crates/peers/src/replay_window.rs
@@ -1,7 +1,7 @@
 //! Which sequence numbers of one start of a peer were accepted: each is accepted once.
 
-/// So many sequence numbers up to the newest are distinguished; earlier ones count as replayed.
-const WINDOW: u64 = 64;
+/// How many sequence numbers, up to the newest, the window tells apart; earlier ones count as replayed.
+const WINDOW_SIZE: u64 = 64;
 
 /// The sequence numbers accepted so far. They begin at 1.
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
             self.first = sequence;
         }
         let step = sequence - self.newest;
-        self.accepted_bits = if step >= WINDOW { 0 } else { self.accepted_bits << step };
+        self.accepted_bits = if step >= WINDOW_SIZE { 0 } else { self.accepted_bits << step };
         self.accepted_bits |= 1;
         self.newest = sequence;
         true
@@ -41,7 +41,7 @@
     /// Accepts a sequence number up to the newest if it is in the window and new.
     fn accept_late(&mut self, sequence: u64) -> bool {
         let distance = self.newest - sequence;
-        if distance >= WINDOW || self.accepted_bits >> distance & 1 == 1 {
+        if distance >= WINDOW_SIZE || self.accepted_bits >> distance & 1 == 1 {
             return false;
         }
         self.accepted_bits |= 1 << distance;
