--- a/crates/outlier-gossip/src/gossip.rs
+++ b/crates/outlier-gossip/src/gossip.rs
@@ -81,13 +81,13 @@
             outputs.push(Output::Broadcast(Message::Reports(own_reports)));
         }
         match lease_token {
-            Some(token) => self.lead(now, token, outputs),
+            Some(token) => self.act_as_lease_holder(now, token, outputs),
             None => self.probes.clear(),
         }
     }
 
     /// The lease is held: broadcasts verdicts on the nodes that were probed, and probes the next one.
-    fn lead(&mut self, now: Millis, token: u64, outputs: &mut Vec<Output>) {
+    fn act_as_lease_holder(&mut self, now: Millis, token: u64, outputs: &mut Vec<Output>) {
         let suspects = self.suspects();
         self.probes.retain(&suspects);
         let results = self.probes.take_results();
