--- a/crates/outlier-gossip/src/verdicts.rs
+++ b/crates/outlier-gossip/src/verdicts.rs
@@ -34,7 +34,7 @@
         if !is_valid(verdict, nodes, settings.retention) {
             return false;
         }
-        let other_outliers = self.outliers_beside(now, &verdict.node);
+        let other_outliers = self.count_other_outliers(now, &verdict.node);
         if verdict.is_outlier && other_outliers >= max_outliers(nodes.len(), settings.max_outlier_fraction) {
             return false;
         }
@@ -44,11 +44,11 @@
         verdict.is_outlier || before.is_some_and(|before| before.is_outlier)
     }
 
-    fn outliers_beside(&self, now: Millis, node: &str) -> usize {
-        let counts = |(other, verdict): &(&String, &ActiveVerdict)| {
+    fn count_other_outliers(&self, now: Millis, node: &str) -> usize {
+        let is_other_outlier = |(other, verdict): &(&String, &ActiveVerdict)| {
             verdict.is_outlier && now < verdict.expires_at && *other != node
         };
-        self.by_node.iter().filter(counts).count()
+        self.by_node.iter().filter(is_other_outlier).count()
     }
 }
 
