--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -58,7 +58,7 @@
 fn voters_may_follow(old: &Config, new: &Config) -> bool {
     match (&old.leases, &new.leases) {
         (Some(old), Some(new)) if new.voters.version <= old.voters.version + 1 => {
-            old.voters.may_follow(&new.voters).is_ok()
+            old.voters.check_successor(&new.voters).is_ok()
         }
         _ => true,
     }
--- a/crates/lease/src/leases/reconfiguration.rs
+++ b/crates/lease/src/leases/reconfiguration.rs
@@ -76,7 +76,7 @@
             self.voting_from = now + self.settings.startup_wait();
             return;
         }
-        match self.settings.voters.may_follow(&voters) {
+        match self.settings.voters.check_successor(&voters) {
             Ok(()) => self.reconfiguration.set_next(voters),
             Err(error) => outputs.push(Output::VotersRejected(error)),
         }
--- a/crates/lease/src/voter_configuration.rs
+++ b/crates/lease/src/voter_configuration.rs
@@ -47,12 +47,12 @@
         if self.previous_voters.is_empty() || changed <= 1 { Ok(()) } else { Err(self.step_error(changed)) }
     }
 
-    /// Whether `next` may follow this configuration: the same again, or the next version with at most one voter added or
-    /// removed.
+    /// Checks whether `next` may follow this configuration: it is the same again, or the next version with at most one
+    /// voter added or removed.
     ///
     /// # Errors
-    /// Why it may not.
-    pub fn may_follow(&self, next: &Self) -> Result<(), SettingsError> {
+    /// Why `next` may not follow.
+    pub fn check_successor(&self, next: &Self) -> Result<(), SettingsError> {
         next.validate()?;
         let changed = self.voters.symmetric_difference(&next.voters).count();
         let unchanged = next.version == self.version && changed == 0;
