--- a/crates/counter/src/http.rs
+++ b/crates/counter/src/http.rs
@@ -74,25 +74,25 @@
     }
 
     fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[used..];
+            let rest = &input[consumed..];
             if !self.decoder.in_message(false) && rest.iter().zip(RESPONSE_START).any(|(a, b)| a != b) {
-                return Ok((used, Some(UNREADABLE_RESPONSE)));
+                return Ok((consumed, Some(UNREADABLE_RESPONSE)));
             }
             let Ok((length, part)) = self.decoder.decode(rest) else {
-                return Ok((used, Some(UNREADABLE_RESPONSE)));
+                return Ok((consumed, Some(UNREADABLE_RESPONSE)));
             };
-            used += length;
+            consumed += length;
             match part {
-                None => return Ok((used, None)),
+                None => return Ok((consumed, None)),
                 Some(Part::Head(head)) => {
                     self.status = head.status;
                     self.keep_alive = head.keep_alive;
                     self.body.clear();
                 }
                 Some(Part::Data(bytes)) => self.body.extend_from_slice(bytes),
-                Some(Part::End) => return Ok((used, Some(self.completed_reply()))),
+                Some(Part::End) => return Ok((consumed, Some(self.completed_reply()))),
             }
         }
     }
--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -256,11 +256,11 @@
             return;
         }
         self.input.extend_from_slice(bytes);
-        let mut used = 0;
+        let mut consumed = 0;
         let failure = loop {
-            match self.codec.decode_reply(&self.input[used..]) {
+            match self.codec.decode_reply(&self.input[consumed..]) {
                 Ok((length, reply)) => {
-                    used += length;
+                    consumed += length;
                     let Some(reply) = reply else { break None };
                     if let Err(reason) = self.handle_reply(now, reply, actions) {
                         break Some(reason.to_owned());
@@ -273,7 +273,7 @@
             actions.push(LinkAction::Close);
             return self.connection_lost(now, &reason, actions);
         }
-        self.input.drain(..used);
+        self.input.drain(..consumed);
     }
 
     /// Matches a reply to the oldest call in flight. The error is the reason why the connection is of no further use.
--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -51,13 +51,14 @@
     }
 
     fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let next = decode(&input[used..]).map_err(|error| CodecError::InvalidReply(error.to_string()))?;
+            let next =
+                decode(&input[consumed..]).map_err(|error| CodecError::InvalidReply(error.to_string()))?;
             let Some((value, length)) = next else {
-                return Ok((used, None));
+                return Ok((consumed, None));
             };
-            used += length;
+            consumed += length;
             if std::mem::take(&mut self.awaits_auth_reply) {
                 if let Value::Error(error) = value {
                     return Err(CodecError::AuthenticationRefused(error));
@@ -71,7 +72,7 @@
             }
             self.replies_read = 0;
             let reply = CounterReply { outcome: exec_outcome(&value), closes_connection: false };
-            return Ok((used, Some(reply)));
+            return Ok((consumed, Some(reply)));
         }
     }
 }
