--- a/crates/lifecycle/tests/process_lifecycle.rs
+++ b/crates/lifecycle/tests/process_lifecycle.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_drain_gives_notice_closes_listeners_finishes_requests_releases_leases_and_exits() {
-    let (lifecycle, did) = run(&[
+    let (lifecycle, actions) = run(&[
         (10.0, ProcessEvent::TerminateSignal),
         (50.0, tick(3, 5, 0)),
         (110.0, tick(3, 5, 0)),
@@ -43,7 +43,7 @@
         (130.0, tick(0, 0, 4)),
         (140.0, tick(0, 0, 0)),
     ]);
-    assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, Exit]);
+    assert_eq!(actions, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, Exit]);
     assert_eq!(lifecycle.state(), ProcessState::Stopped);
 }
 
@@ -55,8 +55,11 @@
         (1110.0, tick(1, 1, 9)),
         (1310.0, tick(0, 0, 9)),
     ];
-    let (lifecycle, did) = run(&ticks);
-    assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests, Exit]);
+    let (lifecycle, actions) = run(&ticks);
+    assert_eq!(
+        actions,
+        [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests, Exit]
+    );
     assert_eq!(lifecycle.state(), ProcessState::Stopped);
 }
 
@@ -65,8 +68,8 @@
     let twice = [(10.0, ProcessEvent::DrainRequested), (20.0, ProcessEvent::DrainRequested)];
     assert_eq!(run(&twice).1, [ProcessAction::SetReady(false), ProcessAction::AnnounceClose]);
     assert!((run(&twice).0.next_timeout(20.0) - 110.0).abs() < 1e-9, "the deadlines of the first one stay");
-    let (_, did) = run(&[(10.0, ProcessEvent::TerminateSignal), (20.0, ProcessEvent::TerminateSignal)]);
-    assert_eq!(did, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests]);
+    let (_, actions) = run(&[(10.0, ProcessEvent::TerminateSignal), (20.0, ProcessEvent::TerminateSignal)]);
+    assert_eq!(actions, [SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases, FinishRequests]);
 }
 
 #[test]
@@ -97,9 +100,9 @@
     assert!(matches!(run(&done).0.state(), ProcessState::Releasing { .. }));
     // At the deadline all requests are finished, and clients have the release timeout to read the responses.
     let late = [(10.0, ProcessEvent::DrainRequested), (110.0, busy(1)), (1110.0, busy(1)), (1309.0, busy(1))];
-    let (lifecycle, did) = run(&late);
+    let (lifecycle, actions) = run(&late);
     assert!(
-        did.contains(&ProcessAction::FinishRequests)
+        actions.contains(&ProcessAction::FinishRequests)
             && matches!(lifecycle.state(), ProcessState::Releasing { .. })
     );
     let read = [&late[..], &[(1309.5, busy(0))]].concat();
@@ -134,15 +137,15 @@
 
 #[test]
 fn a_takeover_drains_without_notice_and_a_failed_one_keeps_the_old_process_serving() {
-    let (_, did) = run(&[
+    let (_, actions) = run(&[
         (1.0, ProcessEvent::TakeoverRequested { peer: 7 }),
         (9.0, ProcessEvent::TakeoverReady { peer: 7 }),
     ]);
     assert_eq!(
-        did,
+        actions,
         [PassListeners { peer: 7 }, SetReady(false), AnnounceClose, CloseListeners, ReleaseLeases]
     );
-    let (lifecycle, did) = run(&[
+    let (lifecycle, actions) = run(&[
         (1.0, ProcessEvent::TakeoverRequested { peer: 7 }),
         (2.0, ProcessEvent::TakeoverRequested { peer: 8 }),
         (3.0, ProcessEvent::TakeoverFailed { peer: 8 }),
@@ -150,74 +153,75 @@
         (5.0, ProcessEvent::TakeoverFailed { peer: 7 }),
     ]);
     assert_eq!(
-        did,
+        actions,
         [PassListeners { peer: 7 }, RefuseTakeover { peer: 8, reason: RefusalReason::HandingOver }]
     );
     assert_eq!(lifecycle.state(), ProcessState::Serving);
-    let (lifecycle, did) = run(&[(1.0, ProcessEvent::TakeoverRequested { peer: 7 }), (501.0, tick(1, 1, 0))]);
-    assert_eq!(did, [PassListeners { peer: 7 }, DisconnectPeer { peer: 7 }]);
+    let (lifecycle, actions) =
+        run(&[(1.0, ProcessEvent::TakeoverRequested { peer: 7 }), (501.0, tick(1, 1, 0))]);
+    assert_eq!(actions, [PassListeners { peer: 7 }, DisconnectPeer { peer: 7 }]);
     assert_eq!(lifecycle.state(), ProcessState::Serving);
     // A termination signal meanwhile does not wait for a process that may never become ready.
-    let (_, did) =
+    let (_, actions) =
         run(&[(1.0, ProcessEvent::TakeoverRequested { peer: 7 }), (2.0, ProcessEvent::TerminateSignal)]);
-    assert_eq!(did[1..], [DisconnectPeer { peer: 7 }, SetReady(false), AnnounceClose]);
+    assert_eq!(actions[1..], [DisconnectPeer { peer: 7 }, SetReady(false), AnnounceClose]);
 }
 
 /// Listeners are closed, leases released and the exit requested once at most; listeners are closed after the process was
 /// reported as not ready.
-fn assert_actions_are_ordered(did: &[ProcessAction]) {
-    let count = |wanted: ProcessAction| did.iter().filter(|o| **o == wanted).count();
+fn assert_actions_are_ordered(actions: &[ProcessAction]) {
+    let count = |action: ProcessAction| actions.iter().filter(|other| **other == action).count();
     assert!(
         count(ProcessAction::CloseListeners) <= 1
             && count(ProcessAction::ReleaseLeases) <= 1
             && count(ProcessAction::Exit) <= 1,
-        "{did:?}"
+        "{actions:?}"
     );
-    let at = |wanted: ProcessAction| did.iter().position(|o| *o == wanted);
+    let position = |action: ProcessAction| actions.iter().position(|other| *other == action);
     if let (Some(unready), Some(closed)) =
-        (at(ProcessAction::SetReady(false)), at(ProcessAction::CloseListeners))
+        (position(ProcessAction::SetReady(false)), position(ProcessAction::CloseListeners))
     {
-        assert!(unready < closed, "{did:?}");
+        assert!(unready < closed, "{actions:?}");
     }
 }
 
 #[test]
 fn invariants_hold_for_any_order_of_events() {
     let mut seed = 3u64;
-    let mut chance = |n: u64| {
+    let mut random_below = |bound: u64| {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (seed >> 33) % n
+        (seed >> 33) % bound
     };
     for _ in 0..20_000 {
         let mut lifecycle = ProcessLifecycle::new(SETTINGS);
-        let mut did = Vec::new();
+        let mut actions = Vec::new();
         let mut now = 0.0;
         for _ in 0..14 {
-            now += chance(300) as f64;
-            let input = match chance(9) {
+            now += random_below(300) as f64;
+            let event = match random_below(9) {
                 0 => ProcessEvent::Started,
                 1 => ProcessEvent::DrainRequested,
                 2 => ProcessEvent::TerminateSignal,
                 3 => ProcessEvent::ReloadRequested,
-                4 => ProcessEvent::TakeoverRequested { peer: chance(3) },
-                5 => ProcessEvent::TakeoverReady { peer: chance(3) },
-                6 => ProcessEvent::TakeoverFailed { peer: chance(3) },
-                _ => tick(chance(2) as usize, chance(2) as usize, chance(2) as usize),
+                4 => ProcessEvent::TakeoverRequested { peer: random_below(3) },
+                5 => ProcessEvent::TakeoverReady { peer: random_below(3) },
+                6 => ProcessEvent::TakeoverFailed { peer: random_below(3) },
+                _ => tick(random_below(2) as usize, random_below(2) as usize, random_below(2) as usize),
             };
             let before = lifecycle.state();
-            lifecycle.handle_event(now, input, &mut did);
+            lifecycle.handle_event(now, event, &mut actions);
             if before == ProcessState::Stopped {
                 assert_eq!(lifecycle.state(), ProcessState::Stopped);
             }
         }
-        assert_actions_are_ordered(&did);
+        assert_actions_are_ordered(&actions);
         // A drain ends the process within bounded time.
         if !matches!(lifecycle.state(), ProcessState::Starting) {
-            let mut did = Vec::new();
-            lifecycle.handle_event(now, ProcessEvent::DrainRequested, &mut did);
+            let mut actions = Vec::new();
+            lifecycle.handle_event(now, ProcessEvent::DrainRequested, &mut actions);
             for _ in 0..3 {
                 now += 1200.0;
-                lifecycle.handle_event(now, tick(9, 9, 9), &mut did);
+                lifecycle.handle_event(now, tick(9, 9, 9), &mut actions);
             }
             assert_eq!(lifecycle.state(), ProcessState::Stopped);
         }
