--- a/crates/lease/src/codec/tests.rs
+++ b/crates/lease/src/codec/tests.rs
@@ -13,10 +13,10 @@
     ];
     let pair = (any::<u32>(), any::<u64>());
     prop_oneof![
-        (pair, any::<u64>()).prop_map(|((task, token), length)| Item::Request(LeaseRequest {
+        (pair, any::<u64>()).prop_map(|((task, token), duration)| Item::Request(LeaseRequest {
             task,
             token,
-            duration: length
+            duration
         })),
         pair.prop_map(|(task, token)| Item::Grant { task, token }),
         (pair, reason).prop_map(|((task, token), reason)| Item::Refuse { task, token, reason }),
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -19,10 +19,11 @@
     pub gateways: u32,
     pub voters: u32,
     pub tasks: u32,
-    /// The lease in ms.
-    pub length: Millis,
-    /// By how much the rates of clocks may differ by the settings, and do, in parts per million.
-    pub drift: u64,
+    /// The duration of a lease, in ms.
+    pub lease_duration: Millis,
+    /// By how much the rates of two clocks may differ by the settings, in parts per million. The clocks of the
+    /// simulation differ by as much.
+    pub clock_drift_ppm: u64,
     /// Probabilities that a message is lost, and duplicated.
     pub loss: f64,
     pub duplication: f64,
@@ -41,8 +42,8 @@
             gateways: 5,
             voters: 5,
             tasks: 1,
-            length: 300,
-            drift: 10_000,
+            lease_duration: 300,
+            clock_drift_ppm: 10_000,
             loss: 0.0,
             duplication: 0.0,
             delay: 5 * MS,
@@ -98,9 +99,9 @@
 }
 
 impl Node {
-    /// A node that is not started, with clocks drawn at random. `drift` is in parts per million.
-    fn new(rng: &mut ChaCha8Rng, drift: u64, configured_voters: VoterConfiguration) -> Self {
-        let rate = 1_000_000 + rng.random_range(0..=drift);
+    /// A node that is not started, with clocks drawn at random.
+    fn new(rng: &mut ChaCha8Rng, clock_drift_ppm: u64, configured_voters: VoterConfiguration) -> Self {
+        let rate = 1_000_000 + rng.random_range(0..=clock_drift_ppm);
         let offset = rng.random_range(0..1_000_000) * MS;
         let wall_offset = rng.random_range(-20..=20);
         Self {
@@ -122,7 +123,7 @@
         let newest_voters = VoterConfiguration::first(0..scenario.voters);
         let mut nodes = BTreeMap::new();
         for number in 0..scenario.gateways {
-            nodes.insert(number, Node::new(&mut rng, scenario.drift, newest_voters.clone()));
+            nodes.insert(number, Node::new(&mut rng, scenario.clock_drift_ppm, newest_voters.clone()));
         }
         let mut world = Self {
             now: 0,
@@ -176,9 +177,9 @@
             gateway: number,
             incarnation: node.incarnation,
             seed,
-            lease_duration: scenario.length,
-            max_lease_duration: scenario.length,
-            clock_drift_ppm: scenario.drift,
+            lease_duration: scenario.lease_duration,
+            max_lease_duration: scenario.lease_duration,
+            clock_drift_ppm: scenario.clock_drift_ppm,
             gateways: (0..scenario.gateways).collect(),
             voters: node.configured_voters.clone(),
             tasks,
@@ -266,7 +267,7 @@
             let mut delay = self.rng.random_range(1..=self.scenario.delay.max(1));
             // Occasionally a message is delayed by up to two leases.
             if self.scenario.loss > 0.0 && self.rng.random_bool(0.01) {
-                delay += self.rng.random_range(0..self.scenario.length * MS * 2);
+                delay += self.rng.random_range(0..self.scenario.lease_duration * MS * 2);
             }
             let message = message.clone();
             self.push(self.now + delay, to, Event::Message { from, incarnation, message });
@@ -346,7 +347,7 @@
 
     /// Injects one fault at random, and lets up to three gateways reload their settings.
     fn inject_fault(&mut self) {
-        let length = self.scenario.length * MS;
+        let lease_duration = self.scenario.lease_duration * MS;
         let number = self.rng.random_range(0..self.scenario.gateways);
         let other = self.rng.random_range(0..self.scenario.gateways);
         match self.rng.random_range(0..12) {
@@ -355,12 +356,12 @@
                 self.start(number);
             }
             2 => {
-                let span = self.rng.random_range(length / 4..length * 5);
+                let span = self.rng.random_range(lease_duration / 4..lease_duration * 5);
                 self.pause(number, span);
             }
             3 => {
                 // The holder, whichever gateway it is.
-                let span = self.rng.random_range(length / 2..length * 3);
+                let span = self.rng.random_range(lease_duration / 2..lease_duration * 3);
                 if let Some(holder) = self.holder(1) {
                     self.pause(holder, span);
                 }
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -14,7 +14,7 @@
         gateways,
         voters: rng.random_range(3.min(gateways)..=gateways),
         tasks: rng.random_range(1..=2),
-        drift: [0, 10_000, 200_000][rng.random_range(0..3)],
+        clock_drift_ppm: [0, 10_000, 200_000][rng.random_range(0..3)],
         loss: [0.0, 0.05, 0.3][rng.random_range(0..3)],
         duplication: rng.random_range(0.0..0.2),
         delay: rng.random_range(1..80) * MS,
@@ -117,7 +117,7 @@
 #[test]
 fn renewals_of_a_thousand_tasks_share_messages() {
     let sent = |tasks| {
-        let mut world = World::new(Scenario { tasks, length: 1_000, ..Scenario::default() }, 1);
+        let mut world = World::new(Scenario { tasks, lease_duration: 1_000, ..Scenario::default() }, 1);
         world.run(4_000 * MS);
         let before = world.sent;
         world.run(8_000 * MS);
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shortest lease that is allowed, in ms.
-const LENGTH: Millis = 20;
+const LEASE_DURATION: Millis = 20;
 /// Clocks differ by up to two fifths, in parts per million.
-const DRIFT: u64 = 400_000;
+const CLOCK_DRIFT_PPM: u64 = 400_000;
 /// A step of real time, in ms: half a lease.
-const STEP: Millis = 10;
+const STEP_DURATION: Millis = 10;
 const TASKS: [TaskId; 2] = [1, 2];
 
 /// The initial conditions of a model.
@@ -70,9 +70,9 @@
             gateway: number,
             incarnation,
             seed: 7,
-            lease_duration: LENGTH,
-            max_lease_duration: LENGTH,
-            clock_drift_ppm: DRIFT,
+            lease_duration: LEASE_DURATION,
+            max_lease_duration: LEASE_DURATION,
+            clock_drift_ppm: CLOCK_DRIFT_PPM,
             gateways: (0..3).collect(),
             voters: self.configured_voters[number as usize].clone(),
             tasks,
@@ -81,8 +81,8 @@
 
     /// The clock of a gateway: the second one runs fast by all that is allowed.
     fn local(&self, number: GatewayNumber, time: u64) -> Millis {
-        let real = 1_000 + time * STEP;
-        if number == 1 { real * (1_000_000 + DRIFT) / 1_000_000 } else { real }
+        let real = 1_000 + time * STEP_DURATION;
+        if number == 1 { real * (1_000_000 + CLOCK_DRIFT_PPM) / 1_000_000 } else { real }
     }
 
     fn start(&self, number: GatewayNumber, incarnation: u64, now: Millis) -> Leases {
@@ -133,7 +133,7 @@
 
     fn init_states(&self) -> Vec<State> {
         // All have long been started: the wait after a start is over.
-        let uptime = 10 * LENGTH;
+        let uptime = 10 * LEASE_DURATION;
         let nodes = (0..3).map(|n| (self.start(n, 1, self.local(n, 0) - uptime), 1)).collect();
         vec![State {
             nodes,
