--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -161,13 +161,13 @@
     }
 
     /// A gateway's own clock in ms.
-    pub(crate) fn local(&self, number: GatewayNumber) -> Millis {
+    pub(crate) fn local_time(&self, number: GatewayNumber) -> Millis {
         let node = &self.nodes[&number];
         (node.offset + self.now * node.rate / 1_000_000) / MS
     }
 
     pub(crate) fn start(&mut self, number: GatewayNumber) {
-        let now = self.local(number);
+        let now = self.local_time(number);
         let seed = self.rng.random();
         let tasks = (0..self.scenario.tasks).map(|t| t + 1).collect();
         let scenario = self.scenario.clone();
@@ -217,7 +217,7 @@
     }
 
     pub(crate) fn handle(&mut self, number: GatewayNumber, input: Input) {
-        let now = self.local(number);
+        let now = self.local_time(number);
         let real = self.now;
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let Some(leases) = node.leases.as_mut() else { return };
@@ -279,7 +279,7 @@
         for task in 1..=self.scenario.tasks {
             let mut holders = BTreeSet::new();
             for number in self.nodes.keys() {
-                let now = self.local(*number);
+                let now = self.local_time(*number);
                 let Some(leases) = &self.nodes[number].leases else { continue };
                 if leases.may_act(now, task, 0).is_ok() {
                     holders.insert(*number);
@@ -306,8 +306,8 @@
         self.run_while(until, |_| true);
     }
 
-    pub(crate) fn run_while(&mut self, until: Micros, on: impl Fn(&Self) -> bool) {
-        while self.violations.is_empty() && on(self) {
+    pub(crate) fn run_while(&mut self, until: Micros, condition: impl Fn(&Self) -> bool) {
+        while self.violations.is_empty() && condition(self) {
             let Some(Reverse((at, sequence))) = self.queue.peek().copied().filter(|r| r.0.0 <= until) else {
                 break;
             };
@@ -336,13 +336,13 @@
 
     /// What an operator checks before the next voters are configured: a majority of the newest ones vote.
     fn is_in_force(&self) -> bool {
-        let by_it = |number: &&GatewayNumber| {
+        let votes_by_newest = |number: &&GatewayNumber| {
             let leases = self.nodes[number].leases.as_ref();
             leases.is_some_and(|l| {
-                l.voters_version() == self.newest_voters.version && l.is_voting(self.local(**number))
+                l.voters_version() == self.newest_voters.version && l.is_voting(self.local_time(**number))
             })
         };
-        self.newest_voters.is_majority(self.newest_voters.voters.iter().filter(by_it).count())
+        self.newest_voters.is_majority(self.newest_voters.voters.iter().filter(votes_by_newest).count())
     }
 
     /// Injects one fault at random, and lets up to three gateways reload their settings.
--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -170,13 +170,16 @@
         leases.handle(1_000, 0, Input::MessageReceived { from: 1, incarnation: 5, message }, &mut out);
         format!("{:?}", leases.clone()).len()
     };
-    let ask = |task| Item::Request(LeaseRequest { task, token: 10, duration: 100 });
+    let request = |task| Item::Request(LeaseRequest { task, token: 10, duration: 100 });
     let refuse = |task| Item::Refuse { task, token: 10, reason: Refusal::NotVoting };
     for round in 0..20 {
-        send((round * 2_000..(round + 1) * 2_000).map(ask).collect());
+        send((round * 2_000..(round + 1) * 2_000).map(request).collect());
         send((round * 2_000..(round + 1) * 2_000).map(refuse).collect());
     }
-    let held = send(Vec::new());
-    send((50_000..52_000).flat_map(|task| [ask(task), refuse(task)]).collect());
-    assert!(send(Vec::new()) <= held + 100, "state grows with what the peer invents");
+    let state_size = send(Vec::new());
+    send((50_000..52_000).flat_map(|task| [request(task), refuse(task)]).collect());
+    assert!(
+        send(Vec::new()) <= state_size + 100,
+        "the state grows with the task numbers that the peer makes up"
+    );
 }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -49,7 +49,7 @@
     /// The highest token that each task was held under.
     highest_tokens: BTreeMap<TaskId, FencingToken>,
     /// Whether a lease was ever acquired under a token that was not higher.
-    token_fell: bool,
+    token_not_increased: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,7 +80,7 @@
     }
 
     /// The clock of a gateway: the second one runs fast by all that is allowed.
-    fn local(&self, number: GatewayNumber, time: u64) -> Millis {
+    fn local_time(&self, number: GatewayNumber, time: u64) -> Millis {
         let real = 1_000 + time * STEP_DURATION;
         if number == 1 { real * (1_000_000 + CLOCK_DRIFT_PPM) / 1_000_000 } else { real }
     }
@@ -91,7 +91,7 @@
     }
 
     fn handle(&self, state: &mut State, number: GatewayNumber, input: Input) {
-        let now = self.local(number, state.time);
+        let now = self.local_time(number, state.time);
         let (leases, incarnation) = &mut state.nodes[number as usize];
         let mut out = Vec::new();
         // The wall clock is always 0: tokens must grow without it.
@@ -105,7 +105,7 @@
                 }
                 Output::Acquired(lease) => {
                     let highest = state.highest_tokens.entry(lease.task).or_default();
-                    state.token_fell |= lease.token <= *highest;
+                    state.token_not_increased |= lease.token <= *highest;
                     *highest = (*highest).max(lease.token);
                 }
                 _ => {}
@@ -120,7 +120,7 @@
 
     fn holders(&self, state: &State, task: TaskId) -> usize {
         let holds = |number: &GatewayNumber| {
-            let now = self.local(*number, state.time);
+            let now = self.local_time(*number, state.time);
             state.nodes[*number as usize].0.may_act(now, task, 0).is_ok()
         };
         (0..3).filter(holds).count()
@@ -134,7 +134,7 @@
     fn init_states(&self) -> Vec<State> {
         // All have long been started: the wait after a start is over.
         let uptime = 10 * LEASE_DURATION;
-        let nodes = (0..3).map(|n| (self.start(n, 1, self.local(n, 0) - uptime), 1)).collect();
+        let nodes = (0..3).map(|n| (self.start(n, 1, self.local_time(n, 0) - uptime), 1)).collect();
         vec![State {
             nodes,
             time: 0,
@@ -142,7 +142,7 @@
             duplicates: 0,
             in_transit: BTreeSet::new(),
             highest_tokens: BTreeMap::new(),
-            token_fell: false,
+            token_not_increased: false,
         }]
     }
 
@@ -178,7 +178,7 @@
             Action::Restart(number) => {
                 state.restarts += 1;
                 let incarnation = state.nodes[number as usize].1 + 1;
-                let now = self.local(number, state.time);
+                let now = self.local_time(number, state.time);
                 state.nodes[number as usize] = (self.start(number, incarnation, now), incarnation);
             }
         }
@@ -190,7 +190,7 @@
             Property::always("one holder", |fleet: &Fleet, state: &State| {
                 TASKS.iter().all(|task| fleet.holders(state, *task) <= 1)
             }),
-            Property::always("tokens grow", |_, state: &State| !state.token_fell),
+            Property::always("tokens grow", |_, state: &State| !state.token_not_increased),
             Property::sometimes("held", |fleet: &Fleet, state: &State| fleet.holders(state, TASKS[0]) == 1),
         ]
     }
