--- a/crates/request-lifecycle/src/lifecycle.rs
+++ b/crates/request-lifecycle/src/lifecycle.rs
@@ -10,23 +10,23 @@
 //!                                       +--------------+-----------+--ended ---------------------+
 //! ```
 //!
-//! The request has ended once the client is done and no attempt is in flight. After a failed attempt the decision
-//! library starts another one, rejects or fails the request. Every event is allowed in every state: one that has no
-//! meaning there changes nothing.
+//! The request has ended once the client is `Done` and no attempt is in flight. After a failed attempt the decision
+//! library starts another attempt, or rejects or fails the request. Every event may be reported in every state; an
+//! event that does not apply to the current state changes nothing.
 
 use crate::action::{FailureReason, FinalResponse, LifecycleAction};
 use crate::attempt::{Attempt, WireState};
 use crate::event::{BackendReply, LifecycleEvent};
 use doorcourse::AttemptOutcome;
 
-/// What the client has had.
+/// What the client has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientState {
-    /// Nothing: another attempt can still give it a response.
+    /// Nothing: another attempt can still provide the response.
     AwaitingResponse,
-    /// A part of a backend's response, which can only be completed or cut.
+    /// A part of a backend's response: the rest must come from the same attempt, or the connection is reset.
     ReceivingResponse,
-    /// Its final response, or it is gone.
+    /// Its final response, or the client has disconnected.
     Done,
 }
 
@@ -40,9 +40,9 @@
     /// The attempt in flight.
     attempt: Option<Attempt>,
     attempts_started: u32,
-    /// How the last attempt ended, for the reason of a failure.
+    /// How the last attempt ended, from which the reason of a failure is derived.
     last_outcome: Option<AttemptOutcome>,
-    /// Response bytes up to which a response is buffered until it is complete.
+    /// The longest response, in bytes, that is buffered until it is complete.
     buffer_limit: usize,
 }
 
@@ -113,7 +113,7 @@
     }
 
     fn start_attempt(&mut self) {
-        debug_assert!(self.attempt.is_none(), "never two attempts at once");
+        debug_assert!(self.attempt.is_none(), "an attempt is already in flight");
         self.attempts_started += 1;
         self.attempt = Some(Attempt::new());
     }
@@ -131,7 +131,7 @@
     }
 
     /// A response within the buffer limit is forwarded once it is complete, so that another attempt can still replace
-    /// that of a backend which breaks off. A longer one is forwarded as it arrives.
+    /// it if the backend fails before its end. A longer response is forwarded as it arrives.
     fn handle_response_data(&mut self, bytes: usize, actions: &mut Vec<LifecycleAction>) {
         let Some(attempt) = &mut self.attempt else { return };
         let received_bytes = attempt.response_data(bytes);
@@ -156,8 +156,8 @@
     ) {
         let Some(attempt) = self.attempt else { return };
         if !attempt.awaits_response_head() {
-            // Reported by the RESP gateway alone, where `Sent` means written in full: a response to a request that was
-            // not belongs to something else.
+            // Only the RESP gateway reports this event. There `Sent` means that the request was written in full, so a
+            // response before that cannot belong to this request.
             self.handle_invalid_response(actions);
             return;
         }
@@ -201,22 +201,22 @@
         if let Some(attempt) = self.attempt {
             actions.push(LifecycleAction::CloseBackendConnection);
             self.abort_attempt(attempt.outcome_at_deadline(), actions);
-            // An unsent attempt counts as `ConnectFailed` in its backend's health; if the request fails after this, its
-            // client is notified of the deadline.
+            // An unsent attempt counts as `ConnectFailed` in its backend's health. If the request fails after this, the
+            // reason that its client gets is still the deadline.
             self.last_outcome = Some(AttemptOutcome::TimedOut);
             return;
         }
         if self.client == ClientState::AwaitingResponse {
-            // The decision library queues no request beyond its deadline, but the end of a graceful shutdown expires
-            // the deadlines of all that remain. The client is still connected: `ClientDisconnected` only makes the
-            // decision library drop the request.
+            // The decision library queues no request beyond its deadline, but at the end of a graceful shutdown the
+            // host reports an expired deadline for all remaining requests. The client is still connected:
+            // `AbandonRequest` only makes the decision library drop the request.
             actions.push(LifecycleAction::AbandonRequest);
             self.respond(FinalResponse::Failed(FailureReason::DeadlineExpired), actions);
         }
     }
 
-    /// An attempt that is written goes on, since nothing stops the backend's work, and its end is still reported. One
-    /// that is not written is withdrawn.
+    /// An attempt that was sent goes on, since nothing stops the backend's work, and its end is still reported. An
+    /// unsent attempt is withdrawn.
     fn handle_client_disconnect(&mut self, actions: &mut Vec<LifecycleAction>) {
         let was_waiting = self.awaits_response();
         self.client = ClientState::Done;
@@ -232,7 +232,7 @@
         self.finish_if_done(actions);
     }
 
-    /// Ends the attempt with a response that has arrived to its end.
+    /// Ends the attempt with a response that has arrived completely.
     fn complete_attempt(
         &mut self, outcome: AttemptOutcome, units: Option<f64>, actions: &mut Vec<LifecycleAction>,
     ) {
@@ -245,7 +245,7 @@
                 self.client = ClientState::Done;
             }
             ClientState::ReceivingResponse => {
-                // The client has its bytes already, and sees itself what is wrong with them.
+                // The response has already been forwarded; if it is incomplete, the client sees that itself.
                 actions.push(LifecycleAction::EndResponse);
                 self.client = ClientState::Done;
             }
@@ -275,8 +275,8 @@
     fn respond(&mut self, response: FinalResponse, actions: &mut Vec<LifecycleAction>) {
         match self.client {
             ClientState::AwaitingResponse => actions.push(LifecycleAction::Respond(response)),
-            // The decision library ends no request whose response is forwarded already; if it should, the response can
-            // only be cut.
+            // The decision library does not end a request whose response is already being forwarded. If it did, the
+            // response could only be cut off.
             ClientState::ReceivingResponse => actions.push(LifecycleAction::ResetClient),
             ClientState::Done => {}
         }
@@ -302,8 +302,8 @@
         self.attempt.is_some_and(|attempt| attempt.is_unsent())
     }
 
-    /// What a client learns when its request fails. A request without any attempt was queued until its deadline: the
-    /// decision library rejects it while there is time.
+    /// The reason that the client gets when its request fails. A request without any attempt was queued until its
+    /// deadline: before the deadline the decision library rejects it instead of failing it.
     fn failure_reason(&self) -> FailureReason {
         match self.last_outcome {
             None | Some(AttemptOutcome::TimedOut) => FailureReason::DeadlineExpired,
