--- a/crates/request-lifecycle/src/attempt.rs
+++ b/crates/request-lifecycle/src/attempt.rs
@@ -16,11 +16,11 @@
 
 use doorcourse::AttemptOutcome;
 
-/// HTTP status of a backend that rejects a request before any work (RFC 6585, section 4). 503 says less: it may come
-/// after work.
+/// The HTTP status with which a backend rejects a request before any work (RFC 6585, section 4). A backend may send 503
+/// after it has begun the work, so 503 does not count as a rejection.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// How far an attempt has come on the wire.
+/// How much of an attempt's request and response has been transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireState {
     /// It has no connection yet.
@@ -28,9 +28,9 @@
     /// It has a connection, and the host has not reported
     /// [`LifecycleEvent::RequestSent`](crate::LifecycleEvent::RequestSent).
     Connected,
-    /// The operating system accepted the bytes from which on the backend may execute the request: in the HTTP gateway
-    /// the first ones, in the RESP gateway all of them. It may do so whatever happens to the connection: a pooled
-    /// connection that closes just as the request is written does not show whether it was read.
+    /// The operating system accepted the bytes after which the backend may execute the request: the first bytes in the
+    /// HTTP gateway, all bytes in the RESP gateway. The backend may execute it even if the connection is lost: when a
+    /// pooled connection closes just as the request is written, nothing shows whether the backend read it.
     Sent,
     /// The response head arrived.
     Responding,
@@ -60,7 +60,7 @@
         self.status = Some(status);
     }
 
-    /// Records body bytes. Returns how many were received in all.
+    /// Records received body bytes. Returns the total received so far.
     pub(crate) fn response_data(&mut self, bytes: usize) -> usize {
         self.received_bytes = self.received_bytes.saturating_add(bytes);
         self.received_bytes
@@ -77,13 +77,13 @@
         self.wire == WireState::Sent
     }
 
-    /// Whether the response received is the service's response to the client. Statuses 400 and 422 reject the operation
-    /// itself: another backend would respond the same.
+    /// Whether the received response may be forwarded to the client. Statuses 400 and 422 reject the operation itself:
+    /// every other backend would respond with the same.
     pub(crate) fn has_client_response(&self) -> bool {
         matches!(self.status, Some(200 | 400 | 422))
     }
 
-    /// The outcome where the response body ended, as a `complete` GraphQL response or not.
+    /// The outcome where the response body ended; `complete` says whether it is a complete GraphQL response.
     pub(crate) fn outcome_at_response_end(&self, complete: bool) -> AttemptOutcome {
         if self.status == Some(TOO_MANY_REQUESTS) {
             AttemptOutcome::Rejected
@@ -111,8 +111,8 @@
 
     /// The outcome where the deadline expires: a request that was not [`Sent`](WireState::Sent) was not executed.
     ///
-    /// An unsent one ends as `ConnectFailed` also where the connection was made: unlike `NeverSent`, that counts as a
-    /// failure in the backend's health.
+    /// An unsent attempt ends as `ConnectFailed` even where the connection was made: unlike `NeverSent`, this outcome
+    /// counts as a failure in the backend's health.
     pub(crate) fn outcome_at_deadline(&self) -> AttemptOutcome {
         if self.is_unsent() { AttemptOutcome::ConnectFailed } else { AttemptOutcome::TimedOut }
     }
