--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -2,7 +2,7 @@
 
 use doorcourse::{AttemptOutcome, RejectReason};
 
-/// Something that the host carries out at once, in the order of the actions.
+/// An action that the host carries out at once, in the order in which the actions were appended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LifecycleAction {
     /// Report the end of the attempt to the decision library.
@@ -22,15 +22,16 @@
     AbandonRequest,
     /// Send the client this final response.
     Respond(FinalResponse),
-    /// Forward what is buffered of the backend's response to the client, and what follows as it arrives.
+    /// Forward the buffered part of the backend's response to the client, and the rest as it arrives.
     ForwardResponse,
-    /// The forwarded response is at its end.
+    /// End the forwarded response: all of it has arrived.
     EndResponse,
-    /// Discard what is buffered of the backend's response.
+    /// Discard the buffered part of the backend's response.
     DiscardResponse,
-    /// Reset the client's connection, so that it cannot take the part that it has for the complete response.
+    /// Reset the client's connection, so that the client cannot mistake the part that it received for the complete
+    /// response.
     ResetClient,
-    /// Close the attempt's connection: nothing that still arrives on it is of use.
+    /// Close the attempt's connection: whatever still arrives on it is not needed.
     CloseBackendConnection,
     /// The request has ended: remove its state.
     Finished,
@@ -47,7 +48,8 @@
         /// Why.
         reason: RejectReason,
     },
-    /// The request failed. It may have been executed, also where the reason of the last attempt says otherwise.
+    /// The request failed. It may have been executed even where the reason, which is that of the last attempt, says
+    /// otherwise: an earlier attempt may have reached a backend.
     Failed(FailureReason),
 }
 
@@ -56,7 +58,7 @@
 pub enum FailureReason {
     /// No response arrived before the deadline.
     DeadlineExpired,
-    /// A backend broke off or responded with an error.
+    /// The connection to a backend was lost, or the backend responded with an error.
     BackendFailed,
     /// The last attempt reached no backend, or was rejected by it.
     NoBackendReached,
