--- a/crates/request-lifecycle/src/event.rs
+++ b/crates/request-lifecycle/src/event.rs
@@ -2,7 +2,7 @@
 
 use doorcourse::RejectReason;
 
-/// Something that happened to a request, in the order in which it happened.
+/// An event of a request. The host reports events in the order in which they happened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LifecycleEvent {
     /// The decision library sent an attempt to a backend. No other attempt of the request is in flight.
@@ -11,9 +11,9 @@
     Connected,
     /// The operating system accepted bytes of the request for sending: from now on a backend may execute it.
     ///
-    /// From which byte on that is so depends on the protocol, so the host decides when it reports this event. The HTTP
-    /// gateway reports the first bytes: a backend may act on a part of a request. The RESP gateway reports the last
-    /// byte: a command counts as executed only once it was written in full.
+    /// Which byte makes this possible depends on the protocol, so the host decides when it reports this event. The HTTP
+    /// gateway reports it at the first bytes: a backend may act on a part of a request. The RESP gateway reports it at
+    /// the last byte: a backend executes a command only once it has received all of it.
     RequestSent,
     /// The response head arrived.
     ResponseHead {
@@ -29,18 +29,18 @@
     ResponseEnd {
         /// Whether it is a complete GraphQL response.
         complete: bool,
-        /// The cost of the operation by the data of the response, in units.
+        /// The cost of the operation, computed from the data of the response, in units.
         units: f64,
     },
     /// The complete response arrived, in a protocol where none of it is forwarded before its end.
     ResponseReceived {
-        /// What it says.
+        /// The result that the response reports.
         reply: BackendReply,
-        /// The cost in units, where the response names it.
+        /// The cost in units, where the response states it.
         units: Option<f64>,
     },
-    /// The backend drains, is gone or is another incarnation: the attempt must not be sent to it, unless
-    /// [`RequestSent`](Self::RequestSent) was reported.
+    /// The backend is draining, was removed or has another incarnation: the attempt must not be sent to it any more. An
+    /// attempt for which [`RequestSent`](Self::RequestSent) was reported goes on.
     Withdrawn,
     /// The attempt's connection was lost or could not be made.
     ConnectionLost,
@@ -48,8 +48,8 @@
     InvalidResponse,
     /// The decision library cancels the attempt.
     Cancelled,
-    /// The deadline of the attempt, or of the request without an attempt, expired. At the end of a graceful shutdown
-    /// the host reports it for the requests that remain, whatever time is left.
+    /// The deadline of the attempt expired, or that of the request where no attempt is in flight. At the end of a
+    /// graceful shutdown the host reports this for all remaining requests, even before their deadlines.
     DeadlineExpired,
     /// The client closed its connection.
     ClientDisconnected,
