--- a/crates/request-lifecycle/src/timeouts.rs
+++ b/crates/request-lifecycle/src/timeouts.rs
@@ -1,12 +1,13 @@
-//! How long a request, and a connect for one of its attempts, may take.
+//! The timeout of a request, and of a connect for one of its attempts.
 
 use doorcourse::Millis;
 
-/// The timeout of a request for the decision library, in ms: the client's, less the margin in which its response
-/// travels. `None` where nothing is left, so that no response would reach the client in time.
+/// The timeout of a request that is passed to the decision library, in ms: the client's timeout, less a margin in which
+/// the response travels to the client. `None` where nothing is left: no response would reach the client in time.
 ///
-/// `class_timeout` applies where the client names no finite `client_timeout`, and neither counts beyond `max_timeout`.
-/// The `response_margin` is cut to a quarter of the timeout, so that requests with a short one can be served at all.
+/// `class_timeout` applies where the client names no finite `client_timeout`; both are limited to `max_timeout`. The
+/// `response_margin` is limited to a quarter of the timeout, so that requests with a short timeout can be served at
+/// all.
 #[must_use]
 pub fn request_timeout(
     class_timeout: Millis, client_timeout: Option<Millis>, max_timeout: Millis, response_margin: Millis,
@@ -19,9 +20,10 @@
 
 /// The timeout of a connect for an attempt, in ms.
 ///
-/// It is half of what is left of the first half of the request's timeout, no more than `max_connect_timeout`, but no
-/// less than a sixteenth of the request's timeout, which wins where the two conflict. So a request that reaches no backend ends before half of its
-/// timeout, after a second connect where the first backend has vanished. `elapsed` is the age of the request, in ms.
+/// It is half of the time that remains until half of the request's timeout has passed, at most `max_connect_timeout`,
+/// and at least a sixteenth of the request's timeout; the lower bound takes precedence over `max_connect_timeout`. So a
+/// request that reaches no backend ends before half of its timeout has passed, with time for a second connect where the
+/// first backend does not answer. `elapsed` is the age of the request, in ms.
 #[must_use]
 pub fn connect_timeout(max_connect_timeout: Millis, request_timeout: Millis, elapsed: Millis) -> Millis {
     let timeout = (request_timeout / 2.0 - elapsed) / 2.0;
