--- a/crates/request-lifecycle/src/operation_class.rs
+++ b/crates/request-lifecycle/src/operation_class.rs
@@ -5,10 +5,10 @@
 
 /// The class of an operation, as an index into `classes`, from the classes of its root fields.
 ///
-/// It is the class with the strictest idempotency among them, since the whole operation is sent and retried as one; of
-/// equally strict ones that with the shortest latency objective, since the response comes as one. An operation without
-/// root fields in a class (introspection) has the idempotent class with the longest latency objective; `None` where no
-/// class is idempotent. Indices beyond `classes` are ignored.
+/// It is the class with the strictest idempotency among `field_classes`, since the operation is sent and retried as a
+/// whole. Among equally strict classes it is the one with the shortest latency objective, since the response arrives as
+/// a whole. An operation of which no root field has a class (introspection) gets the idempotent class with the longest
+/// latency objective, or `None` where no class is idempotent. Indices beyond `classes` are ignored.
 #[must_use]
 pub fn operation_class(
     classes: &[RequestClass], field_classes: impl IntoIterator<Item = usize>,
