--- a/crates/request-lifecycle/src/plan_capacity.rs
+++ b/crates/request-lifecycle/src/plan_capacity.rs
@@ -2,7 +2,7 @@
 
 use doorcourse::Plan;
 
-/// A request costs more units than its plan can ever hold, however long its client waits.
+/// A request costs more units than its plan can ever hold: waiting does not help.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExceedsPlanCapacity {
     /// The most units that the plan can hold.
@@ -11,8 +11,8 @@
 
 /// Checks whether a plan can ever hold a cost of `units`.
 ///
-/// The check precedes the admission, so that such a request takes no quota lease from others: a lease larger than the
-/// burst is never granted, and the client would be advised to retry for ever.
+/// The check precedes the admission, so that such a request takes no quota lease from others. A lease larger than the
+/// burst is never granted, so without the check the client would be told to retry forever.
 ///
 /// # Errors
 /// [`ExceedsPlanCapacity`] where it cannot.
@@ -21,9 +21,10 @@
     if units <= capacity { Ok(()) } else { Err(ExceedsPlanCapacity { capacity }) }
 }
 
-/// The most units that a plan's quota and its ceiling can hold; infinite for a plan with neither.
+/// The most units that a plan's quota and ceiling can hold; infinite for a plan without either.
 fn plan_capacity(plan: &Plan) -> f64 {
-    // Under a ceiling, a gateway that has no counter total starts with half of the burst; the rate fills the rest.
+    // The whole burst counts even under a ceiling: a gateway without a counter total starts with half of the burst, but
+    // the rate fills the other half.
     let quota = if plan.rate > 0.0 { plan.burst } else { f64::INFINITY };
     let ceiling =
         if plan.ceiling_rate > 0.0 { plan.ceiling_burst + plan.ceiling_slack } else { f64::INFINITY };
