--- a/crates/request-lifecycle/src/session.rs
+++ b/crates/request-lifecycle/src/session.rs
@@ -1,9 +1,9 @@
-//! The sticky session route that a request names: the part of its session id behind the first dot (`id.route`), in a
-//! cookie or in a parameter of the path or the query. Names and places are those of servlet containers and of Apache's
-//! load balancers.
+//! The sticky session route that a request names: the part of its session id after the first dot (`id.route`). The
+//! session id is in a cookie or in a parameter of the path or the query, as servlet containers and Apache's load
+//! balancers send it.
 
-/// The value of a cookie in the `Cookie` header fields of a request (RFC 6265, section 4.2.1), without its quotes; the
-/// first one counts. `None` where no cookie has the name, or the name is empty.
+/// The value of a cookie in the `Cookie` header fields of a request (RFC 6265, section 4.2.1), without its quotes. If
+/// several cookies have the name, the first one counts. `None` where no cookie has the name, or the name is empty.
 #[must_use]
 pub fn cookie<'a>(name: &str, header_fields: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     if name.is_empty() {
@@ -23,8 +23,8 @@
     value.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')).unwrap_or(value)
 }
 
-/// The value of a parameter among `name=value` pairs separated by `delimiter`; the first one counts. `None` where no
-/// pair has the name, or the name is empty.
+/// The value of a parameter among `name=value` pairs separated by `delimiter`. If several pairs have the
+/// name, the first one counts. `None` where no pair has the name, or the name is empty.
 #[must_use]
 pub fn parameter<'a>(name: &str, pairs: &'a str, delimiter: char) -> Option<&'a str> {
     if name.is_empty() {
@@ -38,7 +38,7 @@
     (pair_name == name).then_some(value)
 }
 
-/// Splits a path from the parameters behind its first semicolon, which are empty where it has none.
+/// Splits a path from the parameters after its first semicolon; the parameters are empty where the path has none.
 #[must_use]
 pub fn split_path(path: &str) -> (&str, &str) {
     path.split_once(';').unwrap_or((path, ""))
