--- a/crates/request-lifecycle/tests/lifecycle.rs
+++ b/crates/request-lifecycle/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one request in each state, and random orders of events against its invariants.
+//! The lifecycle of one request in each state, and its invariants under random orders of events.
 
 use doorcourse::{AttemptOutcome, RejectReason};
 use doorcourse_request_lifecycle::{
@@ -55,7 +55,7 @@
             LifecycleAction::Finished
         ]
     );
-    // Another attempt can replace an incomplete response: the client has had nothing of it.
+    // Another attempt can replace an incomplete response: none of it was forwarded to the client.
     assert_eq!(
         actions_after_sent(&[STATUS_200, data, LifecycleEvent::ConnectionLost]),
         [LifecycleAction::DiscardResponse, attempt_ended(AttemptOutcome::ConnectionLost, None, false)]
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_failure_names_the_deadline_the_backend_or_that_no_backend_was_reached() {
-    // A deadline that expires during the connect is a deadline to the client.
+    // A deadline that expires during the connect is reported to the client as an expired deadline.
     let events = [LifecycleEvent::AttemptStarted, LifecycleEvent::DeadlineExpired, LifecycleEvent::Failed];
     let actions = run(&events).1;
     assert!(actions.contains(&failed(FailureReason::DeadlineExpired)), "{actions:?}");
@@ -237,7 +237,7 @@
     );
 }
 
-/// A linear congruential generator: the same events in every run.
+/// A linear congruential generator with a fixed seed: every run draws the same events.
 struct RandomDraws {
     state: u64,
 }
@@ -250,8 +250,8 @@
     }
 }
 
-/// An event that a host may report now; an attempt starts, and the decisions end the request, only while none is in
-/// flight.
+/// An event that a host may report now. Only while no attempt is in flight does an attempt start, or does the decision
+/// library reject or fail the request.
 fn random_event(draws: &mut RandomDraws, without_attempt: bool) -> LifecycleEvent {
     match draws.below(12) {
         0 | 1 if without_attempt => LifecycleEvent::AttemptStarted,
