--- a/crates/graceful-shutdown/src/shutdown.rs
+++ b/crates/graceful-shutdown/src/shutdown.rs
@@ -12,30 +12,30 @@
 //! | phase | listener | connections | new requests |
 //! | --- | --- | --- | --- |
 //! | `Serving` | open | kept | admitted with their own timeout |
-//! | `Notice` | open: not all clients and load balancers know of the shutdown yet | kept: they are in use | admitted if they can end in time, else rejected |
+//! | `Notice` | open: some clients and load balancers do not know of the shutdown yet | kept: clients still send requests on them | admitted if they can end in time, else rejected |
 //! | `Draining` | connections in the accept queue are accepted, then it is closed | each is closed once nothing is open on it and one last read finds nothing | as before |
 //! | `FinalResponses` | closed | as before | rejected; every open request gets its final response now |
 //!
-//! A connection that had a request open when the listener closed is no exception: clients go on sending on whatever
-//! stays open up to the kill, so each connection is closed as it falls idle.
+//! This includes connections that had an open request when the listener closed: clients go on sending requests on every
+//! connection that stays open until the kill, so each connection is closed as soon as it is idle.
 
 use doorcourse::Millis;
 use doorcourse_connection_limits::ConnectionActivity;
 use doorcourse_fail_points::rule_disabled;
 
-/// How long after SIGTERM new connections and requests are expected as before: those on their way, and those of a load
-/// balancer that does not know of the shutdown yet.
+/// How long after SIGTERM new connections and requests still arrive as before: those that are in transit, and those of
+/// a load balancer that does not know of the shutdown yet.
 const NOTICE_PERIOD: Millis = 700.0;
-/// The longest request timeout counts as no more than this for the time of the kill.
+/// The platform counts at most this much of the longest request timeout for the time of the kill.
 const MAX_COUNTED_TIMEOUT: Millis = 3000.0;
-/// How long before the earliest time of the kill every request has its final response: the response has to travel,
-/// and the event loop may be late. The process exits as soon as all connections are closed.
+/// How long before the earliest time of the kill every request gets its final response: the response has to reach the
+/// client, and the event loop may be late. The process exits earlier if all connections are closed.
 const EXIT_MARGIN: Millis = 50.0;
 
-/// How long a connection that was just accepted is kept for its first request, which is on its way.
+/// How long a connection that was just accepted is kept open for its first request, which is probably in transit.
 const FIRST_REQUEST_WAIT: Millis = 50.0;
 
-/// By how much the fail point `shutdown-deadline` delays the final responses, far past the kill.
+/// The delay that the fail point `shutdown-deadline` adds to the final responses: far beyond the kill.
 const DISABLED_DEADLINE_DELAY: Millis = 10_000.0;
 
 /// The phase of a gateway's shutdown.
@@ -43,9 +43,9 @@
 pub enum ShutdownPhase {
     /// No shutdown is in progress.
     Serving,
-    /// The shutdown is announced; the gateway serves on, since its clients do not all know yet.
+    /// The shutdown is announced; the gateway still serves, since not all clients know of the shutdown yet.
     Notice,
-    /// The listener is closed, and connections are closed as they fall idle.
+    /// The listener is closed, and each connection is closed once it is idle.
     Draining,
     /// The kill may come at any moment: each open request gets its final response at once.
     FinalResponses,
@@ -56,14 +56,15 @@
 pub enum Admission {
     /// It is admitted with this timeout in ms.
     Admit(Millis),
-    /// It cannot end before the process may be killed: rejected at once, so that its client can retry elsewhere.
+    /// The request cannot end before the process may be killed. It is rejected at once, so that its client can retry at
+    /// another gateway.
     Reject,
 }
 
 /// The graceful shutdown of one process.
 ///
-/// The host reports SIGTERM with [`begin`](Self::begin), asks for the [`phase`](Self::phase) and carries it out, wakes
-/// at [`next_timeout`](Self::next_timeout), and exits with [`is_finished`](Self::is_finished).
+/// The host reports SIGTERM with [`begin`](Self::begin), does what the current [`phase`](Self::phase) requires, wakes
+/// up at [`next_timeout`](Self::next_timeout), and exits once [`is_finished`](Self::is_finished) returns true.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GracefulShutdown {
     /// `None` while no shutdown is in progress.
@@ -80,7 +81,8 @@
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that begins at `now`, where no request has a longer timeout than `max_request_timeout`.
+    /// The schedule of a shutdown that begins at `now`, where no request has a longer timeout than
+    /// `max_request_timeout`.
     fn new(now: Millis, max_request_timeout: Millis) -> Self {
         let mut final_responses_at =
             now + max_request_timeout.min(MAX_COUNTED_TIMEOUT) + NOTICE_PERIOD - EXIT_MARGIN;
@@ -90,7 +92,7 @@
         Self { stop_accepting_at: now + NOTICE_PERIOD, final_responses_at }
     }
 
-    /// When the process exits whatever remains: the earliest time of the kill.
+    /// When the process exits even if connections are still open: the earliest time of the kill.
     fn exit_at(&self) -> Millis {
         self.final_responses_at + EXIT_MARGIN
     }
@@ -131,7 +133,7 @@
 
     /// Decides on a new request with this timeout, in a class with this latency objective, both in ms.
     ///
-    /// The time that remains may be shorter than the request's own timeout. The request is admitted where it suffices
+    /// The time that remains may be shorter than the request's timeout. The request is admitted where the time suffices
     /// for the latency objective, and rejected where its attempt would most likely be cut off.
     #[must_use]
     pub fn admit(&self, now: Millis, request_timeout: Millis, latency_objective: Millis) -> Admission {
@@ -145,8 +147,9 @@
 
     /// Whether a client connection is to be closed now, if one last read finds nothing on it.
     ///
-    /// It is while the gateway drains and nothing is open on the connection: no request or part of one, no unread
-    /// response, no lingering close; one that was just accepted is kept for its first request.
+    /// A connection may be closed while the gateway drains and the connection has no open request, no partially
+    /// received request, no unread response and no lingering close. A connection that was just accepted is kept open
+    /// for its first request.
     #[must_use]
     pub fn may_close(&self, now: Millis, connection: &ConnectionActivity) -> bool {
         let is_busy = connection.open_requests > 0
@@ -158,8 +161,8 @@
         self.is_draining(now) && !is_busy && !awaits_first_request && !self.keeps_idle_connections(now)
     }
 
-    /// The fault that the fail point `close-idle-until-exit` injects: connections are closed only just after the
-    /// listener, and those that fall idle later stay open.
+    /// The fault that the fail point `close-idle-until-exit` injects: connections are closed only shortly after the
+    /// listener, and connections that become idle later stay open.
     fn keeps_idle_connections(&self, now: Millis) -> bool {
         rule_disabled("close-idle-until-exit")
             && self
@@ -167,13 +170,13 @@
                 .is_some_and(|schedule| now >= schedule.stop_accepting_at + FIRST_REQUEST_WAIT / 2.0)
     }
 
-    /// Whether the listener is closed and connections are closed as they fall idle.
+    /// Whether the listener is closed and each connection is closed once it is idle.
     #[must_use]
     pub fn is_draining(&self, now: Millis) -> bool {
         matches!(self.phase(now), ShutdownPhase::Draining | ShutdownPhase::FinalResponses)
     }
 
-    /// Whether the process exits now, with so many client connections still open.
+    /// Whether the process exits now, where `open_connections` client connections are still open.
     #[must_use]
     pub fn is_finished(&self, now: Millis, open_connections: usize) -> bool {
         let all_closed = self.is_draining(now) && open_connections == 0;
