--- a/crates/graceful-shutdown/src/shutdown/tests.rs
+++ b/crates/graceful-shutdown/src/shutdown/tests.rs
@@ -41,14 +41,14 @@
     for connection in in_use {
         assert!(!shutdown.may_close(3000.0, &connection), "{connection:?}");
     }
-    // One without any request closes too, unless it was just accepted.
+    // A connection without any request closes too, unless it was just accepted.
     let silent = ConnectionActivity { last_request_at: None, opened_at: 790.0, ..idle() };
     assert!(!shutdown.may_close(839.0, &silent) && shutdown.may_close(840.0, &silent));
 }
 
 #[test]
 fn no_request_is_admitted_past_the_kill() {
-    // The kill comes the longest timeout, 3 s at most, and 0.7 s after SIGTERM.
+    // The kill comes after SIGTERM by the longest request timeout, counted as at most 3 s, plus 0.7 s.
     for (max_request_timeout, kill_at) in [(1000.0, 1800.0), (3000.0, 3800.0), (5000.0, 3800.0)] {
         let shutdown = shutdown_started_at_100(max_request_timeout);
         let last_response_at = kill_at - EXIT_MARGIN;
