--- a/crates/graceful-shutdown/src/final_rounds.rs
+++ b/crates/graceful-shutdown/src/final_rounds.rs
@@ -5,19 +5,19 @@
 /// What the host does with the remaining requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalRound {
-    /// End the attempts of these requests as timed out. The decisions then give the final response or start another
-    /// attempt, which the next round ends.
+    /// End the attempts of these requests as timed out. For each of them the decision library then gives the final
+    /// response or starts another attempt, which the next round ends.
     ExpireAttempts(Vec<RequestId>),
-    /// These requests have had all rounds: disconnect their clients.
+    /// These requests are still open after the last round: disconnect their clients.
     ResetClients(Vec<RequestId>),
     /// No request remains.
     Finished,
 }
 
-/// Bounds the rounds in which the remaining requests are ended.
+/// Bounds the number of rounds in which the remaining requests are ended.
 ///
-/// A round ends one attempt of each request, so there are as many rounds as attempts allowed, and one for requests that
-/// were queued. A request that remains after these would remain for ever.
+/// A round ends one attempt of each request, so there is one round for each attempt that a request may have, and one
+/// more for requests that were queued. A request that is still open after these would never end.
 #[derive(Clone, Debug)]
 pub struct FinalRounds {
     remaining_rounds: u32,
