--- a/crates/graceful-shutdown/src/stall.rs
+++ b/crates/graceful-shutdown/src/stall.rs
@@ -2,14 +2,14 @@
 
 use doorcourse::Millis;
 
-/// Delay in ms beyond which an iteration is stalled. Less is the ordinary jitter of the system's scheduling.
+/// Delay in ms beyond which an iteration counts as stalled. Shorter delays are ordinary scheduling jitter.
 const STALL_THRESHOLD: Millis = 5.0;
 
-/// Whether an event loop polls its sockets again before it goes on: what arrived during a stall, above all the close of
-/// a client, precedes what the loop does next.
+/// Whether an event loop has to poll its sockets again before it goes on, so that it handles what arrived during a
+/// stall first, above all the close of a client's connection.
 ///
-/// `delay` is by how many ms the loop is late: for the timeout that its poll ended at, or, within an iteration of the
-/// HTTP gateway, since its last poll.
+/// `delay` is how late the loop is, in ms: the time since the timeout at which its poll was to end, or, within an
+/// iteration of the HTTP gateway, the time since its last poll.
 #[must_use]
 pub fn needs_repoll(delay: Millis) -> bool {
     delay > STALL_THRESHOLD
