--- a/crates/graceful-shutdown/src/manual_drains.rs
+++ b/crates/graceful-shutdown/src/manual_drains.rs
@@ -5,15 +5,15 @@
 
 /// The backends drained by an operator.
 ///
-/// A drain holds until the operator ends it or the process ends, also while the backend is missing from the endpoint
-/// list: the reason of the drain does not end with the entry.
+/// A drain lasts until the operator or the process ends it, even while the backend is missing from the endpoint list:
+/// the operator's reason for the drain may still apply when the backend is listed again.
 #[derive(Clone, Debug, Default)]
 pub struct ManualDrains {
     drained: BTreeSet<Name>,
 }
 
 impl ManualDrains {
-    /// Begins or ends the drain of a backend, by its name. Returns whether that changes anything.
+    /// Begins or ends the drain of the backend of this name. Returns whether that changed anything.
     pub fn set_drained(&mut self, backend: &Name, drained: bool) -> bool {
         if drained { self.drained.insert(backend.clone()) } else { self.drained.remove(backend) }
     }
@@ -24,7 +24,7 @@
         self.drained.contains(backend)
     }
 
-    /// The endpoint list with each ready backend that is drained by hand as draining.
+    /// The endpoint list, with each ready backend that an operator drained marked as draining.
     #[must_use]
     pub fn apply(&self, endpoints: impl IntoIterator<Item = BackendEntry>) -> Vec<BackendEntry> {
         endpoints.into_iter().map(|entry| self.apply_to_entry(entry)).collect()
