--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -4,14 +4,15 @@
     LifecycleSettings, Millis, PendingWork, ProcessAction, ProcessEvent, ProcessState, RefusalReason,
 };
 
-/// What has become of the listening sockets.
+/// The state of the listening sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listeners {
     /// Connections are accepted.
     Open,
-    /// Closed; the last pending work was counted before the connections of their accept queues were accepted.
+    /// Closed. The last reported pending work does not include the connections that were accepted from the accept
+    /// queues at the close.
     ClosedUncounted,
-    /// Closed, and the pending work was counted since.
+    /// Closed. The next reported pending work includes those connections.
     Closed,
 }
 
@@ -42,7 +43,7 @@
         matches!(self.state, ProcessState::Serving | ProcessState::HandingOver { .. })
     }
 
-    /// Applies new settings; deadlines that are set already stay.
+    /// Applies new settings; deadlines that are already set do not change.
     pub fn update_settings(&mut self, settings: LifecycleSettings) {
         self.settings = settings;
     }
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Handles an event and appends the actions that follow from it, in their order.
+    /// Handles an event and appends the actions that follow from it, in the order in which the host carries them out.
     pub fn handle_event(&mut self, now: Millis, event: ProcessEvent, actions: &mut Vec<ProcessAction>) {
         match event {
             ProcessEvent::Started => self.start_serving(actions),
@@ -69,7 +70,7 @@
             ProcessEvent::SettingsRead => self.reload(ProcessAction::ApplySettings, actions),
             ProcessEvent::TakeoverRequested { peer } => self.request_takeover(now, peer, actions),
             ProcessEvent::TakeoverReady { peer } if self.is_handing_over_to(peer) => {
-                // The new process accepts on the same sockets: load balancers need no notice.
+                // The new process accepts connections on the same sockets, so load balancers need no notice.
                 self.start_draining(now, 0.0, actions);
             }
             ProcessEvent::TakeoverFailed { peer } if self.is_handing_over_to(peer) => {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A step of a reload: taken while the process serves, refused otherwise.
+    /// Takes a step of a reload while the process serves; refuses the reload otherwise.
     fn reload(&self, step: ProcessAction, actions: &mut Vec<ProcessAction>) {
         actions.push(match self.state {
             ProcessState::Serving => step,
@@ -117,14 +118,14 @@
         }
     }
 
-    /// A drain, or the first termination signal.
+    /// Starts a drain, for a drain request or the first termination signal.
     fn drain(&mut self, now: Millis, actions: &mut Vec<ProcessAction>) {
         match self.state {
             ProcessState::Starting => self.stop(actions),
             ProcessState::Serving => self.start_draining(now, self.settings.readiness_notice, actions),
             ProcessState::HandingOver { peer, .. } => {
-                // An explicit drain takes precedence over a new process that is not ready, and ends the takeover: else
-                // the new process would take over from one that no longer serves.
+                // A requested drain takes precedence over a new process that is not ready, and ends the takeover:
+                // otherwise the new process would take over from a process that no longer serves.
                 actions.push(ProcessAction::DisconnectPeer { peer });
                 self.start_draining(now, self.settings.readiness_notice, actions);
             }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// A termination signal: a drain, and on a repeated one the next step at once.
+    /// Handles a termination signal: starts a drain, or ends the current step of a drain at once.
     fn terminate(&mut self, now: Millis, actions: &mut Vec<ProcessAction>) {
         match self.state {
             ProcessState::Draining { .. } => {
@@ -159,7 +160,8 @@
         self.transition(ProcessState::Draining { close_listeners_at, deadline }, actions);
     }
 
-    /// Closes the listeners and returns leases, once: other gateways can use the quota while the rest is answered.
+    /// Closes the listeners and returns the quota leases, only once. Other gateways can use that quota while this
+    /// process completes its open requests.
     fn close_listeners(&mut self, actions: &mut Vec<ProcessAction>) {
         if self.listeners == Listeners::Open {
             self.listeners = Listeners::ClosedUncounted;
@@ -206,11 +208,11 @@
         }
     }
 
-    /// Ends a drain before its deadline, once all is done.
+    /// Ends a drain before its deadline if no work is pending.
     fn finish_drain(&mut self, now: Millis, pending: PendingWork, actions: &mut Vec<ProcessAction>) {
         match self.listeners {
             Listeners::Open => {}
-            // Connections of the accept queue are accepted with this tick; they count from the next one on.
+            // With this tick the host has accepted the connections of the accept queues; the next tick counts them.
             Listeners::ClosedUncounted => self.listeners = Listeners::Closed,
             Listeners::Closed if is_drained(pending, self.settings.idle_period) => {
                 self.start_releasing(now, actions);
@@ -222,13 +224,14 @@
 
 /// Whether a drain may end before its deadline.
 ///
-/// Idle connections end it after `idle_period`. Busy ones do not: they have timeouts of their own, and the deadline.
+/// Idle connections do not delay the end of a drain beyond `idle_period`. Busy connections delay it until they are done
+/// or reach their own timeouts, at most until the drain's deadline.
 fn is_drained(pending: PendingWork, idle_period: Millis) -> bool {
     let idle = pending.connections == 0 || pending.idle_for >= idle_period;
     pending.requests == 0 && pending.busy_connections == 0 && idle
 }
 
-/// Whether nothing is left to wait for: leases are returned and final responses are read.
+/// Whether the process may stop before its deadline: the quota leases are returned and the final responses are read.
 fn is_released(pending: PendingWork) -> bool {
     pending.counter_calls == 0 && pending.busy_connections == 0
 }
