--- a/crates/lifecycle/src/event.rs
+++ b/crates/lifecycle/src/event.rs
@@ -5,11 +5,11 @@
 /// The work that is not finished yet, as counted by the host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PendingWork {
-    /// Requests that are unanswered or have an attempt in flight.
+    /// Requests without a final response, or with an attempt in flight.
     pub requests: usize,
     /// Open client connections.
     pub connections: usize,
-    /// Of these, connections with a request partially received or a response partially sent.
+    /// Those of the open client connections that have a partially received request or a partially sent response.
     pub busy_connections: usize,
     /// Counter calls in flight.
     pub counter_calls: usize,
@@ -17,14 +17,15 @@
     pub idle_for: Millis,
 }
 
-/// Something that happened to the process.
+/// An event that the host reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessEvent {
     /// The listeners are bound and the first endpoint list is applied.
     Started,
-    /// An operator requested a drain; a repeated one changes nothing.
+    /// An operator requested a drain. A request during a drain changes nothing.
     DrainRequested,
-    /// A termination signal: the first one drains, the second one answers open requests at once.
+    /// A termination signal. The first one starts a drain, the second one gives all open requests their final responses
+    /// at once, and the third one stops the process.
     TerminateSignal,
     /// A reload of the settings was requested.
     ReloadRequested,
@@ -32,19 +33,19 @@
     SettingsRead,
     /// A new process requests the listening sockets.
     TakeoverRequested {
-        /// Its connection.
+        /// The connection to the new process.
         peer: u64,
     },
-    /// The new process serves.
+    /// The new process is serving.
     TakeoverReady {
-        /// Its connection.
+        /// The connection to the new process.
         peer: u64,
     },
     /// The connection to the new process is lost.
     TakeoverFailed {
-        /// Its connection.
+        /// The connection to the new process.
         peer: u64,
     },
-    /// Time passed; what is still pending.
+    /// Time has passed; carries the work that is still pending.
     Tick(PendingWork),
 }
