--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -1,11 +1,11 @@
-//! The actions that the host is to execute for the life cycle.
+//! The actions that the host carries out for the life cycle.
 
 use crate::ProcessState;
 
 /// Why a reload or a takeover is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The process does not serve yet.
+    /// The process is not serving yet.
     Starting,
     /// The process is draining: new settings or a new process would have no effect.
     Draining,
@@ -37,16 +37,17 @@
     }
 }
 
-/// Something that the host is to do.
+/// An action that the host carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessAction {
     /// Report this readiness to health checks.
     SetReady(bool),
-    /// Announce the close of each client connection with its next response.
+    /// Announce on each client connection, with its next response, that the connection will close.
     AnnounceClose,
-    /// Accept the connections that wait in the listeners' queues, then close the listeners. The next `Tick` counts them.
+    /// Accept the connections that wait in the listeners' accept queues, then close the listeners. The next `Tick`
+    /// counts the accepted connections.
     CloseListeners,
-    /// Read the settings outside the loop, then report `SettingsRead`.
+    /// Read the settings outside the event loop, then report `SettingsRead`.
     ReadSettings,
     /// Apply the settings that were read.
     ApplySettings,
@@ -54,19 +55,19 @@
     RefuseReload(RefusalReason),
     /// Pass the listening sockets to a new process.
     PassListeners {
-        /// Its connection.
+        /// The connection to the new process.
         peer: u64,
     },
     /// Refuse a takeover.
     RefuseTakeover {
-        /// The connection of the request.
+        /// The connection on which the takeover was requested.
         peer: u64,
         /// Why.
         reason: RefusalReason,
     },
     /// Close the connection to a process that did not become ready.
     DisconnectPeer {
-        /// Its connection.
+        /// The connection to that process.
         peer: u64,
     },
     /// Return quota leases to the counter, and acquire no more.
