--- a/crates/lifecycle/src/state.rs
+++ b/crates/lifecycle/src/state.rs
@@ -5,27 +5,27 @@
 /// The state of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessState {
-    /// It binds its listeners, reads its state file and waits for the first endpoint list.
+    /// The process binds its listeners, reads its state file and waits for the first endpoint list.
     Starting,
-    /// It admits requests.
+    /// The process admits requests.
     Serving,
-    /// It keeps serving while a new process starts on the same listening sockets.
+    /// The process keeps serving while a new process starts on the same listening sockets.
     HandingOver {
-        /// The new process, by the host's number for its connection.
+        /// The host's number for the connection to the new process.
         peer: u64,
-        /// The takeover is abandoned at this time.
+        /// When the takeover is abandoned.
         deadline: Millis,
     },
-    /// It accepts no new connections (after the notice) and completes in-flight requests.
+    /// The process completes its open requests; once the notice is over it accepts no new connections.
     Draining {
         /// When the listeners close; in the past once they are closed.
         close_listeners_at: Millis,
-        /// When the requests that are still open are answered at once.
+        /// When the requests that are still open get their final responses at once.
         deadline: Millis,
     },
-    /// All requests are answered; quota leases are returned to the counter.
+    /// All requests have their final responses; quota leases are being returned to the counter.
     Releasing {
-        /// The process ends at this time at the latest.
+        /// When the process stops at the latest.
         deadline: Millis,
     },
     /// The process may exit.
@@ -33,7 +33,7 @@
 }
 
 impl ProcessState {
-    /// The state's name in logs and admin replies; a stable format.
+    /// The state's name in logs and admin replies, which other programs match: it must not change.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
