--- a/crates/lifecycle/tests/process_lifecycle.rs
+++ b/crates/lifecycle/tests/process_lifecycle.rs
@@ -17,7 +17,7 @@
     idle_period: 300.0,
 };
 
-/// A process that serves, after these events at these times (ms); and its actions without the changes of state.
+/// A serving process after these events at these times (ms), and its actions without the changes of state.
 fn run(events: &[(f64, ProcessEvent)]) -> (ProcessLifecycle, Vec<ProcessAction>) {
     let mut lifecycle = ProcessLifecycle::new(SETTINGS);
     let mut actions = Vec::new();
@@ -98,7 +98,7 @@
     assert!(matches!(lifecycle.state(), ProcessState::Draining { .. }), "a request or a response is partial");
     let done = [(10.0, ProcessEvent::DrainRequested), (110.0, busy(1)), (120.0, busy(1)), (130.0, busy(0))];
     assert!(matches!(run(&done).0.state(), ProcessState::Releasing { .. }));
-    // At the deadline all requests are finished, and clients have the release timeout to read the responses.
+    // At the deadline all requests are ended, and clients have the release timeout to read the responses.
     let late = [(10.0, ProcessEvent::DrainRequested), (110.0, busy(1)), (1110.0, busy(1)), (1309.0, busy(1))];
     let (lifecycle, actions) = run(&late);
     assert!(
@@ -122,7 +122,7 @@
         run(&[(1.0, ProcessEvent::ReloadRequested), (2.0, ProcessEvent::SettingsRead)]).1[1],
         ProcessAction::ApplySettings
     );
-    // A drain that started while the settings were read: they would have no effect.
+    // A drain started while the settings were read: they would have no effect.
     let meanwhile = [
         (1.0, ProcessEvent::ReloadRequested),
         (2.0, ProcessEvent::DrainRequested),
@@ -161,14 +161,14 @@
         run(&[(1.0, ProcessEvent::TakeoverRequested { peer: 7 }), (501.0, tick(1, 1, 0))]);
     assert_eq!(actions, [PassListeners { peer: 7 }, DisconnectPeer { peer: 7 }]);
     assert_eq!(lifecycle.state(), ProcessState::Serving);
-    // A termination signal meanwhile does not wait for a process that may never become ready.
+    // A termination signal during a takeover does not wait for a process that may never become ready.
     let (_, actions) =
         run(&[(1.0, ProcessEvent::TakeoverRequested { peer: 7 }), (2.0, ProcessEvent::TerminateSignal)]);
     assert_eq!(actions[1..], [DisconnectPeer { peer: 7 }, SetReady(false), AnnounceClose]);
 }
 
-/// Listeners are closed, leases released and the exit requested once at most; listeners are closed after the process was
-/// reported as not ready.
+/// Asserts that listeners are closed, leases released and the exit requested at most once, and that listeners are
+/// closed only after the process was reported as not ready.
 fn assert_actions_are_ordered(actions: &[ProcessAction]) {
     let count = |action: ProcessAction| actions.iter().filter(|other| **other == action).count();
     assert!(
