--- a/crates/discovery/src/availability/tests.rs
+++ b/crates/discovery/src/availability/tests.rs
@@ -2,7 +2,8 @@
 
 #[test]
 fn a_loss_is_reported_where_none_was_reported_or_it_ends_the_availability() {
-    // The state, whether the watch was silent; whether the loss is reported, whether the source is available after it.
+    // Both flags before the loss, whether the connection was a silent watch, whether the loss is reported, and whether
+    // the source stays available.
     for (available, loss_reported, silent_watch, is_reported, stays_available) in [
         (false, false, false, true, false),
         (false, false, true, true, false),
