--- a/crates/discovery/src/readiness.rs
+++ b/crates/discovery/src/readiness.rs
@@ -1,12 +1,12 @@
 //! When a gateway that has just started reports itself ready.
 //!
-//! This decides the answer to a client's PING alone. Requests are accepted from the start on, with the endpoint list of
-//! the earlier process or none.
+//! Readiness affects only the reply to a client's PING. Requests are accepted from the start on, with the endpoint list
+//! of the previous process or with none.
 
 use doorcourse::Millis;
 
 /// How long after its start a gateway waits for an endpoint list. After that it reports itself ready with the list of
-/// its earlier process, so that a fleet whose discovery is down still comes up.
+/// the previous process, so that a fleet can start while its discovery is down.
 const ENDPOINT_LIST_TIMEOUT: Millis = 1000.0;
 
 /// Whether a gateway that has just started reports itself ready.
@@ -23,7 +23,7 @@
         Self { started_at: now, list_received: false }
     }
 
-    /// Records that the source has sent an endpoint list.
+    /// Records that the source of the endpoint list has sent one.
     pub fn list_received(&mut self) {
         self.list_received = true;
     }
