--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,9 +1,9 @@
-//! The client's side of the endpoint list: when to connect to its source, when a call is dead, and which version to
-//! ask for next.
+//! The client of the endpoint list's source: when to connect, when a call has timed out, and which version to request
+//! next.
 //!
-//! [`DiscoveryWatch`] decides and keeps state; it does no I/O and reads no clock. The host owns the sockets, reads the
-//! messages, reports what happened with the time of it, and carries out each [`WatchAction`]. [`Readiness`] decides
-//! when a gateway that has just started answers a PING as ready.
+//! [`DiscoveryWatch`] keeps the state and decides; it does no I/O and reads no clock. The host owns the sockets, reads
+//! the messages, reports each event with its time, and carries out each [`WatchAction`]. [`Readiness`] decides when a
+//! gateway that has just started replies to a PING as ready.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
