--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,13 +1,12 @@
-//! When the source is called, which call is superseded or closed, and that no order of failures delays a change beyond
-//! the documented limits.
+//! Tests when the source is called, which call is superseded or closed, and that no order of failures delays a change
+//! beyond the documented limits.
 
 use doorcourse_discovery::{ApplyVersionError, DiscoveryWatch, WatchAction};
 use proptest::prelude::*;
 
 const DRAIN_GRACE: f64 = 200.0;
 
-/// Runs the timeouts from `now` to `until`, with `on_connect` as what happens to each connect. Returns the times of the
-/// connects.
+/// Runs the timeouts from `now` to `until` and calls `on_connect` for each connect. Returns the times of the connects.
 fn connect_times(
     watch: &mut DiscoveryWatch, mut now: f64, until: f64, on_connect: impl Fn(&mut DiscoveryWatch, f64),
 ) -> Vec<f64> {
@@ -43,7 +42,7 @@
         "{intervals_seen:?}, reported {} times",
         reported_losses.get()
     );
-    // Back again: the version held still applies, and the next loss is reported.
+    // The source is reachable again: the version that is held still applies, and the next loss is reported.
     let now = watch.next_timeout();
     assert_eq!(watch.handle_timeout(now), Some(WatchAction::Connect));
     assert_eq!(watch.request_sent(now), Some(7));
@@ -70,7 +69,7 @@
         let unanswered = connect_times(&mut watch, 0.0, 10_000.0, |watch, now| {
             let _ = watch.request_sent(now);
         });
-        // Whenever the source returns, the next call is made this soon after.
+        // Whenever the source returns, the next call is made within this time.
         assert!(
             intervals(&unanswered).iter().all(|interval| *interval <= 0.75 * drain_grace),
             "{drain_grace}: {unanswered:?}"
@@ -121,7 +120,7 @@
     assert_eq!(closed_at, Some(1000.0));
 }
 
-/// The deadlines of the call count from its request, also after it was superseded in between.
+/// The deadlines of a call count from its request, even if it was superseded in between.
 #[test]
 fn a_superseded_call_whose_response_stops_after_its_head_stays_within_the_maximum_delay() {
     for drain_grace in [80.0, 200.0, 1000.0, 5000.0] {
@@ -208,7 +207,7 @@
     watch.reset_version();
     assert_eq!(watch.request_sent(0.0), None);
     assert!(watch.apply_version(9, false).is_err());
-    // A full list may have a lower version: its source was set up anew.
+    // A full list may have a lower version, if the source was set up anew.
     assert_eq!(watch.apply_version(2, true), Ok(false));
     assert_eq!(watch.request_sent(0.0), Some(2));
 }
@@ -263,7 +262,7 @@
     drain_grace: f64,
     /// When the source can be reached again, in ms.
     ends_at: f64,
-    /// What happens to the calls made before, one after another.
+    /// What happens to the calls made before `ends_at`, one after another.
     faults: &'a [Fault],
     /// Whether the first watch after the outage sends changes that cannot be applied.
     version_goes_back: bool,
@@ -303,7 +302,8 @@
     }
 }
 
-/// Plays a call made at `now` with a fault, until it is lost or its next timeout is reached. Returns the time then.
+/// Simulates a call made at `now` with a fault, until the call is lost or its next timeout is reached. Returns the time
+/// at that point.
 fn play_faulty_call(watch: &mut DiscoveryWatch, now: f64, outage_ends_at: f64, fault: Fault) -> f64 {
     let is_watch = watch.request_sent(now).is_some();
     match fault {
