--- a/crates/connection-limits/src/pool/tests.rs
+++ b/crates/connection-limits/src/pool/tests.rs
@@ -31,7 +31,7 @@
     }
     assert_eq!(connects, 4);
     assert_eq!(pool.counts(), (10, 4, 0, 0));
-    // One is open and carries the request that waited longest; another is opened for those behind it.
+    // One connection is open and carries the request that waited longest; another is opened for the other requests.
     pool.connect_ended();
     assert_eq!(pool.release(5.0, 0), Some(0));
     assert!(pool.needs_connection());
