--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -1,36 +1,37 @@
-//! When a client connection expires by its inactivity, and which one is evicted first when the table of connections is
-//! full: first those being closed, then silent and idle ones; one with an open request or an unread response never.
+//! Decides when an inactive client connection expires, and which connection is evicted first when the connection table
+//! is full: connections that are being closed first, then silent and idle ones. A connection with an open request or an
+//! unread response is never evicted.
 
 use doorcourse::Millis;
 
-/// By how much a connection without a valid request counts as older than it is when connections are evicted, in ms.
+/// How much older a connection without a valid request counts than it is when connections are evicted, in ms.
 ///
-/// No more than this: where the table is full of connections that had one request and are kept open since, the ones
-/// without a request are those that were just accepted and are about to send one.
+/// The penalty is small because of a table full of connections that sent one request and were kept open: there the
+/// connections without a request are those that were just accepted and are about to send one.
 const SILENT_CONNECTION_PENALTY: Millis = 500.0;
 
-/// Eviction rank of a connection that is being closed: first.
+/// Eviction rank of a connection that is being closed: evicted first.
 const LINGERING_RANK: u8 = 0;
-/// Eviction rank of every other connection, by the time since which it is idle.
+/// Eviction rank of every other connection; within the rank, the longest idle one is evicted first.
 const IDLE_RANK: u8 = 1;
 
-/// After which inactivity the RESP gateway closes client connections, in ms.
+/// How long a client connection may be inactive before the RESP gateway closes it, in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
-    /// For a connection without a complete request so far, and for one whose request is received in part.
+    /// For a connection without a complete request so far, and for one with a partially received request.
     pub silent_timeout: Millis,
     /// For a connection between requests.
     pub idle_timeout: Millis,
-    /// For a connection whose client reads nothing of a response. In the HTTP gateway it is
-    /// [`ClientLimits::unread_timeout`](crate::ClientLimits::unread_timeout).
+    /// For a connection whose client does not read its response. The HTTP gateway has
+    /// [`ClientLimits::unread_timeout`](crate::ClientLimits::unread_timeout) for this.
     pub unread_timeout: Millis,
 }
 
 impl ConnectionTimeouts {
     /// The timeouts while `connections` of at most `max_connections` are open.
     ///
-    /// From three quarters on, idle connections expire as silent ones do, so that a new connection seldom finds the
-    /// table full and evicts one.
+    /// Once three quarters of the table are in use, idle connections expire after the timeout of silent ones if that is
+    /// shorter, so that a new connection seldom finds the table full and has to evict another one.
     #[must_use]
     pub fn for_occupancy(self, connections: usize, max_connections: usize) -> Self {
         if connections * 4 >= max_connections * 3 {
@@ -50,15 +51,15 @@
     pub last_request_at: Option<Millis>,
     /// When the last response was handed to the connection; `None` before the first.
     pub last_response_at: Option<Millis>,
-    /// Since when a request is received in part; `None` between requests.
+    /// When the first part of an incomplete request arrived; `None` between requests.
     pub partial_request_since: Option<Millis>,
-    /// Since when the client reads nothing of a response that is there for it, written to the socket or not; `None`
-    /// where it has read all.
+    /// Since when the client has read nothing of its unread responses, whether they are written to the socket or not;
+    /// `None` where it has read everything.
     pub unread_response_since: Option<Millis>,
-    /// Requests that arrived and whose responses are not handed to the connection yet.
+    /// Requests that arrived and whose responses were not handed to the connection yet.
     pub open_requests: usize,
-    /// When the connection is closed at the latest, once this side has sent its last byte (after a fault, an expiry or at
-    /// a shutdown); `None` before that.
+    /// When the connection is closed at the latest, set once the gateway has sent its last byte (after a fault, on
+    /// expiry or at shutdown); `None` before that.
     pub lingering_close_until: Option<Millis>,
 }
 
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether the connection is closed at `now` for its inactivity.
+    /// Whether the connection is to be closed at `now` because of its inactivity.
     #[must_use]
     pub fn is_expired(&self, now: Millis, timeouts: &ConnectionTimeouts) -> bool {
         let has_lasted = |since: Option<Millis>, timeout: Millis| since.is_some_and(|at| now >= at + timeout);
@@ -99,9 +100,9 @@
         }
     }
 
-    /// The order in which connections are evicted for a new one: lower ranks first, in one rank those with the earlier
-    /// time. `None` for a connection with an open request or an unread response, which is never evicted; one whose
-    /// request is received in part may be.
+    /// The position of the connection in the order of eviction: lower ranks first, within a rank the earlier time
+    /// first. `None` for a connection with an open request or an unread response, which is never evicted. A connection
+    /// with a partially received request may be evicted.
     #[must_use]
     pub fn eviction_rank(&self) -> Option<(u8, Millis)> {
         if let Some(until) = self.lingering_close_until {
@@ -114,13 +115,13 @@
         Some((IDLE_RANK, idle_since))
     }
 
-    /// Whether a request is open or a response is not read to its end.
+    /// Whether a request is open or a response is not fully read.
     fn is_in_use(&self) -> bool {
         self.open_requests > 0 || self.unread_response_since.is_some()
     }
 
-    /// Since when the connection is idle; `None` before its first valid request. It counts from the last response where
-    /// that is later than the last request: a client that was just answered is about to send its next request.
+    /// Since when the connection is idle; `None` before its first valid request. The time is that of the last response
+    /// where it is later than the last request: a client that just got a response is about to send its next request.
     fn idle_since(&self) -> Option<Millis> {
         let last_request_at = self.last_request_at?;
         Some(self.last_response_at.map_or(last_request_at, |response_at| response_at.max(last_request_at)))
