--- a/crates/connection-limits/src/activity/tests.rs
+++ b/crates/connection-limits/src/activity/tests.rs
@@ -41,7 +41,7 @@
         ConnectionActivity { lingering_close_until: Some(9e9), open_requests: 1, ..accepted_at_100() };
     let mut all = [recently_used, just_accepted, long_idle, lingering];
     all.sort_by(|a, b| a.eviction_rank().partial_cmp(&b.eviction_rank()).unwrap());
-    // One that was just accepted goes before one in use, and after one that is idle for long.
+    // A connection that was just accepted is evicted before one that was used recently, and after a long idle one.
     assert_eq!(all, [lingering, long_idle, just_accepted, recently_used]);
     assert_eq!(ConnectionActivity { open_requests: 1, ..recently_used }.eviction_rank(), None);
 }
