--- a/crates/connection-limits/src/client_limits.rs
+++ b/crates/connection-limits/src/client_limits.rs
@@ -1,5 +1,5 @@
-//! What a gateway buffers and keeps open for its clients: in all, for each customer and for each connection. A client
-//! that does not read its responses must not use up what all clients share.
+//! Limits on what a gateway buffers and keeps open for its clients: in total, for each customer and for each
+//! connection. A client that does not read its responses must not use up the resources that all clients share.
 
 use doorcourse::{Millis, Name};
 use std::collections::HashMap;
@@ -17,12 +17,12 @@
     pub max_customer_bytes: u64,
     /// Response bytes that a client may leave unread when its connection's next request starts.
     pub max_unread_bytes: usize,
-    /// After how many ms a connection is reset whose client has bytes to read and reads none. In the RESP gateway it is
-    /// [`ConnectionTimeouts::unread_timeout`](crate::ConnectionTimeouts::unread_timeout).
+    /// After how many ms a connection is reset if its client has bytes to read and reads none. The RESP gateway has
+    /// [`ConnectionTimeouts::unread_timeout`](crate::ConnectionTimeouts::unread_timeout) for this.
     pub unread_timeout: Millis,
 }
 
-/// The limit for which a connection or a request is rejected before anything is done for it.
+/// The limit because of which a connection or a request is rejected before any work is done for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitExceeded {
     /// [`ClientLimits::max_connections`].
@@ -48,8 +48,8 @@
     }
 }
 
-/// What one connection contributes to the [`ClientBudget`], as of its last update. The host keeps one beside each
-/// connection and returns it with [`ClientBudget::remove_connection`].
+/// What one connection contributes to the [`ClientBudget`], as of its last update. The host keeps one for each
+/// connection and passes it to [`ClientBudget::remove_connection`] when the connection is closed.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionUsage {
     /// The customer to whom the bytes are charged; `None` before its first request is known.
@@ -57,7 +57,7 @@
     buffered_bytes: u64,
     /// Response bytes that the client has not read.
     unread_bytes: usize,
-    /// When the client last read something, or when the first of its unread bytes came.
+    /// When the client last read something, or when the first of its unread bytes was buffered, whichever is later.
     unread_since: Millis,
 }
 
@@ -87,7 +87,7 @@
         Self { limits, buffered_bytes: 0, customer_bytes: HashMap::new() }
     }
 
-    /// Changes the limits. What is in use stays, also beyond a lower limit.
+    /// Changes the limits. Bytes in use are kept even if they exceed a lower limit.
     pub fn set_limits(&mut self, limits: ClientLimits) {
         self.limits = limits;
     }
@@ -106,18 +106,18 @@
         if connections < self.limits.max_connections { Ok(()) } else { Err(LimitExceeded::Connections) }
     }
 
-    /// Whether a connection's next request may start while so many response bytes are unread on it. If not, it waits
-    /// until the client reads more.
+    /// Whether the next request of a connection may start while `unread_bytes` of its response bytes are unread. If
+    /// not, the request waits until the client reads more.
     #[must_use]
     pub fn may_start_request(&self, unread_bytes: usize) -> bool {
         unread_bytes <= self.limits.max_unread_bytes
     }
 
-    /// Checks whether the body of a request is read, once its head shows its customer.
+    /// Checks whether the body of a request may be read, once the request's head has shown its customer.
     ///
     /// # Errors
-    /// [`LimitExceeded::BufferedBytes`] where too much is buffered in all, else [`LimitExceeded::CustomerBytes`] where
-    /// too much is buffered for this customer.
+    /// [`LimitExceeded::BufferedBytes`] where too much is buffered for all clients, else
+    /// [`LimitExceeded::CustomerBytes`] where too much is buffered for this customer.
     pub fn check_buffers(&self, customer: &Name) -> Result<(), LimitExceeded> {
         if self.buffered_bytes > self.limits.max_buffered_bytes {
             return Err(LimitExceeded::BufferedBytes);
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Checks whether a complete request is admitted while `requests` are open.
+    /// Checks whether a complete request may be admitted while `requests` are open.
     ///
     /// # Errors
     /// [`LimitExceeded::Requests`].
@@ -139,9 +139,9 @@
 
     /// Updates what a connection uses.
     ///
-    /// `customer` is charged from now on; `None` leaves the customer as it is. `bytes` is what is buffered for the
-    /// connection in all, `unread_bytes` how much of that its client has to read, and `has_read` whether the client
-    /// read some since the last update.
+    /// `customer` is charged from now on; `None` keeps the present customer. `bytes` is the total that is buffered for
+    /// the connection, `unread_bytes` the part of it that the client has yet to read, and `has_read` whether the client
+    /// read something since the last update.
     pub fn update(
         &mut self, now: Millis, usage: &mut ConnectionUsage, customer: Option<&Name>, bytes: u64,
         unread_bytes: usize, has_read: bool,
@@ -159,13 +159,13 @@
         usage.record_unread(now, unread_bytes, has_read);
     }
 
-    /// The connection is closed: its bytes are no longer in use.
+    /// Removes the bytes of a connection that is closed.
     pub fn remove_connection(&mut self, usage: &ConnectionUsage) {
         self.discharge(usage);
     }
 
-    /// Adds bytes that belong to a request rather than to a connection: a body on its way to backends. They count for
-    /// all clients, not for a customer.
+    /// Adds bytes that belong to a request rather than to a connection: a body that is sent to backends. They count
+    /// towards the total of all clients, not towards that of a customer.
     pub fn reserve(&mut self, bytes: u64) {
         self.buffered_bytes += bytes;
     }
