--- a/crates/connection-limits/src/client_limits/tests.rs
+++ b/crates/connection-limits/src/client_limits/tests.rs
@@ -26,7 +26,7 @@
     budget.remove_connection(&first);
     assert_eq!(budget.check_buffers(&greedy), Ok(()));
     assert_eq!(budget.bytes(), 150);
-    // The bytes of a connection are charged to the customer of its last request.
+    // All bytes of a connection are charged to the customer of its last request.
     budget.update(0.0, &mut second, Some(&other), 400, 0, false);
     assert_eq!(budget.check_buffers(&greedy), Ok(()));
     assert_eq!(budget.check_buffers(&other), Err(LimitExceeded::CustomerBytes));
