--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! How the descriptors of the process are divided among the program, its clients and its backends.
+//! Divides the file descriptors of the process among the program itself, its clients and its backends.
 //!
 //! | limit | reserved for the program | clients | backends |
 //! | --- | --- | --- | --- |
@@ -7,17 +7,17 @@
 //! | 1024 | 40 | 541 | 443 |
 
 /// Descriptors that the program itself uses: 3 standard streams, the poller, the listener, 4 pairs that wake the event
-/// loop, the settings file and the descriptor kept for it, the discovery call and a superseded one, 4 connections to
-/// the counter and 4 to an address of it that was replaced.
+/// loop, the settings file and a descriptor reserved for it, the discovery call and a superseded one, 4 connections to
+/// the counter and 4 to the counter's previous address.
 const PROGRAM_DESCRIPTORS: usize = 25;
-/// Descriptors reserved for the program where the limit allows: what it uses, and 15 for connections that are replaced
-/// while the old ones still end.
+/// Descriptors reserved for the program where the limit allows it: [`PROGRAM_DESCRIPTORS`], and 15 for connections that
+/// are replaced while the old ones are still closing.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// The clients' fraction of the rest. An open request may use one connection on either side; beside these, clients keep
-/// idle ones, and pools those of past peaks.
+/// The fraction of the remaining descriptors that clients get. An open request may use one client and one backend
+/// connection; besides, clients keep idle connections open, and the pools keep those of earlier peaks.
 const CLIENT_FRACTION: f64 = 0.55;
 
-/// The limit on descriptors, by use.
+/// The limits on client and backend connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
     /// Client connections, at least 1.
@@ -27,7 +27,7 @@
 }
 
 impl DescriptorBudget {
-    /// Divides a limit of so many descriptors, the smaller of the configured and the system's.
+    /// Divides a limit of `descriptors`, which is the smaller of the configured limit and the system's.
     #[must_use]
     pub fn for_limit(descriptors: usize) -> Self {
         let available = descriptors.saturating_sub(reserved_descriptors(descriptors));
@@ -37,8 +37,8 @@
     }
 }
 
-/// The descriptors reserved for the program: the larger of a quarter of the limit, up to [`RESERVED_DESCRIPTORS`], and
-/// of a half of the limit, up to [`PROGRAM_DESCRIPTORS`]. The quarter decides from a limit of 104 on.
+/// The descriptors reserved for the program: a quarter of the limit, at most [`RESERVED_DESCRIPTORS`], or half of the
+/// limit, at most [`PROGRAM_DESCRIPTORS`], whichever is larger. From a limit of 104 on the quarter is larger.
 fn reserved_descriptors(descriptors: usize) -> usize {
     let with_replacements = RESERVED_DESCRIPTORS.min(descriptors / 4);
     let used_by_program = PROGRAM_DESCRIPTORS.min(descriptors / 2);
