--- a/crates/connection-limits/src/fault_backoff.rs
+++ b/crates/connection-limits/src/fault_backoff.rs
@@ -6,11 +6,12 @@
 const INITIAL_BACKOFF: Millis = 5.0;
 /// Longest backoff.
 const MAX_BACKOFF: Millis = 1000.0;
-/// Keeps the shift in range; the backoff is at its bound from 8 doublings on.
+/// Keeps the shift in range; from 8 doublings on the backoff is [`MAX_BACKOFF`].
 const MAX_DOUBLINGS: u32 = 10;
 
-/// How long, in ms, a client connection is not read after its fault number `faults` (1 for the first). It doubles with
-/// each fault, so that a client which sends faults at full speed soon costs no more than one a second.
+/// How long, in ms, the gateway stops reading from a client connection after its fault number `faults` (1 for the
+/// first). The backoff doubles with each fault, so that a client that sends faulty commands at full speed soon costs
+/// the gateway no more than one command a second.
 #[must_use]
 pub fn fault_backoff(faults: u32) -> Millis {
     let doublings = faults.saturating_sub(1).min(MAX_DOUBLINGS);
