--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -1,15 +1,16 @@
-//! The state of one connection to the shared counter: calls in and bytes out; bytes in and outcomes out.
+//! The state of one connection to the shared counter: turns calls into bytes to write, and received bytes into outcomes
+//! of calls.
 //!
 //! The link decides when a call times out, when a connection is replaced and how long to back off before the next one.
 //! Its host does the I/O: it executes the [`LinkAction`]s, reports connections and bytes, and calls
-//! [`CounterLink::handle_timeout`] when that is due.
+//! [`CounterLink::handle_timeout`] when it is due.
 
 use crate::call::{CallOutcome, CounterCall, CounterReply};
 use crate::codec::CounterCodec;
 use doorcourse::Millis;
 use std::collections::VecDeque;
 
-/// The largest amount of one call in units; the counter rejects larger ones.
+/// The largest amount of one call, in units; the counter rejects larger ones.
 const MAX_AMOUNT_UNITS: f64 = 1e9;
 
 /// Timeouts and backoff of a link, in ms.
@@ -21,21 +22,22 @@
     pub initial_backoff: Millis,
     /// The longest wait before a reconnection.
     pub max_backoff: Millis,
-    /// A connection with calls in flight and no reply for this long is replaced; so is one that is not made by then.
+    /// A connection with calls in flight and no reply for this long is replaced; so is a connect that takes this long.
     pub unresponsive_timeout: Millis,
-    /// A connection without a call for this long is replaced, before the counter closes it: a call written to a
-    /// connection that was just closed may have been added. Infinite where the counter keeps idle connections.
+    /// A connection without a call for this long is replaced before the counter closes it, because it would be unknown
+    /// whether a call was added that is written just as the counter closes the connection. Infinite where the counter
+    /// keeps idle connections open.
     pub idle_timeout: Millis,
 }
 
-/// What the host has to do.
+/// An action that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
     /// Open a connection, then report [`CounterLink::connection_opened`] or [`CounterLink::connection_lost`].
     Connect,
-    /// Close the connection, made or not; `connection_lost` is not reported for it.
+    /// Close the connection, whether it is established or still connecting; do not report `connection_lost` for it.
     Close,
-    /// Pass the outcome of a call to the decisions.
+    /// Pass the outcome of a call to the decision library.
     CallEnded {
         /// The counter's name.
         counter: u64,
@@ -44,9 +46,9 @@
         /// Time since the call was made, in ms.
         latency: Millis,
     },
-    /// Log that the counter replies on a connection, for the first time since it was unavailable.
+    /// Log that the counter is available: it sent the first total since the connection was lost.
     LogAvailable,
-    /// Log that the connection was lost; repeated failures are logged once.
+    /// Log that the connection was lost. Repeated failures are logged once until the counter is available again.
     LogUnavailable {
         /// Why it was lost.
         reason: String,
@@ -64,9 +66,9 @@
 struct InFlightCall {
     call: CounterCall,
     started_at: Millis,
-    /// Bytes of the connection up to and with the last of this call.
+    /// How many bytes are written on the connection once the last byte of this call is.
     end_offset: u64,
-    /// Whether the call has ended as unknown: its reply only says whether it was added.
+    /// Whether the call has already ended as unknown, so that its reply is reported as late.
     timed_out: bool,
 }
 
@@ -82,25 +84,26 @@
     settings: LinkSettings,
     codec: C,
     state: ConnectionState,
-    /// Calls whose replies are due, in the order of the wire; timed-out calls among them.
+    /// Calls whose replies are due, in the order in which they were written; includes calls that timed out.
     calls: VecDeque<InFlightCall>,
-    /// Bytes for the host to take.
+    /// Bytes that the host has not taken yet.
     output: Vec<u8>,
-    /// Bytes of this connection that the host has taken.
+    /// How many bytes of this connection the host has taken.
     taken_bytes: u64,
-    /// Bytes among those taken that are not written yet.
+    /// How many of the bytes taken are not written yet.
     unwritten_bytes: u64,
     input: Vec<u8>,
     /// The wait before the next reconnection.
     backoff: Millis,
-    /// When the last reply came, the connection was opened, or the first of the calls in flight was made.
+    /// When the last reply arrived, the connection was opened, or a call was made while none was in flight, whichever
+    /// was last.
     last_activity_at: Millis,
-    /// Whether a total was received since the connection was lost last.
+    /// Whether a total was received since the connection was last lost.
     is_available: bool,
 }
 
 impl<C: CounterCodec> CounterLink<C> {
-    /// A link that has not been connected; its first [`handle_timeout`](Self::handle_timeout) connects.
+    /// A link without a connection; the first [`handle_timeout`](Self::handle_timeout) requests one.
     #[must_use]
     pub fn new(settings: LinkSettings, codec: C) -> Self {
         Self {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Calls whose replies are due, timed-out calls included.
+    /// How many calls are still without a reply, including calls that timed out.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.calls.len()
@@ -130,10 +133,11 @@
         self.state == ConnectionState::Ready
     }
 
-    /// Makes a call. It is encoded at once where there is a connection; else it ends as not added: a call that is held
-    /// back would add to a window that may have ended by then. An amount that the counter rejects ends so too.
+    /// Makes a call. It is encoded at once where there is a connection. Without a connection it ends as not added,
+    /// because a call that waited for a connection might add to a window that has ended by then. A call with an amount
+    /// that the counter would reject also ends as not added.
     pub fn call(&mut self, now: Millis, call: CounterCall, actions: &mut Vec<LinkAction>) {
-        // NaN is outside of the range.
+        // NaN is outside this range.
         let is_valid_amount = matches!(call.amount.abs(), 0.0..=MAX_AMOUNT_UNITS);
         if !self.is_ready() || !is_valid_amount {
             return actions.push(LinkAction::CallEnded {
@@ -156,14 +160,14 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Reports how many of the bytes taken are not written yet. A call whose last byte is among them cannot have been
+    /// Reports how many of the bytes taken are not written yet. A call whose last byte is not written cannot have been
     /// added.
     pub fn set_unwritten_bytes(&mut self, bytes: usize) {
         self.unwritten_bytes = bytes as u64;
     }
 
-    /// Times out calls, and replaces a connection that is unresponsive or idle for too long. Returns when it is due
-    /// again at the latest.
+    /// Times out calls, and replaces a connection that has been unresponsive or idle for too long. Returns when to call
+    /// this again at the latest.
     pub fn handle_timeout(&mut self, now: Millis, actions: &mut Vec<LinkAction>) -> Millis {
         self.time_out_calls(now, actions);
         let deadline = self.connection_deadline();
@@ -197,7 +201,7 @@
         first.map_or(f64::INFINITY, |call| call.started_at + self.settings.call_timeout)
     }
 
-    /// When the state of the connection changes unless something is received.
+    /// When the state of the connection changes if nothing is received.
     fn connection_deadline(&self) -> Millis {
         match self.state {
             ConnectionState::BackingOff { until } => until,
@@ -213,7 +217,7 @@
         !self.calls.is_empty() || self.codec.awaits_greeting()
     }
 
-    /// The connection that [`LinkAction::Connect`] requested is open.
+    /// Records that the connection that [`LinkAction::Connect`] requested is open.
     pub fn connection_opened(&mut self, now: Millis) {
         self.state = ConnectionState::Ready;
         self.last_activity_at = now;
@@ -224,13 +228,13 @@
         self.codec.connection_opened(&mut self.output);
     }
 
-    /// The connection broke or could not be made. A call that was written to its last byte may have been added; the
-    /// others were not.
+    /// Records that the connection was lost or could not be made. Calls that were fully written may have been added;
+    /// the others were not.
     pub fn connection_lost(&mut self, now: Millis, reason: &str, actions: &mut Vec<LinkAction>) {
         self.back_off(now, reason, actions);
     }
 
-    /// Ends all calls and waits before the next connection; returns the end of that wait.
+    /// Ends all calls and begins the backoff before the next connection. Returns when the backoff ends.
     fn back_off(&mut self, now: Millis, reason: &str, actions: &mut Vec<LinkAction>) -> Millis {
         let written_bytes = self.taken_bytes.saturating_sub(self.unwritten_bytes);
         for call in self.calls.drain(..).filter(|call| !call.timed_out) {
@@ -250,7 +254,7 @@
         until
     }
 
-    /// Bytes were received.
+    /// Handles bytes that were received.
     pub fn handle_input(&mut self, now: Millis, bytes: &[u8], actions: &mut Vec<LinkAction>) {
         if !self.is_ready() {
             return;
@@ -276,7 +280,7 @@
         self.input.drain(..consumed);
     }
 
-    /// Matches a reply to the oldest call in flight. The error is the reason why the connection is of no further use.
+    /// Handles a reply to the oldest call in flight. The error is the reason why the connection has to be closed.
     fn handle_reply(
         &mut self, now: Millis, reply: CounterReply, actions: &mut Vec<LinkAction>,
     ) -> Result<(), &'static str> {
@@ -300,7 +304,8 @@
     }
 }
 
-/// What a reply says of a call that had ended as unknown; `None` where it says nothing.
+/// The outcome that a reply reports for a call that had ended as unknown; `None` where the reply does not say whether
+/// the amount was added.
 fn late_outcome(outcome: CallOutcome) -> Option<CallOutcome> {
     let (added, total) = match outcome {
         CallOutcome::Total(total) => (true, Some(total)),
