--- a/crates/counter/src/call.rs
+++ b/crates/counter/src/call.rs
@@ -9,15 +9,15 @@
     pub counter: u64,
     /// What to add, in units; negative to return units.
     pub amount: f64,
-    /// How long the counter lives if this call creates it, in ms.
+    /// After how many ms the counter expires if this call creates it.
     pub time_to_live: Millis,
 }
 
 /// How a call ended.
 ///
-/// Each call ends exactly once, with one of the first three; [`Late`](Self::Late) may follow a call that ended as
-/// [`Unknown`](Self::Unknown). A codec reports [`AddedWithoutTotal`](Self::AddedWithoutTotal), which the link turns into
-/// `Unknown` and a `Late` that follows at once.
+/// Each call ends exactly once, with one of the first three outcomes. [`Late`](Self::Late) may follow a call that ended
+/// as [`Unknown`](Self::Unknown). [`AddedWithoutTotal`](Self::AddedWithoutTotal) is reported only by a codec; the link
+/// turns it into `Unknown`, followed at once by `Late`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
     /// The total after the addition.
@@ -38,7 +38,8 @@
 }
 
 impl From<CallOutcome> for CounterOutcome {
-    /// What the decisions receive. A call that was added without a total is unknown to them; a `Late` follows it.
+    /// The outcome that the decision library receives. A call that was added without a total counts as unknown; a
+    /// `Late` follows it.
     fn from(outcome: CallOutcome) -> Self {
         match outcome {
             CallOutcome::Total(total) => Self::Total(total),
@@ -52,8 +53,8 @@
 /// The reply to one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterReply {
-    /// What the reply says of the call.
+    /// The outcome of the call that the reply reports.
     pub outcome: CallOutcome,
-    /// Whether the connection is of no use after this reply.
+    /// Whether the connection has to be closed after this reply.
     pub closes_connection: bool,
 }
