--- a/crates/counter/src/http.rs
+++ b/crates/counter/src/http.rs
@@ -1,18 +1,19 @@
-//! Encodes counter calls as HTTP/1.1 requests: `POST /v1/count/NAME?add=AMOUNT&ttl_ms=LIFE`.
+//! Encodes counter calls as HTTP/1.1 requests: `POST /v1/count/NAME?add=AMOUNT&ttl_ms=TIME_TO_LIVE`.
 
 use crate::call::{CallOutcome, CounterCall, CounterReply};
 use crate::codec::{CodecError, CounterCodec};
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use std::io::Write;
 
-/// The longest life of a counter in ms; the server caps a longer one to this.
+/// The longest time to live of a counter, in ms; the server reduces a longer one to this.
 const MAX_TIME_TO_LIVE_MS: f64 = 60_000.0;
 /// The longest body that may hold a total, in bytes.
 const MAX_BODY_BYTES: u64 = 256;
-/// How each response begins: bytes that are not HTTP show at the first byte, not at the end of a head.
+/// The start of every response. Checking it detects bytes that are not HTTP as soon as they arrive, instead of at the
+/// end of a head.
 const RESPONSE_START: &[u8] = b"HTTP/1.";
-/// The reply where a response cannot be read. The server had processed the call by then, so its amount was added; the
-/// connection is of no further use.
+/// The reply where a response cannot be read. The server responds only after it has processed the call, so the amount
+/// was added; the connection has to be closed.
 const UNREADABLE_RESPONSE: CounterReply =
     CounterReply { outcome: CallOutcome::AddedWithoutTotal, closes_connection: true };
 
@@ -21,15 +22,15 @@
 pub struct HttpCodec {
     host: String,
     decoder: Decoder,
-    /// Status of the response being read.
+    /// The HTTP status of the response that is being read.
     status: u16,
-    /// Whether the server keeps the connection open after the response being read.
+    /// Whether the server keeps the connection open after the response that is being read.
     keep_alive: bool,
     body: Vec<u8>,
 }
 
 impl HttpCodec {
-    /// A codec for the counter at `host`, the value of the Host field (RFC 9112 section 3.2).
+    /// A codec for a counter; `host` is the value of the Host field of each request (RFC 9112, section 3.2).
     #[must_use]
     pub fn new(host: &str) -> Self {
         Self { host: host.into(), decoder: response_decoder(), status: 0, keep_alive: true, body: Vec::new() }
