--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -19,7 +19,7 @@
 }
 
 impl RespCodec {
-    /// A codec that sends AUTH with this password, where there is one.
+    /// A codec that sends AUTH with this password; it sends no AUTH without a password.
     #[must_use]
     pub fn new(password: Option<String>) -> Self {
         Self { password, ..Self::default() }
@@ -41,7 +41,8 @@
         let time_to_live_ms = (call.time_to_live.ceil().max(1.0) as u64).to_string();
         command(output, &["MULTI"]);
         command(output, &["INCRBYFLOAT", &key, &amount]);
-        // NX sets the expiry only where there is none: use must not extend the life of a window's counter.
+        // NX sets the expiry only where there is none, so that further calls do not extend the time to live of a
+        // window's counter.
         command(output, &["PEXPIRE", &key, &time_to_live_ms, "NX"]);
         command(output, &["EXEC"]);
     }
@@ -67,7 +68,7 @@
             }
             self.replies_read += 1;
             if self.replies_read < REPLIES_PER_CALL {
-                // An error here shows again in the reply to EXEC (EXECABORT).
+                // An error reply here leads to an error in the reply to EXEC (EXECABORT).
                 continue;
             }
             self.replies_read = 0;
@@ -77,7 +78,7 @@
     }
 }
 
-/// What the reply to EXEC says of the call.
+/// The outcome of the call that the reply to EXEC reports.
 fn exec_outcome(reply: &Value) -> CallOutcome {
     match reply {
         // The transaction was refused: none of its commands was executed.
