--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,11 +1,11 @@
 //! The connection to the shared counter as a state machine without I/O.
 //!
-//! [`CounterLink`] owns the state of one connection: the calls in flight, their timeouts and the reconnection backoff. A
-//! [`CounterCodec`] encodes calls and decodes replies: [`RespCodec`] for a counter that speaks RESP, [`HttpCodec`] for
-//! one that speaks HTTP/1.1. What a timeout, a late reply or a broken connection means for a call is the same for both
-//! protocols and is decided in the link.
+//! [`CounterLink`] keeps the state of one connection: the calls in flight, their timeouts and the reconnection backoff.
+//! A [`CounterCodec`] encodes calls and decodes replies: [`RespCodec`] for a counter that speaks RESP, [`HttpCodec`]
+//! for one that speaks HTTP/1.1. What a timeout, a late reply or a broken connection means for a call is the same for
+//! both protocols and is decided in the link.
 //!
-//! Times are in ms on the caller's clock ([`doorcourse::Millis`]); nothing here reads a clock.
+//! Times are in ms on the caller's clock ([`doorcourse::Millis`]); the package reads no clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
