--- a/crates/fail-points/src/lib.rs
+++ b/crates/fail-points/src/lib.rs
@@ -1,27 +1,27 @@
-//! Fail points: rules of the gateways that a test build disables by name, to show that the tests which start processes
-//! catch the absence of each.
+//! Fail points: rules of the gateways that a test build can disable by name, to show that the tests that start
+//! processes detect when a rule is missing.
 //!
 //! A build with the feature `failpoints` disables the one rule that the environment variable `DOORCOURSE_FAIL_POINT`
-//! names, or none. Without the feature no rule can be disabled: [`rule_disabled`] is constant, and no fail point is left
-//! in the program. `.ci/run` disables each rule in turn and fails where the tests still pass; `docs/platform.md` says
-//! which tests catch its absence.
+//! names, or none. Without the feature no rule can be disabled: [`rule_disabled`] is constant, and no fail point is
+//! left in the program. `.ci/run` disables each rule in turn and fails if the tests still pass; `docs/platform.md`
+//! lists the tests that detect each missing rule.
 //!
 //! | rule | package | what it ensures |
 //! | --- | --- | --- |
 //! | `discovery-call-timeout` | `discovery` | an unanswered request to discovery is repeated within the drain grace |
-//! | `shutdown-deadline` | `graceful-shutdown` | requests are admitted, and get their final responses, only until just before SIGKILL |
+//! | `shutdown-deadline` | `graceful-shutdown` | requests are admitted, and get their final responses, only until shortly before SIGKILL |
 //! | `close-idle-until-exit` | `graceful-shutdown` | after SIGTERM each connection closes once it is idle |
-//! | `poll-peer-close` | `resp-gateway` | the poller reports a client's close apart from reading |
-//! | `drain-accept-queue` | `resp-gateway` | the accept queue is accepted before the listener closes |
-//! | `track-written-responses` | `resp-gateway` | a response that is not written yet keeps its connection from its idle timeout |
+//! | `poll-peer-close` | `resp-gateway` | the poller reports the close of a client's connection separately from readability |
+//! | `drain-accept-queue` | `resp-gateway` | the connections in the accept queue are accepted before the listener closes |
+//! | `track-written-responses` | `resp-gateway` | a connection with a response that is not written yet does not expire by its idle timeout |
 //! | `last-read-before-close` | `resp-gateway` | a connection is read once more before it closes |
-//! | `pool-per-incarnation` | `resp-gateway` | a backend that was restarted or has another address gets connections of its own |
+//! | `pool-per-incarnation` | `resp-gateway` | a backend that was restarted or has another address gets a new pool of connections |
 //! | `superseded-call-kept-apart` | `resp-gateway` | a part of the response head of a superseded call does not make it the current one |
 //! | `pool-per-endpoint` | `http-gateway` | no connection to a backend's former address is used |
 //! | `withdraw-unwritten-attempts` | `http-gateway` | attempts that a backend must not receive are withdrawn unless written |
 //! | `re-poll-stalled-iteration` | `http-gateway` | a stalled iteration polls again for disconnected clients |
 //!
-//! A rule asks where it applies:
+//! The code of a rule checks whether it is disabled:
 //!
 //! ```
 //! use doorcourse_fail_points::rule_disabled;
@@ -35,7 +35,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// The environment variable that names the rule to disable. It is read once, when the first rule asks.
+/// The environment variable that names the rule to disable. It is read once, when the first rule is checked.
 #[cfg(feature = "failpoints")]
 const FAIL_POINT_VARIABLE: &str = "DOORCOURSE_FAIL_POINT";
 
@@ -46,7 +46,7 @@
     disabled_rule() == Some(rule)
 }
 
-/// The one rule that is disabled.
+/// The rule that is disabled, if any.
 #[cfg(feature = "failpoints")]
 fn disabled_rule() -> Option<&'static str> {
     use std::sync::OnceLock;
