--- a/crates/outlier-gossip/src/lib.rs
+++ b/crates/outlier-gossip/src/lib.rs
@@ -1,16 +1,18 @@
-//! Shares the outlier reports of a fleet's gateways: one gateway probes the reported nodes and gossips its verdicts.
+//! Outlier detection across the gateways of a fleet: gateways share their failure reports, and one of them probes the
+//! reported nodes and broadcasts its verdicts. A node is a backend in the endpoint list.
 //!
-//! Each gateway reports the nodes that fail its requests (SWIM's suspicion). The holder of the lease `suspects` alone probes
-//! them, at a bounded rate, and broadcasts verdicts. A verdict is a hint with an age and evidence: no node is an outlier by
-//! the report of a single gateway, at most a fraction of the nodes are outliers, and every verdict expires by itself.
+//! Each gateway reports the nodes that fail its requests (the suspicion of the SWIM protocol). Only the holder of the
+//! lease `suspects` probes them, at a bounded rate, and broadcasts verdicts. A verdict is a hint with an age and
+//! evidence: the reports of a single gateway make no node an outlier, at most a fraction of the nodes are outliers, and
+//! every verdict expires.
 //!
-//! A state machine without I/O and without a clock. `docs/leases.md` describes it for operators.
+//! The package is a state machine that does no I/O and reads no clock. `docs/leases.md` describes it for operators.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `gossip` | the state machine: what one input changes and what is sent |
-//! | `reports` | failure reports by node and gateway; which of its own a gateway sends |
-//! | `probes` | which node is probed when |
+//! | `gossip` | the state machine: what each input changes, and which messages and probes follow |
+//! | `reports` | failure reports by node and gateway, and which reports a gateway sends itself |
+//! | `probes` | when each node is probed |
 //! | `verdicts` | which verdicts are accepted, and their effect on the decisions |
 //! | `events` | settings, inputs and outputs |
 //! | `message` | the messages and their encoding |
@@ -36,7 +38,7 @@
 /// Milliseconds: a duration, or a point in time on this gateway's monotonic clock.
 pub type Millis = u64;
 
-/// The most reports, and the most verdicts, of one message that are processed.
+/// The most reports or verdicts of one message that are processed.
 const MAX_MESSAGE_ENTRIES: usize = 1024;
-/// A node is an outlier only where so many gateways say so, the one that probed it among them.
+/// The fewest gateways whose evidence makes a node an outlier, including the gateway that probed it.
 const MIN_REPORTING_GATEWAYS: usize = 2;
