--- a/crates/outlier-gossip/src/probes.rs
+++ b/crates/outlier-gossip/src/probes.rs
@@ -1,19 +1,19 @@
-//! Probes of reported nodes: one at a time in the fleet, the node that waited longest first.
+//! Schedules the probes of reported nodes at the fleet's probe interval, the node that has waited longest first.
 
 use crate::{Millis, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node is probed again after this fraction (1/n) of the retention, so that a verdict is renewed before it expires.
+/// How often a node is probed within the retention of a verdict, so that the verdict is renewed before it expires.
 const PROBES_PER_RETENTION: Millis = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeState {
     InFlight,
-    /// Over, and no verdict was made of it yet.
+    /// Finished, and its result was not used for a verdict yet.
     Finished {
         succeeded: bool,
     },
-    /// Over, and its result was used.
+    /// Finished, and its result was used.
     Evaluated,
 }
 
@@ -24,13 +24,13 @@
     next_at: Millis,
 }
 
-/// A probe that is over.
+/// The result of a finished probe.
 pub(crate) struct ProbeResult {
     pub(crate) node: String,
     pub(crate) succeeded: bool,
 }
 
-/// The probes of the lease holder.
+/// The probes that this gateway makes as the lease holder.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
     by_node: BTreeMap<String, Probe>,
@@ -39,7 +39,7 @@
 }
 
 impl Probes {
-    /// The lease is not held: results are of no use.
+    /// Removes all probes: their results are not used while this gateway does not hold the lease.
     pub(crate) fn clear(&mut self) {
         self.by_node.clear();
     }
@@ -56,7 +56,7 @@
         self.by_node.retain(|node, probe| suspects.contains(node) || probe.state == ProbeState::InFlight);
     }
 
-    /// Takes the results that were not used yet.
+    /// Returns the results that were not used yet, and marks them as used.
     pub(crate) fn take_results(&mut self) -> Vec<ProbeResult> {
         let mut results = Vec::new();
         for (node, probe) in &mut self.by_node {
@@ -68,7 +68,7 @@
         results
     }
 
-    /// Starts the probe of one of the suspected nodes if one is due. Returns its name.
+    /// Starts a probe of one of the suspected nodes if one is due. Returns the name of the node.
     pub(crate) fn start_due(
         &mut self, now: Millis, suspects: &BTreeSet<String>, settings: &Settings,
     ) -> Option<String> {
@@ -86,7 +86,8 @@
     }
 }
 
-/// Whether a probe's HTTP status shows that a node works: whatever it says of the query, it answers.
+/// Whether the HTTP status of a probe shows that the node works. A client error counts as well: the node answers, even
+/// if it rejects the query.
 #[must_use]
 pub fn is_well(status: u16) -> bool {
     (200..500).contains(&status)
