--- a/crates/outlier-gossip/src/reports.rs
+++ b/crates/outlier-gossip/src/reports.rs
@@ -1,21 +1,22 @@
-//! Failure reports: which gateways report which node.
+//! Failure reports: which gateways report which nodes.
 
 use crate::{FailureReport, GatewayNumber, MAX_MESSAGE_ENTRIES, Millis, NodeStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many consecutive failures make a node a suspect: one may be chance.
+/// The number of consecutive failures from which on a gateway reports a node; a single failure may be chance.
 const MIN_CONSECUTIVE_FAILURES: u32 = 2;
-/// The most gateways whose report of one node is kept.
+/// The most gateways whose reports of one node are kept.
 const MAX_REPORTERS: usize = 1024;
-/// The most bytes of names in one message, with `REPORT_OVERHEAD_BYTES` for each, so that it fits a datagram.
+/// The most bytes that the reports of one message may take, counting the name and `REPORT_OVERHEAD_BYTES` for each, so
+/// that the message fits into a datagram.
 const MAX_MESSAGE_BYTES: usize = 48_000;
-/// The encoded size of a report beside its name, at most.
+/// The most bytes that an encoded report takes in addition to the node's name.
 const REPORT_OVERHEAD_BYTES: usize = 16;
 
 /// A report of one gateway.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
-    /// The start of the node that it is about.
+    /// When the process of the reported node was started: the report is about this start.
     started: u64,
     received_at: Millis,
 }
@@ -58,7 +59,7 @@
     }
 }
 
-/// This gateway's own reports: nodes that fail its requests, as many as fit one message.
+/// This gateway's own reports: the nodes that fail its requests, as many as fit into one message.
 pub(crate) fn own_reports(nodes: &[NodeStatus]) -> Vec<FailureReport> {
     let mut free_bytes = MAX_MESSAGE_BYTES;
     let mut fits = |node: &NodeStatus| match free_bytes.checked_sub(node.node.len() + REPORT_OVERHEAD_BYTES) {
