--- a/crates/outlier-gossip/src/message.rs
+++ b/crates/outlier-gossip/src/message.rs
@@ -2,45 +2,45 @@
 
 use prost::Message as _;
 
-/// A node that fails the requests of the sender.
+/// A report of a node that fails the requests of the sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailureReport {
-    /// Its name.
+    /// The name of the node.
     pub node: String,
-    /// Which start of it, in ms since the Unix epoch; 0 where none is known.
+    /// When the node's process was started, in ms since the Unix epoch; 0 where that is not known.
     pub started: u64,
 }
 
 /// The lease holder's verdict on a node that it probed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Its name.
+    /// The name of the node.
     pub node: String,
-    /// Which start of it, in ms since the Unix epoch; 0 where none is known.
+    /// When the node's process was started, in ms since the Unix epoch; 0 where that is not known.
     pub started: u64,
-    /// Whether it is an outlier.
+    /// Whether the node is an outlier.
     pub is_outlier: bool,
-    /// How long ago it was probed, in ms.
+    /// How long ago the node was probed, in ms.
     pub age_ms: u64,
-    /// How many gateways the evidence is from, the one that probed it among them.
+    /// How many gateways the evidence is from, including the gateway that probed the node.
     pub reporting_gateways: u32,
 }
 
-/// A message.
+/// A message between gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// The nodes that fail the requests of the sender.
     Reports(Vec<FailureReport>),
     /// The verdicts of the lease holder.
     Verdicts {
-        /// The fencing token of its lease.
+        /// The fencing token of the holder's lease.
         token: u64,
         /// The verdicts.
         verdicts: Vec<Verdict>,
     },
 }
 
-/// A report, or a verdict, which alone has fields from tag 3 on.
+/// A report or a verdict. Only a verdict has the fields from tag 3 on.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct WireNode {
     #[prost(string, tag = "1")]
@@ -55,7 +55,7 @@
     reporting_gateways: u32,
 }
 
-/// Verdicts where there is a token, else reports.
+/// A message of verdicts where there is a token, otherwise a message of reports.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct WireMessage {
     #[prost(uint64, optional, tag = "1")]
@@ -114,7 +114,7 @@
     wire.encode_to_vec()
 }
 
-/// Decodes a message; `None` where the bytes are no protobuf of this form.
+/// Decodes a message; `None` where the bytes are not such a protobuf message.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     let WireMessage { token, nodes } = WireMessage::decode(bytes).ok()?;
