--- a/crates/outlier-gossip/src/events.rs
+++ b/crates/outlier-gossip/src/events.rs
@@ -7,35 +7,35 @@
 pub struct Settings {
     /// This gateway.
     pub gateway: GatewayNumber,
-    /// Between two probes of all gateways of the fleet together, in ms.
+    /// The shortest time between two probes in the whole fleet, in ms.
     pub probe_interval: Millis,
-    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1; one always may be.
+    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1; at least one node may be.
     pub max_outlier_fraction: f64,
     /// How long a report and a verdict are valid, in ms.
     pub retention: Millis,
 }
 
-/// A node as this gateway's decisions see it.
+/// The state of a node in this gateway's decision library.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// Its name.
+    /// The name of the node.
     pub node: String,
-    /// Which start of it, in ms since the Unix epoch; 0 where none is known.
+    /// When the node's process was started, in ms since the Unix epoch; 0 where that is not known.
     pub started: u64,
-    /// Consecutive failures of this gateway's requests.
+    /// How many of this gateway's requests to the node have failed in a row.
     pub failures: u32,
-    /// Whether the endpoint list allows its use. No request goes to other nodes, and no probe.
+    /// Whether the endpoint list allows requests to the node. Other nodes get neither requests nor probes.
     pub ready: bool,
 }
 
-/// What happens.
+/// An event that the caller reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Time has passed.
     Tick {
-        /// All nodes, as the decisions see them now.
+        /// All nodes, with their present state in the decision library.
         nodes: Vec<NodeStatus>,
-        /// The token of the lease `suspects`, while it is held and outlasts a probe.
+        /// The fencing token of the lease `suspects`, while this gateway holds it for longer than a probe takes.
         lease_token: Option<u64>,
     },
     /// A message was received from another gateway.
@@ -45,11 +45,11 @@
         /// The message.
         message: Message,
     },
-    /// A probe is over.
+    /// A probe has finished.
     ProbeFinished {
         /// The node.
         node: String,
-        /// Whether it answered in time.
+        /// Whether the node answered in time.
         succeeded: bool,
     },
 }
@@ -59,8 +59,8 @@
 pub enum Output {
     /// Send a message to all other gateways.
     Broadcast(Message),
-    /// Probe the node of this name: a request without effect.
+    /// Probe the node of this name with a request that has no effect.
     SendProbe(String),
-    /// A node is an outlier, or no longer one.
+    /// A node is an outlier, or no longer an outlier.
     VerdictChanged(Verdict),
 }
