--- a/crates/outlier-gossip/src/verdicts.rs
+++ b/crates/outlier-gossip/src/verdicts.rs
@@ -26,8 +26,8 @@
         self.by_node.get(node).is_some_and(|verdict| verdict.is_outlier)
     }
 
-    /// Accepts a verdict if the rules allow it. Returns whether it changes anything for the decisions: that a node is well
-    /// is news only where it was an outlier.
+    /// Accepts a verdict if the rules allow it. Returns whether the decision library has to be told: that a node is no
+    /// outlier matters only if it was one before.
     pub(crate) fn accept(
         &mut self, now: Millis, verdict: &Verdict, nodes: &BTreeMap<String, NodeStatus>, settings: &Settings,
     ) -> bool {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether a verdict is about a usable node and the listed start of it, is recent, and has enough evidence.
+/// Whether a verdict is about the listed start of a ready node, has not expired, and has enough evidence.
 fn is_valid(verdict: &Verdict, nodes: &BTreeMap<String, NodeStatus>, retention: Millis) -> bool {
     let is_listed =
         nodes.get(&verdict.node).is_some_and(|node| node.started == verdict.started && node.ready);
@@ -60,25 +60,26 @@
     is_listed && verdict.age_ms < retention && has_evidence
 }
 
-/// How many of `node_count` nodes may be outliers at the same time: `fraction` of them, and one at least.
+/// How many of `node_count` nodes may be outliers at the same time: `fraction` of them, but at least one.
 fn max_outliers(node_count: usize, fraction: f64) -> usize {
     ((node_count as f64 * fraction) as usize).max(1)
 }
 
-/// What a verdict changes in a gateway's decisions about its node.
+/// What a verdict changes in a gateway's decisions about the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerdictEffect {
-    /// The consecutive failures of the node that the decisions are to assume.
+    /// The number of consecutive failures of the node that the decision library is to assume.
     pub consecutive_failures: u32,
-    /// For how long the node is ejected, in ms; 0 where it is not.
+    /// How long the node is ejected, in ms; 0 where it is not ejected.
     pub ejected_for: Millis,
 }
 
 /// The effect of a verdict on a gateway whose own requests to the node failed `consecutive_failures` times in a row.
 /// Verdicts are valid for `retention`, in ms.
 ///
-/// An outlier is treated as after one failure of the gateway's own until the verdict expires or is withdrawn. It never
-/// counts as enough failures for a report: otherwise a verdict would return as evidence and never expire.
+/// Until the verdict expires or is withdrawn, an outlier is treated as if at least one request of the gateway itself
+/// had failed. A verdict alone never counts as enough failures for a report: otherwise a verdict would return as
+/// evidence for itself and never expire.
 #[must_use]
 pub fn verdict_effect(verdict: &Verdict, retention: Millis, consecutive_failures: u32) -> VerdictEffect {
     if verdict.is_outlier {
