--- a/crates/outlier-gossip/src/gossip.rs
+++ b/crates/outlier-gossip/src/gossip.rs
@@ -18,13 +18,13 @@
     reports: FailureReports,
     probes: Probes,
     verdicts: Verdicts,
-    /// The highest token of the lease that a verdict had: verdicts of earlier holders are dropped.
+    /// The highest fencing token that verdicts were received with: verdicts of earlier lease holders are dropped.
     highest_token: u64,
     next_report_at: Millis,
 }
 
 impl OutlierGossip {
-    /// Nothing is known yet.
+    /// The state of a gateway that knows of no node yet.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Changes the settings; what is known is kept.
+    /// Changes the settings; nodes, reports, probes and verdicts are kept.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Processes one input and appends what is to be done to `outputs`.
+    /// Processes one input and appends the resulting outputs to `outputs`.
     pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick { nodes, lease_token } => self.tick(now, nodes, lease_token, outputs),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records a report about the listed start of a node; reports about another start are dropped.
+    /// Records a report if it is about the listed start of a node; reports about another start are dropped.
     fn record_report(&mut self, now: Millis, from: GatewayNumber, report: &FailureReport) {
         if self.nodes.get(&report.node).is_some_and(|node| node.started == report.started) {
             self.reports.record(now, from, report);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The lease is held: broadcasts verdicts on the nodes that were probed, and probes the next one.
+    /// Does the work of the lease holder: broadcasts verdicts on the nodes that were probed, and probes the next node.
     fn act_as_lease_holder(&mut self, now: Millis, token: u64, outputs: &mut Vec<Output>) {
         let suspects = self.suspects();
         self.probes.retain(&suspects);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The nodes to probe: those that are reported, and outliers, which may have recovered.
+    /// The nodes to probe: those that are reported, and the outliers, which may have recovered.
     fn suspects(&self) -> BTreeSet<String> {
         let is_suspect = |node: &&NodeStatus| {
             node.ready && (self.reports.contains(&node.node) || self.verdicts.is_outlier(&node.node))
@@ -109,8 +109,8 @@
         self.nodes.values().filter(is_suspect).map(|node| node.node.clone()).collect()
     }
 
-    /// The verdict on a node that was probed. A failed probe alone is no verdict: the probe and the reports of this gateway
-    /// are the evidence of one gateway.
+    /// The verdict on a node that was probed. `None` where a failed probe is not confirmed by another gateway: the
+    /// probe and the reports of this gateway are together the evidence of one gateway.
     fn verdict(&self, result: &ProbeResult) -> Option<Verdict> {
         let node = self.nodes.get(&result.node)?;
         let mut gateways = self.reports.reporters(&result.node);
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Processes verdicts of a lease holder. Those of an earlier holder are dropped.
+    /// Processes the verdicts of a lease holder. Verdicts of an earlier holder are dropped.
     fn receive_verdicts(
         &mut self, now: Millis, token: u64, verdicts: Vec<Verdict>, outputs: &mut Vec<Output>,
     ) {
@@ -144,7 +144,7 @@
     }
 }
 
-/// How often a gateway repeats its reports, in ms: before they expire at the others.
+/// The interval in ms at which a gateway repeats its reports, so that they do not expire at the other gateways.
 fn report_interval(settings: &Settings) -> Millis {
     settings.probe_interval.min(settings.retention / 2)
 }
