--- a/crates/outlier-gossip/src/gossip/tests.rs
+++ b/crates/outlier-gossip/src/gossip/tests.rs
@@ -49,7 +49,7 @@
         out.contains(&Output::Broadcast(Message::Verdicts { token: 9, verdicts: vec![verdict] })),
         "{out:?}"
     );
-    // It is probed again while the verdict holds, and one answer withdraws it.
+    // The node is probed again while the verdict is in force, and one successful probe withdraws the verdict.
     assert_eq!(tick(&mut holder, 600, &[0, 0, 0, 0], Some(9)), [Output::SendProbe("n1".into())]);
     probe_finished(&mut holder, 610, "n1", true);
     assert_eq!(verdict_changes(&tick(&mut holder, 620, &[0, 0, 0, 0], Some(9))), [("n1".to_owned(), false)]);
@@ -58,7 +58,7 @@
 #[test]
 fn the_evidence_of_one_gateway_makes_no_outlier() {
     let mut holder = gossip(0);
-    // Its own requests and its own probe fail: that is the evidence of one gateway.
+    // The holder's own requests and its probe fail: that is the evidence of one gateway.
     assert!(tick(&mut holder, 0, &[0, 5], Some(9)).contains(&Output::SendProbe("n1".into())));
     probe_finished(&mut holder, 50, "n1", false);
     assert!(verdict_changes(&tick(&mut holder, 60, &[0, 5], Some(9))).is_empty());
@@ -98,7 +98,7 @@
     assert_eq!(receive(&mut other, 50, 9, "unlisted", 5, 0), 0);
     assert_eq!(receive(&mut other, 60, 8, "n1", 5, 0), 0, "of an earlier holder");
     assert_eq!(receive(&mut other, 70, 9, "n1", 5, 1000), 0, "too old");
-    // Verdicts expire by themselves.
+    // Verdicts expire.
     tick(&mut other, 1100, &[0; 8], None);
     assert_eq!(receive(&mut other, 1110, 9, "n3", 5, 0), 1);
 }
