--- a/crates/connection-limits/src/pool.rs
+++ b/crates/connection-limits/src/pool.rs
@@ -97,7 +97,7 @@
         (waiting, idle)
     }
 
-    /// Whether another connection is to be opened: one for each waiting request, up to the limit on concurrent connects.
+    /// Whether to open another connection: one for each waiting request, up to the limit on concurrent connects.
     #[must_use]
     pub fn needs_connection(&self) -> bool {
         self.connecting < self.waiting.len().min(MAX_CONCURRENT_CONNECTS)
