--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,14 +1,15 @@
 //! Leases for fleet-wide tasks: at most one gateway regards itself as the holder of a task at any moment of real time.
 //!
-//! A state machine without I/O and without a clock: [`Leases::handle`] takes an [`Input`] with the current time and
-//! appends [`Output`]s; [`Leases::next_timeout`] says when to call it next. `docs/leases.md` has the design, the proof and
-//! the alternatives that were weighed.
+//! The package is a state machine that does no I/O and reads no clock: [`Leases::handle`] takes an [`Input`] with the
+//! current time and appends [`Output`]s; [`Leases::next_timeout`] says when to call it next. `docs/leases.md` describes
+//! the design, the proof and the alternatives that were considered.
 //!
-//! A voter grants a task to one holder at a time, for a duration counted on its own clock from the arrival of the request.
-//! A candidate with the grants of a majority for one request holds the lease for that duration, less the allowed clock
-//! drift, counted on its own clock from before the request was sent. Two majorities share a voter, and that voter's second
-//! grant came after its first had expired, so the first holder's lease was over as well. Nothing is written to disk: a
-//! voter that was restarted does not vote for the longest lease, in which every grant of its last start expires.
+//! A voter grants a task to one holder at a time, for a duration counted on its own clock from the arrival of the
+//! request. A candidate with the grants of a majority for one request holds the lease for that duration, less the
+//! allowed clock drift, counted on its own clock from before the request was sent. Two majorities share a voter. That
+//! voter made its second grant only after its first grant had expired, and by then the first holder's lease had expired
+//! as well. Nothing is written to disk: after a restart a voter does not vote for as long as the longest lease lasts
+//! (times 1 plus the clock drift), in which every grant of its previous start expires.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -44,11 +45,11 @@
 /// Milliseconds: a duration, or a point in time on one gateway's monotonic clock. Points on different clocks are never
 /// compared.
 pub type Millis = u64;
-/// A fencing token; `docs/leases.md` says what it grows by.
+/// A fencing token; `docs/leases.md` describes how it grows.
 pub type FencingToken = u64;
 
-/// One start of a gateway's process. Two starts of a gateway are two holders: the second one knows nothing of the leases
-/// of the first.
+/// One start of a gateway's process. Two starts of a gateway are two holders: the second start knows nothing of the
+/// leases of the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HolderId {
     /// The gateway.
@@ -57,7 +58,7 @@
     pub incarnation: u64,
 }
 
-/// The id of a task by its name.
+/// The id of the task with this name.
 #[must_use]
 pub fn task_of(name: &str) -> TaskId {
     xxhash_rust::xxh32::xxh32(name.as_bytes(), 0)
