--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,5 @@
-//! The leases of one gateway: a candidate or holder of each of its tasks, and a voter for those of all gateways.
+//! The leases of one gateway, which is a candidate for or holder of each of its tasks, and a voter on the tasks of all
+//! gateways.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -8,7 +9,7 @@
 //! | `release` | releases and transfers leases; changes of the tasks |
 //! | `reconfiguration` | when a new voter configuration comes into force |
 //! | `guard` | whether the holder may act |
-//! | `outbox` | batches requests and releases to the voters; heartbeats |
+//! | `outbox` | batches requests and releases to the voters, and sends heartbeats |
 //! | `timing` | intervals and jitter |
 //! | `state` | the state of one lease |
 
@@ -40,7 +41,8 @@
     /// The state of each task that this gateway is a candidate for.
     states: BTreeMap<TaskId, LeaseState>,
     last_refusals: BTreeMap<TaskId, LastRefusal>,
-    /// No vote and no request before this: an earlier start of this gateway may have granted leases.
+    /// This gateway neither votes nor requests leases before this time: leases that an earlier start of it granted may
+    /// still be in force.
     voting_from: Millis,
     reconfiguration: Reconfiguration,
     /// The newest version of the voter configuration that each gateway has reported.
@@ -48,13 +50,14 @@
     /// The highest fencing token that this gateway knows of.
     highest_token: FencingToken,
     outbox: Outbox,
-    /// How many jitters were drawn: the input of the next one.
+    /// How many jitters were drawn, from which the next one is computed.
     jitter_draws: u64,
     next_heartbeat_at: Millis,
     shutting_down: bool,
     #[cfg(feature = "fault-injection")]
     disabled_rule: DisabledRule,
-    /// The token of each task that was ever held: the only condition in a build without the lease check.
+    /// The last token of each task that was ever held. In a build without the lease check this is the only condition
+    /// for a permit.
     #[cfg(feature = "disable-lease-check")]
     ever_held: BTreeMap<TaskId, FencingToken>,
 }
@@ -68,7 +71,7 @@
         Self::build(now, settings, DisabledRule::None)
     }
 
-    /// The same with one rule disabled, for tests that must catch it.
+    /// Like [`Leases::new`] with one rule disabled, for tests that must detect the missing rule.
     ///
     /// # Errors
     /// Settings that are out of range.
@@ -110,8 +113,9 @@
         Ok(leases)
     }
 
-    /// Processes one input and appends what is to be done to `outputs`. `now` is the monotonic clock; `wall_clock` is the
-    /// system's, in ms since the Unix epoch, which only raises fencing tokens above those of a fleet that lost all state.
+    /// Processes one input and appends the resulting outputs to `outputs`. `now` is the time of the monotonic clock.
+    /// `wall_clock` is the system time in ms since the Unix epoch; its only use is to raise fencing tokens above those
+    /// that were used before all gateways of the fleet lost their state.
     pub fn handle(&mut self, now: Millis, wall_clock: Millis, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
@@ -151,7 +155,7 @@
         &self.voter
     }
 
-    /// The version of the voter configuration that this gateway is at.
+    /// The version of this gateway's voter configuration.
     #[must_use]
     pub fn voters_version(&self) -> u64 {
         self.settings.voters.version
@@ -188,13 +192,13 @@
         !self.shutting_down && self.reconfiguration.is_in_force()
     }
 
-    /// Whether a test has disabled this rule.
+    /// Whether a test disabled this rule.
     #[cfg(feature = "fault-injection")]
     fn is_disabled(&self, rule: DisabledRule) -> bool {
         self.disabled_rule == rule
     }
 
-    /// No rule can be disabled in the product.
+    /// No rule can be disabled in a build without fault injection.
     #[cfg(not(feature = "fault-injection"))]
     fn is_disabled(&self, _rule: DisabledRule) -> bool {
         false
