--- a/crates/lease/src/leases/reconfiguration.rs
+++ b/crates/lease/src/leases/reconfiguration.rs
@@ -1,38 +1,42 @@
 //! Changes of the voter configuration: when a version comes into force, and when the next one may follow.
 //!
-//! A gateway moves to the next version once a majority of this version's voters has been at it for longer than a lease, so
-//! that no majority of an older version can grant anything. A gateway that was started with a version, or that missed
-//! versions, first waits for a majority of the version before.
+//! A gateway moves to the next version once a majority of the current version's voters has been at the current version
+//! for the startup wait ([`Settings::startup_wait`](crate::Settings::startup_wait)), which outlasts the longest lease:
+//! from then on no majority of an older version can grant anything. A gateway that was started with a version that has
+//! a previous one, or that missed versions, first waits in the same way for a majority of the previous version's
+//! voters.
 
 use super::Leases;
 use crate::voter_configuration::is_majority;
 use crate::{DisabledRule, GatewayNumber, Millis, Output, VoterConfiguration};
 use std::collections::BTreeSet;
 
-/// How far a change of the voter configuration has come.
+/// The progress of a change of the voter configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Reconfiguration {
-    /// The configuration is in force, and none follows.
+    /// The current configuration is in force, and no other follows.
     InForce,
-    /// The configuration is in force; `next` follows once a majority of its voters has long been at it.
+    /// The current configuration is in force. `next` replaces it once a majority of the current voters has been at the
+    /// current version for the startup wait.
     Changing { next: VoterConfiguration, majority_since: Option<Millis> },
-    /// The configuration is not in force: it is once a majority of the voters before has long been at least at the version
-    /// before. `next` is what the settings have by now.
+    /// The current configuration is not in force. It comes into force once a majority of the previous voters has been
+    /// at the previous version or a later one for the startup wait. `next` is the configuration that the settings have
+    /// been changed to in the meantime, if any.
     Unconfirmed { next: Option<VoterConfiguration>, majority_since: Option<Millis> },
 }
 
 impl Reconfiguration {
-    /// Nothing is known of the voters of the version before.
+    /// The state before any voter of the previous version has reported its version.
     pub(super) fn unconfirmed() -> Self {
         Self::Unconfirmed { next: None, majority_since: None }
     }
 
-    /// Whether this gateway may vote and request by the present configuration.
+    /// Whether this gateway may vote and request leases by the current configuration.
     pub(super) fn is_in_force(&self) -> bool {
         !matches!(self, Self::Unconfirmed { .. })
     }
 
-    /// Sets the configuration that follows; since when there is a majority is kept.
+    /// Sets the configuration that follows the current one; `majority_since` is kept.
     fn set_next(&mut self, voters: VoterConfiguration) {
         match self {
             Self::InForce => *self = Self::Changing { next: voters, majority_since: None },
@@ -41,7 +45,7 @@
         }
     }
 
-    /// Records whether there is a majority at `now`. Returns since when there is.
+    /// Records whether there is a majority at `now`. Returns since when there has been one.
     fn record_majority(&mut self, now: Millis, is_majority: bool) -> Option<Millis> {
         match self {
             Self::InForce => None,
@@ -54,9 +58,9 @@
 }
 
 impl Leases {
-    /// Takes a voter configuration from the settings. The next version waits until this one is established. A gateway that
-    /// has missed versions begins as after a start: it releases everything and does not vote until what it granted has
-    /// expired.
+    /// Applies a voter configuration of the settings. The next version waits until the current one is established. A
+    /// gateway that has missed versions behaves as after a start: it releases all leases and does not vote until its
+    /// grants have expired.
     pub(super) fn change_voters(
         &mut self, now: Millis, voters: VoterConfiguration, outputs: &mut Vec<Output>,
     ) {
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Moves on where a majority has been at the required version for longer than a lease.
+    /// Enters the next phase if a majority has been at the required version for the startup wait.
     pub(super) fn advance_reconfiguration(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let has_majority = match &self.reconfiguration {
             Reconfiguration::InForce => return,
@@ -104,7 +108,7 @@
         outputs.push(Output::VotersInForce(self.voters_version()));
     }
 
-    /// Whether a majority of `voters` has reported `version` or a later one; this gateway itself counts as such.
+    /// Whether a majority of `voters` has reported `version` or a later one. If this gateway is one of them, it counts.
     fn is_majority_at(&self, voters: &BTreeSet<GatewayNumber>, version: u64) -> bool {
         let is_at = |voter: &&GatewayNumber| {
             let reported = self.reported_versions.get(voter);
@@ -113,7 +117,7 @@
         is_majority(voters.iter().filter(is_at).count(), voters.len())
     }
 
-    /// Puts an unconfirmed configuration into force, or replaces the present one by the next.
+    /// Puts an unconfirmed configuration into force, or replaces the current configuration by the next one.
     fn enter_next_phase(&mut self, now: Millis) {
         let finished = std::mem::replace(&mut self.reconfiguration, Reconfiguration::InForce);
         match finished {
@@ -125,7 +129,7 @@
             }
             Reconfiguration::Changing { next, .. } => {
                 self.settings.voters = next;
-                // Votes by the configuration before no longer count.
+                // Votes by the previous configuration no longer count.
                 for state in self.states.values_mut() {
                     state.invalidate_round(now);
                 }
