--- a/crates/lease/src/leases/quorum.rs
+++ b/crates/lease/src/leases/quorum.rs
@@ -6,7 +6,7 @@
 use crate::{FencingToken, GatewayNumber, LastRefusal, Millis, Output, Refusal, TaskId, VoterConfiguration};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of a round that no reply has.
+/// A round number that no reply has: numbers start at 1.
 const INVALID_ROUND: u64 = 0;
 
 /// A voter's decision on a request.
@@ -39,11 +39,11 @@
     pub(super) vote: Vote,
 }
 
-/// Another gateway's lease, as a voter reports it with its refusal.
+/// Another gateway's lease, as reported by a voter that refuses a request because of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CompetingLease {
     holder: GatewayNumber,
-    /// How long it lasts at most, in ms.
+    /// How long the lease lasts at most, in ms.
     remaining: Millis,
 }
 
@@ -51,18 +51,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct QuorumRound {
     number: u64,
-    /// When the requests were made, on this gateway's clock: the lease counts from then.
+    /// When the requests were made, on this gateway's clock. The duration of the lease counts from then.
     pub(super) started_at: Millis,
     pub(super) grants: BTreeSet<GatewayNumber>,
     /// The voters that refused, with the competing lease where that is the reason.
     refusals: BTreeMap<GatewayNumber, Option<CompetingLease>>,
 }
 
-/// What the votes of a round decide.
+/// What the votes of a round have decided so far.
 enum RoundOutcome {
     Open,
     Granted,
-    /// So many voters refused that no majority can grant it any more.
+    /// So many voters refused that a majority can no longer grant the request.
     Rejected,
 }
 
@@ -71,12 +71,12 @@
         reply.token == token && reply.round == self.number && voters.voters.contains(&reply.voter)
     }
 
-    /// Makes replies to this round count for nothing.
+    /// Makes this round ignore all replies from now on.
     pub(super) fn invalidate(&mut self) {
         self.number = INVALID_ROUND;
     }
 
-    /// Records a refusal. `max_lease_duration` bounds what a voter can claim.
+    /// Records a refusal. `max_lease_duration` bounds the remaining time that a voter can report.
     fn record_refusal(&mut self, voter: GatewayNumber, reason: Refusal, max_lease_duration: Millis) {
         let competing = match reason {
             Refusal::HeldByOther { holder, remaining } => {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// How long the lease of a holder that a majority names still lasts, in ms. 0 where a majority names none: candidates
-    /// only competed with each other.
+    /// How long the lease of the holder that a majority of the voters names still lasts, in ms. 0 where no majority
+    /// names the same holder: then candidates only competed with each other.
     fn competing_lease_remaining(&self, voters: &VoterConfiguration) -> Millis {
         let mut reports = BTreeMap::<GatewayNumber, Vec<Millis>>::new();
         for competing in self.refusals.values().flatten() {
@@ -112,7 +112,7 @@
 }
 
 impl Leases {
-    /// The round of requests made at `now`. All requests of one message are one round.
+    /// The round of a request made at `now`. All requests of one message belong to the same round.
     pub(super) fn open_round(&mut self, now: Millis) -> QuorumRound {
         QuorumRound {
             number: self.outbox.open_round(),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Records a voter's reply and follows what its round decides.
+    /// Records a voter's reply and, if its round is decided by it, holds the lease or abandons the attempt.
     pub(super) fn record_vote(&mut self, now: Millis, reply: VoteReply, outputs: &mut Vec<Output>) {
         self.record_last_refusal(&reply);
         let voters = &self.settings.voters;
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Keeps the last refusal of each of this gateway's own tasks. Others are not kept: a peer must not grow what this
-    /// gateway holds.
+    /// Keeps the last refusal of each of this gateway's own tasks. Refusals of other tasks are not kept, so that a peer
+    /// cannot make the state of this gateway grow.
     fn record_last_refusal(&mut self, reply: &VoteReply) {
         if let Vote::Refused(reason) = reply.vote
             && self.states.contains_key(&reply.task)
@@ -166,8 +166,9 @@
         }
     }
 
-    /// Ends an attempt that no majority granted. The grants are released, so that they block no other candidate. Where a
-    /// majority names one holder, the next attempt is after its lease; otherwise soon, with jitter.
+    /// Ends an attempt that no majority granted. Its grants are released, so that they block no other candidate. Where
+    /// a majority names the same holder, the next attempt is made after that holder's lease, otherwise soon; both with
+    /// jitter.
     pub(super) fn abandon_attempt(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
         let Some(LeaseState::Acquiring { token, round, .. }) = self.states.get(&task) else { return };
         let token = *token;
