--- a/crates/lease/src/leases/acquisition.rs
+++ b/crates/lease/src/leases/acquisition.rs
@@ -9,11 +9,12 @@
     TaskId,
 };
 
-/// The low bits of a fencing token, which have the number of the gateway that made it: no two gateways make the same one.
+/// How many low bits of a fencing token hold the number of the gateway that made it, so that no two gateways make the
+/// same token.
 const TOKEN_GATEWAY_BITS: u32 = 14;
 
 impl Leases {
-    /// Does what is due for each task.
+    /// Takes the step that is due for each task.
     pub(super) fn advance_leases(&mut self, now: Millis, wall_clock: Millis, outputs: &mut Vec<Output>) {
         if now < self.voting_from {
             return;
@@ -61,7 +62,7 @@
         self.states.insert(task, LeaseState::Idle { next_attempt_at });
     }
 
-    /// Requests a lease of all voters, of this gateway at once where it is one.
+    /// Requests a lease from all voters. If this gateway is a voter, its own vote is recorded at once.
     fn request_votes(&mut self, now: Millis, task: TaskId, token: FencingToken, outputs: &mut Vec<Output>) {
         let request = LeaseRequest { task, token, duration: self.settings.lease_duration };
         self.outbox.push(Item::Request(request));
@@ -73,7 +74,7 @@
         }
     }
 
-    /// A new token, above all that this gateway knows of.
+    /// A new token, higher than all tokens that this gateway knows of.
     fn next_token(&mut self, task: TaskId, wall_clock: Millis) -> FencingToken {
         if self.is_disabled(DisabledRule::TokenUniqueness) {
             return FencingToken::from(task) + 1;
@@ -82,7 +83,8 @@
         self.highest_token
     }
 
-    /// A majority has granted the newest round of a task: its lease is held, counted from before the round was sent.
+    /// Holds the lease of a task whose newest round a majority has granted. The duration counts from before the round
+    /// was sent.
     pub(super) fn hold(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
         let Some(state) = self.states.get(&task) else { return };
         let (Some(token), Some(round)) = (state.token(), state.round().cloned()) else { return };
