--- a/crates/lease/src/leases/guard.rs
+++ b/crates/lease/src/leases/guard.rs
@@ -1,17 +1,17 @@
-//! The check before an act: whether the lease is held and outlasts the act.
+//! The check before an act for a task: whether the lease is held and outlasts the act.
 
 use super::Leases;
 #[cfg(not(feature = "disable-lease-check"))]
 use super::state::LeaseState;
 use crate::{GuardError, Millis, Permit, TaskId};
 
-/// Added to the duration of an act: `now` was rounded down to ms.
+/// Added to the duration of an act, because `now` was rounded down to ms.
 #[cfg(not(feature = "disable-lease-check"))]
 const ROUNDING_MS: Millis = 1;
 
 impl Leases {
-    /// Whether this gateway may act for a task now, where the act takes `duration` ms from this check to the end of its
-    /// effect. To be checked again with [`Leases::revalidate`] right before the act.
+    /// Permits an act for a task where the lease outlasts the act, which takes `duration` ms from this check to the end
+    /// of its effect. The permit has to be checked again with [`Leases::revalidate`] right before the act.
     ///
     /// # Errors
     /// Why the act must not begin.
@@ -28,7 +28,7 @@
         Ok(Permit { task, token: *token, expires_at: *expires_at })
     }
 
-    /// Without the check: a permit for any task that was ever held, which a test must catch.
+    /// Replaces the check: permits an act for any task that was ever held, which a test must detect.
     ///
     /// # Errors
     /// The task was never held.
@@ -38,7 +38,8 @@
         Ok(Permit { task, token: *token, expires_at: now + duration })
     }
 
-    /// Checks a permit again right before its act: the lease outlasts the act and was not lost and acquired again.
+    /// Checks a permit again right before its act: the lease must outlast the act, and must not have been lost and
+    /// acquired again in between.
     ///
     /// # Errors
     /// Why the act must not begin.
