--- a/crates/lease/src/leases/outbox.rs
+++ b/crates/lease/src/leases/outbox.rs
@@ -1,4 +1,4 @@
-//! What goes to all voters in one message, and heartbeats.
+//! Batches the items for all voters into one message, and sends heartbeats.
 
 use super::timing::HEARTBEATS_PER_LEASE;
 use super::{Leases, Output};
@@ -19,8 +19,8 @@
         self.items.push(item);
     }
 
-    /// The number of the round that requests of this message belong to. The first request of a message opens a round, so
-    /// that no number is used at two points in time.
+    /// The number of the round to which the requests of the next message belong. The first request of a message opens a
+    /// new round, so that all requests of a round are made at the same time.
     pub(super) fn open_round(&mut self) -> u64 {
         if !self.round_open {
             self.round_open = true;
@@ -42,13 +42,13 @@
 }
 
 impl Leases {
-    /// A message of this gateway.
+    /// A message from this gateway.
     pub(super) fn message(&self, round: u64, items: Vec<Item>) -> Message {
         Message { voters_version: self.voters_version(), highest_token: self.highest_token, round, items }
     }
 
-    /// Sends the outbox to the voters of this configuration and the one before, and, when a heartbeat is due, to all
-    /// gateways.
+    /// Sends the items of the outbox to the voters of the current and the previous configuration; when a heartbeat is
+    /// due, sends the message to all gateways.
     pub(super) fn flush(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let items = self.outbox.take_items();
         let heartbeat_due = now >= self.next_heartbeat_at;
