--- a/crates/lease/src/leases/release.rs
+++ b/crates/lease/src/leases/release.rs
@@ -1,4 +1,4 @@
-//! Releases and transfers leases, and follows changes of the tasks.
+//! Releases and transfers leases, and applies changes of the tasks.
 
 use super::Leases;
 use super::state::LeaseState;
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl Leases {
-    /// Releases a lease for another gateway and asks that one to acquire it. The release is sent first, so that the
-    /// voters receive it before the next holder's request.
+    /// Releases a lease and asks another gateway to acquire it. The release is sent first, so that the voters receive
+    /// it before that gateway's request.
     pub(super) fn transfer(
         &mut self, now: Millis, task: TaskId, to: GatewayNumber, outputs: &mut Vec<Output>,
     ) {
@@ -36,13 +36,13 @@
             outputs.push(Output::Lost(LostLease { task, token, released: true }));
         }
         self.release_grants(now, task, token, transfer_to);
-        // Not acquired again at once: others are to have their chance.
+        // The task is not requested again for one lease, so that other gateways can acquire it.
         let next_attempt_at = now + 1 + self.settings.lease_duration;
         self.states.insert(task, LeaseState::Idle { next_attempt_at });
         was_held
     }
 
-    /// Releases what voters have granted, this gateway's own vote among them.
+    /// Releases the grants of all voters, including this gateway's own.
     pub(super) fn release_grants(
         &mut self, now: Millis, task: TaskId, token: FencingToken, transfer_to: Option<GatewayNumber>,
     ) {
@@ -63,7 +63,8 @@
             }
         }
         for task in self.settings.tasks.clone() {
-            // Drawn for tasks that stay as well: the draws keep their order.
+            // A jitter is drawn for tasks that are kept as well, so that later draws do not depend on which tasks are
+            // new.
             let next_attempt_at = self.jittered(now);
             self.states.entry(task).or_insert(LeaseState::Idle { next_attempt_at });
         }
