--- a/crates/lease/src/leases/state.rs
+++ b/crates/lease/src/leases/state.rs
@@ -6,15 +6,15 @@
 /// The state of one lease. All times are on this gateway's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LeaseState {
-    /// Not held and not requested.
+    /// The lease is neither held nor requested.
     Idle { next_attempt_at: Millis },
-    /// Requested; the attempt is abandoned at the deadline.
+    /// The lease is requested; the attempt is abandoned at `deadline`.
     Acquiring { token: FencingToken, round: QuorumRound, deadline: Millis },
-    /// Held until `expires_at`; `round` counts the votes of the newest renewal.
+    /// The lease is held until `expires_at`; `round` counts the votes on the newest request.
     Held { token: FencingToken, round: QuorumRound, expires_at: Millis, renew_at: Millis },
 }
 
-/// What is due for a lease.
+/// The step that is due for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DueStep {
     /// Request the lease.
@@ -53,8 +53,8 @@
         matches!(self, Self::Held { renew_at, .. } if *renew_at <= now)
     }
 
-    /// What is due at `now`. Renewals that are due until `renew_until` go along with those that are due already; `None`
-    /// where none is.
+    /// The step that is due at `now`. `renew_until` is `None` where no lease has a renewal that is due; otherwise
+    /// renewals that are due by then are made together with it.
     pub(super) fn due_step(
         &self, now: Millis, may_acquire: bool, renew_until: Option<Millis>,
     ) -> Option<DueStep> {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Makes replies to requests that were sent so far count for nothing, and the next request due at once: the voters
-    /// have changed.
+    /// Makes the newest round ignore all replies, because the voters have changed. An attempt is due to be abandoned at
+    /// once, and a renewal is due to be requested again at once.
     pub(super) fn invalidate_round(&mut self, now: Millis) {
         match self {
             Self::Idle { .. } => {}
