--- a/crates/lease/src/leases/timing.rs
+++ b/crates/lease/src/leases/timing.rs
@@ -17,11 +17,12 @@
 pub(super) const TRANSFER_DELAY_DIVISOR: Millis = 8;
 /// The jitter of an attempt is below the lease duration divided by this.
 const JITTER_DIVISOR: Millis = 4;
-/// Heartbeats in the time of one lease. They carry voter versions and fencing tokens when there is nothing else to send.
+/// Heartbeats in the time of one lease. They carry voter versions and fencing tokens when there is nothing else to
+/// send.
 pub(super) const HEARTBEATS_PER_LEASE: Millis = 2;
 
 impl Leases {
-    /// A time after `earliest` with jitter, in this gateway's own slots.
+    /// The first slot of this gateway at or after `earliest` plus a jitter.
     pub(super) fn jittered(&mut self, earliest: Millis) -> Millis {
         let lease = self.settings.lease_duration;
         self.jitter_draws += 1;
@@ -33,17 +34,17 @@
     }
 }
 
-/// A pseudo-random number below `bound`, and 0 where `bound` is 0: the `draw`-th of this seed.
+/// The pseudo-random number with index `draw` of a seed: below `bound`, or 0 where `bound` is 0.
 fn random_below(bound: Millis, seed: u64, draw: u64) -> Millis {
     xxhash_rust::xxh64::xxh64(&draw.to_le_bytes(), seed) % bound.max(1)
 }
 
-/// Where a gateway's slots lie within each `spacing` ms: no two gateways share one.
+/// The offset of a gateway's slots within each `spacing` ms; the gateways' offsets are spread evenly over it.
 fn slot_offset(gateway: GatewayNumber, gateway_count: u64, spacing: Millis) -> Millis {
     u64::from(gateway) * spacing / gateway_count.max(1) % spacing
 }
 
-/// The first slot at or after `time`. Attempts in one slot go into one message.
+/// The first slot at or after `time`. Attempts in the same slot go into one message.
 fn next_slot(time: Millis, spacing: Millis, offset: Millis) -> Millis {
     time.saturating_sub(offset).div_ceil(spacing) * spacing + offset
 }
