--- a/crates/lease/src/leases/voting.rs
+++ b/crates/lease/src/leases/voting.rs
@@ -1,4 +1,4 @@
-//! Processes messages of other gateways, and votes on their requests.
+//! Processes messages from other gateways, and votes on their requests.
 
 use super::Leases;
 use super::quorum::{Vote, VoteReply};
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The reply to a request.
+    /// Votes on a request. Returns the reply.
     fn answer(
         &mut self, now: Millis, voters_version: u64, requester: HolderId, request: &LeaseRequest,
     ) -> Item {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// This gateway's vote on a request of a gateway at `voters_version`.
+    /// Votes on a request from a gateway whose voter configuration has the version `voters_version`.
     pub(super) fn vote(
         &mut self, now: Millis, voters_version: u64, requester: HolderId, request: &LeaseRequest,
     ) -> Result<(), Refusal> {
@@ -77,7 +77,7 @@
         self.voter.grant(now, self.settings.max_lease_duration, requester, request, allow_reused_token)
     }
 
-    /// A holder has released a task for this gateway: it is requested soon.
+    /// Requests a task soon, because its holder has released it for this gateway.
     fn accept_transfer(&mut self, now: Millis, task: TaskId) {
         let delay = (self.settings.lease_duration / TRANSFER_DELAY_DIVISOR).max(1);
         if let Some(LeaseState::Idle { next_attempt_at }) = self.states.get_mut(&task) {
