--- a/crates/lease/src/calls.rs
+++ b/crates/lease/src/calls.rs
@@ -1,24 +1,24 @@
-//! Schedules the calls that a holder makes for its tasks: one at a time, only with a permit, which is checked again right
-//! before the call is written, and none is awaited beyond its deadline.
+//! Schedules the calls that a holder makes for its tasks: one call of a task at a time, and only with a permit, which
+//! is checked again right before the call is written. No call is awaited beyond its deadline.
 
 use crate::{Leases, Millis, Permit, TaskId};
 use std::collections::BTreeMap;
 
-/// How the calls of a task are made. Times in ms.
+/// The timing of a task's calls, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallSettings {
-    /// From the end of a call to the start of the next.
+    /// Time from the end of a call to the start of the next one.
     pub interval: Millis,
-    /// How long a call takes, with its effect at the receiver.
+    /// How long a call takes at most, including its effect at the receiver.
     pub duration: Millis,
 }
 
 /// A call that may be made: its permit, and when its effect must be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuthorizedCall {
-    /// The permit.
+    /// The permit of the call.
     pub permit: Permit,
-    /// When the call must be over, on this gateway's clock.
+    /// When the call and its effect must be over, on this gateway's clock.
     pub deadline: Millis,
 }
 
@@ -29,14 +29,14 @@
     in_flight: Option<AuthorizedCall>,
 }
 
-/// The calls of one gateway.
+/// The schedule of one gateway's calls.
 #[derive(Clone, Debug, Default)]
 pub struct CallSchedule {
     tasks: BTreeMap<TaskId, TaskCalls>,
 }
 
 impl CallSchedule {
-    /// Changes the tasks and their settings. A call in flight of a task that stays goes on.
+    /// Changes the tasks and their settings. The call in flight of a task that is kept goes on.
     pub fn configure(&mut self, now: Millis, tasks: &BTreeMap<TaskId, CallSettings>) {
         self.tasks.retain(|task, _| tasks.contains_key(task));
         for (task, settings) in tasks {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The permits of the calls to start now, which are in flight from here on.
+    /// Starts the calls that are due and permitted. Returns their permits.
     pub fn start_due(&mut self, now: Millis, leases: &Leases) -> Vec<Permit> {
         let mut started = Vec::new();
         for (task, calls) in &mut self.tasks {
@@ -61,8 +61,8 @@
         started
     }
 
-    /// Checks the lease again when the connection is established and the call is about to be written. `None`: the call
-    /// must not be made any more.
+    /// Checks the lease again when the connection is established and the call is about to be written. Returns `None`
+    /// where the call must not be made any more.
     pub fn authorize_write(&mut self, now: Millis, leases: &Leases, task: TaskId) -> Option<AuthorizedCall> {
         let calls = self.tasks.get_mut(&task)?;
         let started = calls.in_flight?;
@@ -73,7 +73,7 @@
         Some(call)
     }
 
-    /// Records that a call is over, with or without success.
+    /// Records that the call of a task has ended, whether it succeeded or not.
     pub fn finish(&mut self, now: Millis, task: TaskId) {
         if let Some(calls) = self.tasks.get_mut(&task) {
             calls.in_flight = None;
@@ -88,8 +88,8 @@
         self.tasks.iter().filter(|(_, calls)| overdue(calls)).map(|(task, _)| *task).collect()
     }
 
-    /// When a call is to start or is overdue. A task that is not held has no such time: it is looked at when its lease
-    /// is acquired.
+    /// When the next call is due or overdue. A task without a sufficient lease has no such time; the caller asks again
+    /// when its lease is acquired or renewed.
     #[must_use]
     pub fn next_timeout(&self, now: Millis, leases: &Leases) -> Millis {
         let timeout = |(task, calls): (&TaskId, &TaskCalls)| match calls.in_flight {
