--- a/crates/lease/src/calls/tests.rs
+++ b/crates/lease/src/calls/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{Input, Settings, VoterConfiguration};
 
-/// A fleet of one voter acquires its task at once.
+/// The leases of a fleet of one gateway, which has acquired its only task.
 fn single_voter(now: Millis) -> Leases {
     let settings = Settings {
         incarnation: 1,
@@ -29,7 +29,7 @@
     assert_eq!(calls.next_timeout(211, &leases), 240);
     calls.finish(220, 7);
     assert!(calls.start_due(229, &leases).is_empty());
-    // The lease of 100 ms from 200 on is too short for 30 ms from 270 on, and nothing renewed it.
+    // The lease lasts from 200 to 300 ms and was not renewed: a call of 30 ms from 270 ms on does not fit.
     assert!(calls.start_due(270, &leases).is_empty());
     assert_eq!(calls.next_timeout(270, &leases), Millis::MAX);
 }
