--- a/crates/lease/src/codec.rs
+++ b/crates/lease/src/codec.rs
@@ -4,25 +4,25 @@
 use prost::Message as _;
 use thiserror::Error;
 
-/// The most items that one message may have.
+/// The most items in one message.
 pub const MAX_MESSAGE_ITEMS: usize = 2048;
 
-/// Why bytes are no valid message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes are not protobuf of this form.
+    /// The bytes are not such a protobuf message.
     #[error("not a lease message")]
     Malformed,
-    /// More items than one message may have.
+    /// The message has more items than allowed.
     #[error("a lease message with {0} items, more than {MAX_MESSAGE_ITEMS}")]
     TooManyItems(usize),
-    /// An item of a kind that is not known.
+    /// An item is of an unknown kind.
     #[error("a lease message with an item of unknown kind {0}")]
     UnknownItemKind(u32),
-    /// A refusal for a reason that is not known.
+    /// A refusal has an unknown reason.
     #[error("a lease message with a refusal for unknown reason {0}")]
     UnknownRefusalReason(u32),
-    /// A refusal because of another holder that does not name it.
+    /// A refusal because of another holder does not name that holder.
     #[error("a lease message with a refusal that does not name the holder")]
     MissingHolder,
 }
@@ -48,13 +48,13 @@
     kind: u32,
     #[prost(uint64, tag = "3")]
     token: u64,
-    /// Request: its duration. Refusal because of another holder: how long its grant lasts. In ms.
+    /// In ms. Request: the duration of the lease. Refusal because of another holder: how long the holder's grant lasts.
     #[prost(uint64, tag = "4")]
     duration_ms: u64,
     /// Refusal: one of `refusal_reason`.
     #[prost(uint32, tag = "5")]
     reason: u32,
-    /// Refusal because of another holder: that gateway. Release: the gateway it is transferred to.
+    /// Refusal because of another holder: that holder. Release: the gateway to which the lease is transferred.
     #[prost(uint32, optional, tag = "6")]
     gateway: Option<u32>,
 }
