--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -5,7 +5,7 @@
 };
 use std::collections::BTreeSet;
 
-/// What happens to a gateway's leases.
+/// An event that the caller reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// Time has passed.
@@ -14,55 +14,55 @@
     MessageReceived {
         /// The sender.
         from: GatewayNumber,
-        /// Which start of the sender's process.
+        /// Identifies the start of the sender's process.
         incarnation: u64,
         /// The message.
         message: Message,
     },
-    /// The settings have this voter configuration.
+    /// The settings changed to this voter configuration.
     VotersChanged(VoterConfiguration),
-    /// The settings have these tasks and gateways; leases of tasks that are missing are released.
+    /// The settings changed to these tasks and gateways; the leases of tasks that were removed are released.
     TasksChanged {
         /// The tasks that this gateway is a candidate for.
         tasks: Vec<TaskId>,
         /// All gateways of the fleet.
         gateways: BTreeSet<GatewayNumber>,
     },
-    /// An operator wants a lease transferred to another gateway.
+    /// An operator requested the transfer of a lease to another gateway.
     TransferRequested {
         /// The task.
         task: TaskId,
         /// The gateway that is to acquire it.
         to: GatewayNumber,
     },
-    /// The gateway shuts down: every lease is released and none is acquired.
+    /// The gateway shuts down: it releases all leases and acquires no more.
     ShutdownStarted,
 }
 
-/// What the caller is to do.
+/// What the caller has to do or is notified of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message, which may be lost.
     Send {
         /// The receiver.
         to: GatewayNumber,
         /// The message.
         message: Message,
     },
-    /// This gateway holds the lease of a task now.
+    /// This gateway has acquired the lease of a task.
     Acquired(AcquiredLease),
-    /// This gateway no longer holds the lease: nothing is done for the task from here on.
+    /// This gateway no longer holds the lease of a task, and must not act for the task any more.
     Lost(LostLease),
-    /// A lease was requested and not granted.
+    /// A lease was requested, but not granted by a majority.
     AcquisitionFailed {
         /// The task.
         task: TaskId,
-        /// The last refusal, if any voter replied with one.
+        /// The last refusal that a voter replied with, if any did.
         last_refusal: Option<LastRefusal>,
     },
     /// The voter configuration of this version is in force.
     VotersInForce(u64),
-    /// A voter configuration that was not accepted; the one before stays.
+    /// A voter configuration was not accepted; the previous one is kept.
     VotersRejected(SettingsError),
 }
 
@@ -71,9 +71,9 @@
 pub struct AcquiredLease {
     /// The task.
     pub task: TaskId,
-    /// The fencing token it is held under.
+    /// The fencing token under which the lease is held.
     pub token: FencingToken,
-    /// When it expires on this gateway's clock if it is not renewed.
+    /// When the lease expires on this gateway's clock if it is not renewed.
     pub expires_at: Millis,
 }
 
@@ -82,9 +82,9 @@
 pub struct LostLease {
     /// The task.
     pub task: TaskId,
-    /// The fencing token it was held under.
+    /// The fencing token under which the lease was held.
     pub token: FencingToken,
-    /// Whether it was released: for a transfer, at shutdown, or because the settings no longer have the task. Otherwise it
-    /// expired, as no majority replied in time.
+    /// Whether the lease was released: for a transfer, at shutdown, or because of changed tasks or voters. Otherwise it
+    /// expired, because no majority granted a renewal in time.
     pub released: bool,
 }
