--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between candidates, holders and voters. Messages may be lost, duplicated, delayed and reordered.
+//! The messages between candidates, holders and voters, which may be lost, duplicated, delayed and reordered.
 
 use crate::{FencingToken, GatewayNumber, Millis, TaskId};
 
@@ -9,7 +9,7 @@
     pub voters_version: u64,
     /// The highest fencing token that the sender knows of.
     pub highest_token: FencingToken,
-    /// The sender's quorum round; a reply has the round of the request that it answers.
+    /// The number of the sender's quorum round. A reply has the number of the round that it replies to.
     pub round: u64,
     /// The items.
     pub items: Vec<Item>,
@@ -20,7 +20,7 @@
 pub struct LeaseRequest {
     /// The task.
     pub task: TaskId,
-    /// The fencing token that the lease is to be held under.
+    /// The fencing token under which the lease is to be held.
     pub token: FencingToken,
     /// The duration of the lease, in ms.
     pub duration: Millis,
@@ -31,32 +31,32 @@
 pub enum Item {
     /// A candidate or holder requests a lease of a voter.
     Request(LeaseRequest),
-    /// The voter grants it.
+    /// The voter grants the requested lease.
     Grant {
         /// The task.
         task: TaskId,
         /// The token of the request.
         token: FencingToken,
     },
-    /// The voter refuses it.
+    /// The voter refuses the requested lease.
     Refuse {
         /// The task.
         task: TaskId,
         /// The token of the request.
         token: FencingToken,
-        /// Why.
+        /// Why the voter refuses.
         reason: Refusal,
     },
-    /// A holder or candidate releases what it was granted.
+    /// A holder or candidate releases its grant.
     Release {
         /// The task.
         task: TaskId,
         /// The token of the grant.
         token: FencingToken,
-        /// The gateway for which voters reserve the task, at a transfer.
+        /// At a transfer, the gateway for which the voters reserve the task.
         transfer_to: Option<GatewayNumber>,
     },
-    /// A holder has released the task for the receiver, which is to acquire it.
+    /// A holder has released the task for the receiver of this message, which is to acquire it.
     Transfer {
         /// The task.
         task: TaskId,
@@ -66,21 +66,21 @@
 /// Why a voter refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The voter was started too short a time ago, or its voter configuration is not in force.
+    /// The voter still waits after its start, or its voter configuration is not in force.
     NotVoting,
-    /// The version of the requester's voter configuration is neither the voter's nor the next.
+    /// The version of the requester's voter configuration is neither the voter's own nor the next one.
     VersionMismatch,
     /// The task is granted to, or reserved for, another gateway.
     HeldByOther {
-        /// That gateway.
+        /// The gateway that holds the task or has it reserved.
         holder: GatewayNumber,
         /// How long the grant or reservation lasts at most, in ms.
         remaining: Millis,
     },
-    /// A token at least as high was granted before.
+    /// The token is not higher than one that was granted before.
     StaleToken,
-    /// The duration is longer than voters grant.
+    /// The requested duration is longer than the longest lease that the voter grants.
     LeaseTooLong,
-    /// The voter knows of too many tasks.
+    /// The voter already keeps state for the highest allowed number of tasks.
     TooManyTasks,
 }
