--- a/crates/lease/src/fault_injection.rs
+++ b/crates/lease/src/fault_injection.rs
@@ -1,18 +1,18 @@
-//! Rules of the protocol that a test disables to see that it is caught. In a build without the feature `fault-injection`,
-//! which the product is, no rule can be disabled and none is looked up.
+//! Rules of the protocol that a test can disable to show that it detects a missing rule. In a build without the feature
+//! `fault-injection`, such as a release, no rule can be disabled and none is looked up.
 
 /// A rule of the protocol that can be disabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum DisabledRule {
-    /// None: all rules are in force.
+    /// No rule is disabled.
     #[default]
     None,
-    /// A voter does not vote for the longest lease after a start.
+    /// After a start a voter does not vote until every lease that it may have granted before has expired.
     StartupWait,
-    /// A lease expires counted from before its request was sent, not from the reply.
+    /// The duration of a lease counts from before its request was sent, not from the reply.
     ExpiryFromRequest,
-    /// Only a majority of the present voter configuration counts, and no version is skipped.
+    /// Only a majority of the current voter configuration counts, and no version is skipped.
     VoterVersions,
-    /// A voter grants no token twice, and a candidate never reuses one.
+    /// A voter grants no token to two leases, and a candidate never reuses a token.
     TokenUniqueness,
 }
