--- a/crates/lease/src/status.rs
+++ b/crates/lease/src/status.rs
@@ -2,14 +2,14 @@
 
 use crate::{ActiveGrant, FencingToken, GatewayNumber, Millis, Refusal, TaskId};
 
-/// How far this gateway is with the lease of a task.
+/// The stage of a task's lease at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStage {
-    /// Held by another gateway or by none; requested again after so many ms.
+    /// Held by another gateway or by none; this gateway requests the lease again after this many ms.
     Waiting(Millis),
-    /// Requested, with the grants of so many voters.
+    /// Requested, and granted by this many voters so far.
     Acquiring(usize),
-    /// Held for so many ms unless it is renewed.
+    /// Held for this many ms unless it is renewed.
     Held(Millis),
 }
 
@@ -18,20 +18,20 @@
 pub struct LastRefusal {
     /// The voter that refused.
     pub voter: GatewayNumber,
-    /// Its reason.
+    /// The voter's reason.
     pub reason: Refusal,
 }
 
-/// The status of one task.
+/// The status of one task's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     /// The task.
     pub task: TaskId,
-    /// How far this gateway is with its lease.
+    /// The stage of the lease at this gateway.
     pub stage: LeaseStage,
     /// The fencing token requested or held.
     pub token: Option<FencingToken>,
-    /// What this gateway has granted as a voter.
+    /// The grant that this gateway has made as a voter and that is in force.
     pub granted: Option<ActiveGrant>,
     /// The last refusal that this gateway received.
     pub last_refusal: Option<LastRefusal>,
