--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,11 +1,12 @@
-//! The grants of one voter. It does not count majorities: it only honours its own grants.
+//! The grants of one voter. A voter does not count majorities; it only ensures that its own grants do not overlap.
 
 use crate::{FencingToken, GatewayNumber, HolderId, LeaseRequest, Millis, Refusal, TaskId};
 use std::collections::BTreeMap;
 
-/// The most tasks that a voter knows of: four times the most tasks that the settings allow.
+/// The most tasks that a voter keeps state for: four times the most tasks that the settings allow.
 const MAX_TASKS: usize = 4096;
-/// Added to the duration of a grant: the time of the request was rounded down to ms, and a grant must not expire early.
+/// Added to the duration of a grant, because the time of the request was rounded down to ms and a grant must not expire
+/// early.
 const ROUNDING_MS: Millis = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -15,7 +16,8 @@
     expires_at: Millis,
 }
 
-/// A task that was released for a transfer, and the gateway that alone is granted it meanwhile.
+/// The reservation of a task that was released for a transfer: until it expires, the task is granted only to this
+/// gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Reservation {
     gateway: GatewayNumber,
@@ -25,11 +27,11 @@
 /// A grant in force, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveGrant {
-    /// The gateway it was granted to.
+    /// The gateway to which the lease was granted.
     pub holder: GatewayNumber,
-    /// The fencing token it was granted under.
+    /// The fencing token under which the lease was granted.
     pub token: FencingToken,
-    /// How long it lasts, in ms.
+    /// How long the grant still lasts, in ms.
     pub remaining: Millis,
 }
 
@@ -38,12 +40,12 @@
 pub struct Voter {
     grants: BTreeMap<TaskId, Grant>,
     reservations: BTreeMap<TaskId, Reservation>,
-    /// The highest token granted of each task: no token is granted to two holders.
+    /// The highest token that was granted for each task, so that no token is granted to two holders.
     highest_tokens: BTreeMap<TaskId, FencingToken>,
 }
 
 impl Voter {
-    /// Grants a request, or says why not. `allow_reused_token` disables a rule for a test.
+    /// Grants a request, or returns why it is refused. `allow_reused_token` disables a rule for a test.
     pub(crate) fn grant(
         &mut self, now: Millis, max_lease_duration: Millis, holder: HolderId, request: &LeaseRequest,
         allow_reused_token: bool,
@@ -65,7 +67,7 @@
         Ok(())
     }
 
-    /// Refuses a task that is granted to another holder or reserved for another gateway.
+    /// Checks that a task is neither granted to another holder nor reserved for another gateway.
     fn check_not_held_by_other(&self, now: Millis, holder: HolderId, task: TaskId) -> Result<(), Refusal> {
         if let Some(other) = self.active(now, task).filter(|grant| grant.holder != holder) {
             return Err(Refusal::HeldByOther {
@@ -80,7 +82,7 @@
         Ok(())
     }
 
-    /// Whether the task is granted under the token of the request.
+    /// Whether the task is currently granted under the token of the request.
     fn is_renewal(&self, now: Millis, request: &LeaseRequest) -> bool {
         self.active(now, request.task).is_some_and(|grant| grant.token == request.token)
     }
@@ -89,8 +91,9 @@
         self.grants.get(&task).filter(|grant| grant.expires_at > now)
     }
 
-    /// Ends the grant of a holder that releases it. A delayed release names a token that is no longer granted and changes
-    /// nothing. At a transfer the task is reserved for the next holder for as long as the grant would have lasted.
+    /// Ends the grant of a holder that releases it. A delayed release names a token that is no longer granted, and so
+    /// has no effect. At a transfer the task is reserved for the next holder for as long as the grant would have
+    /// lasted.
     pub(crate) fn release(
         &mut self, now: Millis, holder: HolderId, task: TaskId, token: FencingToken,
         transfer_to: Option<GatewayNumber>,
@@ -104,13 +107,13 @@
         self.grants.remove(&task);
     }
 
-    /// Forgets grants and reservations that have expired; the highest tokens stay.
+    /// Removes grants and reservations that have expired; the highest tokens are kept.
     pub(crate) fn remove_expired(&mut self, now: Millis) {
         self.grants.retain(|_, grant| grant.expires_at > now);
         self.reservations.retain(|_, reserved| reserved.expires_at > now);
     }
 
-    /// The grant of a task that is in force.
+    /// The grant of a task that is in force, if any.
     #[must_use]
     pub fn granted(&self, now: Millis, task: TaskId) -> Option<ActiveGrant> {
         self.active(now, task).map(|grant| ActiveGrant {
