--- a/crates/lease/src/voter_configuration.rs
+++ b/crates/lease/src/voter_configuration.rs
@@ -1,17 +1,17 @@
-//! Who votes. Configurations have versions; each differs by at most one voter from the one before, so that majorities of
-//! neighbouring versions share a voter.
+//! The configuration of the voters. Configurations have versions. Each version differs by at most one voter from the
+//! previous one, so that majorities of two successive versions share a voter.
 
 use crate::{GatewayNumber, SettingsError};
 use std::collections::BTreeSet;
 
-/// The voters of one version and those of the version before.
+/// The voters of one version and those of the previous version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VoterConfiguration {
-    /// Counts the changes of the configuration.
+    /// The version, which counts the changes of the configuration.
     pub version: u64,
     /// The voters of this version.
     pub voters: BTreeSet<GatewayNumber>,
-    /// The voters of the version before; empty where there was none.
+    /// The voters of the previous version; empty for the first version.
     pub previous_voters: BTreeSet<GatewayNumber>,
 }
 
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Whether so many of the voters are a majority.
+    /// Whether `count` of the voters are a majority.
     #[must_use]
     pub fn is_majority(&self, count: usize) -> bool {
         is_majority(count, self.voters.len())
     }
 
-    /// Checks this version by itself.
+    /// Checks that there is a voter, and that at most one voter was added or removed since the previous version.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.voters.is_empty() {
             return Err(SettingsError::NoVoters);
