--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking: three gateways, two tasks, one restart, messages lost, duplicated, delayed and reordered, clocks that
-//! drift. Explores all histories to a depth; each disabled rule must give a counterexample.
+//! Model checking: three gateways, two tasks, one restart, messages lost, duplicated, delayed and reordered, clocks
+//! that drift. Explores all histories to a depth; each disabled rule must give a counterexample.
 
 use doorcourse_lease::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -7,9 +7,9 @@
 
 /// The shortest lease that is allowed, in ms.
 const LEASE_DURATION: Millis = 20;
-/// Clocks differ by up to two fifths, in parts per million.
+/// How much the rates of two clocks differ, in parts per million: by two fifths.
 const CLOCK_DRIFT_PPM: u64 = 400_000;
-/// A step of real time, in ms: half a lease.
+/// The duration of a step of real time, in ms: half a lease.
 const STEP_DURATION: Millis = 10;
 const TASKS: [TaskId; 2] = [1, 2];
 
@@ -21,7 +21,7 @@
     configured_voters: [VoterConfiguration; 3],
     /// The gateways that are candidates for the tasks.
     candidates: Vec<GatewayNumber>,
-    /// How many steps of time, restarts and duplicated messages there may be.
+    /// How many steps of time, restarts and duplicated messages a history may have.
     steps: u64,
     restarts: u8,
     duplicates: u8,
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct InTransit {
     from: GatewayNumber,
-    /// Which start of the sender.
+    /// Identifies the start of the sender.
     incarnation: u64,
     to: GatewayNumber,
     message: Message,
@@ -39,9 +39,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Each gateway's leases, and which start of it they are of.
+    /// Each gateway's leases, and the number of its start.
     nodes: Vec<(Leases, u64)>,
-    /// Steps of real time.
+    /// How many steps of real time have passed.
     time: u64,
     restarts: u8,
     duplicates: u8,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The clock of a gateway: the second one runs fast by all that is allowed.
+    /// The clock of a gateway. The clock of gateway 1 runs faster than the others by the allowed drift.
     fn local_time(&self, number: GatewayNumber, time: u64) -> Millis {
         let real = 1_000 + time * STEP_DURATION;
         if number == 1 { real * (1_000_000 + CLOCK_DRIFT_PPM) / 1_000_000 } else { real }
@@ -98,7 +98,7 @@
         leases.handle(now, 0, input, &mut out);
         for output in out {
             match output {
-                // A heartbeat may as well be lost.
+                // Heartbeats are dropped: the model also covers messages that are lost.
                 Output::Send { to, message } if !message.items.is_empty() => {
                     let incarnation = *incarnation;
                     state.in_transit.insert(InTransit { from: number, incarnation, to, message });
@@ -132,7 +132,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // All have long been started: the wait after a start is over.
+        // All gateways were started long ago: their wait after a start is over.
         let uptime = 10 * LEASE_DURATION;
         let nodes = (0..3).map(|n| (self.start(n, 1, self.local_time(n, 0) - uptime), 1)).collect();
         vec![State {
@@ -213,8 +213,8 @@
     }
 }
 
-/// Checks all histories of so many actions. Returns the number of states, and the counterexample of each property that is
-/// violated.
+/// Checks all histories of at most `depth` actions. Returns the number of states, and a counterexample for each
+/// property that is violated.
 fn check(fleet: &Fleet, depth: usize) -> (usize, BTreeMap<&'static str, Vec<Action>>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let checker = fleet.clone().checker().threads(threads).target_max_depth(depth);
