--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages and
-//! is partitioned by pairs and directions, processes that pause and restart. The holders of each task are checked at every
-//! step.
+//! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages
+//! and is partitioned by pairs and directions, processes that pause and restart. The holders of each task are checked
+//! at every step.
 #![allow(dead_code)]
 
 use doorcourse_lease::*;
@@ -63,14 +63,14 @@
 struct Node {
     leases: Option<Leases>,
     incarnation: u64,
-    /// Its clock: its offset at the start, and its rate in parts per million.
+    /// The offset of the node's clock at the start, and the clock's rate in parts per million.
     offset: Micros,
     rate: u64,
-    /// Its wall clock is off by so many ms.
+    /// How much the node's wall clock is ahead, in ms.
     wall_offset: i64,
     paused_until: Micros,
     wake_at: Micros,
-    /// The voters in its settings file.
+    /// The voters in the node's settings file.
     configured_voters: VoterConfiguration,
 }
 
@@ -86,14 +86,14 @@
     /// The newest voters that an operator has configured, and the gateways that have not reloaded them.
     newest_voters: VoterConfiguration,
     not_reloaded: Vec<GatewayNumber>,
-    /// Of each task: who holds it, and the highest token under which it was held.
+    /// The holders of each task, and the highest token under which it was held.
     pub holders: BTreeMap<TaskId, BTreeSet<GatewayNumber>>,
     pub highest: BTreeMap<TaskId, FencingToken>,
     pub acquisitions: u64,
-    /// Every way in which the rules were violated.
+    /// A text for each violation of the rules.
     pub violations: Vec<String>,
     pub sent: u64,
-    /// Since when each task has no holder, and the longest such time that ended.
+    /// Since when each task without a holder has had none, and the longest time without a holder that has ended.
     pub without_holder: BTreeMap<TaskId, Micros>,
     pub longest_without_holder: Micros,
 }
@@ -227,7 +227,7 @@
         let (incarnation, due, rate, offset) =
             (node.incarnation, leases.next_timeout(), node.rate, node.offset);
         let due = due.max(now + 1);
-        // The first point of real time at which its clock shows that.
+        // The first point of real time at which the node's clock shows `due`.
         let at = ((due * MS - offset) * 1_000_000).div_ceil(rate).max(real + 1);
         if at < node.wake_at || node.wake_at <= real {
             node.wake_at = at;
@@ -334,7 +334,7 @@
         }
     }
 
-    /// What an operator checks before the next voters are configured: a majority of the newest ones vote.
+    /// Whether a majority of the newest voters vote, which an operator checks before configuring the next voters.
     fn is_in_force(&self) -> bool {
         let votes_by_newest = |number: &&GatewayNumber| {
             let leases = self.nodes[number].leases.as_ref();
