--- a/crates/lease/tests/histories.rs
+++ b/crates/lease/tests/histories.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The conditions of a seed: 3 to 9 gateways, faults of all kinds.
+/// The scenario of a seed: 3 to 9 gateways with faults of all kinds.
 fn scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6c65_6173_6573);
     let gateways = rng.random_range(3..=9);
@@ -59,7 +59,7 @@
     );
 }
 
-/// Each disabled rule must lead to a violation: a test that cannot fail proves nothing.
+/// Each disabled rule must lead to a violation, which shows that the test above can fail.
 #[test]
 fn each_disabled_rule_is_caught() {
     for disabled_rule in [
@@ -75,7 +75,7 @@
     }
 }
 
-/// A holder dies in a healthy fleet: the time without a holder is bounded (`docs/leases.md`).
+/// When a holder dies in a healthy fleet, the time without a holder is bounded (`docs/leases.md`).
 #[test]
 fn a_dead_holder_is_replaced_within_three_leases() {
     let mut spans = Vec::new();
@@ -99,7 +99,7 @@
     assert!(most <= 900, "{most} ms");
 }
 
-/// Message loss alone moves no lease.
+/// Message loss alone does not make another gateway the holder.
 #[test]
 fn a_healthy_holder_keeps_its_lease_under_message_loss() {
     for seed in 0..40 {
@@ -113,7 +113,7 @@
     }
 }
 
-/// A thousand tasks cost about as many messages as one: what is due together goes into one message.
+/// A thousand tasks cost about as many messages as one task: requests that are due together go into one message.
 #[test]
 fn renewals_of_a_thousand_tasks_share_messages() {
     let sent = |tasks| {
@@ -144,7 +144,7 @@
     assert!(world.now - at < 200 * MS, "{} us", world.now - at);
 }
 
-/// Whatever a peer that knows the secret sends, the state kept for it is bounded.
+/// The state that is kept for a peer is bounded, whatever a peer that knows the secret sends.
 #[test]
 fn state_kept_for_a_malicious_peer_is_bounded() {
     use doorcourse_lease::{
