--- a/crates/lease/tests/codec_samples.rs
+++ b/crates/lease/tests/codec_samples.rs
@@ -1,5 +1,5 @@
-//! Samples of the wire format, made before any rename of the code: each message encodes to exactly these bytes and
-//! decodes from them.
+//! Recorded samples of the wire format, so that a rename in the code cannot change it: each message encodes to exactly
+//! these bytes and decodes from them.
 
 use doorcourse_lease::{Item, LeaseRequest, Message, Refusal, decode, encode};
 
