--- a/crates/lease/src/calls.rs
+++ b/crates/lease/src/calls.rs
@@ -88,8 +88,8 @@
         self.tasks.iter().filter(|(_, calls)| overdue(calls)).map(|(task, _)| *task).collect()
     }
 
-    /// When the next call is due or overdue. A task without a sufficient lease has no such time; the caller asks again
-    /// when its lease is acquired or renewed.
+    /// When the next call is due or overdue. A task without a sufficient lease has no such time; the caller has to
+    /// call this again once its lease is acquired or renewed.
     #[must_use]
     pub fn next_timeout(&self, now: Millis, leases: &Leases) -> Millis {
         let timeout = |(task, calls): (&TaskId, &TaskCalls)| match calls.in_flight {
