--- a/crates/peers/src/drops.rs
+++ b/crates/peers/src/drops.rs
@@ -1,43 +1,43 @@
-//! Why datagrams are dropped, and how many were.
+//! The reasons why datagrams are dropped, and counts of the dropped datagrams.
 
 use thiserror::Error;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DropReason {
-    /// Longer than any that is sent.
+    /// Longer than any datagram that a gateway sends.
     #[error("longer than {} bytes", crate::MAX_DATAGRAM_BYTES)]
     TooLong,
     /// Not a datagram of this protocol.
     #[error("not a datagram of this protocol")]
     Unreadable,
-    /// Of another fleet.
+    /// Sent in another fleet.
     #[error("of another fleet")]
     OtherFleet,
-    /// Its tag was made with no secret of the fleet.
+    /// The authentication tag was not made with a secret of the fleet.
     #[error("its tag was made with no secret of the fleet")]
     Forged,
-    /// Of another version of the envelope.
+    /// Has an envelope of another version.
     #[error("of another version of the envelope")]
     UnknownVersion,
-    /// From a gateway that the settings do not name.
+    /// Sent by a gateway that is not a peer in the settings.
     #[error("from a gateway that is no peer")]
     UnknownSender,
-    /// For another gateway.
+    /// Addressed to another gateway.
     #[error("for another gateway")]
     OtherReceiver,
-    /// For another start of this gateway, or from a former start of its sender.
+    /// Addressed to another start of this gateway, or sent by a former start of the sender.
     #[error("of a former start of sender or receiver")]
     Stale,
-    /// Accepted before, or so late that this cannot be known.
+    /// Accepted before, or so late that it is not known whether it was.
     #[error("accepted before, or too late")]
     Replayed,
-    /// More than one peer may send.
+    /// Exceeds the rate at which a peer may send.
     #[error("above the rate limit of a peer")]
     RateExceeded,
 }
 
-/// How many reasons there are.
+/// The number of reasons.
 const REASON_COUNT: usize = 10;
 
 impl DropReason {
@@ -54,7 +54,7 @@
         Self::RateExceeded,
     ];
 
-    /// The name in metrics and admin replies, which operators chart.
+    /// The name in metrics and admin replies, which operators' charts match: it must not change.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -72,7 +72,7 @@
     }
 }
 
-/// How many datagrams were dropped, by reason.
+/// Counts the dropped datagrams by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters([u64; REASON_COUNT]);
 
@@ -81,13 +81,13 @@
         self.0[reason as usize] += 1;
     }
 
-    /// How many were dropped for a reason.
+    /// How many datagrams were dropped for a reason.
     #[must_use]
     pub fn count(&self, reason: DropReason) -> u64 {
         self.0[reason as usize]
     }
 
-    /// The names of all reasons, and how many were dropped for each.
+    /// The names of all reasons, with how many datagrams were dropped for each.
     pub fn by_name(&self) -> impl Iterator<Item = (&'static str, u64)> {
         DropReason::ALL.into_iter().map(DropReason::name).zip(self.0)
     }
