--- a/crates/peers/src/drops/tests.rs
+++ b/crates/peers/src/drops/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Operators chart these names.
+/// Operators' charts match these names, so they must not change.
 #[test]
 fn each_reason_is_counted_under_its_name() {
     let names = [
