--- a/crates/peers/src/envelope.rs
+++ b/crates/peers/src/envelope.rs
@@ -11,7 +11,7 @@
 /// The channel of a hello, which has no payload.
 pub(crate) const HELLO_CHANNEL: u32 = 0;
 
-/// A datagram: the bytes of an envelope, and their HMAC-SHA-256.
+/// A datagram: the bytes of an envelope, and the HMAC-SHA-256 of these bytes as the tag.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct Datagram {
     #[prost(bytes = "vec", tag = "1")]
@@ -30,27 +30,27 @@
     pub(crate) fleet: u64,
     #[prost(uint32, tag = "3")]
     pub(crate) sender: u32,
-    /// Identifies the start of the sender.
+    /// Identifies the start of the sender's process.
     #[prost(fixed64, tag = "4")]
     pub(crate) incarnation: u64,
     #[prost(uint32, tag = "5")]
     pub(crate) receiver: u32,
-    /// Identifies the start of the receiver that this is for; 0 where it is not known.
+    /// Identifies the start of the receiver to which the datagram is addressed; 0 where the sender does not know it.
     #[prost(fixed64, tag = "6")]
     pub(crate) receiver_incarnation: u64,
     /// Counts the datagrams of this start of the sender to this receiver, from 1.
     #[prost(uint64, tag = "7")]
     pub(crate) sequence: u64,
-    /// The sender's monotonic clock when this was sent, in ms.
+    /// The sender's monotonic clock when the datagram was sent, in ms.
     #[prost(uint64, tag = "8")]
     pub(crate) sent_at: u64,
-    /// The sender's wall clock when this was sent, in ms since the Unix epoch.
+    /// The sender's wall clock when the datagram was sent, in ms since the Unix epoch.
     #[prost(uint64, tag = "9")]
     pub(crate) wall_clock: u64,
-    /// `sent_at` of the newest datagram that the sender had from the receiver; 0 where it had none.
+    /// `sent_at` of the newest datagram that the sender has received from the receiver; 0 where there is none.
     #[prost(uint64, tag = "10")]
     pub(crate) echoed_sent_at: u64,
-    /// How long ago the sender had received that one, in ms.
+    /// How long before `sent_at` the sender had received that datagram, in ms.
     #[prost(uint64, tag = "11")]
     pub(crate) echo_held_for: u64,
     /// Which part of the program the payload is for; `HELLO_CHANNEL` for a hello.
@@ -73,7 +73,7 @@
     Datagram { envelope, tag }.encode_to_vec()
 }
 
-/// Whether the tag was made with one of the secrets; compared in constant time.
+/// Whether the tag was made with one of the secrets. The tags are compared in constant time.
 pub(crate) fn is_authentic(datagram: &Datagram, secrets: &[Vec<u8>]) -> bool {
     let made_tag = |secret: &Vec<u8>| {
         hmac(secret, &datagram.envelope).is_some_and(|hmac| hmac.verify_slice(&datagram.tag).is_ok())
