--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,20 +1,21 @@
-//! The link between the gateways of a fleet: authenticated datagrams, and what is known of each peer by them.
+//! The link between the gateways of a fleet: authenticated datagrams, and the state of each peer that is known from
+//! them.
 //!
-//! A state machine without a socket and without a clock. Datagrams may be lost, duplicated, delayed, replayed or forged.
-//! One is accepted only if it carries a tag made with a secret of the fleet, is addressed to this gateway and this start of
-//! it (its incarnation, a random number), and was not accepted before. A gateway that does not know a peer's incarnation
-//! sends a hello; the reply has it. So nothing that was recorded before a start is accepted after it. `docs/leases.md`
-//! describes the envelope.
+//! The package is a state machine without a socket and without a clock. Datagrams may be lost, duplicated, delayed,
+//! replayed or forged. A datagram is accepted only if it has a tag made with a secret of the fleet, is addressed to
+//! this gateway and to this start of its process (its incarnation, a random number), and was not accepted before. A
+//! gateway that does not know a peer's incarnation sends a hello; the reply carries the incarnation. So a datagram that
+//! was recorded before a start of the receiver is not accepted after it. `docs/leases.md` describes the envelope.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `link` | datagrams in and out, events of peers |
+//! | `link` | receives and sends datagrams, and reports events of peers |
 //! | `peer` | the state of one peer |
 //! | `replay_window` | which sequence numbers were accepted |
-//! | `rate_limit` | what one peer may cost |
-//! | `envelope` | the datagram's format and its authentication |
-//! | `drops` | why datagrams are dropped, counted |
-//! | `settings` | settings and their validation |
+//! | `rate_limit` | limits the datagrams from and to one peer |
+//! | `envelope` | the format of a datagram and its authentication |
+//! | `drops` | why datagrams are dropped, and counts of them |
+//! | `settings` | the settings and their validation |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -38,7 +39,7 @@
 /// Milliseconds: a duration, or a point in time on this gateway's monotonic clock.
 pub type Millis = u64;
 
-/// The id of a fleet by its name: datagrams of other fleets are dropped before their tags are verified.
+/// The id of the fleet with this name. Datagrams of other fleets are dropped before their tags are verified.
 #[must_use]
 pub fn fleet_of(name: &str) -> u64 {
     xxhash_rust::xxh64::xxh64(name.as_bytes(), 0)
