--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,4 +1,4 @@
-//! The link of one gateway: datagrams in and out, and events of peers.
+//! The link of one gateway: receives and sends datagrams, and reports events of peers.
 
 use crate::envelope::{Datagram, Envelope, HELLO_CHANNEL, is_authentic, seal};
 use crate::peer::Peer;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The least time between two hellos to one peer, in ms.
+/// The shortest time between two hellos to one peer, in ms.
 const HELLO_INTERVAL_MS: Millis = 50;
 
 /// A datagram to send.
@@ -27,7 +27,7 @@
 pub struct ReceivedPayload {
     /// The peer.
     pub sender: GatewayNumber,
-    /// Identifies the start of the peer.
+    /// Identifies the start of the peer's process.
     pub incarnation: u64,
     /// Which part of the program the payload is for.
     pub channel: u32,
@@ -35,7 +35,7 @@
     pub payload: Vec<u8>,
 }
 
-/// A change in what is known of a peer.
+/// A change of a peer's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
     /// The peer is reachable, for the first time or again.
@@ -56,7 +56,7 @@
 }
 
 impl Link {
-    /// A link that knows only the addresses of its peers.
+    /// A link that has not received a datagram from any peer yet.
     ///
     /// # Errors
     /// Settings that cannot be used.
@@ -66,11 +66,11 @@
         Ok(Self { settings, peers, drops: DropCounters::default(), started_at: now })
     }
 
-    /// Changes peers, addresses or secrets. What is known of peers that stay is kept, and so is the incarnation: a change
-    /// of the settings is no start.
+    /// Changes peers, addresses or secrets. The state of peers that remain is kept. The incarnation in `settings` is
+    /// ignored, because a change of the settings is not a start.
     ///
     /// # Errors
-    /// Settings that cannot be used; the settings before stay in force.
+    /// Settings that cannot be used; the previous settings stay in force.
     pub fn configure(&mut self, now: Millis, settings: Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         self.settings = Settings { incarnation: self.settings.incarnation, ..settings };
@@ -88,9 +88,9 @@
         self.settings.incarnation
     }
 
-    /// Processes a datagram and returns its payload if it is accepted and no hello; it is counted if it is dropped. `now`
-    /// is the monotonic clock, `wall_clock` the system's in ms since the Unix epoch. Hellos to send and changes of the peer
-    /// are appended.
+    /// Processes a datagram. Returns its payload if the datagram is accepted and is not a hello; counts it if it is
+    /// dropped. `now` is the time of the monotonic clock, `wall_clock` the system time in ms since the Unix epoch.
+    /// Hellos to send are appended to `hellos`, changes of the peer's state to `events`.
     pub fn receive(
         &mut self, now: Millis, wall_clock: Millis, bytes: &[u8], hellos: &mut Vec<OutgoingDatagram>,
         events: &mut Vec<PeerEvent>,
@@ -138,8 +138,8 @@
         Ok(ReceivedPayload { sender, incarnation, channel: envelope.channel, payload: envelope.payload })
     }
 
-    /// The envelope of a datagram of this fleet that was sealed with one of its secrets. The fleet's id alone is read before
-    /// the tag is verified.
+    /// The envelope of a datagram that was sealed with one of this fleet's secrets. Before the tag is verified, only
+    /// the fleet's id is used.
     fn authenticate(&self, bytes: &[u8]) -> Result<Envelope, DropReason> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DropReason::TooLong);
@@ -158,7 +158,8 @@
         Ok(envelope)
     }
 
-    /// A hello for a peer that does not know this start, addressed to the start of the peer that sent.
+    /// A hello in reply to a datagram of a peer that does not know the incarnation of this gateway. It is addressed to
+    /// the incarnation of the peer that sent the datagram. `None` where no hello is due or the rate limit is reached.
     fn hello_reply(
         &mut self, now: Millis, wall_clock: Millis, to: GatewayNumber, incarnation: u64,
     ) -> Option<OutgoingDatagram> {
@@ -167,8 +168,9 @@
         Some(self.seal(to, &hello))
     }
 
-    /// Seals a payload for a peer. `None` where the peer is not known, the rate limit is reached, or the datagram would be
-    /// too long. A peer whose incarnation is not known gets a hello in its place.
+    /// Seals a payload for a peer. A peer whose incarnation is not known gets a hello instead of the payload. `None`
+    /// where the peer is not in the settings, the rate limit is reached, no hello is due, or the datagram would be too
+    /// long.
     pub fn send(
         &mut self, now: Millis, wall_clock: Millis, to: GatewayNumber, channel: u32, payload: Vec<u8>,
     ) -> Option<OutgoingDatagram> {
@@ -183,7 +185,7 @@
         (datagram.bytes.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
-    /// Whether a hello to a peer is due; if so, the next one is due an interval later.
+    /// Whether a hello to a peer is due. If so, the next one is due after [`HELLO_INTERVAL_MS`].
     fn may_send_hello(&mut self, now: Millis, to: GatewayNumber) -> bool {
         let Some(peer) = self.peers.get_mut(&to) else { return false };
         let is_due = now >= peer.next_hello_at;
@@ -193,7 +195,7 @@
         is_due
     }
 
-    /// The envelope of the next datagram to a peer, as a hello; `None` where the rate limit is reached.
+    /// The envelope of the next datagram to a peer, filled in as a hello. `None` where the rate limit is reached.
     fn envelope(
         &mut self, now: Millis, wall_clock: Millis, to: GatewayNumber, incarnation: Option<u64>,
     ) -> Option<Envelope> {
