--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one peer, and which of its datagrams are accepted.
+//! The state of one peer, and which of its datagrams are accepted.
 
 use crate::envelope::Envelope;
 use crate::rate_limit::RateLimit;
@@ -6,45 +6,46 @@
 use crate::{GatewayNumber, Millis};
 use std::collections::VecDeque;
 
-/// So many former starts of a peer are remembered, whose datagrams are dropped.
+/// How many former starts of a peer are remembered, whose datagrams are dropped.
 const MAX_FORMER_INCARNATIONS: usize = 32;
 /// The weight of the newest sample in the smoothed round trip and clock offset.
 const SMOOTHING_WEIGHT: f64 = 0.2;
 
-/// A peer, for operators. Times in ms.
+/// The status of a peer, for operators. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerStatus {
     /// The peer.
     pub gateway: GatewayNumber,
-    /// How long ago a datagram was accepted from it; `None` if none ever was.
+    /// How long ago a datagram of the peer was last accepted; `None` if none ever was.
     pub last_received_ago: Option<Millis>,
-    /// Whether it counts as unreachable.
+    /// Whether the peer counts as unreachable.
     pub unreachable: bool,
-    /// The smoothed round trip.
+    /// The smoothed round-trip time.
     pub round_trip: Option<f64>,
-    /// By how much its wall clock is ahead of this gateway's, smoothed.
+    /// How far the peer's wall clock is ahead of this gateway's, smoothed.
     pub clock_offset: Option<f64>,
-    /// Datagrams accepted from it.
+    /// Datagrams accepted from the peer.
     pub received: u64,
-    /// Datagrams that it numbered between those accepted, and that were not accepted.
+    /// Datagrams with sequence numbers between those of accepted datagrams that were not accepted themselves.
     pub lost: u64,
-    /// Datagrams sent to it.
+    /// Datagrams sent to the peer.
     pub sent: u64,
 }
 
-/// The newest datagram of a peer by its own clock: echoed to the peer for its round trip.
+/// The times of the newest datagram of a peer by the peer's clock. They are echoed to the peer, which computes the
+/// round-trip time from them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Echo {
-    /// When it was sent, on the peer's clock; 0 where none was received.
+    /// When the datagram was sent, on the peer's clock; 0 where none was received.
     pub(crate) sent_at: Millis,
-    /// When it was received, on this gateway's clock.
+    /// When the datagram was received, on this gateway's clock.
     pub(crate) received_at: Millis,
 }
 
 /// The state of one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// The start of the peer that its datagrams are from; `None` until the first is accepted.
+    /// The current start of the peer's process; `None` until its first datagram is accepted.
     pub(crate) incarnation: Option<u64>,
     former_incarnations: VecDeque<u64>,
     replay_window: ReplayWindow,
@@ -52,7 +53,7 @@
     former_received: u64,
     /// Datagrams of former starts of the peer that were numbered and not accepted.
     former_lost: u64,
-    /// The number of the last datagram sent to it.
+    /// The sequence number of the last datagram sent to the peer.
     pub(crate) sequence: u64,
     pub(crate) last_received_at: Option<Millis>,
     pub(crate) unreachable: bool,
@@ -61,7 +62,7 @@
     clock_offset: Option<f64>,
     pub(crate) receive_limit: RateLimit,
     pub(crate) send_limit: RateLimit,
-    /// No hello is sent to it before this.
+    /// No hello is sent to the peer before this time.
     pub(crate) next_hello_at: Millis,
 }
 
@@ -85,13 +86,13 @@
         }
     }
 
-    /// Whether this is an earlier start than the one known.
+    /// Whether this is one of the remembered former starts of the peer.
     pub(crate) fn is_former_incarnation(&self, incarnation: u64) -> bool {
         self.former_incarnations.contains(&incarnation)
     }
 
-    /// Records the start that an authentic datagram is from. Returns whether it is a new one; what was known of the start
-    /// before is dropped.
+    /// Records the start of the peer that sent an authentic datagram. Returns whether it is a new one; then the state
+    /// of the former start is dropped, except for its counts.
     pub(crate) fn accept_incarnation(&mut self, incarnation: u64) -> bool {
         if self.incarnation == Some(incarnation) {
             return false;
@@ -111,12 +112,12 @@
         true
     }
 
-    /// Whether a sequence number of the present start is accepted, which it is once.
+    /// Accepts a sequence number of the current start if it was not accepted before. Returns whether it was accepted.
     pub(crate) fn accept_sequence(&mut self, sequence: u64) -> bool {
         self.replay_window.accept(sequence)
     }
 
-    /// Updates round trip and clock offset by the clocks of a datagram that was accepted.
+    /// Updates the round-trip time and the clock offset from the clocks in an accepted datagram.
     pub(crate) fn record_clocks(&mut self, now: Millis, wall_clock: Millis, envelope: &Envelope) {
         if envelope.sent_at >= self.echo.sent_at {
             self.echo = Echo { sent_at: envelope.sent_at, received_at: now };
@@ -131,7 +132,7 @@
         self.clock_offset = Some(smoothed(self.clock_offset, offset));
     }
 
-    /// Records that a datagram was accepted. Returns whether the peer became reachable by it.
+    /// Records that a datagram was accepted. Returns whether the peer has become reachable.
     pub(crate) fn record_received(&mut self, now: Millis) -> bool {
         let became_reachable = self.unreachable || self.last_received_at.is_none();
         self.unreachable = false;
