--- a/crates/peers/src/rate_limit.rs
+++ b/crates/peers/src/rate_limit.rs
@@ -1,13 +1,13 @@
-//! A token bucket of datagrams: bounds what one peer may cost.
+//! A token bucket that limits the datagrams from or to one peer.
 
 use crate::Millis;
 
-/// Datagrams a second from or to one peer, in the long run.
+/// Sustained rate of datagrams from or to one peer, per second.
 const DATAGRAMS_PER_SECOND: f64 = 400.0;
-/// Datagrams from or to one peer at once.
+/// Datagrams from or to one peer in one burst.
 const BURST: f64 = 800.0;
 
-/// The token bucket of one peer and direction.
+/// The token bucket for one peer and one direction.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimit {
     available: f64,
@@ -20,7 +20,7 @@
         Self { available: BURST, refilled_at: now }
     }
 
-    /// Takes one datagram's token. Returns whether there was one.
+    /// Takes the token for one datagram. Returns whether there was one.
     pub(crate) fn try_take(&mut self, now: Millis) -> bool {
         let elapsed_ms = now.saturating_sub(self.refilled_at) as f64;
         self.available = (self.available + elapsed_ms * DATAGRAMS_PER_SECOND / 1000.0).min(BURST);
