--- a/crates/peers/tests/datagram_samples.rs
+++ b/crates/peers/tests/datagram_samples.rs
@@ -1,5 +1,5 @@
-//! Samples of the datagram format, made before any rename of the code: with a fixed secret and fixed numbers each
-//! datagram encodes to exactly these bytes, and a receiver accepts exactly these bytes.
+//! Recorded samples of the datagram format, so that a rename in the code cannot change it: with a fixed secret and
+//! fixed numbers each datagram encodes to exactly these bytes, and a receiver accepts exactly these bytes.
 
 use doorcourse_peers::{Link, Settings, fleet_of};
 use std::collections::BTreeMap;
