--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -1,4 +1,5 @@
-//! Two and three links whose datagrams are passed by hand: what is accepted, what is dropped and for which reason.
+//! Tests with two or three links, between which the tests pass the datagrams: what is accepted, what is dropped and
+//! why.
 
 use doorcourse_peers::*;
 use proptest::prelude::*;
@@ -25,7 +26,7 @@
     Link::new(0, settings(number, incarnation, &[SECRET])).expect("settings that can be used")
 }
 
-/// Delivers a datagram, and the hellos that it causes, until there are none.
+/// Delivers a datagram, and then the hellos that follow from it until there are no more.
 fn deliver(now: Millis, from: &mut Link, to: &mut Link, out: OutgoingDatagram) -> Option<ReceivedPayload> {
     let mut hellos = Vec::new();
     let mut events = Vec::new();
@@ -68,13 +69,13 @@
     let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
     let old = a.send(20, 20, 1, 7, b"old".to_vec()).expect("a datagram");
-    // The receiver restarts: it drops what was for its last start, and both exchange hellos again.
+    // The receiver restarts: it drops what was addressed to its previous start, and both exchange hellos again.
     let mut b = link(1, 33);
     assert_eq!(deliver(30, &mut a, &mut b, old.clone()), None);
     assert_eq!(b.drops().count(DropReason::Stale), 1);
     let new = a.send(100, 100, 1, 7, b"new".to_vec()).expect("a datagram");
     assert!(deliver(101, &mut a, &mut b, new.clone()).is_some());
-    // The sender restarts: datagrams of its last start are dropped.
+    // The sender restarts: datagrams of its previous start are dropped.
     let late = a.send(102, 102, 1, 7, b"late".to_vec()).expect("a datagram");
     let mut a = link(0, 44);
     exchange_hellos(200, &mut a, &mut b, 1);
@@ -111,7 +112,7 @@
     unknown.peers.remove(&0);
     drop(&mut Link::new(0, unknown).expect("usable"), &good.bytes, DropReason::UnknownSender);
     assert!(hellos.is_empty());
-    // The valid one is still accepted: nothing of the invalid ones was.
+    // The valid datagram is still accepted: the invalid ones changed no state.
     assert!(b.receive(40, 40, &good.bytes, &mut hellos, &mut Vec::new()).is_some());
 }
 
@@ -120,7 +121,7 @@
     let mut a = link(0, 11);
     let mut b = link(1, 22);
     exchange_hellos(10, &mut a, &mut b, 1);
-    // One accepts both before either sends with the new one.
+    // One gateway accepts both secrets before any gateway sends with the new one.
     b.configure(20, settings(1, 99, &[SECRET, OTHER])).expect("usable");
     assert_eq!(b.incarnation(), 22, "a change of settings is no start");
     a.configure(20, settings(0, 99, &[OTHER, SECRET])).expect("usable");
@@ -179,7 +180,7 @@
         prop_assert_eq!(received, None);
     }
 
-    /// One bit flipped anywhere in a valid datagram: it is dropped.
+    /// A valid datagram with one bit flipped at any position is dropped.
     #[test]
     fn a_datagram_with_one_flipped_bit_is_dropped(at in 0usize..4000, bit in 0u8..8) {
         let mut a = link(0, 11);
