--- a/crates/peers/fuzz/fuzz_targets/datagram.rs
+++ b/crates/peers/fuzz/fuzz_targets/datagram.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes as a datagram and as payloads: none is accepted as a datagram, and no decoder panics.
+//! Decodes arbitrary bytes as a datagram and as payloads: no datagram is accepted, and no decoder panics.
 #![no_main]
 
 use doorcourse_peers::{Link, Settings, fleet_of};
