--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -19,7 +19,7 @@
 }
 
 impl RespCodec {
-    /// A codec that sends AUTH with this password, where there is one.
+    /// A codec that sends AUTH with this password; it sends no AUTH without a password.
     #[must_use]
     pub fn new(password: Option<String>) -> Self {
         Self { password, ..Self::default() }
@@ -41,7 +41,8 @@
         let time_to_live_ms = (call.time_to_live.ceil().max(1.0) as u64).to_string();
         command(output, &["MULTI"]);
         command(output, &["INCRBYFLOAT", &key, &amount]);
-        // NX sets the expiry only where there is none: use must not extend the life of a window's counter.
+        // NX sets the expiry only where there is none, so that further calls do not extend the time to live of a
+        // window's counter.
         command(output, &["PEXPIRE", &key, &time_to_live_ms, "NX"]);
         command(output, &["EXEC"]);
     }
@@ -51,13 +52,14 @@
     }
 
     fn decode_reply(&mut self, input: &[u8]) -> Result<(usize, Option<CounterReply>), CodecError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let next = decode(&input[used..]).map_err(|error| CodecError::InvalidReply(error.to_string()))?;
+            let next =
+                decode(&input[consumed..]).map_err(|error| CodecError::InvalidReply(error.to_string()))?;
             let Some((value, length)) = next else {
-                return Ok((used, None));
+                return Ok((consumed, None));
             };
-            used += length;
+            consumed += length;
             if std::mem::take(&mut self.awaits_auth_reply) {
                 if let Value::Error(error) = value {
                     return Err(CodecError::AuthenticationRefused(error));
@@ -66,17 +68,17 @@
             }
             self.replies_read += 1;
             if self.replies_read < REPLIES_PER_CALL {
-                // An error here shows again in the reply to EXEC (EXECABORT).
+                // An error reply here leads to an error in the reply to EXEC (EXECABORT).
                 continue;
             }
             self.replies_read = 0;
             let reply = CounterReply { outcome: exec_outcome(&value), closes_connection: false };
-            return Ok((used, Some(reply)));
+            return Ok((consumed, Some(reply)));
         }
     }
 }
 
-/// What the reply to EXEC says of the call.
+/// The outcome of the call that the reply to EXEC reports.
 fn exec_outcome(reply: &Value) -> CallOutcome {
     match reply {
         // The transaction was refused: none of its commands was executed.
--- a/crates/lease/src/leases/acquisition.rs
+++ b/crates/lease/src/leases/acquisition.rs
@@ -3,23 +3,24 @@
 use super::Leases;
 use super::quorum::{Vote, VoteReply};
 use super::state::{DueStep, LeaseState};
-use super::timing::{BATCHING_FRACTION, RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, REPLY_TIMEOUT_FRACTION};
+use super::timing::{BATCHING_DIVISOR, RENEWAL_DIVISOR, RENEWAL_RETRY_DIVISOR, REPLY_TIMEOUT_DIVISOR};
 use crate::{
     AcquiredLease, DisabledRule, FencingToken, GatewayNumber, Item, LeaseRequest, LostLease, Millis, Output,
     TaskId,
 };
 
-/// The low bits of a fencing token, which have the number of the gateway that made it: no two gateways make the same one.
+/// How many low bits of a fencing token hold the number of the gateway that made it, so that no two gateways make the
+/// same token.
 const TOKEN_GATEWAY_BITS: u32 = 14;
 
 impl Leases {
-    /// Does what is due for each task.
+    /// Takes the step that is due for each task.
     pub(super) fn advance_leases(&mut self, now: Millis, wall_clock: Millis, outputs: &mut Vec<Output>) {
         if now < self.voting_from {
             return;
         }
         let renewal_due = self.states.values().any(|state| state.is_renewal_due(now));
-        let batch_end = now + self.settings.lease_duration / BATCHING_FRACTION;
+        let batch_end = now + self.settings.lease_duration / BATCHING_DIVISOR;
         let renew_until = renewal_due.then_some(batch_end);
         let tasks: Vec<TaskId> = self.states.keys().copied().collect();
         for task in tasks {
@@ -38,7 +39,7 @@
     fn acquire(&mut self, now: Millis, wall_clock: Millis, task: TaskId, outputs: &mut Vec<Output>) {
         let token = self.next_token(task, wall_clock);
         let round = self.open_round(now);
-        let deadline = now + self.settings.lease_duration / REPLY_TIMEOUT_FRACTION;
+        let deadline = now + self.settings.lease_duration / REPLY_TIMEOUT_DIVISOR;
         self.states.insert(task, LeaseState::Acquiring { token, round, deadline });
         self.request_votes(now, task, token, outputs);
     }
@@ -48,7 +49,7 @@
         let token = *token;
         let expires_at = *expires_at;
         let round = self.open_round(now);
-        let renew_at = now + (self.settings.lease_duration / RENEWAL_RETRY_FRACTION).max(1);
+        let renew_at = now + (self.settings.lease_duration / RENEWAL_RETRY_DIVISOR).max(1);
         self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
         self.request_votes(now, task, token, outputs);
     }
@@ -61,7 +62,7 @@
         self.states.insert(task, LeaseState::Idle { next_attempt_at });
     }
 
-    /// Requests a lease of all voters, of this gateway at once where it is one.
+    /// Requests a lease from all voters. If this gateway is a voter, its own vote is recorded at once.
     fn request_votes(&mut self, now: Millis, task: TaskId, token: FencingToken, outputs: &mut Vec<Output>) {
         let request = LeaseRequest { task, token, duration: self.settings.lease_duration };
         self.outbox.push(Item::Request(request));
@@ -73,7 +74,7 @@
         }
     }
 
-    /// A new token, above all that this gateway knows of.
+    /// A new token, higher than all tokens that this gateway knows of.
     fn next_token(&mut self, task: TaskId, wall_clock: Millis) -> FencingToken {
         if self.is_disabled(DisabledRule::TokenUniqueness) {
             return FencingToken::from(task) + 1;
@@ -82,7 +83,8 @@
         self.highest_token
     }
 
-    /// A majority has granted the newest round of a task: its lease is held, counted from before the round was sent.
+    /// Holds the lease of a task whose newest round a majority has granted. The duration counts from before the round
+    /// was sent.
     pub(super) fn hold(&mut self, now: Millis, task: TaskId, outputs: &mut Vec<Output>) {
         let Some(state) = self.states.get(&task) else { return };
         let (Some(token), Some(round)) = (state.token(), state.round().cloned()) else { return };
@@ -100,7 +102,7 @@
             outputs.push(Output::Acquired(AcquiredLease { task, token, expires_at }));
         }
         self.last_refusals.remove(&task);
-        let renew_at = round.started_at + duration / RENEWAL_FRACTION;
+        let renew_at = round.started_at + duration / RENEWAL_DIVISOR;
         self.states.insert(task, LeaseState::Held { token, round, expires_at, renew_at });
     }
 }
--- a/crates/lease/src/leases/release.rs
+++ b/crates/lease/src/leases/release.rs
@@ -1,4 +1,4 @@
-//! Releases and transfers leases, and follows changes of the tasks.
+//! Releases and transfers leases, and applies changes of the tasks.
 
 use super::Leases;
 use super::state::LeaseState;
@@ -6,27 +6,27 @@
 use std::collections::BTreeSet;
 
 impl Leases {
-    /// Releases a lease for another gateway and asks that one to acquire it. The release is sent first, so that the
-    /// voters receive it before the next holder's request.
+    /// Releases a lease and asks another gateway to acquire it. The release is sent first, so that the voters receive
+    /// it before that gateway's request.
     pub(super) fn transfer(
         &mut self, now: Millis, task: TaskId, to: GatewayNumber, outputs: &mut Vec<Output>,
     ) {
-        if self.give_up(now, task, Some(to), outputs) {
+        if self.release_task(now, task, Some(to), outputs) {
             let message = self.message(0, vec![Item::Transfer { task }]);
             self.flush(now, outputs);
             outputs.push(Output::Send { to, message });
         }
     }
 
-    /// Gives up all tasks of the settings.
-    pub(super) fn give_up_all(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+    /// Releases all tasks of the settings.
+    pub(super) fn release_all_tasks(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         for task in self.settings.tasks.clone() {
-            self.give_up(now, task, None, outputs);
+            self.release_task(now, task, None, outputs);
         }
     }
 
     /// Releases a task that is held or requested. Returns whether it was held.
-    pub(super) fn give_up(
+    pub(super) fn release_task(
         &mut self, now: Millis, task: TaskId, transfer_to: Option<GatewayNumber>, outputs: &mut Vec<Output>,
     ) -> bool {
         let Some(state) = self.states.get(&task) else { return false };
@@ -36,13 +36,13 @@
             outputs.push(Output::Lost(LostLease { task, token, released: true }));
         }
         self.release_grants(now, task, token, transfer_to);
-        // Not acquired again at once: others are to have their chance.
+        // The task is not requested again for one lease, so that other gateways can acquire it.
         let next_attempt_at = now + 1 + self.settings.lease_duration;
         self.states.insert(task, LeaseState::Idle { next_attempt_at });
         was_held
     }
 
-    /// Releases what voters have granted, this gateway's own vote among them.
+    /// Releases the grants of all voters, including this gateway's own.
     pub(super) fn release_grants(
         &mut self, now: Millis, task: TaskId, token: FencingToken, transfer_to: Option<GatewayNumber>,
     ) {
@@ -58,12 +58,13 @@
         self.settings.gateways = gateways;
         for task in std::mem::replace(&mut self.settings.tasks, tasks) {
             if !self.settings.tasks.contains(&task) {
-                self.give_up(now, task, None, outputs);
+                self.release_task(now, task, None, outputs);
                 self.states.remove(&task);
             }
         }
         for task in self.settings.tasks.clone() {
-            // Drawn for tasks that stay as well: the draws keep their order.
+            // A jitter is drawn for tasks that are kept as well, so that later draws do not depend on which tasks are
+            // new.
             let next_attempt_at = self.jittered(now);
             self.states.entry(task).or_insert(LeaseState::Idle { next_attempt_at });
         }
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages and
-//! is partitioned by pairs and directions, processes that pause and restart. The holders of each task are checked at every
-//! step.
+//! A simulated fleet of gateways with leases: clocks that drift, a network that loses, duplicates and delays messages
+//! and is partitioned by pairs and directions, processes that pause and restart. The holders of each task are checked
+//! at every step.
 #![allow(dead_code)]
 
 use doorcourse_lease::*;
@@ -19,10 +19,11 @@
     pub gateways: u32,
     pub voters: u32,
     pub tasks: u32,
-    /// The lease in ms.
-    pub length: Millis,
-    /// By how much the rates of clocks may differ by the settings, and do, in parts per million.
-    pub drift: u64,
+    /// The duration of a lease, in ms.
+    pub lease_duration: Millis,
+    /// By how much the rates of two clocks may differ by the settings, in parts per million. The clocks of the
+    /// simulation differ by as much.
+    pub clock_drift_ppm: u64,
     /// Probabilities that a message is lost, and duplicated.
     pub loss: f64,
     pub duplication: f64,
@@ -41,8 +42,8 @@
             gateways: 5,
             voters: 5,
             tasks: 1,
-            length: 300,
-            drift: 10_000,
+            lease_duration: 300,
+            clock_drift_ppm: 10_000,
             loss: 0.0,
             duplication: 0.0,
             delay: 5 * MS,
@@ -62,14 +63,14 @@
 struct Node {
     leases: Option<Leases>,
     incarnation: u64,
-    /// Its clock: its offset at the start, and its rate in parts per million.
+    /// The offset of the node's clock at the start, and the clock's rate in parts per million.
     offset: Micros,
     rate: u64,
-    /// Its wall clock is off by so many ms.
+    /// How much the node's wall clock is ahead, in ms.
     wall_offset: i64,
     paused_until: Micros,
     wake_at: Micros,
-    /// The voters in its settings file.
+    /// The voters in the node's settings file.
     configured_voters: VoterConfiguration,
 }
 
@@ -85,22 +86,22 @@
     /// The newest voters that an operator has configured, and the gateways that have not reloaded them.
     newest_voters: VoterConfiguration,
     not_reloaded: Vec<GatewayNumber>,
-    /// Of each task: who holds it, and the highest token under which it was held.
+    /// The holders of each task, and the highest token under which it was held.
     pub holders: BTreeMap<TaskId, BTreeSet<GatewayNumber>>,
     pub highest: BTreeMap<TaskId, FencingToken>,
     pub acquisitions: u64,
-    /// Every way in which the rules were violated.
+    /// A text for each violation of the rules.
     pub violations: Vec<String>,
     pub sent: u64,
-    /// Since when each task has no holder, and the longest such time that ended.
+    /// Since when each task without a holder has had none, and the longest time without a holder that has ended.
     pub without_holder: BTreeMap<TaskId, Micros>,
     pub longest_without_holder: Micros,
 }
 
 impl Node {
-    /// A node that is not started, with clocks drawn at random. `drift` is in parts per million.
-    fn new(rng: &mut ChaCha8Rng, drift: u64, configured_voters: VoterConfiguration) -> Self {
-        let rate = 1_000_000 + rng.random_range(0..=drift);
+    /// A node that is not started, with clocks drawn at random.
+    fn new(rng: &mut ChaCha8Rng, clock_drift_ppm: u64, configured_voters: VoterConfiguration) -> Self {
+        let rate = 1_000_000 + rng.random_range(0..=clock_drift_ppm);
         let offset = rng.random_range(0..1_000_000) * MS;
         let wall_offset = rng.random_range(-20..=20);
         Self {
@@ -122,7 +123,7 @@
         let newest_voters = VoterConfiguration::first(0..scenario.voters);
         let mut nodes = BTreeMap::new();
         for number in 0..scenario.gateways {
-            nodes.insert(number, Node::new(&mut rng, scenario.drift, newest_voters.clone()));
+            nodes.insert(number, Node::new(&mut rng, scenario.clock_drift_ppm, newest_voters.clone()));
         }
         let mut world = Self {
             now: 0,
@@ -160,13 +161,13 @@
     }
 
     /// A gateway's own clock in ms.
-    pub(crate) fn local(&self, number: GatewayNumber) -> Millis {
+    pub(crate) fn local_time(&self, number: GatewayNumber) -> Millis {
         let node = &self.nodes[&number];
         (node.offset + self.now * node.rate / 1_000_000) / MS
     }
 
     pub(crate) fn start(&mut self, number: GatewayNumber) {
-        let now = self.local(number);
+        let now = self.local_time(number);
         let seed = self.rng.random();
         let tasks = (0..self.scenario.tasks).map(|t| t + 1).collect();
         let scenario = self.scenario.clone();
@@ -176,9 +177,9 @@
             gateway: number,
             incarnation: node.incarnation,
             seed,
-            lease_duration: scenario.length,
-            max_lease_duration: scenario.length,
-            clock_drift_ppm: scenario.drift,
+            lease_duration: scenario.lease_duration,
+            max_lease_duration: scenario.lease_duration,
+            clock_drift_ppm: scenario.clock_drift_ppm,
             gateways: (0..scenario.gateways).collect(),
             voters: node.configured_voters.clone(),
             tasks,
@@ -216,7 +217,7 @@
     }
 
     pub(crate) fn handle(&mut self, number: GatewayNumber, input: Input) {
-        let now = self.local(number);
+        let now = self.local_time(number);
         let real = self.now;
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let Some(leases) = node.leases.as_mut() else { return };
@@ -226,7 +227,7 @@
         let (incarnation, due, rate, offset) =
             (node.incarnation, leases.next_timeout(), node.rate, node.offset);
         let due = due.max(now + 1);
-        // The first point of real time at which its clock shows that.
+        // The first point of real time at which the node's clock shows `due`.
         let at = ((due * MS - offset) * 1_000_000).div_ceil(rate).max(real + 1);
         if at < node.wake_at || node.wake_at <= real {
             node.wake_at = at;
@@ -266,7 +267,7 @@
             let mut delay = self.rng.random_range(1..=self.scenario.delay.max(1));
             // Occasionally a message is delayed by up to two leases.
             if self.scenario.loss > 0.0 && self.rng.random_bool(0.01) {
-                delay += self.rng.random_range(0..self.scenario.length * MS * 2);
+                delay += self.rng.random_range(0..self.scenario.lease_duration * MS * 2);
             }
             let message = message.clone();
             self.push(self.now + delay, to, Event::Message { from, incarnation, message });
@@ -278,7 +279,7 @@
         for task in 1..=self.scenario.tasks {
             let mut holders = BTreeSet::new();
             for number in self.nodes.keys() {
-                let now = self.local(*number);
+                let now = self.local_time(*number);
                 let Some(leases) = &self.nodes[number].leases else { continue };
                 if leases.may_act(now, task, 0).is_ok() {
                     holders.insert(*number);
@@ -305,8 +306,8 @@
         self.run_while(until, |_| true);
     }
 
-    pub(crate) fn run_while(&mut self, until: Micros, on: impl Fn(&Self) -> bool) {
-        while self.violations.is_empty() && on(self) {
+    pub(crate) fn run_while(&mut self, until: Micros, condition: impl Fn(&Self) -> bool) {
+        while self.violations.is_empty() && condition(self) {
             let Some(Reverse((at, sequence))) = self.queue.peek().copied().filter(|r| r.0.0 <= until) else {
                 break;
             };
@@ -333,20 +334,20 @@
         }
     }
 
-    /// What an operator checks before the next voters are configured: a majority of the newest ones vote.
+    /// Whether a majority of the newest voters vote, which an operator checks before configuring the next voters.
     fn is_in_force(&self) -> bool {
-        let by_it = |number: &&GatewayNumber| {
+        let votes_by_newest = |number: &&GatewayNumber| {
             let leases = self.nodes[number].leases.as_ref();
             leases.is_some_and(|l| {
-                l.voters_version() == self.newest_voters.version && l.is_voting(self.local(**number))
+                l.voters_version() == self.newest_voters.version && l.is_voting(self.local_time(**number))
             })
         };
-        self.newest_voters.is_majority(self.newest_voters.voters.iter().filter(by_it).count())
+        self.newest_voters.is_majority(self.newest_voters.voters.iter().filter(votes_by_newest).count())
     }
 
     /// Injects one fault at random, and lets up to three gateways reload their settings.
     fn inject_fault(&mut self) {
-        let length = self.scenario.length * MS;
+        let lease_duration = self.scenario.lease_duration * MS;
         let number = self.rng.random_range(0..self.scenario.gateways);
         let other = self.rng.random_range(0..self.scenario.gateways);
         match self.rng.random_range(0..12) {
@@ -355,12 +356,12 @@
                 self.start(number);
             }
             2 => {
-                let span = self.rng.random_range(length / 4..length * 5);
+                let span = self.rng.random_range(lease_duration / 4..lease_duration * 5);
                 self.pause(number, span);
             }
             3 => {
                 // The holder, whichever gateway it is.
-                let span = self.rng.random_range(length / 2..length * 3);
+                let span = self.rng.random_range(lease_duration / 2..lease_duration * 3);
                 if let Some(holder) = self.holder(1) {
                     self.pause(holder, span);
                 }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,16 +1,16 @@
-//! Model checking: three gateways, two tasks, one restart, messages lost, duplicated, delayed and reordered, clocks that
-//! drift. Explores all histories to a depth; each disabled rule must give a counterexample.
+//! Model checking: three gateways, two tasks, one restart, messages lost, duplicated, delayed and reordered, clocks
+//! that drift. Explores all histories to a depth; each disabled rule must give a counterexample.
 
 use doorcourse_lease::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shortest lease that is allowed, in ms.
-const LENGTH: Millis = 20;
-/// Clocks differ by up to two fifths, in parts per million.
-const DRIFT: u64 = 400_000;
-/// A step of real time, in ms: half a lease.
-const STEP: Millis = 10;
+const LEASE_DURATION: Millis = 20;
+/// How much the rates of two clocks differ, in parts per million: by two fifths.
+const CLOCK_DRIFT_PPM: u64 = 400_000;
+/// The duration of a step of real time, in ms: half a lease.
+const STEP_DURATION: Millis = 10;
 const TASKS: [TaskId; 2] = [1, 2];
 
 /// The initial conditions of a model.
@@ -21,7 +21,7 @@
     configured_voters: [VoterConfiguration; 3],
     /// The gateways that are candidates for the tasks.
     candidates: Vec<GatewayNumber>,
-    /// How many steps of time, restarts and duplicated messages there may be.
+    /// How many steps of time, restarts and duplicated messages a history may have.
     steps: u64,
     restarts: u8,
     duplicates: u8,
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct InTransit {
     from: GatewayNumber,
-    /// Which start of the sender.
+    /// Identifies the start of the sender.
     incarnation: u64,
     to: GatewayNumber,
     message: Message,
@@ -39,9 +39,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Each gateway's leases, and which start of it they are of.
+    /// Each gateway's leases, and the number of its start.
     nodes: Vec<(Leases, u64)>,
-    /// Steps of real time.
+    /// How many steps of real time have passed.
     time: u64,
     restarts: u8,
     duplicates: u8,
@@ -49,7 +49,7 @@
     /// The highest token that each task was held under.
     highest_tokens: BTreeMap<TaskId, FencingToken>,
     /// Whether a lease was ever acquired under a token that was not higher.
-    token_fell: bool,
+    token_not_increased: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -70,19 +70,19 @@
             gateway: number,
             incarnation,
             seed: 7,
-            lease_duration: LENGTH,
-            max_lease_duration: LENGTH,
-            clock_drift_ppm: DRIFT,
+            lease_duration: LEASE_DURATION,
+            max_lease_duration: LEASE_DURATION,
+            clock_drift_ppm: CLOCK_DRIFT_PPM,
             gateways: (0..3).collect(),
             voters: self.configured_voters[number as usize].clone(),
             tasks,
         }
     }
 
-    /// The clock of a gateway: the second one runs fast by all that is allowed.
-    fn local(&self, number: GatewayNumber, time: u64) -> Millis {
-        let real = 1_000 + time * STEP;
-        if number == 1 { real * (1_000_000 + DRIFT) / 1_000_000 } else { real }
+    /// The clock of a gateway. The clock of gateway 1 runs faster than the others by the allowed drift.
+    fn local_time(&self, number: GatewayNumber, time: u64) -> Millis {
+        let real = 1_000 + time * STEP_DURATION;
+        if number == 1 { real * (1_000_000 + CLOCK_DRIFT_PPM) / 1_000_000 } else { real }
     }
 
     fn start(&self, number: GatewayNumber, incarnation: u64, now: Millis) -> Leases {
@@ -91,21 +91,21 @@
     }
 
     fn handle(&self, state: &mut State, number: GatewayNumber, input: Input) {
-        let now = self.local(number, state.time);
+        let now = self.local_time(number, state.time);
         let (leases, incarnation) = &mut state.nodes[number as usize];
         let mut out = Vec::new();
         // The wall clock is always 0: tokens must grow without it.
         leases.handle(now, 0, input, &mut out);
         for output in out {
             match output {
-                // A heartbeat may as well be lost.
+                // Heartbeats are dropped: the model also covers messages that are lost.
                 Output::Send { to, message } if !message.items.is_empty() => {
                     let incarnation = *incarnation;
                     state.in_transit.insert(InTransit { from: number, incarnation, to, message });
                 }
                 Output::Acquired(lease) => {
                     let highest = state.highest_tokens.entry(lease.task).or_default();
-                    state.token_fell |= lease.token <= *highest;
+                    state.token_not_increased |= lease.token <= *highest;
                     *highest = (*highest).max(lease.token);
                 }
                 _ => {}
@@ -120,7 +120,7 @@
 
     fn holders(&self, state: &State, task: TaskId) -> usize {
         let holds = |number: &GatewayNumber| {
-            let now = self.local(*number, state.time);
+            let now = self.local_time(*number, state.time);
             state.nodes[*number as usize].0.may_act(now, task, 0).is_ok()
         };
         (0..3).filter(holds).count()
@@ -132,9 +132,9 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // All have long been started: the wait after a start is over.
-        let uptime = 10 * LENGTH;
-        let nodes = (0..3).map(|n| (self.start(n, 1, self.local(n, 0) - uptime), 1)).collect();
+        // All gateways were started long ago: their wait after a start is over.
+        let uptime = 10 * LEASE_DURATION;
+        let nodes = (0..3).map(|n| (self.start(n, 1, self.local_time(n, 0) - uptime), 1)).collect();
         vec![State {
             nodes,
             time: 0,
@@ -142,7 +142,7 @@
             duplicates: 0,
             in_transit: BTreeSet::new(),
             highest_tokens: BTreeMap::new(),
-            token_fell: false,
+            token_not_increased: false,
         }]
     }
 
@@ -178,7 +178,7 @@
             Action::Restart(number) => {
                 state.restarts += 1;
                 let incarnation = state.nodes[number as usize].1 + 1;
-                let now = self.local(number, state.time);
+                let now = self.local_time(number, state.time);
                 state.nodes[number as usize] = (self.start(number, incarnation, now), incarnation);
             }
         }
@@ -190,7 +190,7 @@
             Property::always("one holder", |fleet: &Fleet, state: &State| {
                 TASKS.iter().all(|task| fleet.holders(state, *task) <= 1)
             }),
-            Property::always("tokens grow", |_, state: &State| !state.token_fell),
+            Property::always("tokens grow", |_, state: &State| !state.token_not_increased),
             Property::sometimes("held", |fleet: &Fleet, state: &State| fleet.holders(state, TASKS[0]) == 1),
         ]
     }
@@ -213,8 +213,8 @@
     }
 }
 
-/// Checks all histories of so many actions. Returns the number of states, and the counterexample of each property that is
-/// violated.
+/// Checks all histories of at most `depth` actions. Returns the number of states, and a counterexample for each
+/// property that is violated.
 fn check(fleet: &Fleet, depth: usize) -> (usize, BTreeMap<&'static str, Vec<Action>>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let checker = fleet.clone().checker().threads(threads).target_max_depth(depth);
