--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -35,9 +35,9 @@
     }
 
     /// Appends the head to a connection's output.
-    fn write(&self, output: &mut Vec<u8>, request_name: &Name, framing: Framing, keep_alive: bool) {
+    fn write(&self, output: &mut Vec<u8>, external_id: &Name, framing: Framing, keep_alive: bool) {
         let mut fields =
-            vec![("content-type", self.content_type.as_str()), (front::REQUEST_ID_FIELD, request_name)];
+            vec![("content-type", self.content_type.as_str()), (front::REQUEST_ID_FIELD, external_id)];
         fields.extend(self.cookies.iter().map(|cookie| ("set-cookie", cookie.as_str())));
         if !keep_alive && framing != Framing::Close {
             fields.push(("connection", "close"));
@@ -49,12 +49,11 @@
 impl Clients {
     /// Writes a response of the gateway's own.
     pub(crate) fn respond(
-        &mut self, io: &mut Io, config: &Config, slot: usize, response: &Response,
-        request_name: Option<&Name>,
+        &mut self, io: &mut Io, config: &Config, slot: usize, response: &Response, external_id: Option<&Name>,
     ) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         client.keep_alive &= !self.announce_close;
-        front::write(client.socket.output(), response, client.keep_alive, request_name);
+        front::write(client.socket.output(), response, client.keep_alive, external_id);
         client.keep_alive &= !response.close;
         self.finish_response(io, config, slot);
     }
@@ -63,14 +62,14 @@
     /// not read yet, as of before this write.
     pub(crate) fn forward(
         &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<ForwardedHead>,
-        request_name: &Name, bytes: &[u8],
+        external_id: &Name, bytes: &[u8],
     ) -> usize {
         let Some(client) = self.connections.get_mut(slot) else { return 0 };
         if let Some(head) = head {
             let framing = head.client_framing(client.http_minor);
             client.framing = framing;
             client.keep_alive &= framing != Framing::Close && !self.announce_close;
-            head.write(client.socket.output(), request_name, framing, client.keep_alive);
+            head.write(client.socket.output(), external_id, framing, client.keep_alive);
         }
         if client.framing == Framing::Chunked {
             chunk(client.socket.output(), bytes);
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -112,13 +112,13 @@
         let config = &self.config;
         match command {
             RequestCommand::NotifyDecisions(event) => io.events.push_back(event),
-            RequestCommand::Respond { client, media, response, request_name } => {
+            RequestCommand::Respond { client, media, response, external_id } => {
                 let response = front::final_response(media, response);
-                self.clients.respond(io, config, client, &response, Some(&request_name));
+                self.clients.respond(io, config, client, &response, Some(&external_id));
                 self.clients.resume_input(io, config, client);
             }
-            RequestCommand::ForwardResponse { client, head, request_name, bytes, backend } => {
-                let unread = self.clients.forward(io, config, client, head, &request_name, &bytes);
+            RequestCommand::ForwardResponse { client, head, external_id, bytes, backend } => {
+                let unread = self.clients.forward(io, config, client, head, &external_id, &bytes);
                 // Back pressure: a client that reads slowly stops its backend, not this process's memory.
                 if let Some(slot) = backend.filter(|_| unread > config.limits.client_buffer) {
                     self.backends.set_paused(io, slot, true);
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -115,12 +115,12 @@
 }
 
 /// Appends a response to a connection's output.
-pub(crate) fn write(out: &mut Vec<u8>, response: &Response, keep_alive: bool, request_name: Option<&Name>) {
+pub(crate) fn write(out: &mut Vec<u8>, response: &Response, keep_alive: bool, external_id: Option<&Name>) {
     let mut fields: Vec<(&str, &str)> = response.fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
     if !keep_alive || response.close {
         fields.push(("connection", "close"));
     }
-    if let Some(name) = request_name {
+    if let Some(name) = external_id {
         fields.push((REQUEST_ID_FIELD, name));
     }
     response_head(out, response.status, &fields, Framing::Length(response.body.len() as u64));
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -47,7 +47,7 @@
         self.total += 1;
         let id = self.total;
         let client_id = request.forwarded_fields.iter().find(|(field, _)| field == REQUEST_ID_FIELD);
-        let name =
+        let external_id =
             client_id.map_or_else(|| format!("{instance_name}-{id}").into(), |(_, v)| v.as_str().into());
         let incoming = incoming_request(config, id, &request);
         let class = &config.decisions.classes[request.class];
@@ -56,7 +56,7 @@
             plan: incoming.plan.clone(),
             class: incoming.class.clone(),
             received_at: now,
-            name,
+            external_id,
             lifecycle: RequestLifecycle::new(config.limits.held_answer),
             media: request.media,
             body: request.body,
@@ -110,11 +110,11 @@
         fields.extend(request.forwarded_fields.iter().map(|(name, value)| (name.as_str(), value.as_str())));
         let has = |wanted: &str| request.forwarded_fields.iter().any(|(name, _)| name == wanted);
         if !has(REQUEST_ID_FIELD) {
-            fields.push((REQUEST_ID_FIELD, &request.name));
+            fields.push((REQUEST_ID_FIELD, &request.external_id));
         }
         if request.needs_idempotency_key && !has("idempotency-key") {
             // Without a key of the client's, the request's own id makes the gateway's retries known as such.
-            fields.push(("idempotency-key", &request.name));
+            fields.push(("idempotency-key", &request.external_id));
         }
         Some(BackendRequest { path, fields, body: &request.body })
     }
@@ -212,8 +212,8 @@
             }
             LifecycleAction::Respond(response) => {
                 let media = request.media;
-                let request_name = request.name.clone();
-                let respond = |client| RequestCommand::Respond { client, media, response, request_name };
+                let external_id = request.external_id.clone();
+                let respond = |client| RequestCommand::Respond { client, media, response, external_id };
                 self.finish_client(now, id, response_code(response), respond);
             }
             LifecycleAction::ForwardResponse => self.forward_response(id),
@@ -252,12 +252,12 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(client) = request.client else { return request.response.clear_buffer() };
         let Some((head, bytes)) = request.response.take_forwardable() else { return };
-        let request_name = request.name.clone();
+        let external_id = request.external_id.clone();
         let backend = request.attempt.connection.map(|connection| connection.slot);
         self.commands.push_back(RequestCommand::ForwardResponse {
             client,
             head,
-            request_name,
+            external_id,
             bytes,
             backend,
         });
--- a/crates/http-gateway/src/requests/command.rs
+++ b/crates/http-gateway/src/requests/command.rs
@@ -11,12 +11,12 @@
     /// Report an event to the decisions.
     NotifyDecisions(Event),
     /// Send a final response of the gateway's own.
-    Respond { client: usize, media: MediaType, response: FinalResponse, request_name: Name },
+    Respond { client: usize, media: MediaType, response: FinalResponse, external_id: Name },
     /// Forward bytes of a backend's response, after its head where `head` has one.
     ForwardResponse {
         client: usize,
         head: Option<ForwardedHead>,
-        request_name: Name,
+        external_id: Name,
         bytes: Vec<u8>,
         /// The backend connection that back pressure stops; `None` once the response is complete.
         backend: Option<usize>,
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -17,8 +17,8 @@
     pub plan: Name,
     pub class: Name,
     pub received_at: Millis,
-    /// The request's id for people: the client's own, or one that the gateway made.
-    pub name: Name,
+    /// The id that clients, backends and operators see (`x-request-id`): the client's own, or one that the gateway made.
+    pub external_id: Name,
     pub lifecycle: RequestLifecycle,
     pub media: MediaType,
     pub body: Vec<u8>,
