--- a/crates/http-gateway/src/clients/accept.rs
+++ b/crates/http-gateway/src/clients/accept.rs
@@ -78,7 +78,12 @@
     fn insert(&mut self, io: &mut Io, config: &Config, stream: TcpStream) {
         let Ok(mut socket) = Socket::new(stream) else { return };
         if let Err(limit) = self.budget.check_connection(self.connections.len()) {
-            front::write(socket.output(), &front::gateway_full(limit.message()), false, None);
+            front::write_response(
+                socket.output(),
+                &front::gateway_full_response(limit.message()),
+                false,
+                None,
+            );
             socket.flush();
             return;
         }
--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -100,7 +100,7 @@
         }
         let (used, part) = match client.decoder.decode(&client.socket.input) {
             Ok(decoded) => decoded,
-            Err(error) => return Progress::Reject(front::malformed(error)),
+            Err(error) => return Progress::Reject(front::bad_http_response(error)),
         };
         let part = match part {
             None => None,
@@ -131,7 +131,7 @@
             Err(response) => return Progress::Reject(response),
         };
         if let Err(limit) = self.budget.check_buffers(&request_head.customer.name) {
-            return Progress::Reject(front::gateway_full(limit.message()));
+            return Progress::Reject(front::gateway_full_response(limit.message()));
         }
         client.customer = Some(request_head.customer.name.clone());
         client.phase = ConnectionPhase::ReadingBody(Box::new(request_head));
--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -53,7 +53,7 @@
     ) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         client.keep_alive &= !self.announce_close;
-        front::write(client.socket.output(), response, client.keep_alive, external_id);
+        front::write_response(client.socket.output(), response, client.keep_alive, external_id);
         client.keep_alive &= !response.close;
         self.finish_response(io, config, slot);
     }
--- a/crates/http-gateway/src/clients/timeouts.rs
+++ b/crates/http-gateway/src/clients/timeouts.rs
@@ -77,7 +77,7 @@
         if client.has_request() {
             self.reset(slot);
         } else if client.is_in_request() {
-            let response = front::gateway_full("the gateway is stopping");
+            let response = front::gateway_full_response("the gateway is stopping");
             self.respond(io, config, slot, &response, None);
         } else if !client.is_busy() {
             self.remove(slot);
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -146,7 +146,7 @@
                 let elapsed = self.io.now() - head_received_at;
                 let request = match self.clients.budget.check_request(self.requests.count()) {
                     Ok(()) => front::request(&self.config, *head, body, elapsed),
-                    Err(limit) => Err(front::gateway_full(limit.message())),
+                    Err(limit) => Err(front::gateway_full_response(limit.message())),
                 };
                 match request {
                     Ok(request) => self.admit(client, request),
--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -12,7 +12,8 @@
 pub(crate) use head::check_head;
 pub(crate) use operation::request;
 pub(crate) use response::{
-    Response, final_response, gateway_full, malformed, request_timeout_response, response_code, write,
+    Response, bad_http_response, final_response, gateway_full_response, request_timeout_response,
+    response_code, write_response,
 };
 
 use doorcourse::{Millis, Name};
--- a/crates/http-gateway/src/graphql_front/parameters.rs
+++ b/crates/http-gateway/src/graphql_front/parameters.rs
@@ -1,6 +1,6 @@
 //! The parameters of a GraphQL request: of a JSON body, or of a query string.
 
-use super::response::{Response, error};
+use super::response::{Response, error_response};
 use super::{MediaType, RequestHead};
 use serde_json::{Map, Value};
 
@@ -15,8 +15,8 @@
 }
 
 /// The response to parameters that cannot be read.
-pub(super) fn bad_request(media: MediaType, message: &str) -> Response {
-    error(media, 400, "BAD_REQUEST", message)
+pub(super) fn bad_request_response(media: MediaType, message: &str) -> Response {
+    error_response(media, 400, "BAD_REQUEST", message)
 }
 
 /// Reads the parameters from the query string of a GET request, or the body of a POST request.
@@ -30,9 +30,11 @@
 fn from_body(media: MediaType, body: &[u8]) -> Result<Parameters, Response> {
     match serde_json::from_slice(body) {
         Ok(Value::Object(parameters)) => Ok(parameters),
-        Ok(Value::Array(_)) => Err(error(media, 400, "BATCH_UNSUPPORTED", "send one operation a request")),
-        Ok(_) => Err(bad_request(media, "the body must be a JSON object")),
-        Err(fault) => Err(bad_request(media, &format!("the body is no JSON: {fault}"))),
+        Ok(Value::Array(_)) => {
+            Err(error_response(media, 400, "BATCH_UNSUPPORTED", "send one operation a request"))
+        }
+        Ok(_) => Err(bad_request_response(media, "the body must be a JSON object")),
+        Err(fault) => Err(bad_request_response(media, &format!("the body is no JSON: {fault}"))),
     }
 }
 
@@ -41,15 +43,15 @@
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
         let (Some(name), Some(value)) = (percent_decode(name), percent_decode(value)) else {
-            return Err(bad_request(media, "the query string is malformed"));
+            return Err(bad_request_response(media, "the query string is malformed"));
         };
         let value = match name.as_str() {
             "variables" | "extensions" if !value.is_empty() => serde_json::from_str(&value)
-                .map_err(|fault| bad_request(media, &format!("{name} is no JSON: {fault}")))?,
+                .map_err(|fault| bad_request_response(media, &format!("{name} is no JSON: {fault}")))?,
             _ => Value::String(value),
         };
         if parameters.insert(name.clone(), value).is_some() {
-            return Err(bad_request(media, &format!("{name} is given twice")));
+            return Err(bad_request_response(media, &format!("{name} is given twice")));
         }
     }
     Ok(parameters)
@@ -80,22 +82,22 @@
 /// Checks the types of the parameters (GraphQL over HTTP, "Request parameters").
 pub(super) fn check(media: MediaType, parameters: &Parameters) -> Result<OperationParameters<'_>, Response> {
     let Some(Value::String(query)) = parameters.get("query") else {
-        return Err(bad_request(media, "query is needed, a string"));
+        return Err(bad_request_response(media, "query is needed, a string"));
     };
     let operation_name = match parameters.get("operationName") {
         None | Some(Value::Null) => None,
         Some(Value::String(name)) if name.is_empty() => None,
         Some(Value::String(name)) => Some(name.as_str()),
-        Some(_) => return Err(bad_request(media, "operationName must be a string")),
+        Some(_) => return Err(bad_request_response(media, "operationName must be a string")),
     };
     let variables = match parameters.get("variables") {
         None | Some(Value::Null) => None,
         Some(Value::Object(variables)) => Some(variables),
         Some(Value::String(text)) if text.is_empty() => None,
-        Some(_) => return Err(bad_request(media, "variables must be an object")),
+        Some(_) => return Err(bad_request_response(media, "variables must be an object")),
     };
     if !matches!(parameters.get("extensions"), None | Some(Value::Null | Value::Object(_))) {
-        return Err(bad_request(media, "extensions must be an object"));
+        return Err(bad_request_response(media, "extensions must be an object"));
     }
     Ok(OperationParameters { query, operation_name, variables })
 }
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -18,21 +18,21 @@
 }
 
 /// One error with a stable code, in the shape of a GraphQL response.
-pub(super) fn error(media: MediaType, status: u16, code: &str, message: &str) -> Response {
+pub(super) fn error_response(media: MediaType, status: u16, code: &str, message: &str) -> Response {
     let body = json!({"errors": [{"message": message, "extensions": {"code": code}}]});
     let fields = vec![("content-type", media.name().to_owned())];
     Response { status, fields, body: body.to_string().into_bytes(), close: false }
 }
 
 /// The same response, after which the connection is closed.
-pub(super) fn closing(mut response: Response) -> Response {
+pub(super) fn with_close(mut response: Response) -> Response {
     response.close = true;
     response
 }
 
 /// The response to a well-formed request whose operation is invalid: status 200 in the legacy media type, 400 in the
 /// newer one.
-pub(super) fn query_errors(media: MediaType, code: &str, errors: &[QueryError]) -> Response {
+pub(super) fn query_errors_response(media: MediaType, code: &str, errors: &[QueryError]) -> Response {
     let status = if media == MediaType::Json { 200 } else { 400 };
     let entry = |error: &QueryError| match error.at {
         Some(at) => json!({"message": error.message, "extensions": {"code": code},
@@ -45,18 +45,18 @@
 }
 
 /// The response to bytes that are not HTTP.
-pub(crate) fn malformed(fault: doorcourse_http::Error) -> Response {
-    closing(error(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
+pub(crate) fn bad_http_response(fault: doorcourse_http::Error) -> Response {
+    with_close(error_response(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
 }
 
 /// The response to a request that took too long to arrive.
 pub(crate) fn request_timeout_response() -> Response {
-    closing(error(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
+    with_close(error_response(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
 }
 
 /// The response where the gateway itself has reached a limit; the rest of the request is not read.
-pub(crate) fn gateway_full(message: &str) -> Response {
-    let mut response = closing(error(MediaType::Json, 503, "GATEWAY_FULL", message));
+pub(crate) fn gateway_full_response(message: &str) -> Response {
+    let mut response = with_close(error_response(MediaType::Json, 503, "GATEWAY_FULL", message));
     response.fields.push(("retry-after", "1".into()));
     response
 }
@@ -87,35 +87,37 @@
 /// A final response of the gateway's own, as HTTP.
 pub(crate) fn final_response(media: MediaType, response: FinalResponse) -> Response {
     match response {
-        FinalResponse::Rejected { retry_after, reason } => rejection(media, reason, retry_after),
-        FinalResponse::Failed(reason) => failure(media, reason),
+        FinalResponse::Rejected { retry_after, reason } => rejection_response(media, reason, retry_after),
+        FinalResponse::Failed(reason) => failure_response(media, reason),
     }
 }
 
 /// The response to an operation that the client may safely retry.
-fn rejection(media: MediaType, reason: RejectReason, retry_after: Millis) -> Response {
+fn rejection_response(media: MediaType, reason: RejectReason, retry_after: Millis) -> Response {
     let (status, message) = match reason {
         RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
         RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
     };
-    let mut response = error(media, status, rejection_code(reason), message);
+    let mut response = error_response(media, status, rejection_code(reason), message);
     // In seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
     let retry_after_seconds = (retry_after / 1000.0).ceil().max(1.0);
     response.fields.push(("retry-after", retry_after_seconds.to_string()));
     response
 }
 
-fn failure(media: MediaType, reason: FailureReason) -> Response {
+fn failure_response(media: MediaType, reason: FailureReason) -> Response {
     let (status, message) = match reason {
         FailureReason::DeadlineExpired => (504, "no answer came in time; the operation may have run"),
         FailureReason::BackendFailed => (502, "a node failed; the operation may have run"),
         FailureReason::NoBackendReached => (503, "no node could be reached; the operation did not run"),
     };
-    error(media, status, failure_code(reason), message)
+    error_response(media, status, failure_code(reason), message)
 }
 
 /// Appends a response to a connection's output.
-pub(crate) fn write(out: &mut Vec<u8>, response: &Response, keep_alive: bool, external_id: Option<&Name>) {
+pub(crate) fn write_response(
+    out: &mut Vec<u8>, response: &Response, keep_alive: bool, external_id: Option<&Name>,
+) {
     let mut fields: Vec<(&str, &str)> = response.fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
     if !keep_alive || response.close {
         fields.push(("connection", "close"));
