--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -145,7 +145,7 @@
             ClientEvent::RequestReceived { client, head, body, head_received_at } => {
                 let elapsed = self.io.now() - head_received_at;
                 let request = match self.clients.budget.check_request(self.requests.count()) {
-                    Ok(()) => front::request(&self.config, *head, body, elapsed),
+                    Ok(()) => front::prepare_request(&self.config, *head, body, elapsed),
                     Err(limit) => Err(front::gateway_full_response(limit.message())),
                 };
                 match request {
--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -1,7 +1,7 @@
 //! GraphQL over HTTP: from an HTTP request to a request for the decisions, and from a final response to HTTP.
 //!
 //! Only this module knows the client's protocol; it holds no state and does no I/O. A request passes three steps: its head
-//! ([`check_head`]), before its body is read; its parameters; its operation ([`request`]), which is validated against the
+//! ([`check_head`]), before its body is read; its parameters; its operation ([`prepare_request`]), which is validated against the
 //! schema and determines cost, class and timeout. Each step may end it with a [`Response`].
 
 mod head;
@@ -10,7 +10,7 @@
 mod response;
 
 pub(crate) use head::check_head;
-pub(crate) use operation::request;
+pub(crate) use operation::prepare_request;
 pub(crate) use response::{
     Response, bad_http_response, final_response, gateway_full_response, request_timeout_response,
     response_code, write_response,
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -17,17 +17,17 @@
 ///
 /// # Errors
 /// The response that rejects it.
-pub(crate) fn request(
+pub(crate) fn prepare_request(
     config: &Config, head: RequestHead, body: Vec<u8>, elapsed: Millis,
 ) -> Result<Request, Response> {
     let parameters = parameters::read(&head, &body)?;
-    let operation = prepare(config, head.media, &parameters::check(head.media, &parameters)?)?;
+    let operation = prepare_operation(config, head.media, &parameters::check(head.media, &parameters)?)?;
     check_kind(&head, operation.kind())?;
     check_introspection(config, head.media, &operation)?;
-    let class = class(config, head.media, &operation)?;
+    let class = class_index(config, head.media, &operation)?;
     let units = operation.cost().units;
     check_cost(config, &head, units)?;
-    let timeout = timeout(config, &head, class, elapsed)?;
+    let timeout = remaining_timeout(config, &head, class, elapsed)?;
     let body = if head.get { Value::Object(parameters).to_string().into_bytes() } else { body };
     Ok(Request {
         customer: head.customer,
@@ -42,7 +42,7 @@
     })
 }
 
-fn prepare(
+fn prepare_operation(
     config: &Config, media: MediaType, operation: &OperationParameters<'_>,
 ) -> Result<Prepared, Response> {
     let OperationParameters { query, operation_name, variables } = *operation;
@@ -74,7 +74,7 @@
 }
 
 /// The index of the operation's class: the strictest of its root fields.
-fn class(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
+fn class_index(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
     let kind = operation.kind();
     let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
     operation_class(&config.decisions.classes, classes)
@@ -92,7 +92,9 @@
 }
 
 /// How long the decisions have: by the class and the client's own deadline, less what has passed.
-fn timeout(config: &Config, head: &RequestHead, class: usize, elapsed: Millis) -> Result<Millis, Response> {
+fn remaining_timeout(
+    config: &Config, head: &RequestHead, class: usize, elapsed: Millis,
+) -> Result<Millis, Response> {
     let limits = &config.limits;
     request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
         .map(|timeout| timeout - elapsed)
