--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -48,7 +48,7 @@
 pub(crate) struct RequestHead {
     pub customer: Arc<Customer>,
     media: MediaType,
-    get: bool,
+    is_get: bool,
     /// The client's own deadline, from the arrival of the head.
     deadline: Option<Millis>,
     /// Fields that are forwarded to the backend.
--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -23,23 +23,23 @@
     if path != config.path {
         return reject(404, "NOT_FOUND", "there is nothing here");
     }
-    let get = is_get(head)?;
+    let is_get = is_get(head)?;
     let customer = authenticate(config, head)?;
     let Some(media) = accepted_media_type(head) else {
         let message = "acceptable are application/graphql-response+json and application/json";
         return reject(406, "NOT_ACCEPTABLE", message);
     };
-    if !get {
+    if !is_get {
         check_content(head)?;
     }
     Ok(RequestHead {
         customer: Arc::clone(customer),
         media,
-        get,
+        is_get,
         deadline: deadline(head)?,
         forwarded_fields: forwarded_fields(routing, head),
         sticky_route: session_route(routing, head, path_parameters, query),
-        query: get.then(|| graphql_query(routing, query)),
+        query: is_get.then(|| graphql_query(routing, query)),
     })
 }
 
@@ -49,9 +49,9 @@
 
 /// Whether the method is GET (`true`) or POST (`false`).
 fn is_get(head: &Head) -> Result<bool, Response> {
-    let get = head.method == "GET";
-    if get || head.method == "POST" {
-        return Ok(get);
+    let is_get = head.method == "GET";
+    if is_get || head.method == "POST" {
+        return Ok(is_get);
     }
     let mut response =
         with_close(error_response(MediaType::Json, 405, "METHOD_NOT_ALLOWED", "GET and POST are allowed"));
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -28,7 +28,7 @@
     let units = operation.cost().units;
     check_cost(config, &head, units)?;
     let timeout = remaining_timeout(config, &head, class, elapsed)?;
-    let body = if head.get { Value::Object(parameters).to_string().into_bytes() } else { body };
+    let body = if head.is_get { Value::Object(parameters).to_string().into_bytes() } else { body };
     Ok(Request {
         customer: head.customer,
         media: head.media,
@@ -56,7 +56,7 @@
         let message = "subscriptions are not served here";
         return Err(error_response(head.media, 400, "SUBSCRIPTION_UNSUPPORTED", message));
     }
-    if kind == OperationKind::Mutation && head.get {
+    if kind == OperationKind::Mutation && head.is_get {
         let mut response = error_response(head.media, 405, "MUTATION_BY_GET", "a mutation needs POST");
         response.fields.push(("allow", "POST".into()));
         return Err(response);
