--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -111,7 +111,7 @@
     pub(super) fn bind(&mut self, io: &Io) -> std::io::Result<()> {
         let socket = UdpSocket::bind(self.config.listen)?;
         socket.set_nonblocking(true)?;
-        io.poller.add(&socket, Token::Link.pack(), Interest::READ)?;
+        io.poller.add(&socket, Token::PeerLink.pack(), Interest::READ)?;
         tracing::info!(target: "doorcourse::fleet", address = %socket.local_addr()?, "link up");
         self.socket = Some(socket);
         Ok(())
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -29,9 +29,9 @@
     /// A connection of health checks and metrics.
     Monitoring(usize, u32),
     /// The UDP socket to the other gateways.
-    Link,
-    /// A call of a task, or a check of a backend.
-    Call(usize, u32),
+    PeerLink,
+    /// A connection of a task's call, or of a probe of a suspected backend.
+    FleetConnection(usize, u32),
 }
 
 /// The bits of a generation that a token carries.
@@ -55,8 +55,8 @@
             Self::AdminConnection(slot, generation) => (8, slot, generation),
             Self::MonitoringListener => (9, 0, 0),
             Self::Monitoring(slot, generation) => (10, slot, generation),
-            Self::Link => (11, 0, 0),
-            Self::Call(slot, generation) => (12, slot, generation),
+            Self::PeerLink => (11, 0, 0),
+            Self::FleetConnection(slot, generation) => (12, slot, generation),
         };
         kind << KIND_SHIFT | u64::from(generation) << GENERATION_SHIFT | slot as u64
     }
@@ -75,8 +75,8 @@
             8 => Self::AdminConnection(slot, generation),
             9 => Self::MonitoringListener,
             10 => Self::Monitoring(slot, generation),
-            11 => Self::Link,
-            12 => Self::Call(slot, generation),
+            11 => Self::PeerLink,
+            12 => Self::FleetConnection(slot, generation),
             _ => Self::Signal,
         }
     }
