--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -32,11 +32,11 @@
 pub(crate) struct SettingsReload {
     read_settings: Option<ReadSettings>,
     /// The result of the reading thread, while it runs.
-    reading: Option<mpsc::Receiver<ReadResult>>,
+    read_in_progress: Option<mpsc::Receiver<ReadResult>>,
     /// A reload was requested while the thread was running; it follows.
     requested_again: bool,
     /// Settings that were read and wait for the life cycle's decision.
-    read: Option<(Config, Change)>,
+    pending_settings: Option<(Config, Change)>,
     /// The calls that wait for the present reload, and those that wait for the one that follows.
     waiters: Vec<ReloadWaiter>,
     next_waiters: Vec<ReloadWaiter>,
@@ -57,9 +57,9 @@
         io.poller.add(&receiver, Token::Reload.pack(), Interest::READ)?;
         Ok(Self {
             read_settings,
-            reading: None,
+            read_in_progress: None,
             requested_again: false,
-            read: None,
+            pending_settings: None,
             waiters: Vec::new(),
             next_waiters: Vec::new(),
             sender: Arc::new(sender),
@@ -85,13 +85,17 @@
 
     /// Adds a call that waits for the reload that starts next.
     pub(crate) fn add_waiter(&mut self, waiter: ReloadWaiter) {
-        if self.reading.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
+        if self.read_in_progress.is_some() {
+            self.next_waiters.push(waiter)
+        } else {
+            self.waiters.push(waiter)
+        }
     }
 
     /// Starts a thread that reads the settings and compares them with those in force; where one runs, another reload
     /// follows it.
     pub(crate) fn start(&mut self, config: &Arc<Config>) {
-        if self.reading.is_some() {
+        if self.read_in_progress.is_some() {
             self.requested_again = true;
             return;
         }
@@ -111,7 +115,7 @@
             let _ = (&*pipe).write(&[READ_FINISHED]);
         });
         match thread {
-            Ok(_) => self.reading = Some(result_receiver),
+            Ok(_) => self.read_in_progress = Some(result_receiver),
             Err(error) => self.finish(Err(error.to_string())),
         }
     }
@@ -119,14 +123,16 @@
     /// Takes the result of the reading thread, if it is there; returns whether settings wait for the life cycle's
     /// decision. A reload that follows starts only after that decision.
     fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
-        let Some(result) = self.reading.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
-        self.reading = None;
+        let Some(result) = self.read_in_progress.as_ref().and_then(|r| r.try_recv().ok()) else {
+            return false;
+        };
+        self.read_in_progress = None;
         match result {
             Err(message) => self.finish(Err(message)),
             Ok((_, change)) if self.is_dry_run() => self.finish(Ok(change)),
             Ok((_, change)) if !change.refused.is_empty() => self.finish(Err(change.refused.join("; "))),
             Ok(read) => {
-                self.read = Some(read);
+                self.pending_settings = Some(read);
                 return true;
             }
         }
@@ -144,7 +150,7 @@
 
     /// The settings that were read, once the life cycle has decided to apply them.
     pub(crate) fn take_settings(&mut self) -> Option<(Config, Change)> {
-        self.read.take()
+        self.pending_settings.take()
     }
 
     /// The life cycle refuses the reload: all waiting calls get the reason.
@@ -164,7 +170,7 @@
         if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
             tracing::error!(reason, "settings not reloaded, the old ones hold");
         }
-        self.read = None;
+        self.pending_settings = None;
         let waiters = std::mem::take(&mut self.waiters);
         self.replies
             .extend(waiters.into_iter().map(|waiter| ReloadReply { waiter, outcome: outcome.clone() }));
