--- a/crates/http-gateway/src/clients/connection.rs
+++ b/crates/http-gateway/src/clients/connection.rs
@@ -36,7 +36,7 @@
     /// The minor version of the client's HTTP/1.
     pub http_minor: u8,
     /// The framing of the response that is being forwarded.
-    pub framing: Framing,
+    pub response_framing: Framing,
     /// When the connection times out, in the phase that it is in.
     pub timeout_at: Millis,
     pub interest: Interest,
@@ -66,7 +66,7 @@
             head_received_at: 0.0,
             keep_alive: true,
             http_minor: 1,
-            framing: Framing::None,
+            response_framing: Framing::None,
             timeout_at,
             interest,
             usage: ConnectionUsage::default(),
--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -67,11 +67,11 @@
         let Some(client) = self.connections.get_mut(slot) else { return 0 };
         if let Some(head) = head {
             let framing = head.client_framing(client.http_minor);
-            client.framing = framing;
+            client.response_framing = framing;
             client.keep_alive &= framing != Framing::Close && !self.announce_close;
             head.write(client.socket.output(), external_id, framing, client.keep_alive);
         }
-        if client.framing == Framing::Chunked {
+        if client.response_framing == Framing::Chunked {
             chunk(client.socket.output(), bytes);
         } else {
             client.socket.output().extend_from_slice(bytes);
@@ -85,7 +85,7 @@
     /// Ends a forwarded response.
     pub(crate) fn end_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
-        if client.framing == Framing::Chunked {
+        if client.response_framing == Framing::Chunked {
             chunk_end(client.socket.output());
         }
         self.finish_response(io, config, slot);
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -89,14 +89,14 @@
     /// Whether the buffer ends the response.
     complete: bool,
     /// Whether the head is forwarded already.
-    forwarding: bool,
+    head_forwarded: bool,
     /// Counts the cost of the response while it passes.
     pub scan: Scan,
 }
 
 impl BufferedResponse {
     pub(super) fn new(scan: Scan) -> Self {
-        Self { head: None, buffer: Vec::new(), complete: false, forwarding: false, scan }
+        Self { head: None, buffer: Vec::new(), complete: false, head_forwarded: false, scan }
     }
 
     /// Starts over for a new attempt: nothing of an earlier attempt's response may mix with this one's.
@@ -147,7 +147,7 @@
     /// The bytes to forward next, with the head in front of the first; `None` where no head has come yet.
     pub(super) fn take_forwardable(&mut self) -> Option<(Option<ForwardedHead>, Vec<u8>)> {
         let mut forwarded_head = None;
-        if !self.forwarding {
+        if !self.head_forwarded {
             let head = self.head.as_ref()?;
             let framing =
                 if self.complete { Framing::Length(self.buffer.len() as u64) } else { head.framing };
@@ -157,7 +157,7 @@
                 framing,
                 cookies: head.cookies.clone(),
             });
-            self.forwarding = true;
+            self.head_forwarded = true;
         }
         Some((forwarded_head, std::mem::take(&mut self.buffer)))
     }
