--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -42,33 +42,33 @@
     /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the backends
     /// whose endpoint is unchanged.
     pub(crate) fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
-        let mut former = std::mem::take(&mut self.pools);
+        let mut old_pools = std::mem::take(&mut self.pools);
         let mut unchanged = Vec::new();
-        let mut unlisted = Vec::new();
+        let mut stale_slots = Vec::new();
         for node in nodes {
             let name = node.entry.name.clone();
             let endpoint = EndpointIdentity { address: node.address, started: node.entry.started };
-            let pool = match former.remove(&name) {
+            let pool = match old_pools.remove(&name) {
                 Some(pool) if pool.endpoint == endpoint => {
                     unchanged.push(name.clone());
                     pool
                 }
-                changed => {
-                    unlisted.extend(changed.into_iter().flat_map(|pool| pool.idle));
+                old_pool => {
+                    stale_slots.extend(old_pool.into_iter().flat_map(|pool| pool.idle));
                     ConnectionPool { endpoint, idle: Vec::new() }
                 }
             };
             self.pools.insert(name, pool);
         }
-        unlisted.extend(former.into_values().flat_map(|pool| pool.idle));
-        unlisted.into_iter().for_each(|slot| self.close(slot));
+        stale_slots.extend(old_pools.into_values().flat_map(|pool| pool.idle));
+        stale_slots.into_iter().for_each(|slot| self.close(slot));
         unchanged
     }
 
     /// Starts an attempt on an idle connection, or on a new one where none is idle. `None` where the backend is not listed
     /// or no connection can be opened.
     pub(crate) fn send_request(
-        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, wire: &BackendRequest<'_>,
+        &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, outgoing: &BackendRequest<'_>,
     ) -> Option<ConnectionId> {
         let pool = self.pools.get_mut(backend)?;
         let endpoint = pool.endpoint;
@@ -79,8 +79,8 @@
         let connection = self.connections.get_mut(slot)?;
         let host = endpoint.address.to_string();
         let mut fields = vec![("host", host.as_str())];
-        fields.extend_from_slice(&wire.fields);
-        request(connection.socket.output(), "POST", wire.path, &fields, wire.body);
+        fields.extend_from_slice(&outgoing.fields);
+        request(connection.socket.output(), "POST", outgoing.path, &fields, outgoing.body);
         connection.start_request(id);
         Some(ConnectionId { slot, generation: connection.generation })
     }
@@ -106,7 +106,7 @@
             write_ready: false,
             flow: Flow::Open,
             input_pending: false,
-            decoded: 0,
+            decoded_bytes: 0,
             paused: false,
             interest,
             idle_until: Millis::INFINITY,
--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -69,7 +69,7 @@
     /// Bytes, or the end of the connection, wait to be decoded.
     pub input_pending: bool,
     /// How many bytes of the input are decoded.
-    pub decoded: usize,
+    pub decoded_bytes: usize,
     /// Back pressure: the client has to read on first.
     pub paused: bool,
     pub interest: Interest,
@@ -153,7 +153,7 @@
 
     /// One part of the response; also without a byte of input, since a message may be at its end.
     fn decode_part(&mut self) -> Option<AttemptEvent> {
-        let input = &self.socket.input[self.decoded..];
+        let input = &self.socket.input[self.decoded_bytes..];
         let Ok((used, part)) = self.decoder.decode(input) else {
             self.input_pending = false;
             return Some(AttemptEvent::InvalidResponse);
@@ -167,14 +167,14 @@
             Some(Part::Data(data)) => Some(AttemptEvent::Data(data.to_vec())),
             Some(Part::End) => Some(AttemptEvent::End),
         };
-        self.decoded += used;
+        self.decoded_bytes += used;
         event
     }
 
     /// Drops the decoded input, once for all that one read decoded.
     pub(super) fn consume(&mut self) {
-        let decoded = std::mem::take(&mut self.decoded);
-        self.socket.consume(decoded);
+        let decoded_bytes = std::mem::take(&mut self.decoded_bytes);
+        self.socket.consume(decoded_bytes);
     }
 
     /// Ends the request whose response is complete. Returns whether the connection may carry another request.
