--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -187,7 +187,7 @@
 
     fn write(&mut self, slot: usize, reply: &Value) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let line = line_of(reply);
+        let line = encode_line(reply);
         // A terminal reads at once; a client that does not is waited for only briefly.
         let _ = connection.stream.set_nonblocking(false);
         let _ = connection.stream.set_write_timeout(Some(WRITE_TIMEOUT));
@@ -240,7 +240,7 @@
     pub(crate) fn pass_listeners(&mut self, peer: u64, listeners: &[&TcpListener]) {
         let slot = peer as usize;
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let line = line_of(&result_reply(&connection.takeover_id, json!({"listeners": listeners.len()})));
+        let line = encode_line(&result_reply(&connection.takeover_id, json!({"listeners": listeners.len()})));
         let descriptors: Vec<_> = listeners.iter().map(|listener| listener.as_fd()).collect();
         let mut space =
             [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_LISTENERS))];
@@ -262,7 +262,7 @@
     }
 }
 
-fn line_of(reply: &Value) -> Vec<u8> {
+fn encode_line(reply: &Value) -> Vec<u8> {
     let mut line = reply.to_string().into_bytes();
     line.push(b'\n');
     line
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -49,13 +49,13 @@
         if self.last_version.replace(version) == Some(version) {
             return None;
         }
-        let shown = self.path.display().to_string();
+        let display_path = self.path.display().to_string();
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
-            Err(error) => return Some(Err(format!("{shown}: {error}"))),
+            Err(error) => return Some(Err(format!("{display_path}: {error}"))),
         };
         Some(
-            read_nodes(&shown, &text)
+            read_nodes(&display_path, &text)
                 .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
         )
     }
