--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -6,7 +6,7 @@
 /// A clock in ms since the Unix epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    wall: f64,
+    wall_at_start_ms: f64,
     start: Instant,
 }
 
@@ -21,7 +21,7 @@
     #[must_use]
     pub fn new(wall: SystemTime, start: Instant) -> Self {
         let wall = wall.duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { wall: wall.as_secs_f64() * 1000.0, start }
+        Self { wall_at_start_ms: wall.as_secs_f64() * 1000.0, start }
     }
 
     /// The time now.
@@ -33,7 +33,7 @@
     /// The time at an instant; never before the start.
     #[must_use]
     pub fn at(&self, instant: Instant) -> f64 {
-        self.wall + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
+        self.wall_at_start_ms + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
     /// How long until `time`: 0 if it has passed, one hour at most.
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -5,9 +5,9 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    at: f64,
-    order: u64,
-    what: T,
+    deadline: f64,
+    sequence: u64,
+    value: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -26,7 +26,7 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.deadline.total_cmp(&other.deadline).then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -34,30 +34,30 @@
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    order: u64,
+    sequence: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), order: 0 }
+        Self { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer for `at`.
-    pub fn schedule(&mut self, at: f64, what: T) {
-        self.order += 1;
-        self.heap.push(Reverse(Entry { at, order: self.order, what }));
+    /// Sets a timer for `deadline`.
+    pub fn schedule(&mut self, deadline: f64, value: T) {
+        self.sequence += 1;
+        self.heap.push(Reverse(Entry { deadline, sequence: self.sequence, value }));
     }
 
     /// The earliest deadline.
     #[must_use]
     pub fn next_deadline(&self) -> Option<f64> {
-        self.heap.peek().map(|e| e.0.at)
+        self.heap.peek().map(|e| e.0.deadline)
     }
 
     /// Removes and returns the earliest timer if its deadline has passed.
     pub fn pop_expired(&mut self, now: f64) -> Option<T> {
-        if self.next_deadline()? <= now { self.heap.pop().map(|e| e.0.what) } else { None }
+        if self.next_deadline()? <= now { self.heap.pop().map(|e| e.0.value) } else { None }
     }
 }
