--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -42,23 +42,28 @@
 
 impl TestGateway {
     /// A gateway with these backends and further settings. The customers `ten` and `free` have their names as keys.
-    pub(crate) fn new(nodes: &[SocketAddr], more: &str) -> Self {
-        let config = read(&format!("{}{PLANS}{more}", Self::common(nodes))).expect("good settings");
+    pub(crate) fn new(nodes: &[SocketAddr], extra_settings: &str) -> Self {
+        let config = read(&format!("{}{PLANS}{extra_settings}", Self::common_settings(nodes)))
+            .expect("valid settings");
         Self::start(config, None)
     }
 
     /// A gateway whose settings change: each reload takes the next of these, in a circle.
-    pub(crate) fn with_settings(nodes: &[SocketAddr], more: &[String]) -> Self {
-        Self::reloading(more.iter().map(|m| format!("{}{m}", Self::common(nodes))).collect())
+    pub(crate) fn with_settings(nodes: &[SocketAddr], extra_settings: &[String]) -> Self {
+        Self::start_with_reloads(
+            extra_settings.iter().map(|m| format!("{}{m}", Self::common_settings(nodes))).collect(),
+        )
     }
 
     /// The same with endpoint lists in the form of the settings.
     pub(crate) fn with_endpoint_lists(lists: &[String]) -> Self {
-        Self::reloading(lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common(&[]))).collect())
+        Self::start_with_reloads(
+            lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common_settings(&[]))).collect(),
+        )
     }
 
-    fn reloading(texts: Vec<String>) -> Self {
-        let config = read(&texts[0]).expect("good settings");
+    fn start_with_reloads(texts: Vec<String>) -> Self {
+        let config = read(&texts[0]).expect("valid settings");
         let next = std::sync::atomic::AtomicUsize::new(0);
         let read_settings = move || {
             let index = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst) + 1;
@@ -68,9 +73,9 @@
     }
 
     /// The settings without plans.
-    fn common(nodes: &[SocketAddr]) -> String {
-        let node = |(at, address): (usize, &SocketAddr)| {
-            format!("nodes {{ name: \"n{at}\" address: \"{address}\" cell: {} }}\n", at % 2)
+    fn common_settings(nodes: &[SocketAddr]) -> String {
+        let node = |(index, address): (usize, &SocketAddr)| {
+            format!("nodes {{ name: \"n{index}\" address: \"{address}\" cell: {} }}\n", index % 2)
         };
         let nodes: String = nodes.iter().enumerate().map(node).collect();
         let customer = |name: &str| {
@@ -180,7 +185,7 @@
                 true
             }
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("no answer within the limit: {error}"),
+            Err(error) => panic!("no response within the limit: {error}"),
         }
     }
 
--- a/crates/http-gateway/tests/life.rs
+++ b/crates/http-gateway/tests/life.rs
@@ -58,11 +58,11 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     finished.store(true, Ordering::SeqCst);
-    for (at, client) in clients.into_iter().enumerate() {
+    for (index, client) in clients.into_iter().enumerate() {
         let counts = client.join().expect("no request was lost");
-        assert!(counts.get("200 ").is_some_and(|n| *n > 20), "client {at}: {counts:?}");
+        assert!(counts.get("200 ").is_some_and(|n| *n > 20), "client {index}: {counts:?}");
         let known = ["200 ", "429 QUOTA_EXCEEDED", "503 BUSY"];
-        assert!(counts.keys().all(|k| known.contains(&k.as_str())), "client {at}: {counts:?}");
+        assert!(counts.keys().all(|k| known.contains(&k.as_str())), "client {index}: {counts:?}");
     }
     gateway.stop();
 }
@@ -120,12 +120,12 @@
         gateway.stop();
         assert!(start.elapsed() < Duration::from_secs(8), "{state}: bounded by its deadline");
         match sent.response() {
-            Some(answer) => assert_eq!(answer.code(), "DEADLINE_EXCEEDED", "{state}: {answer:?}"),
+            Some(response) => assert_eq!(response.code(), "DEADLINE_EXCEEDED", "{state}: {response:?}"),
             None => assert_eq!(state, "partially answered", "only a started response is reset"),
         }
         for client in &mut queued {
-            if let Some(answer) = client.response() {
-                assert!(answer.status >= 500, "{state}: {answer:?}");
+            if let Some(response) = client.response() {
+                assert!(response.status >= 500, "{state}: {response:?}");
             }
         }
         let id = |r: &String| r.lines().find(|l| l.starts_with("x-request-id")).map(str::to_owned);
@@ -169,9 +169,9 @@
     assert!(client.response().is_some_and(|a| !a.has("connection: close")));
     gateway.stopper.stop();
     // During the notice new clients are still served; the close is announced to them.
-    let answer = gateway.request("free", PREVIEW);
-    assert_eq!(answer.status, 200);
-    assert!(answer.has("connection: close"), "{}", answer.head);
+    let response = gateway.request("free", PREVIEW);
+    assert_eq!(response.status, 200);
+    assert!(response.has("connection: close"), "{}", response.head);
     gateway.stopper.reload();
     gateway.stop();
     assert!(client.reaches_end());
@@ -255,8 +255,10 @@
 
 /// Settings that list the backend `n0` in this state, and further settings. Each has a path of its own, which shows when a
 /// reload is applied.
-fn listing(path: &str, address: std::net::SocketAddr, state: &str, more: &str) -> String {
-    format!("path: \"/{path}\"\nnodes {{ name: \"n0\" address: \"{address}\" state: {state} }}\n{more}")
+fn listing(path: &str, address: std::net::SocketAddr, state: &str, extra_settings: &str) -> String {
+    format!(
+        "path: \"/{path}\"\nnodes {{ name: \"n0\" address: \"{address}\" state: {state} }}\n{extra_settings}"
+    )
 }
 
 /// Sends a query to a path; an unknown key where only the path is of interest.
@@ -300,8 +302,8 @@
             let mut streams = late.incoming().map(|stream| stream.expect("a connection"));
             streams.find_map(|mut stream| read_request(&mut stream))
         });
-        let answer = client.response().expect("a response");
-        assert_eq!(answer.status, 200, "{change}: {answer:?}");
+        let response = client.response().expect("a response");
+        assert_eq!(response.status, 200, "{change}: {response:?}");
         assert!(other.requests.try_recv().expect("sent elsewhere").contains("orderLicence"), "{change}");
         assert!(!seen.is_finished(), "{change}: the pending backend got a request");
     }
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -13,9 +13,9 @@
 fn world(nodes: usize) -> (World, Recorder) {
     let clock = Clock::default();
     let recorder = Recorder::new(clock);
-    let node = |at: usize| NodeSpec {
-        name: format!("n{at}"),
-        cell: at as u64 % 2,
+    let node = |index: usize| NodeSpec {
+        name: format!("n{index}"),
+        cell: index as u64 % 2,
         cores: 2,
         queue: 50,
         cold_share: 1.0,
@@ -112,17 +112,17 @@
     for (query, served, count) in [(PREVIEW, true, 2), (PLAYLIST, true, 2), (LICENCE, false, 1)] {
         let (reached_sender, reached) = mpsc::channel();
         let received = std::sync::Arc::new(std::sync::atomic::AtomicU32::new(0));
-        let step = |at: usize| -> Step {
+        let step = |index: usize| -> Step {
             let received = received.clone();
             let reached_sender = reached_sender.clone();
             Box::new(move |stream| {
-                let _ = reached_sender.send(at);
+                let _ = reached_sender.send(index);
                 let first = received.fetch_add(1, std::sync::atomic::Ordering::SeqCst) == 0;
                 !first && stream.write_all(&ok_response(RESPONSE_BODY)).is_ok()
             })
         };
         let nodes: Vec<ScriptedBackend> =
-            (0..4).map(|at| scripted_backend(vec![step(at), step(at)])).collect();
+            (0..4).map(|index| scripted_backend(vec![step(index), step(index)])).collect();
         let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
         let gateway = TestGateway::new(&addresses, "");
         let response = gateway.request("free", query);
@@ -275,9 +275,9 @@
     let gateway = TestGateway::new(&[node.address], "limits { head_ms: 1500 connections: 5000 }");
     let request = post("free", PREVIEW, "");
     let mut slow: Vec<Client> = (0..count).map(|_| gateway.client()).collect();
-    for at in 0..3 {
-        slow.iter_mut().for_each(|c| c.write(&request[at..=at]));
-        if at == 1 {
+    for index in 0..3 {
+        slow.iter_mut().for_each(|c| c.write(&request[index..=index]));
+        if index == 1 {
             assert_eq!(gateway.request("free", PREVIEW).status, 200);
         }
     }
@@ -395,14 +395,14 @@
 }
 
 /// A gateway with sticky sessions before these backends.
-fn sticky(nodes: &[std::net::SocketAddr], more: &str) -> TestGateway {
-    let node = |(at, a): (usize, &std::net::SocketAddr)| {
-        format!("nodes {{ name: \"n{at}\" address: \"{a}\" route: \"r{at}\" }}\n")
+fn sticky(nodes: &[std::net::SocketAddr], extra_settings: &str) -> TestGateway {
+    let node = |(index, address): (usize, &std::net::SocketAddr)| {
+        format!("nodes {{ name: \"n{index}\" address: \"{address}\" route: \"r{index}\" }}\n")
     };
     let nodes: String = nodes.iter().enumerate().map(node).collect();
     TestGateway::new(
         &[],
-        &format!("{nodes}routing {{ sticky {{ cookie: \"SID\" parameter: \"sid\"{more} }} }}\n"),
+        &format!("{nodes}routing {{ sticky {{ cookie: \"SID\" parameter: \"sid\"{extra_settings} }} }}\n"),
     )
 }
 
@@ -413,8 +413,8 @@
     let gateway = sticky(&[nodes[0].address, nodes[1].address], "");
     let first = gateway.request("free", PREVIEW);
     assert!(first.has("set-cookie: sid=x.r"), "{}", first.head);
-    let count = |at: usize| nodes[at].requests.try_iter().collect::<Vec<String>>();
-    (0..2).for_each(|at| drop(count(at)));
+    let count = |index: usize| nodes[index].requests.try_iter().collect::<Vec<String>>();
+    (0..2).for_each(|index| drop(count(index)));
     for _ in 0..6 {
         let mut client = gateway.client();
         client.send("free", PREVIEW, "cookie: a=b; SID=x.r1\r\n");
@@ -514,8 +514,8 @@
     let many = post("free", "{ previews(first: 8) { id title } }", "").repeat(60);
     let mut stream = client.stream.try_clone().expect("a second handle");
     let writer = std::thread::spawn(move || stream.write_all(&many).expect("all written"));
-    for at in 0..60 {
-        assert_eq!(client.response().map(|a| a.status), Some(200), "response {at}");
+    for index in 0..60 {
+        assert_eq!(client.response().map(|a| a.status), Some(200), "response {index}");
     }
     writer.join().expect("a writer");
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -11,7 +11,7 @@
 }
 
 /// Decodes the pieces as from a connection and collects the complete messages.
-fn read(role: Role, limits: Limits, pieces: &[&[u8]]) -> Result<Vec<Message>, Error> {
+fn decode_all(role: Role, limits: Limits, pieces: &[&[u8]]) -> Result<Vec<Message>, Error> {
     let mut decoder = Decoder::new(role, limits);
     let mut unconsumed = Vec::new();
     let mut messages = Vec::new();
@@ -44,7 +44,7 @@
 
 #[test]
 fn pipelined_requests_are_decoded_in_order() {
-    let messages = read(Role::Requests, Limits::default(), &[PIPELINED]).unwrap();
+    let messages = decode_all(Role::Requests, Limits::default(), &[PIPELINED]).unwrap();
     assert_eq!(messages.len(), 3);
     assert_eq!(messages[0].body, b"hello");
     assert_eq!(messages[1].fields[1], ("x".into(), "y".into()));
@@ -62,24 +62,24 @@
             from = cut;
         }
         pieces.push(&PIPELINED[from..]);
-        let unsplit = read(Role::Requests, Limits::default(), &[PIPELINED]);
-        prop_assert_eq!(read(Role::Requests, Limits::default(), &pieces), unsplit);
+        let unsplit = decode_all(Role::Requests, Limits::default(), &[PIPELINED]);
+        prop_assert_eq!(decode_all(Role::Requests, Limits::default(), &pieces), unsplit);
     }
 
     #[test]
     fn arbitrary_bytes_never_panic(noise in prop::collection::vec(any::<u8>(), 0..200), at in 0..PIPELINED.len()) {
         let mut bytes = PIPELINED[..at].to_vec();
         bytes.extend_from_slice(&noise);
-        let _ = read(Role::Requests, Limits::default(), &[&bytes]);
-        let _ = read(Role::Responses, Limits::default(), &[&bytes]);
+        let _ = decode_all(Role::Requests, Limits::default(), &[&bytes]);
+        let _ = decode_all(Role::Responses, Limits::default(), &[&bytes]);
     }
 }
 
 #[test]
 fn requests_split_at_every_byte_decode_the_same() {
     let pieces: Vec<&[u8]> = PIPELINED.chunks(1).collect();
-    let unsplit = read(Role::Requests, Limits::default(), &[PIPELINED]);
-    assert_eq!(read(Role::Requests, Limits::default(), &pieces), unsplit);
+    let unsplit = decode_all(Role::Requests, Limits::default(), &[PIPELINED]);
+    assert_eq!(decode_all(Role::Requests, Limits::default(), &pieces), unsplit);
 }
 
 #[test]
@@ -100,23 +100,27 @@
     ];
     for (fields, error) in cases {
         let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
-        assert_eq!(read(Role::Requests, Limits::default(), &[text.as_bytes()]), Err(*error), "{fields:?}");
+        assert_eq!(
+            decode_all(Role::Requests, Limits::default(), &[text.as_bytes()]),
+            Err(*error),
+            "{fields:?}"
+        );
         assert!((400..600).contains(&error.status()));
     }
     for line in ["GET  / HTTP/1.1", "GET /", "G\u{7f}T / HTTP/1.1", " GET / HTTP/1.1"] {
         let text = format!("{line}\r\nHost: a\r\n\r\n");
-        let found = read(Role::Requests, Limits::default(), &[text.as_bytes()]);
+        let found = decode_all(Role::Requests, Limits::default(), &[text.as_bytes()]);
         assert_eq!(found, Err(Error::MalformedStartLine), "{line:?}");
     }
     let text = b"GET / HTTP/2.0\r\nHost: a\r\n\r\n";
-    assert_eq!(read(Role::Requests, Limits::default(), &[text]), Err(Error::UnsupportedVersion));
+    assert_eq!(decode_all(Role::Requests, Limits::default(), &[text]), Err(Error::UnsupportedVersion));
 }
 
 #[test]
 fn malformed_chunks_are_rejected() {
     for chunks in ["x\r\n", "-1\r\n", "1\r\nab\r\n", "ffffffffffffffff\r\n", "1 \r\na\r\n", "\r\n"] {
         let text = format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
-        let found = read(Role::Requests, Limits::default(), &[text.as_bytes()]);
+        let found = decode_all(Role::Requests, Limits::default(), &[text.as_bytes()]);
         assert_eq!(found, Err(Error::MalformedChunk), "{chunks:?}");
     }
 }
@@ -124,15 +128,18 @@
 #[test]
 fn limits_reject_endless_messages_before_their_end() {
     let limits = Limits { line: 100, head: 400, fields: 4, body: 10 };
-    let flood = |text: &str| read(Role::Requests, limits, &[text.as_bytes()]);
-    assert_eq!(flood(&format!("GET /{}", "a".repeat(200))), Err(Error::StartLineTooLong));
-    assert_eq!(flood(&format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(500))), Err(Error::HeadTooLarge));
+    let decode_limited = |text: &str| decode_all(Role::Requests, limits, &[text.as_bytes()]);
+    assert_eq!(decode_limited(&format!("GET /{}", "a".repeat(200))), Err(Error::StartLineTooLong));
+    assert_eq!(
+        decode_limited(&format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(500))),
+        Err(Error::HeadTooLarge)
+    );
     let many_fields = "X: 1\r\n".repeat(9);
-    assert_eq!(flood(&format!("GET / HTTP/1.1\r\n{many_fields}")), Err(Error::HeadTooLarge));
+    assert_eq!(decode_limited(&format!("GET / HTTP/1.1\r\n{many_fields}")), Err(Error::HeadTooLarge));
     let long = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n";
-    assert_eq!(flood(long), Err(Error::BodyTooLarge));
+    assert_eq!(decode_limited(long), Err(Error::BodyTooLarge));
     let chunked = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n6\r\n";
-    assert_eq!(flood(chunked), Err(Error::BodyTooLarge));
+    assert_eq!(decode_limited(chunked), Err(Error::BodyTooLarge));
 }
 
 #[test]
