--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -1,6 +1,6 @@
 //! The head of a request: path, method, authentication, media types, deadline, session.
 
-use super::response::{Response, error_response, with_close};
+use super::response::{Response, error, with_close};
 use super::{DEADLINE_FIELD, MediaType, REQUEST_ID_FIELD, RequestHead};
 use doorcourse::{Millis, Name};
 use doorcourse_config::{Config, Customer, Routing};
@@ -44,7 +44,7 @@
 }
 
 fn reject<T>(status: u16, code: &str, message: &str) -> Result<T, Response> {
-    Err(with_close(error_response(MediaType::Json, status, code, message)))
+    Err(with_close(error(MediaType::Json, status, code, message)))
 }
 
 /// Whether the method is GET (`true`) or POST (`false`).
@@ -54,7 +54,7 @@
         return Ok(is_get);
     }
     let mut response =
-        with_close(error_response(MediaType::Json, 405, "METHOD_NOT_ALLOWED", "GET and POST are allowed"));
+        with_close(error(MediaType::Json, 405, "METHOD_NOT_ALLOWED", "GET and POST are allowed"));
     response.fields.push(("allow", "GET, POST".into()));
     if head.method == "HEAD" {
         response.body.clear();
@@ -70,7 +70,7 @@
         credentials.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
     key.and_then(|key| config.customer(key.as_bytes())).ok_or_else(|| {
         let message = "a known key is needed in Authorization: Bearer";
-        let mut response = with_close(error_response(MediaType::Json, 401, "UNAUTHENTICATED", message));
+        let mut response = with_close(error(MediaType::Json, 401, "UNAUTHENTICATED", message));
         response.fields.push(("www-authenticate", "Bearer".into()));
         response
     })
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -1,7 +1,7 @@
 //! The operation of a request: validated against the schema, with its cost, class and timeout.
 
 use super::parameters::{self, OperationParameters};
-use super::response::{Response, error_response, query_errors_response};
+use super::response::{Response, error, query_errors_response};
 use super::{MediaType, Request, RequestHead};
 use doorcourse::Millis;
 use doorcourse_config::Config;
@@ -54,10 +54,10 @@
 fn check_kind(head: &RequestHead, kind: OperationKind) -> Result<(), Response> {
     if kind == OperationKind::Subscription {
         let message = "subscriptions are not served here";
-        return Err(error_response(head.media, 400, "SUBSCRIPTION_UNSUPPORTED", message));
+        return Err(error(head.media, 400, "SUBSCRIPTION_UNSUPPORTED", message));
     }
     if kind == OperationKind::Mutation && head.is_get {
-        let mut response = error_response(head.media, 405, "MUTATION_BY_GET", "a mutation needs POST");
+        let mut response = error(head.media, 405, "MUTATION_BY_GET", "a mutation needs POST");
         response.fields.push(("allow", "POST".into()));
         return Err(response);
     }
@@ -68,7 +68,7 @@
     let is_introspection = |field: &String| field.starts_with("__") && field != "__typename";
     if !config.introspection && operation.root_fields().iter().any(is_introspection) {
         let message = "introspection is not answered here";
-        return Err(error_response(media, 400, "INTROSPECTION_DISABLED", message));
+        return Err(error(media, 400, "INTROSPECTION_DISABLED", message));
     }
     Ok(())
 }
@@ -78,7 +78,7 @@
     let kind = operation.kind();
     let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
     operation_class(&config.decisions.classes, classes)
-        .ok_or_else(|| error_response(media, 400, "NO_CLASS", "the operation belongs to no class"))
+        .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
 
 /// Rejects an operation that costs more than the customer's plan ever holds. There is no `Retry-After`: waiting does not
@@ -87,7 +87,7 @@
     let plan = &config.decisions.plans[head.customer.plan];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
         let message = format!("the operation costs {units} units, the plan never holds more than {capacity}");
-        error_response(head.media, 429, "COST_EXCEEDS_PLAN", &message)
+        error(head.media, 429, "COST_EXCEEDS_PLAN", &message)
     })
 }
 
@@ -99,5 +99,5 @@
     request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
         .map(|timeout| timeout - elapsed)
         .filter(|timeout| *timeout > 0.0)
-        .ok_or_else(|| error_response(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
+        .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
 }
--- a/crates/http-gateway/src/graphql_front/parameters.rs
+++ b/crates/http-gateway/src/graphql_front/parameters.rs
@@ -1,6 +1,6 @@
 //! The parameters of a GraphQL request: of a JSON body, or of a query string.
 
-use super::response::{Response, error_response};
+use super::response::{Response, error};
 use super::{MediaType, RequestHead};
 use serde_json::{Map, Value};
 
@@ -16,7 +16,7 @@
 
 /// The response to parameters that cannot be read.
 pub(super) fn bad_request_response(media: MediaType, message: &str) -> Response {
-    error_response(media, 400, "BAD_REQUEST", message)
+    error(media, 400, "BAD_REQUEST", message)
 }
 
 /// Reads the parameters from the query string of a GET request, or the body of a POST request.
@@ -30,9 +30,7 @@
 fn from_body(media: MediaType, body: &[u8]) -> Result<Parameters, Response> {
     match serde_json::from_slice(body) {
         Ok(Value::Object(parameters)) => Ok(parameters),
-        Ok(Value::Array(_)) => {
-            Err(error_response(media, 400, "BATCH_UNSUPPORTED", "send one operation a request"))
-        }
+        Ok(Value::Array(_)) => Err(error(media, 400, "BATCH_UNSUPPORTED", "send one operation a request")),
         Ok(_) => Err(bad_request_response(media, "the body must be a JSON object")),
         Err(fault) => Err(bad_request_response(media, &format!("the body is no JSON: {fault}"))),
     }
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -18,7 +18,7 @@
 }
 
 /// One error with a stable code, in the shape of a GraphQL response.
-pub(super) fn error_response(media: MediaType, status: u16, code: &str, message: &str) -> Response {
+pub(super) fn error(media: MediaType, status: u16, code: &str, message: &str) -> Response {
     let body = json!({"errors": [{"message": message, "extensions": {"code": code}}]});
     let fields = vec![("content-type", media.name().to_owned())];
     Response { status, fields, body: body.to_string().into_bytes(), close: false }
@@ -46,17 +46,17 @@
 
 /// The response to bytes that are not HTTP.
 pub(crate) fn bad_http_response(fault: doorcourse_http::Error) -> Response {
-    with_close(error_response(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
+    with_close(error(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
 }
 
 /// The response to a request that took too long to arrive.
 pub(crate) fn request_timeout_response() -> Response {
-    with_close(error_response(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
+    with_close(error(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
 }
 
 /// The response where the gateway itself has reached a limit; the rest of the request is not read.
 pub(crate) fn gateway_full_response(message: &str) -> Response {
-    let mut response = with_close(error_response(MediaType::Json, 503, "GATEWAY_FULL", message));
+    let mut response = with_close(error(MediaType::Json, 503, "GATEWAY_FULL", message));
     response.fields.push(("retry-after", "1".into()));
     response
 }
@@ -98,7 +98,7 @@
         RejectReason::QuotaExceeded => (429, "the quota is used up; to try again is harmless"),
         RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
     };
-    let mut response = error_response(media, status, rejection_code(reason), message);
+    let mut response = error(media, status, rejection_code(reason), message);
     // In seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
     let retry_after_seconds = (retry_after / 1000.0).ceil().max(1.0);
     response.fields.push(("retry-after", retry_after_seconds.to_string()));
@@ -111,7 +111,7 @@
         FailureReason::BackendFailed => (502, "a node failed; the operation may have run"),
         FailureReason::NoBackendReached => (503, "no node could be reached; the operation did not run"),
     };
-    error_response(media, status, failure_code(reason), message)
+    error(media, status, failure_code(reason), message)
 }
 
 /// Appends a response to a connection's output.
