--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -101,7 +101,7 @@
     }
 
     /// The reply of `ctl peers`.
-    pub(crate) fn peers_reply(&self) -> Value {
+    pub(crate) fn peers(&self) -> Value {
         let peers: Vec<Value> =
             self.link.statuses(boot_time_ms()).map(|peer| self.peer_reply(&peer)).collect();
         let dropped: BTreeMap<_, _> = self.link.drops().by_name().collect();
@@ -124,10 +124,10 @@
     }
 
     /// The reply of `ctl leases`; null where the settings have none.
-    pub(crate) fn leases_reply(&self) -> Value {
+    pub(crate) fn leases(&self) -> Value {
         let now = boot_time_ms();
         let Some(leases) = &self.leases else { return Value::Null };
-        let tasks: Vec<Value> = leases.statuses(now).map(|status| self.task_lease_reply(&status)).collect();
+        let tasks: Vec<Value> = leases.statuses(now).map(|status| self.lease_reply(&status)).collect();
         json!({
             "gateway": self.gateway,
             "votes": leases.is_voting(now),
@@ -137,7 +137,7 @@
     }
 
     /// The reply on one task. Tokens are texts: they exceed the integers that JSON readers represent exactly.
-    fn task_lease_reply(&self, status: &LeaseStatus) -> Value {
+    fn lease_reply(&self, status: &LeaseStatus) -> Value {
         let (stage, remaining_ms) = match status.stage {
             LeaseStage::Waiting(ms) => ("waiting", ms),
             LeaseStage::Acquiring(_) => ("asking", 0),
--- a/crates/http-gateway/src/fleet/status/tests.rs
+++ b/crates/http-gateway/src/fleet/status/tests.rs
@@ -45,7 +45,7 @@
 #[test]
 fn the_admin_reply_on_peers_keeps_its_fields() {
     let io = Io::new().expect("a poller");
-    let mut reply = single_voter(&io).peers_reply();
+    let mut reply = single_voter(&io).peers();
     mask(&mut reply, "address", Value::is_string);
     let expected = concat!(
         r#"{"address":"masked","dropped":{"foreign":0,"forged":0,"receiver":0,"replayed":0,"sender":0,"stale":0,"#,
@@ -59,7 +59,7 @@
 #[test]
 fn the_admin_reply_on_leases_keeps_its_fields_before_they_are_held() {
     let io = Io::new().expect("a poller");
-    let mut reply = single_voter(&io).leases_reply();
+    let mut reply = single_voter(&io).leases();
     for task in reply["tasks"].as_array_mut().expect("tasks") {
         mask(task, "ms", Value::is_u64);
     }
@@ -81,13 +81,13 @@
     let mut io = Io::new().expect("a poller");
     let mut fleet = single_voter(&io);
     let is_held = |task: &Value| task["here"] == "held" && task["granted_ms"].is_u64();
-    let mut reply = fleet.leases_reply();
+    let mut reply = fleet.leases();
     let deadline = std::time::Instant::now() + std::time::Duration::from_secs(10);
     while !reply["tasks"].as_array().expect("tasks").iter().all(is_held) {
         assert!(std::time::Instant::now() < deadline, "never held: {reply}");
         std::thread::sleep(std::time::Duration::from_millis(1));
         fleet.tick(&mut io);
-        reply = fleet.leases_reply();
+        reply = fleet.leases();
     }
     for task in reply["tasks"].as_array_mut().expect("tasks") {
         mask(task, "ms", Value::is_u64);
--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -23,12 +23,8 @@
             AdminRequest::Status => Outcome::Reply(self.status_reply()),
             AdminRequest::Nodes => Outcome::Reply(self.backends_reply()),
             AdminRequest::Customers => Outcome::Reply(self.customers_reply()),
-            AdminRequest::Peers => {
-                Outcome::Reply(self.fleet.as_ref().map_or(Value::Null, Fleet::peers_reply))
-            }
-            AdminRequest::Leases => {
-                Outcome::Reply(self.fleet.as_ref().map_or(Value::Null, Fleet::leases_reply))
-            }
+            AdminRequest::Peers => Outcome::Reply(self.fleet.as_ref().map_or(Value::Null, Fleet::peers)),
+            AdminRequest::Leases => Outcome::Reply(self.fleet.as_ref().map_or(Value::Null, Fleet::leases)),
             AdminRequest::HandOver { task, to } => self.hand_over_task(&task, to),
             AdminRequest::SetManualDrain { name, drain } => self.manual_drain_call(&name, drain),
             AdminRequest::Drain => self.process_call(ProcessEvent::DrainRequested),
