--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -93,7 +93,7 @@
         if self.socket.flush() != Flow::Open || self.socket.pending() > 0 {
             return Err(CallFailure::RequestNotWritten);
         }
-        let token = Token::FleetConnection(slot, self.generation).pack();
+        let token = Token::Fleet(slot, self.generation).pack();
         let _ = io.poller.change(&self.socket, token, Interest::READ);
         Ok(())
     }
@@ -122,7 +122,7 @@
     ) -> Result<(), CallFailure> {
         let generation = io.generation();
         let entry = self.connections.vacant_entry();
-        let token = Token::FleetConnection(entry.key(), generation).pack();
+        let token = Token::Fleet(entry.key(), generation).pack();
         let socket = connect(address).map_err(|_| CallFailure::ConnectFailed)?;
         io.poller.add(&socket, token, Interest::BOTH).map_err(|_| CallFailure::ConnectFailed)?;
         entry.insert(Connection { purpose, socket, generation, state: ConnectionState::Connecting });
--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -62,7 +62,7 @@
                 self.backends.handle_readiness(slot, generation, ready);
                 self.process_attempt_events(slot, generation);
             }
-            Token::PeerLink | Token::FleetConnection(..) => self.handle_fleet_readiness(ready),
+            Token::PeerLink | Token::Fleet(..) => self.handle_fleet_readiness(ready),
             Token::Counter(generation) => self.counter.connection_ready(&mut self.io, generation, ready),
             Token::Signal => self.handle_signals(),
             Token::Reload => self.handle_reload_readiness(),
@@ -74,9 +74,7 @@
     fn handle_fleet_readiness(&mut self, ready: Ready) {
         let Some(fleet) = &mut self.fleet else { return };
         match Token::unpack(ready.token) {
-            Token::FleetConnection(slot, generation) => {
-                fleet.connection_ready(&mut self.io, slot, generation, ready)
-            }
+            Token::Fleet(slot, generation) => fleet.connection_ready(&mut self.io, slot, generation, ready),
             _ => fleet.link_ready(&mut self.io),
         }
     }
--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -31,7 +31,7 @@
     /// The UDP socket to the other gateways.
     PeerLink,
     /// A connection of a task's call, or of a probe of a suspected backend.
-    FleetConnection(usize, u32),
+    Fleet(usize, u32),
 }
 
 /// The bits of a generation that a token carries.
@@ -56,7 +56,7 @@
             Self::MonitoringListener => (9, 0, 0),
             Self::Monitoring(slot, generation) => (10, slot, generation),
             Self::PeerLink => (11, 0, 0),
-            Self::FleetConnection(slot, generation) => (12, slot, generation),
+            Self::Fleet(slot, generation) => (12, slot, generation),
         };
         kind << KIND_SHIFT | u64::from(generation) << GENERATION_SHIFT | slot as u64
     }
@@ -76,7 +76,7 @@
             9 => Self::MonitoringListener,
             10 => Self::Monitoring(slot, generation),
             11 => Self::PeerLink,
-            12 => Self::FleetConnection(slot, generation),
+            12 => Self::Fleet(slot, generation),
             _ => Self::Signal,
         }
     }
