--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -32,7 +32,7 @@
 pub(crate) struct SettingsReload {
     read_settings: Option<ReadSettings>,
     /// The result of the reading thread, while it runs.
-    read_in_progress: Option<mpsc::Receiver<ReadResult>>,
+    reader: Option<mpsc::Receiver<ReadResult>>,
     /// A reload was requested while the thread was running; it follows.
     requested_again: bool,
     /// Settings that were read and wait for the life cycle's decision.
@@ -57,7 +57,7 @@
         io.poller.add(&receiver, Token::Reload.pack(), Interest::READ)?;
         Ok(Self {
             read_settings,
-            read_in_progress: None,
+            reader: None,
             requested_again: false,
             pending_settings: None,
             waiters: Vec::new(),
@@ -85,17 +85,13 @@
 
     /// Adds a call that waits for the reload that starts next.
     pub(crate) fn add_waiter(&mut self, waiter: ReloadWaiter) {
-        if self.read_in_progress.is_some() {
-            self.next_waiters.push(waiter)
-        } else {
-            self.waiters.push(waiter)
-        }
+        if self.reader.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
     }
 
     /// Starts a thread that reads the settings and compares them with those in force; where one runs, another reload
     /// follows it.
     pub(crate) fn start(&mut self, config: &Arc<Config>) {
-        if self.read_in_progress.is_some() {
+        if self.reader.is_some() {
             self.requested_again = true;
             return;
         }
@@ -115,7 +111,7 @@
             let _ = (&*pipe).write(&[READ_FINISHED]);
         });
         match thread {
-            Ok(_) => self.read_in_progress = Some(result_receiver),
+            Ok(_) => self.reader = Some(result_receiver),
             Err(error) => self.finish(Err(error.to_string())),
         }
     }
@@ -123,10 +119,10 @@
     /// Takes the result of the reading thread, if it is there; returns whether settings wait for the life cycle's
     /// decision. A reload that follows starts only after that decision.
     fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
-        let Some(result) = self.read_in_progress.as_ref().and_then(|r| r.try_recv().ok()) else {
+        let Some(result) = self.reader.as_ref().and_then(|r| r.try_recv().ok()) else {
             return false;
         };
-        self.read_in_progress = None;
+        self.reader = None;
         match result {
             Err(message) => self.finish(Err(message)),
             Ok((_, change)) if self.is_dry_run() => self.finish(Ok(change)),
