--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -119,9 +119,7 @@
     /// Takes the result of the reading thread, if it is there; returns whether settings wait for the life cycle's
     /// decision. A reload that follows starts only after that decision.
     fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
-        let Some(result) = self.reader.as_ref().and_then(|r| r.try_recv().ok()) else {
-            return false;
-        };
+        let Some(result) = self.reader.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
         self.reader = None;
         match result {
             Err(message) => self.finish(Err(message)),
