--- a/crates/event-loop/src/clock.rs
+++ b/crates/event-loop/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of a host: wall time at the start plus monotonic time since, so that gateways agree on quota windows and
-//! setting the wall clock does not move a running process's time.
+//! The clock of a process: wall time at its start plus monotonic time since. Gateways thus agree on quota windows, and
+//! setting the wall clock does not change the time of a running process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -17,33 +17,34 @@
 }
 
 impl Clock {
-    /// A clock that showed `wall` at `start`; the wall is read at no other time.
+    /// A clock that showed `wall` at `start`; the wall clock is not read again.
     #[must_use]
     pub fn new(wall: SystemTime, start: Instant) -> Self {
         let wall = wall.duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { wall_at_start_ms: wall.as_secs_f64() * 1000.0, start }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// The time at an instant; never before the start.
+    /// The time at an instant; an instant before the start gives the time of the start.
     #[must_use]
     pub fn at(&self, instant: Instant) -> f64 {
         self.wall_at_start_ms + instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// How long until `time`: 0 if it has passed, one hour at most.
+    /// The time left until `time`: 0 if it has passed, one hour at most.
     #[must_use]
     pub fn until(&self, time: f64) -> Duration {
         Duration::from_secs_f64(((time - self.now()) / 1000.0).clamp(0.0, 3600.0))
     }
 }
 
-/// Milliseconds since the machine was started, including time asleep: for deadlines that must pass while it sleeps.
+/// Milliseconds since the machine booted (CLOCK_BOOTTIME), including time in suspend: for deadlines that must also
+/// expire while the machine is suspended.
 #[must_use]
 pub fn boot_time_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
