--- a/crates/event-loop/src/clock/tests.rs
+++ b/crates/event-loop/src/clock/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `clock`.
-
 use super::*;
 
 #[test]
@@ -7,7 +5,7 @@
     let (start, wall) = (Instant::now(), UNIX_EPOCH + Duration::from_secs(100));
     let clock = Clock::new(wall, start);
     assert_eq!(clock.at(start), 100_000.0);
-    // Instants are monotonic whatever the wall does; one before the start moves nothing back.
+    // The wall clock is not read again, and an instant before the start does not move the time back.
     assert_eq!(clock.at(start + Duration::from_millis(5)), 100_005.0);
     assert_eq!(clock.at(start - Duration::from_millis(5)), 100_000.0);
 }
