--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the event loops of the gateways and emulators share: readiness by epoll, buffered sockets, timers and the clock.
-//! Nothing is decided here.
+//! Building blocks of the event loops of gateways and emulators: readiness by epoll, buffered sockets, timers and the
+//! clock. The event loops themselves are in the crates that use this one.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
