--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -7,37 +7,38 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// Descriptors that one wait reports at most: as many as the platform lets a RESP gateway hold, so that it sees all that
-/// are ready at once. A process that holds more, as `doorcourse serve` may, sees the others by its next waits.
+/// The most descriptors that one wait reports. The platform lets a RESP gateway hold no more descriptors than this, so
+/// one wait reports all that are ready. A process that holds more, as `doorcourse serve` may, gets the others from its
+/// next waits.
 const MAX_EVENTS: usize = 1024;
-/// Added to each timeout: a wait that ends before the timer it was made for would spin.
+/// Added to each timeout: a wait that ends just before its timer is due would be repeated in a busy loop.
 const EARLY_WAKE_MARGIN: Duration = Duration::from_micros(200);
 
-/// What a registration waits for. Errors and hang-ups are always reported.
+/// The readiness that a registration waits for. Errors and hang-ups are always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Bytes to read, or the end of the stream.
+    /// Bytes can be read, or the end of the stream is reached.
     pub read: bool,
-    /// Space in the send buffer.
+    /// The send buffer has space.
     pub write: bool,
-    /// The peer's close (EPOLLRDHUP), apart from reading: reported also while reading is paused, and ahead of bytes that
-    /// are not read yet.
+    /// The peer has closed its side (EPOLLRDHUP). This is reported also while reading is paused, and before all
+    /// buffered bytes are read.
     pub peer_close: bool,
 }
 
 impl Interest {
-    /// Reading alone.
+    /// Reading only.
     pub const READ: Self = Self::of(true, false);
     /// Reading and writing: for a connection in progress.
     pub const BOTH: Self = Self::of(true, true);
 
-    /// Reading and writing as stated, without the peer's close.
+    /// Reading and writing as given; the peer's close is not included.
     #[must_use]
     pub const fn of(read: bool, write: bool) -> Self {
         Self { read, write, peer_close: false }
     }
 
-    /// The same with the peer's close.
+    /// The same interest, and the peer's close.
     #[must_use]
     pub const fn with_peer_close(self) -> Self {
         Self { peer_close: true, ..self }
@@ -57,9 +58,9 @@
 pub struct Ready {
     /// The token of its registration.
     pub token: u64,
-    /// It can be read, or a read reports the end of the stream or an error.
+    /// A read does not block: it returns bytes, the end of the stream or an error.
     pub read: bool,
-    /// It can be written.
+    /// A write does not block.
     pub write: bool,
     /// Both directions are closed, or the connection failed.
     pub broken: bool,
@@ -108,11 +109,11 @@
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
-    /// Waits until a descriptor is ready or `timeout` has passed. A signal ends the wait; what is ready by then is still
-    /// reported, so that no timer runs ahead of it.
+    /// Waits until a descriptor is ready or `timeout` has passed. A signal ends the wait; descriptors that are ready by
+    /// then are still reported, so that the caller does not handle a timer before them.
     ///
-    /// Up to `MAX_EVENTS` (1,024) descriptors are reported at once. A host that handles closed connections first, or
-    /// before timers, does so only among these: where more are ready, a later wait reports the others.
+    /// At most `MAX_EVENTS` (1,024) descriptors are reported; a later wait reports the others. A caller that handles
+    /// closed connections first, or before timers, can do so only among the reported ones.
     ///
     /// # Errors
     /// When the system fails.
@@ -154,7 +155,7 @@
 pub struct Waker(std::os::unix::net::UnixStream);
 
 impl Waker {
-    /// A waker and the descriptor to register; the bytes read from it carry no meaning.
+    /// A waker, and the socket to register with the poller. The bytes received on it have no meaning.
     ///
     /// # Errors
     /// When the system has no descriptor left.
@@ -165,7 +166,7 @@
         Ok((Self(ours), theirs))
     }
 
-    /// Wakes the poller; a full pipe wakes it as well.
+    /// Wakes the poller. If the send buffer is full, unread bytes wake the poller already.
     pub fn wake(&self) {
         let _ = io::Write::write(&mut &self.0, &[1]);
     }
