--- a/crates/event-loop/src/socket.rs
+++ b/crates/event-loop/src/socket.rs
@@ -6,14 +6,14 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 
-/// The state of one direction of a socket.
+/// The state of a stream after a read or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// It is open.
+    /// The stream is open.
     Open,
-    /// The peer closed it in order.
+    /// The peer has closed its side: the end of the stream.
     Ended,
-    /// It failed.
+    /// The connection has failed.
     Broken,
 }
 
@@ -29,19 +29,19 @@
     written: usize,
 }
 
-/// Bytes that one read asks for. An empty receive buffer that has grown beyond it is freed.
+/// The most bytes that one read receives. An empty receive buffer with a larger capacity is freed.
 const READ_BYTES: usize = 16 << 10;
-/// A send buffer that has grown beyond this is freed once all of it is written; before that, its written bytes are
-/// removed once they are more than this.
+/// A send buffer with a larger capacity is freed once all of it is written. Until then, written bytes are removed from
+/// its front once they exceed this size.
 const MAX_KEPT_OUTPUT_BYTES: usize = 4 * READ_BYTES;
-/// Connections that the system keeps for a listener until they are accepted.
+/// The most established connections that wait to be accepted by a listener.
 const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
 impl Socket {
     /// Wraps a connected stream.
     ///
     /// # Errors
-    /// When it cannot be made non-blocking.
+    /// When the stream cannot be made non-blocking.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         // Responses are written at once: Nagle's algorithm would only add latency.
@@ -49,8 +49,8 @@
         Ok(Self { stream, input: Vec::new(), output: Vec::new(), written: 0 })
     }
 
-    /// Reads once, so that one peer does not delay the others. Returns how many bytes arrived and the state of the
-    /// stream.
+    /// Reads once, so that a peer that sends much does not delay the others. Returns the number of bytes received and
+    /// the state of the stream.
     pub fn read(&mut self) -> (usize, Flow) {
         let buffered = self.input.len();
         self.input.resize(buffered + READ_BYTES, 0);
@@ -91,7 +91,7 @@
         self.output.len() - self.written
     }
 
-    /// Writes as much as the system takes.
+    /// Writes as much of the send buffer as the system accepts.
     pub fn flush(&mut self) -> Flow {
         while self.written < self.output.len() {
             count(|c| c.writes += 1);
@@ -117,20 +117,21 @@
         Flow::Open
     }
 
-    /// Makes the close a reset, so that the peer cannot take a truncated response for a complete one.
+    /// Makes closing the socket reset the connection, so that the peer cannot mistake a truncated response for a
+    /// complete one.
     pub fn reset_on_close(&self) {
         let _ = sockopt::set_socket_linger(&self.stream, Some(std::time::Duration::ZERO));
     }
 
-    /// Closes the sending direction: the peer reads what was written and then the end of the stream.
+    /// Closes the sending side: the peer reads all written bytes and then the end of the stream.
     pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Completes a connect that was in progress; called once the socket can be written.
+    /// Completes a connection attempt; to be called once the socket can be written.
     ///
     /// # Errors
-    /// When the connection could not be made.
+    /// When the connection could not be established.
     pub fn finish_connect(&self) -> io::Result<()> {
         match sockopt::socket_error(&self.stream)? {
             Ok(()) => Ok(()),
@@ -153,10 +154,10 @@
     }
 }
 
-/// Starts to connect; the socket can be written once the connection is made.
+/// Starts a connection attempt; the socket can be written once the connection is established.
 ///
 /// # Errors
-/// When the system refuses to start.
+/// When the connection attempt cannot be started.
 pub fn connect(address: SocketAddr) -> io::Result<Socket> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -182,7 +183,7 @@
     limit.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
-/// A non-blocking listener; port 0 takes a free port.
+/// A non-blocking listener; for port 0 the system chooses a free port.
 ///
 /// # Errors
 /// When the address cannot be bound.
