--- a/crates/event-loop/src/system_calls.rs
+++ b/crates/event-loop/src/system_calls.rs
@@ -1,8 +1,9 @@
-//! System calls made by the event loop of this thread, by kind: the cost of a request is measured with them.
+//! Counts of the system calls that this thread's event loop makes, by kind. They serve to measure the cost of a
+//! request.
 
 use std::cell::Cell;
 
-/// System calls of one thread.
+/// The number of system calls of one thread, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SystemCalls {
     /// Reads from sockets.
@@ -13,7 +14,7 @@
     pub waits: u64,
     /// Registrations with the poller, and their changes and removals.
     pub registrations: u64,
-    /// Connects started.
+    /// Connection attempts started.
     pub connects: u64,
 }
 
