--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers in a heap. A timer cannot be cancelled: its owner ignores one that has become irrelevant.
+//! Timers in a heap. A timer cannot be cancelled: its owner ignores it when it expires and is no longer needed.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Timers in order of their deadlines; those with the same deadline in the order in which they were set.
+/// Timers in order of their deadlines; timers with the same deadline in the order in which they were scheduled.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
@@ -44,7 +44,7 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer for `deadline`.
+    /// Schedules a timer; `value` is returned when it has expired.
     pub fn schedule(&mut self, deadline: f64, value: T) {
         self.sequence += 1;
         self.heap.push(Reverse(Entry { deadline, sequence: self.sequence, value }));
@@ -56,7 +56,7 @@
         self.heap.peek().map(|e| e.0.deadline)
     }
 
-    /// Removes and returns the earliest timer if its deadline has passed.
+    /// Removes the earliest timer if its deadline has passed, and returns its value.
     pub fn pop_expired(&mut self, now: f64) -> Option<T> {
         if self.next_deadline()? <= now { self.heap.pop().map(|e| e.0.value) } else { None }
     }
