--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,4 +1,4 @@
-//! The incremental decoder: the parts of the messages on one connection, in one direction.
+//! The incremental decoder of the messages on one connection, in one direction.
 
 mod chunk;
 mod framing;
@@ -29,32 +29,32 @@
     End,
 }
 
-/// What is read next.
+/// The element that is read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    /// A body with a Content-Length, of which these bytes remain.
+    /// A body with a Content-Length, of which this many bytes remain.
     Body(u64),
     /// A body that ends with the connection.
     BodyUntilClose,
-    /// The line with a chunk's size.
+    /// The size line of a chunk.
     ChunkSize,
-    /// A chunk's data, of which these bytes remain.
+    /// A chunk's data, of which this many bytes remain.
     ChunkData(u64),
-    /// The CRLF behind a chunk's data.
+    /// The CRLF after a chunk's data.
     ChunkDataEnd,
     /// A line of the trailer section.
     Trailer,
     End,
 }
 
-/// The result of reading in one [`State`].
+/// The result of one step of the decoder.
 enum Step<'a> {
     /// The next element is not complete; nothing was consumed.
     NeedsInput,
-    /// This many bytes were consumed and are not part of the result.
+    /// This many bytes were consumed that are not returned as a part.
     Skipped(usize),
-    /// This many bytes were consumed and are a part of the message.
+    /// This many bytes were consumed as this part of the message.
     Part(usize, Part<'a>),
 }
 
@@ -65,9 +65,9 @@
     limits: Limits,
     state: State,
     head: HeadReader,
-    /// The lines of a chunked body.
+    /// Reads the size lines and trailer lines of a chunked body.
     line: LineReader,
-    /// Bytes of the body so far, those of the current chunk included.
+    /// The size of the body so far in bytes, including the whole current chunk.
     body_bytes: u64,
     /// Bytes of the trailer section so far.
     trailer_bytes: usize,
@@ -91,24 +91,24 @@
         }
     }
 
-    /// Notes that the next final response answers a HEAD request: it has no body, whatever its fields say.
+    /// Tells the decoder that the next final response answers a HEAD request: it has no body, whatever its fields say.
     pub fn next_has_no_body(&mut self) {
         self.answers_head = true;
     }
 
-    /// Whether a message has begun and not ended; `has_unconsumed` says whether unconsumed bytes are buffered.
+    /// Whether a message has begun but not ended; `has_unconsumed` says whether unconsumed bytes are buffered.
     #[must_use]
     pub fn in_message(&self, has_unconsumed: bool) -> bool {
         has_unconsumed || self.state != State::Head
     }
 
-    /// Decodes the next part of a message: how many bytes were consumed, and the part, or `None` until more input
-    /// arrives.
+    /// Decodes the next part of a message. Returns the number of consumed bytes and the part, or `None` if more input
+    /// is needed.
     ///
-    /// Bytes that were not consumed must be passed again, in front of those that follow.
+    /// Bytes that were not consumed must be passed again, followed by the bytes received since.
     ///
     /// # Errors
-    /// When the message is malformed or passes a limit; the decoder must not be used again.
+    /// When the message is malformed or exceeds a limit; the decoder must not be used again.
     pub fn decode<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Part<'a>>), Error> {
         let mut consumed = 0;
         loop {
@@ -120,11 +120,11 @@
         }
     }
 
-    /// Notes that the connection closed behind the decoded bytes; `has_unconsumed` says whether unconsumed bytes are
-    /// buffered. Returns whether that completed a message; `false` means that none had begun.
+    /// Tells the decoder that the connection has closed; `has_unconsumed` says whether unconsumed bytes are buffered.
+    /// Returns whether the close completed a message; `false` means that no message had begun.
     ///
     /// # Errors
-    /// When the message was cut short.
+    /// When the message is incomplete.
     pub fn closed(&mut self, has_unconsumed: bool) -> Result<bool, Error> {
         match self.state {
             State::BodyUntilClose => {
@@ -169,7 +169,7 @@
         Ok(Step::Part(consumed, Part::Head(Box::new(head))))
     }
 
-    /// The state behind a head.
+    /// The state after a head.
     fn body_state(&self, framing: Framing) -> Result<State, Error> {
         match framing {
             Framing::Length(length) if length > self.limits.body => Err(Error::BodyTooLarge),
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Reads data of which `remaining` bytes, at least one, are still to come; `partial` is the state with the bytes
-    /// that remain then, `complete` the state behind the last one.
+    /// Reads data of which `remaining` bytes, at least one, are not read yet. `partial` makes the state while bytes
+    /// remain, `complete` is the state after the last byte.
     fn read_data<'a>(
         &mut self, input: &'a [u8], remaining: u64, partial: fn(u64) -> State, complete: State,
     ) -> Step<'a> {
@@ -202,7 +202,7 @@
         Ok(Step::Part(input.len(), Part::Data(input)))
     }
 
-    /// Reads the line in front of a chunk's data. The size counts against the limit before its data arrives.
+    /// Reads the size line of a chunk. The size counts towards the limit of the body before the data arrives.
     fn read_chunk_size<'a>(&mut self, input: &[u8]) -> Result<Step<'a>, Error> {
         let Some(line) = self.line.read(input, chunk::MAX_SIZE_LINE_BYTES, Error::MalformedChunk)? else {
             return Ok(Step::NeedsInput);
