--- a/crates/http/src/decode/chunk.rs
+++ b/crates/http/src/decode/chunk.rs
@@ -4,7 +4,7 @@
 
 /// The longest size line in bytes, with its extensions and without its CRLF.
 pub(super) const MAX_SIZE_LINE_BYTES: usize = 256;
-/// The most hexadecimal digits of a size, leading zeros included; so many always fit 64 bits.
+/// The most hexadecimal digits of a size, including leading zeros; 15 digits always fit into 64 bits.
 const MAX_SIZE_DIGITS: usize = 15;
 
 /// The size of a chunk in bytes. Extensions (RFC 9112 section 7.1.1) are ignored.
