--- a/crates/http/src/decode/framing.rs
+++ b/crates/http/src/decode/framing.rs
@@ -7,8 +7,8 @@
 /// How the length of the body is determined; `answers_head` says that the message is the response to a HEAD request.
 ///
 /// # Errors
-/// When recipients could disagree about the length, when the transfer coding is unknown, and when a request's Host field
-/// is missing or repeated (RFC 9112 section 3.2).
+/// When recipients could disagree about the length, when the transfer coding is unknown, and when a request's Host
+/// field is missing or repeated (RFC 9112 section 3.2).
 pub(super) fn message_framing(head: &Head, role: Role, answers_head: bool) -> Result<Framing, Error> {
     check_framing_fields(head)?;
     let length = content_length(head)?;
@@ -28,7 +28,7 @@
     })
 }
 
-/// Whether the connection persists behind the message (RFC 9112 section 9.3).
+/// Whether the connection persists after the message (RFC 9112 section 9.3).
 pub(super) fn is_persistent(head: &Head) -> bool {
     if head.has_token("connection", "close") || head.framing == Framing::Close {
         return false;
@@ -36,7 +36,8 @@
     head.minor == 1 || head.has_token("connection", "keep-alive")
 }
 
-/// Rejects all but one Content-Length or one Transfer-Encoding, and transfer codings in version 1.0, which has none.
+/// Allows at most one field out of Content-Length and Transfer-Encoding, and no Transfer-Encoding in version 1.0, which
+/// does not define it.
 fn check_framing_fields(head: &Head) -> Result<(), Error> {
     let transfer_encodings = head.count("transfer-encoding");
     let framing_fields = head.count("content-length") + transfer_encodings;
@@ -46,7 +47,8 @@
     Ok(())
 }
 
-/// The value of Content-Length. Only digits are accepted: recipients read a sign, white space or a list differently.
+/// The value of Content-Length. Only digits are accepted, because recipients interpret a sign, white space or a list
+/// differently.
 fn content_length(head: &Head) -> Result<Option<u64>, Error> {
     let Some(value) = head.field("content-length") else { return Ok(None) };
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
