--- a/crates/http/src/decode/head.rs
+++ b/crates/http/src/decode/head.rs
@@ -1,4 +1,5 @@
-//! The head of a message: its extent, limits, start line and field lines (RFC 9112 sections 2 to 5).
+//! Decoding the head of a message: finding its end, checking its limits, and parsing its start line and field lines
+//! (RFC 9112 sections 2 to 5).
 
 use super::Role;
 use super::line::{LINE_END_BYTES, LineFeedSearch};
@@ -8,20 +9,20 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeadReader {
     search: LineFeedSearch,
-    /// Where the lines of the head end so far, their CRLF excluded.
+    /// The end of each line of the head found so far, without its CRLF.
     line_ends: Vec<usize>,
 }
 
 impl HeadReader {
-    /// The head at the start of the unconsumed input and how many bytes it consumed, or `None` until its end arrives.
-    /// The framing and the persistence of the connection are not determined yet.
+    /// The head at the start of the unconsumed input and the number of bytes that it takes, or `None` if its end has
+    /// not arrived. The framing and the persistence of the connection are not determined here.
     ///
     /// # Errors
-    /// When a line is malformed or a limit is passed; limits show before the end of the head arrives.
+    /// When a line is malformed or a limit is exceeded; limits are checked before the end of the head arrives.
     pub(super) fn read(
         &mut self, input: &[u8], role: Role, limits: &Limits,
     ) -> Result<Option<(usize, Head)>, Error> {
-        // An empty line before a request is allowed (RFC 9112 section 2.2), here once for each message.
+        // An empty line before a request is ignored (RFC 9112 section 2.2); more than one is an error.
         let has_empty_line = role == Role::Requests && input.starts_with(b"\r\n");
         let skipped = if has_empty_line { LINE_END_BYTES } else { 0 };
         let input = &input[skipped..];
@@ -32,7 +33,7 @@
         Ok(Some((skipped + length, head)))
     }
 
-    /// Finds the ends of the lines up to the empty one: the length of the head with its last CRLF.
+    /// Finds the ends of the lines up to the empty line. Returns the length of the head, including the empty line.
     fn find_end(&mut self, input: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
         loop {
             let line_start = self.line_ends.last().map_or(0, |end| end + LINE_END_BYTES);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Checks the head against the limits when its last line so far starts and ends at these positions.
+    /// Checks the head against the limits; its last line so far starts and ends at these positions.
     fn check_limits(&self, line_start: usize, line_end: usize, limits: &Limits) -> Result<(), Error> {
         let is_start_line = line_start == 0;
         if is_start_line && line_end > limits.line {
@@ -123,7 +124,7 @@
     Ok(StartLine { method, target, status: 0, version })
 }
 
-/// `VERSION SP STATUS [SP REASON]` (RFC 9112 section 4); a status has three digits, the first of them not 0.
+/// `VERSION SP STATUS [SP REASON]` (RFC 9112 section 4). A status code has three digits and is at least 100.
 fn parse_status_line(text: &str) -> Result<StartLine<'_>, Error> {
     let mut elements = text.splitn(3, ' ');
     let version = elements.next().unwrap_or("");
@@ -152,8 +153,8 @@
     let colon = line.iter().position(|byte| *byte == b':').ok_or(Error::MalformedField)?;
     let name = &line[..colon];
     let value = &line[colon + 1..];
-    // This also rejects white space in front of the name, which is a folded line (RFC 9112 section 5.2), and between
-    // the name and the colon (section 5.1).
+    // This also rejects white space before the name, which is a folded line (RFC 9112 section 5.2), and white space
+    // between the name and the colon (section 5.1).
     if !is_token(name) {
         return Err(Error::MalformedField);
     }
