--- a/crates/http/src/decode/line.rs
+++ b/crates/http/src/decode/line.rs
@@ -1,19 +1,20 @@
-//! Lines that end in CRLF, in input that is passed again with more behind it.
+//! Lines that end in CRLF, in input whose unconsumed bytes are passed again, followed by more.
 
 use crate::Error;
 
-/// Bytes of the CRLF behind a line.
+/// The length of the CRLF at the end of a line, in bytes.
 pub(super) const LINE_END_BYTES: usize = 2;
 
-/// Finds line feeds so that no byte is searched twice, also when the input arrives a byte at a time.
+/// Finds line feeds without searching a byte twice, even if the input arrives one byte at a time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LineFeedSearch {
-    /// Bytes at the start of the unconsumed input in which the search is complete.
+    /// The number of bytes at the start of the unconsumed input that have been searched.
     searched: usize,
 }
 
 impl LineFeedSearch {
-    /// The position of the next line feed in the unconsumed input. Without one, the next search continues behind it.
+    /// The position of the next line feed in the unconsumed input. If there is none, the next search continues after
+    /// the present input.
     pub(super) fn find(&mut self, input: &[u8]) -> Option<usize> {
         let start = self.searched.min(input.len());
         let offset = input[start..].iter().position(|byte| *byte == b'\n');
@@ -36,10 +37,10 @@
 }
 
 impl LineReader {
-    /// The line at the start of the unconsumed input, without its CRLF, or `None` until its end arrives.
+    /// The line at the start of the unconsumed input, without its CRLF, or `None` if its end has not arrived.
     ///
     /// # Errors
-    /// `too_long` when the line, without its CRLF, is longer than `max_bytes`; that shows before its end arrives.
+    /// `too_long` when the line, without its CRLF, is longer than `max_bytes`; this is checked before its end arrives.
     pub(super) fn read<'a>(
         &mut self, input: &'a [u8], max_bytes: usize, too_long: Error,
     ) -> Result<Option<&'a [u8]>, Error> {
