--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,10 +1,10 @@
-//! Encodes messages. Carriage returns and line feeds in field values are left out, so that no value can begin a line of
-//! its own (response splitting, RFC 9112 section 11.1).
+//! Encodes messages. Carriage returns and line feeds are removed from field values, so that a value cannot start a new
+//! line (response splitting, RFC 9112 section 11.1).
 
 use crate::Framing;
 use std::io::Write;
 
-// `write!` to a Vec cannot fail: its results are dropped.
+// Writing to a `Vec` cannot fail, so the results of `write!` are ignored.
 
 fn encode_fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
     for (name, value) in fields {
@@ -15,7 +15,7 @@
     }
 }
 
-/// Appends a complete request with its body. Content-Length is added to the fields.
+/// Appends a complete request with its body. The Content-Length field is added.
 pub fn request(out: &mut Vec<u8>, method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) {
     let _ = write!(out, "{method} {target} HTTP/1.1\r\n");
     encode_fields(out, fields);
@@ -23,8 +23,8 @@
     out.extend_from_slice(body);
 }
 
-/// Appends the head of a response. The field that `framing` needs is added to the fields; [`Framing::Close`] is for
-/// clients of version 1.0, which do not know chunked transfer coding.
+/// Appends the head of a response. The field that `framing` needs is added. [`Framing::Close`] is for HTTP/1.0 clients,
+/// which do not support the chunked transfer coding.
 pub fn response_head(out: &mut Vec<u8>, status: u16, fields: &[(&str, &str)], framing: Framing) {
     let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     encode_fields(out, fields);
@@ -36,7 +36,7 @@
     }
 }
 
-/// Appends one chunk (RFC 9112 section 7.1), or nothing if `data` is empty: a chunk of size 0 ends the body.
+/// Appends one chunk (RFC 9112 section 7.1), or nothing if `data` is empty, because a chunk of size 0 ends the body.
 pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
     if !data.is_empty() {
         let _ = write!(out, "{:x}\r\n", data.len());
