--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,6 +1,6 @@
-//! Why a message is rejected, and the status code that says so.
+//! The reasons to reject a message, and their status codes.
 
-/// Why a message cannot be decoded. The connection must be closed.
+/// The reason why a message cannot be decoded. The connection must be closed.
 ///
 /// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -17,8 +17,8 @@
     /// A field line is malformed, folded or has white space before its colon.
     #[error("malformed field line")]
     MalformedField,
-    /// More than one of Content-Length and Transfer-Encoding, a length that is not a number, or a message that the end
-    /// of the connection cut short.
+    /// More than one of Content-Length and Transfer-Encoding, Transfer-Encoding in version 1.0, a length that is not a
+    /// number, or a connection that closed before the end of a message.
     #[error("the message's length is ambiguous")]
     InvalidFraming,
     /// A transfer coding other than chunked.
@@ -27,17 +27,17 @@
     /// A request of version 1.1 without a Host field, or one with several.
     #[error("a request needs exactly one host field")]
     InvalidHost,
-    /// A chunk's size line is malformed, or no CRLF follows a chunk's data.
+    /// A chunk's size line is malformed or too long, or no CRLF follows a chunk's data.
     #[error("malformed chunk")]
     MalformedChunk,
-    /// The start line passes [`Limits::line`](crate::Limits::line).
+    /// The start line exceeds [`Limits::line`](crate::Limits::line).
     #[error("the start line is too long")]
     StartLineTooLong,
-    /// The head or the trailer section passes [`Limits::head`](crate::Limits::head), or the head passes
+    /// The head or the trailer section exceeds [`Limits::head`](crate::Limits::head), or the head exceeds
     /// [`Limits::fields`](crate::Limits::fields).
     #[error("the head is too large")]
     HeadTooLarge,
-    /// The body passes [`Limits::body`](crate::Limits::body).
+    /// The body exceeds [`Limits::body`](crate::Limits::body).
     #[error("the body is too large")]
     BodyTooLarge,
 }
