--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 messages (RFC 9112) in both directions: incremental decoding and encoding, without I/O.
 //!
-//! A [`Decoder`] is passed all bytes that are not yet consumed and returns how many it consumed and which [`Part`] of a
-//! message they were. It keeps no copy of the input, so a message costs the memory of its head only. Messages on whose
-//! end two parsers could disagree (request smuggling, RFC 9112 section 11.2) are errors that end the connection; they
-//! are never repaired.
+//! The caller passes all bytes that are not yet consumed to a [`Decoder`], which returns the number of consumed bytes
+//! and the [`Part`] of a message that they encode. The decoder keeps no copy of the input, so its memory for a message
+//! is that of the head. A message whose end two parsers could determine differently (request smuggling, RFC 9112
+//! section 11.2) is an error that ends the connection; it is never repaired.
 
 mod decode;
 mod encode;
