--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,15 +1,16 @@
 //! The head of a message, the framing of its body and the limits on both.
 
-/// Limits on one message. A peer that passes one is sent the status code of [`Error::status`](crate::Error::status).
+/// Limits on one message. A server answers a request that exceeds one with the status code of
+/// [`Error::status`](crate::Error::status).
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the start line, without its CRLF.
+    /// The longest start line in bytes, without its CRLF.
     pub line: usize,
-    /// Bytes of the head, without its last CRLF; also bytes of the trailer section.
+    /// The longest head in bytes, without its last CRLF; also the longest trailer section.
     pub head: usize,
-    /// Header fields.
+    /// The most header fields.
     pub fields: usize,
-    /// Bytes of the body after decoding.
+    /// The longest body in bytes, without the chunk framing.
     pub body: u64,
 }
 
@@ -24,7 +25,7 @@
 pub enum Framing {
     /// There is no body.
     None,
-    /// A number of bytes, from Content-Length.
+    /// The number of bytes that Content-Length states.
     Length(u64),
     /// Chunked transfer coding.
     Chunked,
@@ -52,14 +53,14 @@
 }
 
 impl Head {
-    /// The value of the first field with a name, which must be in lower case.
+    /// The value of the first field with this name, which must be in lower case.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(field_name, _)| field_name == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether a field whose value is a comma-separated list has a token as a member, in any case. The name must be in
-    /// lower case.
+    /// Whether the comma-separated list in a field with this name contains a token, compared without regard to case.
+    /// The name must be in lower case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let mut lists = self.fields.iter().filter(|(field_name, _)| field_name == name);
@@ -77,7 +78,7 @@
         (100..200).contains(&self.status)
     }
 
-    /// How many field lines have a name, which must be in lower case.
+    /// The number of field lines with this name, which must be in lower case.
     pub(crate) fn count(&self, name: &str) -> usize {
         self.fields.iter().filter(|(field_name, _)| field_name == name).count()
     }
