--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -10,7 +10,7 @@
     body: Vec<u8>,
 }
 
-/// Decodes the pieces as from a connection and collects the complete messages.
+/// Decodes the pieces in the order in which a connection would deliver them, and collects the complete messages.
 fn decode_all(role: Role, limits: Limits, pieces: &[&[u8]]) -> Result<Vec<Message>, Error> {
     let mut decoder = Decoder::new(role, limits);
     let mut unconsumed = Vec::new();
