--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin socket: JSON-RPC 2.0 over a Unix socket, one object a line. It parses calls and writes replies; what a call
-//! does is the event loop's concern.
+//! The admin socket: JSON-RPC 2.0 over a Unix socket, one object per line. This module parses calls and writes replies;
+//! the event loop executes the calls.
 
 mod protocol;
 
@@ -20,16 +20,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The longest line of a call, in bytes.
+/// The longest input that is buffered for a connection, in bytes, and so the longest call.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Bytes read from a connection at a time.
+/// The most bytes that one read receives.
 const READ_BYTES: usize = 4096;
 /// The most listening sockets that a takeover passes.
 pub(crate) const MAX_PASSED_LISTENERS: usize = 32;
-/// How long the loop waits for a client that does not read its reply.
+/// How long the event loop waits for a client that does not read its reply.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A call, and where its reply goes.
+/// A call, and the connection and id for its reply.
 #[derive(Debug)]
 pub(crate) struct AdminCall {
     pub slot: usize,
@@ -45,17 +45,17 @@
     input: Vec<u8>,
     /// The id of the takeover call, which is answered later.
     takeover_id: Value,
-    /// Whether the end of this connection ends a takeover.
+    /// Whether a takeover fails if this connection ends.
     takes_over: bool,
 }
 
-/// A connection that waits for the settings to be read, and the id of its call.
+/// A call that waits for a reload: its connection and its id.
 #[derive(Debug)]
 pub(crate) struct ReloadWaiter {
     slot: usize,
     generation: u32,
     id: Value,
-    /// Whether only the difference is asked for.
+    /// Whether the call only requests the differences.
     pub dry_run: bool,
 }
 
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(crate) struct ReloadReply {
     pub waiter: ReloadWaiter,
-    /// The difference between the settings, or why they are not reloaded.
+    /// The differences between the settings, or the reason why they are not reloaded.
     pub outcome: Result<Change, String>,
 }
 
@@ -73,24 +73,23 @@
     listener: UnixListener,
     path: PathBuf,
     connections: slab::Slab<AdminConnection>,
-    /// Calls that wait to be carried out.
+    /// Calls that are not executed yet, in order.
     pub calls: VecDeque<AdminCall>,
-    /// A new process has bound the path since: it is not ours to remove.
+    /// Whether a new process has bound the path: the socket there belongs to it and must not be removed.
     handed_over: bool,
 }
 
 impl Admin {
-    /// Binds the socket and registers it.
+    /// Binds the socket and registers it. A socket that a dead process left behind is replaced.
     ///
     /// # Errors
-    /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it. A
-    /// socket that is left over from a dead process is replaced.
+    /// When the path cannot be bound, or a running gateway answers there and this one does not take over from it.
     pub(crate) fn bind(io: &Io, path: &Path, taking_over: bool) -> anyhow::Result<Self> {
         if path.exists() {
             let alive = UnixStream::connect(path).is_ok();
             anyhow::ensure!(!alive || taking_over, "{}: another gateway answers there", path.display());
         }
-        // Bound at another path and renamed: a client finds the old socket or the new one.
+        // The socket is bound at another path and renamed, so that a client finds either the old socket or the new one.
         let temporary = crate::state_file::temporary_path(path);
         let _ = std::fs::remove_file(&temporary);
         let listener = UnixListener::bind(&temporary).with_context(|| temporary.display().to_string())?;
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Reads the calls of a connection; those that are valid wait in `calls`.
+    /// Reads the calls of a connection and adds the valid ones to `calls`.
     pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
@@ -180,7 +179,7 @@
         }
     }
 
-    /// Closes the connection of a process that did not become ready.
+    /// Closes the connection of a new process that did not become ready in time.
     pub(crate) fn disconnect(&mut self, peer: u64) {
         drop(self.connections.try_remove(peer as usize));
     }
@@ -188,7 +187,7 @@
     fn write(&mut self, slot: usize, reply: &Value) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let line = encode_line(reply);
-        // A terminal reads at once; a client that does not is waited for only briefly.
+        // The write blocks for a limited time, because most clients read their reply at once.
         let _ = connection.stream.set_nonblocking(false);
         let _ = connection.stream.set_write_timeout(Some(WRITE_TIMEOUT));
         let written = connection.stream.write_all(&line);
@@ -203,18 +202,18 @@
         self.write(slot, &result_reply(id, value));
     }
 
-    /// Replies that the parameters of a call name nothing that exists.
+    /// Replies that the parameters of a call are invalid.
     pub(crate) fn reply_invalid_params(&mut self, slot: usize, id: &Value, message: &str) {
         self.write(slot, &error_reply(id, ErrorCode::InvalidParams, message));
     }
 
-    /// The waiter of a call for a reload; `None` where its connection is closed.
+    /// The waiter for a reload call; `None` if its connection is closed.
     pub(crate) fn reload_waiter(&self, slot: usize, id: Value, dry_run: bool) -> Option<ReloadWaiter> {
         let generation = self.connections.get(slot)?.generation;
         Some(ReloadWaiter { slot, generation, id, dry_run })
     }
 
-    /// Replies to a call for a reload, if its connection is still open.
+    /// Replies to a reload call, if its connection is still open.
     pub(crate) fn reply_reload(&mut self, reload: &ReloadReply) {
         let ReloadWaiter { slot, generation, id, .. } = &reload.waiter;
         if self.connections.get(*slot).is_none_or(|c| c.generation != *generation) {
@@ -227,7 +226,7 @@
         self.write(*slot, &reply);
     }
 
-    /// Replies to a takeover call that its process may not take over, and why.
+    /// Replies to a takeover call that the takeover is refused, and why.
     pub(crate) fn refuse_takeover(&mut self, peer: u64, message: &str) {
         let slot = peer as usize;
         let Some(connection) = self.connections.get_mut(slot) else { return };
