--- a/crates/http-gateway/src/admin/protocol.rs
+++ b/crates/http-gateway/src/admin/protocol.rs
@@ -1,8 +1,8 @@
-//! JSON-RPC 2.0 on the admin socket: method names, parameters and error codes. They are a stable format.
+//! JSON-RPC 2.0 on the admin socket: method names, parameters and error codes, which are a stable format.
 
 use serde_json::{Value, json};
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Debug, PartialEq)]
 pub(crate) enum AdminRequest {
     Status,
@@ -25,15 +25,15 @@
     Reload {
         dry_run: bool,
     },
-    /// A new process asks for the listening sockets.
+    /// A new process requests the listening sockets.
     TakeOver,
-    /// The new process serves.
+    /// The new process is ready to serve.
     TakeoverReady,
     /// The connection of the new process is lost.
     TakeoverFailed,
 }
 
-/// A call that cannot be carried out.
+/// The reason why a call is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
     #[error("params.name is needed, a node's name")]
@@ -50,7 +50,7 @@
     ParseError,
     MethodNotFound,
     InvalidParams,
-    /// Asked for and refused; in the range for servers' own codes.
+    /// The call is valid but refused. The number is in the range that JSON-RPC reserves for servers.
     Refused,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// The request of a call.
+/// Parses a call.
 pub(super) fn parse(call: &Value) -> Result<AdminRequest, CallError> {
     let params = &call["params"];
     match call["method"].as_str().unwrap_or("") {
