--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -1,6 +1,6 @@
-//! Connections to backends, with a pool of idle ones for each backend.
+//! Connections to backends, and a pool of idle connections for each backend.
 //!
-//! What happens on a connection is read event by event ([`Backends::next_event`]), so that the reader may close the
+//! The event loop takes the events of a connection one by one ([`Backends::next_event`]), so that it may close the
 //! connection between two events.
 
 mod connection;
@@ -17,7 +17,7 @@
 use slab::Slab;
 use std::collections::BTreeMap;
 
-/// The connections to one backend that carry no request, the one used last at the end.
+/// The idle connections to one backend, the most recently used one at the end.
 #[derive(Debug)]
 struct ConnectionPool {
     endpoint: EndpointIdentity,
@@ -39,8 +39,8 @@
 }
 
 impl Backends {
-    /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the backends
-    /// whose endpoint is unchanged.
+    /// Applies an endpoint list, and closes idle connections to endpoints that are no longer listed. Returns the names
+    /// of the backends whose endpoint is unchanged.
     pub(crate) fn update_endpoints(&mut self, nodes: &[Node]) -> Vec<Name> {
         let mut old_pools = std::mem::take(&mut self.pools);
         let mut unchanged = Vec::new();
@@ -65,8 +65,8 @@
         unchanged
     }
 
-    /// Starts an attempt on an idle connection, or on a new one where none is idle. `None` where the backend is not listed
-    /// or no connection can be opened.
+    /// Starts an attempt on an idle connection, or on a new one if none is idle. Returns `None` if the backend is not
+    /// listed or no connection can be opened.
     pub(crate) fn send_request(
         &mut self, io: &mut Io, limits: &Limits, id: RequestId, backend: &Name, outgoing: &BackendRequest<'_>,
     ) -> Option<ConnectionId> {
@@ -115,7 +115,7 @@
         Ok(slot)
     }
 
-    /// Reads what a connection is ready for; [`Self::next_event`] reports it.
+    /// Handles the readiness of a connection; [`Self::next_event`] then returns the events.
     pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
         let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
         let Some(connection) = known else { return };
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The next event of a connection, and the request that it belongs to. `None`: no more for now.
+    /// The next event of a connection, and the id of its request; `None` if there is no further event for now.
     pub(crate) fn next_event(
         &mut self, io: &mut Io, limits: &Limits, slot: usize, generation: u32,
     ) -> Option<(RequestId, AttemptEvent)> {
@@ -142,14 +142,15 @@
                 return Some((id, event));
             }
         } else if connection.input_pending && !connection.socket.input.is_empty() {
-            // More bytes than the response has: nothing on this connection can be trusted.
+            // Bytes after the end of the response: a later response on this connection could not be trusted.
             self.close(slot);
         }
         self.update_registration(io, slot);
         None
     }
 
-    /// The next event of a response, out of the input read so far. A connection whose response is complete is released.
+    /// The next event of a response, decoded from the input read so far. A connection whose response is complete is
+    /// released.
     fn next_response_event(&mut self, io: &mut Io, limits: &Limits, slot: usize) -> Option<AttemptEvent> {
         match self.connections.get_mut(slot)?.decode() {
             Decoded::Event(event) => {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Returns a connection to its pool where it may carry another request; closes it otherwise.
+    /// Returns a connection to its pool if it may carry another request; closes it otherwise.
     fn release(&mut self, io: &mut Io, limits: &Limits, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let reusable = connection.finish_request(io.now() + limits.node_idle_time);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// The idle timeout of a connection may have passed.
+    /// Closes a connection if its idle timeout has passed.
     pub(crate) fn handle_idle_timeout(&mut self, io: &Io, slot: usize, generation: u32) {
         let now = io.now();
         if self.connections.get(slot).is_some_and(|c| c.is_idle_timeout(generation, now)) {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Closes a connection, whatever it carries.
+    /// Closes a connection, idle or not.
     pub(crate) fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         if let Some(pool) = self.pools.get_mut(&connection.backend) {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Stops reading a response until its client has read, or resumes.
+    /// Pauses reading from a connection while its client has not read enough, or resumes it.
     pub(crate) fn set_paused(&mut self, io: &Io, slot: usize, paused: bool) {
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.paused = paused;
