--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: its socket, what of a request is written and what of the response is decoded.
+//! One connection to a backend: its socket, and the progress of writing a request and decoding the response.
 
 use crate::io::{Io, Token};
 use doorcourse::{Millis, Name, RequestId};
@@ -6,15 +6,15 @@
 use doorcourse_http::{Decoder, Head, Part};
 use std::net::SocketAddr;
 
-/// A connection in the table: its slot, and the generation that distinguishes it from an earlier one of that slot.
+/// A connection in the table: its slot, and the generation that distinguishes it from earlier connections in that slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionId {
     pub slot: usize,
     pub generation: u32,
 }
 
-/// What a connection was opened for. A backend that was restarted or has moved has another identity, so that a connection
-/// to the process or address before is not used for it.
+/// The backend process that a connection was opened to. A backend that was restarted or has another address has another
+/// identity, so that a connection to its former process or address is not used for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndpointIdentity {
     pub address: SocketAddr,
@@ -27,7 +27,7 @@
 pub(crate) enum AttemptEvent {
     /// The connection is established.
     Connected,
-    /// The system took bytes of the request: from now on it may be executed.
+    /// The system accepted bytes of the request: from now on it is possibly executed.
     BytesWritten,
     Head(Box<Head>),
     Data(Vec<u8>),
@@ -35,16 +35,16 @@
     End,
     /// The connection is closed or broken.
     ConnectionLost,
-    /// The response breaks the protocol or a limit.
+    /// The response violates the protocol or exceeds a limit.
     InvalidResponse,
 }
 
-/// What the input read so far decodes to.
+/// The result of decoding the input read so far.
 pub(super) enum Decoded {
     Event(AttemptEvent),
     /// More bytes are needed; the connection is open.
     NeedsInput,
-    /// The peer has closed the connection; whether the response is complete by that.
+    /// The connection has ended. `response_complete`: its end is also the end of the response.
     Closed {
         response_complete: bool,
     },
@@ -57,20 +57,20 @@
     pub backend: Name,
     pub endpoint: EndpointIdentity,
     pub decoder: Decoder,
-    /// The request on it; `None` while it is idle in its pool.
+    /// The request on the connection; `None` while it is idle in its pool.
     pub request: Option<RequestId>,
     pub connecting: bool,
-    /// `Connected` is to be reported next.
+    /// Whether `Connected` is reported next.
     pub connected_pending: bool,
-    /// The socket may take bytes of the request.
+    /// Whether the socket may accept bytes of the request.
     pub write_ready: bool,
-    /// How the last read or write ended.
+    /// The state of the stream after the last read or write.
     pub flow: Flow,
-    /// Bytes, or the end of the connection, wait to be decoded.
+    /// Whether input, or the end of the connection, waits to be decoded.
     pub input_pending: bool,
-    /// How many bytes of the input are decoded.
+    /// The number of bytes of the input that are decoded and not consumed yet.
     pub decoded_bytes: usize,
-    /// Back pressure: the client has to read on first.
+    /// Whether back pressure has paused the connection, until the client has read enough.
     pub paused: bool,
     pub interest: Interest,
     /// When an idle connection is closed.
@@ -79,7 +79,7 @@
 }
 
 impl BackendConnection {
-    /// Starts a request on the connection, whose bytes are in its output.
+    /// Starts a request whose bytes are in the connection's send buffer.
     pub(super) fn start_request(&mut self, id: RequestId) {
         self.request = Some(id);
         self.idle_until = Millis::INFINITY;
@@ -87,8 +87,8 @@
         self.write_ready = !self.connecting;
     }
 
-    /// Reads and records what the socket is ready for. Returns whether the connection has to be closed: an idle one that
-    /// ends, or on which unrequested bytes arrive, is of no further use.
+    /// Reads from the socket and records its readiness. Returns whether the connection has to be closed: an idle
+    /// connection cannot be used any more once it ends or bytes arrive on it.
     pub(super) fn handle_readiness(&mut self, ready: Ready) -> bool {
         if self.connecting {
             if ready.write || ready.broken {
@@ -125,7 +125,7 @@
         self.input_pending = true;
     }
 
-    /// Writes what is left of the request; returns whether the system took bytes.
+    /// Writes the rest of the request. Returns whether the system accepted bytes.
     pub(super) fn flush_request(&mut self) -> bool {
         let before = self.socket.pending();
         if self.socket.flush() == Flow::Broken {
@@ -151,7 +151,7 @@
         Decoded::Closed { response_complete }
     }
 
-    /// One part of the response; also without a byte of input, since a message may be at its end.
+    /// The next part of the response. The end of a message needs no input, so this is called without input as well.
     fn decode_part(&mut self) -> Option<AttemptEvent> {
         let input = &self.socket.input[self.decoded_bytes..];
         let Ok((used, part)) = self.decoder.decode(input) else {
@@ -171,13 +171,13 @@
         event
     }
 
-    /// Drops the decoded input, once for all that one read decoded.
+    /// Removes the decoded bytes from the input, once for all parts decoded after one read.
     pub(super) fn consume(&mut self) {
         let decoded_bytes = std::mem::take(&mut self.decoded_bytes);
         self.socket.consume(decoded_bytes);
     }
 
-    /// Ends the request whose response is complete. Returns whether the connection may carry another request.
+    /// Ends the request, whose response is complete. Returns whether the connection may carry another request.
     pub(super) fn finish_request(&mut self, idle_until: Millis) -> bool {
         self.consume();
         self.request = None;
@@ -195,7 +195,7 @@
         self.generation == generation && self.request.is_none() && self.idle_until <= now
     }
 
-    /// Brings the registration in line with what the connection waits for.
+    /// Registers the readiness that the connection waits for.
     pub(super) fn update_registration(&mut self, io: &Io, slot: usize) {
         let write = self.connecting || self.socket.pending() > 0;
         let interest = Interest::of(!self.paused, write);
