--- a/crates/http-gateway/src/clients.rs
+++ b/crates/http-gateway/src/clients.rs
@@ -1,7 +1,7 @@
-//! Client connections: listeners, the connection table, and the limits of what clients may hold.
+//! Client connections: the listeners, the connection table, and the limits on connections and buffers.
 //!
-//! Bytes come in, complete requests go out as [`ClientEvent`]s. What becomes of a request is decided elsewhere and comes
-//! back by [`Clients::respond`], [`Clients::forward`] and the like.
+//! Received bytes are decoded into requests, which are reported as [`ClientEvent`]s. The event loop sends the responses
+//! with [`Clients::respond`], [`Clients::forward`] and [`Clients::end_response`].
 
 mod accept;
 mod connection;
@@ -23,10 +23,10 @@
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
 
-/// What happened on the clients' side.
+/// An event of a client connection.
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
-    /// A request is complete; it has to be admitted or answered.
+    /// A request is completely received; it has to be admitted or answered.
     RequestReceived { client: usize, head: Box<RequestHead>, body: Vec<u8>, head_received_at: Millis },
     /// The client of a request has disconnected.
     Disconnected(RequestId),
@@ -38,13 +38,13 @@
 pub(crate) struct Clients {
     listeners: Vec<TcpListener>,
     connections: Slab<ClientConnection>,
-    /// The limits on connections, requests and buffered bytes, and what counts towards them.
+    /// The limits on connections, requests and buffered bytes, and their present use.
     pub budget: ClientBudget,
-    /// What happened, in order.
+    /// Events that are not handled yet, in order.
     pub events: VecDeque<ClientEvent>,
-    /// When a byte of any client was last read.
+    /// When a byte was last received from any client.
     pub last_input_at: Millis,
-    /// Close each connection with its next response, and say so in it.
+    /// Whether each connection is closed after its next response, which announces the close.
     pub announce_close: bool,
     reserve: ReserveDescriptor,
 }
@@ -74,7 +74,7 @@
     /// The addresses of the listeners.
     ///
     /// # Errors
-    /// The operating system does not return one.
+    /// When the system does not return an address.
     pub(crate) fn addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         self.listeners.iter().map(TcpListener::local_addr).collect()
     }
@@ -109,8 +109,8 @@
 
 fn client_limits(config: &Config) -> ClientLimits {
     let limits = &config.limits;
-    // The system's limit on descriptors is shared with the backends' side and the program's own files; a connection
-    // beyond the clients' share is answered with 503.
+    // Client connections share the process's descriptors with backend connections and files; a connection beyond the
+    // clients' share is answered with 503.
     let descriptor_budget = DescriptorBudget::for_limit(max_descriptors());
     ClientLimits {
         max_connections: limits.connections.min(descriptor_budget.clients),
