--- a/crates/http-gateway/src/clients/accept.rs
+++ b/crates/http-gateway/src/clients/accept.rs
@@ -10,20 +10,20 @@
 use std::fs::File;
 use std::net::TcpStream;
 
-/// The interest of a new connection. A client's disconnect is reported apart from its bytes: it is to be noticed also
-/// behind bytes that are not read yet (RFC 9112 section 9.5).
+/// The interest of a new connection. It includes the peer's close, so that a client's disconnect is noticed even before
+/// its last bytes are read (RFC 9112 section 9.5).
 const NEW_CONNECTION: Interest = Interest::READ.with_peer_close();
-/// Connections accepted in one go, so that a flood of connections does not delay the open ones.
+/// The most connections accepted at once, so that many new connections do not delay the open ones.
 const MAX_ACCEPTS: usize = 64;
-/// Connections that the system may hold in the accept queue of a listener.
+/// The length of a listener's accept queue, as `doorcourse_event_loop::listen` sets it.
 const ACCEPT_QUEUE: usize = 1024;
 
-/// A descriptor kept in reserve. Without a free descriptor a listener stays ready for ever; this one makes it possible to
-/// accept the connection and to close it at once.
+/// A descriptor kept in reserve. A listener whose connection cannot be accepted for lack of a descriptor stays ready
+/// and would wake the event loop forever. With the reserve, the connection is accepted and closed at once.
 pub(super) struct ReserveDescriptor(Option<File>);
 
 impl ReserveDescriptor {
-    /// Opens the reserve; it stays empty where no descriptor is left.
+    /// Opens the reserve; it stays empty if no descriptor is left.
     pub(super) fn new() -> Self {
         Self(Self::open())
     }
@@ -46,7 +46,7 @@
     pub(crate) fn drain_accept_queues(&mut self, io: &mut Io, config: &Config) {
         let before = self.connections.len();
         for index in 0..self.listeners.len() {
-            // As many as the queue holds: a flood that goes on ends here.
+            // No more than the queue holds, so that the loop ends even if clients keep connecting.
             for _ in 0..ACCEPT_QUEUE.div_ceil(MAX_ACCEPTS) {
                 if self.accept(io, config, index) {
                     break;
@@ -54,7 +54,7 @@
             }
         }
         if self.connections.len() > before {
-            // Their first requests may be on the way: the idle period starts over.
+            // Their first requests may be on the way, so the idle period starts again.
             self.last_input_at = io.now();
         }
         self.close_listeners();
