--- a/crates/http-gateway/src/clients/connection.rs
+++ b/crates/http-gateway/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: its phase, and what is buffered on it.
+//! One client connection: its phase, buffers and timeouts.
 
 use crate::graphql_front::RequestHead;
 use doorcourse::{Millis, Name, RequestId};
@@ -6,19 +6,19 @@
 use doorcourse_event_loop::{Interest, Socket};
 use doorcourse_http::{Decoder, Framing};
 
-/// What a connection is doing.
+/// The phase of a connection.
 #[derive(Debug)]
 pub(super) enum ConnectionPhase {
-    /// Between requests, or in the head of one.
+    /// Waiting for a request, or receiving its head.
     ReadingHead,
-    /// In the body of a request.
+    /// Receiving the body of a request.
     ReadingBody(Box<RequestHead>),
-    /// A complete request is reported, and not admitted or answered yet.
+    /// A complete request has been reported, but is not admitted or answered yet.
     AwaitingAdmission,
-    /// A request is admitted; its response has not ended.
+    /// The request with this id is admitted; its response has not ended.
     Responding(RequestId),
-    /// All is written and our side is closed; what the client still sends is discarded, so that it can read the last
-    /// response (RFC 9112 section 9.6).
+    /// All output is written and the sending side is closed. Input is read and discarded, so that the client can read
+    /// the last response (RFC 9112 section 9.6).
     Lingering,
 }
 
@@ -37,18 +37,18 @@
     pub http_minor: u8,
     /// The framing of the response that is being forwarded.
     pub response_framing: Framing,
-    /// When the connection times out, in the phase that it is in.
+    /// When the connection times out in its present phase.
     pub timeout_at: Millis,
     pub interest: Interest,
-    /// What the connection's buffers count in the budget.
+    /// How much the connection's buffers use of the budget.
     pub usage: ConnectionUsage,
-    /// Whose buffers they are; known from the first request on.
+    /// The customer whose budget the buffers use; known from the first request on.
     pub customer: Option<Name>,
     /// Whether the client has read some of its response since the budget was last updated.
     pub progressed: bool,
-    /// When it is checked next whether the client still reads; infinite where no check is due.
+    /// When the next check is due whether the client reads its response; infinite if none is needed.
     pub unread_check_at: Millis,
-    /// Close once all is written.
+    /// Whether the connection is closed once all output is written.
     pub closing: bool,
 }
 
@@ -90,23 +90,23 @@
         }
     }
 
-    /// Whether a request is with the decisions, or its response not ended.
+    /// Whether a complete request waits for admission or for the end of its response.
     pub(super) fn has_request(&self) -> bool {
         matches!(self.phase, ConnectionPhase::AwaitingAdmission | ConnectionPhase::Responding(_))
     }
 
-    /// Whether the gateway has ended its side and only waits for the client to close.
+    /// Whether the gateway has closed its sending side and only waits for the client to close.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.phase, ConnectionPhase::Lingering)
     }
 
-    /// Whether the rest of a request or of a response is outstanding. A connection that is closing counts until its
-    /// client has had the time to read the last response: a close while bytes are unread would destroy it.
+    /// Whether the rest of a request or of a response is outstanding. A closing connection counts as busy while its
+    /// client may read the last response: closing the socket while its input is unread could destroy that response.
     pub(super) fn is_busy(&self) -> bool {
         self.is_lingering() || self.closing || self.socket.pending() > 0 || self.is_in_request()
     }
 
-    /// Writes buffered output and notes whether the client took some; returns how the write ended.
+    /// Writes buffered output and records whether the system accepted some of it. Returns the state of the connection.
     pub(super) fn flush(&mut self) -> doorcourse_event_loop::Flow {
         let before = self.socket.pending();
         let flow = self.socket.flush();
@@ -114,8 +114,8 @@
         flow
     }
 
-    /// Ends our side, and reads on for a while: closing with unread input would reset the connection, and could destroy
-    /// the last response on its way (RFC 9112 section 9.6).
+    /// Closes the sending side and continues to read for a while: closing the socket with unread input would reset the
+    /// connection and could destroy the last response on its way (RFC 9112 section 9.6).
     pub(super) fn start_lingering(&mut self) {
         self.phase = ConnectionPhase::Lingering;
         self.socket.shutdown_write();
