--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -9,14 +9,14 @@
 use doorcourse_event_loop::{Flow, Ready};
 use doorcourse_http::{Framing, Head, Part};
 
-/// What is to be done after one part of a request.
+/// How decoding continues after one part of a request.
 enum Progress {
     Continue,
     NeedsInput,
     Reject(Response),
 }
 
-/// A part of a request, without a borrow of the input that it was decoded from.
+/// A part of a request that does not borrow the input.
 enum RequestPart {
     Head(Box<Head>),
     Data,
@@ -33,7 +33,7 @@
             return;
         }
         if ready.peer_closed {
-            // A client that closes its side is taken as gone: so it looks when one gives up.
+            // A client that closes its sending side counts as disconnected: a client that gives up looks the same.
             return self.handle_disconnect(slot);
         }
         if ready.read && !self.read(io, config, slot) {
@@ -41,13 +41,13 @@
         }
         if ready.write {
             self.flush(config, slot);
-            // A pipelined request may have waited until the client has read on.
+            // A pipelined request may have waited until the client had read earlier responses.
             self.decode_input(io, config, slot);
         }
         self.update_registration(io, slot);
     }
 
-    /// Reads and decodes input; `false` where the connection has ended.
+    /// Reads and decodes input. Returns `false` if the connection has ended.
     fn read(&mut self, io: &mut Io, config: &Config, slot: usize) -> bool {
         let Some(client) = self.connections.get_mut(slot) else { return false };
         if client.is_lingering() {
@@ -69,7 +69,7 @@
         true
     }
 
-    /// The client is gone; the request that it waits for is notified.
+    /// Removes the connection of a client that has disconnected, and reports the disconnect of its open request.
     pub(super) fn handle_disconnect(&mut self, slot: usize) {
         let Some(client) = self.connections.get(slot) else { return };
         if let ConnectionPhase::Responding(id) = client.phase {
@@ -78,7 +78,7 @@
         self.remove(slot);
     }
 
-    /// Decodes what a client sent until a request is complete or more input is needed.
+    /// Decodes input until a request is complete or more input is needed.
     fn decode_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
         loop {
             match self.decode_part(io, config, slot) {
@@ -158,14 +158,14 @@
         Progress::Continue
     }
 
-    /// The reported request is admitted with this id.
+    /// Records that the reported request is admitted with this id.
     pub(crate) fn request_admitted(&mut self, slot: usize, id: RequestId) {
         if let Some(client) = self.connections.get_mut(slot) {
             client.phase = ConnectionPhase::Responding(id);
         }
     }
 
-    /// Decodes what a client sent behind the request that is answered (pipelining).
+    /// Decodes the input after an answered request (pipelining).
     pub(crate) fn resume_input(&mut self, io: &mut Io, config: &Config, slot: usize) {
         self.decode_input(io, config, slot);
         self.update_registration(io, slot);
