--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -9,9 +9,9 @@
 use doorcourse_event_loop::{Flow, Interest};
 use doorcourse_http::{Framing, chunk, chunk_end, response_head};
 
-/// Input of one client that is buffered while its request is answered (pipelining), in bytes.
+/// How much input of a client is buffered while its request is answered (pipelining), in bytes.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
-/// How long a connection lingers after its last response.
+/// How long a connection reads and discards input after its last response, in ms.
 const LINGER_TIMEOUT: Millis = 1000.0;
 
 /// The head of a backend's response that is forwarded.
@@ -19,13 +19,13 @@
 pub(crate) struct ForwardedHead {
     pub status: u16,
     pub content_type: String,
-    /// As the backend framed it, or of a known length once it is complete.
+    /// The backend's framing; a length if the response was complete before it was forwarded.
     pub framing: Framing,
     pub cookies: Vec<String>,
 }
 
 impl ForwardedHead {
-    /// The framing towards a client of HTTP/1.`http_minor`: HTTP/1.0 knows no chunks.
+    /// The framing for a client of HTTP/1.`http_minor`: HTTP/1.0 does not support chunks.
     fn client_framing(&self, http_minor: u8) -> Framing {
         match self.framing {
             Framing::Length(length) => Framing::Length(length),
@@ -58,8 +58,8 @@
         self.finish_response(io, config, slot);
     }
 
-    /// Writes bytes of a forwarded response, with its head in front of the first. Returns how many bytes the client has
-    /// not read yet, as of before this write.
+    /// Writes bytes of a forwarded response, preceded by `head` if there is one. Returns the number of bytes in the
+    /// send buffer, including these, before the buffer is written to the socket.
     pub(crate) fn forward(
         &mut self, io: &mut Io, config: &Config, slot: usize, head: Option<ForwardedHead>,
         external_id: &Name, bytes: &[u8],
@@ -91,7 +91,7 @@
         self.finish_response(io, config, slot);
     }
 
-    /// Resets the connection, so that its client cannot take a partial response for a complete one.
+    /// Resets the connection, so that its client cannot mistake a partial response for a complete one.
     pub(crate) fn reset(&mut self, slot: usize) {
         if let Some(client) = self.connections.get(slot) {
             client.socket.reset_on_close();
@@ -99,7 +99,7 @@
         self.remove(slot);
     }
 
-    /// A complete response is in the connection's output.
+    /// Ends a response that is completely in the send buffer: the connection waits for a request or is closed.
     fn finish_response(&mut self, io: &mut Io, config: &Config, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         client.phase = ConnectionPhase::ReadingHead;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Brings the connection's registration, budget and unread timeout in line with its state.
+    /// Updates the connection's registration, budget and unread timeout to its state.
     pub(super) fn update_registration(&mut self, io: &mut Io, slot: usize) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         if client.closing && client.socket.pending() == 0 && !client.is_lingering() {
