--- a/crates/http-gateway/src/clients/timeouts.rs
+++ b/crates/http-gateway/src/clients/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts of client connections, and their end when the process drains.
+//! Timeouts of client connections, and the end of all connections when a drain ends.
 
 use super::Clients;
 use super::connection::ConnectionPhase;
@@ -8,8 +8,8 @@
 use doorcourse_config::Config;
 
 impl Clients {
-    /// Sets the timeout of a connection. A timer that was set for an earlier time finds the later one and sets itself
-    /// again, so that most changes need no new timer.
+    /// Sets the timeout of a connection. A timer is scheduled only if the timeout becomes earlier: an earlier timer
+    /// that fires is scheduled again for the present timeout, so most changes need no new timer.
     pub(super) fn set_timeout(&mut self, io: &mut Io, slot: usize, timeout: Millis) {
         let timeout_at = io.now() + timeout;
         let Some(client) = self.connections.get_mut(slot) else { return };
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A timer of a connection has fired.
+    /// Handles a timer of a connection.
     pub(crate) fn handle_timeout(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
         let now = io.now();
         let known = self.connections.get(slot).is_some_and(|client| client.generation == generation);
@@ -29,7 +29,7 @@
         }
         let Some(client) = self.connections.get_mut(slot) else { return };
         if client.has_request() {
-            // The request has a deadline of its own; the connection is checked again when that may be over.
+            // The request has its own deadline; the connection is checked again after the idle timeout.
             client.timeout_at = now + config.limits.idle_time;
         }
         if client.timeout_at > now {
@@ -63,8 +63,9 @@
         false
     }
 
-    /// Ends all connections at the end of a drain: idle ones are closed, partial requests get a last response, and last
-    /// responses may still be read. A response that is cut off is reset, so that its client cannot take it for complete.
+    /// Ends all connections at the end of a drain. Idle connections are closed, partial requests get a final response,
+    /// and complete responses may still be read. A connection with a partial response is reset, so that its client
+    /// cannot mistake the response for a complete one.
     pub(crate) fn finish_all(&mut self, io: &mut Io, config: &Config) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
