--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -1,5 +1,5 @@
-//! The counter that quota is taken from: in this process, or shared by the fleet. Each call ends once, as an event for
-//! the decisions.
+//! The counter on which quota is charged: in this process, or shared by the fleet. Each call ends with exactly one
+//! event for the decisions.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -19,16 +19,16 @@
 use in_process::InProcessCounter;
 use shared::SharedCounter;
 
-/// The counter that the settings name.
+/// The counter that the settings select.
 pub(crate) enum Counter {
-    /// Without settings of a shared counter: a fleet of one gateway.
+    /// A counter in this process, for a fleet of one gateway without a shared counter.
     InProcess(InProcessCounter),
     /// The counter that all gateways of the fleet share.
     Shared(Box<SharedCounter>),
 }
 
 impl Counter {
-    /// The shared counter of the settings; the in-process counter where there are none.
+    /// The shared counter of the settings; the in-process counter if they have none.
     pub(crate) fn new(settings: Option<&Settings>) -> Self {
         match settings {
             None => Self::InProcess(InProcessCounter::default()),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Makes a call, which ends as [`Event::CounterCallEnded`]: at once where the counter is in-process.
+    /// Makes a call, which ends with an [`Event::CounterCallEnded`]: at once if the counter is in-process.
     pub(crate) fn call(&mut self, io: &mut Io, call: CounterCall) {
         match self {
             Self::InProcess(counter) => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Calls that have not ended.
+    /// The number of calls that have not ended.
     pub(crate) fn calls_in_flight(&self) -> usize {
         match self {
             Self::InProcess(_) => 0,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Does what is due and writes pending calls. Returns when it is to be called next, in ms on the clock of [`Io::now`];
-    /// infinity where nothing is due.
+    /// Handles due timeouts and writes pending calls. Returns the time of the next timeout on the clock of [`Io::now`];
+    /// infinity if there is none.
     pub(crate) fn handle_timeout(&mut self, io: &mut Io) -> Millis {
         match self {
             Self::InProcess(_) => f64::INFINITY,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The counter connection of this generation is ready; an earlier connection's readiness is ignored.
+    /// Handles the readiness of the counter connection of this generation; that of an earlier connection is ignored.
     pub(crate) fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
         match self {
             Self::InProcess(_) => {}
