--- a/crates/http-gateway/src/counter/connection.rs
+++ b/crates/http-gateway/src/counter/connection.rs
@@ -1,4 +1,4 @@
-//! The TCP connection to the shared counter: connects, reads and writes without blocking.
+//! The non-blocking TCP connection to the shared counter.
 
 use crate::io::{Io, Token};
 use doorcourse_event_loop::{Flow, Interest, Ready, Socket, connect};
@@ -14,21 +14,21 @@
     interest: Interest,
 }
 
-/// What one readiness of a connection brought.
+/// The result of handling a connection's readiness.
 pub(super) struct Progress {
     /// The connection was established.
     pub opened: bool,
     /// Bytes that were received.
     pub input: Vec<u8>,
-    /// Whether the other side closed the connection, or it broke while reading.
+    /// Whether the counter closed the connection, or it failed during the read.
     pub closed: bool,
 }
 
 impl Connection {
-    /// Starts to connect.
+    /// Starts a connection attempt.
     ///
     /// # Errors
-    /// The connection cannot be started, or not be registered with the poller.
+    /// When the attempt cannot be started, or the socket cannot be registered with the poller.
     pub(super) fn start(io: &mut Io, address: SocketAddr) -> io::Result<Self> {
         let generation = io.generation();
         let interest = Interest::BOTH;
@@ -47,10 +47,10 @@
         self.is_connected
     }
 
-    /// Ends the connection attempt or reads, as far as the socket is ready.
+    /// Completes the connection attempt and reads, as far as the socket is ready.
     ///
     /// # Errors
-    /// The connection attempt failed.
+    /// When the connection attempt failed.
     pub(super) fn handle_readiness(&mut self, ready: Ready) -> io::Result<Progress> {
         let mut progress = Progress { opened: false, input: Vec::new(), closed: false };
         if !self.is_connected && (ready.write || ready.broken) {
@@ -66,13 +66,13 @@
         Ok(progress)
     }
 
-    /// Queues bytes and writes what the socket takes. Returns whether the connection is intact or broken.
+    /// Queues bytes and writes as much as the system accepts. Returns the state of the connection.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Flow {
         self.socket.output().extend_from_slice(bytes);
         self.socket.flush()
     }
 
-    /// Bytes that are queued and not written.
+    /// The number of bytes that are queued and not written.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.socket.pending()
     }
