--- a/crates/http-gateway/src/counter/in_process.rs
+++ b/crates/http-gateway/src/counter/in_process.rs
@@ -1,10 +1,10 @@
-//! A counter in this process, with the expiry of the shared one.
+//! A counter in this process, whose entries expire as in the shared counter.
 
 use doorcourse::Millis;
 use doorcourse_counter::CounterCall;
 use std::collections::HashMap;
 
-/// How often expired entries are removed, in ms.
+/// The interval at which expired entries are removed, in ms.
 const REMOVE_EXPIRED_INTERVAL_MS: Millis = 1000.0;
 
 /// A total that expires.
@@ -24,14 +24,15 @@
 #[derive(Debug, Default)]
 pub(crate) struct InProcessCounter {
     entries: HashMap<u64, Entry>,
-    /// When expired entries were removed last.
+    /// When expired entries were last removed.
     expired_removed_at: Millis,
 }
 
 impl InProcessCounter {
     /// Adds the amount of a call. Returns the new total.
     ///
-    /// The time to live is set by the call that creates an entry and not extended by later ones, as in the shared counter.
+    /// The time to live is set by the call that creates an entry and not extended by later ones, as in the shared
+    /// counter.
     pub(crate) fn add(&mut self, now: Millis, call: CounterCall) -> f64 {
         if now >= self.expired_removed_at + REMOVE_EXPIRED_INTERVAL_MS {
             self.remove_expired(now);
