--- a/crates/http-gateway/src/counter/shared.rs
+++ b/crates/http-gateway/src/counter/shared.rs
@@ -1,4 +1,5 @@
-//! The host of the link to the shared counter: executes the link's actions and reports connections and bytes to it.
+//! The host of the link to the shared counter: executes the link's actions, and reports connections and received bytes
+//! to it.
 
 use super::connection::Connection;
 use crate::io::Io;
@@ -8,7 +9,7 @@
 use doorcourse_event_loop::{Flow, Ready};
 use std::net::SocketAddr;
 
-/// Why a connection was lost, as the log has it.
+/// Reasons for a lost connection, as logged.
 const CLOSED_BY_COUNTER: &str = "closed by the counter";
 const BROKEN_WHILE_WRITING: &str = "broken while writing";
 
@@ -16,25 +17,26 @@
 pub(crate) struct SharedCounter {
     address: SocketAddr,
     link: CounterLink<RespCodec>,
-    /// `None` while the link backs off.
+    /// `None` before the first connection and while the link waits to reconnect.
     connection: Option<Connection>,
-    /// Calls that have not ended. Unlike those of the link, without the ones that timed out.
+    /// The number of calls that have not ended. A call that timed out has ended here, while the link still waits for
+    /// its reply.
     calls_in_flight: usize,
 }
 
 impl SharedCounter {
-    /// A counter that is not connected; the first [`SharedCounter::handle_timeout`] connects.
+    /// A counter without a connection; the first call of [`SharedCounter::handle_timeout`] connects.
     pub(crate) fn new(settings: &Settings) -> Self {
         let link = CounterLink::new(link_settings(settings), RespCodec::new(settings.password.clone()));
         Self { address: settings.address, link, connection: None, calls_in_flight: 0 }
     }
 
-    /// Calls that have not ended.
+    /// The number of calls that have not ended.
     pub(crate) fn calls_in_flight(&self) -> usize {
         self.calls_in_flight
     }
 
-    /// Makes a call. It is written at the next readiness or timeout, together with the other calls of this iteration.
+    /// Makes a call. It is written at the next readiness or timeout, together with the other pending calls.
     pub(crate) fn call(&mut self, io: &mut Io, call: CounterCall) {
         self.calls_in_flight += 1;
         let mut actions = Vec::new();
@@ -42,7 +44,7 @@
         self.execute_actions(io, actions);
     }
 
-    /// Does what is due and writes pending calls. Returns when the link is due next, in ms.
+    /// Handles due timeouts and writes pending calls. Returns the time of the link's next timeout.
     pub(crate) fn handle_timeout(&mut self, io: &mut Io) -> Millis {
         let mut actions = Vec::new();
         let next_timeout = self.link.handle_timeout(io.now(), &mut actions);
@@ -51,7 +53,7 @@
         next_timeout
     }
 
-    /// The connection of this generation is ready; an earlier connection's readiness is ignored.
+    /// Handles the readiness of the connection of this generation; that of an earlier connection is ignored.
     pub(crate) fn connection_ready(&mut self, io: &mut Io, generation: u32, ready: Ready) {
         let now = io.now();
         let connection = self.connection.as_mut().filter(|found| found.generation() == generation);
@@ -87,7 +89,7 @@
                     tracing::info!(target: "doorcourse::counter", reason, "counter connection lost");
                 }
                 LinkAction::CallEnded { counter, outcome, latency } => {
-                    // A late reply belongs to a call that has ended already, as timed out.
+                    // A late reply belongs to a call that has already ended by its timeout.
                     if !matches!(outcome, CallOutcome::Late { .. }) {
                         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
                     }
@@ -133,7 +135,7 @@
     }
 }
 
-/// The link's settings. Idle connections are kept: the shared counter does not close them.
+/// The settings of the link. It has no idle timeout, because the shared counter does not close idle connections.
 fn link_settings(settings: &Settings) -> LinkSettings {
     LinkSettings {
         call_timeout: settings.timeout,
