--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -1,18 +1,18 @@
-//! The endpoint list as a file that is read again when it changes.
+//! An endpoint list in a file, which is read again when it has changed.
 
 use doorcourse::Millis;
 use doorcourse_config::{NodeFile, Routing, read_nodes};
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// What distinguishes one version of the file from another.
+/// The properties by which a changed file is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FileVersion {
     Present {
         modified: SystemTime,
         bytes: u64,
     },
-    /// The file cannot be examined; logged once.
+    /// The metadata of the file cannot be read; this is reported once.
     Unavailable,
 }
 
@@ -20,15 +20,15 @@
 #[derive(Debug)]
 pub(crate) struct EndpointList {
     path: PathBuf,
-    /// How often the file is examined.
+    /// How often the file is checked for a change.
     pub poll_interval: Millis,
     last_version: Option<FileVersion>,
-    /// The routing that the list read last states.
+    /// The routing in the last list that was applied.
     pub routing: Option<Routing>,
 }
 
 impl EndpointList {
-    /// A list that has not been read. `poll_interval` in ms.
+    /// A list that has not been read. `poll_interval` is in ms.
     pub(crate) fn new(path: PathBuf, poll_interval: Millis) -> Self {
         Self { path, poll_interval, last_version: None, routing: None }
     }
@@ -36,7 +36,7 @@
     /// The list, if the file has changed since it was last read.
     ///
     /// # Errors
-    /// Why a changed file cannot be used; once for each version.
+    /// The reason why a changed file cannot be used. Each version of the file is reported once.
     pub(crate) fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
         let version = match self.examine() {
             Ok(version) => version,
