--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -1,8 +1,8 @@
-//! This gateway's part in the fleet: the link to its peers, the leases, and what is done under them.
+//! This gateway's part in the fleet: the link to its peers, the leases, and the calls and probes that need a lease.
 //!
-//! Translates between sockets and three state machines: `doorcourse_peers` decides which datagrams are accepted,
-//! `doorcourse_lease` who holds a task and whether a call may be written, `doorcourse_outlier_gossip` which nodes are
-//! probed and which are outliers.
+//! This module translates between sockets and three state machines: `doorcourse_peers` decides which datagrams are
+//! accepted, `doorcourse_lease` who holds a task and whether a call may be written, `doorcourse_outlier_gossip` which
+//! nodes are probed and which are outliers.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -58,11 +58,11 @@
 }
 
 impl Fleet {
-    /// Binds the socket. `None` where the settings have no `fleet.link`. `takes_over`: another process of this gateway may
-    /// still have the address and will release it, so a failure to bind is no error.
+    /// Binds the link's socket. Returns `None` if the settings have no `fleet.link`. With `takes_over`, a failure to
+    /// bind is no error, because another process of this gateway may still have the address and will release it.
     ///
     /// # Errors
-    /// The address cannot be bound, or the settings cannot be used.
+    /// When the address cannot be bound, or the settings cannot be used.
     pub(crate) fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
         let Some(link_config) = config.link.clone() else { return Ok(None) };
         let now = boot_time_ms();
@@ -94,7 +94,7 @@
         Ok(Some(fleet))
     }
 
-    /// Follows a change of the settings: peers, secrets, voters, tasks.
+    /// Applies changed settings: peers, secrets, voters, tasks and outlier gossip.
     pub(crate) fn configure(&mut self, io: &mut Io, config: &Config) {
         let now = boot_time_ms();
         let Some(link_config) = config.link.clone() else { return };
@@ -117,7 +117,7 @@
             config.suspects.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
     }
 
-    /// The gateway shuts down: every lease is released, and so is the address for a process that takes over.
+    /// Releases all leases, closes the connections, and releases the address for a process that takes over.
     pub(crate) fn shut_down(&mut self, io: &mut Io) {
         if !self.shut_down {
             self.shut_down = true;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// How long until [`Fleet::tick`] is to be called, in ms; infinity where nothing is due.
+    /// The time left until [`Fleet::tick`] or an observation is due, in ms; infinity if nothing is.
     pub(crate) fn next_timeout_in(&self) -> f64 {
         if self.shut_down {
             return f64::INFINITY;
@@ -141,7 +141,7 @@
         if next == Millis::MAX { f64::INFINITY } else { next.saturating_sub(now) as f64 }
     }
 
-    /// Does what is due.
+    /// Handles due timeouts and starts due calls.
     pub(crate) fn tick(&mut self, io: &mut Io) {
         if self.shut_down {
             return;
