--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! HTTP connections of calls and probes: one request each, and its response's status.
+//! HTTP connections of calls and probes. Each carries one request; of the response only the status is used.
 
 use super::Fleet;
 use super::calls::CallFailure;
@@ -8,15 +8,15 @@
 use doorcourse_lease::{Millis, TaskId};
 use std::net::SocketAddr;
 
-/// What a response may have at most: a short head; its body is read and discarded.
+/// The limits of a response: a short head, and a body that is read and discarded.
 const RESPONSE_LIMITS: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 1 << 20 };
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// A call of a task.
     Call(TaskId),
-    /// A probe of a suspected node, which is over at the deadline.
+    /// A probe of a suspected node; it fails at the deadline.
     Probe {
         /// The node's name.
         node: String,
@@ -25,19 +25,19 @@
 }
 
 enum ConnectionState {
-    /// The connection is not established, or its request not written.
+    /// The connection is not established, or its request is not written yet.
     Connecting,
     /// The request is written.
     AwaitingResponse(ResponseReader),
 }
 
-/// Reads a response up to its end.
+/// Decodes a response up to its end.
 struct ResponseReader {
     decoder: Decoder,
     status: u16,
 }
 
-/// How far a response was read.
+/// How decoding continues after one part of a response.
 enum Progress {
     Continue,
     NeedsInput,
@@ -57,7 +57,7 @@
         Self { decoder: Decoder::new(Role::Responses, RESPONSE_LIMITS), status: 0 }
     }
 
-    /// Reads what was received. Returns the status once the response is complete.
+    /// Decodes the received bytes. Returns the status once the response is complete.
     fn read(&mut self, socket: &mut Socket) -> Result<Option<u16>, CallFailure> {
         loop {
             let decoded = self.decoder.decode(&socket.input);
@@ -82,13 +82,13 @@
 }
 
 impl Connection {
-    /// Sets the request's bytes, which [`Connection::flush_request`] writes.
+    /// Sets the request, which [`Connection::flush_request`] writes.
     pub(super) fn set_request(&mut self, request: &str) {
         self.state = ConnectionState::AwaitingResponse(ResponseReader::new());
         self.socket.output().extend_from_slice(request.as_bytes());
     }
 
-    /// Writes the request, which must go out at once, and waits for the response.
+    /// Writes the request completely, or fails; then registers for the response.
     pub(super) fn flush_request(&mut self, io: &Io, slot: usize) -> Result<(), CallFailure> {
         if self.socket.flush() != Flow::Open || self.socket.pending() > 0 {
             return Err(CallFailure::RequestNotWritten);
@@ -116,7 +116,7 @@
 }
 
 impl Fleet {
-    /// Starts to connect.
+    /// Starts a connection attempt.
     pub(super) fn connect(
         &mut self, io: &mut Io, address: SocketAddr, purpose: Purpose,
     ) -> Result<(), CallFailure> {
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// A connection is ready: its request is written, or its response read.
+    /// Handles the readiness of a connection: writes its request, or reads its response.
     pub(crate) fn connection_ready(&mut self, io: &mut Io, slot: usize, generation: u32, ready: Ready) {
         let now = boot_time_ms();
         let connection = self.connections.get_mut(slot).filter(|found| found.generation == generation);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A response is complete, or none will be.
+    /// Ends a call or a probe with the status of its response, or with the reason why there is none.
     fn end_exchange(&mut self, now: Millis, purpose: &Purpose, status: Result<u16, CallFailure>) {
         match purpose {
             Purpose::Call(task) => {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The slot of the first connection for a purpose.
+    /// The slot of the first connection with a wanted purpose.
     pub(super) fn find_connection(&self, is_wanted: impl Fn(&Purpose) -> bool) -> Option<usize> {
         self.connections.iter().find(|(_, found)| is_wanted(&found.purpose)).map(|(slot, _)| slot)
     }
