--- a/crates/http-gateway/src/fleet/leases.rs
+++ b/crates/http-gateway/src/fleet/leases.rs
@@ -8,7 +8,7 @@
 use doorcourse_lease::{Input, LastRefusal, LostLease, Millis, Output, Refusal, TaskId, encode};
 
 impl Fleet {
-    /// Passes an input to the leases and does what they ask for.
+    /// Passes an input to the lease state machine and executes its outputs.
     pub(super) fn handle_lease_input(&mut self, io: &mut Io, now: Millis, input: Input) {
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
@@ -47,7 +47,8 @@
         self.end_call(now, lease.task, Err(CallFailure::LeaseLost));
     }
 
-    /// That another gateway holds the lease is the ordinary case, and logged for debugging alone.
+    /// Logs a failed acquisition. That another gateway holds the lease is the normal case and logged at debug level
+    /// only.
     fn log_failed_acquisition(&self, task: TaskId, last_refusal: Option<LastRefusal>) {
         let task = self.calls.task_name(task);
         let voter = last_refusal.map(|refusal| refusal.voter);
