--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -13,12 +13,12 @@
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams received in one iteration of the event loop, so that peers do not delay clients.
+/// The most datagrams received in one iteration of the event loop, so that peers do not delay clients.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
-/// Between two attempts to bind the address while a process that hands over still has it, in ms.
+/// The time between two attempts to bind the address while the old process of a takeover still has it, in ms.
 const BIND_RETRY_MS: Millis = 50;
 
-/// The components that send payloads over the link.
+/// The component that a payload on the link belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Channel {
     /// Messages of the leases.
@@ -28,7 +28,7 @@
 }
 
 impl Channel {
-    /// The number in the envelope.
+    /// The number that identifies the channel in a datagram.
     fn number(self) -> u32 {
         match self {
             Self::Leases => 1,
@@ -43,13 +43,13 @@
 
 /// A datagram that was read from the socket.
 struct ReceivedDatagram {
-    /// Read after the datagram: every point in time that it names is earlier.
+    /// The time of reading it. The clock is read after the datagram, so this is not before the arrival.
     received_at: Millis,
-    /// `None` where it was dropped or a hello.
+    /// `None` if the datagram was dropped or is a hello.
     payload: Option<ReceivedPayload>,
 }
 
-/// The link with its socket.
+/// The link state machine and its socket.
 pub(super) struct PeerLink {
     config: LinkConfig,
     link: Link,
@@ -63,7 +63,7 @@
     /// A link without a socket.
     ///
     /// # Errors
-    /// The settings are out of range.
+    /// When the settings are out of range.
     pub(super) fn new(
         now: Millis, config: LinkConfig, gateway: GatewayNumber, incarnation: u64,
     ) -> Result<Self, SettingsError> {
@@ -72,7 +72,7 @@
             config,
             socket: None,
             next_bind_at: now,
-            // One byte more, so that a datagram that is too long is seen as such.
+            // One byte more than allowed, so that a datagram that is too long is recognized.
             receive_buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
         })
     }
@@ -80,7 +80,7 @@
     /// Applies changed settings.
     ///
     /// # Errors
-    /// The settings are out of range; the former ones stay in force.
+    /// When the settings are out of range; the former settings then stay in force.
     pub(super) fn configure(
         &mut self, now: Millis, config: LinkConfig, gateway: GatewayNumber,
     ) -> Result<(), SettingsError> {
@@ -94,12 +94,12 @@
         &self.config
     }
 
-    /// The address of the settings, which the socket is to be bound to.
+    /// The address in the settings, to which the socket is to be bound.
     pub(super) fn listen_address(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// The address that the socket is bound to.
+    /// The address to which the socket is bound.
     pub(super) fn local_address(&self) -> Option<SocketAddr> {
         self.socket.as_ref().and_then(|socket| socket.local_addr().ok())
     }
@@ -107,7 +107,7 @@
     /// Binds the socket and registers it with the poller.
     ///
     /// # Errors
-    /// The address cannot be bound, or the socket not be registered.
+    /// When the address cannot be bound, or the socket cannot be registered.
     pub(super) fn bind(&mut self, io: &Io) -> std::io::Result<()> {
         let socket = UdpSocket::bind(self.config.listen)?;
         socket.set_nonblocking(true)?;
@@ -122,17 +122,17 @@
         self.socket = None;
     }
 
-    /// When [`PeerLink::tick`] is to be called.
+    /// The time at which [`PeerLink::tick`] is due.
     pub(super) fn next_timeout(&self) -> Millis {
         let bind = if self.socket.is_none() { self.next_bind_at } else { Millis::MAX };
         self.link.next_timeout().min(bind)
     }
 
-    /// Binds the address if it is not bound yet, and looks for peers that have become unreachable.
+    /// Binds the address if it is not bound yet, and detects peers that have become unreachable.
     pub(super) fn tick(&mut self, io: &Io, now: Millis) {
         if self.socket.is_none() && now >= self.next_bind_at {
             self.next_bind_at = now + BIND_RETRY_MS;
-            // The process that hands over still has the address: tried again.
+            // A failure means that the old process still has the address; the next attempt is scheduled above.
             let _ = self.bind(io);
         }
         let mut events = Vec::new();
@@ -157,14 +157,14 @@
         }
     }
 
-    /// Writes a datagram to the socket. One that cannot be written counts as lost on its way.
+    /// Writes a datagram to the socket. A datagram that cannot be written is lost, as one on the network may be.
     fn transmit(&self, datagram: &OutgoingDatagram) {
         if let Some(socket) = &self.socket {
             let _ = socket.send_to(&datagram.bytes, datagram.to);
         }
     }
 
-    /// Receives one datagram and replies to it where it needs a hello. `None` where there is none.
+    /// Receives one datagram, and replies with a hello if it requires one. `None` if no datagram is available.
     fn receive(&mut self, io: &Io) -> Option<ReceivedDatagram> {
         let (length, _) = self.socket.as_ref()?.recv_from(&mut self.receive_buffer).ok()?;
         let received_at = boot_time_ms();
@@ -177,7 +177,7 @@
         Some(ReceivedDatagram { received_at, payload })
     }
 
-    /// Whether the settings have a gateway of this number as a peer.
+    /// Whether the gateway with this number is a peer in the settings.
     pub(super) fn is_peer(&self, gateway: GatewayNumber) -> bool {
         self.config.peers.contains_key(&gateway)
     }
@@ -198,7 +198,7 @@
 }
 
 impl Fleet {
-    /// The socket is readable: receives datagrams and processes their payloads.
+    /// Handles the readiness of the socket: receives datagrams and processes their payloads.
     pub(crate) fn link_ready(&mut self, io: &mut Io) {
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Some(ReceivedDatagram { received_at, payload }) = self.link.receive(io) else { return };
