--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -14,7 +14,7 @@
 
 /// The shortest time between two observations of the nodes, in ms.
 const MIN_OBSERVATION_INTERVAL_MS: Millis = 10;
-/// The query of a probe: every GraphQL server answers it, and it has no effect.
+/// The body of a probe: a query that every GraphQL server answers and that has no effect.
 const PROBE_QUERY: &str = "{\"query\":\"{__typename}\"}";
 
 /// The outlier gossip with its settings.
@@ -24,7 +24,7 @@
 }
 
 impl OutlierMonitor {
-    /// Applies settings. The state of an earlier monitor is kept.
+    /// A monitor with these settings, which keeps the state of an earlier monitor.
     pub(super) fn configured(
         earlier: Option<Self>, gateway: GatewayNumber, config: OutlierGossipConfig,
     ) -> Self {
@@ -42,12 +42,12 @@
 }
 
 impl Fleet {
-    /// Whether an observation of the nodes is due: a call of [`Fleet::observe_nodes`].
+    /// Whether an observation of the nodes is due, for which [`Fleet::observe_nodes`] is to be called.
     pub(crate) fn wants_observation(&self) -> bool {
         !self.shut_down && self.outliers.is_some() && boot_time_ms() >= self.next_observation_at
     }
 
-    /// Reports to the outlier gossip the status of the nodes in the decisions, and executes its outputs. `nodes` has the
+    /// Reports the decisions' status of the nodes to the outlier gossip, and executes its outputs. `nodes` contains the
     /// addresses for probes.
     pub(crate) fn observe_nodes(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
         let now = boot_time_ms();
@@ -64,12 +64,12 @@
         self.handle_outlier_outputs(io, now, outputs, nodes);
     }
 
-    /// Processes a message of the outlier gossip of a peer.
+    /// Processes an outlier gossip message of a peer.
     pub(super) fn receive_outlier_message(&mut self, io: &mut Io, now: Millis, received: &ReceivedPayload) {
         let Some(message) = decode(&received.payload) else { return };
         let Some(monitor) = &mut self.outliers else { return };
         let outputs = monitor.handle(now, Input::MessageReceived { from: received.sender, message });
-        // A message never causes a probe: no addresses are needed.
+        // A message never causes a probe, so no addresses are needed.
         self.handle_outlier_outputs(io, now, outputs, &[]);
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The connection is established: writes the probe.
+    /// Writes a probe once its connection is established.
     pub(super) fn write_probe(&mut self, io: &Io, now: Millis, slot: usize, node: &str) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.set_request(&probe_request(&self.endpoint_path));
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Ends the probe of a node and reports its result. The next observation, which makes a verdict of it, is at once.
+    /// Ends the probe of a node and reports its result. The next observation, which derives the verdict, is due at
+    /// once.
     pub(super) fn end_probe(&mut self, now: Millis, node: &str, result: Result<(), CallFailure>) {
         let is_probe =
             |purpose: &Purpose| matches!(purpose, Purpose::Probe { node: probed, .. } if probed == node);
@@ -135,7 +136,7 @@
         self.next_observation_at = now;
     }
 
-    /// Ends probes that were not answered by their deadline.
+    /// Ends the probes that were not answered by their deadline.
     pub(super) fn end_overdue_probes(&mut self, now: Millis) {
         let overdue = |purpose: &Purpose| match purpose {
             Purpose::Probe { node, deadline } if *deadline <= now => Some(node.clone()),
