--- a/crates/http-gateway/src/fleet/settings.rs
+++ b/crates/http-gateway/src/fleet/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of the link, the leases and the outlier gossip, from the settings file.
+//! Conversion of the settings file to the settings of the link, the leases and the outlier gossip.
 
 use doorcourse_config::{LeaseConfig, LinkConfig, OUTLIER_PROBE_TASK, OutlierGossipConfig};
 use doorcourse_lease::{TaskId, task_of};
 use doorcourse_peers::{GatewayNumber, fleet_of};
 use std::collections::BTreeSet;
 
-/// All gateways of the fleet, this one among them.
+/// All gateways of the fleet, including this one.
 pub(super) fn gateways(link: &LinkConfig, gateway: GatewayNumber) -> BTreeSet<GatewayNumber> {
     link.peers.keys().copied().chain([gateway]).collect()
 }
