--- a/crates/http-gateway/src/fleet/status.rs
+++ b/crates/http-gateway/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! Replies of the admin socket, and figures for metrics.
+//! The status of link and leases, for replies on the admin socket and for metrics.
 
 use super::{CallCounts, Fleet};
 use crate::io::Io;
@@ -8,24 +8,24 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A peer as metrics show it. Times in ms.
+/// The metrics of a peer. Times in ms.
 #[derive(Debug)]
 pub(crate) struct PeerMetrics {
-    /// The peer.
+    /// The number of the peer.
     pub number: GatewayNumber,
-    /// How long ago a datagram was accepted from it; `None` if none ever was.
+    /// The time since the last datagram was accepted from it; `None` if none has been.
     pub last_received_ago: Option<Millis>,
-    /// The smoothed round trip.
+    /// The smoothed round-trip time.
     pub round_trip: Option<f64>,
-    /// By how much its wall clock is ahead of this gateway's.
+    /// How far its wall clock is ahead of this gateway's.
     pub clock_offset: Option<f64>,
-    /// Datagrams accepted from it.
+    /// The number of datagrams accepted from it.
     pub received: u64,
-    /// Datagrams from it that were lost.
+    /// The number of its datagrams that were lost.
     pub lost: u64,
 }
 
-/// What metrics show of link and leases.
+/// The metrics of link, leases and calls.
 #[derive(Debug, Default)]
 pub(crate) struct FleetMetrics {
     pub peers: Vec<PeerMetrics>,
@@ -33,11 +33,11 @@
     pub drops: Vec<DropMetrics>,
     /// The lease of each task of the settings.
     pub leases: Vec<LeaseMetrics>,
-    /// The calls of each task that was ever called.
+    /// The calls of each task with at least one ended call.
     pub calls: Vec<CallMetrics>,
 }
 
-/// Datagrams dropped for one reason.
+/// The number of datagrams dropped for one reason.
 #[derive(Debug)]
 pub(crate) struct DropMetrics {
     /// The reason's name in the metric.
@@ -76,10 +76,10 @@
 }
 
 impl Fleet {
-    /// Transfers a task that this gateway holds to another one.
+    /// Transfers a task that this gateway holds to another gateway.
     ///
     /// # Errors
-    /// Why not, as text for the operator.
+    /// The reason why the task cannot be transferred, as text for the operator.
     pub(crate) fn transfer(&mut self, io: &mut Io, name: &str, to: GatewayNumber) -> Result<(), String> {
         let now = boot_time_ms();
         let task = task_of(name);
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The reply of `ctl leases`; null where the settings have none.
+    /// The reply of `ctl leases`; null if the settings have no leases.
     pub(crate) fn leases(&self) -> Value {
         let now = boot_time_ms();
         let Some(leases) = &self.leases else { return Value::Null };
@@ -136,7 +136,8 @@
         })
     }
 
-    /// The reply on one task. Tokens are texts: they exceed the integers that JSON readers represent exactly.
+    /// The part of the reply for one task. Tokens are strings, because they exceed the integers that JSON readers
+    /// represent exactly.
     fn lease_reply(&self, status: &LeaseStatus) -> Value {
         let (stage, remaining_ms) = match status.stage {
             LeaseStage::Waiting(ms) => ("waiting", ms),
@@ -160,7 +161,7 @@
         })
     }
 
-    /// The figures for metrics.
+    /// The present values for the metrics.
     pub(crate) fn metrics(&self) -> FleetMetrics {
         let now = boot_time_ms();
         let lease = |status: LeaseStatus| LeaseMetrics {
@@ -178,7 +179,8 @@
     }
 }
 
-/// The text of a refusal in admin replies, which operators and their scripts read: it does not follow the names here.
+/// The text of a refusal in admin replies and in the log. Operators and their scripts depend on it, so it does not
+/// change with the names in the code.
 pub(super) fn refusal_text(refusal: Refusal) -> String {
     match refusal {
         Refusal::NotVoting => "Silent".into(),
