--- a/crates/http-gateway/src/fleet/status/tests.rs
+++ b/crates/http-gateway/src/fleet/status/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Operators and their scripts read these texts in the reply of `ctl leases`.
+/// Operators and their scripts depend on these texts in the reply of `ctl leases`.
 #[test]
 fn each_refusal_keeps_its_text_in_admin_replies() {
     assert_eq!(refusal_text(Refusal::NotVoting), "Silent");
@@ -25,7 +25,7 @@
 graphql { schema_file: "schema" }
 "#;
 
-/// A gateway that is the one voter of a fleet of two.
+/// A gateway that is the only voter of a fleet of two.
 fn single_voter(io: &Io) -> Fleet {
     let open = |name: &str| match name {
         "schema" => Ok("type Query { search: [String] }".into()),
@@ -36,7 +36,7 @@
     Fleet::new(io, &config, 7, false).expect("a socket").expect("a link")
 }
 
-/// Replaces what depends on time, after a check of its type.
+/// Replaces the value of a field that depends on time, after a check of its type.
 fn mask(reply: &mut Value, field: &str, has_type: fn(&Value) -> bool) {
     assert!(has_type(&reply[field]), "{field}: {reply}");
     reply[field] = "masked".into();
