--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -1,20 +1,21 @@
 //! The event loop of `doorcourse serve`: one thread that waits for readiness and moves messages between the components.
 //!
-//! It decides nothing itself. What happens becomes events of the decision library, of a request's life cycle or of the
-//! process's life cycle; the actions that follow become bytes, timers and commands to the components.
+//! Events go to the decision library, to the life cycle of a request or to the life cycle of the process, which decide;
+//! the actions that they return become bytes, timers and commands to the components.
 //!
 //! # Order of an iteration ([`Gateway::run`])
 //!
 //! 1. Process pending messages.
-//! 2. Fire the timers that are due. Before each, a stalled iteration polls again for clients that have disconnected.
+//! 2. Fire the timers that are due. Before each timer, a stalled iteration polls again for disconnected clients.
 //! 3. Drive the counter link, then the link to the other gateways.
 //! 4. Exchange outlier reports with the other gateways; process pending messages.
-//! 5. Report the pending work to the process's life cycle; process pending messages. Exit where it says so.
+//! 5. Report the pending work to the process's life cycle; process pending messages. Exit if it requests that.
 //! 6. Wait for readiness until the next timeout; poll once more if the wait ended late.
 //! 7. Handle disconnected clients first, then the timers that are due, then all other readiness, in the order of the
 //!    poll. Pending messages are processed after each.
 //!
-//! A client that disconnected before the wait ended is thus known to have left before any attempt is started for it.
+//! Thus the disconnect of a client that happened before the wait ended is handled before any attempt starts for its
+//! request.
 
 mod admin_calls;
 mod construction;
@@ -53,7 +54,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest wait of the loop where no timer is set, in ms.
+/// The longest single wait for readiness, in ms.
 const MAX_WAIT: Millis = 3_600_000.0;
 
 /// A running gateway.
@@ -70,17 +71,17 @@
     reload: SettingsReload,
     endpoints: Endpoints,
     decisions: doorcourse::Gateway,
-    /// The decisions' actions of one event; kept, so that no event allocates.
+    /// The buffer for the actions of one event, reused so that an event needs no allocation.
     actions: Vec<Action>,
     lifecycle: ProcessLifecycle,
-    /// Prefix of this process's request ids.
+    /// The prefix of the request ids that this process makes.
     instance_name: String,
     signals: SignalPipe,
     state: Option<StatePersistence>,
-    /// The life cycle has requested the exit.
+    /// Whether the process's life cycle has requested the exit.
     exiting: bool,
     last_poll_at: Millis,
-    /// The process from which this one takes over, until this one serves.
+    /// The connection to the process from which this one takes over, until this one serves.
     predecessor: Option<UnixStream>,
 }
 
@@ -93,16 +94,16 @@
         self.clients.addresses()
     }
 
-    /// The address of health checks and metrics, where one is set.
+    /// The address of health checks and metrics, if one is configured.
     #[must_use]
     pub fn health_address(&self) -> Option<SocketAddr> {
         self.monitoring.as_ref().and_then(|m| m.address().ok())
     }
 
-    /// Serves until a drain ends; the order of an iteration is in the module's documentation.
+    /// Serves until a drain ends. The module's documentation gives the order of an iteration.
     ///
     /// # Errors
-    /// When waiting for readiness fails, or the predecessor does not hand over: nothing can be served then.
+    /// When waiting for readiness fails, or the predecessor does not hand over: the gateway cannot serve then.
     pub fn run(&mut self) -> anyhow::Result<()> {
         self.start_serving()?;
         let mut ready = Vec::new();
@@ -148,7 +149,7 @@
         let pending = PendingWork {
             requests: self.requests.count(),
             connections: self.clients.count(),
-            // Counted only in a drain: it looks at every connection.
+            // Counted only during a drain, because the count visits every connection.
             busy_connections: if self.lifecycle.is_ready() { 0 } else { self.clients.busy_count() },
             counter_calls: self.counter.calls_in_flight(),
             idle_for: self.io.now() - self.clients.last_input_at,
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// Logs the totals of the process, with a last copy of its state on disk.
+    /// Saves the state file a last time and logs the totals of the process.
     fn finish(&mut self) {
         self.save_state();
         let SystemCalls { reads, writes, waits, registrations: changes, connects } =
