--- a/crates/http-gateway/src/gateway/admin_calls.rs
+++ b/crates/http-gateway/src/gateway/admin_calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the admin socket.
+//! Execution of the calls on the admin socket.
 
 use super::Gateway;
 use crate::admin::{AdminCall, AdminRequest};
@@ -6,17 +6,17 @@
 use doorcourse_lifecycle::ProcessEvent;
 use serde_json::{Value, json};
 
-/// What follows a call at once.
+/// The immediate result of a call.
 enum Outcome {
     Reply(Value),
-    /// The parameters name nothing that exists.
+    /// The parameters name something that does not exist.
     InvalidParams(String),
     /// The reply follows later, or there is none.
     Deferred,
 }
 
 impl Gateway {
-    /// Executes a call of the admin socket, and replies to it unless its result comes later.
+    /// Executes a call, and replies to it unless its result follows later.
     pub(super) fn handle_admin_call(&mut self, call: AdminCall) {
         let AdminCall { slot, id, request } = call;
         let outcome = match request {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A call that changes the process's state; its reply states the new one.
+    /// Passes a call to the process's life cycle; the reply contains the new state.
     fn process_call(&mut self, event: ProcessEvent) -> Outcome {
         self.handle_process_event(event);
         Outcome::Reply(json!({"state": self.lifecycle.state().name()}))
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Starts a reload; the reply follows once the settings are read. A dry run changes nothing, so the life cycle
-    /// is not asked.
+    /// Starts a reload; the reply follows once the settings are read. A dry run does not change anything, so it does
+    /// not need the consent of the process's life cycle.
     fn reload_call(&mut self, slot: usize, id: Value, dry_run: bool) {
         let waiter = self.admin.as_ref().and_then(|admin| admin.reload_waiter(slot, id, dry_run));
         let Some(waiter) = waiter else { return };
