--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -1,4 +1,5 @@
-//! Construction of a gateway: listeners (bound, or taken over from a running process), components, first endpoint list.
+//! Construction of a gateway: its listeners (bound, or taken over from a running process), its components and the first
+//! endpoint list.
 
 use super::endpoints::Endpoints;
 use super::signals::SignalPipe;
@@ -24,21 +25,21 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// What a gateway is started with.
+/// The options with which a gateway is started.
 pub struct GatewayOptions<'a> {
     /// The settings.
     pub config: Config,
     /// The directory to which the paths in the settings are relative.
     pub directory: &'a Path,
-    /// The seed of the decisions; `None` takes a random one.
+    /// The seed of the decisions; `None` for a random one.
     pub seed: Option<u64>,
-    /// Reads the settings again; without it there is no reload.
+    /// Reads the settings again for a reload; with `None` a reload is refused.
     pub read_settings: Option<ReadSettings>,
-    /// Take over the listening sockets from the process that serves at the admin socket.
+    /// Whether to take over the listening sockets from the process that serves at the admin socket.
     pub take_over: bool,
 }
 
-/// The listening sockets of a gateway, and where they come from.
+/// The listening sockets of a gateway, and the process that passed them, if any.
 struct ListeningSockets {
     clients: Vec<TcpListener>,
     monitoring: Option<TcpListener>,
@@ -104,7 +105,8 @@
             backends: Backends::default(),
             requests: Requests::default(),
             counter: Counter::new(config.counter.as_ref()),
-            // Not the seed of the decisions: peers must be able to distinguish two starts of one gateway.
+            // Not the seed of the decisions, which may be fixed: peers must be able to distinguish two starts of a
+            // gateway.
             fleet: Fleet::new(&io, &config, random_seed(), sockets.predecessor.is_some())?,
             admin,
             monitoring,
