--- a/crates/http-gateway/src/gateway/endpoints.rs
+++ b/crates/http-gateway/src/gateway/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list in force: from the settings or a list file, with the backends that an operator drained here.
+//! The endpoint list in force, from the settings or a list file, and the backends that an operator drained at this
+//! gateway.
 
 use super::Gateway;
 use crate::endpoint_list::EndpointList;
@@ -11,7 +12,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Where endpoints come from, and which are listed now.
+/// The source of the endpoint list, the list in force, and the manual drains.
 pub(super) struct Endpoints {
     /// The list file; `None` where the settings list the endpoints themselves.
     file: Option<EndpointList>,
@@ -48,7 +49,7 @@
         self.manual_drains.is_drained(name)
     }
 
-    /// Applies a changed poll interval. The path of the list file stays that of the start.
+    /// Applies a changed poll interval. The path of the list file does not change after the start.
     pub(super) fn update_settings(&mut self, config: &Config) {
         if let (Some(file), Some((_, poll_interval))) = (&mut self.file, &config.node_list) {
             file.poll_interval = *poll_interval;
@@ -60,7 +61,7 @@
     /// Applies the first list, from the list file or the settings.
     ///
     /// # Errors
-    /// The list file cannot be used.
+    /// When the list file cannot be used.
     pub(super) fn apply_first_endpoints(&mut self) -> anyhow::Result<()> {
         if self.endpoints.has_list_file() {
             return self.poll_endpoint_list();
@@ -97,8 +98,9 @@
         self.notify_endpoints(|name| unchanged.contains(name));
     }
 
-    /// Reports the list to the decisions. Attempts that are not written yet, to a backend that must not get them any
-    /// more, are withdrawn behind it, so that they are placed by the new list. `is_unchanged`: same address and start.
+    /// Reports the list to the decisions, then withdraws the unwritten attempts at backends that must not get them any
+    /// more, so that they are placed by the new list. `is_unchanged` says whether a backend has the same address and
+    /// start time as before.
     fn notify_endpoints(&mut self, is_unchanged: impl Fn(&Name) -> bool) {
         let listed = self.endpoints.listed.iter().map(|node| node.entry.clone());
         let list = self.endpoints.manual_drains.apply(listed);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Drains a backend at this gateway, or ends that drain; `false` where no such backend is listed.
+    /// Drains a backend at this gateway, or ends that drain. Returns `false` if no such backend is listed.
     pub(super) fn set_manual_drain(&mut self, name: &str, drain: bool) -> bool {
         let Some(node) = self.endpoints.listed.iter().find(|node| *node.entry.name == *name) else {
             return false;
