--- a/crates/http-gateway/src/gateway/outliers.rs
+++ b/crates/http-gateway/src/gateway/outliers.rs
@@ -1,5 +1,5 @@
-//! Outlier gossip: the gossip observes the backends as the decisions see them, and its verdicts are applied to the
-//! decisions.
+//! The connection between outlier gossip and decisions: the gossip gets the decisions' status of each backend, and the
+//! decisions get its verdicts.
 
 use super::Gateway;
 use doorcourse::{BackendStatus, Event};
@@ -12,7 +12,7 @@
         self.apply_verdicts();
     }
 
-    /// Passes the decisions' view of the backends to the gossip, when it is due.
+    /// Passes the decisions' status of the backends to the gossip, if an observation is due.
     fn report_backends(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         if fleet.wants_observation() {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Applies the verdicts of the gossip, in the form of a restored state of the backends.
+    /// Applies the verdicts of the gossip. The decisions get them as restored state of the backends.
     fn apply_verdicts(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let now = self.io.now();
@@ -45,7 +45,7 @@
     }
 }
 
-/// A backend as the gossip observes it.
+/// The status of a backend in the form that the gossip needs.
 fn observation(backend: BackendStatus) -> NodeStatus {
     NodeStatus {
         node: backend.name.to_string(),
