--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -1,4 +1,5 @@
-//! Messages between the components: commands of requests, events of clients, events and actions of the decisions.
+//! Pending messages between the components: commands of the request table, events of clients, events and actions of the
+//! decisions, admin calls and monitoring pages.
 
 use super::Gateway;
 use crate::backends::AttemptEvent;
@@ -13,7 +14,7 @@
 impl Gateway {
     /// Processes messages until none is left.
     ///
-    /// Commands come before new events, and the decisions get their events in the order in which they happened.
+    /// Commands are executed before new events, and the decisions get events in the order in which they happened.
     pub(super) fn process_pending(&mut self) {
         loop {
             if let Some(command) = self.requests.commands.pop_front() {
@@ -64,8 +65,8 @@
                 self.counter.call(&mut self.io, CounterCall { counter, amount, time_to_live });
             }
             Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
-            // The settings enable none of these: no gossip between decisions, no active health checks, no cancellation;
-            // the endpoint list is pushed.
+            // The settings of this gateway enable none of these actions: decisions neither gossip, check the health of
+            // backends nor cancel attempts, and they are notified of each endpoint list.
             Action::CancelAttempt { .. }
             | Action::CheckHealth { .. }
             | Action::Gossip { .. }
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Starts an attempt. `write_window`: withdraw it unless its first bytes are written within
-    /// this time (`must_be_written_within` of the action).
+    /// Starts an attempt. With a `write_window` (`must_be_written_within` of the action), it is withdrawn unless its
+    /// first bytes are written within this time.
     fn send_attempt(&mut self, id: RequestId, backend: &Name, write_window: Option<Millis>) {
         let attempt = self.requests.attempt_started(self.io.now(), id, backend.clone());
         if let Some(window) = write_window {
@@ -86,15 +87,15 @@
                 self.requests.set_connection(id, connection);
                 self.process_attempt_events(connection.slot, connection.generation);
             }
-            // The backend was removed from the list, or no descriptor is left: no connection was made.
+            // There is no connection: the backend is not listed any more, or none could be opened.
             None => {
                 self.requests.handle_attempt_event(self.io.now(), false, id, AttemptEvent::ConnectionLost);
             }
         }
     }
 
-    /// Processes the events of a backend connection. The commands that follow from one are executed before the next is
-    /// read: they may close the connection.
+    /// Processes the events of a backend connection. The commands that result from an event are executed before the
+    /// next event is read, because they may close the connection.
     pub(super) fn process_attempt_events(&mut self, slot: usize, generation: u32) {
         let forward_cookies = !self.config.routing.cookie.is_empty();
         while let Some((id, event)) =
@@ -119,7 +120,8 @@
             }
             RequestCommand::ForwardResponse { client, head, external_id, bytes, backend } => {
                 let unread = self.clients.forward(io, config, client, head, &external_id, &bytes);
-                // Back pressure: a client that reads slowly stops its backend, not this process's memory.
+                // Back pressure: while a client reads slowly, its backend connection is paused, which bounds the
+                // buffer.
                 if let Some(slot) = backend.filter(|_| unread > config.limits.client_buffer) {
                     self.backends.set_paused(io, slot, true);
                 }
