--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -1,4 +1,4 @@
-//! The process's life cycle: its actions, and the shutdown that answers every open request.
+//! Actions of the process's life cycle, among them the end of a drain, which answers every open request.
 
 use super::Gateway;
 use crate::monitoring::Monitoring;
@@ -62,8 +62,8 @@
         admin.pass_listeners(peer, &listeners);
     }
 
-    /// Answers all open requests now: in-flight attempts end as timed out, and the decisions give the final response.
-    /// A request is rejected only where a retry is harmless (`src/retry.rs`), else it fails.
+    /// Answers all open requests now: in-flight attempts end as timed out, and the decisions choose the final response.
+    /// A request is rejected only if a retry is safe (`src/retry.rs`); otherwise it fails.
     fn finish_requests(&mut self) {
         self.clients.close_listeners();
         let mut rounds = FinalRounds::new(self.config.decisions.max_attempts);
