--- a/crates/http-gateway/src/gateway/readiness.rs
+++ b/crates/http-gateway/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! Dispatch of readiness and timers to the component that each belongs to.
+//! Dispatch of readiness and timers to the components.
 
 use super::Gateway;
 use crate::io::{Timer, Token};
@@ -26,7 +26,7 @@
         Ok(())
     }
 
-    /// Fires the timers that are due, each with the messages that follow from it.
+    /// Fires the timers that are due, and processes the resulting messages after each.
     pub(super) fn fire_timers(&mut self) -> anyhow::Result<()> {
         while let Some(timer) = self.io.timers.pop_expired(self.io.now()) {
             self.poll_disconnects_if_stalled()?;
@@ -36,8 +36,8 @@
         Ok(())
     }
 
-    /// Polls again if the iteration has stalled since the last poll (on a disk, or because the process was stopped):
-    /// clients that disconnected meanwhile did so before whatever the iteration starts next.
+    /// Polls again if the iteration has stalled since the last poll (on a disk, or because the process was stopped), so
+    /// that clients that disconnected meanwhile are handled before the iteration starts anything for them.
     fn poll_disconnects_if_stalled(&mut self) -> anyhow::Result<()> {
         if !needs_repoll(self.io.now() - self.last_poll_at) || rule_disabled("re-poll-stalled-iteration") {
             return Ok(());
