--- a/crates/http-gateway/src/gateway/settings.rs
+++ b/crates/http-gateway/src/gateway/settings.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 impl Gateway {
-    /// Applies the settings that were read. A request in flight keeps the schema by which its cost was computed.
+    /// Applies the settings that were read. A request in flight keeps the schema with which its cost was computed.
     pub(super) fn apply_settings(&mut self) {
         let Some((mut config, change)) = self.reload.take_settings() else { return };
         let started_at = self.io.now();
-        // Routing that the endpoint list states takes precedence.
+        // The routing in the list file takes precedence over that in the settings.
         if let Some(routing) = self.endpoints.listed_routing() {
             config.set_routing(routing);
         }
@@ -34,7 +34,7 @@
     }
 }
 
-/// The settings of the life cycle. Times in ms.
+/// The settings of the process's life cycle. Times in ms.
 pub(super) fn lifecycle_settings(config: &Config) -> LifecycleSettings {
     LifecycleSettings {
         readiness_notice: config.life.notice,
