--- a/crates/http-gateway/src/gateway/signals.rs
+++ b/crates/http-gateway/src/gateway/signals.rs
@@ -1,4 +1,4 @@
-//! Termination and reload by signals, or by another thread of the same process.
+//! Termination and reload, requested by signals or by another thread of the process.
 
 use super::Gateway;
 use crate::io::{Io, Token};
@@ -6,14 +6,14 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A pipe that converts termination signals to readiness: one byte a signal.
+/// A socket pair that turns termination signals into readiness: the handler writes one byte for each signal.
 pub(super) struct SignalPipe {
     receiver: UnixStream,
     sender: UnixStream,
 }
 
 impl SignalPipe {
-    /// Registers the receiving end.
+    /// Opens the socket pair and registers its receiving end.
     pub(super) fn new(io: &Io) -> std::io::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -22,7 +22,7 @@
         Ok(Self { receiver, sender })
     }
 
-    /// The number of signals of one read; `None` where none is left. Two signals that come together are two.
+    /// The number of signals that one read receives; `None` if there is none. Each byte counts as one signal.
     pub(super) fn receive(&mut self) -> Option<usize> {
         let mut bytes = [0; 16];
         match self.receiver.read(&mut bytes) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Stops or reloads a gateway from another thread, as the signals do.
+/// Stops or reloads a gateway from another thread, with the effect of the signals.
 #[derive(Debug)]
 pub struct Stopper {
     terminate: UnixStream,
@@ -52,11 +52,11 @@
 }
 
 impl Gateway {
-    /// Installs the signal handlers: SIGTERM and SIGINT drain, a second one ends the drain at once; SIGHUP reloads the
-    /// settings.
+    /// Installs the signal handlers: SIGTERM and SIGINT start a drain, a second one ends the drain at once; SIGHUP
+    /// reloads the settings.
     ///
     /// # Errors
-    /// When the system refuses a handler or has no descriptor left.
+    /// When a handler cannot be installed or the system has no descriptor left.
     pub fn stop_at_signals(&self) -> std::io::Result<()> {
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
             signal_hook::low_level::pipe::register(signal, self.signals.sender.try_clone()?)?;
