--- a/crates/http-gateway/src/gateway/state_persistence.rs
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -1,4 +1,4 @@
-//! Saving and restoring the state file, so that what was learnt of backends outlives the process.
+//! Saving and restoring the state file, so that a restarted gateway keeps the learnt state of its backends.
 
 use super::Gateway;
 use crate::io::Timer;
@@ -6,11 +6,11 @@
 use doorcourse::{Event, Millis};
 use std::path::Path;
 
-/// The state file and how it is kept.
+/// The state file, its save interval and the result of the last save.
 pub(super) struct StatePersistence {
     file: StateFile,
     save_interval: Millis,
-    /// Whether the last save failed: a failure is logged once, not at each save.
+    /// Whether the last save failed. Only a change is logged, not each failed save.
     failing: bool,
 }
 
@@ -22,7 +22,7 @@
         Self { file, save_interval: settings.every, failing: false }
     }
 
-    /// Logs the result of a save where it differs from that of the one before.
+    /// Logs the result of a save if it differs from the result of the previous one.
     fn record_save(&mut self, result: std::io::Result<()>) {
         let failed = result.is_err();
         if std::mem::replace(&mut self.failing, failed) == failed {
@@ -37,7 +37,7 @@
 }
 
 impl Gateway {
-    /// Restores what an earlier process of this gateway saved, and sets the timer of the first save.
+    /// Restores the state that an earlier process of this gateway saved, and sets the timer of the first save.
     pub(super) fn restore_state(&mut self) {
         let now = self.io.now();
         let Some(state) = &self.state else { return };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Saves the state file and sets the timer of the next save. A full disk stops nothing but this file.
+    /// Saves the state file and sets the timer of the next save. A failure, such as a full disk, affects only the file.
     pub(super) fn save_state(&mut self) {
         let now = self.io.now();
         let Some(state) = &mut self.state else { return };
