--- a/crates/http-gateway/src/gateway/status.rs
+++ b/crates/http-gateway/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! What the admin socket and the metrics report of the present state. The JSON keys are a stable format.
+//! The present state, as the admin socket and the metrics report it. The JSON keys are a stable format.
 
 use super::Gateway;
 use crate::fleet::Fleet;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl Gateway {
-    /// The gauges of the metrics, as of now.
+    /// The present values of the gauges in the metrics.
     pub(super) fn snapshot(&self) -> Snapshot {
         let now = self.io.now();
         let mut leased_units = BTreeMap::<String, f64>::new();
