--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -1,8 +1,9 @@
-//! GraphQL over HTTP: from an HTTP request to a request for the decisions, and from a final response to HTTP.
+//! GraphQL over HTTP: translates HTTP requests to requests for the decisions, and final responses to HTTP.
 //!
-//! Only this module knows the client's protocol; it holds no state and does no I/O. A request passes three steps: its head
-//! ([`check_head`]), before its body is read; its parameters; its operation ([`prepare_request`]), which is validated against the
-//! schema and determines cost, class and timeout. Each step may end it with a [`Response`].
+//! Only this module depends on the clients' protocol; it holds no state and does no I/O. A request is processed in
+//! three steps: its head, before its body is read ([`check_head`]); its parameters; and its operation
+//! ([`prepare_request`]), which is validated against the schema and determines cost, class and timeout. Each step may
+//! reject it with a [`Response`].
 
 mod head;
 mod operation;
@@ -30,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MediaType {
     GraphqlResponse,
-    /// The legacy type: errors of well-formed requests have status 200.
+    /// The legacy type: the response to a well-formed request with an invalid operation has status 200.
     Json,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// What is known of a request once its head is checked.
+/// The result of checking a request's head.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub customer: Arc<Customer>,
@@ -68,7 +69,7 @@
     pub class: usize,
     /// The cost of the operation by the schema.
     pub units: f64,
-    /// How long the decisions have for a final response.
+    /// How long the decisions have for a final response, in ms.
     pub timeout: Millis,
     /// The body for the backend.
     pub body: Vec<u8>,
