--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request: path, method, authentication, media types, deadline, session.
+//! Checks of a request's head: path, method, authentication, media types, deadline and session.
 
 use super::response::{Response, error, with_close};
 use super::{DEADLINE_FIELD, MediaType, REQUEST_ID_FIELD, RequestHead};
@@ -8,13 +8,13 @@
 use doorcourse_request_lifecycle::{cookie, parameter, split_path, sticky_route};
 use std::sync::Arc;
 
-/// The fields that are forwarded to the backend; cookies as well, where sessions are sticky by cookie.
+/// The fields that are forwarded to the backend. Cookies are forwarded as well if sessions are sticky by cookie.
 const FORWARDED_FIELDS: [&str; 4] = ["idempotency-key", REQUEST_ID_FIELD, "traceparent", "tracestate"];
 
-/// Checks a request's head: which customer sends it, and whether its body can be processed and is to be read.
+/// Checks a request's head before its body is read, and identifies the customer.
 ///
 /// # Errors
-/// The response that rejects it.
+/// The response that rejects the request.
 pub(crate) fn check_head(config: &Config, head: &Head) -> Result<RequestHead, Response> {
     let target = origin_form(&head.target);
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// The client's deadline for its response, if it states one.
+/// The client's deadline for its response, if the request has one.
 fn deadline(head: &Head) -> Result<Option<Millis>, Response> {
     match head.field(DEADLINE_FIELD).map(str::parse::<f64>) {
         None => Ok(None),
@@ -107,8 +107,8 @@
     head.fields.iter().filter(|(name, _)| is_forwarded(name)).cloned().collect()
 }
 
-/// The route that the client's session names. A cookie takes precedence over a parameter of the path, and that over one
-/// of the query.
+/// The route that the client's session names. A cookie takes precedence over a path parameter, and a path parameter
+/// over a query parameter.
 fn session_route(routing: &Routing, head: &Head, path_parameters: &str, query: &str) -> Name {
     let cookies = head.fields.iter().filter(|(name, _)| name == "cookie").map(|(_, value)| value.as_str());
     let session = cookie(&routing.cookie, cookies)
@@ -117,14 +117,14 @@
     session.map(sticky_route).unwrap_or_default().into()
 }
 
-/// The query string without the session's parameter.
+/// The query string without the parameter that names the session.
 fn graphql_query(routing: &Routing, query: &str) -> String {
     let is_graphql =
         |pair: &&str| routing.parameter.is_empty() || parameter(&routing.parameter, pair, '&').is_none();
     query.split('&').filter(is_graphql).collect::<Vec<_>>().join("&")
 }
 
-/// The target without scheme and authority: a server accepts the absolute form too (RFC 9112 section 3.2.2).
+/// The target without scheme and authority: a server must also accept the absolute form (RFC 9112 section 3.2.2).
 fn origin_form(target: &str) -> &str {
     let has_scheme =
         |scheme: &&&str| target.get(..scheme.len()).is_some_and(|start| start.eq_ignore_ascii_case(scheme));
@@ -136,8 +136,8 @@
     }
 }
 
-/// The media type of the response, by the `Accept` fields with their weights. Without any it is the legacy one (GraphQL
-/// over HTTP, "Legacy watershed").
+/// The media type of the response, according to the weights in the `Accept` fields. Without such a field it is the
+/// legacy type (GraphQL over HTTP, "Legacy watershed").
 fn accepted_media_type(head: &Head) -> Option<MediaType> {
     let mut values = head.fields.iter().filter(|(name, _)| name == "accept").peekable();
     if values.peek().is_none() {
@@ -153,7 +153,7 @@
     best.map(|(_, media)| media)
 }
 
-/// The weight of a media range and the type that it matches; `None` where neither type is in it.
+/// The weight of a media range and the type that it matches; `None` if it matches neither type.
 fn media_range(range: &str) -> Option<(f64, MediaType)> {
     let mut segments = range.split(';').map(|segment| segment.trim().to_ascii_lowercase());
     let media = match segments.next().as_deref() {
