--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -1,4 +1,4 @@
-//! The operation of a request: validated against the schema, with its cost, class and timeout.
+//! The operation of a request: its validation against the schema, and its cost, class and timeout.
 
 use super::parameters::{self, OperationParameters};
 use super::response::{Response, error, query_errors_response};
@@ -12,11 +12,11 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A request for the decisions out of a complete HTTP request. `elapsed`: time since its head arrived, which counts
-/// towards its deadline.
+/// Makes a request for the decisions from a complete HTTP request. `elapsed` is the time since its head arrived, which
+/// counts towards its deadline.
 ///
 /// # Errors
-/// The response that rejects it.
+/// The response that rejects the request.
 pub(crate) fn prepare_request(
     config: &Config, head: RequestHead, body: Vec<u8>, elapsed: Millis,
 ) -> Result<Request, Response> {
@@ -81,8 +81,8 @@
         .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
 
-/// Rejects an operation that costs more than the customer's plan ever holds. There is no `Retry-After`: waiting does not
-/// help.
+/// Rejects an operation that costs more than the customer's plan can ever hold. The response has no `Retry-After`,
+/// because waiting does not help.
 fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
     let plan = &config.decisions.plans[head.customer.plan];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
@@ -91,7 +91,7 @@
     })
 }
 
-/// How long the decisions have: by the class and the client's own deadline, less what has passed.
+/// How long the decisions have: the timeout from the class and the client's deadline, less the elapsed time.
 fn remaining_timeout(
     config: &Config, head: &RequestHead, class: usize, elapsed: Millis,
 ) -> Result<Millis, Response> {
