--- a/crates/http-gateway/src/graphql_front/parameters.rs
+++ b/crates/http-gateway/src/graphql_front/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of a GraphQL request: of a JSON body, or of a query string.
+//! The parameters of a GraphQL request, from a JSON body or a query string.
 
 use super::response::{Response, error};
 use super::{MediaType, RequestHead};
