--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -1,4 +1,4 @@
-//! Responses of the gateway's own, as HTTP. Codes and texts are a stable format.
+//! Responses that the gateway itself gives, as HTTP. Codes and texts are a stable format.
 
 use super::{MediaType, REQUEST_ID_FIELD};
 use doorcourse::{Millis, Name, RejectReason};
@@ -7,17 +7,17 @@
 use doorcourse_request_lifecycle::{FailureReason, FinalResponse};
 use serde_json::json;
 
-/// A response that the gateway gives itself.
+/// A response that the gateway itself gives.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub status: u16,
     pub fields: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
-    /// Whether the connection cannot be used any further.
+    /// Whether the connection is closed after this response.
     pub close: bool,
 }
 
-/// One error with a stable code, in the shape of a GraphQL response.
+/// A response with one error and its stable code, in the format of a GraphQL response.
 pub(super) fn error(media: MediaType, status: u16, code: &str, message: &str) -> Response {
     let body = json!({"errors": [{"message": message, "extensions": {"code": code}}]});
     let fields = vec![("content-type", media.name().to_owned())];
@@ -30,7 +30,7 @@
     response
 }
 
-/// The response to a well-formed request whose operation is invalid: status 200 in the legacy media type, 400 in the
+/// The response to a well-formed request with an invalid operation: status 200 for the legacy media type, 400 for the
 /// newer one.
 pub(super) fn query_errors_response(media: MediaType, code: &str, errors: &[QueryError]) -> Response {
     let status = if media == MediaType::Json { 200 } else { 400 };
@@ -54,14 +54,14 @@
     with_close(error(MediaType::Json, 408, "REQUEST_TIMEOUT", "the request took too long to arrive"))
 }
 
-/// The response where the gateway itself has reached a limit; the rest of the request is not read.
+/// The response when the gateway itself has reached a limit or is stopping; the rest of the request is not read.
 pub(crate) fn gateway_full_response(message: &str) -> Response {
     let mut response = with_close(error(MediaType::Json, 503, "GATEWAY_FULL", message));
     response.fields.push(("retry-after", "1".into()));
     response
 }
 
-/// The stable code of a final response of the gateway's own.
+/// The stable code of a final response that the gateway itself gives.
 pub(crate) fn response_code(response: FinalResponse) -> &'static str {
     match response {
         FinalResponse::Rejected { reason, .. } => rejection_code(reason),
@@ -84,7 +84,7 @@
     }
 }
 
-/// A final response of the gateway's own, as HTTP.
+/// A final response that the gateway itself gives, as HTTP.
 pub(crate) fn final_response(media: MediaType, response: FinalResponse) -> Response {
     match response {
         FinalResponse::Rejected { retry_after, reason } => rejection_response(media, reason, retry_after),
@@ -99,7 +99,8 @@
         RejectReason::Overloaded => (503, "no node has room; to try again is harmless"),
     };
     let mut response = error(media, status, rejection_code(reason), message);
-    // In seconds, rounded up: an earlier retry would be rejected again (RFC 9110 section 10.2.3).
+    // The field is in seconds (RFC 9110 section 10.2.3). It is rounded up, because an earlier retry would be rejected
+    // again.
     let retry_after_seconds = (retry_after / 1000.0).ceil().max(1.0);
     response.fields.push(("retry-after", retry_after_seconds.to_string()));
     response
@@ -114,7 +115,7 @@
     error(media, status, failure_code(reason), message)
 }
 
-/// Appends a response to a connection's output.
+/// Appends a response to a connection's send buffer.
 pub(crate) fn write_response(
     out: &mut Vec<u8>, response: &Response, keep_alive: bool, external_id: Option<&Name>,
 ) {
