--- a/crates/http-gateway/src/io.rs
+++ b/crates/http-gateway/src/io.rs
@@ -1,14 +1,15 @@
-//! What every component needs to wait for something: readiness, timers and the clock. It holds no connection.
+//! The resources of the event loop that all components share: poller, timers, clock and the queue of events for the
+//! decisions. Connections belong to the components.
 
 use doorcourse::{Event, Millis, RequestId};
 use doorcourse_event_loop::{Clock, Poller, Timers};
 use std::collections::VecDeque;
 
-/// What a registered descriptor belongs to. Connections carry slot and generation: a slot may be used again within one
-/// poll, and the generation tells the new connection from the old one.
+/// The owner of a registered descriptor. Tokens of connections contain slot and generation: a slot may be reused while
+/// the events of one poll are handled, and the generation distinguishes the new connection from the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Token {
-    /// A listener of clients, by index.
+    /// A listener for clients, by index.
     Listener(usize),
     /// A client connection.
     Client(usize, u32),
@@ -16,9 +17,9 @@
     Backend(usize, u32),
     /// The connection to the shared counter.
     Counter(u32),
-    /// The pipe of termination signals.
+    /// The socket pair of termination signals.
     Signal,
-    /// The pipe of reloads.
+    /// The socket pair of reloads.
     Reload,
     /// The listener of the admin socket.
     Admin,
@@ -30,19 +31,19 @@
     Monitoring(usize, u32),
     /// The UDP socket to the other gateways.
     PeerLink,
-    /// A connection of a task's call, or of a probe of a suspected backend.
+    /// An HTTP connection for the call of a task or for the probe of a suspected node.
     Fleet(usize, u32),
 }
 
-/// The bits of a generation that a token carries.
+/// The bits of a generation that fit into a token.
 const GENERATION_MASK: u32 = 0x0fff_ffff;
-/// A token's bits, from the top: 4 for its kind, 28 for the generation, 32 for the slot.
+/// The layout of a packed token, from the highest bit: 4 bits kind, 28 bits generation, 32 bits slot.
 const KIND_SHIFT: u32 = 60;
 const GENERATION_SHIFT: u32 = 32;
 const SLOT_MASK: u64 = 0xffff_ffff;
 
 impl Token {
-    /// The token as the poller carries it.
+    /// The token as the number that the poller stores.
     pub(crate) fn pack(self) -> u64 {
         let (kind, slot, generation) = match self {
             Self::Listener(slot) => (1, slot, 0),
@@ -61,7 +62,7 @@
         kind << KIND_SHIFT | u64::from(generation) << GENERATION_SHIFT | slot as u64
     }
 
-    /// The token that [`Self::pack`] packed.
+    /// The token of a number from [`Self::pack`].
     pub(crate) fn unpack(token: u64) -> Self {
         let slot = (token & SLOT_MASK) as usize;
         let generation = (token >> GENERATION_SHIFT) as u32 & GENERATION_MASK;
@@ -82,10 +83,10 @@
     }
 }
 
-/// What a timer is for. Timers are not cancelled: one that is of no use any more is ignored when it fires.
+/// The purpose of a timer. Timers are not cancelled: one that is no longer needed is ignored when it fires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// A timer of the decisions, by their token.
+    /// A timer of the decisions, with their token.
     Decision(u64),
     /// The deadline of a request.
     RequestDeadline(RequestId),
@@ -95,13 +96,13 @@
     ClientTimeout(usize, u32),
     /// The idle timeout of a backend connection: slot and generation.
     BackendIdle(usize, u32),
-    /// The endpoint list file is examined.
+    /// The next check of the endpoint list file.
     EndpointListPoll,
-    /// The state file is saved.
+    /// The next save of the state file.
     StateFileSave,
 }
 
-/// Readiness, timers, the clock, and the events that wait for the decisions, in order.
+/// The shared resources of the event loop: poller, timers, clock, and the pending events for the decisions, in order.
 pub(crate) struct Io {
     pub poller: Poller,
     pub timers: Timers<Timer>,
@@ -114,7 +115,7 @@
     /// Opens the poller.
     ///
     /// # Errors
-    /// The operating system has no descriptor for it.
+    /// When the system has no descriptor left.
     pub(crate) fn new() -> anyhow::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
@@ -125,12 +126,12 @@
         })
     }
 
-    /// The time now: wall time at the start of the process, plus monotonic time since.
+    /// The current time: wall time at the start of the process, plus monotonic time since.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// A generation for a new connection that no recent one of its slot had.
+    /// A generation for a new connection. It differs from those of all recent connections.
     pub(crate) fn generation(&mut self) -> u32 {
         self.last_generation = self.last_generation.wrapping_add(1) & GENERATION_MASK;
         self.last_generation
