--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The HTTP gateway: one thread, epoll, no async runtime. It translates: sockets and timers into events of the decision
-//! library and of a request's life cycle, and their actions into bytes. It decides nothing itself.
+//! The HTTP gateway: one thread, epoll, no async runtime. It translates what happens on sockets and timers into events
+//! of the decision library and of each request's life cycle, and their actions into bytes. Quotas, routing and retries
+//! are decided there, not here.
 //!
-//! Start with the event loop (`gateway.rs`); `docs/gateway.md` has the components and what each owns.
+//! Start with the event loop (`gateway.rs`); `docs/gateway.md` describes the components and what each of them owns.
 
 #![warn(missing_docs)]
 
