--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -1,5 +1,5 @@
-//! Health checks and metrics: `/live`, `/ready` and `/metrics` on a listener of their own, never counted as requests. A
-//! load balancer reads `/ready`, a metrics system `/metrics`.
+//! Health checks and metrics: `/live`, `/ready` and `/metrics` on a separate listener, not counted as requests. A load
+//! balancer reads `/ready`, a metrics system `/metrics`.
 
 mod metrics;
 
@@ -15,9 +15,9 @@
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections at once; beyond them, the one that was idle for longest is closed.
+/// The most open connections; for another one, the one that has been idle longest is closed.
 const MAX_CONNECTIONS: usize = 64;
-/// The limits of a request: it has no body, and a short head.
+/// The limits of a request: a short head and no body.
 const REQUEST_LIMITS: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 0 };
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -28,7 +28,7 @@
     generation: u32,
     decoder: Decoder,
     interest: Interest,
-    /// Close once all is written.
+    /// Whether the connection is closed once all output is written.
     closing: bool,
     last_active_at: Millis,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What can be read.
+/// The pages that can be requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Page {
     Live,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A page that was asked for and waits for [`Monitoring::respond`].
+/// A request for a page, to be answered by [`Monitoring::respond`].
 #[derive(Debug)]
 pub(crate) struct PageRequest {
     slot: usize,
@@ -95,7 +95,7 @@
     /// The address of the listener.
     ///
     /// # Errors
-    /// The operating system does not return it.
+    /// When the system does not return it.
     pub(crate) fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Closes the connection that was idle for longest: connections left open must not lock out a new one.
+    /// Closes the connection that has been idle longest, so that connections left open do not keep out new ones.
     fn close_least_recent(&mut self) {
         let oldest = self.connections.iter().min_by(|a, b| a.1.last_active_at.total_cmp(&b.1.last_active_at));
         if let Some(slot) = oldest.map(|(slot, _)| slot) {
@@ -153,7 +153,7 @@
         self.flush(io, slot);
     }
 
-    /// Decodes requests; pages wait in `page_requests`, everything else is answered at once.
+    /// Decodes requests. Requests for a page wait in `page_requests`; all others are answered at once.
     fn decode_input(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.closing {
