--- a/crates/http-gateway/src/monitoring/metrics.rs
+++ b/crates/http-gateway/src/monitoring/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics in OpenMetrics text. Names, labels and help texts are a stable format.
+//! The metrics in the OpenMetrics text format. Names, labels and help texts are a stable format.
 
 use crate::fleet::{CallCounts, FleetMetrics};
 use crate::requests::{FinalResponseRecord, SERVED};
@@ -9,7 +9,7 @@
 
 /// Upper bounds of the response time buckets, in seconds.
 const RESPONSE_TIME_BUCKETS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
-/// Shown in place of a time for a peer from which no datagram has come yet.
+/// The value that stands for the time since the last datagram if none has been received from a peer.
 const NEVER_RECEIVED: i64 = -1;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -62,7 +62,7 @@
     pub name: String,
     pub concurrency_limit: f64,
     pub in_flight: u32,
-    /// Listed as ready, and not ejected.
+    /// Whether the backend is listed as ready and not ejected.
     pub usable: bool,
 }
 
@@ -77,7 +77,7 @@
     /// Units of the quota leases held, by plan.
     pub leased_units: Vec<(String, f64)>,
     pub backends: Vec<BackendGauges>,
-    /// The link to the other gateways and the tasks.
+    /// The values of the link to the other gateways and of the tasks.
     pub fleet: FleetMetrics,
 }
 
@@ -121,7 +121,7 @@
     calls: Family<CallLabels, Gauge>,
 }
 
-/// Registers a metric; the order of registrations is the order of the text.
+/// Registers a metric. The text has the metrics in the order of their registration.
 fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
     let metric = M::default();
     registry.register(name, help, metric.clone());
@@ -184,7 +184,7 @@
         self.buffered_bytes.set(saturating(snapshot.buffered_bytes));
         self.counter_unavailable.set(snapshot.counter_unavailable.into());
         self.ready.set(snapshot.ready.into());
-        // Plans that are gone are reported no longer.
+        // Plans that have been removed are no longer reported.
         self.leased_units.clear();
         for (plan, units) in &snapshot.leased_units {
             self.leased_units.get_or_create(&PlanLabels { plan: plan.clone() }).inc_by(*units);
@@ -202,7 +202,7 @@
     }
 
     fn set(&self, backends: &[BackendGauges]) {
-        // Backends that are gone are reported no longer.
+        // Backends that have been removed are no longer reported.
         self.concurrency_limit.clear();
         self.in_flight.clear();
         self.usable.clear();
@@ -288,12 +288,12 @@
     }
 }
 
-/// The counts of a task's calls, by the label of their end.
+/// The counts of a task's calls, with the value of the label `end` for each.
 fn counts_by_end(counts: CallCounts) -> [(&'static str, u64); 3] {
     [("good", counts.succeeded), ("failed", counts.failed), ("kept_back", counts.withheld)]
 }
 
-/// A count as a gauge holds it.
+/// A count as the value of a gauge; one that is too large becomes the maximum.
 fn saturating(count: impl TryInto<i64>) -> i64 {
     count.try_into().unwrap_or(i64::MAX)
 }
