--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -1,5 +1,6 @@
-//! The request table: each admitted request's life cycle, what is buffered of its response, and where its client and its
-//! attempt are. It knows neither sockets nor the client's protocol: what is to be done goes out as [`RequestCommand`]s.
+//! The request table: for each admitted request its life cycle, the buffered part of its response, and the connections
+//! of its client and its attempt. It uses neither sockets nor the client's protocol; the event loop executes its
+//! [`RequestCommand`]s.
 
 mod command;
 mod in_flight;
@@ -14,18 +15,18 @@
 use in_flight::{Attempt, BufferedResponse, InFlightRequest};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// A backend's own cost claim that differs from the counted cost by more than this, in units, is logged.
+/// The largest difference between the cost that a backend claims and the counted cost that is not logged, in units.
 const CLAIM_TOLERANCE: f64 = 1e-6;
 
 /// All requests in flight.
 #[derive(Default)]
 pub(crate) struct Requests {
     requests: HashMap<RequestId, InFlightRequest>,
-    /// The number of requests admitted so far; the last request's id.
+    /// The number of requests admitted so far, which is also the id of the last one.
     pub total: RequestId,
-    /// Backends whose differing cost claim was logged as a warning.
+    /// Backends whose cost claim has been logged as a warning.
     logged_cost_claims: HashSet<Name>,
-    /// What the event loop has to do, in order.
+    /// The commands that the event loop has to execute, in order.
     pub commands: VecDeque<RequestCommand>,
 }
 
@@ -40,7 +41,7 @@
         self.requests.keys().copied().collect()
     }
 
-    /// Adds a request. `instance_name`: prefix of the ids that this process makes.
+    /// Adds a request. `instance_name` is the prefix of the external ids that this process makes.
     pub(crate) fn admit(
         &mut self, now: Millis, config: &Config, client: usize, instance_name: &str, request: Request,
     ) -> AdmittedRequest {
@@ -71,7 +72,7 @@
         AdmittedRequest { incoming, body_bytes }
     }
 
-    /// The decisions start an attempt at a backend; returns its number.
+    /// Records that the decisions start an attempt at a backend. Returns the number of the attempt.
     pub(crate) fn attempt_started(&mut self, now: Millis, id: RequestId, backend: Name) -> u32 {
         let Some(request) = self.requests.get_mut(&id) else { return 0 };
         request.attempt.backend = backend;
@@ -81,14 +82,14 @@
         request.lifecycle.attempts()
     }
 
-    /// The retry deadline of an attempt has passed: it is withdrawn unless it is written.
+    /// Handles the retry deadline of an attempt: the attempt is withdrawn unless bytes of it are written.
     pub(crate) fn handle_retry_deadline(&mut self, now: Millis, id: RequestId, attempt: u32) {
         if self.requests.get(&id).is_some_and(|request| request.has_attempt(attempt)) {
             self.handle_event(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
-    /// Withdraws the attempts that are not written yet at all backends but these.
+    /// Withdraws the unwritten attempts at all backends except these.
     pub(crate) fn withdraw_unwritten_except(&mut self, now: Millis, backends: &HashSet<Name>) {
         let elsewhere = |request: &InFlightRequest| {
             request.lifecycle.has_attempt() && !backends.contains(&request.attempt.backend)
@@ -113,13 +114,13 @@
             fields.push((REQUEST_ID_FIELD, &request.external_id));
         }
         if request.needs_idempotency_key && !has("idempotency-key") {
-            // Without a key of the client's, the request's own id makes the gateway's retries known as such.
+            // If the client gave no key, the external id lets the backend recognize the gateway's retries.
             fields.push(("idempotency-key", &request.external_id));
         }
         Some(BackendRequest { path, fields, body: &request.body })
     }
 
-    /// The attempt in flight uses this connection.
+    /// Records the connection of the attempt in flight.
     pub(crate) fn set_connection(&mut self, id: RequestId, connection: ConnectionId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempt.connection = Some(connection);
@@ -159,7 +160,7 @@
         self.handle_event(now, id, event);
     }
 
-    /// The client of a request has disconnected.
+    /// Handles the disconnect of a request's client.
     pub(crate) fn handle_client_disconnect(&mut self, now: Millis, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.client = None;
@@ -168,14 +169,14 @@
         self.handle_client_ready(id);
     }
 
-    /// The client of a request has read enough for more of its response.
+    /// Resumes reading from the backend after the client has read enough of the response, or has disconnected.
     pub(crate) fn handle_client_ready(&mut self, id: RequestId) {
         if let Some(connection) = self.requests.get(&id).and_then(|request| request.attempt.connection) {
             self.commands.push_back(RequestCommand::ResumeBackend { slot: connection.slot });
         }
     }
 
-    /// Removes a request that does not end otherwise, at the end of a drain; its connections are closed.
+    /// Removes a request that is still open at the end of a drain, and closes its connections.
     pub(crate) fn abort(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let Some(client) = request.client {
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Counts the final response of a request, and sends the client the command that ends it.
+    /// Records the final response of a request, and issues the command that ends it at the client.
     fn finish_client(
         &mut self, now: Millis, id: RequestId, code: &'static str,
         command: impl FnOnce(usize) -> RequestCommand,
@@ -247,7 +248,7 @@
         self.commands.extend(request.client.take().map(command));
     }
 
-    /// Forwards what is buffered of a response, with its head where that is not forwarded yet.
+    /// Forwards the buffered part of a response, with its head unless that has been forwarded.
     fn forward_response(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(client) = request.client else { return request.response.clear_buffer() };
@@ -281,8 +282,8 @@
     }
 }
 
-/// Logs a backend's own cost claim that differs from the counted cost; as a warning once for each backend. The claim is
-/// compared only: the customer is charged by the counted cost.
+/// Logs a backend's cost claim that differs from the counted cost, once for each backend as a warning. The claim has no
+/// other effect: the customer is charged the counted cost.
 fn log_cost_claim(
     logged: &mut HashSet<Name>, request: &InFlightRequest, claim: Option<f64>, counted_units: f64,
 ) {
