--- a/crates/http-gateway/src/requests/command.rs
+++ b/crates/http-gateway/src/requests/command.rs
@@ -5,20 +5,20 @@
 use doorcourse::{Event, IncomingRequest, Millis, Name};
 use doorcourse_request_lifecycle::FinalResponse;
 
-/// A command to another component. `client` and `slot` number a connection of the client or backend side.
+/// A command to another component. `client` and `slot` are the slots of a client connection and a backend connection.
 #[derive(Debug)]
 pub(crate) enum RequestCommand {
     /// Report an event to the decisions.
     NotifyDecisions(Event),
-    /// Send a final response of the gateway's own.
+    /// Send a final response that the gateway itself gives.
     Respond { client: usize, media: MediaType, response: FinalResponse, external_id: Name },
-    /// Forward bytes of a backend's response, after its head where `head` has one.
+    /// Forward bytes of a backend's response, preceded by `head` if there is one.
     ForwardResponse {
         client: usize,
         head: Option<ForwardedHead>,
         external_id: Name,
         bytes: Vec<u8>,
-        /// The backend connection that back pressure stops; `None` once the response is complete.
+        /// The backend connection that back pressure pauses; `None` once the response is complete.
         backend: Option<usize>,
     },
     /// The forwarded response is complete.
@@ -27,15 +27,15 @@
     ResetClient { client: usize },
     /// Close a backend's connection.
     CloseBackendConnection { slot: usize },
-    /// Read on from a backend that back pressure has stopped.
+    /// Resume reading from a backend that back pressure has paused.
     ResumeBackend { slot: usize },
     /// Count the final response of a request in the metrics.
     RecordFinalResponse(FinalResponseRecord),
-    /// The request is over; these bytes of its body are released.
+    /// The request has ended; this many bytes of its body are released from the budget.
     ReleaseBytes(u64),
 }
 
-/// The code of a request whose response a backend gave, in the metrics.
+/// The code in the metrics of a request that was answered with a backend's response.
 pub(crate) const SERVED: &str = "SERVED";
 
 /// The final response of a request, for the metrics.
@@ -52,8 +52,8 @@
 /// A request that was admitted to the request table.
 #[derive(Debug)]
 pub(crate) struct AdmittedRequest {
-    /// As reported to the decisions.
+    /// The request as reported to the decisions.
     pub incoming: IncomingRequest,
-    /// The bytes of its body, held until it is over.
+    /// The size of its body, which is buffered until the request ends.
     pub body_bytes: u64,
 }
