--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -17,7 +17,8 @@
     pub plan: Name,
     pub class: Name,
     pub received_at: Millis,
-    /// The id that clients, backends and operators see (`x-request-id`): the client's own, or one that the gateway made.
+    /// The id that clients, backends and operators see (`x-request-id`): the client's own, or one that the gateway
+    /// made.
     pub external_id: Name,
     pub lifecycle: RequestLifecycle,
     pub media: MediaType,
@@ -32,7 +33,7 @@
 }
 
 impl InFlightRequest {
-    /// What metrics and logs record of the final response. `code` is its error code, or `SERVED`.
+    /// The final response as the metrics record it. `code` is its error code, or `SERVED`.
     pub(super) fn record(&self, now: Millis, code: &'static str) -> FinalResponseRecord {
         let plan = self.plan.clone();
         let class = self.class.clone();
@@ -71,26 +72,26 @@
     pub started_at: Millis,
 }
 
-/// The head of a backend's response, as far as it is forwarded.
+/// The part of a backend's response head that is forwarded.
 #[derive(Debug)]
 struct ResponseHead {
     status: u16,
     content_type: String,
     framing: Framing,
-    /// `Set-Cookie` fields, forwarded where sessions are sticky.
+    /// `Set-Cookie` fields; forwarded if sessions are sticky by cookie.
     cookies: Vec<String>,
 }
 
-/// A backend's response: buffered until it is complete or too long to buffer, and from then on forwarded as it comes.
+/// A backend's response: buffered until it is complete or too long to buffer, and from then on forwarded as it arrives.
 #[derive(Debug)]
 pub(super) struct BufferedResponse {
     head: Option<ResponseHead>,
     buffer: Vec<u8>,
-    /// Whether the buffer ends the response.
+    /// Whether the buffer contains the end of the response.
     complete: bool,
-    /// Whether the head is forwarded already.
+    /// Whether the head has been forwarded.
     head_forwarded: bool,
-    /// Counts the cost of the response while it passes.
+    /// Counts the cost of the response while it is received.
     pub scan: Scan,
 }
 
@@ -99,7 +100,7 @@
         Self { head: None, buffer: Vec::new(), complete: false, head_forwarded: false, scan }
     }
 
-    /// Starts over for a new attempt: nothing of an earlier attempt's response may mix with this one's.
+    /// Prepares for a new attempt, so that no part of an earlier attempt's response is mixed with the new one.
     pub(super) fn reset(&mut self) {
         self.discard();
         self.complete = false;
@@ -128,23 +129,23 @@
         }
     }
 
-    /// The response has been received completely.
+    /// Records that the response is completely received.
     pub(super) fn set_complete(&mut self) {
         self.complete = true;
     }
 
-    /// Drops the bytes that are not forwarded yet.
+    /// Drops the buffered bytes.
     pub(super) fn clear_buffer(&mut self) {
         self.buffer.clear();
     }
 
-    /// Drops what is not forwarded yet of a response that must not reach the client.
+    /// Drops head and buffered bytes of a response that must not be forwarded.
     pub(super) fn discard(&mut self) {
         self.buffer.clear();
         self.head = None;
     }
 
-    /// The bytes to forward next, with the head in front of the first; `None` where no head has come yet.
+    /// The bytes to forward next, the first time with the head; `None` if no head has been received.
     pub(super) fn take_forwardable(&mut self) -> Option<(Option<ForwardedHead>, Vec<u8>)> {
         let mut forwarded_head = None;
         if !self.head_forwarded {
