--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -1,5 +1,5 @@
-//! Reading changed settings in a thread, so that thousands of customers do not stall the event loop. Whether the settings
-//! that were read are applied is the process life cycle's decision.
+//! Reads changed settings in a thread, because reading thousands of customers would stall the event loop. The process's
+//! life cycle decides whether the settings are applied.
 
 use crate::admin::{ReloadReply, ReloadWaiter};
 use crate::io::{Io, Token};
@@ -10,46 +10,47 @@
 use std::os::unix::net::UnixStream;
 use std::sync::{Arc, mpsc};
 
-/// Reads the settings again; the error lists every fault.
+/// Reads the settings again; the error lists all their faults.
 pub type ReadSettings = Arc<dyn Fn() -> Result<Config, String> + Send + Sync>;
 
 /// Settings that were read, and how they differ from those in force.
 type ReadResult = Result<(Config, Change), String>;
 
-/// What the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
+/// The byte that the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
 const READ_FINISHED: u8 = 0xff;
 
-/// What the pipe reported.
+/// The events that the pipe reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReloadEvents {
-    /// A signal or another thread asks for a reload.
+    /// Whether a signal or another thread requests a reload.
     pub requested: bool,
-    /// Settings are read and wait for the life cycle's decision.
+    /// Whether settings are read and wait for the life cycle's decision.
     pub settings_read: bool,
 }
 
-/// Reloads of the settings: one at a time, and at most one more that is requested meanwhile.
+/// Reloads of the settings: at most one is running, and at most one more is requested to follow it.
 pub(crate) struct SettingsReload {
     read_settings: Option<ReadSettings>,
     /// The result of the reading thread, while it runs.
     reader: Option<mpsc::Receiver<ReadResult>>,
-    /// A reload was requested while the thread was running; it follows.
+    /// Whether another reload was requested while the thread was running; it starts afterwards.
     requested_again: bool,
     /// Settings that were read and wait for the life cycle's decision.
     pending_settings: Option<(Config, Change)>,
-    /// The calls that wait for the present reload, and those that wait for the one that follows.
+    /// The admin calls that wait for the present reload.
     waiters: Vec<ReloadWaiter>,
+    /// The admin calls that wait for the reload that follows it.
     next_waiters: Vec<ReloadWaiter>,
-    /// Shared with the reading thread: a clone would need a descriptor, and where none is left the loop would never
-    /// notice that the settings are read.
+    /// Shared with the reading thread. A clone of the stream would need a descriptor; if none were left, the event loop
+    /// would never notice that the settings are read.
     sender: Arc<UnixStream>,
     receiver: UnixStream,
-    /// Replies to the calls that waited.
+    /// Replies to the admin calls that waited for a reload.
     pub replies: VecDeque<ReloadReply>,
 }
 
 impl SettingsReload {
-    /// Registers the pipe of signals and of the reading thread.
+    /// Opens and registers the pipe of signals and of the reading thread.
     pub(crate) fn new(io: &Io, read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -68,12 +69,12 @@
         })
     }
 
-    /// An end of the pipe for signals and other threads.
+    /// The sending end of the pipe, for signals and other threads.
     pub(crate) fn sender(&self) -> std::io::Result<UnixStream> {
         self.sender.try_clone()
     }
 
-    /// The pipe is ready.
+    /// Handles the readiness of the pipe.
     pub(crate) fn handle_readiness(&mut self, config: &Arc<Config>) -> ReloadEvents {
         let mut bytes = [0; 16];
         let mut requested = false;
@@ -88,7 +89,7 @@
         if self.reader.is_some() { self.next_waiters.push(waiter) } else { self.waiters.push(waiter) }
     }
 
-    /// Starts a thread that reads the settings and compares them with those in force; where one runs, another reload
+    /// Starts a thread that reads the settings and compares them with those in force. If one is running, another reload
     /// follows it.
     pub(crate) fn start(&mut self, config: &Arc<Config>) {
         if self.reader.is_some() {
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Takes the result of the reading thread, if it is there; returns whether settings wait for the life cycle's
-    /// decision. A reload that follows starts only after that decision.
+    /// Takes the result of the reading thread, if it is available. Returns whether settings wait for the life cycle's
+    /// decision; a reload that was requested meanwhile starts only after that decision.
     fn receive_settings(&mut self, config: &Arc<Config>) -> bool {
         let Some(result) = self.reader.as_ref().and_then(|r| r.try_recv().ok()) else { return false };
         self.reader = None;
@@ -142,24 +143,24 @@
         }
     }
 
-    /// The settings that were read, once the life cycle has decided to apply them.
+    /// Takes the settings that were read, after the life cycle has decided to apply them.
     pub(crate) fn take_settings(&mut self) -> Option<(Config, Change)> {
         self.pending_settings.take()
     }
 
-    /// The life cycle refuses the reload: all waiting calls get the reason.
+    /// Refuses the reload, as the life cycle requires: all waiting calls get the reason.
     pub(crate) fn refuse(&mut self, reason: String) {
         let mut next_waiters = std::mem::take(&mut self.next_waiters);
         self.waiters.append(&mut next_waiters);
         self.finish(Err(reason));
     }
 
-    /// Whether all waiting calls ask for the difference only.
+    /// Whether all waiting calls only request the differences.
     fn is_dry_run(&self) -> bool {
         !self.waiters.is_empty() && self.waiters.iter().all(|waiter| waiter.dry_run)
     }
 
-    /// Ends the present reload: all calls that waited for it get its outcome.
+    /// Ends the present reload: all calls that wait for it get its outcome.
     pub(crate) fn finish(&mut self, outcome: Result<Change, String>) {
         if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
             tracing::error!(reason, "settings not reloaded, the old ones hold");
