--- a/crates/http-gateway/src/state_file.rs
+++ b/crates/http-gateway/src/state_file.rs
@@ -1,8 +1,8 @@
-//! The state file: what the decisions learnt of backends, kept across a restart.
+//! The state file: the state of backends that the decisions have learnt, kept across a restart.
 //!
-//! Two lines of JSON: a head with version, gateway, time and checksum, then the state. The file is written at another path
-//! and renamed, so that a reader finds the old file or the new one. The JSON keys are a stable format; [`encode_backend`]
-//! and [`decode_backend`] map them.
+//! The file has two lines of JSON: a head with version, gateway, time and checksum, then the state. It is written at
+//! another path and renamed, so that a reader finds either the old file or the new one. The JSON keys are a stable
+//! format; [`encode_backend`] and [`decode_backend`] map them.
 
 #[cfg(test)]
 mod tests;
@@ -15,12 +15,13 @@
 
 /// The version of the format that is written and read.
 const VERSION: u64 = 1;
-/// A larger file is not a state file.
+/// The largest file that is read. A larger one cannot be a state file.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// Ages are meaningless in a file whose writer's clock was further ahead than this.
+/// The most by which the clock of the file's writer may be ahead, in ms. Beyond it, the ages in the file are
+/// meaningless.
 const MAX_CLOCK_AHEAD: Millis = 2000.0;
 
-/// Why a state file cannot be used. The texts go to the log.
+/// The reason why a state file cannot be used. The texts are logged.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum StateFileError {
     #[error("{0}")]
@@ -51,7 +52,7 @@
     MalformedBackend,
 }
 
-/// A state file, and which files are accepted.
+/// A state file, and the conditions for accepting its contents.
 #[derive(Clone, Debug)]
 pub(crate) struct StateFile {
     pub path: PathBuf,
@@ -61,7 +62,7 @@
     pub gateway_index: u32,
 }
 
-/// Where a file is written before it is renamed to `path`.
+/// The path at which a file is written before it is renamed to `path`.
 pub(crate) fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
@@ -76,7 +77,7 @@
     /// Writes the state of the backends, as of `now`.
     ///
     /// # Errors
-    /// When the system refuses; an earlier file then stays as it is.
+    /// When the file cannot be written; an earlier file is then unchanged.
     pub(crate) fn write(
         &self, now: Millis, backends: impl Iterator<Item = BackendStatus>,
     ) -> std::io::Result<()> {
@@ -90,15 +91,15 @@
         let temporary = temporary_path(&self.path);
         let mut file = std::fs::File::create(&temporary)?;
         file.write_all(format!("{head}\n{body}\n").as_bytes())?;
-        // On the disk before it replaces the old file: an empty one must not remain after a power failure.
+        // The data must be on disk before the rename, or a power failure could leave an empty file.
         file.sync_data()?;
         std::fs::rename(&temporary, &self.path)
     }
 
-    /// Reads the state that an earlier process wrote; `None` where there is no file.
+    /// Reads the state that an earlier process wrote; `None` if there is no file.
     ///
     /// # Errors
-    /// Why the file cannot be used.
+    /// The reason why the file cannot be used.
     pub(crate) fn read(&self, now: Millis) -> Result<Option<Vec<BackendStatus>>, StateFileError> {
         let Some(text) = self.read_text()? else { return Ok(None) };
         let (head, rest) = text.split_once('\n').ok_or(StateFileError::SecondLineMissing)?;
