--- a/crates/http-gateway/src/state_file/tests.rs
+++ b/crates/http-gateway/src/state_file/tests.rs
@@ -1,4 +1,4 @@
-//! The state file: round trip, damage, foreign files, and the recorded format.
+//! Tests of the state file: round trip, damaged files, files of other gateways and versions, and the recorded format.
 
 use super::*;
 
