--- a/crates/http-gateway/src/takeover.rs
+++ b/crates/http-gateway/src/takeover.rs
@@ -1,5 +1,5 @@
-//! The new process's side of a takeover: it receives the listening sockets of the process that serves (SCM_RIGHTS over the
-//! admin socket), and confirms once it serves itself. The old process's side is in [`crate::admin`].
+//! The new process's side of a takeover: it receives the listening sockets of the old process over the admin socket
+//! (SCM_RIGHTS), and confirms once it serves. The old process's side is in [`crate::admin`].
 
 use crate::admin::MAX_PASSED_LISTENERS;
 use anyhow::Context;
@@ -19,8 +19,8 @@
 
 /// Requests the listening sockets of the process that serves at the admin socket `path`.
 ///
-/// Returns them with the connection, which is kept open: its end notifies the old process that this one is gone, and
-/// [`confirm`] uses it.
+/// Returns the sockets with the connection, which stays open for [`confirm`]: if it ends earlier, the old process knows
+/// that the takeover has failed.
 ///
 /// # Errors
 /// When no process answers, when it refuses, or when it passes no socket.
@@ -58,7 +58,7 @@
     Ok((reply, descriptors))
 }
 
-/// Notifies the old process that this one serves, and waits for its reply.
+/// Notifies the old process that this one is ready, and waits for its reply.
 ///
 /// # Errors
 /// When the old process does not confirm.
