--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway in a thread, backends that follow a script byte by byte, and a plain client.
+//! A gateway in a thread, backends that follow a script, and a simple HTTP client.
 #![allow(dead_code)]
 
 use doorcourse_emulators::CATALOGUE;
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Long enough for any machine: a test that waits this long has failed.
+/// Long enough for a slow machine: a test that waits this long has failed.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) const CLASSES: &str = r#"
@@ -24,7 +24,7 @@
 listen: "127.0.0.1:0"
 "#;
 
-/// A plan of ten units that refills next to nothing, and one without a quota.
+/// A plan of ten units that hardly refills during a test, and one without a quota.
 pub(crate) const PLANS: &str = "plans { name: \"ten\" rate: 0.001 burst: 10 }\nplans { name: \"free\" }\n";
 
 fn read(text: &str) -> Result<doorcourse_config::Config, String> {
@@ -41,21 +41,21 @@
 }
 
 impl TestGateway {
-    /// A gateway with these backends and further settings. The customers `ten` and `free` have their names as keys.
+    /// A gateway with these backends and further settings. The keys of the customers `ten` and `free` are their names.
     pub(crate) fn new(nodes: &[SocketAddr], extra_settings: &str) -> Self {
         let config = read(&format!("{}{PLANS}{extra_settings}", Self::common_settings(nodes)))
             .expect("valid settings");
         Self::start(config, None)
     }
 
-    /// A gateway whose settings change: each reload takes the next of these, in a circle.
+    /// A gateway whose settings change: each reload reads the next of these, cyclically.
     pub(crate) fn with_settings(nodes: &[SocketAddr], extra_settings: &[String]) -> Self {
         Self::start_with_reloads(
             extra_settings.iter().map(|m| format!("{}{m}", Self::common_settings(nodes))).collect(),
         )
     }
 
-    /// The same with endpoint lists in the form of the settings.
+    /// A gateway whose endpoint list changes: each reload reads the next of these settings, cyclically.
     pub(crate) fn with_endpoint_lists(lists: &[String]) -> Self {
         Self::start_with_reloads(
             lists.iter().map(|list| format!("{}{PLANS}{list}", Self::common_settings(&[]))).collect(),
@@ -115,7 +115,7 @@
         Client { stream, buffer: Vec::new() }
     }
 
-    /// Sends one query on a connection of its own.
+    /// Sends one query on a new connection.
     pub(crate) fn request(&self, key: &str, query: &str) -> Response {
         let mut client = self.client();
         client.send(key, query, "");
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The next response; `None` where the connection ends first, reset or not.
+    /// The next response; `None` if the connection ends or is reset first.
     pub(crate) fn response(&mut self) -> Option<Response> {
         let end = self.read_until(b"\r\n\r\n")?;
         let head = String::from_utf8(self.buffer[..end].to_vec()).expect("a text");
@@ -209,7 +209,7 @@
         Some(Response { status, head, body: String::from_utf8(body).expect("a text") })
     }
 
-    /// Reads until the buffer holds this text; returns where.
+    /// Reads until the buffer contains this text. Returns its position.
     fn read_until(&mut self, text: &[u8]) -> Option<usize> {
         loop {
             if let Some(index) = self.buffer.windows(text.len()).position(|window| window == text) {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Takes so many bytes from the front of what is read.
+    /// Reads this many bytes and removes them from the buffer.
     fn take(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.buffer.len() < length {
             if !self.read_more() {
@@ -251,15 +251,15 @@
         self.stream.shutdown(std::net::Shutdown::Write).expect("the connection is open");
     }
 
-    /// Whether the connection ends with no more bytes on it.
+    /// Whether the connection ends without further bytes.
     pub(crate) fn reaches_end(&mut self) -> bool {
         while self.read_more() {}
         self.buffer.is_empty()
     }
 }
 
-/// A backend whose connections are not established until it is opened: its accept queue is full, as on an overloaded
-/// machine.
+/// A backend whose connections are not established until it is opened, because its accept queue is full, as on an
+/// overloaded machine.
 pub(crate) struct PendingBackend {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -279,7 +279,7 @@
         Self { address, listener, queued }
     }
 
-    /// Empties the accept queue. The system retries the connections that it had no place for, within a second or so.
+    /// Empties the accept queue. The system retries the other connection attempts within about a second.
     pub(crate) fn open(self) -> TcpListener {
         drop(self.queued);
         self.listener
@@ -289,7 +289,7 @@
 /// A backend that follows a script: each request gets the next step.
 pub(crate) struct ScriptedBackend {
     pub address: SocketAddr,
-    /// The requests that were read completely.
+    /// The requests that were completely read.
     pub requests: mpsc::Receiver<String>,
 }
 
@@ -315,7 +315,7 @@
     ScriptedBackend { address, requests }
 }
 
-/// The next request on a connection, head and body; `None` where the connection ends first.
+/// The next request on a connection, head and body; `None` if the connection ends first.
 pub(crate) fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut buffer = Vec::new();
     let mut bytes = [0; 4096];
@@ -357,7 +357,7 @@
     Box::new(|_| false)
 }
 
-/// Responds once it is signalled.
+/// Responds with [`RESPONSE_BODY`] once it is signalled.
 pub(crate) fn respond_after(until: mpsc::Receiver<()>) -> Step {
     Box::new(move |stream| {
         let _ = until.recv();
@@ -366,7 +366,7 @@
     })
 }
 
-/// Reads one page of health checks or metrics, on a connection of its own.
+/// Reads one page of health checks or metrics on a new connection.
 pub(crate) fn get_monitoring(gateway: &TestGateway, target: &str) -> Response {
     let stream = TcpStream::connect(gateway.health.expect("a monitoring listener")).expect("a connection");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
