--- a/crates/http-gateway/tests/life.rs
+++ b/crates/http-gateway/tests/life.rs
@@ -1,4 +1,4 @@
-//! Reloads, drains and changed endpoint lists, over real sockets.
+//! Tests of reloads, drains and changed endpoint lists over real sockets.
 
 mod helper;
 
@@ -35,7 +35,7 @@
             ten * 2.0
         )
     };
-    // Plans grow and shrink, come and go; one of the settings is invalid and must change nothing.
+    // Plans get larger and smaller, are added and removed; one of the settings is invalid and must not change anything.
     let settings = [
         plans(50.0, "", "a"),
         plans(200.0, "rate: 5000 burst: 5000", "b"),
@@ -95,8 +95,8 @@
     assert_eq!(client.response().map(|a| a.status), Some(200));
 }
 
-/// A drain while an unsafe request is in each state: it is answered or failed, never rejected once it is possibly
-/// executed, and never sent twice.
+/// A drain while unsafe requests are queued, wait for a response or have a part of it: each is answered, fails or is
+/// reset. None is rejected once it is possibly executed, and none is sent twice.
 #[test]
 fn a_stop_answers_unsafe_requests_in_every_state_and_sends_none_twice() {
     let (_release, released) = mpsc::channel();
@@ -113,7 +113,7 @@
         let mut sent = gateway.client();
         sent.send("free", LICENCE, "");
         let first = node.requests.recv_timeout(TEST_TIMEOUT).expect("an attempt in flight");
-        // The backend's concurrency limit is reached: these are queued.
+        // The backend's concurrency limit is reached, so these requests are queued.
         let mut queued: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
         queued.iter_mut().for_each(|c| c.send("free", LICENCE, ""));
         let start = Instant::now();
@@ -168,7 +168,7 @@
     client.send("free", PREVIEW, "");
     assert!(client.response().is_some_and(|a| !a.has("connection: close")));
     gateway.stopper.stop();
-    // During the notice new clients are still served; the close is announced to them.
+    // During the notice, new clients are still served, and the close is announced to them.
     let response = gateway.request("free", PREVIEW);
     assert_eq!(response.status, 200);
     assert!(response.has("connection: close"), "{}", response.head);
@@ -177,10 +177,11 @@
     assert!(client.reaches_end());
 }
 
-/// Settings of a drain that does not wait for idle clients. Each health check makes the loop look at what is open.
+/// Settings of a drain that does not wait for idle clients. Each health check makes the event loop check the pending
+/// work.
 const NO_IDLE_PERIOD: &str = "life { quiet_ms: 0 drain_ms: 60000 } health { listen: \"127.0.0.1:0\" }\n";
 
-/// Starts a drain, and waits until the gateway has looked at the pending work several times.
+/// Starts a drain, and waits until the gateway has checked the pending work several times.
 fn start_drain(gateway: &TestGateway) {
     gateway.stopper.stop();
     while get_monitoring(gateway, "/ready").status != 503 {
@@ -198,7 +199,7 @@
     let mut partial = gateway.client();
     let request = post("free", PREVIEW, "");
     partial.write(&request[..60]);
-    // The response to a later client shows that the first part is received.
+    // The response to a later client shows that the first part has been received.
     assert_eq!(gateway.request("free", PREVIEW).status, 200);
     start_drain(&gateway);
     partial.write(&request[60..]);
@@ -210,7 +211,7 @@
 
 #[test]
 fn a_drain_waits_until_a_response_is_read_completely() {
-    // More than the system buffers between two sockets.
+    // More than the system buffers for a connection.
     const LENGTH: usize = 24 << 20;
     let long: Step = Box::new(|stream| stream.write_all(&ok_response(&" ".repeat(LENGTH))).is_ok());
     let node = scripted_backend(vec![long]);
@@ -246,14 +247,15 @@
         (last.status, last.code().as_str()) == (503, "GATEWAY_FULL") && last.has("connection: close"),
         "{last:?}"
     );
-    // The process waits until the response is read; that the client closes is enough, long before the release timeout.
+    // The process waits until the response is read. It is enough that the client closes; the release timeout is not
+    // awaited.
     drop(partial);
     let start = Instant::now();
     gateway.stop();
     assert!(start.elapsed() < TEST_TIMEOUT);
 }
 
-/// Settings that list the backend `n0` in this state, and further settings. Each has a path of its own, which shows when a
+/// Settings that list the backend `n0` in this state, and further settings. Each has another path, which shows when a
 /// reload is applied.
 fn listing(path: &str, address: std::net::SocketAddr, state: &str, extra_settings: &str) -> String {
     format!(
@@ -261,7 +263,7 @@
     )
 }
 
-/// Sends a query to a path; an unknown key where only the path is of interest.
+/// Sends a query to a path. With an unknown key, the response only shows whether the path exists.
 fn request_at(gateway: &TestGateway, path: &str, key: &str, query: &str) -> Response {
     let mut client = gateway.client();
     let text = String::from_utf8(post(key, query, "")).expect("a text");
@@ -277,8 +279,8 @@
     }
 }
 
-/// The attempt's connection is not established yet when its backend is drained, removed, or listed at another address: the
-/// attempt is placed elsewhere, and nothing of it is written there.
+/// A backend is drained, removed, or listed at another address before the connection of an attempt is established. The
+/// attempt is placed at another backend, and none of its bytes are written to the first one.
 #[test]
 fn an_unwritten_attempt_is_withdrawn_from_a_backend_that_drains_is_removed_or_moves() {
     for change in ["drained", "removed", "moved"] {
@@ -296,7 +298,7 @@
         client.send("free", LICENCE, "");
         assert_eq!(gateway.request("unknown", PREVIEW).status, 401);
         reload(&gateway, "/next");
-        // The connection is established now, if it is still open: no request may come on it.
+        // The connection is established now, unless it has been closed; no request may arrive on it.
         let late = late.open();
         let seen = std::thread::spawn(move || {
             let mut streams = late.incoming().map(|stream| stream.expect("a connection"));
@@ -309,7 +311,8 @@
     }
 }
 
-/// The response reaches its client; the connection leads to the backend's former address.
+/// A backend gets another address while a request is in flight. The response is forwarded, but the connection to the
+/// former address is not used for the next request.
 #[test]
 fn a_connection_to_a_former_address_is_not_reused() {
     let (release, released) = mpsc::channel();
@@ -327,7 +330,8 @@
     assert!(new.requests.try_recv().is_ok(), "the request went to the former address");
 }
 
-/// The same for a backend that was restarted at its address: the next request comes on a new connection.
+/// A backend is listed as restarted, at the same address, while a request is in flight. The next request uses a new
+/// connection.
 #[test]
 fn a_connection_to_a_restarted_backend_is_not_reused() {
     let (release, released) = mpsc::channel::<()>();
@@ -358,7 +362,7 @@
     assert!(ports.len() == 2 && ports[0] != ports[1], "the same connection again: {ports:?}");
 }
 
-/// A pipe that blocks its writer until it is opened; it is opened at the latest when dropped.
+/// A named pipe that blocks its writer until it is opened for reading, at the latest when this is dropped.
 struct BlockingPipe(std::path::PathBuf);
 
 impl BlockingPipe {
@@ -369,14 +373,14 @@
 }
 
 impl Drop for BlockingPipe {
-    /// Also where the test has failed: its gateway could not be stopped otherwise.
+    /// Opens the pipe also if the test has failed, because its gateway could not be stopped otherwise.
     fn drop(&mut self) {
         self.open();
     }
 }
 
-/// The loop stalls in the middle of an iteration until its state file can be opened: meanwhile a request's next attempt
-/// becomes due, and its client disconnects. The disconnect came first.
+/// The event loop stalls within an iteration until its state file can be opened. Meanwhile the client of a request
+/// disconnects, and then the request's next attempt becomes due. The disconnect must be handled first.
 #[test]
 fn no_attempt_starts_for_a_client_that_disconnected_while_the_loop_stalled() {
     let directory = std::env::temp_dir().join(format!("doorcourse-stalled-{}", std::process::id()));
@@ -385,7 +389,7 @@
     let pipe = directory.join("state.new");
     let _ = std::fs::remove_file(&pipe);
     rustix::fs::mkfifoat(rustix::fs::CWD, &pipe, 0o600.into()).expect("a pipe");
-    // Rejected by the backend without execution, on a connection that stays open; the backend is ejected for 2 s.
+    // The backend rejects the request without executing it, on a connection that stays open, and is ejected for 2 s.
     let overloaded: Step = Box::new(|stream| {
         stream.write_all(b"HTTP/1.1 429 Too Many Requests\r\ncontent-length: 0\r\n\r\n").is_ok()
     });
@@ -398,7 +402,7 @@
     client.send("free", LICENCE, "");
     node.requests.recv_timeout(TEST_TIMEOUT).expect("an attempt in flight");
     let failed = Instant::now();
-    // A client without a response shows that the loop has stalled.
+    // A request without a response shows that the event loop has stalled.
     let responds = || {
         let mut other = gateway.client();
         other.stream.set_read_timeout(Some(Duration::from_millis(600))).expect("a limit");
