--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Quotas, retries, deadlines, back pressure and GraphQL over HTTP, over real sockets.
+//! Tests of quotas, retries, deadlines, back pressure and GraphQL over HTTP, over real sockets.
 
 mod helper;
 
@@ -88,7 +88,7 @@
         client.send("ten", "{ shelf(id: 1) { id } }", "doorcourse-deadline-ms: 400\r\n");
         let failed = client.response().expect("a response");
         assert!(failed.status >= 500, "{fault:?}: {failed:?}");
-        // A safe request may be rejected where its retry finds no capacity; it is charged once, by its price.
+        // A safe request may be rejected if no backend has capacity for its retry; it is charged its price once.
         (0..2).for_each(|n| world.tell(Command::Node(n, NodeFault::Reset(0.0))));
         assert_eq!(gateway.request("ten", PREVIEW).code(), "QUOTA_EXCEEDED", "{fault:?}");
     }
@@ -108,7 +108,8 @@
 
 #[test]
 fn a_possibly_executed_request_is_retried_only_as_its_class_allows() {
-    // (query, served in the end, requests that reached backends); backends 0 and 2 are in one cell, 1 and 3 in the other.
+    // Query, whether it is served in the end, and the number of requests that reach backends. Backends 0 and 2 are in
+    // one cell, 1 and 3 in the other.
     for (query, served, count) in [(PREVIEW, true, 2), (PLAYLIST, true, 2), (LICENCE, false, 1)] {
         let (reached_sender, reached) = mpsc::channel();
         let received = std::sync::Arc::new(std::sync::atomic::AtomicU32::new(0));
@@ -165,7 +166,7 @@
     assert_eq!((response.status, response.code().as_str()), (504, "DEADLINE_EXCEEDED"));
     assert!(start.elapsed() >= Duration::from_millis(200), "not before its deadline");
     release.send(()).expect("the backend waits");
-    // The connection stays in use, and the next response belongs to the next request.
+    // The client's connection stays in use, and the next response on it belongs to the next request.
     client.send("free", PREVIEW, "");
     let next = client.response().expect("a response");
     assert!(next.status == 200 || next.status == 503, "{next:?}");
@@ -193,7 +194,8 @@
 
 #[test]
 fn requests_queued_for_a_lease_or_for_a_backend_are_answered_by_their_deadline() {
-    // A counter that accepts and never responds: a request queued for a lease is admitted by the counter-outage fallback.
+    // The counter accepts connections and never responds; a request queued for a lease is admitted by the
+    // counter-outage fallback.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let counter =
         format!("counter {{ address: \"{}\" timeout_ms: 5000 }}", silent.local_addr().expect("an address"));
@@ -202,11 +204,11 @@
     let mut client = gateway.client();
     client.send("ten", PREVIEW, "");
     assert_eq!(client.response().expect("a response").status, 200, "by the counter-outage fallback");
-    // With hardly any time left after the wait, it may not be served any more; it is answered all the same.
+    // The wait leaves little time before the deadline: the request may be served or not, but it is answered.
     client.send("ten", PREVIEW, "doorcourse-deadline-ms: 150\r\n");
     let short = client.response().expect("a response");
     assert!(short.status == 200 || short.code() == "DEADLINE_EXCEEDED", "{short:?}");
-    // Busy backends: queued requests are answered by their deadline, and a retry is safe.
+    // The backend is busy: queued requests are answered by their deadline, and the rejected ones may be retried.
     let (_release, released) = mpsc::channel();
     let node = scripted_backend(vec![respond_after(released)]);
     let gateway = TestGateway::new(&[node.address], "");
@@ -258,7 +260,7 @@
     let mut client = gateway.client();
     client.send("free", PREVIEW, "doorcourse-deadline-ms: 700\r\n");
     let written = written.recv_timeout(TEST_TIMEOUT).expect("the backend was stopped");
-    // The rest is in the system's buffers between three sockets.
+    // The gateway buffers little of this; the rest is in the system's buffers of the two connections.
     assert!(written < 32 << 20, "{written} bytes were taken for a client that reads nothing");
     let mut all = Vec::new();
     let ended = client.stream.read_to_end(&mut all);
@@ -394,7 +396,7 @@
     Box::new(move |stream| stream.write_all(body.as_bytes()).is_ok())
 }
 
-/// A gateway with sticky sessions before these backends.
+/// A gateway with these backends and sticky sessions.
 fn sticky(nodes: &[std::net::SocketAddr], extra_settings: &str) -> TestGateway {
     let node = |(index, address): (usize, &std::net::SocketAddr)| {
         format!("nodes {{ name: \"n{index}\" address: \"{address}\" route: \"r{index}\" }}\n")
@@ -469,7 +471,8 @@
 #[test]
 fn a_client_that_pipelines_without_reading_is_throttled_and_reset_while_others_are_served() {
     const REQUESTS: usize = 3000;
-    // A backend that responds at once, with responses that are buffered until complete: back pressure stops no backend.
+    // The backend responds at once, with responses that are buffered until complete, so that back pressure does not
+    // pause its connection.
     let long = ok_response(&format!("{{\"data\":{{\"preview\":{{\"id\":\"{}\"}}}}}}", "7".repeat(80_000)));
     let step = || {
         let long = long.clone();
@@ -480,10 +483,10 @@
     let client = gateway.client();
     let many = post("free", PREVIEW, "").repeat(REQUESTS);
     let mut stream = client.stream.try_clone().expect("a second handle");
-    // The writer may block for ever: the gateway stops reading.
+    // The writer may block, because the gateway stops reading.
     let writer = std::thread::spawn(move || stream.write_all(&many).is_ok());
     node.requests.recv_timeout(TEST_TIMEOUT).expect("a first request");
-    // The client never reads; the reset shows on its socket all the same.
+    // The client never reads, but its socket reports the reset.
     let started = Instant::now();
     while client.stream.take_error().expect("a socket").is_none() {
         assert!(started.elapsed() < TEST_TIMEOUT, "the connection is never reset");
@@ -491,7 +494,7 @@
     }
     let all = writer.join().expect("a writer");
     let started_requests = node.requests.try_iter().count();
-    // What the system's buffers hold (some MB), and one more.
+    // As many as fit into the system's buffers (some MB), and one more.
     assert!(
         started_requests < REQUESTS / 4,
         "{started_requests} of {REQUESTS} were started; all written: {all}"
@@ -577,7 +580,7 @@
     assert_eq!(client.response().map(|a| a.status), Some(405));
     assert_eq!(client.response().map(|a| a.status), Some(400));
     assert!(client.reaches_end());
-    // Connections that are left open do not lock out new ones.
+    // Connections that are left open do not keep out new ones.
     let open: Vec<_> = (0..200)
         .map(|_| std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("one"))
         .collect();
@@ -597,24 +600,24 @@
     }
     assert_eq!(get_monitoring(&gateway, "/live").status, 200);
     assert_eq!(gateway.request("free", PREVIEW).status, 200, "new clients are served during the notice");
-    // A second stop: at once.
+    // A second stop ends the drain at once.
     gateway.stop();
 }
 
-/// A client disconnects before its attempt's connection is established: nothing of the request is written, and the next
-/// request is the first that the backend reads. The backend's accept queue is full until then.
+/// A client disconnects before the connection of its attempt is established, because the backend's accept queue is
+/// full. None of the request is written: the first request that the backend reads is the next one.
 #[test]
 fn a_request_whose_client_disconnected_is_not_written_when_its_connection_is_established() {
     let node = PendingBackend::start();
     let gateway = TestGateway::new(&[node.address], "");
     let mut client = gateway.client();
     client.send("free", LICENCE, "");
-    // What was written before is read once a later request has its response.
+    // Once a later request has its response, the earlier one has been read.
     assert_eq!(gateway.request("unknown", PREVIEW).status, 401);
     client.close_write();
     assert!(client.reaches_end(), "the gateway has noticed the disconnect");
-    // The system retries connections a second later, in the order in which they were started: were the first one still
-    // open, it would be established before this one.
+    // The system retries connection attempts after a second, in the order in which they were started. If the first one
+    // were still open, it would be established before this one.
     std::thread::sleep(Duration::from_millis(100));
     let mut other = gateway.client();
     other.send("free", PLAYLIST, "");
