--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -74,7 +74,7 @@
         let expected = config.listen.len() + usize::from(config.health.is_some());
         anyhow::ensure!(
             passed.len() == expected,
-            "the old process passed {} sockets, the settings listen at {expected}",
+            "the old process passed {} sockets, the settings have {expected} listeners",
             passed.len()
         );
         // The listener of health checks and metrics comes last.
--- a/crates/http-gateway/src/takeover.rs
+++ b/crates/http-gateway/src/takeover.rs
@@ -25,15 +25,15 @@
 /// # Errors
 /// When no process answers, when it refuses, or when it passes no socket.
 pub(crate) fn request_listeners(path: &Path) -> anyhow::Result<(Vec<TcpListener>, UnixStream)> {
-    let mut stream =
-        UnixStream::connect(path).with_context(|| format!("{}: nobody to take over from", path.display()))?;
+    let mut stream = UnixStream::connect(path)
+        .with_context(|| format!("{}: no gateway answers to take over from", path.display()))?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
     stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"takeover\"}\n")?;
     let (reply, passed) = receive_reply(&stream)?;
     if let Some(message) = reply["error"]["message"].as_str() {
         anyhow::bail!("takeover refused: {message}");
     }
-    anyhow::ensure!(!passed.is_empty(), "takeover: no listening socket came");
+    anyhow::ensure!(!passed.is_empty(), "takeover: the old process passed no listening sockets");
     Ok((passed.into_iter().map(TcpListener::from).collect(), stream))
 }
 
@@ -66,6 +66,6 @@
     predecessor.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"takeover.ready\"}\n")?;
     let mut line = String::new();
     BufReader::new(predecessor).read_line(&mut line)?;
-    anyhow::ensure!(line.contains("\"result\""), "takeover: the old process did not let go: {line}");
+    anyhow::ensure!(line.contains("\"result\""), "takeover: the old process did not confirm: {line}");
     Ok(())
 }
