--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -127,8 +127,8 @@
 
     /// Reads the calls of a connection and adds the valid ones to `calls`.
     pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32) {
-        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
-        let Some(connection) = known else { return };
+        let current_connection = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = current_connection else { return };
         let mut bytes = [0; READ_BYTES];
         match connection.stream.read(&mut bytes) {
             Ok(count) if count > 0 && connection.input.len() + count <= MAX_LINE_BYTES => {
--- a/crates/http-gateway/src/backends.rs
+++ b/crates/http-gateway/src/backends.rs
@@ -117,8 +117,8 @@
 
     /// Handles the readiness of a connection; [`Self::next_event`] then returns the events.
     pub(crate) fn handle_readiness(&mut self, slot: usize, generation: u32, ready: Ready) {
-        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
-        let Some(connection) = known else { return };
+        let current_connection = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = current_connection else { return };
         if connection.handle_readiness(ready) {
             self.close(slot);
         }
--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -28,8 +28,8 @@
     pub(crate) fn handle_readiness(
         &mut self, io: &mut Io, config: &Config, slot: usize, generation: u32, ready: Ready,
     ) {
-        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
-        if known.is_none() {
+        let current_connection = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        if current_connection.is_none() {
             return;
         }
         if ready.peer_closed {
--- a/crates/http-gateway/src/clients/timeouts.rs
+++ b/crates/http-gateway/src/clients/timeouts.rs
@@ -23,8 +23,8 @@
     /// Handles a timer of a connection.
     pub(crate) fn handle_timeout(&mut self, io: &mut Io, config: &Config, slot: usize, generation: u32) {
         let now = io.now();
-        let known = self.connections.get(slot).is_some_and(|client| client.generation == generation);
-        if !known || self.reset_if_unread(io, slot, now) {
+        let is_current = self.connections.get(slot).is_some_and(|client| client.generation == generation);
+        if !is_current || self.reset_if_unread(io, slot, now) {
             return;
         }
         let Some(client) = self.connections.get_mut(slot) else { return };
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -142,8 +142,8 @@
 
     /// Reads from or writes to a connection, as far as its socket is ready.
     pub(crate) fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
-        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
-        let Some(connection) = known else { return };
+        let current_connection = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = current_connection else { return };
         connection.last_active_at = io.now();
         if ready.read && connection.socket.read().1 != Flow::Open {
             drop(self.connections.remove(slot));
