--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -14,7 +14,7 @@
 }
 
 /// The backend process that a connection was opened to. A backend that was restarted or has another address has another
-/// identity, so that a connection to its former process or address is not used for it.
+/// identity, so that a connection to its former process or address is not consumed for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndpointIdentity {
     pub address: SocketAddr,
@@ -88,7 +88,7 @@
     }
 
     /// Reads from the socket and records its readiness. Returns whether the connection has to be closed: an idle
-    /// connection cannot be used any more once it ends or bytes arrive on it.
+    /// connection cannot be consumed any more once it ends or bytes arrive on it.
     pub(super) fn handle_readiness(&mut self, ready: Ready) -> bool {
         if self.connecting {
             if ready.write || ready.broken {
@@ -154,7 +154,7 @@
     /// The next part of the response. The end of a message needs no input, so this is called without input as well.
     fn decode_part(&mut self) -> Option<AttemptEvent> {
         let input = &self.socket.input[self.decoded_bytes..];
-        let Ok((used, part)) = self.decoder.decode(input) else {
+        let Ok((consumed, part)) = self.decoder.decode(input) else {
             self.input_pending = false;
             return Some(AttemptEvent::InvalidResponse);
         };
@@ -167,7 +167,7 @@
             Some(Part::Data(data)) => Some(AttemptEvent::Data(data.to_vec())),
             Some(Part::End) => Some(AttemptEvent::End),
         };
-        self.decoded_bytes += used;
+        self.decoded_bytes += consumed;
         event
     }
 
--- a/crates/http-gateway/src/clients/input.rs
+++ b/crates/http-gateway/src/clients/input.rs
@@ -98,7 +98,7 @@
         if between_requests && !self.budget.may_start_request(client.socket.pending()) {
             return Progress::NeedsInput;
         }
-        let (used, part) = match client.decoder.decode(&client.socket.input) {
+        let (consumed, part) = match client.decoder.decode(&client.socket.input) {
             Ok(decoded) => decoded,
             Err(error) => return Progress::Reject(front::bad_http_response(error)),
         };
@@ -111,7 +111,7 @@
             }
             Some(Part::End) => Some(RequestPart::End),
         };
-        client.socket.consume(used);
+        client.socket.consume(consumed);
         match part {
             None => Progress::NeedsInput,
             Some(RequestPart::Data) => Progress::Continue,
--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! HTTP connections of calls and probes. Each carries one request; of the response only the status is used.
+//! HTTP connections of calls and probes. Each carries one request; of the response only the status is consumed.
 
 use super::Fleet;
 use super::calls::CallFailure;
@@ -61,7 +61,7 @@
     fn read(&mut self, socket: &mut Socket) -> Result<Option<u16>, CallFailure> {
         loop {
             let decoded = self.decoder.decode(&socket.input);
-            let (used, part) = decoded.map_err(|_| CallFailure::MalformedResponse)?;
+            let (consumed, part) = decoded.map_err(|_| CallFailure::MalformedResponse)?;
             let progress = match part {
                 Some(Part::Head(head)) => {
                     self.status = head.status;
@@ -71,7 +71,7 @@
                 Some(Part::End) => Progress::Complete,
                 None => Progress::NeedsInput,
             };
-            socket.consume(used);
+            socket.consume(consumed);
             match progress {
                 Progress::Continue => {}
                 Progress::NeedsInput => return Ok(None),
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -160,7 +160,7 @@
             return connection.socket.input.clear();
         }
         loop {
-            let (used, part) = match connection.decoder.decode(&connection.socket.input) {
+            let (consumed, part) = match connection.decoder.decode(&connection.socket.input) {
                 Ok(decoded) => decoded,
                 Err(error) => {
                     return connection.respond_text(error.status(), "this is no request here\n", false);
@@ -169,9 +169,9 @@
             let head = match part {
                 Some(Part::Head(head)) => Some(head),
                 Some(_) => None,
-                None => return connection.socket.consume(used),
+                None => return connection.socket.consume(consumed),
             };
-            connection.socket.consume(used);
+            connection.socket.consume(consumed);
             let Some(head) = head else { continue };
             let keep_alive = head.keep_alive;
             let path = head.target.split('?').next().unwrap_or("");
