--- a/crates/http-gateway/src/backends/connection.rs
+++ b/crates/http-gateway/src/backends/connection.rs
@@ -14,7 +14,7 @@
 }
 
 /// The backend process that a connection was opened to. A backend that was restarted or has another address has another
-/// identity, so that a connection to its former process or address is not consumed for it.
+/// identity, so that a connection to its former process or address is not used for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndpointIdentity {
     pub address: SocketAddr,
@@ -88,7 +88,7 @@
     }
 
     /// Reads from the socket and records its readiness. Returns whether the connection has to be closed: an idle
-    /// connection cannot be consumed any more once it ends or bytes arrive on it.
+    /// connection cannot be used any more once it ends or bytes arrive on it.
     pub(super) fn handle_readiness(&mut self, ready: Ready) -> bool {
         if self.connecting {
             if ready.write || ready.broken {
--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! HTTP connections of calls and probes. Each carries one request; of the response only the status is consumed.
+//! HTTP connections of calls and probes. Each carries one request; of the response only the status is used.
 
 use super::Fleet;
 use super::calls::CallFailure;
--- a/crates/http-gateway/src/takeover.rs
+++ b/crates/http-gateway/src/takeover.rs
@@ -26,7 +26,7 @@
 /// When no process answers, when it refuses, or when it passes no socket.
 pub(crate) fn request_listeners(path: &Path) -> anyhow::Result<(Vec<TcpListener>, UnixStream)> {
     let mut stream = UnixStream::connect(path)
-        .with_context(|| format!("{}: no gateway answers to take over from", path.display()))?;
+        .with_context(|| format!("{}: no running gateway answers there", path.display()))?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
     stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"takeover\"}\n")?;
     let (reply, passed) = receive_reply(&stream)?;
