--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -56,7 +56,7 @@
         };
         Some(
             read_nodes(&display_path, &text)
-                .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
+                .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")),
         )
     }
 
--- a/crates/http-gateway/src/graphql_front/parameters.rs
+++ b/crates/http-gateway/src/graphql_front/parameters.rs
@@ -32,7 +32,7 @@
         Ok(Value::Object(parameters)) => Ok(parameters),
         Ok(Value::Array(_)) => Err(error(media, 400, "BATCH_UNSUPPORTED", "send one operation a request")),
         Ok(_) => Err(bad_request_response(media, "the body must be a JSON object")),
-        Err(fault) => Err(bad_request_response(media, &format!("the body is no JSON: {fault}"))),
+        Err(error) => Err(bad_request_response(media, &format!("the body is no JSON: {error}"))),
     }
 }
 
@@ -45,7 +45,7 @@
         };
         let value = match name.as_str() {
             "variables" | "extensions" if !value.is_empty() => serde_json::from_str(&value)
-                .map_err(|fault| bad_request_response(media, &format!("{name} is no JSON: {fault}")))?,
+                .map_err(|error| bad_request_response(media, &format!("{name} is no JSON: {error}")))?,
             _ => Value::String(value),
         };
         if parameters.insert(name.clone(), value).is_some() {
--- a/crates/http-gateway/src/graphql_front/response.rs
+++ b/crates/http-gateway/src/graphql_front/response.rs
@@ -45,8 +45,8 @@
 }
 
 /// The response to bytes that are not HTTP.
-pub(crate) fn bad_http_response(fault: doorcourse_http::Error) -> Response {
-    with_close(error(MediaType::Json, fault.status(), "BAD_HTTP", &fault.to_string()))
+pub(crate) fn bad_http_response(http_error: doorcourse_http::Error) -> Response {
+    with_close(error(MediaType::Json, http_error.status(), "BAD_HTTP", &http_error.to_string()))
 }
 
 /// The response to a request that took too long to arrive.
