--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -79,7 +79,7 @@
     signals: SignalPipe,
     state: Option<StatePersistence>,
     /// Whether the process's life cycle has requested the exit.
-    exiting: bool,
+    exit_requested: bool,
     last_poll_at: Millis,
     /// The connection to the process from which this one takes over, until this one serves.
     predecessor: Option<UnixStream>,
@@ -116,7 +116,7 @@
             self.process_pending();
             self.tick_lifecycle();
             self.process_pending();
-            if self.exiting {
+            if self.exit_requested {
                 self.finish();
                 return Ok(());
             }
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -118,7 +118,7 @@
             instance_name: format!("g{gateway_index}-{:x}", io.now() as u64),
             signals,
             state: config.state.as_ref().map(|s| StatePersistence::new(s, directory, gateway_index)),
-            exiting: false,
+            exit_requested: false,
             last_poll_at: Millis::NEG_INFINITY,
             predecessor: sockets.predecessor,
             config: Arc::new(config),
--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -38,7 +38,7 @@
             }
             ProcessAction::ReleaseLeases => self.io.events.push_back(Event::ShutdownStarted),
             ProcessAction::FinishRequests => self.finish_requests(),
-            ProcessAction::Exit => self.exiting = true,
+            ProcessAction::Exit => self.exit_requested = true,
             ProcessAction::StateChanged(state) => tracing::info!(
                 state = state.name(),
                 requests = self.requests.count(),
--- a/crates/http-gateway/src/gateway/state_persistence.rs
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -11,7 +11,7 @@
     file: StateFile,
     save_interval: Millis,
     /// Whether the last save failed. Only a change is logged, not each failed save.
-    failing: bool,
+    last_save_failed: bool,
 }
 
 impl StatePersistence {
@@ -19,13 +19,13 @@
     pub(super) fn new(settings: &doorcourse_config::StateFile, directory: &Path, gateway_index: u32) -> Self {
         let path = directory.join(&settings.file);
         let file = StateFile { path, max_age: settings.longest_age, gateway_index };
-        Self { file, save_interval: settings.every, failing: false }
+        Self { file, save_interval: settings.every, last_save_failed: false }
     }
 
     /// Logs the result of a save if it differs from the result of the previous one.
     fn record_save(&mut self, result: std::io::Result<()>) {
         let failed = result.is_err();
-        if std::mem::replace(&mut self.failing, failed) == failed {
+        if std::mem::replace(&mut self.last_save_failed, failed) == failed {
             return;
         }
         let file = self.file.path.display();
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -58,7 +58,7 @@
 }
 
 impl Page {
-    fn of_path(path: &str) -> Option<Self> {
+    fn from_path(path: &str) -> Option<Self> {
         match path {
             "/live" => Some(Self::Live),
             "/ready" => Some(Self::Ready),
@@ -175,7 +175,7 @@
             let Some(head) = head else { continue };
             let keep_alive = head.keep_alive;
             let path = head.target.split('?').next().unwrap_or("");
-            match Page::of_path(path) {
+            match Page::from_path(path) {
                 None => connection.respond_text(404, "there are /live, /ready and /metrics\n", keep_alive),
                 Some(page) if head.method == "GET" => {
                     self.page_requests.push_back(PageRequest { slot, page, keep_alive });
