--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -140,7 +140,7 @@
 fn ready_of(event: &epoll::Event) -> Ready {
     use epoll::EventFlags;
     let flags = event.flags;
-    let has = |of| flags.intersects(of);
+    let has = |mask| flags.intersects(mask);
     Ready {
         token: event.data.u64(),
         read: has(EventFlags::IN | EventFlags::HUP | EventFlags::ERR),
@@ -160,10 +160,10 @@
     /// # Errors
     /// When the system has no descriptor left.
     pub fn pair() -> io::Result<(Self, std::os::unix::net::UnixStream)> {
-        let (ours, theirs) = std::os::unix::net::UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
-        theirs.set_nonblocking(true)?;
-        Ok((Self(ours), theirs))
+        let (sender, receiver) = std::os::unix::net::UnixStream::pair()?;
+        sender.set_nonblocking(true)?;
+        receiver.set_nonblocking(true)?;
+        Ok((Self(sender), receiver))
     }
 
     /// Wakes the poller. If the send buffer is full, unread bytes wake the poller already.
--- a/crates/http/src/decode/framing.rs
+++ b/crates/http/src/decode/framing.rs
@@ -39,8 +39,8 @@
 /// Allows at most one field out of Content-Length and Transfer-Encoding, and no Transfer-Encoding in version 1.0, which
 /// does not define it.
 fn check_framing_fields(head: &Head) -> Result<(), Error> {
-    let transfer_encodings = head.count("transfer-encoding");
-    let framing_fields = head.count("content-length") + transfer_encodings;
+    let transfer_encodings = head.field_count("transfer-encoding");
+    let framing_fields = head.field_count("content-length") + transfer_encodings;
     if framing_fields > 1 || (transfer_encodings > 0 && head.minor == 0) {
         return Err(Error::InvalidFraming);
     }
@@ -67,7 +67,7 @@
 }
 
 fn check_host(head: &Head) -> Result<(), Error> {
-    let hosts = head.count("host");
+    let hosts = head.field_count("host");
     let is_missing = head.minor == 1 && hosts == 0;
     if hosts > 1 || is_missing { Err(Error::InvalidHost) } else { Ok(()) }
 }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -79,7 +79,7 @@
     }
 
     /// The number of field lines with this name, which must be in lower case.
-    pub(crate) fn count(&self, name: &str) -> usize {
+    pub(crate) fn field_count(&self, name: &str) -> usize {
         self.fields.iter().filter(|(field_name, _)| field_name == name).count()
     }
 }
