--- a/crates/http-gateway/src/fleet/status/tests.rs
+++ b/crates/http-gateway/src/fleet/status/tests.rs
@@ -32,8 +32,8 @@
         "secret" => Ok("sixteen bytes or more\n".into()),
         _ => Err("no such file".into()),
     };
-    let config = doorcourse_config::read("settings", SETTINGS, &open).expect("settings that can be used");
-    Fleet::new(io, &config, 7, false).expect("a socket").expect("a link")
+    let config = doorcourse_config::read("settings", SETTINGS, &open).expect("valid settings");
+    Fleet::new(io, &config, 7, false).expect("a socket").expect("a fleet")
 }
 
 /// Replaces the value of a field that depends on time, after a check of its type.
--- a/crates/http-gateway/tests/helper/mod.rs
+++ b/crates/http-gateway/tests/helper/mod.rs
@@ -97,7 +97,7 @@
         let address = gateway.addresses().expect("addresses")[0];
         let health = gateway.health_address();
         let stopper = gateway.stopper().expect("a stopper");
-        let thread = std::thread::spawn(move || gateway.run().expect("the loop runs to its end"));
+        let thread = std::thread::spawn(move || gateway.run().expect("the event loop ends without an error"));
         Self { address, health, stopper, thread: Some(thread) }
     }
 
@@ -111,7 +111,7 @@
 
     pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("a connection");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
         Client { stream, buffer: Vec::new() }
     }
 
@@ -192,7 +192,7 @@
     /// The next response; `None` if the connection ends or is reset first.
     pub(crate) fn response(&mut self) -> Option<Response> {
         let end = self.read_until(b"\r\n\r\n")?;
-        let head = String::from_utf8(self.buffer[..end].to_vec()).expect("a text");
+        let head = String::from_utf8(self.buffer[..end].to_vec()).expect("valid UTF-8");
         self.buffer.drain(..end + 4);
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
         if status == 100 {
@@ -206,7 +206,7 @@
             let length = length.and_then(|rest| rest.split("\r\n").next()?.parse().ok());
             self.take(length.expect("a length"))?
         };
-        Some(Response { status, head, body: String::from_utf8(body).expect("a text") })
+        Some(Response { status, head, body: String::from_utf8(body).expect("valid UTF-8") })
     }
 
     /// Reads until the buffer contains this text. Returns its position.
@@ -369,7 +369,7 @@
 /// Reads one page of health checks or metrics on a new connection.
 pub(crate) fn get_monitoring(gateway: &TestGateway, target: &str) -> Response {
     let stream = TcpStream::connect(gateway.health.expect("a monitoring listener")).expect("a connection");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
     let mut client = Client::new(stream);
     client.write(format!("GET {target} HTTP/1.1\r\nhost: a\r\n\r\n").as_bytes());
     client.response().expect("a response")
--- a/crates/http-gateway/tests/life.rs
+++ b/crates/http-gateway/tests/life.rs
@@ -83,7 +83,7 @@
     // The settings are read in a thread: they are applied once the new path responds.
     let status = |path: &str, key: &str| {
         let mut client = gateway.client();
-        let text = String::from_utf8(post(key, "{ previews(first: 2) { id } }", "")).expect("a text");
+        let text = String::from_utf8(post(key, "{ previews(first: 2) { id } }", "")).expect("valid UTF-8");
         client.write(text.replace("/graphql", path).as_bytes());
         client.response().expect("a response")
     };
@@ -225,7 +225,7 @@
     }
     start_drain(&gateway);
     let mut all = Vec::new();
-    client.stream.read_to_end(&mut all).expect("a regular end");
+    client.stream.read_to_end(&mut all).expect("the end of the stream");
     let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
     assert_eq!(all.len() - head, LENGTH, "the complete response");
     drop(client);
@@ -257,7 +257,7 @@
 
 /// Settings that list the backend `n0` in this state, and further settings. Each has another path, which shows when a
 /// reload is applied.
-fn listing(path: &str, address: std::net::SocketAddr, state: &str, extra_settings: &str) -> String {
+fn listing_settings(path: &str, address: std::net::SocketAddr, state: &str, extra_settings: &str) -> String {
     format!(
         "path: \"/{path}\"\nnodes {{ name: \"n0\" address: \"{address}\" state: {state} }}\n{extra_settings}"
     )
@@ -266,7 +266,7 @@
 /// Sends a query to a path. With an unknown key, the response only shows whether the path exists.
 fn request_at(gateway: &TestGateway, path: &str, key: &str, query: &str) -> Response {
     let mut client = gateway.client();
-    let text = String::from_utf8(post(key, query, "")).expect("a text");
+    let text = String::from_utf8(post(key, query, "")).expect("valid UTF-8");
     client.write(text.replace("/graphql", path).as_bytes());
     client.response().expect("a response")
 }
@@ -288,12 +288,12 @@
         let other = scripted_backend(vec![respond(), respond()]);
         let n1 = format!("nodes {{ name: \"n1\" address: \"{}\" }}", other.address);
         let next = match change {
-            "drained" => listing("next", late.address, "DRAINING", &n1),
+            "drained" => listing_settings("next", late.address, "DRAINING", &n1),
             "removed" => format!("path: \"/next\"\n{n1}"),
-            _ => listing("next", other.address, "READY", ""),
+            _ => listing_settings("next", other.address, "READY", ""),
         };
         let gateway =
-            TestGateway::with_endpoint_lists(&[listing("graphql", late.address, "READY", ""), next]);
+            TestGateway::with_endpoint_lists(&[listing_settings("graphql", late.address, "READY", ""), next]);
         let mut client = gateway.client();
         client.send("free", LICENCE, "");
         assert_eq!(gateway.request("unknown", PREVIEW).status, 401);
@@ -318,7 +318,10 @@
     let (release, released) = mpsc::channel();
     let (old, new) =
         (scripted_backend(vec![respond_after(released), respond()]), scripted_backend(vec![respond()]));
-    let lists = [listing("graphql", old.address, "READY", ""), listing("next", new.address, "READY", "")];
+    let lists = [
+        listing_settings("graphql", old.address, "READY", ""),
+        listing_settings("next", new.address, "READY", ""),
+    ];
     let gateway = TestGateway::with_endpoint_lists(&lists);
     let mut client = gateway.client();
     client.send("free", PREVIEW, "");
@@ -342,12 +345,13 @@
         stream.write_all(&ok_response(RESPONSE_BODY)).is_ok()
     };
     let step = Arc::new(std::sync::Mutex::new(step));
-    let steps =
-        (0..2).map(|_| step.clone()).map(|step| -> Step { Box::new(move |s| step.lock().expect("one")(s)) });
+    let steps = (0..2)
+        .map(|_| step.clone())
+        .map(|step| -> Step { Box::new(move |s| step.lock().expect("the lock of the step")(s)) });
     let node = scripted_backend(steps.collect());
     let lists = ["READY", "READY started_ms: 1"].map(|state| {
         let path = if state == "READY" { "graphql" } else { "next" };
-        listing(path, node.address, state, "")
+        listing_settings(path, node.address, state, "")
     });
     let gateway = TestGateway::with_endpoint_lists(&lists);
     let mut client = gateway.client();
@@ -405,12 +409,12 @@
     // A request without a response shows that the event loop has stalled.
     let responds = || {
         let mut other = gateway.client();
-        other.stream.set_read_timeout(Some(Duration::from_millis(600))).expect("a limit");
+        other.stream.set_read_timeout(Some(Duration::from_millis(600))).expect("a read timeout");
         other.write(&post("unknown", PREVIEW, ""));
         matches!(other.stream.read(&mut [0; 64]), Ok(1..))
     };
     while responds() {
-        assert!(failed.elapsed() < TEST_TIMEOUT, "the loop does not stall");
+        assert!(failed.elapsed() < TEST_TIMEOUT, "the event loop does not stall");
     }
     drop(client);
     // The next attempt is due by now.
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -388,7 +388,7 @@
 }
 
 /// Responds with a session cookie that names this route.
-fn sets_cookie(route: &'static str) -> Step {
+fn respond_with_cookie(route: &'static str) -> Step {
     let body = format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nset-cookie: SID=x.{route}; Path=/\r\ncontent-length: {}\r\n\r\n{RESPONSE_BODY}",
         RESPONSE_BODY.len()
@@ -397,7 +397,7 @@
 }
 
 /// A gateway with these backends and sticky sessions.
-fn sticky(nodes: &[std::net::SocketAddr], extra_settings: &str) -> TestGateway {
+fn sticky_gateway(nodes: &[std::net::SocketAddr], extra_settings: &str) -> TestGateway {
     let node = |(index, address): (usize, &std::net::SocketAddr)| {
         format!("nodes {{ name: \"n{index}\" address: \"{address}\" route: \"r{index}\" }}\n")
     };
@@ -410,9 +410,9 @@
 
 #[test]
 fn a_session_is_routed_by_cookie_path_and_query_and_cookies_are_forwarded_both_ways() {
-    let steps = |route: &'static str| (0..40).map(|_| sets_cookie(route)).collect::<Vec<Step>>();
+    let steps = |route: &'static str| (0..40).map(|_| respond_with_cookie(route)).collect::<Vec<Step>>();
     let nodes = [scripted_backend(steps("r0")), scripted_backend(steps("r1"))];
-    let gateway = sticky(&[nodes[0].address, nodes[1].address], "");
+    let gateway = sticky_gateway(&[nodes[0].address, nodes[1].address], "");
     let first = gateway.request("free", PREVIEW);
     assert!(first.has("set-cookie: sid=x.r"), "{}", first.head);
     let count = |index: usize| nodes[index].requests.try_iter().collect::<Vec<String>>();
@@ -427,7 +427,7 @@
     assert!(requests.iter().all(|r| r.contains("cookie: a=b; SID=x.r1")), "{requests:?}");
     for target in ["/graphql;sid=x.r0", "/graphql?sid=x.r0"] {
         let mut client = gateway.client();
-        let text = String::from_utf8(post("free", PREVIEW, "")).expect("a text");
+        let text = String::from_utf8(post("free", PREVIEW, "")).expect("valid UTF-8");
         client.write(text.replacen("/graphql", target, 1).as_bytes());
         assert_eq!(client.response().expect("a response").status, 200, "{target}");
         let mut client = gateway.client();
@@ -455,7 +455,7 @@
     drop(dead);
     for (strict, status) in [(" strict: false", 200), (" strict: true", 503)] {
         let node = scripted_backend((0..20).map(|_| respond()).collect());
-        let gateway = sticky(&[address, node.address], strict);
+        let gateway = sticky_gateway(&[address, node.address], strict);
         let mut client = gateway.client();
         client.send("free", PREVIEW, "cookie: SID=x.r0\r\n");
         let response = client.response().expect("a response");
@@ -536,7 +536,7 @@
         ("/http://any.example/graphql", 404),
     ] {
         let mut client = gateway.client();
-        let text = String::from_utf8(post("free", PREVIEW, "")).expect("a text");
+        let text = String::from_utf8(post("free", PREVIEW, "")).expect("valid UTF-8");
         client.write(text.replacen("/graphql", target, 1).as_bytes());
         assert_eq!(client.response().map(|a| a.status), Some(status), "{target}");
     }
@@ -574,7 +574,7 @@
     assert_eq!(get_monitoring(&gateway, "/metrics?x").status, 200);
     // Bytes that are not a request, and a method that is not allowed.
     let stream = std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("a connection");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
     let mut client = Client::new(stream);
     client.write(b"POST /ready HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\nnonsense\r\n\r\n");
     assert_eq!(client.response().map(|a| a.status), Some(405));
@@ -582,7 +582,7 @@
     assert!(client.reaches_end());
     // Connections that are left open do not keep out new ones.
     let open: Vec<_> = (0..200)
-        .map(|_| std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("one"))
+        .map(|_| std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("a connection"))
         .collect();
     assert_eq!(get_monitoring(&gateway, "/ready").status, 200, "beside {} idle connections", open.len());
 }
