--- a/crates/event-loop/src/poll.rs
+++ b/crates/event-loop/src/poll.rs
@@ -64,7 +64,7 @@
     pub write: bool,
     /// Both directions are closed, or the connection failed.
     pub broken: bool,
-    /// The peer closed its side, or the connection failed; reported where the interest includes the peer's close.
+    /// The peer closed its side, or the connection failed. A peer's close is reported only if the interest includes it.
     pub peer_closed: bool,
 }
 
