--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -43,12 +43,12 @@
     /// The path of the GraphQL endpoint, to which probes are sent.
     endpoint_path: String,
     link: PeerLink,
-    /// `None` where the settings have no leases.
+    /// `None` if the settings have no leases.
     leases: Option<Leases>,
     calls: CallSchedules,
     /// The HTTP connections of calls and probes.
     connections: slab::Slab<Connection>,
-    /// `None` where the settings have no outlier gossip.
+    /// `None` if the settings have no outlier gossip.
     outliers: Option<OutlierMonitor>,
     /// When the outlier gossip next observes the nodes.
     next_observation_at: Millis,
