--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -77,7 +77,7 @@
             "the old process passed {} sockets, the settings have {expected} listeners",
             passed.len()
         );
-        // The listener of health checks and metrics comes last.
+        // The listener of health checks and metrics is the last one.
         let monitoring = config.health.and_then(|_| passed.pop());
         Ok(Self { clients: passed, monitoring, predecessor: Some(predecessor) })
     }
