--- a/crates/http-gateway/src/gateway/endpoints.rs
+++ b/crates/http-gateway/src/gateway/endpoints.rs
@@ -14,7 +14,7 @@
 
 /// The source of the endpoint list, the list in force, and the manual drains.
 pub(super) struct Endpoints {
-    /// The list file; `None` where the settings list the endpoints themselves.
+    /// The list file; `None` if the settings contain the endpoints.
     file: Option<EndpointList>,
     listed: Vec<Node>,
     manual_drains: ManualDrains,
