--- a/crates/http-gateway/src/gateway/outliers.rs
+++ b/crates/http-gateway/src/gateway/outliers.rs
@@ -6,7 +6,7 @@
 use doorcourse_outlier_gossip::{NodeStatus, verdict_effect};
 
 impl Gateway {
-    /// Exchanges observations and verdicts with the outlier gossip. Without a fleet there is nothing to do.
+    /// Exchanges observations and verdicts with the outlier gossip. Does nothing without a fleet.
     pub(super) fn exchange_outliers(&mut self) {
         self.report_backends();
         self.apply_verdicts();
