--- a/crates/http-gateway/src/gateway/state_persistence.rs
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -15,7 +15,7 @@
 }
 
 impl StatePersistence {
-    /// The state file of the settings, whose path is relative to `directory`.
+    /// The state file that the settings name. Its path is relative to `directory`.
     pub(super) fn new(settings: &doorcourse_config::StateFile, directory: &Path, gateway_index: u32) -> Self {
         let path = directory.join(&settings.file);
         let file = StateFile { path, max_age: settings.longest_age, gateway_index };
