--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -108,7 +108,7 @@
                 (config, change)
             });
             let _ = result_sender.send(result);
-            // Wakes the loop, which then looks at the channel.
+            // Wakes the event loop, which then receives from the channel.
             let _ = (&*pipe).write(&[READ_FINISHED]);
         });
         match thread {
