--- a/crates/http-gateway/src/state_file/tests.rs
+++ b/crates/http-gateway/src/state_file/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A state file of gateway 2 that accepts files up to 60 s old, in a directory of its own.
+/// A state file of gateway 2 that accepts files up to 60 s old, in a directory for this test.
 fn file(name: &str) -> StateFile {
     let directory = std::env::temp_dir().join(format!("doorcourse-state-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
