--- a/crates/http-gateway/src/fleet/link.rs
+++ b/crates/http-gateway/src/fleet/link.rs
@@ -43,7 +43,7 @@
 
 /// A datagram that was read from the socket.
 struct ReceivedDatagram {
-    /// The time of reading it. The clock is read after the datagram, so this is not before the arrival.
+    /// The time of receipt. The clock is read after the datagram, so every time that the datagram refers to is earlier.
     received_at: Millis,
     /// `None` if the datagram was dropped or is a hello.
     payload: Option<ReceivedPayload>,
