--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -1,7 +1,7 @@
-//! The operation of a request: validated against the schema, with its cost, class and timeout.
+//! The operation of a request: its validation against the schema, and its cost, class and timeout.
 
 use super::parameters::{self, OperationParameters};
-use super::response::{Response, error, query_errors};
+use super::response::{Response, error, query_errors_response};
 use super::{MediaType, Request, RequestHead};
 use doorcourse::Millis;
 use doorcourse_config::Config;
@@ -12,23 +12,23 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A request for the decisions out of a complete HTTP request. `elapsed`: time since its head arrived, which counts
-/// towards its deadline.
+/// Makes a request for the decisions from a complete HTTP request. `elapsed` is the time since its head arrived, which
+/// counts towards its deadline.
 ///
 /// # Errors
-/// The response that rejects it.
-pub(crate) fn request(
+/// The response that rejects the request.
+pub(crate) fn prepare_request(
     config: &Config, head: RequestHead, body: Vec<u8>, elapsed: Millis,
 ) -> Result<Request, Response> {
     let parameters = parameters::read(&head, &body)?;
-    let operation = prepare(config, head.media, &parameters::check(head.media, &parameters)?)?;
+    let operation = prepare_operation(config, head.media, &parameters::check(head.media, &parameters)?)?;
     check_kind(&head, operation.kind())?;
     check_introspection(config, head.media, &operation)?;
-    let class = class(config, head.media, &operation)?;
+    let class = class_index(config, head.media, &operation)?;
     let units = operation.cost().units;
     check_cost(config, &head, units)?;
-    let timeout = timeout(config, &head, class, elapsed)?;
-    let body = if head.get { Value::Object(parameters).to_string().into_bytes() } else { body };
+    let timeout = remaining_timeout(config, &head, class, elapsed)?;
+    let body = if head.is_get { Value::Object(parameters).to_string().into_bytes() } else { body };
     Ok(Request {
         customer: head.customer,
         media: head.media,
@@ -42,13 +42,13 @@
     })
 }
 
-fn prepare(
+fn prepare_operation(
     config: &Config, media: MediaType, operation: &OperationParameters<'_>,
 ) -> Result<Prepared, Response> {
     let OperationParameters { query, operation_name, variables } = *operation;
     let schema = Arc::clone(&config.schema);
     Prepared::new(schema, query, operation_name, variables, config.query_limits)
-        .map_err(|errors| query_errors(media, "GRAPHQL_VALIDATION_FAILED", &errors))
+        .map_err(|errors| query_errors_response(media, "GRAPHQL_VALIDATION_FAILED", &errors))
 }
 
 fn check_kind(head: &RequestHead, kind: OperationKind) -> Result<(), Response> {
@@ -56,7 +56,7 @@
         let message = "subscriptions are not served here";
         return Err(error(head.media, 400, "SUBSCRIPTION_UNSUPPORTED", message));
     }
-    if kind == OperationKind::Mutation && head.get {
+    if kind == OperationKind::Mutation && head.is_get {
         let mut response = error(head.media, 405, "MUTATION_BY_GET", "a mutation needs POST");
         response.fields.push(("allow", "POST".into()));
         return Err(response);
@@ -74,15 +74,15 @@
 }
 
 /// The index of the operation's class: the strictest of its root fields.
-fn class(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
+fn class_index(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
     let kind = operation.kind();
     let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
     operation_class(&config.decisions.classes, classes)
         .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
 
-/// Rejects an operation that costs more than the customer's plan ever holds. There is no `Retry-After`: waiting does not
-/// help.
+/// Rejects an operation that costs more than the customer's plan can ever hold. The response has no `Retry-After`,
+/// because waiting does not help.
 fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
     let plan = &config.decisions.plans[head.customer.plan];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
@@ -91,8 +91,10 @@
     })
 }
 
-/// How long the decisions have: by the class and the client's own deadline, less what has passed.
-fn timeout(config: &Config, head: &RequestHead, class: usize, elapsed: Millis) -> Result<Millis, Response> {
+/// How long the decisions have: the timeout from the class and the client's deadline, less the elapsed time.
+fn remaining_timeout(
+    config: &Config, head: &RequestHead, class: usize, elapsed: Millis,
+) -> Result<Millis, Response> {
     let limits = &config.limits;
     request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
         .map(|timeout| timeout - elapsed)
--- a/crates/http-gateway/src/monitoring.rs
+++ b/crates/http-gateway/src/monitoring.rs
@@ -1,5 +1,5 @@
-//! Health checks and metrics: `/live`, `/ready` and `/metrics` on a listener of their own, never counted as requests. A
-//! load balancer reads `/ready`, a metrics system `/metrics`.
+//! Health checks and metrics: `/live`, `/ready` and `/metrics` on a separate listener, not counted as requests. A load
+//! balancer reads `/ready`, a metrics system `/metrics`.
 
 mod metrics;
 
@@ -15,9 +15,9 @@
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections at once; beyond them, the one that was idle for longest is closed.
+/// The most open connections; for another one, the one that has been idle longest is closed.
 const MAX_CONNECTIONS: usize = 64;
-/// The limits of a request: it has no body, and a short head.
+/// The limits of a request: a short head and no body.
 const REQUEST_LIMITS: Limits = Limits { line: 1024, head: 8192, fields: 64, body: 0 };
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -28,7 +28,7 @@
     generation: u32,
     decoder: Decoder,
     interest: Interest,
-    /// Close once all is written.
+    /// Whether the connection is closed once all output is written.
     closing: bool,
     last_active_at: Millis,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What can be read.
+/// The pages that can be requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Page {
     Live,
@@ -58,7 +58,7 @@
 }
 
 impl Page {
-    fn of_path(path: &str) -> Option<Self> {
+    fn from_path(path: &str) -> Option<Self> {
         match path {
             "/live" => Some(Self::Live),
             "/ready" => Some(Self::Ready),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A page that was asked for and waits for [`Monitoring::respond`].
+/// A request for a page, to be answered by [`Monitoring::respond`].
 #[derive(Debug)]
 pub(crate) struct PageRequest {
     slot: usize,
@@ -95,7 +95,7 @@
     /// The address of the listener.
     ///
     /// # Errors
-    /// The operating system does not return it.
+    /// When the system does not return it.
     pub(crate) fn address(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Closes the connection that was idle for longest: connections left open must not lock out a new one.
+    /// Closes the connection that has been idle longest, so that connections left open do not keep out new ones.
     fn close_least_recent(&mut self) {
         let oldest = self.connections.iter().min_by(|a, b| a.1.last_active_at.total_cmp(&b.1.last_active_at));
         if let Some(slot) = oldest.map(|(slot, _)| slot) {
@@ -142,8 +142,8 @@
 
     /// Reads from or writes to a connection, as far as its socket is ready.
     pub(crate) fn handle_readiness(&mut self, io: &Io, slot: usize, generation: u32, ready: Ready) {
-        let known = self.connections.get_mut(slot).filter(|c| c.generation == generation);
-        let Some(connection) = known else { return };
+        let current_connection = self.connections.get_mut(slot).filter(|c| c.generation == generation);
+        let Some(connection) = current_connection else { return };
         connection.last_active_at = io.now();
         if ready.read && connection.socket.read().1 != Flow::Open {
             drop(self.connections.remove(slot));
@@ -153,14 +153,14 @@
         self.flush(io, slot);
     }
 
-    /// Decodes requests; pages wait in `page_requests`, everything else is answered at once.
+    /// Decodes requests. Requests for a page wait in `page_requests`; all others are answered at once.
     fn decode_input(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.closing {
             return connection.socket.input.clear();
         }
         loop {
-            let (used, part) = match connection.decoder.decode(&connection.socket.input) {
+            let (consumed, part) = match connection.decoder.decode(&connection.socket.input) {
                 Ok(decoded) => decoded,
                 Err(error) => {
                     return connection.respond_text(error.status(), "this is no request here\n", false);
@@ -169,13 +169,13 @@
             let head = match part {
                 Some(Part::Head(head)) => Some(head),
                 Some(_) => None,
-                None => return connection.socket.consume(used),
+                None => return connection.socket.consume(consumed),
             };
-            connection.socket.consume(used);
+            connection.socket.consume(consumed);
             let Some(head) = head else { continue };
             let keep_alive = head.keep_alive;
             let path = head.target.split('?').next().unwrap_or("");
-            match Page::of_path(path) {
+            match Page::from_path(path) {
                 None => connection.respond_text(404, "there are /live, /ready and /metrics\n", keep_alive),
                 Some(page) if head.method == "GET" => {
                     self.page_requests.push_back(PageRequest { slot, page, keep_alive });
--- a/crates/http-gateway/src/takeover.rs
+++ b/crates/http-gateway/src/takeover.rs
@@ -1,5 +1,5 @@
-//! The new process's side of a takeover: it receives the listening sockets of the process that serves (SCM_RIGHTS over the
-//! admin socket), and confirms once it serves itself. The old process's side is in [`crate::admin`].
+//! The new process's side of a takeover: it receives the listening sockets of the old process over the admin socket
+//! (SCM_RIGHTS), and confirms once it serves. The old process's side is in [`crate::admin`].
 
 use crate::admin::MAX_PASSED_LISTENERS;
 use anyhow::Context;
@@ -19,21 +19,21 @@
 
 /// Requests the listening sockets of the process that serves at the admin socket `path`.
 ///
-/// Returns them with the connection, which is kept open: its end notifies the old process that this one is gone, and
-/// [`confirm`] uses it.
+/// Returns the sockets with the connection, which stays open for [`confirm`]: if it ends earlier, the old process knows
+/// that the takeover has failed.
 ///
 /// # Errors
 /// When no process answers, when it refuses, or when it passes no socket.
 pub(crate) fn request_listeners(path: &Path) -> anyhow::Result<(Vec<TcpListener>, UnixStream)> {
-    let mut stream =
-        UnixStream::connect(path).with_context(|| format!("{}: nobody to take over from", path.display()))?;
+    let mut stream = UnixStream::connect(path)
+        .with_context(|| format!("{}: no running gateway answers there", path.display()))?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
     stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"takeover\"}\n")?;
     let (reply, passed) = receive_reply(&stream)?;
     if let Some(message) = reply["error"]["message"].as_str() {
         anyhow::bail!("takeover refused: {message}");
     }
-    anyhow::ensure!(!passed.is_empty(), "takeover: no listening socket came");
+    anyhow::ensure!(!passed.is_empty(), "takeover: the old process passed no listening sockets");
     Ok((passed.into_iter().map(TcpListener::from).collect(), stream))
 }
 
@@ -58,7 +58,7 @@
     Ok((reply, descriptors))
 }
 
-/// Notifies the old process that this one serves, and waits for its reply.
+/// Notifies the old process that this one is ready, and waits for its reply.
 ///
 /// # Errors
 /// When the old process does not confirm.
@@ -66,6 +66,6 @@
     predecessor.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"takeover.ready\"}\n")?;
     let mut line = String::new();
     BufReader::new(predecessor).read_line(&mut line)?;
-    anyhow::ensure!(line.contains("\"result\""), "takeover: the old process did not let go: {line}");
+    anyhow::ensure!(line.contains("\"result\""), "takeover: the old process did not confirm: {line}");
     Ok(())
 }
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Quotas, retries, deadlines, back pressure and GraphQL over HTTP, over real sockets.
+//! Tests of quotas, retries, deadlines, back pressure and GraphQL over HTTP, over real sockets.
 
 mod helper;
 
@@ -13,9 +13,9 @@
 fn world(nodes: usize) -> (EmulatorServer, Recorder) {
     let clock = Clock::default();
     let recorder = Recorder::new(clock);
-    let node = |at: usize| NodeSpec {
-        name: format!("n{at}"),
-        cell: at as u64 % 2,
+    let node = |index: usize| NodeSpec {
+        name: format!("n{index}"),
+        cell: index as u64 % 2,
         cores: 2,
         queue: 50,
         cold_share: 1.0,
@@ -88,7 +88,7 @@
         client.send("ten", "{ shelf(id: 1) { id } }", "doorcourse-deadline-ms: 400\r\n");
         let failed = client.response().expect("a response");
         assert!(failed.status >= 500, "{fault:?}: {failed:?}");
-        // A safe request may be rejected where its retry finds no capacity; it is charged once, by its price.
+        // A safe request may be rejected if no backend has capacity for its retry; it is charged its price once.
         (0..2).for_each(|n| world.send(Command::Node(n, NodeFault::Reset(0.0))));
         assert_eq!(gateway.request("ten", PREVIEW).code(), "QUOTA_EXCEEDED", "{fault:?}");
     }
@@ -108,21 +108,22 @@
 
 #[test]
 fn a_possibly_executed_request_is_retried_only_as_its_class_allows() {
-    // (query, served in the end, requests that reached backends); backends 0 and 2 are in one cell, 1 and 3 in the other.
+    // Query, whether it is served in the end, and the number of requests that reach backends. Backends 0 and 2 are in
+    // one cell, 1 and 3 in the other.
     for (query, served, count) in [(PREVIEW, true, 2), (PLAYLIST, true, 2), (LICENCE, false, 1)] {
         let (reached_sender, reached) = mpsc::channel();
         let received = std::sync::Arc::new(std::sync::atomic::AtomicU32::new(0));
-        let step = |at: usize| -> Step {
+        let step = |index: usize| -> Step {
             let received = received.clone();
             let reached_sender = reached_sender.clone();
             Box::new(move |stream| {
-                let _ = reached_sender.send(at);
+                let _ = reached_sender.send(index);
                 let first = received.fetch_add(1, std::sync::atomic::Ordering::SeqCst) == 0;
                 !first && stream.write_all(&ok_response(RESPONSE_BODY)).is_ok()
             })
         };
         let nodes: Vec<ScriptedBackend> =
-            (0..4).map(|at| scripted_backend(vec![step(at), step(at)])).collect();
+            (0..4).map(|index| scripted_backend(vec![step(index), step(index)])).collect();
         let addresses: Vec<_> = nodes.iter().map(|n| n.address).collect();
         let gateway = TestGateway::new(&addresses, "");
         let response = gateway.request("free", query);
@@ -165,7 +166,7 @@
     assert_eq!((response.status, response.code().as_str()), (504, "DEADLINE_EXCEEDED"));
     assert!(start.elapsed() >= Duration::from_millis(200), "not before its deadline");
     release.send(()).expect("the backend waits");
-    // The connection stays in use, and the next response belongs to the next request.
+    // The client's connection stays in use, and the next response on it belongs to the next request.
     client.send("free", PREVIEW, "");
     let next = client.response().expect("a response");
     assert!(next.status == 200 || next.status == 503, "{next:?}");
@@ -193,7 +194,8 @@
 
 #[test]
 fn requests_queued_for_a_lease_or_for_a_backend_are_answered_by_their_deadline() {
-    // A counter that accepts and never responds: a request queued for a lease is admitted by the counter-outage fallback.
+    // The counter accepts connections and never responds; a request queued for a lease is admitted by the
+    // counter-outage fallback.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let counter =
         format!("counter {{ address: \"{}\" timeout_ms: 5000 }}", silent.local_addr().expect("an address"));
@@ -202,11 +204,11 @@
     let mut client = gateway.client();
     client.send("ten", PREVIEW, "");
     assert_eq!(client.response().expect("a response").status, 200, "by the counter-outage fallback");
-    // With hardly any time left after the wait, it may not be served any more; it is answered all the same.
+    // The wait leaves little time before the deadline: the request may be served or not, but it is answered.
     client.send("ten", PREVIEW, "doorcourse-deadline-ms: 150\r\n");
     let short = client.response().expect("a response");
     assert!(short.status == 200 || short.code() == "DEADLINE_EXCEEDED", "{short:?}");
-    // Busy backends: queued requests are answered by their deadline, and a retry is safe.
+    // The backend is busy: queued requests are answered by their deadline, and the rejected ones may be retried.
     let (_release, released) = mpsc::channel();
     let node = scripted_backend(vec![respond_after(released)]);
     let gateway = TestGateway::new(&[node.address], "");
@@ -258,7 +260,7 @@
     let mut client = gateway.client();
     client.send("free", PREVIEW, "doorcourse-deadline-ms: 700\r\n");
     let written = written.recv_timeout(TEST_TIMEOUT).expect("the backend was stopped");
-    // The rest is in the system's buffers between three sockets.
+    // The gateway buffers little of this; the rest is in the system's buffers of the two connections.
     assert!(written < 32 << 20, "{written} bytes were taken for a client that reads nothing");
     let mut all = Vec::new();
     let ended = client.stream.read_to_end(&mut all);
@@ -275,9 +277,9 @@
     let gateway = TestGateway::new(&[node.address], "limits { head_ms: 1500 connections: 5000 }");
     let request = post("free", PREVIEW, "");
     let mut slow: Vec<Client> = (0..count).map(|_| gateway.client()).collect();
-    for at in 0..3 {
-        slow.iter_mut().for_each(|c| c.write(&request[at..=at]));
-        if at == 1 {
+    for index in 0..3 {
+        slow.iter_mut().for_each(|c| c.write(&request[index..=index]));
+        if index == 1 {
             assert_eq!(gateway.request("free", PREVIEW).status, 200);
         }
     }
@@ -386,7 +388,7 @@
 }
 
 /// Responds with a session cookie that names this route.
-fn sets_cookie(route: &'static str) -> Step {
+fn respond_with_cookie(route: &'static str) -> Step {
     let body = format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nset-cookie: SID=x.{route}; Path=/\r\ncontent-length: {}\r\n\r\n{RESPONSE_BODY}",
         RESPONSE_BODY.len()
@@ -394,27 +396,27 @@
     Box::new(move |stream| stream.write_all(body.as_bytes()).is_ok())
 }
 
-/// A gateway with sticky sessions before these backends.
-fn sticky(nodes: &[std::net::SocketAddr], more: &str) -> TestGateway {
-    let node = |(at, a): (usize, &std::net::SocketAddr)| {
-        format!("nodes {{ name: \"n{at}\" address: \"{a}\" route: \"r{at}\" }}\n")
+/// A gateway with these backends and sticky sessions.
+fn sticky_gateway(nodes: &[std::net::SocketAddr], extra_settings: &str) -> TestGateway {
+    let node = |(index, address): (usize, &std::net::SocketAddr)| {
+        format!("nodes {{ name: \"n{index}\" address: \"{address}\" route: \"r{index}\" }}\n")
     };
     let nodes: String = nodes.iter().enumerate().map(node).collect();
     TestGateway::new(
         &[],
-        &format!("{nodes}routing {{ sticky {{ cookie: \"SID\" parameter: \"sid\"{more} }} }}\n"),
+        &format!("{nodes}routing {{ sticky {{ cookie: \"SID\" parameter: \"sid\"{extra_settings} }} }}\n"),
     )
 }
 
 #[test]
 fn a_session_is_routed_by_cookie_path_and_query_and_cookies_are_forwarded_both_ways() {
-    let steps = |route: &'static str| (0..40).map(|_| sets_cookie(route)).collect::<Vec<Step>>();
+    let steps = |route: &'static str| (0..40).map(|_| respond_with_cookie(route)).collect::<Vec<Step>>();
     let nodes = [scripted_backend(steps("r0")), scripted_backend(steps("r1"))];
-    let gateway = sticky(&[nodes[0].address, nodes[1].address], "");
+    let gateway = sticky_gateway(&[nodes[0].address, nodes[1].address], "");
     let first = gateway.request("free", PREVIEW);
     assert!(first.has("set-cookie: sid=x.r"), "{}", first.head);
-    let count = |at: usize| nodes[at].requests.try_iter().collect::<Vec<String>>();
-    (0..2).for_each(|at| drop(count(at)));
+    let count = |index: usize| nodes[index].requests.try_iter().collect::<Vec<String>>();
+    (0..2).for_each(|index| drop(count(index)));
     for _ in 0..6 {
         let mut client = gateway.client();
         client.send("free", PREVIEW, "cookie: a=b; SID=x.r1\r\n");
@@ -425,7 +427,7 @@
     assert!(requests.iter().all(|r| r.contains("cookie: a=b; SID=x.r1")), "{requests:?}");
     for target in ["/graphql;sid=x.r0", "/graphql?sid=x.r0"] {
         let mut client = gateway.client();
-        let text = String::from_utf8(post("free", PREVIEW, "")).expect("a text");
+        let text = String::from_utf8(post("free", PREVIEW, "")).expect("valid UTF-8");
         client.write(text.replacen("/graphql", target, 1).as_bytes());
         assert_eq!(client.response().expect("a response").status, 200, "{target}");
         let mut client = gateway.client();
@@ -453,7 +455,7 @@
     drop(dead);
     for (strict, status) in [(" strict: false", 200), (" strict: true", 503)] {
         let node = scripted_backend((0..20).map(|_| respond()).collect());
-        let gateway = sticky(&[address, node.address], strict);
+        let gateway = sticky_gateway(&[address, node.address], strict);
         let mut client = gateway.client();
         client.send("free", PREVIEW, "cookie: SID=x.r0\r\n");
         let response = client.response().expect("a response");
@@ -469,7 +471,8 @@
 #[test]
 fn a_client_that_pipelines_without_reading_is_throttled_and_reset_while_others_are_served() {
     const REQUESTS: usize = 3000;
-    // A backend that responds at once, with responses that are buffered until complete: back pressure stops no backend.
+    // The backend responds at once, with responses that are buffered until complete, so that back pressure does not
+    // pause its connection.
     let long = ok_response(&format!("{{\"data\":{{\"preview\":{{\"id\":\"{}\"}}}}}}", "7".repeat(80_000)));
     let step = || {
         let long = long.clone();
@@ -480,10 +483,10 @@
     let client = gateway.client();
     let many = post("free", PREVIEW, "").repeat(REQUESTS);
     let mut stream = client.stream.try_clone().expect("a second handle");
-    // The writer may block for ever: the gateway stops reading.
+    // The writer may block, because the gateway stops reading.
     let writer = std::thread::spawn(move || stream.write_all(&many).is_ok());
     node.requests.recv_timeout(TEST_TIMEOUT).expect("a first request");
-    // The client never reads; the reset shows on its socket all the same.
+    // The client never reads, but its socket reports the reset.
     let started = Instant::now();
     while client.stream.take_error().expect("a socket").is_none() {
         assert!(started.elapsed() < TEST_TIMEOUT, "the connection is never reset");
@@ -491,7 +494,7 @@
     }
     let all = writer.join().expect("a writer");
     let started_requests = node.requests.try_iter().count();
-    // What the system's buffers hold (some MB), and one more.
+    // As many as fit into the system's buffers (some MB), and one more.
     assert!(
         started_requests < REQUESTS / 4,
         "{started_requests} of {REQUESTS} were started; all written: {all}"
@@ -516,8 +519,8 @@
     let many = post("free", "{ previews(first: 8) { id title } }", "").repeat(60);
     let mut stream = client.stream.try_clone().expect("a second handle");
     let writer = std::thread::spawn(move || stream.write_all(&many).expect("all written"));
-    for at in 0..60 {
-        assert_eq!(client.response().map(|a| a.status), Some(200), "response {at}");
+    for index in 0..60 {
+        assert_eq!(client.response().map(|a| a.status), Some(200), "response {index}");
     }
     writer.join().expect("a writer");
 }
@@ -535,7 +538,7 @@
         ("/http://any.example/graphql", 404),
     ] {
         let mut client = gateway.client();
-        let text = String::from_utf8(post("free", PREVIEW, "")).expect("a text");
+        let text = String::from_utf8(post("free", PREVIEW, "")).expect("valid UTF-8");
         client.write(text.replacen("/graphql", target, 1).as_bytes());
         assert_eq!(client.response().map(|a| a.status), Some(status), "{target}");
     }
@@ -573,15 +576,15 @@
     assert_eq!(get_monitoring(&gateway, "/metrics?x").status, 200);
     // Bytes that are not a request, and a method that is not allowed.
     let stream = std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("a connection");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
     let mut client = Client::new(stream);
     client.write(b"POST /ready HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\nnonsense\r\n\r\n");
     assert_eq!(client.response().map(|a| a.status), Some(405));
     assert_eq!(client.response().map(|a| a.status), Some(400));
     assert!(client.reaches_end());
-    // Connections that are left open do not lock out new ones.
+    // Connections that are left open do not keep out new ones.
     let open: Vec<_> = (0..200)
-        .map(|_| std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("one"))
+        .map(|_| std::net::TcpStream::connect(gateway.health.expect("a listener")).expect("a connection"))
         .collect();
     assert_eq!(get_monitoring(&gateway, "/ready").status, 200, "beside {} idle connections", open.len());
 }
@@ -601,24 +604,24 @@
     }
     assert_eq!(get_monitoring(&gateway, "/live").status, 200);
     assert_eq!(gateway.request("free", PREVIEW).status, 200, "new clients are served during the notice");
-    // A second stop: at once.
+    // A second stop ends the drain at once.
     gateway.stop();
 }
 
-/// A client disconnects before its attempt's connection is established: nothing of the request is written, and the next
-/// request is the first that the backend reads. The backend's accept queue is full until then.
+/// A client disconnects before the connection of its attempt is established, because the backend's accept queue is
+/// full. None of the request is written: the first request that the backend reads is the next one.
 #[test]
 fn a_request_whose_client_disconnected_is_not_written_when_its_connection_is_established() {
     let node = PendingBackend::start();
     let gateway = TestGateway::new(&[node.address], "");
     let mut client = gateway.client();
     client.send("free", LICENCE, "");
-    // What was written before is read once a later request has its response.
+    // Once a later request has its response, the earlier one has been read.
     assert_eq!(gateway.request("unknown", PREVIEW).status, 401);
     client.close_write();
     assert!(client.reaches_end(), "the gateway has noticed the disconnect");
-    // The system retries connections a second later, in the order in which they were started: were the first one still
-    // open, it would be established before this one.
+    // The system retries connection attempts after a second, in the order in which they were started. If the first one
+    // were still open, it would be established before this one.
     std::thread::sleep(Duration::from_millis(100));
     let mut other = gateway.client();
     other.send("free", PLAYLIST, "");
