--- a/src/balancer/backend.rs
+++ b/src/balancer/backend.rs
@@ -24,7 +24,7 @@
 
 impl Backend {
     /// Whether both share the memory of idempotency keys.
-    pub(crate) fn shares_keys_with(&self, other: &Backend, scope: DeduplicationScope) -> bool {
+    pub(crate) fn is_in_same_scope(&self, other: &Backend, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => self.zone == other.zone,
--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -130,7 +130,7 @@
         let scope = self.deduplication_scope;
         if !backend.ready || backend.outlier.is_ejected(self.now) {
             Eligibility::Unavailable
-        } else if self.executed_on.is_some_and(|executed_on| !backend.shares_keys_with(executed_on, scope)) {
+        } else if self.executed_on.is_some_and(|executed_on| !backend.is_in_same_scope(executed_on, scope)) {
             Eligibility::OutOfScope
         } else if backend.concurrency_limit.is_reached(backend.in_flight) {
             Eligibility::AtLimit
