--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -166,7 +166,7 @@
 /// The score of a slot for a candidate; `level_pass` is the pass of its level.
 fn score(scoring: Scoring, slot: &Slot, candidate: &Candidate, level_pass: f64) -> Score {
     let Candidate { in_flight, distance_penalty, random_factor, .. } = *candidate;
-    let pass = slot.present_pass(level_pass);
+    let pass = slot.effective_pass(level_pass);
     match scoring {
         _ if !candidate.is_warm => Score { primary: -1.0, tie_break: random_factor },
         Scoring::Uniform | Scoring::LeastInFlight => {
--- a/src/balancer/stride.rs
+++ b/src/balancer/stride.rs
@@ -9,7 +9,7 @@
 impl Slot {
     /// The slot's pass, at least that of its level: a backend that was unavailable does not make up for what it
     /// missed.
-    pub(crate) fn present_pass(&self, level_pass: f64) -> f64 {
+    pub(crate) fn effective_pass(&self, level_pass: f64) -> f64 {
         self.pass.map_or(level_pass, |pass| pass.max(level_pass))
     }
 }
@@ -24,7 +24,7 @@
         let slot = &mut self.slots[index];
         let Some(level_index) = slot.level_index else { return };
         let level_pass = &mut self.levels[level_index].pass;
-        let pass = slot.present_pass(*level_pass);
+        let pass = slot.effective_pass(*level_pass);
         slot.pass = Some(pass + slot.candidate.distance_penalty / slot.weight());
         if slot.candidate.is_warm {
             *level_pass = pass;
