--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -70,7 +70,7 @@
 
 /// The lease taken while units are not scarce, rounded up to units: an even part of all above the scarce share. Large
 /// leases save calls while no gateway can run short; below zero while units are scarce.
-fn plentiful_lease_units(available_units: f64, burst: f64, customer_gateways: f64) -> f64 {
+fn surplus_lease_units(available_units: f64, burst: f64, customer_gateways: f64) -> f64 {
     ((available_units - burst * SCARCE_SHARE) / customer_gateways).ceil()
 }
 
@@ -86,8 +86,8 @@
     fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
         let wanted_units = if self.has_total {
             let available_units = self.bucket.available_units;
-            let plentiful = plentiful_lease_units(available_units, plan.burst, self.customer_gateways);
-            self.demand_lease_units(plan).max(plentiful)
+            let surplus = surplus_lease_units(available_units, plan.burst, self.customer_gateways);
+            self.demand_lease_units(plan).max(surplus)
         } else {
             plan.burst / self.customer_gateways
         };
