--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -40,17 +40,17 @@
         self.available_units = (self.available_units + units).min(burst);
     }
 
-    /// Keeps of the overflow what may pay for the use of other gateways, see [`payable_overflow`].
-    pub(crate) fn limit_overflow(&mut self, payable_units: f64) {
-        self.overflow_units = self.overflow_units.min(payable_units);
+    /// Keeps of the overflow what may pay for the use of other gateways, see [`max_overflow_credit`].
+    pub(crate) fn limit_overflow(&mut self, max_units: f64) {
+        self.overflow_units = self.overflow_units.min(max_units);
     }
 
     /// Debits what was used since the last total: `used_units` in all, `leased_units` of them by this gateway's new
     /// lease. The overflow pays for what other gateways used, never for this gateway's lease.
     pub(crate) fn settle_total(&mut self, used_units: f64, leased_units: f64, burst: f64) {
-        let paid_units = (used_units - leased_units).clamp(0.0, self.overflow_units);
-        self.overflow_units -= paid_units;
-        self.available_units = (self.available_units - (used_units - paid_units)).min(burst);
+        let credited_units = (used_units - leased_units).clamp(0.0, self.overflow_units);
+        self.overflow_units -= credited_units;
+        self.available_units = (self.available_units - (used_units - credited_units)).min(burst);
     }
 }
 
@@ -94,10 +94,10 @@
 /// Gateways report what they used meanwhile all at once after it, while a bucket that was full could not keep what
 /// came in: the other gateways' even share of that pays for their reports. Not under a ceiling, which many gateways
 /// would exceed together.
-pub(crate) fn payable_overflow(
+pub(crate) fn max_overflow_credit(
     plan: &Plan, unavailable_ms: Millis, is_recent: bool, customer_gateways: f64,
 ) -> f64 {
-    let pays = is_recent && plan.ceiling_rate <= 0.0;
-    let others_share = if pays { 1.0 - 1.0 / customer_gateways } else { 0.0 };
+    let is_credited = is_recent && plan.ceiling_rate <= 0.0;
+    let others_share = if is_credited { 1.0 - 1.0 / customer_gateways } else { 0.0 };
     plan.rate * unavailable_ms / 1000.0 * others_share
 }
--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -3,7 +3,7 @@
 use crate::counter::availability::Unavailability;
 use crate::counter::calls::CounterCall;
 use crate::quota::UNITS_EPSILON;
-use crate::quota::bucket::{initial_units, payable_overflow, refill_period};
+use crate::quota::bucket::{initial_units, max_overflow_credit, refill_period};
 use crate::quota::customer::Customer;
 use crate::{Millis, Plan};
 
@@ -15,7 +15,12 @@
         let fallback_units = self.fallback_budget.take().map(|budget| budget.units);
         let is_recent = now < unavailability.ended_at + refill_period(plan);
         let unavailable_ms = unavailability.ended_at - unavailability.started_at;
-        self.bucket.limit_overflow(payable_overflow(plan, unavailable_ms, is_recent, self.customer_gateways));
+        self.bucket.limit_overflow(max_overflow_credit(
+            plan,
+            unavailable_ms,
+            is_recent,
+            self.customer_gateways,
+        ));
         if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < unavailability.ended_at {
             // The counter may have come back empty, and what others spent meanwhile is reported nowhere: only this
             // gateway's own part is sure to be left.
