--- a/src/quota/settlement.rs
+++ b/src/quota/settlement.rs
@@ -9,13 +9,13 @@
     /// Under a ceiling nothing is returned: what came back would be spent above the ceiling. What the bucket cannot
     /// cover is taken from the lease, which the counter has already: no lease is spent while the bucket is overdrawn.
     pub(crate) fn settle(&mut self, true_units: f64, admitted_units: f64, plan: &Plan) {
-        let least_difference = if plan.ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
-        let difference = (true_units - admitted_units).max(least_difference);
+        let min_difference = if plan.ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
+        let difference = (true_units - admitted_units).max(min_difference);
         let uncovered_units = difference - self.bucket.available_units.max(0.0);
-        let paid_by_lease = uncovered_units.clamp(0.0, self.lease.units.max(0.0));
-        let unpaid_units = difference - paid_by_lease;
-        self.lease.units -= paid_by_lease;
-        self.unreported_units += unpaid_units;
-        self.bucket.available_units -= unpaid_units;
+        let covered_by_lease = uncovered_units.clamp(0.0, self.lease.units.max(0.0));
+        let remaining_units = difference - covered_by_lease;
+        self.lease.units -= covered_by_lease;
+        self.unreported_units += remaining_units;
+        self.bucket.available_units -= remaining_units;
     }
 }
