--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -24,9 +24,9 @@
 const ADMIT_FADE_PERIODS: f64 = 4.0;
 /// An admit probability below this is gossiped, and again when it falls below this share of the last one.
 const GOSSIP_THRESHOLD: f64 = 0.7;
-/// A first total fits where the others asked for less than this share of the granted units. Equal by choice to
+/// A first total is within quota where the others asked for less than this share of the granted units. Equal by choice to
 /// the share at which units of a leased quota become scarce.
-const PRIOR_FIT_SHARE: f64 = SCARCE_SHARE;
+const PRIOR_WITHIN_QUOTA_SHARE: f64 = SCARCE_SHARE;
 /// The least sampling probability: a plan or class of little weight lowers the least call rate by at most the same
 /// factor again, so that some requests of each customer are counted even while calls are scarce.
 const MIN_SAMPLING_PROBABILITY: f64 = MIN_CALL_RATE * MIN_CALL_RATE;
@@ -76,10 +76,11 @@
 
 /// The probability of admitting a request without a total of its own.
 ///
-/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_fit` is the share
+/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_within_quota` is the share
 /// of first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
-fn admit_probability(prior_fit: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
-    let admits_unknown = prior_fit > (1.0 - prior_fit) * (plan.over_quota_cost - plan.over_quota_value);
+fn admit_probability(prior_within_quota: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
+    let admits_unknown =
+        prior_within_quota > (1.0 - prior_within_quota) * (plan.over_quota_cost - plan.over_quota_value);
     let prior = f64::from(admits_unknown);
     let age_periods = (now - last.estimated_at) / refill_period(plan);
     prior + (-age_periods / ADMIT_FADE_PERIODS).exp() * (last.probability - prior)
@@ -116,26 +117,30 @@
 /// The share of first totals of a plan's customers that left units, for first requests and for clients' retries.
 #[derive(Clone, Copy)]
 pub(crate) struct PlanPrior {
-    first_request_fit: f64,
-    client_retry_fit: f64,
+    first_request_within_quota: f64,
+    client_retry_within_quota: f64,
 }
 
 impl Default for PlanPrior {
     fn default() -> Self {
-        Self { first_request_fit: 1.0, client_retry_fit: 0.0 }
+        Self { first_request_within_quota: 1.0, client_retry_within_quota: 0.0 }
     }
 }
 
 impl PlanPrior {
     /// The share for first requests or for clients' retries.
-    fn fit(&self, client_retry: bool) -> f64 {
-        if client_retry { self.client_retry_fit } else { self.first_request_fit }
+    fn within_quota(&self, client_retry: bool) -> f64 {
+        if client_retry { self.client_retry_within_quota } else { self.first_request_within_quota }
     }
 
     /// Records a first total: whether it left units.
-    fn record(&mut self, client_retry: bool, fits: bool) {
-        let fit = if client_retry { &mut self.client_retry_fit } else { &mut self.first_request_fit };
-        *fit += PRIOR_WEIGHT * (f64::from(fits) - *fit);
+    fn record(&mut self, client_retry: bool, is_within_quota: bool) {
+        let within_quota = if client_retry {
+            &mut self.client_retry_within_quota
+        } else {
+            &mut self.first_request_within_quota
+        };
+        *within_quota += PRIOR_WEIGHT * (f64::from(is_within_quota) - *within_quota);
     }
 }
 
@@ -191,9 +196,9 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get(&request.customer) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let prior_fit = self.plan_priors[customer.plan_index].fit(request.client_retry);
+        let prior_within_quota = self.plan_priors[customer.plan_index].within_quota(request.client_retry);
         let last = self.admit_estimates.get(customer.name_hash);
-        if draw < admit_probability(prior_fit, plan, last, self.now) {
+        if draw < admit_probability(prior_within_quota, plan, last, self.now) {
             self.requests.entry(id).and_modify(|request| request.admitted_without_total = true);
             return self.forward_or_enqueue(id, out);
         }
@@ -219,8 +224,8 @@
         if !std::mem::replace(&mut customer.has_total, true) {
             let is_retry =
                 waiting.iter().any(|id| self.requests.get(id).is_some_and(|request| request.client_retry));
-            let fits = asked_units < window.granted_units * PRIOR_FIT_SHARE;
-            self.plan_priors[customer.plan_index].record(is_retry, fits);
+            let is_within_quota = asked_units < window.granted_units * PRIOR_WITHIN_QUOTA_SHARE;
+            self.plan_priors[customer.plan_index].record(is_retry, is_within_quota);
         }
         self.record_admit_probability(name_hash, window.admit_probability, period, out);
         self.decide_sampled(waiting, asked_units, window.granted_units, units_per_second, out);
