--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -153,17 +153,17 @@
 }
 
 impl SampledWindow {
-    /// Inputs: `elapsed` since the window began, `asked_units` by other requests, `call_units` by those of the last
+    /// Inputs: `elapsed` since the window began, `requested_units` by other requests, `call_units` by those of the last
     /// call, whose weights exceed their own units by `excess_units`.
     ///
     /// A sampled request that counts for others stands for one that was admitted by chance: its excess is granted.
-    fn new(plan: &Plan, elapsed: Millis, asked_units: f64, call_units: f64, excess_units: f64) -> Self {
+    fn new(plan: &Plan, elapsed: Millis, requested_units: f64, call_units: f64, excess_units: f64) -> Self {
         let refilled_units = plan.rate * elapsed / 1000.0;
         let granted_units =
             (plan.burst * WINDOW_INITIAL_SHARE + refilled_units).min(plan.burst) + excess_units;
         let sustainable_units = plan.burst * ADMIT_BURST_SHARE + refilled_units + excess_units;
-        let is_over_quota = asked_units + call_units > granted_units;
-        let sustainable_share = sustainable_units / (asked_units + call_units);
+        let is_over_quota = requested_units + call_units > granted_units;
+        let sustainable_share = sustainable_units / (requested_units + call_units);
         let admit_probability = if is_over_quota { sustainable_share.min(1.0) } else { 1.0 };
         Self { granted_units, admit_probability }
     }
@@ -212,23 +212,23 @@
     ) {
         let Some(customer) = self.customers.get_mut(name) else { return };
         let plan = &self.settings.plans[customer.plan_index];
-        let asked_units = total - call.new_units - call.report_units;
+        let requested_units = total - call.new_units - call.report_units;
         let own_units = sum_over(&customer.waiting, &self.requests, |request| request.units);
         let excess_units = (call.new_units - own_units).max(0.0);
         let period = refill_period(plan);
         let elapsed = self.now - window_at(self.now, period, customer.name_hash).started_at;
-        let window = SampledWindow::new(plan, elapsed, asked_units, call.new_units, excess_units);
+        let window = SampledWindow::new(plan, elapsed, requested_units, call.new_units, excess_units);
         let units_per_second = plan.rate;
         let name_hash = customer.name_hash;
         let waiting = std::mem::take(&mut customer.waiting);
         if !std::mem::replace(&mut customer.has_total, true) {
             let is_retry =
                 waiting.iter().any(|id| self.requests.get(id).is_some_and(|request| request.client_retry));
-            let is_within_quota = asked_units < window.granted_units * PRIOR_WITHIN_QUOTA_SHARE;
+            let is_within_quota = requested_units < window.granted_units * PRIOR_WITHIN_QUOTA_SHARE;
             self.plan_priors[customer.plan_index].record(is_retry, is_within_quota);
         }
         self.record_admit_probability(name_hash, window.admit_probability, period, out);
-        self.decide_sampled(waiting, asked_units, window.granted_units, units_per_second, out);
+        self.decide_sampled(waiting, requested_units, window.granted_units, units_per_second, out);
     }
 
     /// Records an admit probability and gossips it where it is low and news: lower than the last one by the threshold,
@@ -249,13 +249,13 @@
     /// Admits the requests that waited, in order, as far as the granted units go. Clients' retries are in the total
     /// already.
     fn decide_sampled(
-        &mut self, waiting: VecDeque<RequestId>, mut asked_units: f64, granted_units: f64,
+        &mut self, waiting: VecDeque<RequestId>, mut requested_units: f64, granted_units: f64,
         units_per_second: f64, out: &mut Vec<Action>,
     ) {
         for id in waiting {
             let first = self.requests.get(&id).filter(|request| !request.client_retry);
-            asked_units += first.map_or(0.0, |request| request.units);
-            let missing_units = asked_units - granted_units;
+            requested_units += first.map_or(0.0, |request| request.units);
+            let missing_units = requested_units - granted_units;
             if missing_units <= 0.0 {
                 self.forward_or_enqueue(id, out);
             } else {
