--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -63,8 +63,8 @@
 /// Whether a request is in the sample, by `draw` in 0..1. A client's retry is in it only by what the probability
 /// exceeds 1 by.
 fn is_in_sample(draw: f64, sampling_probability: f64, client_retry: bool) -> bool {
-    let first_requests_part = if client_retry { 1.0 } else { 0.0 };
-    draw < sampling_probability - first_requests_part
+    let retry_offset = if client_retry { 1.0 } else { 0.0 };
+    draw < sampling_probability - retry_offset
 }
 
 /// The units that a request in the sample adds to the counter: its own over its sampling probability, so that it
