--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -24,8 +24,8 @@
         if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < unavailability.ended_at {
             // The counter may have come back empty, and what others spent meanwhile is reported nowhere: only this
             // gateway's own part is sure to be left.
-            let sure_units = fallback_units.unwrap_or(initial_units(plan));
-            self.bucket.available_units = self.bucket.available_units.min(sure_units);
+            let guaranteed_units = fallback_units.unwrap_or(initial_units(plan));
+            self.bucket.available_units = self.bucket.available_units.min(guaranteed_units);
         }
         self.last_total_at = now;
         if call.window == self.lease.window {
@@ -72,8 +72,8 @@
             self.lease.last_total += call.amount();
             self.lease.reported_units += call.amount();
         } else {
-            let late_units = self.bucket.available_units + call.new_units + call.report_units.max(0.0);
-            self.bucket.available_units = late_units.min(plan.burst);
+            let restored_units = self.bucket.available_units + call.new_units + call.report_units.max(0.0);
+            self.bucket.available_units = restored_units.min(plan.burst);
         }
     }
 }
