--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -13,7 +13,7 @@
 use crate::counter::availability::CounterAvailability;
 use crate::counter::call_rate::CallRate;
 use crate::counter::results::TimedOutCalls;
-use crate::health::outcome::UsualLatency;
+use crate::health::outcome::SmoothedLatency;
 use crate::maintenance::MAINTENANCE_TOKEN;
 use crate::quota::customer::Customer;
 use crate::quota::sampled::{AdmitEstimates, PlanPrior};
@@ -39,7 +39,7 @@
     pub(crate) endpoints: EndpointTable,
     pub(crate) load_shedder: LoadShedder,
     /// For each class of the settings.
-    pub(crate) usual_latencies: Vec<UsualLatency>,
+    pub(crate) smoothed_latencies: Vec<SmoothedLatency>,
 
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Requests that wait for a backend, those of higher priority first. Some may be over by now.
@@ -66,7 +66,7 @@
         validate(&settings)?;
         let mut gateway = Self {
             random: Random::new(seed),
-            usual_latencies: vec![UsualLatency::default(); settings.classes.len()],
+            smoothed_latencies: vec![SmoothedLatency::default(); settings.classes.len()],
             plan_priors: vec![PlanPrior::default(); settings.plans.len()],
             settings,
             ..Self::default()
--- a/src/health/outcome.rs
+++ b/src/health/outcome.rs
@@ -6,25 +6,25 @@
 /// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the
 /// network and for waiting in the queue.
 const LATE_OBJECTIVE_SHARE: f64 = 0.6;
-/// A failed attempt is late if it took this many times the usual latency: a client with a short timeout proves
+/// A failed attempt is late if it took this many times the smoothed latency: a client with a short timeout proves
 /// nothing.
 const LATE_FAILURE_FACTOR: f64 = 4.0;
-/// Weight of the newest latency in the usual latency of a class.
-const USUAL_LATENCY_WEIGHT: f64 = 0.02;
+/// Weight of the newest latency in the smoothed latency of a class.
+const LATENCY_SMOOTHING_WEIGHT: f64 = 0.02;
 
 /// The smoothed latency of served requests of one class, in ms; 0 before the first.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct UsualLatency(Millis);
+pub(crate) struct SmoothedLatency(Millis);
 
-impl UsualLatency {
+impl SmoothedLatency {
     /// Records a served request.
     fn record(&mut self, latency: Millis) {
-        self.0 = if self.0 == 0.0 { latency } else { self.0 + USUAL_LATENCY_WEIGHT * (latency - self.0) };
+        self.0 = if self.0 == 0.0 { latency } else { self.0 + LATENCY_SMOOTHING_WEIGHT * (latency - self.0) };
     }
 }
 
 /// Whether an outcome counts as late. An error says nothing of the load; a rejection says that it is too high.
-fn is_late(outcome: AttemptOutcome, latency: Millis, objective: Millis, usual: UsualLatency) -> bool {
+fn is_late(outcome: AttemptOutcome, latency: Millis, objective: Millis, smoothed: SmoothedLatency) -> bool {
     match outcome {
         AttemptOutcome::Served => latency > objective * LATE_OBJECTIVE_SHARE,
         AttemptOutcome::Error | AttemptOutcome::NeverSent => false,
@@ -32,7 +32,7 @@
         AttemptOutcome::TimedOut
         | AttemptOutcome::ConnectFailed
         | AttemptOutcome::ConnectionLost
-        | AttemptOutcome::Cancelled => latency > usual.0 * LATE_FAILURE_FACTOR,
+        | AttemptOutcome::Cancelled => latency > smoothed.0 * LATE_FAILURE_FACTOR,
     }
 }
 
@@ -53,7 +53,7 @@
         let Some(backend) = self.backends.get_mut(name) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
         let class_index = self.requests.get(&end.id).map_or(0, |request| request.class_index);
-        let usual_latency = &mut self.usual_latencies[class_index];
+        let smoothed_latency = &mut self.smoothed_latencies[class_index];
         match end.outcome {
             AttemptOutcome::NeverSent => return,
             AttemptOutcome::Error if !backend.outlier.record_error(class_index) => return,
@@ -61,12 +61,12 @@
                 if backend.outlier.record_success() {
                     out.push(Action::Log(readmitted_log(name)));
                 }
-                usual_latency.record(end.latency);
+                smoothed_latency.record(end.latency);
             }
             _ => {}
         }
         let objective = self.settings.classes[class_index].latency_objective;
-        let is_late = is_late(end.outcome, end.latency, objective, *usual_latency);
+        let is_late = is_late(end.outcome, end.latency, objective, *smoothed_latency);
         backend.concurrency_limit.record_response(is_late, backend.in_flight);
         self.load_shedder.record_response(is_late);
         if end.outcome != AttemptOutcome::Served {
--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -91,7 +91,7 @@
             self.requests.values().any(|request| request.plan_index == index)
                 || self.customers.values().any(|customer| customer.plan_index == index)
         });
-        self.usual_latencies = classes.move_state(&self.usual_latencies, self.settings.classes.len());
+        self.smoothed_latencies = classes.move_state(&self.smoothed_latencies, self.settings.classes.len());
         self.plan_priors = plans.move_state(&self.plan_priors, self.settings.plans.len());
         for request in self.requests.values_mut() {
             request.class_index = classes.of(request.class_index);
