--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -125,8 +125,8 @@
             customer.unreported_units += call.report_units.min(0.0);
         } else if !is_sampled(plan, customer.customer_gateways) {
             customer.unreported_units -= call.report_units.max(0.0);
-            let is_present = call.window == customer.lease.window;
-            let newer_total = total.filter(|total| is_present && *total >= customer.lease.last_total);
+            let is_current_window = call.window == customer.lease.window;
+            let newer_total = total.filter(|total| is_current_window && *total >= customer.lease.last_total);
             if let Some(total) = newer_total {
                 self.counter_responded(out);
                 return self.total_received(&name, call, total, out);
