--- a/src/balancer/sticky.rs
+++ b/src/balancer/sticky.rs
@@ -12,28 +12,28 @@
         if route.is_empty() {
             return Selection::Continue;
         }
-        let home = self.slots_of_route(route);
+        let route_slots = self.slots_of_route(route);
         let selection = self
-            .select_among(&home)
-            .or_else(|| self.select_failover_route(&home))
-            .or_else(|| self.select_failover_group(&home));
-        if selection == Selection::Continue && self.routing.strict_affinity && !home.is_empty() {
+            .select_among(&route_slots)
+            .or_else(|| self.select_failover_route(&route_slots))
+            .or_else(|| self.select_failover_group(&route_slots));
+        if selection == Selection::Continue && self.routing.strict_affinity && !route_slots.is_empty() {
             return Selection::Wait;
         }
         selection
     }
 
     /// Selects from the backends of the failover route that the route's own backends name.
-    fn select_failover_route(&self, home: &[(usize, &Slot)]) -> Selection {
-        match first_stated(home, |slot| &slot.placement.failover_route) {
+    fn select_failover_route(&self, route_slots: &[(usize, &Slot)]) -> Selection {
+        match first_stated(route_slots, |slot| &slot.placement.failover_route) {
             Some(route) => self.select_among(&self.slots_of_route(route)),
             None => Selection::Continue,
         }
     }
 
     /// Selects from the failover group of the route's own backends.
-    fn select_failover_group(&self, home: &[(usize, &Slot)]) -> Selection {
-        match first_stated(home, |slot| &slot.placement.failover_group) {
+    fn select_failover_group(&self, route_slots: &[(usize, &Slot)]) -> Selection {
+        match first_stated(route_slots, |slot| &slot.placement.failover_group) {
             Some(group) => self.select_among(&self.slots_of_group(group)),
             None => Selection::Continue,
         }
