--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -16,12 +16,12 @@
 }
 
 /// A gateway's arc of the circle of weights, which has the length 1.
-struct Arc {
+struct RingArc {
     start: f64,
     length: f64,
 }
 
-impl Arc {
+impl RingArc {
     /// Arcs begin at even distances and are as long as an integral number of them: every point lies in as many arcs,
     /// so that over the fleet each backend gets exactly its weight's share.
     fn of_gateway(gateway_index: u32, gateway_count: u32, backend_count: f64) -> Self {
@@ -42,7 +42,7 @@
     /// same at all gateways. A gateway's subset are the backends on its arc, drawn by how much of them lies there
     /// (weighted consistent hashing).
     pub(crate) fn assign_subset_by_weight(&mut self, level_index: usize, total_weight: f64, count: f64) {
-        let arc = Arc::of_gateway(self.gateway_index, self.gateway_count, count);
+        let arc = RingArc::of_gateway(self.gateway_index, self.gateway_count, count);
         let mut order: Vec<usize> = (0..self.slots.len()).collect();
         order.retain(|index| {
             let slot = &self.slots[*index];
