--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -140,7 +140,7 @@
         self.scoring = self.choose_scoring(is_weighted);
         self.rebuild_levels();
         for level_index in 0..self.levels.len() {
-            self.weigh_level(level_index, is_weighted);
+            self.update_level_weights(level_index, is_weighted);
         }
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Works out the weights of a level's backends relative to those that are ready, and this gateway's subset.
-    fn weigh_level(&mut self, level_index: usize, is_weighted: bool) {
+    fn update_level_weights(&mut self, level_index: usize, is_weighted: bool) {
         let mut total_weight = 0.0;
         let mut count = 0.0_f64;
         for slot in self.slots.iter().filter(|slot| slot.level_index == Some(level_index) && slot.ready) {
