--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -1,5 +1,5 @@
-//! What one request costs the decisions with 100 backends: a uniform list, weights, priority levels with standbys and
-//! spares, and a sticky route. Compare them within one run.
+//! The cost of deciding on one request with 100 backends: a uniform list, weights, priority levels with standbys and
+//! spares, and a sticky route. Compare the cases within one run.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doorcourse::{
