--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -1,5 +1,5 @@
-//! A host's loop around one gateway: events in, actions out, timers, a counter, a backend, a restart.
-//! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
+//! The event loop of a host with one gateway: it passes in events, executes actions, and simulates timers, a counter, a
+//! backend and a restart. Time is simulated; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
     Action, AttemptEnd, AttemptOutcome, BackendEntry, BackendState, CounterOutcome, DeduplicationScope,
@@ -74,7 +74,8 @@
         Ok(())
     }
 
-    /// A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
+    /// Restarts: a new gateway with a fresh seed and the last endpoint list. Requests in flight are lost; their clients
+    /// would have to retry them.
     fn restart(&mut self) -> Result<(), SettingsError> {
         self.restarted = true;
         self.gateway = Gateway::new(settings(), 43)?;
