--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,9 +1,9 @@
-//! What can be wrong with the input.
+//! Errors in the input and of the streams.
 
 use doorcourse::SettingsError;
 use std::fmt;
 
-/// A line that cannot be read, or a fault of the streams themselves.
+/// A line that cannot be read, or an error of the streams.
 #[derive(Debug)]
 pub enum HostError {
     /// A line cannot be read.
