--- a/simulator-adapter/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -4,7 +4,7 @@
 use doorcourse::{Millis, Name};
 use std::str::{FromStr, Split};
 
-/// What stands for an absent value.
+/// The text that marks an absent value.
 pub(crate) const ABSENT: &str = "-";
 
 /// The fields of a line that are not read yet.
@@ -15,7 +15,7 @@
         Self(line.split('\t'))
     }
 
-    /// The next field as it is.
+    /// The next field as text, which may be empty.
     pub(crate) fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.0.next().ok_or(LineError::MissingField(field))
     }
@@ -41,7 +41,7 @@
         if value.is_finite() { Ok(value) } else { Err(LineError::NotFinite(field)) }
     }
 
-    /// The next field as a flag: 1, or 0 or absent.
+    /// The next field as a flag: true for 1, false for 0 or an absent value.
     pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "1" => Ok(true),
