--- a/simulator-adapter/src/input.rs
+++ b/simulator-adapter/src/input.rs
@@ -13,7 +13,7 @@
 /// The endpoint lists sent so far, by number.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<BackendEntry>>;
 
-/// Reads a message for one gateway. `fields` begins behind the gateway's number.
+/// Reads a message for one gateway. `fields` starts after the gateway's number.
 pub(crate) fn event(
     message: &str, fields: &mut Fields<'_>, lists: &EndpointLists,
 ) -> Result<Event, LineError> {
