--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
 //! Hosts doorcourse gateways on the simulator's wire: reads its lines as events, writes actions as its lines.
 //!
-//! The simulator's words are mapped here and nowhere else: `input.rs` from the wire, `output.rs` to it. Nothing is
-//! decided.
+//! This crate alone translates the simulator's vocabulary: `input.rs` from the wire, `output.rs` to it. All decisions
+//! are made by [`doorcourse::Gateway`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
