--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `doorcourse-simhost`: gateways on the simulator's wire, on standard input and output.
+//! `doorcourse-simhost`: hosts gateways on the simulator's wire, over standard input and output.
 
 #![forbid(unsafe_code)]
 
