--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -1,6 +1,6 @@
-//! A small fleet played over the simulator's wire in a closed loop: every line in and out must be byte for byte the
-//! recorded one. `DOORCOURSE_RECORD=FILE` writes the transcript instead, and fails; a record is made anew only with a change that
-//! is meant to change a decision.
+//! Runs a small fleet over the simulator's wire in a closed loop and compares every line in and out, byte for byte,
+//! with the recorded transcript. `DOORCOURSE_RECORD=FILE` writes the transcript instead, and fails. Record it again
+//! only with a change that is meant to change a decision.
 
 use doorcourse_simulator_adapter::Host;
 use std::collections::{BTreeMap, HashMap};
@@ -40,11 +40,11 @@
     }
 }
 
-/// The environment of the gateways: clients, backends, the counter and the clock.
+/// The simulated environment of the gateways: clients, backends, the counter and the clock.
 struct Fleet {
     random: Random,
     now_ms: u64,
-    /// Lines to come, by time and order.
+    /// Scheduled lines, by time in ms and order.
     due: BTreeMap<(u64, u64), String>,
     scheduled: u64,
     totals: HashMap<String, f64>,
