--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Wire transcripts: replies to valid input, and the errors that name what is wrong with invalid input.
+//! Wire transcripts: replies to valid input, and the errors that describe invalid input.
 
 use doorcourse_simulator_adapter::{Host, HostError};
 
