--- a/src/action.rs
+++ b/src/action.rs
@@ -5,14 +5,14 @@
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its customer is beyond the quota.
+    /// The customer has used up its quota.
     QuotaExceeded,
-    /// No backend could take it in time: their limits or its customer's own `max_in_flight` were reached, or the gateway
-    /// sheds load. Also for a class or plan that the settings do not have.
+    /// No backend could take the request in time: the limits of the backends or the customer's own `max_in_flight` were
+    /// reached, or the gateway sheds load. Also used for a class or plan that the settings do not have.
     Overloaded,
 }
 
-/// Something that the host has to do at once.
+/// An action that the host executes at once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a backend.
@@ -23,19 +23,20 @@
         backend: Name,
         /// The attempt's timeout in ms; `None` for the client's own. Not used yet: the gateway always sets `None`.
         timeout: Option<Millis>,
-        /// For a retry that backends drop as a repetition for a limited time only: what is left of that time, in ms.
-        /// The host withdraws the attempt unless it counts as sent by then: in the HTTP gateway with its first bytes, in
-        /// the RESP gateway with its last byte.
+        /// For a retry that backends deduplicate for a limited time only: the rest of that time, in ms. The host
+        /// withdraws the attempt unless it counts as sent by then: in the HTTP gateway with its first bytes, in the
+        /// RESP gateway with its last byte.
         must_be_written_within: Option<Millis>,
     },
-    /// Final response: rejected. The client may safely retry; this does not say that the request was not executed:
-    /// one that is idempotent, or whose key all backends share, is rejected after a possible execution too.
+    /// Final response: rejected. The client may safely retry. This does not mean that no backend executed the request:
+    /// an idempotent request, or one whose idempotency key all backends share, is rejected after a possible execution
+    /// too.
     Reject {
         /// The request.
         id: RequestId,
         /// How long the client should wait before it retries, in ms.
         retry_after: Millis,
-        /// Why.
+        /// Why the request is rejected.
         reason: RejectReason,
     },
     /// Final response: failed. The request may have been executed, or there is no time left to reject it.
@@ -54,7 +55,7 @@
     SetTimer {
         /// How long from now, in ms.
         after: Millis,
-        /// What the timer brings back.
+        /// The token that [`crate::Event::TimerExpired`] carries back.
         token: u64,
     },
     /// Send a health check to a backend. Not used yet: the gateway never emits it.
