--- a/src/admission/in_flight_limit.rs
+++ b/src/admission/in_flight_limit.rs
@@ -2,8 +2,8 @@
 
 use crate::{Gateway, RequestId};
 
-/// This gateway's even part of a limit on requests in flight. The first gateways of the customer's set take what does
-/// not divide; each has at least one, else a limit below the number of gateways would stop some of them.
+/// This gateway's even part of a limit on requests in flight. The first gateways of the customer's set take the
+/// remainder; each has at least one, else a limit below the number of gateways would block some of them.
 ///
 /// `gateway_rank` counts from 0, `customer_gateways` is at least 1.
 fn in_flight_limit(max_in_flight: u32, gateway_rank: u32, customer_gateways: u32) -> u32 {
