--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -16,8 +16,8 @@
 }
 
 impl Gateway {
-    /// Forwards a request or puts it into the queue. Rejects it early where it is shed, or where the queue is longer
-    /// than what can be in flight: it would not be served in time.
+    /// Forwards a request or puts it into the queue. Rejects it early if it is shed, or if the queue already holds as
+    /// many requests as can be in flight: it would not be served in time.
     pub(crate) fn forward_or_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = RequestStage::Queued;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Lets a request wait in a stage until a time, at most until no attempt may begin any more.
+    /// Lets a request wait in a stage until a given time, but not beyond the last time at which an attempt may begin.
     pub(crate) fn start_wait(
         &mut self, id: RequestId, stage: RequestStage, until: Millis, out: &mut Vec<Action>,
     ) {
@@ -78,8 +78,8 @@
         out.push(Action::SetTimer { after, token: id * TIMER_TOKENS_PER_REQUEST });
     }
 
-    /// Handles the timer of a request that waits: one in the queue gets its final response, one that waits for the
-    /// counter is decided without it. Timers of earlier waits are ignored.
+    /// Handles the timer of a waiting request: one in the queue gets its final response, one that waits for the counter
+    /// is admitted or rejected without a total. Timers of earlier waits are ignored.
     pub(crate) fn wait_expired(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_over = self.now + TIMER_EPSILON >= request.waits_until;
