--- a/src/admission/shedding.rs
+++ b/src/admission/shedding.rs
@@ -3,7 +3,8 @@
 use crate::health::concurrency_limit::{TARGET_LATE_FRACTION, is_large_fleet};
 use crate::{Gateway, RequestClass};
 
-/// Weight of the newest response in the late fraction. Over few responses chance alone would shed.
+/// Weight of the newest response in the late fraction. With a larger weight, a few late responses by chance would shed
+/// load.
 const LATE_FRACTION_WEIGHT: f64 = 0.03;
 /// Each arrival lowers the late fraction by this share of a response's weight, so that shedding ends when no responses
 /// come any more.
@@ -17,7 +18,7 @@
 /// The least priority weight in a ratio.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
 
-/// The share of responses over the latency objective, over all backends.
+/// The share of late responses of all backends together.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
     /// 0 to 1.
