--- a/src/balancer/backend.rs
+++ b/src/balancer/backend.rs
@@ -9,9 +9,9 @@
 pub(crate) struct Backend {
     pub zone: Name,
     pub cell: u64,
-    /// Whether the endpoint list lets it be used.
+    /// Whether the endpoint list states it as ready.
     pub ready: bool,
-    /// Since when the endpoint list does not name it any more.
+    /// When the endpoint list stopped naming it; `None` while it is listed.
     pub removed_at: Option<Millis>,
     /// Its slot in the endpoint table.
     pub slot: usize,
@@ -23,7 +23,7 @@
 }
 
 impl Backend {
-    /// Whether both share the memory of idempotency keys.
+    /// Whether both backends deduplicate by the same record of idempotency keys.
     pub(crate) fn is_in_same_scope(&self, other: &Backend, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
