--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and what follows from it until it changes.
+//! The endpoint list and the values derived from it: scoring, priority levels, weights and subset.
 
 use crate::balancer::backend::Backend;
 use crate::balancer::priority_levels::{LevelKey, PriorityLevel};
@@ -26,13 +26,13 @@
     pub placement: Placement,
     /// Whether the endpoint list names it.
     pub listed: bool,
-    /// Whether the endpoint list lets it be used.
+    /// Whether the endpoint list states it as ready.
     pub ready: bool,
     /// The priority level in which it takes requests; `None` where it takes only those with its sticky route, or none.
     pub level_index: Option<usize>,
     /// Whether it belongs to this gateway's subset, see [`crate::balancer::subset`].
     pub in_subset: bool,
-    /// Its share of its level's requests, as one in this many requests.
+    /// The inverse of its share of its level's requests: it gets one in this many.
     pub inverse_weight_share: f64,
     /// Its weight relative to the mean of its level.
     pub relative_weight: f64,
@@ -40,7 +40,7 @@
     pub subset_weight: f64,
     /// Its pass in stride scheduling, on the clock of its level; `None` until it enters a level.
     pub pass: Option<f64>,
-    /// What is known of it for the request at hand.
+    /// Its state with regard to the request being forwarded.
     pub candidate: Candidate,
     pub score: Score,
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// All backends of the endpoint list, with what is due to each.
+/// All backends of the endpoint list, with the values that the choice among them depends on.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     pub slots: Vec<Slot>,
@@ -83,13 +83,13 @@
     pub routing: Routing,
     pub gateway_index: u32,
     pub gateway_count: u32,
-    /// Draws where each gateway begins in stride scheduling.
+    /// Draws the first pass of each slot, so that gateways begin stride scheduling at different points.
     random: Random,
     /// In the order in which they are tried.
     pub levels: Vec<PriorityLevel>,
     /// The lowest score so far and its slot, where the scoring is uniform.
     pub best_candidate: Option<(f64, usize)>,
-    /// Slots of backends that were forgotten, for the next ones.
+    /// Slots of forgotten backends, to be reused.
     free_slots: Vec<usize>,
 }
 
@@ -103,7 +103,7 @@
         self.rebuild();
     }
 
-    /// Prepares for a complete list: a backend that it does not name is gone.
+    /// Prepares for a complete list: a backend that the new list does not name is no longer listed.
     fn clear_list(&mut self) {
         for slot in &mut self.slots {
             slot.listed = false;
@@ -134,7 +134,7 @@
         index
     }
 
-    /// Works out what stays until the next change of the list.
+    /// Recomputes all values that depend only on the list and the settings.
     fn rebuild(&mut self) {
         let is_weighted = self.is_weighted();
         self.scoring = self.choose_scoring(is_weighted);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether the configuration or unequal weights of listed backends ask for choice by weight.
+    /// Whether backends are chosen by weight: the settings require it, or listed backends have unequal weights.
     fn is_weighted(&self) -> bool {
         let mut weights = self.slots.iter().filter(|slot| slot.listed).map(|slot| slot.placement.weight);
         let first = weights.next().unwrap_or(1.0);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Sorts the listed backends into priority levels. A level that stays keeps its pass.
+    /// Sorts the listed backends into priority levels. A level that existed before keeps its pass.
     fn rebuild_levels(&mut self) {
         let unbound = self.slots.iter().filter(|slot| slot.takes_unbound_requests());
         let mut keys: Vec<LevelKey> = unbound.map(|slot| LevelKey::of(&slot.placement)).collect();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Works out the weights of a level's backends relative to those that are ready, and this gateway's subset.
+    /// Computes the weights of a level's backends relative to those that are ready, and this gateway's subset.
     fn update_level_weights(&mut self, level_index: usize, is_weighted: bool) {
         let mut total_weight = 0.0;
         let mut count = 0.0_f64;
@@ -235,7 +235,7 @@
         self.forward_queued(out);
     }
 
-    /// Applies one entry. A backend that has started anew keeps only its requests in flight.
+    /// Applies one entry. A backend that has restarted keeps only its requests in flight.
     fn change_endpoint(&mut self, entry: BackendEntry) {
         let known = self.backends.get_mut(&entry.name);
         let in_flight = known.as_ref().map_or(0, |backend| backend.in_flight);
