--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,9 @@
 //! The choice of a backend for each attempt.
 //!
-//! [`select`] finds out which backends are eligible and scores them. A list that states no placement is *uniform*:
-//! the lowest score is chosen. Else [`priority_levels`], [`sticky`] routes and weights ([`stride`], [`subset`])
-//! decide among the eligible. Each gateway decides by what it knows itself.
+//! [`select`] determines which backends are eligible and scores them. If the endpoint list states no placements and the
+//! routing settings are the default, scoring is *uniform*: the lowest score is chosen. Otherwise [`priority_levels`],
+//! [`sticky`] routes and weights ([`stride`], [`subset`]) decide among the eligible backends. Each gateway decides from
+//! its own state alone.
 
 pub(crate) mod backend;
 pub(crate) mod endpoints;
