--- a/src/balancer/priority_levels.rs
+++ b/src/balancer/priority_levels.rs
@@ -4,7 +4,7 @@
 use crate::balancer::select::{Eligibility, Selection};
 use crate::{BackendRole, Placement};
 
-/// What orders the priority levels: the standbys of a level are tried between it and the next.
+/// The sort key of the priority levels: the standbys of a level are tried between it and the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LevelKey {
     number: u32,
@@ -43,7 +43,7 @@
         in_flight >= limit.max(1.0)
     }
 
-    /// Whether a warm backend could serve the request, now or once others have ended.
+    /// Whether a warm backend could serve the request, now or once other requests have ended.
     fn can_serve(&self) -> bool {
         let mut available = self.slots.iter().filter(|(_, slot)| slot.is_available());
         available
@@ -57,8 +57,8 @@
         self.candidate.eligibility != Eligibility::Unavailable
     }
 
-    /// Whether a spare replaces it: it is out of service, or not warm yet. A spare that left with the first response
-    /// of a backend that warms up would overload it.
+    /// Whether a spare replaces this backend: it is out of service or still in slow start. If the spare were withdrawn
+    /// at the first response of a backend in slow start, that backend would be overloaded.
     fn needs_spare(&self) -> bool {
         match self.placement.role {
             BackendRole::Active => !self.is_available() || !self.candidate.is_warm,
@@ -69,7 +69,7 @@
 }
 
 impl EndpointTable {
-    /// Selects from the first priority level that does not pass the request on.
+    /// Selects from the first priority level that does not pass the request on to the next.
     pub(crate) fn select_by_level(&self) -> Option<usize> {
         for level_index in 0..self.levels.len() {
             match self.select_in_level(level_index) {
@@ -81,8 +81,8 @@
         None
     }
 
-    /// Selects from one level. A level without fault keeps its requests: they wait. A degraded one passes on what it
-    /// has no capacity for, so that neither the rest of it nor what comes back is overloaded.
+    /// Selects from one level. Requests wait for a level that is not degraded. A degraded level passes on the requests
+    /// that it has no capacity for, so that neither its remaining backends nor those in slow start are overloaded.
     fn select_in_level(&self, level_index: usize) -> Selection {
         let members = self.members(level_index);
         let best = if members.is_at_limit() { None } else { self.lowest_score(&members.slots) };
@@ -93,8 +93,8 @@
         }
     }
 
-    /// The backends of a level that may serve now. As many of its spares are used as it lacks, in the order of the
-    /// list.
+    /// The backends of a level that may serve now. One spare is used for each backend that needs one, in the order of
+    /// the list.
     fn members(&self, level_index: usize) -> LevelMembers<'_> {
         let mut unused_spares = self.spares_needed(self.levels[level_index].key);
         let mut members = LevelMembers { slots: Vec::new(), is_degraded: false };
