--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -6,7 +6,8 @@
 use crate::health::slow_start::{exceeds_slow_start_budget, is_warm, slow_start_budget};
 use crate::{DeduplicationScope, Gateway, Millis, Name, RequestId, Settings};
 
-/// A backend in another zone counts as this much slower for each point of the cross-zone price. Prices are small.
+/// A backend in another zone counts as this much slower for each point of the cross-zone price. The factor is large
+/// because prices are small.
 const CROSS_ZONE_PENALTY_PER_POINT: f64 = 5.0;
 /// In a large fleet a backend outside the gateway's subset counts as this much slower.
 const OUT_OF_SUBSET_PENALTY: f64 = 100.0;
@@ -21,23 +22,23 @@
     /// It is out of service: the endpoint list says so, or it is ejected.
     #[default]
     Unavailable,
-    /// It does not share the memory of idempotency keys with the backend that may have executed the request.
+    /// It is outside the deduplication scope of the backend that may have executed the request.
     OutOfScope,
     /// As many requests are in flight there as its concurrency limit allows.
     AtLimit,
-    /// It warms up and has had its part of the requests.
+    /// It is in slow start and has received its share of the requests.
     SlowStart,
     /// It can take the request.
     Eligible,
 }
 
-/// What is known of a backend for the request at hand.
+/// The state of a backend with regard to the request being forwarded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Candidate {
     pub eligibility: Eligibility,
     /// Whether it has warmed up.
     pub is_warm: bool,
-    /// By how much its distance makes it count as slower, at least 1.
+    /// The factor by which it counts as slower because of its zone and this gateway's subset, at least 1.
     pub distance_penalty: f64,
     /// A random factor of its score, see [`random_factor`].
     pub random_factor: f64,
@@ -72,7 +73,8 @@
     WeightedLeastInFlight,
     /// In stride order.
     Stride,
-    /// By a weighted draw: in a large fleet, all gateways in step would choose the same backends.
+    /// By a weighted random draw: without it, the gateways of a large fleet would choose the same backends at the same
+    /// time.
     WeightedDraw,
 }
 
@@ -107,9 +109,10 @@
     is_large_fleet: bool,
 }
 
-// Candidates are made and scored for every backend at every attempt: the functions marked for inlining are that loop.
+// Candidates are built and scored for every backend at every attempt: the functions marked `#[inline]` are the body of
+// that loop.
 impl SelectionContext<'_> {
-    /// What is known of a backend. `draw` is in 0..1 and differs by backend.
+    /// Builds the candidate for a backend. `draw` is in 0..1 and differs by backend.
     #[inline]
     fn candidate(&self, backend: &Backend, slot: &Slot, draw: f64) -> Candidate {
         let weight = backend.start_time.slow_start_weight(self.now, self.settings);
@@ -149,13 +152,13 @@
 }
 
 /// The random factor of a backend's score; `draw` is in 0..1. In a small fleet it decides among equals. In a large one
-/// it is exponentially distributed, so that the lowest product is a draw by weight and no two gateways follow the same
-/// order.
+/// it is exponentially distributed, so that choosing the lowest product draws backends by weight and gateways do not
+/// follow the same order.
 fn random_factor(draw: f64, is_large_fleet: bool) -> f64 {
     if is_large_fleet { -draw.max(MIN_DRAW).ln() } else { 1.0 + TIE_BREAK_SHARE * draw }
 }
 
-/// The score by requests in flight. A backend that warms up and has not had its part goes first.
+/// The score by requests in flight. A backend in slow start that has not received its share goes first.
 fn least_in_flight_score(candidate: &Candidate) -> f64 {
     if !candidate.is_warm {
         return 0.0;
@@ -184,7 +187,7 @@
 }
 
 impl EndpointTable {
-    /// Records what is known of one backend for the request at hand.
+    /// Records the candidate for one backend and its score.
     #[inline]
     fn set_candidate(&mut self, index: usize, candidate: Candidate) {
         if self.scoring == Scoring::Uniform {
@@ -249,7 +252,7 @@
             self.endpoints.set_candidate(backend.slot, candidate);
         }
         let selected = self.endpoints.select(&request.sticky_route);
-        // All backends drew from one state; the next selection draws from another.
+        // `draw_for` left the generator's state unchanged: advance it, so that the next selection draws other numbers.
         self.random.draw();
         selected
     }
