--- a/src/balancer/sticky.rs
+++ b/src/balancer/sticky.rs
@@ -5,9 +5,9 @@
 use crate::balancer::select::{Eligibility, Selection};
 
 impl EndpointTable {
-    /// Selects for a request with a sticky route: its backend, else the failover route that this names, else the rest
-    /// of its failover group, else any other backend unless affinity is strict. A backend at its limit is waited for:
-    /// a session that moved would be lost or have to be rebuilt.
+    /// Selects for a request with a sticky route: a backend of that route, else of the failover route that it names,
+    /// else of its failover group, else any other backend unless affinity is strict. The request waits for a backend at
+    /// its limit, since a session that moves would be lost or have to be rebuilt.
     pub(crate) fn select_sticky(&self, route: &str) -> Selection {
         if route.is_empty() {
             return Selection::Continue;
