--- a/src/balancer/stride.rs
+++ b/src/balancer/stride.rs
@@ -1,4 +1,4 @@
-//! Stride scheduling: choice by weight, off by one request at most for each backend.
+//! Stride scheduling: backends are chosen by weight; each is at most one request off its share.
 //!
 //! Each slot has a pass, the slot with the lowest pass is chosen, and its pass then advances by its stride, `1 /
 //! weight`.
