--- a/src/counter/availability.rs
+++ b/src/counter/availability.rs
@@ -1,15 +1,15 @@
-//! Whether the shared counter is available: it is while it responds to calls.
+//! Whether the shared counter is available, as seen from its responses to calls.
 
 use crate::Millis;
 
-/// The counter is unavailable after this many timeouts' time without a response: one call alone may be late.
+/// The counter is unavailable after this many counter timeouts without a response: a single call may be late.
 const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 3.0;
 
 /// A period in which the counter was unavailable.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Unavailability {
     pub started_at: Millis,
-    /// Minus infinity while it lasts.
+    /// Minus infinity while the period lasts.
     pub ended_at: Millis,
 }
 
@@ -56,7 +56,7 @@
         self.consecutive_failures += 1;
     }
 
-    /// Records that the counter is unavailable. Returns whether that is news.
+    /// Records that the counter is unavailable. Returns whether it was recorded as available until now.
     pub(crate) fn begin_unavailability(&mut self, now: Millis) -> bool {
         if matches!(self.state, CounterState::Unavailable { .. }) {
             return false;
