--- a/src/counter/call_rate.rs
+++ b/src/counter/call_rate.rs
@@ -27,8 +27,8 @@
         self.0
     }
 
-    /// Follows the end of a call: its `latency` in ms, `None` where it failed. The rate changes in proportion to how
-    /// far the latency is from its target.
+    /// Adapts the rate to a call that ended after `latency` ms, `None` where it failed. The rate changes in proportion
+    /// to the distance of the latency from its target.
     pub(crate) fn record(&mut self, latency: Option<Millis>, counter_timeout: Millis) {
         let target_latency = counter_timeout * TARGET_LATENCY_SHARE;
         let latency_ratio = latency.map_or(f64::INFINITY, |latency| latency / target_latency);
