--- a/src/counter/calls.rs
+++ b/src/counter/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the shared counter: one in flight for each customer, and a limit on all.
+//! Calls to the shared counter: at most one in flight for each customer, and a limit on all together.
 
 use crate::maintenance::MAX_RETENTION;
 use crate::quota::bucket::idle_retention;
@@ -25,8 +25,8 @@
 pub(crate) struct CounterCall {
     /// The window whose counter was called.
     pub window: u64,
-    /// Units for requests to come and those that wait: the new lease, or for a sampled quota, where nothing is leased,
-    /// the weighted units of the requests that wait.
+    /// The units of the new lease, which cover waiting and later requests. For a sampled quota, which has no lease, the
+    /// weighted units of the waiting requests.
     pub new_units: f64,
     /// Units used earlier that the call reports; negative where it returns units.
     pub report_units: f64,
