--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -7,7 +7,7 @@
 use crate::{Action, CounterOutcome, Gateway, Millis, Name};
 use std::collections::VecDeque;
 
-/// So many calls that timed out are remembered, in case their results arrive late.
+/// The most timed-out calls that are kept, in case their results arrive late.
 const MAX_TIMED_OUT_CALLS: usize = 256;
 
 /// The counter is unavailable: leases ("blocks") are spent, then fallback budgets ("even slices"). The text is frozen:
@@ -24,7 +24,7 @@
     call: CounterCall,
 }
 
-/// The calls that timed out last, oldest first.
+/// The most recent calls that timed out, oldest first.
 #[derive(Default)]
 pub(crate) struct TimedOutCalls(VecDeque<TimedOutCall>);
 
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Decides without the counter for the requests that waited for a call. A lease that may have been added is
-    /// dropped: what was to be reported is reported again, what was to be returned is not returned twice.
+    /// Admits or rejects the requests that waited for a failed call without the counter. If the call may have been
+    /// added, its lease is dropped; units to report are reported again, and units to return are not returned twice.
     fn counter_call_failed(&mut self, counter: u64, name: &Name, may_be_added: bool, out: &mut Vec<Action>) {
         self.counter_availability.record_failure();
         if self.is_counter_unavailable() && self.counter_availability.begin_unavailability(self.now) {
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Handles the result of a call that had timed out. A total of the present window counts as any other; else the
-    /// lease is returned. Without this, leases that a slow counter added late would stay in the count, held by no
-    /// gateway.
+    /// Handles the result of a call that had timed out. A total of the current window is handled as any other;
+    /// otherwise the lease is returned. Without this, leases that a slow counter added late would stay in its total
+    /// although no gateway holds them.
     fn late_result_received(&mut self, counter: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
         let Some(TimedOutCall { customer: name, call, .. }) = self.timed_out_calls.take(counter) else {
             return;
