--- a/src/event.rs
+++ b/src/event.rs
@@ -4,24 +4,24 @@
 use crate::status::BackendStatus;
 use crate::types::{Millis, Name, RequestId};
 
-/// What the endpoint list says of a backend.
+/// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
     /// It takes requests.
     Ready,
-    /// It finishes its work and must be sent nothing new.
+    /// It finishes its requests in flight and must be sent nothing new.
     Draining,
-    /// It is gone.
+    /// It is no longer part of the fleet.
     Removed,
 }
 
-/// The part that a backend has in its priority level.
+/// The role of a backend within its priority level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendRole {
     /// It takes its share of the requests.
     #[default]
     Active,
-    /// It is used when nothing else of its priority level can serve.
+    /// It is used when no other backend of its priority level can serve.
     Standby,
     /// It replaces one active backend of its level that is out of service, until that one has warmed up again.
     Spare,
@@ -29,18 +29,18 @@
     StickyOnly,
 }
 
-/// A backend's place among the others. The default is that of a list that states none.
+/// Where a backend stands among the others. The default applies where the endpoint list states no placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// Its share of the requests relative to the others of its priority level; above 0.
     pub weight: f64,
     /// Priority levels are tried in order from 0.
     pub priority_level: u32,
-    /// Its part in its priority level.
+    /// Its role within its priority level.
     pub role: BackendRole,
-    /// The name by which requests are bound to it; empty for none.
+    /// The sticky route whose requests are bound to it; empty for none.
     pub sticky_route: Name,
-    /// The route that takes its bound requests when it is out of service; empty for none.
+    /// The sticky route that takes over its bound requests when it is out of service; empty for none.
     pub failover_route: Name,
     /// Backends of one failover group replace each other for bound requests; empty for none.
     pub failover_group: Name,
@@ -72,7 +72,7 @@
     pub state: BackendState,
     /// When it last started, on the host's clock, where that is known.
     pub started: Option<Millis>,
-    /// Its place among the others.
+    /// Where it stands among the other backends.
     pub placement: Placement,
 }
 
@@ -80,32 +80,32 @@
 /// no load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds.
+    /// Requests in flight at the backend.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests queued at the backend.
     pub queued: Option<f64>,
-    /// Its recent service time in ms, without waiting.
+    /// The backend's recent service time in ms, without the time in its queue.
     pub service_time: Option<Millis>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The backend served it.
+    /// The backend served the request.
     Served,
-    /// The backend responded with an error; it may have been executed.
+    /// The backend responded with an error; the request may have been executed.
     Error,
-    /// The backend rejected it before any work.
+    /// The backend rejected the request before any work.
     Rejected,
-    /// No response in time; it may have been executed, or may still be.
+    /// No response in time; the request may have been executed, or may still be.
     TimedOut,
-    /// No connection could be made; it was never executed.
+    /// No connection could be made; the request was not executed.
     ConnectFailed,
-    /// The connection was lost; it may have been executed.
+    /// The connection was lost; the request may have been executed.
     ConnectionLost,
-    /// The gateway cancelled it; it may have been executed.
+    /// The gateway cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NeverSent,
 }
 
@@ -118,7 +118,7 @@
     NotAdded,
     /// No response in time; the amount may have been added.
     Unknown,
-    /// What became of a call that was reported as unknown before, where the host learns it.
+    /// The late result of a call that was reported as unknown, where the host learns it.
     Late {
         /// Whether the amount was added.
         added: bool,
@@ -144,7 +144,7 @@
     pub client_retry: bool,
     /// How long the client waits, in ms.
     pub timeout: Millis,
-    /// The index of the first gateway of the customer's set; the others follow, counted round.
+    /// The index of the first gateway of the customer's set; the others follow by index, wrapping around.
     pub first_gateway: u32,
     /// How many gateways the customer's requests come in through.
     pub gateway_count: u32,
@@ -167,7 +167,7 @@
     pub latency: Millis,
     /// The units it used, where the response reports them.
     pub true_units: Option<f64>,
-    /// Whether the client has had its final response, or left: the gateway sends no other.
+    /// Whether the client has received its final response or disconnected: the gateway sends no further response.
     pub final_response_sent: bool,
     /// A load report, where one came with the response. Not used yet.
     pub load_report: Option<LoadReport>,
@@ -176,15 +176,15 @@
 /// Something that happened, as the host reports it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The settings changed. The gateway's index stays; requests in flight go on under the class and plan they came
-    /// with.
+    /// The settings changed. The gateway's index must stay the same; requests in flight keep the class and plan that
+    /// they arrived with.
     SettingsChanged(Box<Settings>),
-    /// What is known of backends from elsewhere. Reported after the first list: once with what an earlier process of
-    /// this gateway had learnt, and any number of times with what the host's outlier gossip says of a backend. Each
-    /// status replaces the concurrency limit, the failures in a row and the ejection of the backend that it names;
-    /// other backends stay as they are.
+    /// State of backends from another source. Reported after the first endpoint list: once with the state that an
+    /// earlier process of this gateway saved, and any number of times with what the host's outlier gossip reports of a
+    /// backend. Each status replaces the concurrency limit, the consecutive failures and the ejection of the backend
+    /// that it names; other backends are unchanged.
     StateRestored(Vec<BackendStatus>),
-    /// The process shuts down: it leases no more than it needs and returns what it has.
+    /// The process shuts down: the gateway returns its leases and from now on leases only what waiting requests need.
     ShutdownStarted,
     /// The complete endpoint list; a backend that it does not name is gone.
     BackendList(Vec<BackendEntry>),
