--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,10 +1,10 @@
-//! The gateway object: receives one event, hands it to the module that owns it and collects the actions.
+//! The gateway object: passes each event to the module that handles it and collects the actions.
 //!
-//! The way of a request: [`crate::request`] receives it; [`crate::quota`] admits it by its customer's quota, from a
+//! The path of a request: [`crate::request`] receives it; [`crate::quota`] admits it by its customer's quota, from a
 //! lease or after a counter call; [`crate::admission`] sheds load and checks the customer's limit on requests in
-//! flight; [`crate::balancer`] selects a backend and forwards it, or it waits in the queue. Each wait is limited to a
-//! share of the class's latency objective. When the attempt ends, [`crate::health`] records the outcome for the
-//! backend, and [`crate::retry`] decides on a further attempt or the final response.
+//! flight; [`crate::balancer`] selects a backend and forwards the request, which otherwise waits in the queue. Each
+//! wait is limited to a share of the class's latency objective. When the attempt ends, [`crate::health`] records the
+//! outcome for the backend, and [`crate::retry`] decides on a further attempt or the final response.
 
 use crate::admission::queue::request_of_token;
 use crate::admission::shedding::LoadShedder;
@@ -28,25 +28,25 @@
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) random: Random,
-    /// The latest time of an event; it never goes back.
+    /// The latest time of an event; an event with an earlier time does not set it back.
     pub(crate) now: Millis,
     pub(crate) maintenance_started: bool,
-    /// Whether the process shuts down: leases are returned at once, and none is larger than what requests wait for.
+    /// Whether the process shuts down: leases are returned at once, and new ones cover only what waiting requests need.
     /// Requests are handled as before; whether clients are still served is the host's concern.
     pub(crate) returns_leases: bool,
 
     pub(crate) backends: BTreeMap<Name, Backend>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) load_shedder: LoadShedder,
-    /// For each class of the settings.
+    /// One for each class of the settings, in their order.
     pub(crate) smoothed_latencies: Vec<SmoothedLatency>,
 
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests that wait for a backend, those of higher priority first. Some may be over by now.
+    /// Requests that wait for a backend, those of higher priority first. Some may have ended since.
     pub(crate) queue: VecDeque<RequestId>,
 
     pub(crate) customers: BTreeMap<Name, Customer>,
-    /// For each plan of the settings.
+    /// One for each plan of the settings, in their order.
     pub(crate) plan_priors: Vec<PlanPrior>,
     pub(crate) admit_estimates: AdmitEstimates,
 
@@ -58,7 +58,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway without endpoints, customers or requests.
     ///
     /// # Errors
     /// When the settings cannot be used.
@@ -110,13 +110,13 @@
         self.is_counter_unavailable()
     }
 
-    /// Whether the shared counter is unavailable, by the name that the decisions use.
+    /// Whether the shared counter is unavailable; [`Self::is_counter_silent`] is its public name.
     pub(crate) fn is_counter_unavailable(&self) -> bool {
         let counter_timeout = self.settings.counter_timeout;
         !self.settings.has_counter || self.counter_availability.is_unavailable(self.now, counter_timeout)
     }
 
-    /// What this gateway holds of each customer, in order of names.
+    /// The state of each customer at this gateway, ordered by name.
     pub fn customers(&self) -> impl Iterator<Item = CustomerStatus> {
         self.customers.iter().map(|(name, customer)| CustomerStatus {
             name: name.clone(),
@@ -129,7 +129,8 @@
         })
     }
 
-    /// What this gateway knows of each backend, in order of names; may be kept to be restored by the next process.
+    /// The state of each backend as this gateway sees it, ordered by name. The host may save it, for the next process
+    /// to restore by [`Event::StateRestored`].
     pub fn backends(&self) -> impl Iterator<Item = BackendStatus> {
         self.backends.iter().map(|(name, backend)| BackendStatus {
             name: name.clone(),
