--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -9,21 +9,21 @@
 
 /// A gossip message: eight bytes, seven of the customer's hash (little-endian) and one of the probability.
 pub(crate) struct AdmitReport {
-    /// 56 bits that stand for the customer's name.
+    /// The customer's name as a hash of 56 bits.
     pub name_hash: u64,
     /// The admit probability, 0 to 1.
     pub probability: f64,
 }
 
 impl AdmitReport {
-    /// The message's bytes; the probability is rounded down to 1/255.
+    /// The message's bytes; the probability is rounded down to a multiple of 1/255.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = self.name_hash.to_le_bytes();
         bytes[PROBABILITY_BYTE] = (self.probability * PROBABILITY_SCALE) as u8;
         bytes.to_vec()
     }
 
-    /// `None` where the message has another length.
+    /// Reads a message; `None` unless it is eight bytes long.
     fn decode(bytes: &[u8]) -> Option<Self> {
         let mut bytes = <[u8; 8]>::try_from(bytes).ok()?;
         let probability = f64::from(std::mem::take(&mut bytes[PROBABILITY_BYTE])) / PROBABILITY_SCALE;
