--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -1,13 +1,14 @@
 //! The adaptive limit on this gateway's requests in flight at one backend.
 //!
-//! It follows the share of responses over a part of the latency objective, so it guards against overload of any cause
-//! and needs no figure of the backend's size.
+//! The limit adapts to the share of responses that take longer than a part of the latency objective, so it protects
+//! against overload of any cause and needs no configured capacity of the backend.
 
 use crate::Gateway;
 
 /// The initial limit of all gateways together at one backend.
 const INITIAL_FLEET_LIMIT: f64 = 3.5;
-/// The least limit of one gateway at one backend. Below 1, the sum over all backends still binds.
+/// The least limit of one gateway at one backend. Below 1 it still admits one request, but the sum of the limits at all
+/// backends applies as well.
 const MIN_LIMIT: f64 = 0.2;
 /// The share of responses that may be late: with fewer the limit grows, with more it shrinks.
 pub(crate) const TARGET_LATE_FRACTION: f64 = 0.1;
@@ -39,7 +40,8 @@
         f64::from(in_flight) >= self.0.ceil()
     }
 
-    /// Follows a response; `in_flight` are the requests left. The limit grows only while it is used.
+    /// Adapts the limit to a response; `in_flight` counts the remaining requests. The limit grows only while it is
+    /// used.
     pub(crate) fn record_response(&mut self, is_late: bool, in_flight: u32) {
         let is_used = f64::from(in_flight) + 1.0 >= self.0.floor();
         if is_late || is_used {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Restores the limit of an earlier process, within the minimum and the larger of initial and present limit.
+    /// Restores a limit, clamped between the minimum and the larger of the initial fleet limit and the current limit.
     pub(crate) fn restore(&mut self, limit: f64) {
         self.0 = limit.clamp(MIN_LIMIT, INITIAL_FLEET_LIMIT.max(self.0));
     }
