--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! What responses and failures tell about a backend: its concurrency limit, ejection and slow start.
+//! The health of backends as seen from responses and failures: concurrency limit, outlier ejection and slow start.
 
 pub(crate) mod concurrency_limit;
 pub(crate) mod outcome;
