--- a/src/health/outcome.rs
+++ b/src/health/outcome.rs
@@ -6,8 +6,8 @@
 /// A response is late for the concurrency limit beyond this share of the latency objective; the rest is for the
 /// network and for waiting in the queue.
 const LATE_OBJECTIVE_SHARE: f64 = 0.6;
-/// A failed attempt is late if it took this many times the smoothed latency: a client with a short timeout proves
-/// nothing.
+/// A failed attempt is late if it took this many times the smoothed latency: a failure caused by a client's short
+/// timeout says nothing about the backend.
 const LATE_FAILURE_FACTOR: f64 = 4.0;
 /// Weight of the newest latency in the smoothed latency of a class.
 const LATENCY_SMOOTHING_WEIGHT: f64 = 0.02;
@@ -23,7 +23,8 @@
     }
 }
 
-/// Whether an outcome counts as late. An error says nothing of the load; a rejection says that it is too high.
+/// Whether an outcome counts as late. An error says nothing about the backend's load; a rejection says that it is too
+/// high.
 fn is_late(outcome: AttemptOutcome, latency: Millis, objective: Millis, smoothed: SmoothedLatency) -> bool {
     match outcome {
         AttemptOutcome::Served => latency > objective * LATE_OBJECTIVE_SHARE,
