--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -15,11 +15,11 @@
     pub consecutive_failures: u32,
     /// The class of the last request whose response was an error, until a request is served.
     error_class: Option<usize>,
-    /// Nothing is sent until then.
+    /// The backend is sent nothing until then.
     pub ejected_until: Millis,
 }
 
-/// What failed attempts say of a backend.
+/// A failed attempt, as far as ejection depends on it.
 pub(crate) struct Failure {
     /// How long the attempt was in flight, in ms.
     pub latency: Millis,
@@ -49,9 +49,10 @@
         last.is_some_and(|last| last != class_index)
     }
 
-    /// Records a failure and ejects the backend: for as long again as the failure took, since what timed out may still
-    /// occupy the backend, and longer with each failure in a row. The first lost connection does not eject; a backend
-    /// that died breaks or refuses the next one as well. Returns whether the failures are now confirmed.
+    /// Records a failure and ejects the backend: at least for as long as the failed attempt took, since a request that
+    /// timed out may still occupy the backend, and longer with each consecutive failure. The first lost connection does
+    /// not eject, since a dead backend breaks or refuses the next connection as well. Returns whether this failure
+    /// confirms the series.
     pub(crate) fn record_failure(
         &mut self, failure: &Failure, now: Millis, slow_start_duration: Millis,
     ) -> bool {
@@ -63,7 +64,7 @@
         self.consecutive_failures == CONFIRMED_FAILURES
     }
 
-    /// Restores the failures that an earlier process saw. The ejection lasts no longer than `max_duration` ms.
+    /// Restores the failures that another process saw. The ejection lasts no longer than `max_duration` ms.
     pub(crate) fn restore(
         &mut self, consecutive_failures: u32, ejected_until: Millis, now: Millis, max_duration: Millis,
     ) {
