--- a/src/health/slow_start.rs
+++ b/src/health/slow_start.rs
@@ -2,8 +2,8 @@
 
 use crate::{Millis, Settings};
 
-/// A backend that warms up is sent this part of the share of its capacity of an even part of all requests. Below 1,
-/// since all gateways together must stay below the multiple of its capacity at which it fails.
+/// A backend in slow start is sent its share of all requests, times its slow-start weight, times this factor. The
+/// factor is below 1, since all gateways together must stay below the multiple of its capacity at which it fails.
 const SLOW_START_BUDGET: f64 = 0.8;
 /// The shortest slow start, in ms.
 const MIN_SLOW_START_DURATION: Millis = 1.0;
@@ -13,12 +13,12 @@
 pub(crate) struct StartTime {
     /// As the endpoint list states it.
     pub reported: Option<Millis>,
-    /// Where the list does not: when a backend that refused a connection is tried again, as if it started then.
+    /// Without a reported time: when a backend that refused a connection is tried again, as if it had started then.
     pub assumed: Option<Millis>,
 }
 
 impl StartTime {
-    /// The share of its capacity that the backend has by now at least, up to 1. It rises linearly from the configured
+    /// The least share of its capacity that the backend has at `now`, up to 1. It rises linearly from the configured
     /// share.
     pub(crate) fn slow_start_weight(&self, now: Millis, settings: &Settings) -> f64 {
         let Some(started) = self.reported.or(self.assumed) else { return 1.0 };
@@ -28,8 +28,8 @@
     }
 }
 
-/// The share of an even part of all requests that one unit of slow-start weight is sent. While load is shed it falls
-/// with the requests that are admitted.
+/// The fraction of its share of all requests that a backend is sent per unit of slow-start weight. While load is shed
+/// it falls with the share of requests that are admitted.
 pub(crate) fn slow_start_budget(admit_fraction: f64) -> f64 {
     SLOW_START_BUDGET * admit_fraction
 }
@@ -39,8 +39,8 @@
     slow_start_weight >= 1.0
 }
 
-/// Whether a backend that warms up is passed over for a request. By chance it gets its budget's share of its part of
-/// the requests, which needs neither agreement among gateways nor a warm backend.
+/// Whether a backend in slow start is passed over for a request. A random draw limits it to its budget, which requires
+/// neither coordination among gateways nor a warm backend.
 ///
 /// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, `inverse_weight_share` as one in how many
 /// requests of its priority level the backend gets.
