--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decisions of an API gateway: a set of gateways that hold many customers to their quotas over one shared
-//! service. It does no I/O and reads no clock: the host reports to a [`Gateway`] what happened and when, and executes
-//! the actions it returns.
+//! The decision logic of an API gateway: several gateways together enforce the quotas of many customers of one shared
+//! service. The crate does no I/O and reads no clock: the host reports to a [`Gateway`] what happened and when, and
+//! executes the actions it returns.
 //!
 //! ```
 //! use doorcourse::{
@@ -70,14 +70,16 @@
 //!
 //! # What the host must provide
 //!
-//! - One gateway object in a process of its own; after a restart a new one, with a fresh seed and the last endpoint
-//!   list. No two gateways share a seed: their random choices would be the same.
-//! - Clocks that agree among gateways to well within the shortest window of any plan: counter names are made of the
-//!   window's number. Gateways whose clocks differ by a window count apart, and each grants the quota again.
-//! - A counter that adds an amount to a number by name and returns the total. A call without a response in time is
-//!   reported as [`CounterOutcome::Unknown`]. One response for each call, in the order of the calls of a name; what is
-//!   learnt later of a call that was reported so may follow as [`CounterOutcome::Late`].
-//! - Every timer that is set, once, at or after its time.
+//! - One [`Gateway`] for each gateway of the fleet; after a restart a new one, with a fresh seed and the last endpoint
+//!   list. Two gateways must not share a seed: their random choices would be the same.
+//! - Clocks that agree among gateways to well within the shortest window of any plan: counter names are derived from
+//!   the number of the window. Gateways whose clocks differ by a window use different counters, and each of them grants
+//!   the quota again.
+//! - A counter that adds an amount to the number stored under a name and returns the total. A call without a response
+//!   in time is reported as [`CounterOutcome::Unknown`]. Each call is reported once, in the order of the calls to a
+//!   name. If the host later learns the result of a call that it reported as unknown, it may report that as
+//!   [`CounterOutcome::Late`].
+//! - Timers: every timer that is set expires once, at or after its time.
 //! - For every [`Action::SendAttempt`] exactly one [`Event::AttemptEnded`], by the client's timeout at the latest.
 
 #![forbid(unsafe_code)]
