--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! The periodic maintenance tick: forgets what is idle, returns unused leases, reports use, forwards queued requests.
+//! The periodic maintenance tick: drops idle customers and removed backends, returns unused leases, reports used units,
+//! forwards queued requests.
 
 use crate::balancer::backend::Backend;
 use crate::quota::bucket::{idle_retention, refill_period};
@@ -10,13 +11,13 @@
 
 /// No counter, admit estimate or removed backend is kept for longer than this, in ms.
 pub(crate) const MAX_RETENTION: Millis = 60_000.0;
-/// The time between maintenance ticks, in ms: short beside any latency objective.
+/// The time between maintenance ticks, in ms: short compared with any latency objective.
 const MAINTENANCE_INTERVAL: Millis = 25.0;
 /// While units are scarce, a lease is returned when no request of the customer arrived for this share of a refill
-/// period. Equal by choice to the share that a lease covers: it was meant to be spent by then.
+/// period. Equal to the share whose demand a lease covers, since the lease should be spent by then.
 const EARLY_RETURN_SHARE: f64 = LEASE_SHARE;
-/// Units are reported without a new lease once they reach this share of the burst. Equal by choice to the share of a
-/// refill period that a lease covers: the rate brings as much in that time.
+/// Units are reported without a new lease once they reach this share of the burst. Equal to the share of a refill
+/// period that a lease covers: the rate refills this many units in that time.
 const REPORT_SHARE: f64 = LEASE_SHARE;
 /// The token of the maintenance timer; tokens of requests are even.
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1;
@@ -27,15 +28,15 @@
 }
 
 impl Backend {
-    /// Whether it has been off the list for so long that no request that may have been executed there is left: until
-    /// then it still tells the cell of such requests.
+    /// Whether the backend has been off the endpoint list for so long that no open request may have been executed on
+    /// it. Until then it is kept, since it identifies the zone and cell in which such a request may be retried.
     fn is_forgettable(&self, now: Millis) -> bool {
         self.in_flight == 0 && self.removed_at.is_some_and(|removed_at| now - removed_at > MAX_RETENTION)
     }
 }
 
 impl Customer {
-    /// Whether its lease is to be returned: unused for a while and needed elsewhere, or the gateway returns
+    /// Whether the lease is to be returned: it has been unused for a while and units are scarce, or the gateway returns
     /// all leases.
     fn should_return_lease(&self, now: Millis, plan: &Plan, returns_leases: bool) -> bool {
         let idle = now - self.demand.updated_at;
@@ -44,7 +45,7 @@
         is_scarce && is_idle && self.lease.units >= MIN_CALL_UNITS || returns_leases
     }
 
-    /// Whether it has requests waiting or use to report, and no call is in flight.
+    /// Whether the customer has waiting requests or units to report, and no call in flight.
     fn needs_counter_call(&self, plan: &Plan, returns_leases: bool) -> bool {
         let min_units = min_reported_units(plan.burst, returns_leases);
         let has_report =
@@ -52,7 +53,7 @@
         self.pending_call.is_none() && (has_report || !self.waiting.is_empty())
     }
 
-    /// Whether it has to be kept.
+    /// Whether the customer's state has to be kept.
     fn is_in_use(&self, now: Millis, plan: &Plan) -> bool {
         let is_busy = self.pending_call.is_some() || self.in_flight > 0 || !self.waiting.is_empty();
         is_busy || now - self.demand.updated_at < idle_retention(plan)
