--- a/src/quota/admit.rs
+++ b/src/quota/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of a request by its customer's quota: which of the six cases it is, and what follows.
+//! Admission of a request by its customer's quota: which of six cases applies, and how each is handled.
 
 use crate::quota::customer::Customer;
 use crate::quota::sampled::is_sampled;
@@ -12,12 +12,12 @@
 /// The least refill rate that a `Retry-After` is computed from, in units per second.
 const MIN_UNITS_PER_SECOND: f64 = 1e-9;
 
-/// What admission by quota has done with a request.
+/// The result of admission by quota.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaAdmission {
-    /// It is admitted or rejected, or over.
+    /// The request is admitted or rejected, or has ended.
     Decided,
-    /// It waits for the counter: the caller has to call it.
+    /// The request waits for the counter: the caller has to make the call.
     AwaitsCounter,
 }
 
@@ -31,7 +31,7 @@
     Leased,
     /// The lease does not cover it, and the counter is unavailable.
     Fallback,
-    /// By the last total neither lease nor bucket cover it: `missing_units` are lacking.
+    /// According to the last total, lease and bucket together lack `missing_units` for it.
     OverQuota { missing_units: f64 },
     /// The counter may grant it a lease.
     NeedsLease,
@@ -40,7 +40,7 @@
 impl Customer {
     /// Which rule decides on a request of `units`.
     fn quota_case(&self, units: f64, plan: &Plan, is_counter_unavailable: bool) -> QuotaCase {
-        // Leased units were taken off the bucket when they were leased: what may be used is the sum of both.
+        // Units are debited from the bucket when they are leased, so the usable units are the sum of both.
         let usable_units = self.bucket.available_units + self.lease.units;
         if plan.rate <= 0.0 {
             QuotaCase::Unlimited
@@ -120,7 +120,7 @@
         QuotaAdmission::AwaitsCounter
     }
 
-    /// Rejects a request that lacks `missing_units`, with the time in which they come in as `Retry-After`.
+    /// Rejects a request that lacks `missing_units`; `Retry-After` is the time in which the rate refills them.
     pub(crate) fn reject_over_quota(
         &mut self, id: RequestId, missing_units: f64, units_per_second: f64, out: &mut Vec<Action>,
     ) {
@@ -130,8 +130,8 @@
     }
 }
 
-/// How long a client over quota should wait, in ms: until the missing units have come in, and by `draw` in 0..1 a
-/// little longer.
+/// How long a client over quota should wait, in ms: until the missing units are refilled, lengthened by jitter from
+/// `draw` in 0..1.
 fn over_quota_retry_after(missing_units: f64, units_per_second: f64, draw: f64) -> Millis {
     missing_units / units_per_second.max(MIN_UNITS_PER_SECOND) * 1000.0 * (1.0 + RETRY_AFTER_JITTER * draw)
 }
