--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::{Millis, Plan};
 
-/// The refill period of a plan without a rate, in ms: only says how long its customers are remembered.
+/// The refill period of a plan without a rate, in ms; only determines how long its idle customers are kept.
 const UNLIMITED_REFILL_PERIOD: Millis = 1000.0;
 /// Under a ceiling an unknown customer's bucket starts with this share of its burst.
 const CEILING_INITIAL_SHARE: f64 = 0.5;
@@ -11,14 +11,15 @@
 /// Windows of customers are staggered in this many steps.
 const WINDOW_OFFSETS: u64 = 1024;
 
-/// What a customer may still use, by all counter totals received; between totals it fills at the plan's rate.
+/// The units that a customer may still use, according to all counter totals received. Between totals the bucket fills
+/// at the plan's rate.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     /// Units that may be used; negative where more was used than the quota allows.
     pub available_units: f64,
     /// When the bucket was last filled.
     filled_at: Millis,
-    /// Units that came in while the bucket was full, since the last total.
+    /// Units refilled while the bucket was full, since the last total.
     pub overflow_units: f64,
 }
 
@@ -27,7 +28,7 @@
         Self { available_units, filled_at: now, overflow_units: 0.0 }
     }
 
-    /// Adds what the rate has brought since the last call, up to the burst.
+    /// Adds the units that the rate refilled since the last call, up to the burst.
     pub(crate) fn fill(&mut self, now: Millis, plan: &Plan) {
         let filled_units = self.available_units + plan.rate * (now - self.filled_at) / 1000.0;
         self.available_units = filled_units.min(plan.burst);
@@ -40,13 +41,13 @@
         self.available_units = (self.available_units + units).min(burst);
     }
 
-    /// Keeps of the overflow what may pay for the use of other gateways, see [`max_overflow_credit`].
+    /// Limits the overflow to what may be credited against the use of other gateways, see [`max_overflow_credit`].
     pub(crate) fn limit_overflow(&mut self, max_units: f64) {
         self.overflow_units = self.overflow_units.min(max_units);
     }
 
-    /// Debits what was used since the last total: `used_units` in all, `leased_units` of them by this gateway's new
-    /// lease. The overflow pays for what other gateways used, never for this gateway's lease.
+    /// Debits the units counted since the last total: `used_units` in all, of which `leased_units` are this gateway's
+    /// new lease. Overflow is credited against the use of other gateways only, never against this gateway's lease.
     pub(crate) fn settle_total(&mut self, used_units: f64, leased_units: f64, burst: f64) {
         let credited_units = (used_units - leased_units).clamp(0.0, self.overflow_units);
         self.overflow_units -= credited_units;
@@ -54,7 +55,7 @@
     }
 }
 
-/// The units in the bucket of a customer that this gateway knows nothing of.
+/// The units in the bucket of a customer that is new to this gateway.
 ///
 /// Under a ceiling (at least 1.6 times rate and burst) only half the burst: a gateway may return to an emptied counter
 /// when the others have just granted a full burst, and 1.5 bursts and the rate stay within the ceiling.
@@ -67,8 +68,8 @@
     if plan.rate > 0.0 { plan.burst / plan.rate * 1000.0 } else { UNLIMITED_REFILL_PERIOD }
 }
 
-/// How long an idle customer and its counters are kept, in ms. After this its bucket is full again, so nothing is
-/// lost, and memory is bounded when many customers are seen once.
+/// How long an idle customer and its counters are kept, in ms. By then its bucket is full again, so nothing is lost by
+/// dropping it, and memory stays bounded when many customers are seen once.
 pub(crate) fn idle_retention(plan: &Plan) -> Millis {
     refill_period(plan) * IDLE_PERIODS
 }
@@ -88,12 +89,12 @@
     Window { number: number as u64, started_at: number * refill_period - offset }
 }
 
-/// The most overflow, in units, that may pay for what other gateways used while the counter was unavailable
+/// The most overflow, in units, that may be credited against what other gateways used while the counter was unavailable
 /// for `unavailable_ms`.
 ///
-/// Gateways report what they used meanwhile all at once after it, while a bucket that was full could not keep what
-/// came in: the other gateways' even share of that pays for their reports. Not under a ceiling, which many gateways
-/// would exceed together.
+/// After the outage all gateways report what they used during it at once, but a full bucket could not store the units
+/// refilled in that time. The other gateways' even share of these units is credited against their reports. Not under a
+/// ceiling, which many gateways would exceed together.
 pub(crate) fn max_overflow_credit(
     plan: &Plan, unavailable_ms: Millis, is_recent: bool, customer_gateways: f64,
 ) -> f64 {
