--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -8,7 +8,7 @@
 use crate::{Millis, Name, Plan, RequestId};
 use std::collections::VecDeque;
 
-/// Bits cut from the hash of a customer's name: a gossip message carries the hash in seven bytes.
+/// Bits dropped from the hash of a customer's name: a gossip message carries the hash in seven bytes.
 const HASH_BITS_CUT: u32 = 8;
 
 /// One customer as this gateway knows it.
@@ -21,7 +21,7 @@
     pub customer_gateways: f64,
     /// This gateway's rank among them, from 0.
     pub gateway_rank: u32,
-    /// 56 bits that stand for its name in counters and gossip.
+    /// Its name as a hash of 56 bits, used in counter names and gossip.
     pub name_hash: u64,
     pub bucket: TokenBucket,
     pub lease: QuotaLease,
@@ -43,7 +43,7 @@
 }
 
 impl Customer {
-    /// A customer of which this gateway knows nothing.
+    /// A customer that is new to this gateway.
     pub(crate) fn new(name: &Name, plan_index: usize, plan: &Plan, now: Millis) -> Self {
         Self {
             plan_index,
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Fills the bucket and enters the present window. Units leased for an earlier window expire unused.
+    /// Fills the bucket and enters the current window. Units leased for an earlier window expire and go back to the
+    /// bucket.
     pub(crate) fn advance(&mut self, now: Millis, plan: &Plan) {
         self.bucket.fill(now, plan);
         let window = window_at(now, refill_period(plan), self.name_hash);
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Follows a change in the number of the customer's gateways. More gateways split the fallback budget further; with
-    /// fewer it grows by the rate alone, so that no change grants units anew.
+    /// Applies a change in the number of the customer's gateways. With more gateways the fallback budget shrinks in
+    /// proportion; with fewer it grows by the rate alone, so that no change grants units again.
     pub(crate) fn set_gateways(&mut self, customer_gateways: f64, gateway_rank: u32) {
         let is_known = self.customer_gateways > 0.0;
         let share = if is_known { (self.customer_gateways / customer_gateways).min(1.0) } else { 1.0 };
@@ -83,7 +84,7 @@
         self.bucket.available_units += units;
     }
 
-    /// Adds the units of a request that used none to the lease, whatever they were spent from.
+    /// Adds the units of a request that was never sent to the lease, whatever they were spent from.
     pub(crate) fn refund(&mut self, units: f64) {
         self.lease.units += units;
     }
@@ -94,7 +95,7 @@
     }
 }
 
-/// The rank of a gateway among those of a customer, which begin at `first_gateway` and are counted round all
+/// The rank of a gateway among those of a customer, which begin at `first_gateway` and wrap around after
 /// `gateway_count` gateways.
 pub(crate) fn gateway_rank(gateway_index: u32, first_gateway: u32, gateway_count: u32) -> u32 {
     (gateway_index + gateway_count - first_gateway % gateway_count) % gateway_count
