--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -1,5 +1,5 @@
-//! Admission without the counter, while it is unavailable or where one call was too slow for the requests that waited:
-//! each gateway spends an even part of the customer's quota.
+//! Admission without the counter, while it is unavailable or when a call took too long for the requests that waited for
+//! it: each gateway spends an even part of the customer's quota.
 
 use crate::quota::customer::Customer;
 use crate::quota::sampled::is_sampled;
@@ -14,13 +14,14 @@
 }
 
 impl FallbackBudget {
-    /// The even part of the bucket as last known.
+    /// Starts with the even part of the bucket as last known.
     fn new(available_units: f64, customer_gateways: f64, now: Millis) -> Self {
         Self { units: available_units.max(0.0) / customer_gateways, filled_at: now }
     }
 
-    /// Adds the even part of what the rate brought, up to the even part of the burst, then spends `units` where they
-    /// fit. The budget holds at least `units`: a request larger than the even part of a burst is admitted in time.
+    /// Refills the budget by its even part of the rate, up to its even part of the burst, then spends `units` if they
+    /// fit. The limit is at least `units`, so that a request larger than the even part of the burst is admitted
+    /// eventually.
     fn try_spend(&mut self, units: f64, now: Millis, plan: &Plan, customer_gateways: f64) -> bool {
         let filled_units = self.units + plan.rate * (now - self.filled_at) / 1000.0 / customer_gateways;
         self.units = filled_units.min((plan.burst / customer_gateways).max(units));
@@ -34,8 +35,8 @@
 }
 
 impl Customer {
-    /// Spends from the fallback budget, which starts with the first request after the counter's last response. What
-    /// is spent is reported once the counter is available again.
+    /// Spends from the fallback budget, which is created by the first request after the counter's last response. Spent
+    /// units are reported once the counter is available again.
     fn try_spend_fallback(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
         let available_units = self.bucket.available_units;
         let customer_gateways = self.customer_gateways;
