--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -7,11 +7,11 @@
 
 /// A lease covers the demand of this share of a refill period.
 pub(crate) const LEASE_SHARE: f64 = 0.15;
-/// Units are scarce while less than this share of the burst is available. While they are not, a lease takes its even
-/// part of all above this share.
+/// Units are scarce while less than this share of the burst is available. Otherwise a lease takes its even part of the
+/// units above this share.
 pub(crate) const SCARCE_SHARE: f64 = 0.5;
-/// A lease that follows demand takes at most its even part of this share of what is available. Equal by choice to the
-/// share at which units become scarce: one figure says how much is kept for the other gateways.
+/// A lease that follows demand takes at most its even part of this share of the available units. Equal to the share at
+/// which units become scarce, so that one value determines how much is kept for the other gateways.
 const MAX_DEMAND_LEASE_SHARE: f64 = SCARCE_SHARE;
 /// A lease is renewed when less than this share of it is left.
 const RENEWAL_SHARE: f64 = 0.4;
@@ -59,8 +59,8 @@
     }
 }
 
-/// The lease that smoothed demand asks for, rounded down to units: the demand of a part of the refill period, at most
-/// an even part of what is available.
+/// The lease that smoothed demand asks for, in whole units rounded down: the demand of a part of the refill period, at
+/// most an even part of what is available.
 fn demand_lease_units(
     demand_units_per_ms: f64, refill_period: Millis, available_units: f64, customer_gateways: f64,
 ) -> f64 {
@@ -68,21 +68,22 @@
     demand_units.min(available_units * MAX_DEMAND_LEASE_SHARE / customer_gateways).floor()
 }
 
-/// The lease taken while units are not scarce, rounded up to units: an even part of all above the scarce share. Large
-/// leases save calls while no gateway can run short; below zero while units are scarce.
+/// The lease taken while units are not scarce, in whole units rounded up: an even part of the units above the scarce
+/// share. Large leases save calls while no gateway can run short. Negative while units are scarce.
 fn surplus_lease_units(available_units: f64, burst: f64, customer_gateways: f64) -> f64 {
     ((available_units - burst * SCARCE_SHARE) / customer_gateways).ceil()
 }
 
 impl Customer {
-    /// The lease that smoothed demand asks for, rounded down to units.
+    /// The lease that smoothed demand asks for, in whole units rounded down.
     fn demand_lease_units(&self, plan: &Plan) -> f64 {
         let demand = self.demand.units_per_ms;
         demand_lease_units(demand, refill_period(plan), self.bucket.available_units, self.customer_gateways)
     }
 
-    /// The units to lease when requests wait for `needed_units`: the even part of the burst at first, later what
-    /// demand or plenty allow. Near the end of the quota it falls to what the waiting requests need.
+    /// The units to lease when requests wait for `needed_units`: the even part of the burst before the first total,
+    /// later the larger of the lease by demand and the lease by surplus. As the quota runs out, this falls to what the
+    /// waiting requests need.
     fn lease_units(&self, needed_units: f64, plan: &Plan) -> f64 {
         let wanted_units = if self.has_total {
             let available_units = self.bucket.available_units;
