--- a/src/quota/lease_return.rs
+++ b/src/quota/lease_return.rs
@@ -4,8 +4,8 @@
 use crate::{Action, Gateway, Name};
 
 impl Gateway {
-    /// Returns all leases at once, and from now on those of each maintenance tick. Requests that still arrive lease no
-    /// more than they need.
+    /// Returns all leases at once, and from now on any new ones at each maintenance tick. Requests that still arrive
+    /// lease no more than they need.
     pub(crate) fn start_returning_leases(&mut self, out: &mut Vec<Action>) {
         self.returns_leases = true;
         let names: Vec<Name> = self.customers.keys().cloned().collect();
