--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,4 +1,4 @@
-//! The quota of each customer, kept together with the other gateways over a shared counter.
+//! The quota of each customer, which all gateways enforce together by means of a shared counter.
 //!
 //! A request is admitted by one of six rules ([`admit`]). A gateway leases units from the counter and spends them
 //! without further calls ([`lease`]). What a customer may still use follows from the counter's totals ([`bucket`]).
@@ -16,7 +16,7 @@
 pub(crate) mod settlement;
 pub(crate) mod totals;
 
-/// Units below this are nothing: the limit of the sums' precision.
+/// Amounts of units below this count as zero: the rounding error of the sums.
 pub(crate) const UNITS_EPSILON: f64 = 1e-6;
 /// Fewer units than this are neither leased nor returned nor reported by a counter call of their own.
 pub(crate) const MIN_CALL_UNITS: f64 = 1.0;
