--- a/src/quota/plan_change.rs
+++ b/src/quota/plan_change.rs
@@ -1,4 +1,4 @@
-//! Moves a customer to a plan with another quota without granting its units anew.
+//! Moves a customer to a plan with another quota without granting its units again.
 
 use crate::quota::bucket::{initial_units, refill_period, window_at};
 use crate::quota::customer::Customer;
@@ -12,8 +12,8 @@
 impl Customer {
     /// Moves to another plan. The lease is returned, and the bucket keeps what was used.
     ///
-    /// A refill period of another length has another counter: what this gateway used is reported to it, and the
-    /// customer starts as an unknown one.
+    /// A refill period of another length leads to another counter: what this gateway used is reported to that counter,
+    /// and the customer is treated as new until its first total.
     pub(crate) fn change_plan(&mut self, now: Millis, old: &Plan, new: &Plan) {
         if has_same_quota(old, new) {
             return;
