--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -1,8 +1,8 @@
 //! Sampled admission: quotas so small that a lease at each gateway would exceed them.
 //!
 //! A sample of the requests is added to the counter, each weighted by the inverse of its sampling probability, so that
-//! the total is on average what all gateways were asked for. Requests outside the sample are admitted with the
-//! probability that the last total suggests.
+//! the total is on average the units requested from all gateways. Requests outside the sample are admitted with the
+//! probability derived from the last total.
 
 use crate::counter::call_rate::{MAX_CALL_RATE, MIN_CALL_RATE};
 use crate::counter::calls::CounterCall;
@@ -16,7 +16,7 @@
 
 /// A quota is sampled where its burst leaves each gateway less than this part of a unit.
 const MIN_LEASABLE_UNITS: f64 = 0.5;
-/// A window grants this share of the burst at once; the rest comes in with the rate.
+/// A window grants this share of the burst at once; the rest is refilled at the rate.
 const WINDOW_INITIAL_SHARE: f64 = 0.75;
 /// Requests over quota are admitted in the proportion that the rate and this share of the burst sustain.
 const ADMIT_BURST_SHARE: f64 = 0.25;
@@ -24,8 +24,8 @@
 const ADMIT_FADE_PERIODS: f64 = 4.0;
 /// An admit probability below this is gossiped, and again when it falls below this share of the last one.
 const GOSSIP_THRESHOLD: f64 = 0.7;
-/// A first total is within quota where the others asked for less than this share of the granted units. Equal by choice to
-/// the share at which units of a leased quota become scarce.
+/// A first total is within quota if other requests asked for less than this share of the granted units. Equal to the
+/// share at which units of a leased quota become scarce.
 const PRIOR_WITHIN_QUOTA_SHARE: f64 = SCARCE_SHARE;
 /// The least sampling probability: a plan or class of little weight lowers the least call rate by at most the same
 /// factor again, so that some requests of each customer are counted even while calls are scarce.
@@ -60,8 +60,7 @@
     (call_rate * relative_loss * relative_priority).clamp(MIN_SAMPLING_PROBABILITY, MAX_CALL_RATE)
 }
 
-/// Whether a request is in the sample, by `draw` in 0..1. A client's retry is in it only by what the probability
-/// exceeds 1 by.
+/// Whether a request is in the sample, by `draw` in 0..1. For a client's retry the probability is what exceeds 1.
 fn is_in_sample(draw: f64, sampling_probability: f64, client_retry: bool) -> bool {
     let retry_offset = if client_retry { 1.0 } else { 0.0 };
     draw < sampling_probability - retry_offset
@@ -76,8 +75,9 @@
 
 /// The probability of admitting a request without a total of its own.
 ///
-/// The customer's last probability fades to the prior of its plan, which is all or nothing: `prior_within_quota` is the share
-/// of first totals that left units, and all are admitted where that gains more than the wrongly admitted ones cost.
+/// The customer's last probability fades to the prior of its plan, which is 0 or 1: `prior_within_quota` is the share
+/// of first totals within quota, and the prior is 1 where admitting all gains more than the wrongly admitted requests
+/// cost.
 fn admit_probability(prior_within_quota: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
     let admits_unknown =
         prior_within_quota > (1.0 - prior_within_quota) * (plan.over_quota_cost - plan.over_quota_value);
@@ -108,13 +108,14 @@
         self.0.retain(|_, estimate| now - estimate.estimated_at < retention);
     }
 
-    /// The last estimate; of an unknown customer one that has faded completely.
+    /// The last estimate; for an unknown customer, probability 0 at time 0. That has faded unless the clock is within a
+    /// few refill periods of 0.
     fn get(&self, name_hash: u64) -> AdmitEstimate {
         self.0.get(&name_hash).copied().unwrap_or_default()
     }
 }
 
-/// The share of first totals of a plan's customers that left units, for first requests and for clients' retries.
+/// The share of first totals of a plan's customers that were within quota, for first requests and for clients' retries.
 #[derive(Clone, Copy)]
 pub(crate) struct PlanPrior {
     first_request_within_quota: f64,
@@ -133,7 +134,7 @@
         if client_retry { self.client_retry_within_quota } else { self.first_request_within_quota }
     }
 
-    /// Records a first total: whether it left units.
+    /// Records whether a first total was within quota.
     fn record(&mut self, client_retry: bool, is_within_quota: bool) {
         let within_quota = if client_retry {
             &mut self.client_retry_within_quota
@@ -144,7 +145,7 @@
     }
 }
 
-/// What the window of a sampled quota allows.
+/// The units and the admit probability of one window of a sampled quota.
 struct SampledWindow {
     /// Units granted so far.
     granted_units: f64,
@@ -156,7 +157,8 @@
     /// Inputs: `elapsed` since the window began, `requested_units` by other requests, `call_units` by those of the last
     /// call, whose weights exceed their own units by `excess_units`.
     ///
-    /// A sampled request that counts for others stands for one that was admitted by chance: its excess is granted.
+    /// The weight of a sampled request above its own units represents requests that were admitted by draw, without a
+    /// total: this excess is granted.
     fn new(plan: &Plan, elapsed: Millis, requested_units: f64, call_units: f64, excess_units: f64) -> Self {
         let refilled_units = plan.rate * elapsed / 1000.0;
         let granted_units =
@@ -170,7 +172,8 @@
 }
 
 impl Gateway {
-    /// Admits a request of a sampled quota: adds it to the counter by chance, else decides without a total.
+    /// Handles a request of a sampled quota: adds it to the counter if a random draw selects it, else decides without a
+    /// total.
     pub(crate) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> QuotaAdmission {
         let draw = self.random.draw();
         let Some(request) = self.requests.get(&id) else { return QuotaAdmission::Decided };
@@ -205,8 +208,8 @@
         self.reject_over_quota(id, request.units, plan.rate, out);
     }
 
-    /// Handles the counter's total for a sampled quota: learns the admit probability and decides for the requests that
-    /// wait.
+    /// Handles the counter's total for a sampled quota: updates the admit probability and admits or rejects the waiting
+    /// requests.
     pub(crate) fn sampled_total_received(
         &mut self, name: &Name, call: CounterCall, total: f64, out: &mut Vec<Action>,
     ) {
@@ -231,8 +234,8 @@
         self.decide_sampled(waiting, requested_units, window.granted_units, units_per_second, out);
     }
 
-    /// Records an admit probability and gossips it where it is low and news: lower than the last one by the threshold,
-    /// or the last one is a refill period old.
+    /// Records an admit probability. Gossips it if it is below the threshold and either has fallen below that share of
+    /// the last one or the last one is older than a refill period.
     fn record_admit_probability(
         &mut self, name_hash: u64, probability: f64, refill_period: Millis, out: &mut Vec<Action>,
     ) {
@@ -246,8 +249,8 @@
         }
     }
 
-    /// Admits the requests that waited, in order, as far as the granted units go. Clients' retries are in the total
-    /// already.
+    /// Admits the requests that waited, in order, as long as the granted units last. The total already includes
+    /// clients' retries.
     fn decide_sampled(
         &mut self, waiting: VecDeque<RequestId>, mut requested_units: f64, granted_units: f64,
         units_per_second: f64, out: &mut Vec<Action>,
