--- a/src/quota/settlement.rs
+++ b/src/quota/settlement.rs
@@ -6,8 +6,9 @@
 impl Customer {
     /// Accounts for the difference between the units that a response reports and those that were admitted.
     ///
-    /// Under a ceiling nothing is returned: what came back would be spent above the ceiling. What the bucket cannot
-    /// cover is taken from the lease, which the counter has already: no lease is spent while the bucket is overdrawn.
+    /// Under a ceiling no units are returned, since they would be spent above the ceiling. What the bucket cannot cover
+    /// is taken from the lease, which is already in the counter's total: no lease is spent while the bucket is
+    /// overdrawn.
     pub(crate) fn settle(&mut self, true_units: f64, admitted_units: f64, plan: &Plan) {
         let min_difference = if plan.ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
         let difference = (true_units - admitted_units).max(min_difference);
