--- a/src/quota/totals.rs
+++ b/src/quota/totals.rs
@@ -1,4 +1,4 @@
-//! Updates a customer's token bucket and lease by the counter's totals.
+//! Updates a customer's token bucket and lease from the counter's totals.
 
 use crate::counter::availability::Unavailability;
 use crate::counter::calls::CounterCall;
@@ -8,7 +8,7 @@
 use crate::{Millis, Plan};
 
 impl Customer {
-    /// Updates bucket and lease by the total of a call.
+    /// Updates bucket and lease from the total of a call.
     pub(crate) fn record_total(
         &mut self, call: CounterCall, total: f64, unavailability: Unavailability, now: Millis, plan: &Plan,
     ) {
@@ -22,8 +22,8 @@
             self.customer_gateways,
         ));
         if plan.ceiling_rate > 0.0 && self.has_total && self.last_total_at < unavailability.ended_at {
-            // The counter may have come back empty, and what others spent meanwhile is reported nowhere: only this
-            // gateway's own part is sure to be left.
+            // The counter may have lost its totals during the outage, and what other gateways spent meanwhile may not
+            // be reported yet: only this gateway's own part is guaranteed to be left.
             let guaranteed_units = fallback_units.unwrap_or(initial_units(plan));
             self.bucket.available_units = self.bucket.available_units.min(guaranteed_units);
         }
@@ -34,15 +34,15 @@
         }
     }
 
-    /// Adds the units of a call of the present window to the lease.
+    /// Adds the units of a call of the current window to the lease.
     fn add_lease(&mut self, call: CounterCall, total: f64, plan: &Plan) {
         self.lease.reported_units += call.amount();
         if !self.has_total {
             self.bucket.available_units = initial_units(plan) - total;
             self.has_total = true;
         } else if total + UNITS_EPSILON < self.lease.reported_units {
-            // The counter was emptied. What this gateway holds is reported again, so that new leases do not stack on
-            // those still held.
+            // The counter lost its totals. What this gateway had added is reported again, so that new leases are not
+            // granted on top of those still held.
             self.unreported_units += self.lease.reported_units - total;
             self.bucket.available_units -= call.new_units;
         } else {
@@ -53,7 +53,7 @@
         self.lease.units += call.new_units;
     }
 
-    /// Returns as much of a new lease as the bucket is overdrawn by.
+    /// Returns the part of a new lease by which the bucket is overdrawn.
     fn return_overdrawn(&mut self, new_lease_units: f64) {
         if self.bucket.available_units < 0.0 {
             let overdrawn_units = (-self.bucket.available_units).ceil();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Accounts for a call that was added after it had timed out, where its total cannot be used: the lease is
+    /// Accounts for a call that the counter added after its timeout and whose total cannot be used: the lease is
     /// returned.
     pub(crate) fn return_late_lease(&mut self, call: CounterCall, plan: &Plan) {
         self.unreported_units -= call.new_units;
