--- a/src/random.rs
+++ b/src/random.rs
@@ -1,4 +1,4 @@
-//! The seeded generator: the same seed gives the same draws in the same order.
+//! The seeded random generator and the hashes: the same seed gives the same draws in the same order.
 
 /// The increment of SplitMix64.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -36,7 +36,7 @@
     mix_bits(fnv)
 }
 
-/// Maps bits to a number in 0..1, evenly.
+/// Maps bits to a number that is uniform in 0..1.
 pub(crate) fn unit_interval(bits: u64) -> f64 {
     (mix_bits(bits) >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
