--- a/src/request.rs
+++ b/src/request.rs
@@ -9,19 +9,19 @@
 
 /// The least `Retry-After` of a request rejected for lack of capacity, as a share of the longest one.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.3;
-/// The width of the range above [`MIN_RETRY_AFTER_SHARE`] that this `Retry-After` is drawn from evenly, as a share of
-/// the longest one: without it clients would return all at once.
+/// The width of the range above [`MIN_RETRY_AFTER_SHARE`] from which this `Retry-After` is drawn uniformly, as a share
+/// of the longest one: without it all clients would return at once.
 const RETRY_AFTER_SPREAD: f64 = 0.4;
 /// The units of a request whose estimate is not a number.
 const DEFAULT_UNITS: f64 = 1.0;
 
-/// Where a request is.
+/// The stage of a request that has no final response yet.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum RequestStage {
-    /// It waits for the response of the counter.
+    /// It waits for the counter's response.
     #[default]
     AwaitingCounter,
-    /// Its quota is paid; it waits for a backend.
+    /// Its quota has admitted it; it waits for a backend.
     Queued,
     /// An attempt is in flight.
     InFlight,
@@ -46,7 +46,7 @@
     pub arrived_at: Millis,
     /// When the client's timeout ends.
     pub deadline: Millis,
-    /// Until when it waits in its stage.
+    /// When its wait in the present stage ends.
     pub waits_until: Millis,
     pub stage: RequestStage,
     /// Attempts sent.
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Updates the customer by a new request: its plan, gateways and demand.
+    /// Updates the plan, gateways and demand of a customer from a new request.
     fn update_customer(&mut self, incoming: &IncomingRequest, plan_index: usize, units: f64) {
         let now = self.now;
         let plans = &self.settings.plans;
@@ -107,9 +107,9 @@
         customer.demand.record(units, now, refill_period(plan));
     }
 
-    /// The final response of a request that gets no further attempt: rejected where a retry of the client is harmless
-    /// and there is time left to tell it so, else failed. "Rejected" does not say that no backend executed the request,
-    /// see [`is_rejection_harmless`].
+    /// Sends the final response to a request that gets no further attempt: rejected where a retry by the client is
+    /// harmless and the response can still reach it in time, else failed. "Rejected" does not mean that no backend
+    /// executed the request, see [`is_rejection_harmless`].
     pub(crate) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class_index];
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Rejects a request; `retry_after` in ms is held within what clients follow.
+    /// Rejects a request; `retry_after`, in ms, is limited to the longest one that clients follow.
     pub(crate) fn reject(
         &mut self, id: RequestId, retry_after: Millis, reason: RejectReason, out: &mut Vec<Action>,
     ) {
@@ -135,9 +135,9 @@
 
     /// Removes a request. Units of one that was never sent are refunded to its customer's lease.
     ///
-    /// So are units that were not spent from the lease but from the fallback budget or by a sampled quota, or that a
-    /// plan without a rate never counted: no request remembers where its units came from. The end of the window bounds
-    /// the error: a lease ends with it.
+    /// The refund also applies to units that were spent from the fallback budget or by a sampled quota, and to units
+    /// that a plan without a rate never counted, since a request does not record where its units came from. The error
+    /// is bounded by the window: refunded units expire with the lease at its end.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
@@ -152,13 +152,14 @@
 
 /// Rejects a request whose class or plan the settings do not name, as after a change of settings that removed it.
 ///
-/// The reason is `Overloaded` because hosts have no third one and the customer is not over its quota; the `Retry-After`
-/// is 0 because no time is known after which a retry would be admitted. Hosts send both to clients: they stay.
+/// The reason is `Overloaded` because there is no third reason and the customer is not over its quota; the
+/// `Retry-After` is 0 because no time is known after which a retry would be admitted. Hosts send both to clients, so
+/// neither may change.
 fn reject_unknown_class_or_plan(id: RequestId, out: &mut Vec<Action>) {
     out.push(Action::Reject { id, retry_after: 0.0, reason: RejectReason::Overloaded });
 }
 
-/// The sum of a value over requests, those that are over left out.
+/// The sum of a value over requests; requests that have ended are skipped.
 pub(crate) fn sum_over(
     ids: &VecDeque<RequestId>, requests: &BTreeMap<RequestId, Request>, value: impl Fn(&Request) -> f64,
 ) -> f64 {
