--- a/src/restore.rs
+++ b/src/restore.rs
@@ -1,11 +1,12 @@
-//! State of backends that is learnt elsewhere: by an earlier process of this gateway, or by the host's outlier gossip.
+//! Restores backend state from another source: an earlier process of this gateway, or the host's outlier gossip.
 
 use crate::{BackendStatus, Gateway};
 
 impl Gateway {
-    /// Restores concurrency limits and ejections. After a restart, this keeps the first second from being spent on
-    /// backends known to be dead; at any later time, the host applies verdicts of other gateways on a backend by it.
-    /// A backend that has started since is left as it is; an ejection lasts no longer than the slow start.
+    /// Restores concurrency limits, consecutive failures and ejections. After a restart, this avoids sending the first
+    /// second's requests to backends known to be dead; later, the host uses it to apply what other gateways report
+    /// about a backend. A backend that has started since then is unchanged; an ejection lasts no longer than the slow
+    /// start.
     pub(crate) fn restore_backends(&mut self, statuses: Vec<BackendStatus>) {
         let max_ejection = self.settings.slow_start_duration;
         for status in statuses {
