--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,4 +1,4 @@
-//! Which attempt may follow another, and until when.
+//! Whether a request gets a further attempt, and until when an attempt may begin.
 
 use crate::request::{Request, RequestStage};
 use crate::{
@@ -10,8 +10,8 @@
 /// one tick late, and the response leaves up to one tick after that. In ticks, as the delay is the host's: see
 /// [`crate::Settings::tick`].
 const RESPONSE_MARGIN_TICKS: f64 = 2.0;
-/// An idempotent request that may have been executed gets at most this many attempts: what two backends could not
-/// serve is likely to be costly.
+/// An idempotent request that may have been executed gets at most this many attempts: a request that two backends
+/// could not serve is likely to be costly.
 const MAX_IDEMPOTENT_ATTEMPTS: u32 = 2;
 
 /// The first attempt of a request that may have been executed.
@@ -25,7 +25,7 @@
     matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent)
 }
 
-/// Whether a further attempt after `attempts` can do no harm.
+/// Whether a further attempt is safe after `attempts` attempts.
 fn is_retry_safe(possibly_executed: bool, idempotency: Idempotency, attempts: u32) -> bool {
     match idempotency {
         _ if !possibly_executed => true,
@@ -49,24 +49,25 @@
     }
 }
 
-/// Until when an attempt may begin: while its response can reach the client, and one with an idempotency key while
-/// backends still drop it as a repetition, however long it waited in the queue.
+/// Until when an attempt may begin: while its response can still reach the client and, for a retry with an idempotency
+/// key, while backends still deduplicate it. Time in the queue counts against both.
 ///
-/// `client_deadline` is a time; `deduplicated_until` is `None` where that does not bind; `tick` is the host's, in ms:
-/// [`crate::Settings::tick`].
+/// `client_deadline` is the time at which the client's timeout ends; `deduplicated_until` is `None` where no
+/// deduplication window applies; `tick` is [`crate::Settings::tick`], in ms.
 fn attempt_deadline(client_deadline: Millis, deduplicated_until: Option<Millis>, tick: Millis) -> Millis {
     client_deadline.min(deduplicated_until.unwrap_or(f64::INFINITY)) - RESPONSE_MARGIN_TICKS * tick
 }
 
 impl Request {
-    /// The first execution where backends recognize a further attempt by its idempotency key.
+    /// The first possible execution of a request with an idempotency key: backends of its scope deduplicate further
+    /// attempts.
     pub(crate) fn keyed_execution(&self, class: &RequestClass) -> Option<&FirstExecution> {
         self.first_execution.as_ref().filter(|_| class.idempotency == Idempotency::WithKey)
     }
 }
 
 impl Gateway {
-    /// Handles the end of an attempt: settles its units, then the final response or a further attempt.
+    /// Handles the end of an attempt: settles its units, then sends a further attempt or the final response.
     pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let id = end.id;
         let is_served = end.outcome == AttemptOutcome::Served;
@@ -80,7 +81,7 @@
         if end.final_response_sent || is_served {
             let is_unsent = end.outcome == AttemptOutcome::NeverSent && request.attempts == 1;
             if is_unsent {
-                // The client left before anything was written: a request that no backend received uses no units.
+                // The client disconnected before anything was sent: a request that no backend received uses no units.
                 customer.refund(request.units);
             }
             return self.remove_request(id);
