--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is configured with: request classes, plans, limits and what its host can do.
+//! The settings of a gateway: request classes, plans, limits and the capabilities of its host.
 
 use crate::types::{Millis, Name};
 
@@ -7,13 +7,13 @@
 pub enum Idempotency {
     /// It may be retried at any time.
     Idempotent,
-    /// It carries an idempotency key: backends of one scope drop a repetition for a stated time.
+    /// It carries an idempotency key: the backends of one scope deduplicate repetitions for a stated time.
     WithKey,
     /// It must never be executed twice.
     NonIdempotent,
 }
 
-/// The backends that share the memory of idempotency keys.
+/// The set of backends that deduplicate requests by a common record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All backends.
@@ -33,9 +33,9 @@
     pub latency_objective: Millis,
     /// What executing a request of the class more than once does.
     pub idempotency: Idempotency,
-    /// Which backends drop a repetition of a request with an idempotency key.
+    /// Which backends deduplicate repetitions of a request with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long a repetition is dropped, in ms from the first attempt that may have been executed.
+    /// For how long repetitions are deduplicated, in ms from the first attempt that may have been executed.
     pub deduplication_window: Millis,
     /// The value of a response, relative to those of other classes; 0 or more.
     pub priority_weight: f64,
@@ -54,11 +54,11 @@
     pub burst: f64,
     /// The most requests in flight at once; 0 means no such limit.
     pub max_in_flight: u32,
-    /// Units per second that the hard ceiling fills by; 0 means no ceiling.
+    /// The refill rate of the hard ceiling, in units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// The most units that the ceiling holds.
     pub ceiling_burst: f64,
-    /// The units by which the ceiling may be passed.
+    /// The units by which the ceiling may be exceeded.
     pub ceiling_slack: f64,
     /// A factor on the priority weight of the plan's requests.
     pub priority_factor: f64,
@@ -99,12 +99,12 @@
     pub load_balancing: LoadBalancing,
     /// Whether a request with a sticky route waits and is rejected rather than served elsewhere.
     pub strict_affinity: bool,
-    /// Whether a backend whose start is not known and that refused a connection counts as started when it is tried
-    /// again.
+    /// Whether a backend without a known start time that refused a connection is assumed to have started when it is
+    /// tried again.
     pub assume_restart: bool,
 }
 
-/// All that a gateway is configured with. The default is all zeros and no classes: a start to fill in.
+/// The configuration of a gateway. The default has zeros and no classes, for the caller to fill in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many gateways there are in all; a customer may use fewer, see `IncomingRequest::gateway_count`.
@@ -152,10 +152,11 @@
     /// A backend that warms up fails when it is sent more than this multiple of its present capacity. Not used yet,
     /// only checked.
     pub overload_multiple: f64,
-    /// The time over which that is judged, in ms. Not used yet, only checked.
+    /// The time over which that multiple is measured, in ms. Not used yet, only checked.
     pub overload_window: Millis,
-    /// What crossing zones costs, in points: so much is taken off the score, the share of the value that was served
-    /// (0 to 1), if each request's first attempt goes to a backend in another zone; less in proportion.
+    /// The price of crossing zones, in points of the score, which is the share of the value that was served (0 to 1).
+    /// The score falls by this much if the first attempt of every request goes to a backend in another zone, and by a
+    /// proportional part if only some do.
     pub cross_zone_price: f64,
     /// How backends with a stated placement are chosen.
     pub routing: Routing,
