--- a/src/settings_change.rs
+++ b/src/settings_change.rs
@@ -1,4 +1,4 @@
-//! Changed settings take effect without losing requests or quotas.
+//! Applies changed settings without losing requests or quotas.
 
 use crate::validation::validate;
 use crate::{Action, Gateway, Name, Plan, RequestClass, Settings};
@@ -43,7 +43,7 @@
         self.0[old_index].unwrap_or_default()
     }
 
-    /// Moves what was learnt of each old item to its new index; new items have the default.
+    /// Moves the learned state of each old item to its new index; new items get the default.
     fn move_state<T: Copy + Default>(&self, old: &[T], new_len: usize) -> Vec<T> {
         let mut new = vec![T::default(); new_len];
         for (new_index, state) in self.0.iter().zip(old) {
@@ -55,8 +55,8 @@
     }
 }
 
-/// Finds each old item among the new ones by its name. One that is gone and still in use is appended without its
-/// name, so that no new request can refer to it.
+/// Finds each old item among the new ones by its name. An old item that is missing there but still in use is appended
+/// without its name, so that no new request can refer to it.
 fn carry_over<T: Clone + Named>(
     old: &[T], new: &mut Vec<T>, is_in_use: impl Fn(usize) -> bool,
 ) -> NewIndices {
@@ -77,8 +77,8 @@
 }
 
 impl Gateway {
-    /// Applies new settings. Unusable ones, or those of another gateway, are refused. Requests in flight go on under
-    /// the class and plan they came with.
+    /// Applies new settings. Invalid settings, or those of another gateway, are refused. Requests in flight keep the
+    /// class and plan that they arrived with.
     pub(crate) fn change_settings(&mut self, settings: Settings, out: &mut Vec<Action>) {
         if validate(&settings).is_err() || settings.gateway_index != self.settings.gateway_index {
             return out.push(Action::Log(SETTINGS_REFUSED_LOG.into()));
