--- a/src/status.rs
+++ b/src/status.rs
@@ -1,8 +1,8 @@
-//! What a gateway shows of its state, for people and for a file that outlives the process.
+//! The state that a gateway exposes, for operators and for a file from which the next process restores it.
 
 use crate::types::{Millis, Name};
 
-/// What a gateway holds of one customer.
+/// The state of one customer at a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerStatus {
     /// The customer's name.
@@ -11,7 +11,7 @@
     pub plan: Name,
     /// Units of its quota lease that are not spent yet.
     pub leased_units: f64,
-    /// Units that its token bucket holds, by all totals received.
+    /// Units in its token bucket, according to all counter totals received.
     pub available_units: f64,
     /// Units used and not yet added to the counter; negative where units are to be returned.
     pub unreported_units: f64,
@@ -21,12 +21,12 @@
     pub in_flight: u32,
 }
 
-/// What a gateway knows of one backend.
+/// The state of one backend as a gateway sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendStatus {
     /// The backend's name.
     pub name: Name,
-    /// Whether the endpoint list lets it be used.
+    /// Whether the endpoint list states it as ready.
     pub ready: bool,
     /// Requests of this gateway in flight there.
     pub in_flight: u32,
@@ -36,6 +36,6 @@
     pub started: Option<Millis>,
     /// Failures in a row.
     pub consecutive_failures: u32,
-    /// It is ejected until then.
+    /// When its ejection ends; a past time if it is not ejected.
     pub ejected_until: Millis,
 }
