--- a/src/types.rs
+++ b/src/types.rs
@@ -1,11 +1,11 @@
-//! Names, times and numbers that all of the interface shares.
+//! Types for names, times and numbers that the whole public interface shares.
 
 use std::sync::Arc;
 
 /// A name that the host hands in and gets back unchanged: a customer, backend, class, plan or zone.
 pub type Name = Arc<str>;
 
-/// Milliseconds: a point on the host's clock or a span of it.
+/// Milliseconds: a time on the host's clock or a duration.
 pub type Millis = f64;
 
 /// The host's number for one request of a client; never used twice.
