--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,15 +1,14 @@
 //! Checks whether settings can be used.
 //!
 //! The texts that name a value are frozen: hosts print them as part of error messages. They use the words of the
-//! settings files ("aim", "worth", "fall time"), not the terms of the code; the field beside each text is what it
-//! means.
+//! settings files ("aim", "worth", "fall time"), not the terms of the code; each check pairs a field with its text.
 
 use crate::{Settings, SettingsError};
 
 /// Checks all values of the settings.
 ///
 /// # Errors
-/// The first fault found.
+/// The first invalid value found.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
