--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -35,7 +35,8 @@
         gateway.now += 5.0;
         gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
     }
-    // Two warm backends share the rest: a tenth of it is a fifth of what one of them gets.
+    // The slow-start share is a fifth: two warm backends share the other requests, so a fifth of what one of them gets
+    // is a tenth of these.
     assert!((1..=10).contains(&to_slow_start), "{to_slow_start}");
 }
 
