--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings to start from, and a gateway driven by scripted events.
+//! Default settings for tests, and a gateway driven by scripted events.
 #![allow(dead_code)]
 
 use doorcourse::*;
@@ -107,7 +107,7 @@
         self.request_through(id, customer, plan, class, false, 2)
     }
 
-    /// A request of a customer of so many gateways, as a first one or as the client's retry.
+    /// A request of a customer of `gateway_count` gateways, as a first request or as the client's retry.
     pub(crate) fn request_through(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, client_retry: bool,
         gateway_count: u32,
@@ -168,7 +168,8 @@
         self.handle(Event::CounterCallEnded { counter, outcome, latency: 2.0 })
     }
 
-    /// A request that is forwarded once the counter has responded with what this gateway adds; returns the backend.
+    /// Sends a request, responds to its counter call with the amount added as the total, and returns the backend that
+    /// the request is forwarded to.
     pub(crate) fn forward(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
         let mut actions = self.request(id, customer, plan, class);
         if let Some((counter, amount)) = first_counter_call(&actions) {
