--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -1,4 +1,4 @@
-//! The counter unavailable, slow or emptied; the ceiling holds through all of it.
+//! Quotas and ceilings while the counter is unavailable, responds late or has lost its totals.
 
 mod common;
 use common::*;
@@ -56,8 +56,8 @@
 
 #[test]
 fn the_ceiling_holds_through_a_spent_burst_an_emptied_counter_a_restart_and_an_unavailable_counter() {
-    // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
-    // the counter emptied, leases what it grants, and then the counter becomes unavailable.
+    // The other gateway has just been granted the whole burst of 10. This gateway has restarted without state, finds
+    // the counter emptied and leases what that grants; then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
     let mut admitted = 0.0;
@@ -148,7 +148,8 @@
             first_counter_call(&gateway.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
         time_out(&mut gateway, name);
     }
-    // For three seconds the other gateway may spend all; then the counter is back, emptied.
+    // For three seconds the other gateway may spend everything; then the counter is available again, without its
+    // totals.
     gateway.now += 3000.0;
     let mut admitted = 0;
     let mut total = 0.0;
@@ -163,8 +164,8 @@
     );
 }
 
-/// A host estimates a request's units before it runs. The ceiling counts estimates: what true units would return must
-/// not be spent again, though the quota would allow it.
+/// The host estimates a request's units before it runs, and the ceiling counts the estimate. Units that a smaller true
+/// value would return must not be spent again, although the quota alone would allow it.
 #[test]
 fn true_units_below_the_estimate_do_not_exceed_the_ceiling() {
     let mut settings = settings();
@@ -271,7 +272,7 @@
 
 #[test]
 fn late_responses_of_the_counter_cost_no_quota() {
-    // Each response comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
+    // For three refill periods each response arrives after its timeout: admission still follows the rate.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let mut totals = std::collections::BTreeMap::new();
     let mut served = 0;
@@ -327,7 +328,7 @@
         }
     }
     assert!(gateway.decisions.is_counter_silent());
-    // The counter is back: the other gateway has just reported 18 units, 2.25 a second for 8 s.
+    // The counter is available again: the other gateway has just reported 18 units, 2.25 a second for 8 s.
     let mut actions = gateway.request(id + 1, "c", "plain", "safe");
     let mut total = 18.0;
     for _ in 0..6 {
