--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -1,6 +1,6 @@
-//! Long streams of every kind of event through fleets of one, three and forty gateways; their actions are hashed to a
-//! digest. A refactoring must leave every digest as it is; a change of a decision must say so and record the digests
-//! anew.
+//! Runs long streams of every kind of event through fleets of one, three and forty gateways and hashes the actions to a
+//! digest. A refactoring must not change any digest; a change that is meant to alter a decision must say so and record
+//! new digests.
 
 mod common;
 use common::*;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Lets a little time pass with all that is due in it, then one new event.
+    /// Advances the time a little, handles all events that are due by then, then generates one new event.
     fn step(&mut self) {
         let until = self.now + self.random.below(8) as f64;
         while let Some((&(at, order), _)) = self.due.first_key_value() {
