--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -1,5 +1,5 @@
-//! A customer of many gateways under a ceiling: the counter becomes unavailable, loses responses, comes back
-//! emptied; one gateway restarts. What all gateways forward together is judged by the ceiling alone.
+//! A customer of many gateways under a ceiling while the counter becomes unavailable, loses responses or its totals,
+//! and one gateway restarts. Only the ceiling is checked, against the requests that all gateways forward together.
 
 mod common;
 use common::*;
@@ -24,9 +24,9 @@
     unavailable: (Millis, Millis),
     /// This share of the responses is lost; the units are added.
     lost: f64,
-    /// It comes back without its totals.
+    /// The counter loses its totals when it becomes available again.
     emptied: bool,
-    /// A gateway restarts when the counter is back.
+    /// A gateway restarts when the counter becomes available again.
     restart: bool,
 }
 
@@ -65,7 +65,7 @@
         Self { gateways, random, counters, fault, start: 1000.0, sent: Vec::new() }
     }
 
-    /// Executes the actions of a gateway, and those that follow from them.
+    /// Executes the actions of a gateway and the actions that these lead to.
     fn execute(&mut self, at: usize, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
@@ -101,7 +101,7 @@
         self.gateways[at].handle(Event::CounterCallEnded { counter: name, outcome, latency })
     }
 
-    /// Plays for `span` ms with `rate` requests a second; some gateways see many of them.
+    /// Runs for `span` ms with `rate` requests a second, spread unevenly over the gateways.
     fn play(&mut self, span: Millis, rate: f64) {
         let mut id = 0;
         let mut next = self.start;
@@ -160,8 +160,9 @@
     ]
 }
 
-/// The worst case: the customer uses all that it can get throughout, at all of its gateways. What each gateway
-/// assumes to be left after that time is harmless with two gateways and would exceed the ceiling with 25.
+/// The worst case: the customer uses all that it can get throughout, at all of its gateways. The units that each
+/// gateway assumes to be left after an outage add up: an assumption that is harmless with two gateways could exceed
+/// the ceiling with 25.
 #[test]
 fn the_ceiling_holds_over_all_gateways_through_every_fault_of_the_counter() {
     let plan = plan();
