--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Long seeded streams of legal events in unusual orders, and the invariants of one gateway. There is no model of
-//! backends or fleets here: outcomes and totals are drawn at random.
+//! Checks the invariants of one gateway on long seeded streams of legal events in unusual orders. There is no model of
+//! backends or fleets: outcomes and totals are drawn at random.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
     }
 }
 
-/// The test's own view of a request.
+/// The checker's record of a request.
 struct Known {
     class: usize,
     deadline: Millis,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The next new event; `None` where the one drawn cannot happen now.
+    /// Draws the next event; `None` if the event drawn cannot happen now.
     fn next_event(&mut self, id: RequestId) -> Option<Event> {
         let event = match self.random.below(40) {
             0..20 => self.new_request(id),
