--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of gateways, fed by hand: what they admit together is added up.
+//! Fleets of hundreds of gateways, driven by scripted events: the checks apply to what all gateways admit together.
 
 mod common;
 use common::*;
@@ -99,7 +99,8 @@
                 gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
             }
         }
-        // An even part is 500 of 5000; at 0.2 of its capacity a fifth of that, less the part kept back.
+        // An even share is 500 of 5000. In slow start, with 0.2 of its capacity, the backend gets less than a fifth of
+        // that.
         assert!((40..=120).contains(&to_slow_start), "{gateways} gateways: {to_slow_start}");
     }
 }
@@ -187,8 +188,8 @@
     assert!(round(&mut fleet[0], 100.0, 40) > 36, "and it recovers");
 }
 
-/// One gateway of many sees few responses. Chance alone must not shed: a usual share of late responses, in any order,
-/// is no overload.
+/// One gateway of many sees few responses. A normal share of late responses, in any order, is no overload and must not
+/// shed load by chance.
 #[test]
 fn a_usual_share_of_late_responses_sheds_few() {
     let mut shed = 0;
@@ -219,7 +220,8 @@
     assert!(shed < 20, "{shed} of 2000 shed");
 }
 
-/// Where calls are scarce, those are made that save the most: a wrong decision on a valuable request costs more.
+/// While calls are scarce, requests of higher priority are sampled more often, since a wrong decision on them costs
+/// more.
 #[test]
 fn scarce_calls_go_to_requests_of_higher_priority() {
     let mut all = Settings { gateway_count: GATEWAYS, ..settings() };
