--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,4 +1,4 @@
-//! Memory stays bounded, however many backends are replaced and customers are seen once.
+//! Memory stays bounded, however many backends are replaced and however many customers are seen only once.
 
 mod common;
 use common::*;
@@ -35,7 +35,7 @@
             customers = customers.max(gateway.decisions.customers().count());
         }
     }
-    // One a second, kept for a minute; customers for two refill periods.
+    // One backend is replaced per second and kept for a minute; customers are kept for two refill periods.
     assert!((2..=70).contains(&most), "{most} backends");
     assert!((1..=200).contains(&customers), "{customers} customers");
 }
@@ -46,7 +46,7 @@
     let at = gateway.forward(1, "c", "plain", "keyed");
     gateway.handle(Event::BackendList(vec![backend_entry("b1", BackendState::Ready, None)]));
     gateway.advance(1500.0, &[]);
-    // Its key is remembered in the cell of a1 alone: b1 must not have it.
+    // Only the cell of a1 deduplicates the request: it must not be sent to b1.
     let actions = gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost);
     assert_eq!(count_attempts(&actions), 0);
     assert!(!is_rejected(&actions, 1));
