--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Priority levels, standbys, spares, weights, sticky routes.
+//! The choice of a backend by its placement: priority levels, standbys, spares, weights and sticky routes.
 
 mod common;
 use common::*;
@@ -43,7 +43,7 @@
         Self { gateway, id: 0 }
     }
 
-    /// One request: the backend it was sent to, and its number.
+    /// Sends one request; returns the backend that it was forwarded to, and its number.
     fn request(&mut self, sticky_route: &str) -> (Option<Name>, RequestId) {
         self.id += 1;
         let actions = self.gateway.handle(Event::RequestReceived(IncomingRequest {
@@ -61,8 +61,8 @@
         (first_attempt(&actions).map(|(_, name)| name), self.id)
     }
 
-    /// So many requests, each served before the next: how many each backend served. Those that wait are counted as
-    /// `-`.
+    /// Sends `count` requests, each served before the next; returns how many each backend served. Requests that wait
+    /// are counted as `-`.
     fn serve_requests(&mut self, count: usize, sticky_route: &str) -> BTreeMap<String, usize> {
         let mut served = BTreeMap::new();
         for _ in 0..count {
@@ -82,7 +82,7 @@
         served
     }
 
-    /// Lets a backend refuse connections until it is ejected.
+    /// Sends requests until a backend has refused one connection, which ejects it.
     fn refuse_connections(&mut self, name: &str) {
         for _ in 0..400 {
             let (to, id) = self.request("");
@@ -222,7 +222,7 @@
         placed_entry("l", BackendState::Ready, Some(1000.0), light),
     ];
     let served = TestHost::new(list).serve_requests(4000, "");
-    // A tenth of 2.1 parts, of that a fifth to four tenths while it warms: under 2%.
+    // Its weight is 0.1 of 2.1, and in slow start it gets a fifth to four tenths of that share: under 2%.
     let share = served.get("l").copied().unwrap_or(0) as f64 / 4000.0;
     assert!(share < 0.02 && served.contains_key("l"), "{served:?}");
 }
@@ -355,7 +355,7 @@
     assert!(share < 0.25, "{served:?}");
 }
 
-/// The largest difference between a backend's share and its weight's, as a part of the latter.
+/// The largest relative difference between the share of requests that a backend served and its share of the weights.
 fn weight_error(gateways: u32, each: usize, balance: LoadBalancing, weights: &[f64]) -> f64 {
     let list: Vec<_> = weights
         .iter()
