--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: leases, rejection, return of units, windows.
+//! Quota leases while the counter is available: leasing, rejection, return of units, windows.
 
 mod common;
 use common::*;
@@ -22,7 +22,7 @@
 fn a_request_over_quota_is_rejected_with_retry_after_and_the_excess_is_returned() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let (name, amount) = first_counter_call(&gateway.request(1, "c", "plain", "safe")).expect("call");
-    // Others hold all of the burst and more than the window has refilled by now.
+    // Other gateways hold the whole burst and more than the rate has refilled in this window.
     let actions = gateway.counter_responds(name, amount + 40.0);
     let retry_after = actions.iter().find_map(|a| match a {
         Action::Reject { id: 1, retry_after, .. } => Some(*retry_after),
@@ -135,7 +135,7 @@
         };
         gateway.handle(Event::AttemptEnded(end));
         gateway.handle(Event::ClientDisconnected { id: 1 });
-        // The lease held five.
+        // The lease had five units.
         let served =
             (2..=6).filter(|id| count_attempts(&gateway.request(*id, "c", "plain", "safe")) == 1).count();
         assert_eq!(served, if paid { 5 } else { 4 }, "{outcome:?}");
