--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,5 @@
-//! One final response, in time; retries only as the class allows; never two attempts in flight.
+//! Every request gets one final response in time, is retried only as its class allows, and never has two attempts in
+//! flight.
 
 mod common;
 use common::*;
