--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! Settings that change in service, and a gateway that shuts down.
+//! Settings that change while the gateway handles requests, and a gateway that shuts down.
 
 mod common;
 use common::*;
@@ -106,7 +106,7 @@
         let factor = 3.0;
         let mut id = 0;
         let mut sent_in_all = 0;
-        // The larger plan: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
+        // The bounds of the larger plan: the quota with one burst more (docs/design.md), the ceiling as it is.
         let mut quota = ReferenceBucket::new(2.0 * plan.burst * factor, plan.rate * factor);
         let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
         for step in 0..2000 {
@@ -150,10 +150,10 @@
     assert_eq!(granted(&mut fleet, 100), 10);
     fleet.change(&|s| s.plans[0].burst = 30.0);
     let more = granted(&mut fleet, 200);
-    // Each gateway reports to the new counter what it used, and learns of the other's use a call later: on the safe
-    // side.
+    // Each gateway reports its use to the new counter and learns of the other's use one call later; until then it may
+    // admit less than the plan allows.
     assert!((14..=20).contains(&more), "{more} of the 20 more");
-    // A lease is held, then the plan falls to a fifth: the rest of the lease is not spent.
+    // The plan's burst falls to a fifth while a lease is held: the rest of the lease is not spent.
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
     assert!(fleet.gateways[0].decisions.customers().any(|c| c.leased_units >= 4.0));
@@ -179,7 +179,7 @@
         "the plan is removed for new requests"
     );
     assert!(is_rejected(&gateway.request(4, "d", "capped", "unsafe"), 4), "and so is the class");
-    // It may have been executed: neither retried nor rejected.
+    // The request may have been executed: it is neither retried nor rejected.
     assert!(is_failed(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
     gateway.serve(2, &backend_2, 1.0);
     assert_eq!(
@@ -252,8 +252,8 @@
     assert!(more <= 1, "{more} more after the fleet grew: a fallback budget was granted anew");
 }
 
-/// The counter comes back empty exactly when the plans change: what was used is reported again by each gateway, and
-/// the ceiling holds.
+/// The counter loses its totals exactly when the plans change: each gateway reports again what it used, and the ceiling
+/// holds.
 #[test]
 fn a_counter_emptied_at_a_settings_change_does_not_exceed_the_ceiling() {
     let mut fleet = Fleet::new(3);
