--- a/tests/settings_validation.rs
+++ b/tests/settings_validation.rs
@@ -1,4 +1,4 @@
-//! Unusable settings are an error that names the value.
+//! Invalid settings are an error that names the value.
 
 mod common;
 use common::*;
