--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start under the load of all gateways together: fleets of uneven gateways through rolling replacements, a lost
-//! part that returns, bursts and failures. The requests that reach a started backend within the overload window must
-//! not exceed N + 2 sqrt(N) + 2, N being what the settings allow it then. `DOORCOURSE_SEEDS=100` plays so many seeds
-//! of each scenario.
+//! Slow start under the load of all gateways together: fleets of unevenly loaded gateways go through rolling
+//! replacements, replacement of many backends at once, bursts and failures. The requests that reach a started backend
+//! within an overload window must not exceed N + 2 sqrt(N) + 2, where N is the number that the settings allow it at
+//! that time. `DOORCOURSE_SEEDS=100` runs 100 seeds of each scenario.
 
 mod common;
 use common::*;
@@ -41,7 +41,7 @@
     overload_window: Millis,
 }
 
-/// Requests a second that a warm backend serves, on so many slots.
+/// Requests per second that a warm backend serves, on [`SLOTS`] slots.
 const RATE: f64 = 20.0;
 const SLOTS: usize = 8;
 const QUEUE: usize = 30;
@@ -55,7 +55,7 @@
     List(Vec<BackendEntry>),
 }
 
-/// One incarnation of a backend, as its sockets see it.
+/// One incarnation of a backend: the requests that arrive there and how it serves them.
 #[derive(Default)]
 struct Instance {
     started: Option<Millis>,
@@ -118,7 +118,7 @@
         fleet
     }
 
-    /// All backends are warm and listed; each gateway awaits its first request.
+    /// Lists all backends as warm and schedules the first request of each gateway.
     fn start(&mut self) {
         for at in 0..self.scenario.backends {
             let instance = Instance { up: true, slots: vec![0.0; SLOTS], ..Instance::default() };
@@ -190,7 +190,7 @@
         self.later(latency.max(0.1), at, Pending::Ends(end));
     }
 
-    /// Ends a backend, and starts another under a new name; the gateways are notified within 400 ms.
+    /// Stops a backend and starts another under a new name; the gateways are notified within 400 ms.
     fn replace(&mut self, old: &str, new: &str) {
         self.instances.get_mut(old).expect("it runs").up = false;
         let slots = vec![self.now; SLOTS];
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Plays to the end: for each start, the worst count within an overload window and its bound.
+    /// Runs to the end; returns for each started backend the worst count within an overload window and its bound.
     fn run(mut self) -> Vec<(f64, f64)> {
         let replaced = (self.scenario.backends as f64 * self.scenario.replaced).round() as usize;
         let mut steps = (0..replaced).map(|n| (FROM + self.scenario.step * n as f64, n)).collect::<Vec<_>>();
