--- a/tests/backend_health.rs
+++ b/tests/backend_health.rs
@@ -30,10 +30,10 @@
     gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, started)]));
     let mut to_slow_start = 0;
     for id in 1..=100 {
-        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-        to_slow_start += usize::from(&*at == "a3");
+        let backend = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+        to_slow_start += usize::from(&*backend == "a3");
         gateway.now += 5.0;
-        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
     }
     // The slow-start share is a fifth: two warm backends share the other requests, so a fifth of what one of them gets
     // is a tenth of these.
@@ -48,10 +48,10 @@
     let mut broken = 0;
     while broken < 2 {
         id += 1;
-        let at = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
-        let outcome = if &*at == "a1" { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Served };
-        broken += usize::from(&*at == "a1");
-        logs = gateway.end_attempt(id, 0, &at, outcome);
+        let backend = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
+        let outcome = if &*backend == "a1" { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Served };
+        broken += usize::from(&*backend == "a1");
+        logs = gateway.end_attempt(id, 0, &backend, outcome);
         if outcome == AttemptOutcome::ConnectionLost && broken == 1 {
             let next = gateway.forward(1000, "other", "plain", "unsafe");
             assert_eq!(&*next, "a2", "after one failure it is ejected for as long as that took");
@@ -67,9 +67,9 @@
     }
     gateway.now += 1000.0;
     let tried = (201..=210).any(|id| {
-        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
-        &*at == "a1"
+        let backend = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+        gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
+        &*backend == "a1"
     });
     assert!(tried, "it is tried again after its ejection");
 }
@@ -93,14 +93,14 @@
 #[test]
 fn an_in_flight_limit_is_split_over_the_customers_gateways() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward(1, "c", "capped", "safe");
+    let backend = gateway.forward(1, "c", "capped", "safe");
     assert_eq!(
         count_attempts(&gateway.request(2, "c", "capped", "safe")),
         0,
         "two at once for two gateways: one each"
     );
     assert_eq!(
-        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::Served)).map(|(id, _)| id),
+        first_attempt(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::Served)).map(|(id, _)| id),
         Some(2)
     );
 }
@@ -108,23 +108,23 @@
 #[test]
 fn one_lost_connection_does_not_eject_and_the_second_in_a_row_does() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let at = gateway.forward(1, "c1", "plain", "unsafe");
-    gateway.end_attempt_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
+    let backend = gateway.forward(1, "c1", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 1, 0, &backend, AttemptOutcome::ConnectionLost);
     let ejected =
         |gateway: &TestGateway| gateway.decisions.backends().next().unwrap().ejected_until > gateway.now;
     assert!(!ejected(&gateway));
-    let at = gateway.forward(2, "c2", "plain", "unsafe");
-    gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
-    let at = gateway.forward(3, "c3", "plain", "unsafe");
-    gateway.end_attempt_after(10.0, 3, 0, &at, AttemptOutcome::ConnectionLost);
+    let backend = gateway.forward(2, "c2", "plain", "unsafe");
+    gateway.end_attempt(2, 0, &backend, AttemptOutcome::Served);
+    let backend = gateway.forward(3, "c3", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 3, 0, &backend, AttemptOutcome::ConnectionLost);
     assert!(!ejected(&gateway), "a served request between them ends the series");
-    let at = gateway.forward(4, "c4", "plain", "unsafe");
-    gateway.end_attempt_after(10.0, 4, 0, &at, AttemptOutcome::ConnectionLost);
+    let backend = gateway.forward(4, "c4", "plain", "unsafe");
+    gateway.end_attempt_after(10.0, 4, 0, &backend, AttemptOutcome::ConnectionLost);
     assert!(ejected(&gateway));
     for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, AttemptOutcome::Rejected] {
         let mut gateway = TestGateway::new(settings(), &["a1"]);
-        let at = gateway.forward(1, "c1", "plain", "unsafe");
-        gateway.end_attempt_after(10.0, 1, 0, &at, outcome);
+        let backend = gateway.forward(1, "c1", "plain", "unsafe");
+        gateway.end_attempt_after(10.0, 1, 0, &backend, outcome);
         assert!(ejected(&gateway), "{outcome:?} is evidence against the backend");
     }
 }
@@ -135,8 +135,8 @@
         |gateway: &TestGateway| gateway.decisions.backends().next().unwrap().ejected_until > gateway.now;
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     let fail = |gateway: &mut TestGateway, id, class: &str| {
-        let at = gateway.forward(id, &format!("c{id}"), "plain", class);
-        gateway.end_attempt_after(5.0, id, 0, &at, AttemptOutcome::Error);
+        let backend = gateway.forward(id, &format!("c{id}"), "plain", class);
+        gateway.end_attempt_after(5.0, id, 0, &backend, AttemptOutcome::Error);
         gateway.handle(Event::ClientDisconnected { id });
     };
     for id in 1..=4 {
@@ -147,8 +147,8 @@
     assert!(ejected(&gateway));
     let mut gateway = TestGateway::new(settings(), &["a1"]);
     fail(&mut gateway, 1, "unsafe");
-    let at = gateway.forward(2, "c2", "plain", "keyed");
-    gateway.end_attempt(2, 0, &at, AttemptOutcome::Served);
+    let backend = gateway.forward(2, "c2", "plain", "keyed");
+    gateway.end_attempt(2, 0, &backend, AttemptOutcome::Served);
     fail(&mut gateway, 3, "keyed");
     assert!(!ejected(&gateway), "a served request between them ends the series");
 }
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -20,9 +20,9 @@
         if let Some((name, _)) = first_counter_call(&actions) {
             actions.extend(time_out(gateway, name));
         }
-        if let Some((id, at)) = first_attempt(&actions) {
+        if let Some((id, backend)) = first_attempt(&actions) {
             admitted += 1;
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
         }
         gateway.now += 20.0;
     }
@@ -40,8 +40,8 @@
         *total += amount;
         actions = gateway.counter_responds(name, *total);
     }
-    for (id, at) in &admitted {
-        gateway.end_attempt(*id, 0, at, AttemptOutcome::Served);
+    for (id, backend) in &admitted {
+        gateway.end_attempt(*id, 0, backend, AttemptOutcome::Served);
     }
     admitted.len()
 }
@@ -113,8 +113,8 @@
             actions.extend(time_out(&mut gateway, name));
         }
         lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
-        if let Some((id, at)) = first_attempt(&actions) {
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        if let Some((id, backend)) = first_attempt(&actions) {
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
         }
         gateway.now += 10.0;
     }
@@ -140,8 +140,8 @@
 #[test]
 fn after_the_counter_was_unavailable_an_idle_gateway_does_not_assume_a_full_bucket_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward(1, "c", "ceiling", "safe");
-    gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
+    let backend = gateway.forward(1, "c", "ceiling", "safe");
+    gateway.end_attempt(1, 0, &backend, AttemptOutcome::Served);
     gateway.now += 100.0;
     for id in 2..=3 {
         let (name, _) =
@@ -294,8 +294,8 @@
                 latency: 50.0,
             }));
         }
-        for (id, at) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        for (id, backend) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
             served += 1;
         }
     }
@@ -323,8 +323,8 @@
                 latency: 1.0,
             });
         }
-        for at in ["a1", "a2"] {
-            gateway.end_attempt(id, 0, &at.into(), AttemptOutcome::Served);
+        for backend in ["a1", "a2"] {
+            gateway.end_attempt(id, 0, &backend.into(), AttemptOutcome::Served);
         }
     }
     assert!(gateway.decisions.is_counter_silent());
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -72,10 +72,10 @@
     for gateway in &mut fleet {
         let mut subset = BTreeSet::new();
         for id in 1..=20 {
-            let at = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
-            *per_backend.entry(at.clone()).or_default() += 1;
-            subset.insert(at);
+            let backend = gateway.forward(id, &format!("c{id}"), "plain", "unsafe");
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
+            *per_backend.entry(backend.clone()).or_default() += 1;
+            subset.insert(backend);
         }
         most = most.max(subset.len());
     }
@@ -94,9 +94,9 @@
         let rounds = 5000 / gateways as u64;
         for id in 1..=rounds {
             for gateway in &mut fleet {
-                let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-                to_slow_start += u32::from(&*at == "a9");
-                gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+                let backend = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+                to_slow_start += u32::from(&*backend == "a9");
+                gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
             }
         }
         // An even share is 500 of 5000. In slow start, with 0.2 of its capacity, the backend gets less than a fifth of
@@ -208,13 +208,13 @@
             if let Some((name, amount)) = first_counter_call(&actions) {
                 actions.extend(gateway.counter_responds(name, amount));
             }
-            let Some((id, at)) = first_attempt(&actions) else {
+            let Some((id, backend)) = first_attempt(&actions) else {
                 shed += 1;
                 continue;
             };
             // Seven responses of a hundred come after 0.6 of the latency objective.
             let latency = if bits % 100 < 7 { 600.0 } else { 100.0 };
-            gateway.end_attempt_after(latency, id, 0, &at, AttemptOutcome::Served);
+            gateway.end_attempt_after(latency, id, 0, &backend, AttemptOutcome::Served);
         }
     }
     assert!(shed < 20, "{shed} of 2000 shed");
@@ -237,8 +237,8 @@
             let outcome = CounterOutcome::Total(amount);
             actions.extend(gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 45.0 }));
         }
-        for (id, at) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        for (id, backend) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
         }
     }
     let low = sampled["safe"];
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -23,8 +23,8 @@
             if let Some((name, amount)) = first_counter_call(&actions) {
                 actions = gateway.counter_responds(name, amount);
             }
-            if let Some((id, at)) = first_attempt(&actions) {
-                gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+            if let Some((id, backend)) = first_attempt(&actions) {
+                gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
             } else {
                 gateway.handle(Event::ClientDisconnected { id });
             }
@@ -43,11 +43,11 @@
 #[test]
 fn a_removed_backend_still_identifies_the_cell_of_requests_possibly_executed_there() {
     let mut gateway = TestGateway::new(settings(), &["a1"]);
-    let at = gateway.forward(1, "c", "plain", "keyed");
+    let backend = gateway.forward(1, "c", "plain", "keyed");
     gateway.handle(Event::BackendList(vec![backend_entry("b1", BackendState::Ready, None)]));
     gateway.advance(1500.0, &[]);
     // Only the cell of a1 deduplicates the request: it must not be sent to b1.
-    let actions = gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost);
+    let actions = gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost);
     assert_eq!(count_attempts(&actions), 0);
     assert!(!is_rejected(&actions, 1));
 }
@@ -61,9 +61,9 @@
     gateway.handle(Event::BackendChanges(vec![backend_entry("a3", BackendState::Ready, None)]));
     let mut seen = std::collections::BTreeSet::new();
     for id in 1..=8 {
-        let at = gateway.forward(id, &format!("c{id}"), "plain", "safe");
-        gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
-        seen.insert(at);
+        let backend = gateway.forward(id, &format!("c{id}"), "plain", "safe");
+        gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
+        seen.insert(backend);
     }
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), ["a2".into(), Name::from("a3")]);
 }
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -98,8 +98,8 @@
 #[test]
 fn idle_customers_are_forgotten() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let at = gateway.forward(1, "c", "plain", "safe");
-    gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
+    let backend = gateway.forward(1, "c", "plain", "safe");
+    gateway.end_attempt(1, 0, &backend, AttemptOutcome::Served);
     gateway.advance(60_000.0, &[]);
     let actions = gateway.request(2, "c", "plain", "safe");
     assert_eq!(
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -10,9 +10,9 @@
     for class in ["safe", "keyed", "unsafe"] {
         for outcome in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent] {
             let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-            let at = gateway.forward(1, "c", "plain", class);
-            let actions = gateway.end_attempt(1, 0, &at, outcome);
-            assert!(first_attempt(&actions).is_some_and(|(_, next)| next != at), "{class} {outcome:?}");
+            let backend = gateway.forward(1, "c", "plain", class);
+            let actions = gateway.end_attempt(1, 0, &backend, outcome);
+            assert!(first_attempt(&actions).is_some_and(|(_, next)| next != backend), "{class} {outcome:?}");
         }
     }
 }
@@ -26,13 +26,13 @@
         AttemptOutcome::Cancelled,
     ] {
         let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-        let at = gateway.forward(1, "c", "plain", "unsafe");
+        let backend = gateway.forward(1, "c", "plain", "unsafe");
         let actions = gateway.advance(900.0, &[1]);
         assert!(
             !actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })),
             "the queue timer has outlived the wait"
         );
-        let actions = gateway.end_attempt(1, 0, &at, outcome);
+        let actions = gateway.end_attempt(1, 0, &backend, outcome);
         assert!(is_failed(&actions, 1) && count_attempts(&actions) == 0, "{outcome:?}: {actions:?}");
     }
 }
@@ -40,10 +40,10 @@
 #[test]
 fn a_keyed_request_possibly_executed_is_retried_only_in_its_scope_and_window() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "b1", "b2", "b3"]);
-    let at = gateway.forward(1, "c", "plain", "keyed");
-    let cell = if at.starts_with('a') { 'a' } else { 'b' };
+    let backend = gateway.forward(1, "c", "plain", "keyed");
+    let cell = if backend.starts_with('a') { 'a' } else { 'b' };
     let (_, next) =
-        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost)).expect("a retry");
+        first_attempt(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost)).expect("a retry");
     assert!(next.starts_with(cell));
     gateway.now += 4000.0;
     let actions = gateway.end_attempt(1, 1, &next, AttemptOutcome::ConnectionLost);
@@ -56,7 +56,7 @@
 #[test]
 fn an_attempt_is_not_cancelled_before_its_outcome() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let at = gateway.forward(1, "c", "plain", "safe");
+    let backend = gateway.forward(1, "c", "plain", "safe");
     for _ in 0..4 {
         let actions = gateway.advance(450.0, &[1]);
         assert!(
@@ -64,20 +64,20 @@
             "{actions:?}"
         );
     }
-    let actions = gateway.end_attempt(1, 0, &at, AttemptOutcome::ConnectionLost);
-    assert!(first_attempt(&actions).is_some_and(|(_, next)| next != at), "{actions:?}");
+    let actions = gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost);
+    assert!(first_attempt(&actions).is_some_and(|(_, next)| next != backend), "{actions:?}");
 }
 
 #[test]
 fn the_final_response_comes_at_the_deadline_whatever_the_outcome() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
-    let at = gateway.forward(1, "c", "plain", "safe");
+    let backend = gateway.forward(1, "c", "plain", "safe");
     gateway.now += 2000.0;
-    let actions = gateway.end_attempt(1, 0, &at, AttemptOutcome::TimedOut);
+    let actions = gateway.end_attempt(1, 0, &backend, AttemptOutcome::TimedOut);
     assert!(is_failed(&actions, 1) && count_attempts(&actions) == 0);
     assert!(
         gateway
-            .end_attempt(1, 0, &at, AttemptOutcome::TimedOut)
+            .end_attempt(1, 0, &backend, AttemptOutcome::TimedOut)
             .iter()
             .all(|a| !matches!(a, Action::Fail { .. }))
     );
@@ -100,9 +100,9 @@
     gateway.handle(Event::ClientDisconnected { id: 1 });
     let actions = gateway.counter_responds(name, amount);
     assert!(count_attempts(&actions) == 0 && !is_rejected(&actions, 1) && !is_failed(&actions, 1));
-    let at = gateway.forward(2, "c", "plain", "safe");
+    let backend = gateway.forward(2, "c", "plain", "safe");
     gateway.handle(Event::ClientDisconnected { id: 2 });
-    assert_eq!(count_attempts(&gateway.end_attempt(2, 0, &at, AttemptOutcome::ConnectionLost)), 0);
+    assert_eq!(count_attempts(&gateway.end_attempt(2, 0, &backend, AttemptOutcome::ConnectionLost)), 0);
 }
 
 #[test]
@@ -132,9 +132,9 @@
 #[test]
 fn an_idempotent_request_possibly_executed_twice_is_not_sent_a_third_time() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward(1, "c", "plain", "safe");
+    let backend = gateway.forward(1, "c", "plain", "safe");
     let (_, next) =
-        first_attempt(&gateway.end_attempt(1, 0, &at, AttemptOutcome::Cancelled)).expect("one retry");
+        first_attempt(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::Cancelled)).expect("one retry");
     let actions = gateway.advance(900.0, &[1]);
     assert!(!actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })), "the retry is not cancelled");
     let actions = gateway.end_attempt(1, 1, &next, AttemptOutcome::ConnectionLost);
@@ -146,9 +146,9 @@
     let mut changed = settings();
     changed.classes[1].deduplication_window = 150.0;
     let mut gateway = TestGateway::new(changed, &["a1"]);
-    let at = gateway.forward(1, "c", "plain", "keyed");
+    let backend = gateway.forward(1, "c", "plain", "keyed");
     // After two lost connections the one backend is ejected, and the request waits for another of its cell.
-    let actions = gateway.end_attempt_after(10.0, 1, 0, &at, AttemptOutcome::ConnectionLost);
+    let actions = gateway.end_attempt_after(10.0, 1, 0, &backend, AttemptOutcome::ConnectionLost);
     let window = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::SendAttempt { must_be_written_within: window, .. } = a { *window } else { None }
@@ -156,7 +156,7 @@
     };
     assert_eq!(window(&actions), Some(142.0), "the rest of the window, less two ticks");
     assert_eq!(
-        count_attempts(&gateway.end_attempt_after(10.0, 1, 1, &at, AttemptOutcome::ConnectionLost)),
+        count_attempts(&gateway.end_attempt_after(10.0, 1, 1, &backend, AttemptOutcome::ConnectionLost)),
         0
     );
     gateway.now += 141.0;
