--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -30,18 +30,18 @@
     }
 
     /// Executes counter calls and serves attempts at once; returns how many requests were forwarded.
-    fn execute(&mut self, at: usize, mut actions: Vec<Action>) -> usize {
+    fn execute(&mut self, gateway: usize, mut actions: Vec<Action>) -> usize {
         let mut sent = 0;
         while let Some(action) = actions.pop() {
             match action {
                 Action::AddToCounter { counter: name, amount, .. } => {
                     let total = self.counters.entry(name).or_default();
                     *total += amount;
-                    actions.extend(self.gateways[at].counter_responds(name, *total));
+                    actions.extend(self.gateways[gateway].counter_responds(name, *total));
                 }
                 Action::SendAttempt { id, backend, .. } => {
                     sent += 1;
-                    actions.extend(self.gateways[at].serve(id, &backend, 1.0));
+                    actions.extend(self.gateways[gateway].serve(id, &backend, 1.0));
                 }
                 _ => {}
             }
@@ -50,31 +50,31 @@
     }
 
     fn advance(&mut self, span: Millis) {
-        for at in 0..self.gateways.len() {
-            self.gateways[at].now += span;
-            let actions = self.gateways[at].handle(Event::TimerExpired { token: 1 });
-            self.execute(at, actions);
+        for gateway in 0..self.gateways.len() {
+            self.gateways[gateway].now += span;
+            let actions = self.gateways[gateway].handle(Event::TimerExpired { token: 1 });
+            self.execute(gateway, actions);
         }
     }
 
-    fn request(&mut self, at: usize, id: RequestId, plan: &str) -> usize {
+    fn request(&mut self, gateway: usize, id: RequestId, plan: &str) -> usize {
         let gateway_count = self.gateways.len() as u32;
-        let actions = self.gateways[at].request_through(id, "c", plan, "safe", false, gateway_count);
-        self.execute(at, actions)
+        let actions = self.gateways[gateway].request_through(id, "c", plan, "safe", false, gateway_count);
+        self.execute(gateway, actions)
     }
 
     fn change(&mut self, change: &dyn Fn(&mut Settings)) {
         let count = self.gateways.len() as u32;
-        for at in 0..self.gateways.len() {
+        for gateway in 0..self.gateways.len() {
             let mut next = Settings {
                 gateway_count: count,
-                gateway_index: at as u32,
+                gateway_index: gateway as u32,
                 responses_report_units: true,
                 ..settings()
             };
             change(&mut next);
-            let actions = self.gateways[at].handle(Event::SettingsChanged(Box::new(next)));
-            self.execute(at, actions);
+            let actions = self.gateways[gateway].handle(Event::SettingsChanged(Box::new(next)));
+            self.execute(gateway, actions);
         }
     }
 }
@@ -122,9 +122,9 @@
             }
             fleet.advance(10.0);
             let mut sent = 0;
-            for at in 0..3 {
+            for gateway in 0..3 {
                 id += 1;
-                sent += fleet.request(at, id, name);
+                sent += fleet.request(gateway, id, name);
             }
             sent_in_all += sent;
             quota.step(10.0, sent);
@@ -274,9 +274,9 @@
         }
         fleet.advance(10.0);
         let mut sent = 0;
-        for at in 0..3 {
+        for gateway in 0..3 {
             id += 1;
-            sent += fleet.request(at, id, "ceiling");
+            sent += fleet.request(gateway, id, "ceiling");
         }
         ceiling.step(10.0, sent);
         after += if step >= 100 { sent } else { 0 };
