--- a/tests/fleet_ceiling.rs
+++ b/tests/fleet_ceiling.rs
@@ -66,17 +66,22 @@
     }
 
     /// Executes the actions of a gateway and the actions that these lead to.
-    fn execute(&mut self, at: usize, mut actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, mut actions: Vec<Action>) {
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in std::mem::take(&mut actions) {
                 match action {
                     Action::SendAttempt { id, backend, .. } => {
-                        self.sent.push(self.gateways[at].now);
-                        next.extend(self.gateways[at].end_attempt(id, 0, &backend, AttemptOutcome::Served));
+                        self.sent.push(self.gateways[index].now);
+                        next.extend(self.gateways[index].end_attempt(
+                            id,
+                            0,
+                            &backend,
+                            AttemptOutcome::Served,
+                        ));
                     }
                     Action::AddToCounter { counter: name, amount, time_to_live } => {
-                        next.extend(self.add_to_counter(at, name, amount, time_to_live));
+                        next.extend(self.add_to_counter(index, name, amount, time_to_live));
                     }
                     _ => {}
                 }
@@ -85,8 +90,8 @@
         }
     }
 
-    fn add_to_counter(&mut self, at: usize, name: u64, amount: f64, time_to_live: Millis) -> Vec<Action> {
-        let now = self.gateways[at].now;
+    fn add_to_counter(&mut self, index: usize, name: u64, amount: f64, time_to_live: Millis) -> Vec<Action> {
+        let now = self.gateways[index].now;
         let (from, back) = self.fault.unavailable;
         let (outcome, latency) = if now >= self.start + from && now < self.start + back {
             (CounterOutcome::NotAdded, 0.0)
@@ -98,18 +103,18 @@
             let lost = self.random.next() < self.fault.lost;
             if lost { (CounterOutcome::Unknown, 50.0) } else { (CounterOutcome::Total(total), 2.0) }
         };
-        self.gateways[at].handle(Event::CounterCallEnded { counter: name, outcome, latency })
+        self.gateways[index].handle(Event::CounterCallEnded { counter: name, outcome, latency })
     }
 
     /// Runs for `span` ms with `rate` requests a second, spread unevenly over the gateways.
     fn play(&mut self, span: Millis, rate: f64) {
         let mut id = 0;
         let mut next = self.start;
-        let mut back = false;
+        let mut is_back = false;
         let mut now = self.start;
         while now < self.start + span {
             now += 5.0;
-            if !std::mem::replace(&mut back, now >= self.start + self.fault.unavailable.1) && back {
+            if !std::mem::replace(&mut is_back, now >= self.start + self.fault.unavailable.1) && is_back {
                 if self.fault.emptied {
                     self.counters.clear();
                 }
@@ -117,34 +122,35 @@
                     self.gateways[0] = gateway(0, 77);
                 }
             }
-            for at in 0..self.gateways.len() {
-                self.gateways[at].now = now;
-                if (now / 5.0) as usize % 5 == at % 5 {
-                    let actions = self.gateways[at].handle(Event::TimerExpired { token: 1 });
-                    self.execute(at, actions);
+            for index in 0..self.gateways.len() {
+                self.gateways[index].now = now;
+                if (now / 5.0) as usize % 5 == index % 5 {
+                    let actions = self.gateways[index].handle(Event::TimerExpired { token: 1 });
+                    self.execute(index, actions);
                 }
             }
             while next < now {
                 next += -self.random.next().max(1e-9).ln() / rate * 1000.0;
                 id += 1;
-                let at = (self.random.next().powi(2) * self.gateways.len() as f64) as usize;
-                let actions = self.gateways[at].request_through(id, "c", "ceiling", "safe", false, GATEWAYS);
-                self.execute(at, actions);
+                let index = (self.random.next().powi(2) * self.gateways.len() as f64) as usize;
+                let actions =
+                    self.gateways[index].request_through(id, "c", "ceiling", "safe", false, GATEWAYS);
+                self.execute(index, actions);
             }
         }
     }
 
     /// By how many units the forwarded requests overdrew a bucket of this rate and burst.
-    fn beyond(&self, rate: f64, burst: f64) -> f64 {
-        let mut held = burst;
-        let mut at = self.start;
-        let mut lowest = burst;
+    fn max_overdraft(&self, rate: f64, burst: f64) -> f64 {
+        let mut units = burst;
+        let mut last_sent = self.start;
+        let mut min_units = burst;
         for sent in &self.sent {
-            held = (held + rate * (sent - at) / 1000.0).min(burst) - 1.0;
-            at = *sent;
-            lowest = lowest.min(held);
+            units = (units + rate * (sent - last_sent) / 1000.0).min(burst) - 1.0;
+            last_sent = *sent;
+            min_units = min_units.min(units);
         }
-        -lowest
+        -min_units
     }
 }
 
@@ -171,10 +177,10 @@
             for rate in [40.0, 250.0] {
                 let mut fleet = Fleet::new(seed, fault);
                 fleet.play(14_000.0, rate);
-                let beyond = fleet.beyond(plan.ceiling_rate, plan.ceiling_burst);
+                let max_overdraft = fleet.max_overdraft(plan.ceiling_rate, plan.ceiling_burst);
                 assert!(
-                    beyond <= plan.ceiling_slack,
-                    "{beyond:.1} units above the ceiling: {fault:?}, seed {seed}, {rate} a second"
+                    max_overdraft <= plan.ceiling_slack,
+                    "{max_overdraft:.1} units above the ceiling: {fault:?}, seed {seed}, {rate} a second"
                 );
             }
         }
