--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -81,20 +81,20 @@
 
 /// A token bucket that records how low it has been.
 struct ReferenceBucket {
-    held: f64,
-    most: f64,
+    units: f64,
+    capacity: f64,
     rate: f64,
-    lowest: f64,
+    min_units: f64,
 }
 
 impl ReferenceBucket {
-    fn new(most: f64, rate: f64) -> Self {
-        Self { held: most, most, rate, lowest: most }
+    fn new(capacity: f64, rate: f64) -> Self {
+        Self { units: capacity, capacity, rate, min_units: capacity }
     }
 
     fn step(&mut self, ms: f64, taken: usize) {
-        self.held = (self.held + self.rate * ms / 1000.0).min(self.most) - taken as f64;
-        self.lowest = self.lowest.min(self.held);
+        self.units = (self.units + self.rate * ms / 1000.0).min(self.capacity) - taken as f64;
+        self.min_units = self.min_units.min(self.units);
     }
 }
 
@@ -130,11 +130,11 @@
             quota.step(10.0, sent);
             ceiling.step(10.0, sent);
         }
-        assert!(quota.lowest >= -1.0, "{name}: {:.1} beyond the bound", -quota.lowest);
+        assert!(quota.min_units >= -1.0, "{name}: {:.1} beyond the bound", -quota.min_units);
         assert!(
-            index == 0 || ceiling.lowest >= -plan.ceiling_slack,
+            index == 0 || ceiling.min_units >= -plan.ceiling_slack,
             "{name}: {:.1} below its ceiling",
-            -ceiling.lowest
+            -ceiling.min_units
         );
         // At least the smaller plan's rate is granted.
         assert!(sent_in_all as f64 >= plan.rate * 20.0 * 0.6, "{name}: only {sent_in_all} forwarded in 20 s");
@@ -203,8 +203,8 @@
 fn a_gateway_that_drains_returns_what_it_did_not_use() {
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
-    let held: f64 = fleet.counters.values().sum();
-    assert_eq!(held, 5.0, "its even part of the burst");
+    let units: f64 = fleet.counters.values().sum();
+    assert_eq!(units, 5.0, "its even part of the burst");
     let actions = fleet.gateways[0].handle(Event::ShutdownStarted);
     fleet.execute(0, actions);
     assert_eq!(fleet.counters.values().sum::<f64>(), 1.0, "what was used stays counted");
@@ -281,6 +281,6 @@
         ceiling.step(10.0, sent);
         after += if step >= 100 { sent } else { 0 };
     }
-    assert!(ceiling.lowest >= -plan.ceiling_slack, "{:.1} below its ceiling", -ceiling.lowest);
+    assert!(ceiling.min_units >= -plan.ceiling_slack, "{:.1} below its ceiling", -ceiling.min_units);
     assert!(after as f64 >= plan.rate * 2.0 * 9.0 * 0.6, "only {after} sent on after the change");
 }
