--- a/tests/digests.rs
+++ b/tests/digests.rs
@@ -20,7 +20,7 @@
 struct Digest(u64, usize);
 
 impl Digest {
-    fn take(&mut self, gateway: usize, action: &Action) {
+    fn record(&mut self, gateway: usize, action: &Action) {
         let text = format!("{gateway} {}", stable_text(action));
         self.0 = text.bytes().fold(self.0, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
         self.1 += 1;
@@ -37,7 +37,7 @@
     has_response: bool,
 }
 
-struct World {
+struct Simulation {
     random: Random,
     now: Millis,
     gateways: Vec<Gateway>,
@@ -49,10 +49,10 @@
     due: BTreeMap<(u64, u64), (usize, Event)>,
     order: u64,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    next: RequestId,
+    last_id: RequestId,
 }
 
-impl World {
+impl Simulation {
     fn new(gateways: u32, seed: u64) -> Self {
         let mut random = Random(seed.wrapping_mul(77) + 5);
         let mut settings = Settings {
@@ -75,7 +75,7 @@
         let due = BTreeMap::new();
         let open_requests = BTreeMap::new();
         let digest = Digest(0xcbf2_9ce4_8422_2325, 0);
-        let mut world = Self {
+        let mut simulation = Self {
             random,
             now: 1000.0,
             gateways: made,
@@ -86,12 +86,12 @@
             due,
             order: 0,
             open_requests,
-            next: 0,
+            last_id: 0,
         };
         let list: Vec<BackendEntry> =
             NAMES.iter().map(|n| backend_entry(n, BackendState::Ready, None)).collect();
-        (0..gateways as usize).for_each(|g| world.handle(g, Event::BackendList(list.clone())));
-        world
+        (0..gateways as usize).for_each(|g| simulation.handle(g, Event::BackendList(list.clone())));
+        simulation
     }
 
     fn schedule(&mut self, after: Millis, gateway: usize, event: Event) {
@@ -103,7 +103,7 @@
         let mut actions = Vec::new();
         self.gateways[gateway].handle(self.now, event, &mut actions);
         for action in actions {
-            self.digest.take(gateway, &action);
+            self.digest.record(gateway, &action);
             self.execute(gateway, action);
         }
     }
@@ -195,7 +195,7 @@
                 let statuses: Vec<BackendStatus> = self.gateways[gateway].backends().collect();
                 self.handle(gateway, Event::StateRestored(statuses));
             }
-            6 if self.next > 3000 => self.handle(gateway, Event::ShutdownStarted),
+            6 if self.last_id > 3000 => self.handle(gateway, Event::ShutdownStarted),
             7..12 => self.disconnect_client(),
             _ => self.request(gateway),
         }
@@ -238,39 +238,39 @@
     }
 
     fn request(&mut self, gateway: usize) {
-        self.next += 1;
-        let id = self.next;
+        self.last_id += 1;
+        let id = self.last_id;
         let plan = ["plain", "ceiling", "capped"][self.random.below(3) as usize];
         let customer = if self.random.below(6) == 0 { 1000 + id } else { self.random.below(9) };
         let timeout = 200.0 + self.random.below(2500) as f64;
         let gateway_count = self.random.below(self.gateways.len() as u64 + 1) as u32;
-        let repeat = self.random.below(5) == 0;
+        let client_retry = self.random.below(5) == 0;
         let units = 1.0 + self.random.below(3) as f64;
         let class = self.random.below(3) as usize;
         self.open_requests
             .insert(id, OpenRequest { gateway, until: self.now + timeout, ..OpenRequest::default() });
-        let arrival = IncomingRequest {
+        let request = IncomingRequest {
             id,
             customer: format!("{plan}-{customer}").as_str().into(),
             plan: plan.into(),
             class: ["safe", "keyed", "unsafe"][class].into(),
             units,
-            client_retry: repeat,
+            client_retry,
             timeout,
             first_gateway: gateway as u32,
             gateway_count,
             sticky_route: Name::default(),
         };
-        self.handle(gateway, Event::RequestReceived(arrival));
+        self.handle(gateway, Event::RequestReceived(request));
     }
 }
 
 const NAMES: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
 
 fn play(gateways: u32, seed: u64) -> (u64, usize) {
-    let mut world = World::new(gateways, seed);
-    (0..6000).for_each(|_| world.step());
-    (world.digest.0, world.digest.1)
+    let mut simulation = Simulation::new(gateways, seed);
+    (0..6000).for_each(|_| simulation.step());
+    (simulation.digest.0, simulation.digest.1)
 }
 
 #[test]
