--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -16,7 +16,7 @@
 }
 
 /// The checker's record of a request.
-struct Known {
+struct TrackedRequest {
     class: usize,
     deadline: Millis,
     attempts: u32,
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Known>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     calls: Vec<u64>,
     timers: BTreeMap<(u64, u64), u64>,
     draining: BTreeMap<Name, bool>,
@@ -78,9 +78,9 @@
             !known.has_response && known.in_flight.is_none(),
             "a second attempt in flight, or after the final response"
         );
-        if let Some((home, at)) = &known.first_execution {
+        if let Some((executed_on, at)) = &known.first_execution {
             assert!(known.class != 2, "a non-idempotent request retried");
-            let same_cell = home.starts_with('a') == backend.starts_with('a');
+            let same_cell = executed_on.starts_with('a') == backend.starts_with('a');
             assert!(
                 known.class == 0 || same_cell && now - at < 4000.0,
                 "a keyed retry outside its scope or window"
@@ -90,7 +90,7 @@
         known.in_flight = Some((backend, now));
     }
 
-    fn final_response(&mut self, now: Millis, id: RequestId) -> &Known {
+    fn final_response(&mut self, now: Millis, id: RequestId) -> &TrackedRequest {
         let known = self.requests.get_mut(&id).expect("a known request");
         assert!(!known.has_response, "two final responses");
         assert!(now <= known.deadline + 16.0, "a final response after the client's timeout");
@@ -100,7 +100,7 @@
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
-        let late = |k: &Known| !k.has_response && k.in_flight.is_none() && now > k.deadline + 16.0;
+        let late = |k: &TrackedRequest| !k.has_response && k.in_flight.is_none() && now > k.deadline + 16.0;
         self.requests.iter().find(|(_, k)| late(k)).map(|(id, _)| *id)
     }
 }
@@ -192,7 +192,7 @@
     fn new_request(&mut self, id: RequestId) -> Event {
         let class = self.random.below(3) as usize;
         let timeout = 300.0 + self.random.below(2500) as f64;
-        let known = Known {
+        let known = TrackedRequest {
             class,
             deadline: self.gateway.now + timeout,
             attempts: 0,
