--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -173,13 +173,13 @@
     settings.responses_report_units = true;
     let plan = settings.plans[1].clone();
     let mut gateway = TestGateway::new(settings, &["a1", "a2", "a3", "a4"]);
-    let mut left = plan.ceiling_burst;
+    let mut ceiling_units = plan.ceiling_burst;
     let mut total = 0.0;
-    let mut lowest = f64::INFINITY;
+    let mut min_ceiling_units = f64::INFINITY;
     let mut window = 0;
     for id in 1..2000 {
         gateway.now += 10.0;
-        left = (left + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
+        ceiling_units = (ceiling_units + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
         let mut actions = gateway.handle(Event::TimerExpired { token: 1 });
         actions.extend(gateway.request(id, "c", "ceiling", "safe"));
         while let Some((name, amount)) = first_counter_call(&actions) {
@@ -192,12 +192,12 @@
             actions.extend(gateway.counter_responds(name, total));
         }
         if let Some((id, backend)) = first_attempt(&actions) {
-            left -= 1.0;
-            lowest = lowest.min(left);
+            ceiling_units -= 1.0;
+            min_ceiling_units = min_ceiling_units.min(ceiling_units);
             gateway.serve(id, &backend, 0.1);
         }
     }
-    assert!(lowest > -plan.ceiling_slack, "{:.1} units below the ceiling", -lowest);
+    assert!(min_ceiling_units > -plan.ceiling_slack, "{:.1} units below the ceiling", -min_ceiling_units);
 }
 
 fn counter_responds_late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
@@ -205,7 +205,7 @@
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
 
-fn one(gateway: &TestGateway) -> CustomerStatus {
+fn only_customer(gateway: &TestGateway) -> CustomerStatus {
     gateway.decisions.customers().next().expect("the customer")
 }
 
@@ -221,17 +221,17 @@
         latency: 50.0,
     });
     // One unit was spent from the fallback budget in the meantime: it is reported with the next call.
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, 1.0));
+    assert_eq!((only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units), (0.0, 1.0));
     counter_responds_late(&mut gateway, name, Some(lease_units));
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (5.0, 1.0));
+    assert_eq!((only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units), (5.0, 1.0));
     assert!(
         first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(),
         "the lease is spent as any other"
     );
-    assert_eq!(one(&gateway).leased_units, 4.0);
+    assert_eq!(only_customer(&gateway).leased_units, 4.0);
     // The result of an unknown call, or a second result, changes nothing.
     counter_responds_late(&mut gateway, name, Some(99.0));
-    assert_eq!(one(&gateway).leased_units, 4.0);
+    assert_eq!(only_customer(&gateway).leased_units, 4.0);
 }
 
 #[test]
@@ -246,7 +246,10 @@
     });
     counter_responds_late(&mut gateway, name, None);
     let unreported = 1.0 - lease_units;
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, unreported));
+    assert_eq!(
+        (only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units),
+        (0.0, unreported)
+    );
     let actions = gateway.advance(25.0, &[]);
     assert_eq!(
         first_counter_call(&actions),
@@ -264,10 +267,10 @@
         outcome: CounterOutcome::Unknown,
         latency: 50.0,
     });
-    let before = one(&gateway);
+    let before = only_customer(&gateway);
     let outcome = CounterOutcome::Late { added: false, total: None };
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 });
-    assert_eq!(one(&gateway), before);
+    assert_eq!(only_customer(&gateway), before);
 }
 
 #[test]
@@ -338,9 +341,12 @@
         }
         actions.extend(gateway.advance(30.0, &[]));
     }
-    let view = one(&gateway);
-    assert!(view.available_units + view.leased_units > -2.0, "{view:?}");
-    assert!(view.available_units + view.leased_units <= 10.0, "never more than its burst: {view:?}");
+    let customer = only_customer(&gateway);
+    assert!(customer.available_units + customer.leased_units > -2.0, "{customer:?}");
+    assert!(
+        customer.available_units + customer.leased_units <= 10.0,
+        "never more than its burst: {customer:?}"
+    );
 }
 
 #[test]
@@ -360,11 +366,11 @@
         actions.extend(gateway.advance(25.0, &[]));
     }
     let (name, amount) = first_counter_call(&actions).unwrap();
-    let before = one(&gateway).available_units;
+    let before = only_customer(&gateway).available_units;
     gateway.counter_responds(name, amount + lease_units + 8.0);
     assert!(
-        one(&gateway).available_units <= before - 8.0 + 1.0,
+        only_customer(&gateway).available_units <= before - 8.0 + 1.0,
         "overflow while the counter is available pays for nothing: {:?}",
-        one(&gateway)
+        only_customer(&gateway)
     );
 }
