--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -94,7 +94,7 @@
                 self.send_attempt(id, backend);
             }
             Action::Reject { id, retry_after, .. } => {
-                println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
+                println!("{now:>5} ms  {id} rejected, retry after {retry_after:.0} ms");
             }
             Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
             Action::Log(line) => println!("{now:>5} ms  log: {line}"),
