--- a/src/quota/lease.rs
+++ b/src/quota/lease.rs
@@ -23,7 +23,7 @@
 pub(crate) struct QuotaLease {
     /// The window's number.
     pub window: u64,
-    /// Units leased and not spent yet; they expire with the window.
+    /// Units leased and not spent yet; at the end of the window they go back to the bucket.
     pub units: f64,
     /// Units that this gateway has added to the window's counter.
     pub reported_units: f64,
--- a/src/request.rs
+++ b/src/request.rs
@@ -137,7 +137,7 @@
     ///
     /// The refund also applies to units that were spent from the fallback budget or by a sampled quota, and to units
     /// that a plan without a rate never counted, since a request does not record where its units came from. The error
-    /// is bounded by the window: refunded units expire with the lease at its end.
+    /// is bounded: the lease ends with its window, and the bucket then takes back no more than fills it to the burst.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
