--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -1,5 +1,5 @@
-//! A host's loop around one gateway: events in, actions out, timers, a counter, a backend, a restart.
-//! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
+//! The event loop of a host with one gateway: it passes in events, executes actions, and simulates timers, a counter, a
+//! backend and a restart. Time is simulated; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
     Action, AttemptEnd, AttemptOutcome, BackendEntry, BackendState, CounterOutcome, DeduplicationScope,
@@ -74,7 +74,8 @@
         Ok(())
     }
 
-    /// A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
+    /// Restarts: a new gateway with a fresh seed and the last endpoint list. Requests in flight are lost; their clients
+    /// would have to retry them.
     fn restart(&mut self) -> Result<(), SettingsError> {
         self.restarted = true;
         self.gateway = Gateway::new(settings(), 43)?;
@@ -93,7 +94,7 @@
                 self.send_attempt(id, backend);
             }
             Action::Reject { id, retry_after, .. } => {
-                println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
+                println!("{now:>5} ms  {id} rejected, retry after {retry_after:.0} ms");
             }
             Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
             Action::Log(line) => println!("{now:>5} ms  log: {line}"),
--- a/tests/counter_outage.rs
+++ b/tests/counter_outage.rs
@@ -1,4 +1,4 @@
-//! The counter unavailable, slow or emptied; the ceiling holds through all of it.
+//! Quotas and ceilings while the counter is unavailable, responds late or has lost its totals.
 
 mod common;
 use common::*;
@@ -20,9 +20,9 @@
         if let Some((name, _)) = first_counter_call(&actions) {
             actions.extend(time_out(gateway, name));
         }
-        if let Some((id, at)) = first_attempt(&actions) {
+        if let Some((id, backend)) = first_attempt(&actions) {
             admitted += 1;
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
         }
         gateway.now += 20.0;
     }
@@ -40,8 +40,8 @@
         *total += amount;
         actions = gateway.counter_responds(name, *total);
     }
-    for (id, at) in &admitted {
-        gateway.end_attempt(*id, 0, at, AttemptOutcome::Served);
+    for (id, backend) in &admitted {
+        gateway.end_attempt(*id, 0, backend, AttemptOutcome::Served);
     }
     admitted.len()
 }
@@ -56,8 +56,8 @@
 
 #[test]
 fn the_ceiling_holds_through_a_spent_burst_an_emptied_counter_a_restart_and_an_unavailable_counter() {
-    // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
-    // the counter emptied, leases what it grants, and then the counter becomes unavailable.
+    // The other gateway has just been granted the whole burst of 10. This gateway has restarted without state, finds
+    // the counter emptied and leases what that grants; then the counter becomes unavailable.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
     let start = gateway.now;
     let mut admitted = 0.0;
@@ -113,8 +113,8 @@
             actions.extend(time_out(&mut gateway, name));
         }
         lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
-        if let Some((id, at)) = first_attempt(&actions) {
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        if let Some((id, backend)) = first_attempt(&actions) {
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
         }
         gateway.now += 10.0;
     }
@@ -140,15 +140,16 @@
 #[test]
 fn after_the_counter_was_unavailable_an_idle_gateway_does_not_assume_a_full_bucket_under_a_ceiling() {
     let mut gateway = TestGateway::new(settings(), &["a1", "a2", "a3"]);
-    let at = gateway.forward(1, "c", "ceiling", "safe");
-    gateway.end_attempt(1, 0, &at, AttemptOutcome::Served);
+    let backend = gateway.forward(1, "c", "ceiling", "safe");
+    gateway.end_attempt(1, 0, &backend, AttemptOutcome::Served);
     gateway.now += 100.0;
     for id in 2..=3 {
         let (name, _) =
             first_counter_call(&gateway.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
         time_out(&mut gateway, name);
     }
-    // For three seconds the other gateway may spend all; then the counter is back, emptied.
+    // For three seconds the other gateway may spend everything; then the counter is available again, without its
+    // totals.
     gateway.now += 3000.0;
     let mut admitted = 0;
     let mut total = 0.0;
@@ -163,8 +164,8 @@
     );
 }
 
-/// A host estimates a request's units before it runs. The ceiling counts estimates: what true units would return must
-/// not be spent again, though the quota would allow it.
+/// The host estimates a request's units before it runs, and the ceiling counts the estimate. Units that a smaller true
+/// value would return must not be spent again, although the quota alone would allow it.
 #[test]
 fn true_units_below_the_estimate_do_not_exceed_the_ceiling() {
     let mut settings = settings();
@@ -172,13 +173,13 @@
     settings.responses_report_units = true;
     let plan = settings.plans[1].clone();
     let mut gateway = TestGateway::new(settings, &["a1", "a2", "a3", "a4"]);
-    let mut left = plan.ceiling_burst;
+    let mut ceiling_units = plan.ceiling_burst;
     let mut total = 0.0;
-    let mut lowest = f64::INFINITY;
+    let mut min_ceiling_units = f64::INFINITY;
     let mut window = 0;
     for id in 1..2000 {
         gateway.now += 10.0;
-        left = (left + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
+        ceiling_units = (ceiling_units + plan.ceiling_rate * 0.01).min(plan.ceiling_burst);
         let mut actions = gateway.handle(Event::TimerExpired { token: 1 });
         actions.extend(gateway.request(id, "c", "ceiling", "safe"));
         while let Some((name, amount)) = first_counter_call(&actions) {
@@ -191,12 +192,12 @@
             actions.extend(gateway.counter_responds(name, total));
         }
         if let Some((id, backend)) = first_attempt(&actions) {
-            left -= 1.0;
-            lowest = lowest.min(left);
+            ceiling_units -= 1.0;
+            min_ceiling_units = min_ceiling_units.min(ceiling_units);
             gateway.serve(id, &backend, 0.1);
         }
     }
-    assert!(lowest > -plan.ceiling_slack, "{:.1} units below the ceiling", -lowest);
+    assert!(min_ceiling_units > -plan.ceiling_slack, "{:.1} units below the ceiling", -min_ceiling_units);
 }
 
 fn counter_responds_late(gateway: &mut TestGateway, name: u64, total: Option<f64>) -> Vec<Action> {
@@ -204,7 +205,7 @@
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 })
 }
 
-fn one(gateway: &TestGateway) -> CustomerStatus {
+fn only_customer(gateway: &TestGateway) -> CustomerStatus {
     gateway.decisions.customers().next().expect("the customer")
 }
 
@@ -220,17 +221,17 @@
         latency: 50.0,
     });
     // One unit was spent from the fallback budget in the meantime: it is reported with the next call.
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, 1.0));
+    assert_eq!((only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units), (0.0, 1.0));
     counter_responds_late(&mut gateway, name, Some(lease_units));
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (5.0, 1.0));
+    assert_eq!((only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units), (5.0, 1.0));
     assert!(
         first_attempt(&gateway.request(2, "c", "plain", "safe")).is_some(),
         "the lease is spent as any other"
     );
-    assert_eq!(one(&gateway).leased_units, 4.0);
+    assert_eq!(only_customer(&gateway).leased_units, 4.0);
     // The result of an unknown call, or a second result, changes nothing.
     counter_responds_late(&mut gateway, name, Some(99.0));
-    assert_eq!(one(&gateway).leased_units, 4.0);
+    assert_eq!(only_customer(&gateway).leased_units, 4.0);
 }
 
 #[test]
@@ -245,7 +246,10 @@
     });
     counter_responds_late(&mut gateway, name, None);
     let unreported = 1.0 - lease_units;
-    assert_eq!((one(&gateway).leased_units, one(&gateway).unreported_units), (0.0, unreported));
+    assert_eq!(
+        (only_customer(&gateway).leased_units, only_customer(&gateway).unreported_units),
+        (0.0, unreported)
+    );
     let actions = gateway.advance(25.0, &[]);
     assert_eq!(
         first_counter_call(&actions),
@@ -263,15 +267,15 @@
         outcome: CounterOutcome::Unknown,
         latency: 50.0,
     });
-    let before = one(&gateway);
+    let before = only_customer(&gateway);
     let outcome = CounterOutcome::Late { added: false, total: None };
     gateway.handle(Event::CounterCallEnded { counter: name, outcome, latency: 90.0 });
-    assert_eq!(one(&gateway), before);
+    assert_eq!(only_customer(&gateway), before);
 }
 
 #[test]
 fn late_responses_of_the_counter_cost_no_quota() {
-    // Each response comes after its timeout, for three refill periods: what is admitted follows the rate all the same.
+    // For three refill periods each response arrives after its timeout: admission still follows the rate.
     let mut gateway = TestGateway::new(settings(), &["a1", "a2"]);
     let mut totals = std::collections::BTreeMap::new();
     let mut served = 0;
@@ -293,8 +297,8 @@
                 latency: 50.0,
             }));
         }
-        for (id, at) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
-            gateway.end_attempt(id, 0, &at, AttemptOutcome::Served);
+        for (id, backend) in actions.iter().filter_map(|a| first_attempt(std::slice::from_ref(a))) {
+            gateway.end_attempt(id, 0, &backend, AttemptOutcome::Served);
             served += 1;
         }
     }
@@ -322,12 +326,12 @@
                 latency: 1.0,
             });
         }
-        for at in ["a1", "a2"] {
-            gateway.end_attempt(id, 0, &at.into(), AttemptOutcome::Served);
+        for backend in ["a1", "a2"] {
+            gateway.end_attempt(id, 0, &backend.into(), AttemptOutcome::Served);
         }
     }
     assert!(gateway.decisions.is_counter_silent());
-    // The counter is back: the other gateway has just reported 18 units, 2.25 a second for 8 s.
+    // The counter is available again: the other gateway has just reported 18 units, 2.25 a second for 8 s.
     let mut actions = gateway.request(id + 1, "c", "plain", "safe");
     let mut total = 18.0;
     for _ in 0..6 {
@@ -337,9 +341,12 @@
         }
         actions.extend(gateway.advance(30.0, &[]));
     }
-    let view = one(&gateway);
-    assert!(view.available_units + view.leased_units > -2.0, "{view:?}");
-    assert!(view.available_units + view.leased_units <= 10.0, "never more than its burst: {view:?}");
+    let customer = only_customer(&gateway);
+    assert!(customer.available_units + customer.leased_units > -2.0, "{customer:?}");
+    assert!(
+        customer.available_units + customer.leased_units <= 10.0,
+        "never more than its burst: {customer:?}"
+    );
 }
 
 #[test]
@@ -359,11 +366,11 @@
         actions.extend(gateway.advance(25.0, &[]));
     }
     let (name, amount) = first_counter_call(&actions).unwrap();
-    let before = one(&gateway).available_units;
+    let before = only_customer(&gateway).available_units;
     gateway.counter_responds(name, amount + lease_units + 8.0);
     assert!(
-        one(&gateway).available_units <= before - 8.0 + 1.0,
+        only_customer(&gateway).available_units <= before - 8.0 + 1.0,
         "overflow while the counter is available pays for nothing: {:?}",
-        one(&gateway)
+        only_customer(&gateway)
     );
 }
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! Settings that change in service, and a gateway that shuts down.
+//! Settings that change while the gateway handles requests, and a gateway that shuts down.
 
 mod common;
 use common::*;
@@ -30,18 +30,18 @@
     }
 
     /// Executes counter calls and serves attempts at once; returns how many requests were forwarded.
-    fn execute(&mut self, at: usize, mut actions: Vec<Action>) -> usize {
+    fn execute(&mut self, gateway: usize, mut actions: Vec<Action>) -> usize {
         let mut sent = 0;
         while let Some(action) = actions.pop() {
             match action {
                 Action::AddToCounter { counter: name, amount, .. } => {
                     let total = self.counters.entry(name).or_default();
                     *total += amount;
-                    actions.extend(self.gateways[at].counter_responds(name, *total));
+                    actions.extend(self.gateways[gateway].counter_responds(name, *total));
                 }
                 Action::SendAttempt { id, backend, .. } => {
                     sent += 1;
-                    actions.extend(self.gateways[at].serve(id, &backend, 1.0));
+                    actions.extend(self.gateways[gateway].serve(id, &backend, 1.0));
                 }
                 _ => {}
             }
@@ -50,51 +50,51 @@
     }
 
     fn advance(&mut self, span: Millis) {
-        for at in 0..self.gateways.len() {
-            self.gateways[at].now += span;
-            let actions = self.gateways[at].handle(Event::TimerExpired { token: 1 });
-            self.execute(at, actions);
+        for gateway in 0..self.gateways.len() {
+            self.gateways[gateway].now += span;
+            let actions = self.gateways[gateway].handle(Event::TimerExpired { token: 1 });
+            self.execute(gateway, actions);
         }
     }
 
-    fn request(&mut self, at: usize, id: RequestId, plan: &str) -> usize {
+    fn request(&mut self, gateway: usize, id: RequestId, plan: &str) -> usize {
         let gateway_count = self.gateways.len() as u32;
-        let actions = self.gateways[at].request_through(id, "c", plan, "safe", false, gateway_count);
-        self.execute(at, actions)
+        let actions = self.gateways[gateway].request_through(id, "c", plan, "safe", false, gateway_count);
+        self.execute(gateway, actions)
     }
 
     fn change(&mut self, change: &dyn Fn(&mut Settings)) {
         let count = self.gateways.len() as u32;
-        for at in 0..self.gateways.len() {
+        for gateway in 0..self.gateways.len() {
             let mut next = Settings {
                 gateway_count: count,
-                gateway_index: at as u32,
+                gateway_index: gateway as u32,
                 responses_report_units: true,
                 ..settings()
             };
             change(&mut next);
-            let actions = self.gateways[at].handle(Event::SettingsChanged(Box::new(next)));
-            self.execute(at, actions);
+            let actions = self.gateways[gateway].handle(Event::SettingsChanged(Box::new(next)));
+            self.execute(gateway, actions);
         }
     }
 }
 
 /// A token bucket that records how low it has been.
 struct ReferenceBucket {
-    held: f64,
-    most: f64,
+    units: f64,
+    capacity: f64,
     rate: f64,
-    lowest: f64,
+    min_units: f64,
 }
 
 impl ReferenceBucket {
-    fn new(most: f64, rate: f64) -> Self {
-        Self { held: most, most, rate, lowest: most }
+    fn new(capacity: f64, rate: f64) -> Self {
+        Self { units: capacity, capacity, rate, min_units: capacity }
     }
 
     fn step(&mut self, ms: f64, taken: usize) {
-        self.held = (self.held + self.rate * ms / 1000.0).min(self.most) - taken as f64;
-        self.lowest = self.lowest.min(self.held);
+        self.units = (self.units + self.rate * ms / 1000.0).min(self.capacity) - taken as f64;
+        self.min_units = self.min_units.min(self.units);
     }
 }
 
@@ -106,7 +106,7 @@
         let factor = 3.0;
         let mut id = 0;
         let mut sent_in_all = 0;
-        // The larger plan: quotas by the bound of a burst more (docs/design.md), ceilings as they are.
+        // The bounds of the larger plan: the quota with one burst more (docs/design.md), the ceiling as it is.
         let mut quota = ReferenceBucket::new(2.0 * plan.burst * factor, plan.rate * factor);
         let mut ceiling = ReferenceBucket::new(plan.ceiling_burst * factor, plan.ceiling_rate * factor);
         for step in 0..2000 {
@@ -122,19 +122,19 @@
             }
             fleet.advance(10.0);
             let mut sent = 0;
-            for at in 0..3 {
+            for gateway in 0..3 {
                 id += 1;
-                sent += fleet.request(at, id, name);
+                sent += fleet.request(gateway, id, name);
             }
             sent_in_all += sent;
             quota.step(10.0, sent);
             ceiling.step(10.0, sent);
         }
-        assert!(quota.lowest >= -1.0, "{name}: {:.1} beyond the bound", -quota.lowest);
+        assert!(quota.min_units >= -1.0, "{name}: {:.1} beyond the bound", -quota.min_units);
         assert!(
-            index == 0 || ceiling.lowest >= -plan.ceiling_slack,
+            index == 0 || ceiling.min_units >= -plan.ceiling_slack,
             "{name}: {:.1} below its ceiling",
-            -ceiling.lowest
+            -ceiling.min_units
         );
         // At least the smaller plan's rate is granted.
         assert!(sent_in_all as f64 >= plan.rate * 20.0 * 0.6, "{name}: only {sent_in_all} forwarded in 20 s");
@@ -150,10 +150,10 @@
     assert_eq!(granted(&mut fleet, 100), 10);
     fleet.change(&|s| s.plans[0].burst = 30.0);
     let more = granted(&mut fleet, 200);
-    // Each gateway reports to the new counter what it used, and learns of the other's use a call later: on the safe
-    // side.
+    // Each gateway reports its use to the new counter and learns of the other's use one call later; until then it may
+    // admit less than the plan allows.
     assert!((14..=20).contains(&more), "{more} of the 20 more");
-    // A lease is held, then the plan falls to a fifth: the rest of the lease is not spent.
+    // The plan's burst falls to a fifth while a lease is held: the rest of the lease is not spent.
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
     assert!(fleet.gateways[0].decisions.customers().any(|c| c.leased_units >= 4.0));
@@ -179,7 +179,7 @@
         "the plan is removed for new requests"
     );
     assert!(is_rejected(&gateway.request(4, "d", "capped", "unsafe"), 4), "and so is the class");
-    // It may have been executed: neither retried nor rejected.
+    // The request may have been executed: it is neither retried nor rejected.
     assert!(is_failed(&gateway.end_attempt(1, 0, &backend, AttemptOutcome::ConnectionLost), 1));
     gateway.serve(2, &backend_2, 1.0);
     assert_eq!(
@@ -203,8 +203,8 @@
 fn a_gateway_that_drains_returns_what_it_did_not_use() {
     let mut fleet = Fleet::new(2);
     assert_eq!(fleet.request(0, 1, "plain"), 1);
-    let held: f64 = fleet.counters.values().sum();
-    assert_eq!(held, 5.0, "its even part of the burst");
+    let units: f64 = fleet.counters.values().sum();
+    assert_eq!(units, 5.0, "its even part of the burst");
     let actions = fleet.gateways[0].handle(Event::ShutdownStarted);
     fleet.execute(0, actions);
     assert_eq!(fleet.counters.values().sum::<f64>(), 1.0, "what was used stays counted");
@@ -252,8 +252,8 @@
     assert!(more <= 1, "{more} more after the fleet grew: a fallback budget was granted anew");
 }
 
-/// The counter comes back empty exactly when the plans change: what was used is reported again by each gateway, and
-/// the ceiling holds.
+/// The counter loses its totals exactly when the plans change: each gateway reports again what it used, and the ceiling
+/// holds.
 #[test]
 fn a_counter_emptied_at_a_settings_change_does_not_exceed_the_ceiling() {
     let mut fleet = Fleet::new(3);
@@ -274,13 +274,13 @@
         }
         fleet.advance(10.0);
         let mut sent = 0;
-        for at in 0..3 {
+        for gateway in 0..3 {
             id += 1;
-            sent += fleet.request(at, id, "ceiling");
+            sent += fleet.request(gateway, id, "ceiling");
         }
         ceiling.step(10.0, sent);
         after += if step >= 100 { sent } else { 0 };
     }
-    assert!(ceiling.lowest >= -plan.ceiling_slack, "{:.1} below its ceiling", -ceiling.lowest);
+    assert!(ceiling.min_units >= -plan.ceiling_slack, "{:.1} below its ceiling", -ceiling.min_units);
     assert!(after as f64 >= plan.rate * 2.0 * 9.0 * 0.6, "only {after} sent on after the change");
 }
