--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
     BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
     Plan, RequestClass,
 };
-use doorcourse_graphql::{DEPTH_MOST, Limits as QueryLimits, OperationKind, Schema};
+use doorcourse_graphql::{HARD_DEPTH_LIMIT, Limits as QueryLimits, OperationKind, Schema};
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -573,7 +573,7 @@
     QueryLimits {
         bytes: whole("document_bytes", raw.document_bytes, d.bytes as u64, 1..=16 << 20) as usize,
         tokens: whole("tokens", raw.tokens, d.tokens as u64, 1..=1_000_000) as usize,
-        depth: whole("depth", raw.depth, d.depth as u64, 1..=DEPTH_MOST as u64) as usize,
+        depth: whole("depth", raw.depth, d.depth as u64, 1..=HARD_DEPTH_LIMIT as u64) as usize,
         aliases: whole("aliases", raw.aliases, d.aliases as u64, 0..=100_000) as usize,
         expansion: whole("expansion", raw.expansion, d.expansion, 1..=1_000_000),
         list_size: check.figure("graphql.list_size", raw.list_size.unwrap_or(d.list_size), 0.0..=1e6),
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -33,7 +33,7 @@
 pub use shape::Shape;
 pub use validate::validate;
 
-/// Bounds on a document. Each has a default; the greatest depth is [`DEPTH_MOST`].
+/// Bounds on a document. Each has a default; the greatest depth is [`HARD_DEPTH_LIMIT`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bytes of the source.
@@ -51,7 +51,7 @@
 }
 
 /// The greatest [`Limits::depth`] that may be set: what recursion the stack surely bears.
-pub const DEPTH_MOST: usize = 200;
+pub const HARD_DEPTH_LIMIT: usize = 200;
 
 impl Default for Limits {
     fn default() -> Self {
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -2,7 +2,7 @@
 
 use crate::ast::*;
 use crate::lexer::{Kind, Token, tokens};
-use crate::{DEPTH_MOST, Error, Limits, Pos};
+use crate::{Error, HARD_DEPTH_LIMIT, Limits, Pos};
 
 /// Parses a source that holds operations, fragments, a type system, or all of them.
 ///
@@ -11,7 +11,7 @@
 pub fn parse(source: &str, limits: &Limits) -> Result<Document, Error> {
     let tokens = tokens(source, limits)?;
     let document = Document { tokens: tokens.len() - 1, ..Document::default() };
-    let most = limits.depth.min(DEPTH_MOST);
+    let most = limits.depth.min(HARD_DEPTH_LIMIT);
     let mut parser = Parser { tokens, next: 0, depth: 0, most, aliases: limits.aliases, document };
     if parser.peek().kind == Kind::End {
         return Err(Error::new(parser.peek().at, "the document is empty"));
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -3,7 +3,7 @@
 use crate::ast::*;
 use crate::parser::parse;
 use crate::variables::literal;
-use crate::{DEPTH_MOST, Error, Limits, OperationKind, Pos};
+use crate::{Error, HARD_DEPTH_LIMIT, Limits, OperationKind, Pos};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(crate) type TypeId = usize;
@@ -113,8 +113,13 @@
     /// # Errors
     /// Every fault found, with its place.
     pub fn parse(source: &str) -> Result<Self, Vec<Error>> {
-        let limits =
-            Limits { bytes: 8 << 20, tokens: 1 << 20, depth: DEPTH_MOST, aliases: 0, ..Limits::default() };
+        let limits = Limits {
+            bytes: 8 << 20,
+            tokens: 1 << 20,
+            depth: HARD_DEPTH_LIMIT,
+            aliases: 0,
+            ..Limits::default()
+        };
         let document = parse(source, &limits).map_err(|e| vec![e])?;
         let built_in = parse(BUILT_IN, &limits).map_err(|e| vec![e])?;
         let mut builder = Builder::default();
