--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::{Args, Subcommand};
-use doorcourse_graphql::{Error, Limits, OperationKind, Prepared, Schema, parse, validate};
+use doorcourse_graphql::{Error, Limits, OperationKind, PreparedOperation, Schema, parse, validate};
 use serde_json::{Map, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -101,8 +101,13 @@
                 Err(errors) => return Ok(told(&schema.schema, &errors)),
             };
             let source = read(&file)?;
-            let prepared =
-                Prepared::new(schema.into(), &source, operation.as_deref(), variables.as_ref(), limits);
+            let prepared = PreparedOperation::new(
+                schema.into(),
+                &source,
+                operation.as_deref(),
+                variables.as_ref(),
+                limits,
+            );
             Ok(match prepared {
                 Err(errors) => told(&file, &errors),
                 Ok(prepared) => {
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -4,7 +4,7 @@
 use doorcourse_emulators::{
     CATALOGUE, Operation, RequestOutcome, RequestSource, ScheduledRequest, operations,
 };
-use doorcourse_graphql::{Limits, Prepared, Schema};
+use doorcourse_graphql::{Limits, PreparedOperation, Schema};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -214,7 +214,7 @@
         let mut asked = Vec::new();
         for operation in operations() {
             let prepared =
-                Prepared::new(Arc::clone(&schema), &operation.query, None, None, Limits::default());
+                PreparedOperation::new(Arc::clone(&schema), &operation.query, None, None, Limits::default());
             let units = prepared.map_err(|e| anyhow::anyhow!("{}: {e:?}", operation.name))?.cost().units;
             asked.push(Asked { weight: weight(operation.name), operation, units });
         }
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -7,7 +7,7 @@
 use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
-use doorcourse_graphql::{Limits, Prepared, Schema, Shape};
+use doorcourse_graphql::{Limits, PreparedOperation, Schema, Shape};
 use doorcourse_http::{
     Decoder, Framing, Head, Limits as HttpLimits, Part, Role, chunk, chunk_end, response_head,
 };
@@ -133,7 +133,7 @@
     connection: usize,
     node: usize,
     incarnation: u32,
-    prepared: Prepared,
+    prepared: PreparedOperation,
 }
 
 enum TimerEvent {
@@ -444,14 +444,15 @@
         let limits = Limits { tokens: 100_000, aliases: 10_000, expansion: 1_000_000, ..Limits::default() };
         let variables = request["variables"].as_object();
         let operation = request["operationName"].as_str();
-        let prepared = match Prepared::new(Arc::clone(&self.schema), query, operation, variables, limits) {
-            Ok(prepared) => prepared,
-            Err(errors) => {
-                let message = errors.first().map_or(String::new(), ToString::to_string);
-                let answer = serde_json::json!({"errors": [{"message": message}]}).to_string();
-                return self.reply(slot, attempt, 400, &answer, 0.0);
-            }
-        };
+        let prepared =
+            match PreparedOperation::new(Arc::clone(&self.schema), query, operation, variables, limits) {
+                Ok(prepared) => prepared,
+                Err(errors) => {
+                    let message = errors.first().map_or(String::new(), ToString::to_string);
+                    let answer = serde_json::json!({"errors": [{"message": message}]}).to_string();
+                    return self.reply(slot, attempt, 400, &answer, 0.0);
+                }
+            };
         self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
         let idempotency_key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
--- a/crates/graphql/benches/price.rs
+++ b/crates/graphql/benches/price.rs
@@ -1,7 +1,7 @@
 //! What parsing, pricing and counting cost, for a small query and one of forty fields.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use doorcourse_graphql::{Limits, Prepared, Schema, parse};
+use doorcourse_graphql::{Limits, PreparedOperation, Schema, parse};
 use std::hint::black_box;
 use std::sync::Arc;
 
@@ -19,7 +19,8 @@
         let mut group = c.benchmark_group(name);
         group.throughput(Throughput::Bytes(source.len() as u64));
         group.bench_function("parse", |b| b.iter(|| parse(black_box(&source), &Limits::default()).unwrap()));
-        let prepare = || Prepared::new(schema.clone(), &source, None, None, Limits::default()).unwrap();
+        let prepare =
+            || PreparedOperation::new(schema.clone(), &source, None, None, Limits::default()).unwrap();
         group.bench_function("parse, validate and price", |b| b.iter(|| prepare().cost()));
         let rows: String =
             (0..40).map(|n| format!("\"p{n}\":{{\"id\":\"{n}\",\"title\":\"t\",\"url\":\"u\"}},")).collect();
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -4,11 +4,11 @@
 //! specification (`@cost`, `@listSize`). No I/O; no recursion deeper than [`Limits::depth`] allows.
 //!
 //! ```
-//! use doorcourse_graphql::{Limits, Prepared, Schema};
+//! use doorcourse_graphql::{Limits, PreparedOperation, Schema};
 //! let limits = Limits::default();
 //! let schema = Schema::parse("type Query { previews(first: Int!): [Preview!]!
 //!     @cost(weight: \"0\") @listSize(slicingArguments: [\"first\"]) } type Preview { url: String }").unwrap();
-//! let prepared = Prepared::new(schema.into(), "{ previews(first: 40) { url } }", None, None, limits).unwrap();
+//! let prepared = PreparedOperation::new(schema.into(), "{ previews(first: 40) { url } }", None, None, limits).unwrap();
 //! assert_eq!(prepared.cost().units, 40.0);
 //! ```
 
@@ -27,7 +27,7 @@
 pub use ast::{Document, OperationKind};
 pub use parser::parse;
 pub use plan::Cost;
-pub use prepare::Prepared;
+pub use prepare::PreparedOperation;
 pub use scan::{Counted, Scan};
 pub use schema::Schema;
 pub use shape::Shape;
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -10,7 +10,7 @@
 
 /// An operation that may be priced, sent on, and whose answer can be counted.
 #[derive(Debug)]
-pub struct Prepared {
+pub struct PreparedOperation {
     plan: Plan,
     root: NodeId,
     kind: OperationKind,
@@ -18,7 +18,7 @@
     cost: Cost,
 }
 
-impl Prepared {
+impl PreparedOperation {
     /// Parses and validates a request and prices the operation named, or the only one.
     ///
     /// # Errors
--- a/crates/graphql/src/shape.rs
+++ b/crates/graphql/src/shape.rs
@@ -1,7 +1,7 @@
 //! Answers of the right shape without data behind them: what a stand-in for a service writes.
 
 use crate::plan::{NodeId, Plan};
-use crate::prepare::Prepared;
+use crate::prepare::PreparedOperation;
 use std::fmt::Write;
 
 /// What a stand-in chooses of an answer.
@@ -12,7 +12,7 @@
     fn text(&mut self, field: &str, out: &mut String);
 }
 
-impl Prepared {
+impl PreparedOperation {
     /// Appends the JSON object that belongs under `data`.
     pub fn write_data(&mut self, shape: &mut dyn Shape, out: &mut String) {
         let root = self.root();
--- a/crates/graphql/tests/documents.rs
+++ b/crates/graphql/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Validation, cost, and the count of an answer.
 
-use doorcourse_graphql::{Counted, Error, Limits, OperationKind, Prepared, Schema};
+use doorcourse_graphql::{Counted, Error, Limits, OperationKind, PreparedOperation, Schema};
 use proptest::prelude::*;
 use serde_json::{Map, Value, json};
 use std::sync::Arc;
@@ -29,9 +29,9 @@
     Schema::parse(SDL).unwrap().into()
 }
 
-fn prepare(source: &str, variables: Value) -> Result<Prepared, Vec<Error>> {
+fn prepare(source: &str, variables: Value) -> Result<PreparedOperation, Vec<Error>> {
     let variables: Map<String, Value> = serde_json::from_value(variables).unwrap();
-    Prepared::new(schema(), source, None, Some(&variables), Limits::default())
+    PreparedOperation::new(schema(), source, None, Some(&variables), Limits::default())
 }
 
 fn units(source: &str, variables: Value) -> f64 {
@@ -102,12 +102,12 @@
     let limits = Limits { expansion: u64::MAX, ..Limits::default() };
     refused_depth(&source.replace("F25 on Preview { url }", "F25 on Preview { url } "), limits);
     let deep = Limits { depth: 60, ..limits };
-    let prepared = Prepared::new(schema(), &source, None, None, deep).unwrap();
+    let prepared = PreparedOperation::new(schema(), &source, None, None, deep).unwrap();
     assert!(prepared.cost().units > 1e14);
 }
 
 fn refused_depth(source: &str, limits: Limits) {
-    let errors = Prepared::new(schema(), source, None, None, limits).unwrap_err();
+    let errors = PreparedOperation::new(schema(), source, None, None, limits).unwrap_err();
     assert!(errors[0].to_string().contains("deep with all fragments spread, at most 30"), "{errors:?}");
 }
 
@@ -119,14 +119,14 @@
         chain += &format!("fragment F{n} on Preview {{ ...F{} }} ", n + 1);
     }
     chain += "fragment F20000 on Preview { url }";
-    let errors = Prepared::new(schema(), &chain, None, None, limits).unwrap_err();
+    let errors = PreparedOperation::new(schema(), &chain, None, None, limits).unwrap_err();
     assert!(errors[0].message.contains("deep"), "{errors:?}");
     for (open, inner, close) in [("{ a ", "", "}"), ("{ a(b: [", "", "]) }"), ("{ a(b: {c: ", "1", "}) }")] {
         let source = open.repeat(100_000) + inner + &close.repeat(100_000);
-        assert!(Prepared::new(schema(), &source, None, None, limits).is_err());
+        assert!(PreparedOperation::new(schema(), &source, None, None, limits).is_err());
     }
     let source = format!("{{ a(b: {}1{}) }}", "[".repeat(100_000), "]".repeat(100_000));
-    let errors = Prepared::new(schema(), &source, None, None, limits).unwrap_err();
+    let errors = PreparedOperation::new(schema(), &source, None, None, limits).unwrap_err();
     assert!(errors[0].message.contains("nested deeper than 30"), "{errors:?}");
 }
 
@@ -254,7 +254,7 @@
 
     #[test]
     fn noise_never_panics(noise in "[{}()\\[\\]:!$@\"\\\\a-z0-9. \n#|&=\u{e9}-]{0,80}") {
-        let _ = Prepared::new(schema(), &noise, None, None, Limits::default());
+        let _ = PreparedOperation::new(schema(), &noise, None, None, Limits::default());
         let _ = Schema::parse(&noise);
         let mut scan = prepare("{ one { __typename } }", json!({})).unwrap().scan(20);
         scan.feed(noise.as_bytes());
@@ -315,10 +315,10 @@
 fn thousands_of_equal_fields_are_merged_in_near_linear_time() {
     let limits = Limits { bytes: 1 << 20, tokens: 100_000, expansion: 20_000, ..Limits::default() };
     let equal = format!("{{ {} }}", "preview(id: 1) { url like { title } } ".repeat(3000));
-    let prepared = Prepared::new(schema(), &equal, None, None, limits);
+    let prepared = PreparedOperation::new(schema(), &equal, None, None, limits);
     assert!(prepared.is_ok());
     let odd = equal.replacen("like { title }", "like { title: url }", 1);
-    assert!(Prepared::new(schema(), &odd, None, None, limits).is_err());
+    assert!(PreparedOperation::new(schema(), &odd, None, None, limits).is_err());
 }
 
 #[test]
--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -17,7 +17,7 @@
 
 use doorcourse::{Millis, Name};
 use doorcourse_config::Customer;
-use doorcourse_graphql::Prepared;
+use doorcourse_graphql::PreparedOperation;
 use std::sync::Arc;
 
 /// The client's deadline for its response, in ms from the arrival of the request's head: a number above 0.
@@ -73,7 +73,7 @@
     pub body: Vec<u8>,
     /// Fields that are forwarded to the backend.
     pub forwarded_fields: Vec<(String, String)>,
-    pub prepared: Prepared,
+    pub prepared: PreparedOperation,
     /// The route that the client's session names; empty for none.
     pub sticky_route: Name,
 }
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -5,7 +5,7 @@
 use super::{MediaType, Request, RequestHead};
 use doorcourse::Millis;
 use doorcourse_config::Config;
-use doorcourse_graphql::{OperationKind, Prepared};
+use doorcourse_graphql::{OperationKind, PreparedOperation};
 use doorcourse_request_lifecycle::{
     ExceedsPlanCapacity, check_plan_capacity, operation_class, request_timeout,
 };
@@ -44,10 +44,10 @@
 
 fn prepare(
     config: &Config, media: MediaType, operation: &OperationParameters<'_>,
-) -> Result<Prepared, Response> {
+) -> Result<PreparedOperation, Response> {
     let OperationParameters { query, operation_name, variables } = *operation;
     let schema = Arc::clone(&config.schema);
-    Prepared::new(schema, query, operation_name, variables, config.query_limits)
+    PreparedOperation::new(schema, query, operation_name, variables, config.query_limits)
         .map_err(|errors| query_errors(media, "GRAPHQL_VALIDATION_FAILED", &errors))
 }
 
@@ -64,7 +64,9 @@
     Ok(())
 }
 
-fn check_introspection(config: &Config, media: MediaType, operation: &Prepared) -> Result<(), Response> {
+fn check_introspection(
+    config: &Config, media: MediaType, operation: &PreparedOperation,
+) -> Result<(), Response> {
     let is_introspection = |field: &String| field.starts_with("__") && field != "__typename";
     if !config.introspection && operation.root_fields().iter().any(is_introspection) {
         let message = "introspection is not answered here";
@@ -74,7 +76,7 @@
 }
 
 /// The index of the operation's class: the strictest of its root fields.
-fn class(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
+fn class(config: &Config, media: MediaType, operation: &PreparedOperation) -> Result<usize, Response> {
     let kind = operation.kind();
     let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
     operation_class(&config.decisions.classes, classes)
