--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -499,10 +499,10 @@
         pending
             .prepared
             .write_data(&mut ResponseShape { extra_text_bytes: node.extra_text_bytes }, &mut answer);
-        let mut scan = pending.prepared.scan(100);
+        let mut scan = pending.prepared.into_response_scanner(100);
         scan.feed(answer.as_bytes());
         scan.feed(b"}");
-        let units = scan.counted().units;
+        let units = scan.cost().units;
         let reported_cost = units * node.cost_factor;
         answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{reported_cost}}}}}}}");
         let index = pending.node;
--- a/crates/graphql/benches/price.rs
+++ b/crates/graphql/benches/price.rs
@@ -28,10 +28,10 @@
         group.throughput(Throughput::Bytes(answer.len() as u64));
         group.bench_function("count an answer", |b| {
             b.iter_batched(
-                || prepare().scan(50),
+                || prepare().into_response_scanner(50),
                 |mut scan| {
                     scan.feed(answer.as_bytes());
-                    scan.counted()
+                    scan.cost()
                 },
                 criterion::BatchSize::SmallInput,
             );
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -28,7 +28,7 @@
 pub use parser::parse;
 pub use plan::Cost;
 pub use prepare::PreparedOperation;
-pub use scan::{Counted, Scan};
+pub use scan::{ResponseCost, ResponseScanner};
 pub use schema::Schema;
 pub use shape::Shape;
 pub use validate::validate;
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -2,7 +2,7 @@
 
 use crate::ast::*;
 use crate::plan::{Cost, NodeId, Plan};
-use crate::scan::Scan;
+use crate::scan::ResponseScanner;
 use crate::variables::coerce_all;
 use crate::{Error, Limits, Schema, parse, validate};
 use serde_json::{Map, Value as Json};
@@ -89,7 +89,7 @@
 
     /// A counter for an answer to this operation, which takes the operation over.
     #[must_use]
-    pub fn scan(self, depth: usize) -> Scan {
-        Scan::new(self.plan, self.root, depth)
+    pub fn into_response_scanner(self, depth: usize) -> ResponseScanner {
+        ResponseScanner::new(self.plan, self.root, depth)
     }
 }
--- a/crates/graphql/src/scan.rs
+++ b/crates/graphql/src/scan.rs
@@ -7,17 +7,17 @@
 
 /// What an answer came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Counted {
+pub struct ResponseCost {
     /// The weights of what came back: fields and values, by the same weights as the price.
     pub units: f64,
     /// Whether it is one whole JSON object with `data` or `errors`.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether it holds data other than null.
-    pub data: bool,
+    pub has_data: bool,
     /// Whether it holds errors.
-    pub errors: bool,
+    pub has_errors: bool,
     /// What the node claims in `extensions.cost`, as a number or in its `actualCost`.
-    pub claim: Option<f64>,
+    pub reported_cost: Option<f64>,
 }
 
 /// What a value at some place means.
@@ -62,7 +62,7 @@
 
 /// Counts one answer.
 #[derive(Debug)]
-pub struct Scan {
+pub struct ResponseScanner {
     plan: Plan,
     root: NodeId,
     depth: usize,
@@ -71,23 +71,35 @@
     /// The place of the value that comes next.
     next: Place,
     word: Vec<u8>,
-    counted: Counted,
+    counted: ResponseCost,
 }
 
 /// The longest key that is told apart; an alias is a name in a document of bounded size, but a node may send any.
 const KEY: usize = 1 << 16;
 const WORD: usize = 64;
 
-impl Scan {
+impl ResponseScanner {
     pub(crate) fn new(plan: Plan, root: NodeId, depth: usize) -> Self {
-        let counted = Counted { units: 0.0, whole: false, data: false, errors: false, claim: None };
+        let counted = ResponseCost {
+            units: 0.0,
+            complete: false,
+            has_data: false,
+            has_errors: false,
+            reported_cost: None,
+        };
         let (stack, want) = (Vec::new(), Want::Value { or_end: false });
         Self { plan, root, depth, stack, want, next: Place::Answer, word: Vec::new(), counted }
     }
 
     /// Starts again, for another answer to the same operation.
     pub fn reset(&mut self) {
-        self.counted = Counted { units: 0.0, whole: false, data: false, errors: false, claim: None };
+        self.counted = ResponseCost {
+            units: 0.0,
+            complete: false,
+            has_data: false,
+            has_errors: false,
+            reported_cost: None,
+        };
         self.stack.clear();
         (self.want, self.next) = (Want::Value { or_end: false }, Place::Answer);
     }
@@ -104,15 +116,15 @@
 
     /// Whether what came so far can no longer become an answer.
     #[must_use]
-    pub fn malformed(&self) -> bool {
+    pub fn is_malformed(&self) -> bool {
         self.want == Want::Bad
     }
 
     /// What has been counted; `whole` only when the answer is at its end.
     #[must_use]
-    pub fn counted(&self) -> Counted {
-        let told = self.counted.data || self.counted.errors;
-        Counted { whole: self.want == Want::Nothing && told, ..self.counted }
+    pub fn cost(&self) -> ResponseCost {
+        let told = self.counted.has_data || self.counted.has_errors;
+        ResponseCost { complete: self.want == Want::Nothing && told, ..self.counted }
     }
 
     fn byte(&mut self, b: u8) {
@@ -193,14 +205,14 @@
         let mut node = None;
         match place {
             Place::Data if !array => {
-                self.counted.data = true;
+                self.counted.has_data = true;
                 node = Some(self.root);
             }
             Place::Value { node: below, named } if !array => {
                 self.counted.units += self.plan.schema.type_weight(named);
                 node = below;
             }
-            Place::Errors => self.counted.errors = true,
+            Place::Errors => self.counted.has_errors = true,
             _ => {}
         }
         self.stack.push(Frame { array, place, node });
@@ -234,7 +246,7 @@
                 };
                 self.leaf();
                 if let Place::Claim = self.next {
-                    self.counted.claim = Some(number);
+                    self.counted.reported_cost = Some(number);
                 }
             }
         }
@@ -272,9 +284,9 @@
 /// Whether a word is a number by RFC 8259, section 6.
 fn json_number(word: &[u8]) -> bool {
     let rest = word.strip_prefix(b"-").unwrap_or(word);
-    let whole = rest.iter().take_while(|b| b.is_ascii_digit()).count();
-    let fits = whole > 0 && (whole == 1 || rest[0] != b'0');
-    let mut rest = &rest[whole..];
+    let integer_digits = rest.iter().take_while(|b| b.is_ascii_digit()).count();
+    let fits = integer_digits > 0 && (integer_digits == 1 || rest[0] != b'0');
+    let mut rest = &rest[integer_digits..];
     if let Some(after) = rest.strip_prefix(b".") {
         let digits = after.iter().take_while(|b| b.is_ascii_digit()).count();
         if digits == 0 {
--- a/crates/graphql/tests/documents.rs
+++ b/crates/graphql/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Validation, cost, and the count of an answer.
 
-use doorcourse_graphql::{Counted, Error, Limits, OperationKind, PreparedOperation, Schema};
+use doorcourse_graphql::{Error, Limits, OperationKind, PreparedOperation, ResponseCost, Schema};
 use proptest::prelude::*;
 use serde_json::{Map, Value, json};
 use std::sync::Arc;
@@ -43,10 +43,10 @@
     assert!(errors.iter().any(|e| e.to_string().contains(part)), "{source}: {errors:?} lacks {part:?}");
 }
 
-fn counted(source: &str, answer: &str) -> Counted {
-    let mut scan = prepare(source, json!({})).unwrap().scan(20);
+fn counted(source: &str, answer: &str) -> ResponseCost {
+    let mut scan = prepare(source, json!({})).unwrap().into_response_scanner(20);
     scan.feed(answer.as_bytes());
-    scan.counted()
+    scan.cost()
 }
 
 #[test]
@@ -197,22 +197,25 @@
     let answer = r#"{"data":{"previews":[{"waveform":"a]}\"","like":[{"url":"x"},null]},{"waveform":null,"like":null}]}}"#;
     // Two previews, one liked; the field `like` weighs 1 and `waveform` 0.5 for each of the two.
     let found = counted(query, answer);
-    assert_eq!((found.units, found.whole, found.data), (2.0 + 1.0 + 2.0 * 1.0 + 2.0 * 0.5, true, true));
+    assert_eq!(
+        (found.units, found.complete, found.has_data),
+        (2.0 + 1.0 + 2.0 * 1.0 + 2.0 * 0.5, true, true)
+    );
     let claimed =
         counted(query, r#"{"data":{"previews":[]},"extensions":{"cost":{"actualCost":7.5,"x":1}}}"#);
-    assert_eq!((claimed.units, claimed.claim), (0.0, Some(7.5)));
+    assert_eq!((claimed.units, claimed.reported_cost), (0.0, Some(7.5)));
     let failed = counted(query, r#"{"errors":[{"message":"no"}],"data":null}"#);
-    assert_eq!((failed.whole, failed.data, failed.errors, failed.units), (true, false, true, 0.0));
+    assert_eq!((failed.complete, failed.has_data, failed.has_errors, failed.units), (true, false, true, 0.0));
     // What was not asked for has no weight, wherever it stands, also behind an escaped key.
     let odd = counted(
         query,
         r#"{"data":{"preview\u0073":[{"junk":[{"waveform":"x"}]}],"data":{"previews":[{}]}}}"#,
     );
-    assert_eq!((odd.units, odd.whole), (1.0, true));
+    assert_eq!((odd.units, odd.complete), (1.0, true));
 }
 
 #[test]
-fn cut_and_malformed_answers_are_not_whole() {
+fn cut_and_is_malformed_answers_are_not_whole() {
     let query = "{ previews(first: 40) { waveform } }";
     for bad in [
         "",
@@ -230,10 +233,10 @@
         "{}",
         r#"{"other":1}"#,
     ] {
-        assert!(!counted(query, bad).whole, "{bad}");
+        assert!(!counted(query, bad).complete, "{bad}");
     }
     let deep = format!(r#"{{"data":{}"#, "[".repeat(100));
-    assert!(!counted(query, &deep).whole);
+    assert!(!counted(query, &deep).complete);
 }
 
 proptest! {
@@ -243,20 +246,20 @@
         let answer = json!({"data": {"previews": rows}}).to_string();
         let query = "{ previews(first: 40) { waveform like { url } } }";
         let cut = cut.min(answer.len());
-        let mut scan = prepare(query, json!({})).unwrap().scan(20);
+        let mut scan = prepare(query, json!({})).unwrap().into_response_scanner(20);
         scan.feed(&answer.as_bytes()[..cut]);
         scan.feed(&answer.as_bytes()[cut..]);
         let likes: f64 = list.iter().map(|n| f64::from(*n)).sum();
         let wanted = list.len() as f64 * 2.5 + likes;
-        prop_assert_eq!(scan.counted().units, wanted);
-        prop_assert!(scan.counted().whole);
+        prop_assert_eq!(scan.cost().units, wanted);
+        prop_assert!(scan.cost().complete);
     }
 
     #[test]
     fn noise_never_panics(noise in "[{}()\\[\\]:!$@\"\\\\a-z0-9. \n#|&=\u{e9}-]{0,80}") {
         let _ = PreparedOperation::new(schema(), &noise, None, None, Limits::default());
         let _ = Schema::parse(&noise);
-        let mut scan = prepare("{ one { __typename } }", json!({})).unwrap().scan(20);
+        let mut scan = prepare("{ one { __typename } }", json!({})).unwrap().into_response_scanner(20);
         scan.feed(noise.as_bytes());
     }
 }
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -64,7 +64,7 @@
             needs_idempotency_key: class.idempotency == Idempotency::WithKey,
             units: request.units,
             attempt: Attempt::default(),
-            response: BufferedResponse::new(request.prepared.scan(config.answer_depth)),
+            response: BufferedResponse::new(request.prepared.into_response_scanner(config.answer_depth)),
         };
         let body_bytes = in_flight.body.len() as u64;
         self.requests.insert(id, in_flight);
@@ -151,9 +151,9 @@
             AttemptEvent::End => {
                 request.response.set_complete();
                 request.attempt.connection = None;
-                let counted = request.response.scan.counted();
-                log_cost_claim(&mut self.logged_cost_claims, request, counted.claim, counted.units);
-                LifecycleEvent::ResponseEnd { complete: counted.whole, units: counted.units }
+                let counted = request.response.scan.cost();
+                log_cost_claim(&mut self.logged_cost_claims, request, counted.reported_cost, counted.units);
+                LifecycleEvent::ResponseEnd { complete: counted.complete, units: counted.units }
             }
         };
         self.handle_event(now, id, event);
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -5,7 +5,7 @@
 use crate::clients::ForwardedHead;
 use crate::graphql_front::MediaType;
 use doorcourse::{AttemptEnd, AttemptOutcome, Millis, Name, RequestId};
-use doorcourse_graphql::Scan;
+use doorcourse_graphql::ResponseScanner;
 use doorcourse_http::{Framing, Head};
 use doorcourse_request_lifecycle::RequestLifecycle;
 
@@ -91,11 +91,11 @@
     /// Whether the head is forwarded already.
     forwarding: bool,
     /// Counts the cost of the response while it passes.
-    pub scan: Scan,
+    pub scan: ResponseScanner,
 }
 
 impl BufferedResponse {
-    pub(super) fn new(scan: Scan) -> Self {
+    pub(super) fn new(scan: ResponseScanner) -> Self {
         Self { head: None, buffer: Vec::new(), complete: false, forwarding: false, scan }
     }
 
