--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -7,7 +7,7 @@
 use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
-use doorcourse_graphql::{Limits, PreparedOperation, Schema, Shape};
+use doorcourse_graphql::{Limits, PreparedOperation, Schema, StubData};
 use doorcourse_http::{
     Decoder, Framing, Head, Limits as HttpLimits, Part, Role, chunk, chunk_end, response_head,
 };
@@ -599,8 +599,8 @@
     extra_text_bytes: usize,
 }
 
-impl Shape for ResponseShape {
-    fn length(&mut self, field: &str, sized: f64) -> usize {
+impl StubData for ResponseShape {
+    fn list_length(&mut self, field: &str, sized: f64) -> usize {
         match field {
             "similar" => sized as usize * 5,
             "shelf" => sized as usize / 5,
@@ -608,7 +608,7 @@
         }
     }
 
-    fn text(&mut self, field: &str, out: &mut String) {
+    fn write_text(&mut self, field: &str, out: &mut String) {
         out.push_str(field);
         if field == "waveform" || self.extra_text_bytes > 0 {
             out.extend(std::iter::repeat_n('~', self.extra_text_bytes.max(64)));
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -20,7 +20,7 @@
 mod prepare;
 mod scan;
 mod schema;
-mod shape;
+mod stub;
 mod validate;
 mod variables;
 
@@ -30,7 +30,7 @@
 pub use prepare::PreparedOperation;
 pub use scan::{ResponseCost, ResponseScanner};
 pub use schema::Schema;
-pub use shape::Shape;
+pub use stub::StubData;
 pub use validate::validate;
 
 /// Bounds on a document. Each has a default; the greatest depth is [`HARD_DEPTH_LIMIT`].
--- /dev/null
+++ b/crates/graphql/src/stub.rs
@@ -0,0 +1,74 @@
+//! Answers of the right shape without data behind them: what a stand-in for a service writes.
+
+use crate::plan::{NodeId, Plan};
+use crate::prepare::PreparedOperation;
+use std::fmt::Write;
+
+/// What a stand-in chooses of an answer.
+pub trait StubData {
+    /// How many values a list field gets; `sized` is what the price took it for.
+    fn list_length(&mut self, field: &str, assumed_size: f64) -> usize;
+    /// A text for a leaf field.
+    fn write_text(&mut self, field: &str, out: &mut String);
+}
+
+impl PreparedOperation {
+    /// Appends the JSON object that belongs under `data`.
+    pub fn write_data(&mut self, stub_data: &mut dyn StubData, out: &mut String) {
+        let root = self.root();
+        write_object(self.plan_mut(), root, None, stub_data, out);
+    }
+}
+
+fn write_object(
+    plan: &mut Plan, node: NodeId, sized: Option<&(f64, Vec<String>)>, stub_data: &mut dyn StubData,
+    out: &mut String,
+) {
+    out.push('{');
+    for (index, key) in plan.nodes[node].order.clone().into_iter().enumerate() {
+        let entry = plan.nodes[node].entries[&key].clone();
+        let _ = write!(out, "{}\"{key}\":", if index > 0 { "," } else { "" });
+        let assumed_size = sized.filter(|(_, names)| names.contains(&entry.name)).map(|(n, _)| *n);
+        let count = if entry.list {
+            stub_data.list_length(&entry.name, assumed_size.unwrap_or(entry.count))
+        } else {
+            1
+        };
+        if entry.list {
+            out.push('[');
+        }
+        for item in 0..count {
+            if item > 0 {
+                out.push(',');
+            }
+            if entry.sets.is_empty() {
+                write_leaf(plan, &entry.name, entry.named, stub_data, out);
+            } else {
+                let object_type =
+                    plan.schema.types[entry.named].possible.first().copied().unwrap_or(entry.named);
+                let child = plan.node(&entry.sets, object_type);
+                write_object(plan, child, entry.sized.as_ref(), stub_data, out);
+            }
+        }
+        if entry.list {
+            out.push(']');
+        }
+    }
+    out.push('}');
+}
+
+fn write_leaf(plan: &Plan, field: &str, type_id: usize, stub_data: &mut dyn StubData, out: &mut String) {
+    let def = &plan.schema.types[type_id];
+    match def.name.as_str() {
+        "Int" | "Float" => out.push('1'),
+        "Boolean" => out.push_str("true"),
+        _ => {
+            out.push('"');
+            match def.values.first() {
+                Some(value) => out.push_str(value),
+                None => stub_data.write_text(field, out),
+            }
+            out.push('"');
+        }
+    }
+}
