--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -112,7 +112,7 @@
                 Err(errors) => told(&file, &errors),
                 Ok(prepared) => {
                     let cost = prepared.cost();
-                    say!("{} units: {} of fields, {} of types", cost.units, cost.fields, cost.types);
+                    say!("{} units: {} of fields, {} of types", cost.units, cost.field_cost, cost.type_cost);
                     ExitCode::SUCCESS
                 }
             })
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// The weights of the fields asked for, with their arguments.
-    pub fields: f64,
+    pub field_cost: f64,
     /// The weights of the objects and leaves that come back.
-    pub types: f64,
+    pub type_cost: f64,
     /// Both: what an account is charged.
     pub units: f64,
 }
@@ -226,10 +226,10 @@
     /// The price of a node before it runs. Remembered by node: a place is priced once however often it is met.
     pub fn price(&mut self, root: NodeId) -> Cost {
         let mut known = HashMap::new();
-        let (fields, types) = self.price_node(root, None, &mut known);
+        let (field_cost, type_cost) = self.price_node(root, None, &mut known);
         let most = f64::from(u32::MAX) * 1e6;
-        let (fields, types) = (fields.clamp(0.0, most), types.clamp(0.0, most));
-        Cost { fields, types, units: fields + types }
+        let (field_cost, type_cost) = (field_cost.clamp(0.0, most), type_cost.clamp(0.0, most));
+        Cost { field_cost, type_cost, units: field_cost + type_cost }
     }
 
     fn price_node(
@@ -240,33 +240,33 @@
         {
             return *cost;
         }
-        let (mut fields, mut types) = (0.0, 0.0);
+        let (mut field_cost, mut type_cost) = (0.0, 0.0);
         for key in self.nodes[node].order.clone() {
             let entry = self.nodes[node].entries[&key].clone();
             let told = sized.filter(|(_, names)| entry.list && !entry.counted && names.contains(&entry.name));
             let count = told.map_or(entry.count, |(size, _)| *size);
-            fields += entry.weight;
+            field_cost += entry.weight;
             if entry.sets.is_empty() {
-                types += count * self.schema.type_weight(entry.named);
+                type_cost += count * self.schema.type_weight(entry.named);
                 continue;
             }
             // Of the objects that may come back, the dearest.
             let possible: BTreeSet<TypeId> = self.schema.types[entry.named].possible.clone();
-            let mut dearest = (0.0, 0.0);
+            let mut most_expensive = (0.0, 0.0);
             for object in possible {
                 let child = self.node(&entry.sets, object);
-                let (f, t) = self.price_node(child, entry.sized.as_ref(), known);
-                let t = t + self.schema.type_weight(object);
-                if f + t > dearest.0 + dearest.1 {
-                    dearest = (f, t);
+                let (child_field_cost, child_type_cost) = self.price_node(child, entry.sized.as_ref(), known);
+                let child_type_cost = child_type_cost + self.schema.type_weight(object);
+                if child_field_cost + child_type_cost > most_expensive.0 + most_expensive.1 {
+                    most_expensive = (child_field_cost, child_type_cost);
                 }
             }
-            fields += count * dearest.0;
-            types += count * dearest.1;
+            field_cost += count * most_expensive.0;
+            type_cost += count * most_expensive.1;
         }
         if sized.is_none() {
-            known.insert(node, (fields, types));
+            known.insert(node, (field_cost, type_cost));
         }
-        (fields, types)
+        (field_cost, type_cost)
     }
 }
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -54,8 +54,8 @@
             return Err(plan.errors);
         }
         // The root object itself comes back once; only a weight in the schema makes it cost anything.
-        cost.types += plan.schema.types[root_type].weight.unwrap_or(0.0);
-        cost.units = (cost.fields + cost.types).max(0.0);
+        cost.type_cost += plan.schema.types[root_type].weight.unwrap_or(0.0);
+        cost.units = (cost.field_cost + cost.type_cost).max(0.0);
         let node = &plan.nodes[root];
         let root_fields = node.order.iter().map(|k| node.entries[k].name.clone()).collect();
         Ok(Self { plan, root, kind, root_fields, cost })
