--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -72,8 +72,12 @@
                 for (k, name) in document.operations() {
                     say!("{} {}", kind(k), name.unwrap_or("(no name)"));
                 }
-                document.fragments().for_each(|f| say!("fragment {f}"));
-                say!("{} tokens, {} definitions of a type system", document.tokens, document.type_system());
+                document.fragment_names().for_each(|f| say!("fragment {f}"));
+                say!(
+                    "{} tokens, {} definitions of a type system",
+                    document.token_count,
+                    document.type_system_definition_count()
+                );
                 ExitCode::SUCCESS
             }
         }),
--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -178,7 +178,7 @@
     pub(crate) definitions: Vec<Definition>,
     pub(crate) sets: Vec<Vec<Selection>>,
     /// How many tokens the source has.
-    pub tokens: usize,
+    pub token_count: usize,
 }
 
 impl Document {
@@ -188,13 +188,13 @@
     }
 
     /// The names of the fragments.
-    pub fn fragments(&self) -> impl Iterator<Item = &str> {
+    pub fn fragment_names(&self) -> impl Iterator<Item = &str> {
         self.fragments.iter().map(|f| f.name.as_str())
     }
 
     /// How many definitions of a type system there are.
     #[must_use]
-    pub fn type_system(&self) -> usize {
+    pub fn type_system_definition_count(&self) -> usize {
         self.definitions.len()
     }
 
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -10,7 +10,7 @@
 /// The first fault, with its place.
 pub fn parse(source: &str, limits: &Limits) -> Result<Document, Error> {
     let tokens = tokens(source, limits)?;
-    let document = Document { tokens: tokens.len() - 1, ..Document::default() };
+    let document = Document { token_count: tokens.len() - 1, ..Document::default() };
     let most = limits.depth.min(HARD_DEPTH_LIMIT);
     let mut parser = Parser { tokens, next: 0, depth: 0, most, aliases: limits.aliases, document };
     if parser.peek().kind == Kind::End {
