--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -13,7 +13,7 @@
     Subscription,
 }
 
-pub(crate) type SetId = usize;
+pub(crate) type SelectionSetId = usize;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ValueKind {
@@ -91,7 +91,7 @@
     pub name: String,
     pub arguments: Vec<Argument>,
     pub directives: Vec<Directive>,
-    pub set: Option<SetId>,
+    pub selection_set: Option<SelectionSetId>,
     pub at: Pos,
 }
 
@@ -105,7 +105,7 @@
 pub(crate) enum Selection {
     Field(Field),
     Spread { name: String, directives: Vec<Directive>, at: Pos },
-    Inline { condition: Option<String>, directives: Vec<Directive>, set: SetId, at: Pos },
+    Inline { condition: Option<String>, directives: Vec<Directive>, selection_set: SelectionSetId, at: Pos },
 }
 
 #[derive(Clone, Debug)]
@@ -122,7 +122,7 @@
     pub name: Option<String>,
     pub variables: Vec<VariableDef>,
     pub directives: Vec<Directive>,
-    pub set: SetId,
+    pub selection_set: SelectionSetId,
     pub at: Pos,
 }
 
@@ -131,7 +131,7 @@
     pub name: String,
     pub condition: String,
     pub directives: Vec<Directive>,
-    pub set: SetId,
+    pub selection_set: SelectionSetId,
     pub at: Pos,
 }
 
@@ -176,7 +176,7 @@
     pub(crate) operations: Vec<Operation>,
     pub(crate) fragments: Vec<Fragment>,
     pub(crate) definitions: Vec<Definition>,
-    pub(crate) sets: Vec<Vec<Selection>>,
+    pub(crate) selection_sets: Vec<Vec<Selection>>,
     /// How many tokens the source has.
     pub token_count: usize,
 }
@@ -199,14 +199,13 @@
     }
 
     /// Every set that belongs to one, itself included, without those behind fragment spreads.
-    pub(crate) fn sets_below(&self, set: SetId) -> Vec<SetId> {
-        let (mut found, mut at) = (vec![set], 0);
+    pub(crate) fn nested_selection_sets(&self, selection_set: SelectionSetId) -> Vec<SelectionSetId> {
+        let (mut found, mut at) = (vec![selection_set], 0);
         while at < found.len() {
-            for selection in &self.sets[found[at]] {
+            for selection in &self.selection_sets[found[at]] {
                 match selection {
-                    Selection::Field(Field { set: Some(set), .. }) | Selection::Inline { set, .. } => {
-                        found.push(*set)
-                    }
+                    Selection::Field(Field { selection_set: Some(selection_set), .. })
+                    | Selection::Inline { selection_set, .. } => found.push(*selection_set),
                     _ => {}
                 }
             }
@@ -216,10 +215,11 @@
     }
 
     /// Names of the fragments spread anywhere in a set.
-    pub(crate) fn spreads_below(&self, set: SetId) -> Vec<(&str, Pos)> {
-        let sets = self.sets_below(set);
+    pub(crate) fn nested_fragment_spreads(&self, selection_set: SelectionSetId) -> Vec<(&str, Pos)> {
+        let selection_sets = self.nested_selection_sets(selection_set);
         let spread = |s: &'_ Selection| matches!(s, Selection::Spread { .. });
-        let all = sets.into_iter().flat_map(|s| self.sets[s].iter()).filter(|s| spread(s));
+        let all =
+            selection_sets.into_iter().flat_map(|s| self.selection_sets[s].iter()).filter(|s| spread(s));
         all.filter_map(|s| {
             if let Selection::Spread { name, at, .. } = s { Some((name.as_str(), *at)) } else { None }
         })
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -17,11 +17,12 @@
 
 /// Checks a selection set and all below; the document must be valid otherwise.
 pub(crate) fn check(
-    schema: &Schema, document: &Document, fragments: &HashMap<&str, &Fragment>, set: SetId, root: TypeId,
+    schema: &Schema, document: &Document, fragments: &HashMap<&str, &Fragment>,
+    selection_set: SelectionSetId, root: TypeId,
 ) -> Result<(), Error> {
     let mut merge = Merge { schema, document, fragments, visits: 0, seen: [HashSet::new(), HashSet::new()] };
-    merge.sets(&[(set, root)], Pass::Shape)?;
-    merge.sets(&[(set, root)], Pass::Field)
+    merge.selection_sets(&[(selection_set, root)], Pass::Shape)?;
+    merge.selection_sets(&[(selection_set, root)], Pass::Field)
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -39,30 +40,34 @@
     fragments: &'b HashMap<&'b str, &'a Fragment>,
     visits: usize,
     /// Groups of sets that were looked at in each pass.
-    seen: [HashSet<Vec<(SetId, TypeId)>>; 2],
+    seen: [HashSet<Vec<(SelectionSetId, TypeId)>>; 2],
 }
 
 impl<'a> Merge<'a, '_> {
     /// Recursion is as deep as the document nests with its fragments spread, which is bounded.
-    fn sets(&mut self, sets: &[(SetId, TypeId)], pass: Pass) -> Result<(), Error> {
+    fn selection_sets(
+        &mut self, selection_sets: &[(SelectionSetId, TypeId)], pass: Pass,
+    ) -> Result<(), Error> {
         // Most sets: fields alone, no name twice. Nothing is merged there, only below.
-        if let [(set, parent)] = sets
-            && self.distinct(*set)
+        if let [(selection_set, parent)] = selection_sets
+            && self.distinct(*selection_set)
         {
-            for selection in &self.document.sets[*set] {
+            for selection in &self.document.selection_sets[*selection_set] {
                 let Selection::Field(field) = selection else { continue };
                 self.visit(1, field)?;
                 let def = self.schema.types[*parent].fields.get(&field.name);
-                if let (Some(set), Some(def)) = (field.set, def) {
-                    self.sets(&[(set, def.named)], pass)?;
+                if let (Some(selection_set), Some(def)) = (field.selection_set, def) {
+                    self.selection_sets(&[(selection_set, def.named)], pass)?;
                 }
             }
             return Ok(());
         }
-        if sets.is_empty() || !self.seen[usize::from(pass == Pass::Field)].insert(sets.to_vec()) {
+        if selection_sets.is_empty()
+            || !self.seen[usize::from(pass == Pass::Field)].insert(selection_sets.to_vec())
+        {
             return Ok(());
         }
-        for fields in self.gather(sets)?.into_values() {
+        for fields in self.gather(selection_sets)?.into_values() {
             if let Pass::Shape = pass {
                 self.shapes(&fields)?;
                 self.below(&fields, pass)?;
@@ -87,8 +92,8 @@
     }
 
     /// Whether a set holds fields alone, none of one response name.
-    fn distinct(&self, set: SetId) -> bool {
-        let selections = &self.document.sets[set];
+    fn distinct(&self, selection_set: SelectionSetId) -> bool {
+        let selections = &self.document.selection_sets[selection_set];
         let key = |s: &'a Selection| if let Selection::Field(field) = s { Some(field.key()) } else { None };
         if selections.len() > 16 {
             let mut names = HashSet::with_capacity(selections.len());
@@ -109,14 +114,16 @@
     }
 
     /// The fields of some sets by response name, through fragments, in the order of the source.
-    fn gather(&mut self, sets: &[(SetId, TypeId)]) -> Result<BTreeMap<&'a str, Vec<Asked<'a>>>, Error> {
+    fn gather(
+        &mut self, selection_sets: &[(SelectionSetId, TypeId)],
+    ) -> Result<BTreeMap<&'a str, Vec<Asked<'a>>>, Error> {
         let document = self.document;
         let mut all: BTreeMap<&'a str, Vec<Asked<'a>>> = BTreeMap::new();
         let (mut spread, mut open) = (HashSet::new(), Vec::new());
-        open.extend(sets.iter().rev().copied());
-        while let Some((set, parent)) = open.pop() {
+        open.extend(selection_sets.iter().rev().copied());
+        while let Some((selection_set, parent)) = open.pop() {
             let mut inner = Vec::new();
-            for selection in &document.sets[set] {
+            for selection in &document.selection_sets[selection_set] {
                 match selection {
                     Selection::Field(field) => {
                         self.visit(1, field)?;
@@ -126,12 +133,12 @@
                         let Some(fragment) = self.fragments.get(name.as_str()) else { continue };
                         let on = self.schema.find(&fragment.condition);
                         if let Some(on) = on.filter(|_| spread.insert(name.as_str())) {
-                            inner.push((fragment.set, on));
+                            inner.push((fragment.selection_set, on));
                         }
                     }
-                    Selection::Inline { condition, set, .. } => {
+                    Selection::Inline { condition, selection_set, .. } => {
                         let on = condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
-                        inner.extend(on.map(|on| (*set, on)));
+                        inner.extend(on.map(|on| (*selection_set, on)));
                     }
                 }
             }
@@ -142,15 +149,15 @@
 
     /// What the fields of one response name ask of their values, together.
     fn below(&mut self, fields: &[Asked<'a>], pass: Pass) -> Result<(), Error> {
-        let mut sets: Vec<(SetId, TypeId)> = Vec::new();
+        let mut selection_sets: Vec<(SelectionSetId, TypeId)> = Vec::new();
         let mut had = HashSet::new();
         for (field, parent) in fields {
             let def = self.schema.types[*parent].fields.get(&field.name);
-            if let (Some(set), Some(def)) = (field.set, def) {
-                sets.extend(Some((set, def.named)).filter(|s| had.insert(*s)));
+            if let (Some(selection_set), Some(def)) = (field.selection_set, def) {
+                selection_sets.extend(Some((selection_set, def.named)).filter(|s| had.insert(*s)));
             }
         }
-        self.sets(&sets, pass)
+        self.selection_sets(&selection_sets, pass)
     }
 
     fn shapes(&self, fields: &[Asked<'a>]) -> Result<(), Error> {
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -94,9 +94,9 @@
     fn definition(&mut self) -> Parsed<()> {
         let at = self.peek().at;
         if self.is('{') {
-            let set = self.selection_set()?;
+            let selection_set = self.selection_set()?;
             let (kind, name, variables, directives) = (OperationKind::Query, None, Vec::new(), Vec::new());
-            self.document.operations.push(Operation { kind, name, variables, directives, set, at });
+            self.document.operations.push(Operation { kind, name, variables, directives, selection_set, at });
             return Ok(());
         }
         if let Kind::Str(_) = self.peek().kind {
@@ -138,8 +138,8 @@
             }
         }
         let directives = self.directives(false)?;
-        let set = self.selection_set()?;
-        self.document.operations.push(Operation { kind, name, variables, directives, set, at });
+        let selection_set = self.selection_set()?;
+        self.document.operations.push(Operation { kind, name, variables, directives, selection_set, at });
         Ok(())
     }
 
@@ -154,12 +154,12 @@
         }
         let condition = self.name()?;
         let directives = self.directives(false)?;
-        let set = self.selection_set()?;
-        self.document.fragments.push(Fragment { name, condition, directives, set, at });
+        let selection_set = self.selection_set()?;
+        self.document.fragments.push(Fragment { name, condition, directives, selection_set, at });
         Ok(())
     }
 
-    fn selection_set(&mut self) -> Parsed<SetId> {
+    fn selection_set(&mut self) -> Parsed<SelectionSetId> {
         self.expect('{')?;
         self.deeper()?;
         let mut selections = Vec::new();
@@ -168,8 +168,8 @@
             selections.push(selection);
         }
         self.depth -= 1;
-        self.document.sets.push(selections);
-        Ok(self.document.sets.len() - 1)
+        self.document.selection_sets.push(selections);
+        Ok(self.document.selection_sets.len() - 1)
     }
 
     fn selection(&mut self) -> Parsed<Selection> {
@@ -183,8 +183,8 @@
             }
             let condition = if self.eat_word("on") { Some(self.name()?) } else { None };
             let directives = self.directives(false)?;
-            let set = self.selection_set()?;
-            return Ok(Selection::Inline { condition, directives, set, at });
+            let selection_set = self.selection_set()?;
+            return Ok(Selection::Inline { condition, directives, selection_set, at });
         }
         let first = self.name()?;
         let (alias, name) = if self.eat(':') { (Some(first), self.name()?) } else { (None, first) };
@@ -196,8 +196,8 @@
         }
         let arguments = self.arguments(false)?;
         let directives = self.directives(false)?;
-        let set = if self.is('{') { Some(self.selection_set()?) } else { None };
-        Ok(Selection::Field(Field { alias, name, arguments, directives, set, at }))
+        let selection_set = if self.is('{') { Some(self.selection_set()?) } else { None };
+        Ok(Selection::Field(Field { alias, name, arguments, directives, selection_set, at }))
     }
 
     fn arguments(&mut self, constant: bool) -> Parsed<Vec<Argument>> {
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -40,7 +40,7 @@
     pub list: bool,
     /// The size for the fields below that are named by sizedFields.
     pub sized: Option<(f64, Vec<String>)>,
-    pub sets: Vec<SetId>,
+    pub selection_sets: Vec<SelectionSetId>,
 }
 
 #[derive(Debug, Default)]
@@ -54,9 +54,9 @@
     pub schema: Arc<Schema>,
     document: Arc<Document>,
     variables: Map<String, Json>,
-    fragments: HashMap<String, (SetId, Option<TypeId>)>,
+    fragments: HashMap<String, (SelectionSetId, Option<TypeId>)>,
     pub nodes: Vec<Node>,
-    index: HashMap<(Vec<SetId>, TypeId), NodeId>,
+    index: HashMap<(Vec<SelectionSetId>, TypeId), NodeId>,
     list_size: f64,
     pub errors: Vec<Error>,
 }
@@ -65,41 +65,43 @@
     pub fn new(
         schema: Arc<Schema>, document: Arc<Document>, variables: Map<String, Json>, limits: &Limits,
     ) -> Self {
-        let one = |f: &Fragment| (f.name.clone(), (f.set, schema.find(&f.condition)));
+        let one = |f: &Fragment| (f.name.clone(), (f.selection_set, schema.find(&f.condition)));
         let fragments = document.fragments.iter().map(one).collect();
         let (nodes, index, errors) = (Vec::new(), HashMap::new(), Vec::new());
         Self { schema, document, variables, fragments, nodes, index, list_size: limits.list_size, errors }
     }
 
     /// The node for some sets on a type. On an abstract type it holds what any of its objects may answer.
-    pub fn node(&mut self, sets: &[SetId], on: TypeId) -> NodeId {
-        let key = (sets.to_vec(), on);
+    pub fn node(&mut self, selection_sets: &[SelectionSetId], on: TypeId) -> NodeId {
+        let key = (selection_sets.to_vec(), on);
         if let Some(id) = self.index.get(&key) {
             return *id;
         }
         let mut node = Node::default();
         let document = Arc::clone(&self.document);
         let (mut seen, mut open) = (HashSet::new(), Vec::new());
-        open.extend(sets.iter().rev().map(|s| (*s, on)));
-        while let Some((set, parent)) = open.pop() {
+        open.extend(selection_sets.iter().rev().map(|s| (*s, on)));
+        while let Some((selection_set, parent)) = open.pop() {
             let mut inner = Vec::new();
-            for selection in &document.sets[set] {
+            for selection in &document.selection_sets[selection_set] {
                 match selection {
                     Selection::Field(field) if self.included(&field.directives) => {
                         self.add(&mut node, field, parent, on);
                     }
                     Selection::Spread { name, directives, .. } if self.included(directives) => {
-                        let Some((set, Some(condition))) = self.fragments.get(name).copied() else {
+                        let Some((selection_set, Some(condition))) = self.fragments.get(name).copied() else {
                             continue;
                         };
                         if self.applies(condition, on) && seen.insert(name.as_str()) {
-                            inner.push((set, condition));
+                            inner.push((selection_set, condition));
                         }
                     }
-                    Selection::Inline { condition, directives, set, .. } if self.included(directives) => {
+                    Selection::Inline { condition, directives, selection_set, .. }
+                        if self.included(directives) =>
+                    {
                         let id = condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
                         if let Some(id) = id.filter(|id| self.applies(*id, on)) {
-                            inner.push((*set, id));
+                            inner.push((*selection_set, id));
                         }
                     }
                     _ => {}
@@ -136,8 +138,17 @@
         if field.name == "__typename" {
             let (name, key) = (field.name.clone(), field.key().to_owned());
             let named = schema.find("String").unwrap_or_default();
-            let (weight, count, sets) = (0.0, 1.0, Vec::new());
-            let entry = Entry { name, weight, named, count, counted: false, list: false, sized: None, sets };
+            let (weight, count, selection_sets) = (0.0, 1.0, Vec::new());
+            let entry = Entry {
+                name,
+                weight,
+                named,
+                count,
+                counted: false,
+                list: false,
+                sized: None,
+                selection_sets,
+            };
             if node.entries.insert(key.clone(), entry).is_none() {
                 node.order.push(key);
             }
@@ -145,7 +156,7 @@
         }
         let Some(def) = schema.types[home].fields.get(&field.name) else { return };
         if let Some(entry) = node.entries.get_mut(field.key()) {
-            entry.sets.extend(field.set.filter(|s| !entry.sets.contains(s)));
+            entry.selection_sets.extend(field.selection_set.filter(|s| !entry.selection_sets.contains(s)));
             return;
         }
         let composite = schema.types[def.named].is_composite();
@@ -168,10 +179,13 @@
         } else {
             self.list_size
         };
-        let (name, sets) = (field.name.clone(), field.set.into_iter().collect());
+        let (name, selection_sets) = (field.name.clone(), field.selection_set.into_iter().collect());
         let key = field.key().to_owned();
         node.order.push(key.clone());
-        node.entries.insert(key, Entry { name, weight, named: def.named, count, counted, list, sized, sets });
+        node.entries.insert(
+            key,
+            Entry { name, weight, named: def.named, count, counted, list, sized, selection_sets },
+        );
     }
 
     /// The size that `@listSize` tells of a field: by its slicing arguments, else as assumed.
@@ -246,7 +260,7 @@
             let told = sized.filter(|(_, names)| entry.list && !entry.counted && names.contains(&entry.name));
             let count = told.map_or(entry.count, |(size, _)| *size);
             field_cost += entry.weight;
-            if entry.sets.is_empty() {
+            if entry.selection_sets.is_empty() {
                 type_cost += count * self.schema.type_weight(entry.named);
                 continue;
             }
@@ -254,7 +268,7 @@
             let possible: BTreeSet<TypeId> = self.schema.types[entry.named].possible.clone();
             let mut most_expensive = (0.0, 0.0);
             for object in possible {
-                let child = self.node(&entry.sets, object);
+                let child = self.node(&entry.selection_sets, object);
                 let (child_field_cost, child_type_cost) = self.price_node(child, entry.sized.as_ref(), known);
                 let child_type_cost = child_type_cost + self.schema.type_weight(object);
                 if child_field_cost + child_type_cost > most_expensive.0 + most_expensive.1 {
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -45,10 +45,10 @@
         if !errors.is_empty() {
             return Err(errors);
         }
-        let (kind, set) = (chosen.kind, chosen.set);
+        let (kind, selection_set) = (chosen.kind, chosen.selection_set);
         let root_type = schema.root(kind).ok_or_else(|| fault("the schema lacks this root".into()))?;
         let mut plan = Plan::new(schema, Arc::new(document), coerced, &limits);
-        let root = plan.node(&[set], root_type);
+        let root = plan.node(&[selection_set], root_type);
         let mut cost = plan.price(root);
         if !plan.errors.is_empty() {
             return Err(plan.errors);
--- a/crates/graphql/src/scan.rs
+++ b/crates/graphql/src/scan.rs
@@ -271,8 +271,12 @@
             _ => match frame.node.and_then(|n| self.plan.nodes[n].entries.get(key)) {
                 Some(entry) => {
                     self.counted.units += entry.weight;
-                    let (sets, named) = (entry.sets.clone(), entry.named);
-                    let node = if sets.is_empty() { None } else { Some(self.plan.node(&sets, named)) };
+                    let (selection_sets, named) = (entry.selection_sets.clone(), entry.named);
+                    let node = if selection_sets.is_empty() {
+                        None
+                    } else {
+                        Some(self.plan.node(&selection_sets, named))
+                    };
                     Place::Value { node, named }
                 }
                 None => Place::Nothing,
--- a/crates/graphql/src/stub.rs
+++ b/crates/graphql/src/stub.rs
@@ -41,12 +41,12 @@
             if item > 0 {
                 out.push(',');
             }
-            if entry.sets.is_empty() {
+            if entry.selection_sets.is_empty() {
                 write_leaf(plan, &entry.name, entry.named, stub_data, out);
             } else {
                 let object_type =
                     plan.schema.types[entry.named].possible.first().copied().unwrap_or(entry.named);
-                let child = plan.node(&entry.sets, object_type);
+                let child = plan.node(&entry.selection_sets, object_type);
                 write_object(plan, child, entry.sized.as_ref(), stub_data, out);
             }
         }
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -65,11 +65,11 @@
         // What each fragment holds in all, found from the innermost outward: never by spreading them out.
         let mut sizes: HashMap<&str, (u64, usize)> = HashMap::new();
         for fragment in &order {
-            let size = self.size(fragment.set, &sizes);
+            let size = self.size(fragment.selection_set, &sizes);
             sizes.insert(&fragment.name, size);
         }
         for operation in &document.operations {
-            let (fields, depth) = self.size(operation.set, &sizes);
+            let (fields, depth) = self.size(operation.selection_set, &sizes);
             if fields > limits.expansion {
                 let text = format!("{fields} fields with all fragments spread, at most {}", limits.expansion);
                 self.fault(operation.at, text);
@@ -86,7 +86,7 @@
             let mut found = Vec::new();
             let id = self.schema.find(&fragment.condition).filter(|t| self.schema.types[*t].is_composite());
             match id {
-                Some(id) => self.set(fragment.set, id, &fragments, &mut found),
+                Some(id) => self.selection_set(fragment.selection_set, id, &fragments, &mut found),
                 None => self.fault(fragment.at, format!("`{}` is no composite type", fragment.condition)),
             }
             self.directives(&fragment.directives, &mut found);
@@ -100,8 +100,8 @@
         }
         for operation in &document.operations {
             let root = self.schema.root(operation.kind);
-            let merged =
-                root.map(|root| merge::check(self.schema, document, &fragments, operation.set, root));
+            let merged = root
+                .map(|root| merge::check(self.schema, document, &fragments, operation.selection_set, root));
             self.errors.extend(merged.and_then(Result::err));
         }
     }
@@ -114,14 +114,18 @@
         let mut unknown = false;
         for fragment in &document.fragments {
             let own = waits.entry(&fragment.name).or_default();
-            for (name, _) in document.spreads_below(fragment.set) {
+            for (name, _) in document.nested_fragment_spreads(fragment.selection_set) {
                 if fragments.contains_key(name) && own.insert(name) {
                     users.entry(name).or_default().push(&fragment.name);
                 }
             }
         }
-        let roots = document.operations.iter().map(|o| o.set).chain(document.fragments.iter().map(|f| f.set));
-        for (name, at) in roots.flat_map(|s| document.spreads_below(s)) {
+        let roots = document
+            .operations
+            .iter()
+            .map(|o| o.selection_set)
+            .chain(document.fragments.iter().map(|f| f.selection_set));
+        for (name, at) in roots.flat_map(|s| document.nested_fragment_spreads(s)) {
             if !fragments.contains_key(name) {
                 unknown = true;
                 self.errors.push(Error::new(at, format!("fragment `{name}` is not defined")));
@@ -155,16 +159,16 @@
     }
 
     /// Fields and depth of a set with all fragments spread. Recursion only within the source's own nesting.
-    fn size(&self, set: SetId, fragments: &HashMap<&str, (u64, usize)>) -> (u64, usize) {
+    fn size(&self, selection_set: SelectionSetId, fragments: &HashMap<&str, (u64, usize)>) -> (u64, usize) {
         let (mut fields, mut depth) = (0u64, 0);
-        for selection in &self.document.sets[set] {
+        for selection in &self.document.selection_sets[selection_set] {
             let (more, deep) = match selection {
                 Selection::Field(field) => {
-                    let (f, d) = field.set.map_or((0, 0), |s| self.size(s, fragments));
+                    let (f, d) = field.selection_set.map_or((0, 0), |s| self.size(s, fragments));
                     (f.saturating_add(1), d)
                 }
                 Selection::Spread { name, .. } => fragments.get(name.as_str()).copied().unwrap_or((0, 0)),
-                Selection::Inline { set, .. } => self.size(*set, fragments),
+                Selection::Inline { selection_set, .. } => self.size(*selection_set, fragments),
             };
             fields = fields.saturating_add(more);
             depth = depth.max(deep);
@@ -195,14 +199,14 @@
             }
         }
         let mut found = Vec::new();
-        self.set(operation.set, root, fragments, &mut found);
+        self.selection_set(operation.selection_set, root, fragments, &mut found);
         self.directives(&operation.directives, &mut found);
         // The fragments that the operation reaches.
-        let (mut open, mut reached) = (vec![operation.set], BTreeSet::new());
-        while let Some(set) = open.pop() {
-            for (name, _) in self.document.spreads_below(set) {
+        let (mut open, mut reached) = (vec![operation.selection_set], BTreeSet::new());
+        while let Some(selection_set) = open.pop() {
+            for (name, _) in self.document.nested_fragment_spreads(selection_set) {
                 if reached.insert(name) {
-                    open.extend(fragments.get(name).map(|f| f.set));
+                    open.extend(fragments.get(name).map(|f| f.selection_set));
                 }
             }
         }
@@ -220,17 +224,19 @@
             }
         }
         self.errors.extend(errors);
-        if operation.kind == OperationKind::Subscription && self.document.sets[operation.set].len() != 1 {
+        if operation.kind == OperationKind::Subscription
+            && self.document.selection_sets[operation.selection_set].len() != 1
+        {
             self.fault(operation.at, "a subscription has one root field".into());
         }
     }
 
-    fn set(
-        &mut self, set: SetId, parent: TypeId, fragments: &HashMap<&str, &'a Fragment>,
+    fn selection_set(
+        &mut self, selection_set: SelectionSetId, parent: TypeId, fragments: &HashMap<&str, &'a Fragment>,
         uses: &mut Vec<Use<'a>>,
     ) {
         let (document, schema) = (self.document, self.schema);
-        for selection in &document.sets[set] {
+        for selection in &document.selection_sets[selection_set] {
             match selection {
                 Selection::Field(field) => self.field(field, parent, fragments, uses),
                 Selection::Spread { name, directives, at } => {
@@ -240,13 +246,13 @@
                         self.overlap(parent, condition, *at);
                     }
                 }
-                Selection::Inline { condition, directives, set, at } => {
+                Selection::Inline { condition, directives, selection_set, at } => {
                     self.directives(directives, uses);
                     let id = condition.as_ref().map_or(Some(parent), |c| schema.find(c));
                     match id.filter(|t| schema.types[*t].is_composite()) {
                         Some(id) => {
                             self.overlap(parent, id, *at);
-                            self.set(*set, id, fragments, uses);
+                            self.selection_set(*selection_set, id, fragments, uses);
                         }
                         None => {
                             let name = condition.as_deref().unwrap_or_default();
@@ -273,7 +279,7 @@
         let (schema, def) = (self.schema, &self.schema.types[parent]);
         self.directives(&field.directives, uses);
         if field.name == "__typename" {
-            if field.set.is_some() || !field.arguments.is_empty() {
+            if field.selection_set.is_some() || !field.arguments.is_empty() {
                 self.fault(field.at, "`__typename` takes no arguments and has no fields".into());
             }
             return;
@@ -284,8 +290,8 @@
         let what = format!("field `{}.{}`", def.name, field.name);
         self.arguments(&what, field.at, &field.arguments, &found.arguments, uses);
         let composite = schema.types[found.named].is_composite();
-        match (field.set, composite) {
-            (Some(set), true) => self.set(set, found.named, fragments, uses),
+        match (field.selection_set, composite) {
+            (Some(selection_set), true) => self.selection_set(selection_set, found.named, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
                 self.fault(field.at, format!("{what} of type `{}` has no fields of its own", found.kind))
