--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -104,8 +104,17 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Selection {
     Field(Field),
-    Spread { name: String, directives: Vec<Directive>, at: Pos },
-    Inline { condition: Option<String>, directives: Vec<Directive>, selection_set: SelectionSetId, at: Pos },
+    FragmentSpread {
+        name: String,
+        directives: Vec<Directive>,
+        at: Pos,
+    },
+    InlineFragment {
+        type_condition: Option<String>,
+        directives: Vec<Directive>,
+        selection_set: SelectionSetId,
+        at: Pos,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -129,7 +138,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Fragment {
     pub name: String,
-    pub condition: String,
+    pub type_condition: String,
     pub directives: Vec<Directive>,
     pub selection_set: SelectionSetId,
     pub at: Pos,
@@ -205,7 +214,7 @@
             for selection in &self.selection_sets[found[at]] {
                 match selection {
                     Selection::Field(Field { selection_set: Some(selection_set), .. })
-                    | Selection::Inline { selection_set, .. } => found.push(*selection_set),
+                    | Selection::InlineFragment { selection_set, .. } => found.push(*selection_set),
                     _ => {}
                 }
             }
@@ -217,11 +226,11 @@
     /// Names of the fragments spread anywhere in a set.
     pub(crate) fn nested_fragment_spreads(&self, selection_set: SelectionSetId) -> Vec<(&str, Pos)> {
         let selection_sets = self.nested_selection_sets(selection_set);
-        let spread = |s: &'_ Selection| matches!(s, Selection::Spread { .. });
+        let spread = |s: &'_ Selection| matches!(s, Selection::FragmentSpread { .. });
         let all =
             selection_sets.into_iter().flat_map(|s| self.selection_sets[s].iter()).filter(|s| spread(s));
         all.filter_map(|s| {
-            if let Selection::Spread { name, at, .. } = s { Some((name.as_str(), *at)) } else { None }
+            if let Selection::FragmentSpread { name, at, .. } = s { Some((name.as_str(), *at)) } else { None }
         })
         .collect()
     }
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -129,15 +129,15 @@
                         self.visit(1, field)?;
                         all.entry(field.key()).or_default().push((field, parent));
                     }
-                    Selection::Spread { name, .. } => {
+                    Selection::FragmentSpread { name, .. } => {
                         let Some(fragment) = self.fragments.get(name.as_str()) else { continue };
-                        let on = self.schema.find(&fragment.condition);
+                        let on = self.schema.find(&fragment.type_condition);
                         if let Some(on) = on.filter(|_| spread.insert(name.as_str())) {
                             inner.push((fragment.selection_set, on));
                         }
                     }
-                    Selection::Inline { condition, selection_set, .. } => {
-                        let on = condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
+                    Selection::InlineFragment { type_condition, selection_set, .. } => {
+                        let on = type_condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
                         inner.extend(on.map(|on| (*selection_set, on)));
                     }
                 }
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -152,10 +152,10 @@
         if !self.eat_word("on") {
             return self.wanted("`on`");
         }
-        let condition = self.name()?;
+        let type_condition = self.name()?;
         let directives = self.directives(false)?;
         let selection_set = self.selection_set()?;
-        self.document.fragments.push(Fragment { name, condition, directives, selection_set, at });
+        self.document.fragments.push(Fragment { name, type_condition, directives, selection_set, at });
         Ok(())
     }
 
@@ -179,12 +179,12 @@
             if let Some(word) = self.word().filter(|w| *w != "on") {
                 self.advance();
                 let directives = self.directives(false)?;
-                return Ok(Selection::Spread { name: word.to_owned(), directives, at });
+                return Ok(Selection::FragmentSpread { name: word.to_owned(), directives, at });
             }
-            let condition = if self.eat_word("on") { Some(self.name()?) } else { None };
+            let type_condition = if self.eat_word("on") { Some(self.name()?) } else { None };
             let directives = self.directives(false)?;
             let selection_set = self.selection_set()?;
-            return Ok(Selection::Inline { condition, directives, selection_set, at });
+            return Ok(Selection::InlineFragment { type_condition, directives, selection_set, at });
         }
         let first = self.name()?;
         let (alias, name) = if self.eat(':') { (Some(first), self.name()?) } else { (None, first) };
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -65,7 +65,7 @@
     pub fn new(
         schema: Arc<Schema>, document: Arc<Document>, variables: Map<String, Json>, limits: &Limits,
     ) -> Self {
-        let one = |f: &Fragment| (f.name.clone(), (f.selection_set, schema.find(&f.condition)));
+        let one = |f: &Fragment| (f.name.clone(), (f.selection_set, schema.find(&f.type_condition)));
         let fragments = document.fragments.iter().map(one).collect();
         let (nodes, index, errors) = (Vec::new(), HashMap::new(), Vec::new());
         Self { schema, document, variables, fragments, nodes, index, list_size: limits.list_size, errors }
@@ -88,18 +88,19 @@
                     Selection::Field(field) if self.included(&field.directives) => {
                         self.add(&mut node, field, parent, on);
                     }
-                    Selection::Spread { name, directives, .. } if self.included(directives) => {
-                        let Some((selection_set, Some(condition))) = self.fragments.get(name).copied() else {
+                    Selection::FragmentSpread { name, directives, .. } if self.included(directives) => {
+                        let Some((selection_set, Some(type_condition))) = self.fragments.get(name).copied()
+                        else {
                             continue;
                         };
-                        if self.applies(condition, on) && seen.insert(name.as_str()) {
-                            inner.push((selection_set, condition));
+                        if self.applies(type_condition, on) && seen.insert(name.as_str()) {
+                            inner.push((selection_set, type_condition));
                         }
                     }
-                    Selection::Inline { condition, directives, selection_set, .. }
+                    Selection::InlineFragment { type_condition, directives, selection_set, .. }
                         if self.included(directives) =>
                     {
-                        let id = condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
+                        let id = type_condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
                         if let Some(id) = id.filter(|id| self.applies(*id, on)) {
                             inner.push((*selection_set, id));
                         }
@@ -126,9 +127,9 @@
         })
     }
 
-    fn applies(&self, condition: TypeId, on: TypeId) -> bool {
+    fn applies(&self, type_condition: TypeId, on: TypeId) -> bool {
         let types = &self.schema.types;
-        condition == on || !types[condition].possible.is_disjoint(&types[on].possible)
+        type_condition == on || !types[type_condition].possible.is_disjoint(&types[on].possible)
     }
 
     fn add(&mut self, node: &mut Node, field: &Field, parent: TypeId, on: TypeId) {
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -84,10 +84,13 @@
         let mut uses: HashMap<&str, Vec<Use<'a>>> = HashMap::new();
         for fragment in &order {
             let mut found = Vec::new();
-            let id = self.schema.find(&fragment.condition).filter(|t| self.schema.types[*t].is_composite());
+            let id =
+                self.schema.find(&fragment.type_condition).filter(|t| self.schema.types[*t].is_composite());
             match id {
                 Some(id) => self.selection_set(fragment.selection_set, id, &fragments, &mut found),
-                None => self.fault(fragment.at, format!("`{}` is no composite type", fragment.condition)),
+                None => {
+                    self.fault(fragment.at, format!("`{}` is no composite type", fragment.type_condition))
+                }
             }
             self.directives(&fragment.directives, &mut found);
             uses.insert(&fragment.name, found);
@@ -167,8 +170,10 @@
                     let (f, d) = field.selection_set.map_or((0, 0), |s| self.size(s, fragments));
                     (f.saturating_add(1), d)
                 }
-                Selection::Spread { name, .. } => fragments.get(name.as_str()).copied().unwrap_or((0, 0)),
-                Selection::Inline { selection_set, .. } => self.size(*selection_set, fragments),
+                Selection::FragmentSpread { name, .. } => {
+                    fragments.get(name.as_str()).copied().unwrap_or((0, 0))
+                }
+                Selection::InlineFragment { selection_set, .. } => self.size(*selection_set, fragments),
             };
             fields = fields.saturating_add(more);
             depth = depth.max(deep);
@@ -239,23 +244,24 @@
         for selection in &document.selection_sets[selection_set] {
             match selection {
                 Selection::Field(field) => self.field(field, parent, fragments, uses),
-                Selection::Spread { name, directives, at } => {
+                Selection::FragmentSpread { name, directives, at } => {
                     self.directives(directives, uses);
-                    let condition = fragments.get(name.as_str()).and_then(|f| schema.find(&f.condition));
-                    if let Some(condition) = condition {
-                        self.overlap(parent, condition, *at);
+                    let type_condition =
+                        fragments.get(name.as_str()).and_then(|f| schema.find(&f.type_condition));
+                    if let Some(type_condition) = type_condition {
+                        self.overlap(parent, type_condition, *at);
                     }
                 }
-                Selection::Inline { condition, directives, selection_set, at } => {
+                Selection::InlineFragment { type_condition, directives, selection_set, at } => {
                     self.directives(directives, uses);
-                    let id = condition.as_ref().map_or(Some(parent), |c| schema.find(c));
+                    let id = type_condition.as_ref().map_or(Some(parent), |c| schema.find(c));
                     match id.filter(|t| schema.types[*t].is_composite()) {
                         Some(id) => {
                             self.overlap(parent, id, *at);
                             self.selection_set(*selection_set, id, fragments, uses);
                         }
                         None => {
-                            let name = condition.as_deref().unwrap_or_default();
+                            let name = type_condition.as_deref().unwrap_or_default();
                             self.fault(*at, format!("`{name}` is no composite type"));
                         }
                     }
@@ -264,8 +270,8 @@
         }
     }
 
-    fn overlap(&mut self, parent: TypeId, condition: TypeId, at: Pos) {
-        let (p, c) = (&self.schema.types[parent], &self.schema.types[condition]);
+    fn overlap(&mut self, parent: TypeId, type_condition: TypeId, at: Pos) {
+        let (p, c) = (&self.schema.types[parent], &self.schema.types[type_condition]);
         if p.possible.is_disjoint(&c.possible) {
             let text = format!("a value of `{}` can never be a `{}`", p.name, c.name);
             self.fault(at, text);
