--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -126,7 +126,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Operation {
+pub(crate) struct OperationDef {
     pub kind: OperationKind,
     pub name: Option<String>,
     pub variables: Vec<VariableDef>,
@@ -136,7 +136,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Fragment {
+pub(crate) struct FragmentDef {
     pub name: String,
     pub type_condition: String,
     pub directives: Vec<Directive>,
@@ -145,7 +145,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct InputDef {
+pub(crate) struct InputValueDef {
     pub name: String,
     pub kind: Type,
     pub default: Option<Value>,
@@ -156,7 +156,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FieldDef {
     pub name: String,
-    pub arguments: Vec<InputDef>,
+    pub arguments: Vec<InputValueDef>,
     pub kind: Type,
     pub directives: Vec<Directive>,
     pub at: Pos,
@@ -169,22 +169,22 @@
     Interface { interfaces: Vec<String>, fields: Vec<FieldDef> },
     Union(Vec<String>),
     Enum(Vec<String>),
-    Input(Vec<InputDef>),
+    Input(Vec<InputValueDef>),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Definition {
-    Schema { roots: Vec<(OperationKind, String)>, at: Pos },
-    Type { name: String, body: TypeBody, directives: Vec<Directive>, extend: bool, at: Pos },
-    Directive { name: String, arguments: Vec<InputDef>, at: Pos },
+pub(crate) enum TypeSystemDef {
+    Schema { root_operation_types: Vec<(OperationKind, String)>, at: Pos },
+    Type { name: String, body: TypeBody, directives: Vec<Directive>, is_extension: bool, at: Pos },
+    Directive { name: String, arguments: Vec<InputValueDef>, at: Pos },
 }
 
 /// A parsed source: operations, fragments, and the type system where it holds one.
 #[derive(Clone, Debug, Default)]
 pub struct Document {
-    pub(crate) operations: Vec<Operation>,
-    pub(crate) fragments: Vec<Fragment>,
-    pub(crate) definitions: Vec<Definition>,
+    pub(crate) operations: Vec<OperationDef>,
+    pub(crate) fragments: Vec<FragmentDef>,
+    pub(crate) type_system_definitions: Vec<TypeSystemDef>,
     pub(crate) selection_sets: Vec<Vec<Selection>>,
     /// How many tokens the source has.
     pub token_count: usize,
@@ -204,23 +204,25 @@
     /// How many definitions of a type system there are.
     #[must_use]
     pub fn type_system_definition_count(&self) -> usize {
-        self.definitions.len()
+        self.type_system_definitions.len()
     }
 
     /// Every set that belongs to one, itself included, without those behind fragment spreads.
     pub(crate) fn nested_selection_sets(&self, selection_set: SelectionSetId) -> Vec<SelectionSetId> {
-        let (mut found, mut at) = (vec![selection_set], 0);
-        while at < found.len() {
-            for selection in &self.selection_sets[found[at]] {
+        let (mut nested_selection_sets, mut at) = (vec![selection_set], 0);
+        while at < nested_selection_sets.len() {
+            for selection in &self.selection_sets[nested_selection_sets[at]] {
                 match selection {
                     Selection::Field(Field { selection_set: Some(selection_set), .. })
-                    | Selection::InlineFragment { selection_set, .. } => found.push(*selection_set),
+                    | Selection::InlineFragment { selection_set, .. } => {
+                        nested_selection_sets.push(*selection_set)
+                    }
                     _ => {}
                 }
             }
             at += 1;
         }
-        found
+        nested_selection_sets
     }
 
     /// Names of the fragments spread anywhere in a set.
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -17,7 +17,7 @@
 
 /// Checks a selection set and all below; the document must be valid otherwise.
 pub(crate) fn check(
-    schema: &Schema, document: &Document, fragments: &HashMap<&str, &Fragment>,
+    schema: &Schema, document: &Document, fragments: &HashMap<&str, &FragmentDef>,
     selection_set: SelectionSetId, root: TypeId,
 ) -> Result<(), Error> {
     let mut merge = Merge { schema, document, fragments, visits: 0, seen: [HashSet::new(), HashSet::new()] };
@@ -37,7 +37,7 @@
 struct Merge<'a, 'b> {
     schema: &'a Schema,
     document: &'a Document,
-    fragments: &'b HashMap<&'b str, &'a Fragment>,
+    fragments: &'b HashMap<&'b str, &'a FragmentDef>,
     visits: usize,
     /// Groups of sets that were looked at in each pass.
     seen: [HashSet<Vec<(SelectionSetId, TypeId)>>; 2],
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -96,7 +96,14 @@
         if self.is('{') {
             let selection_set = self.selection_set()?;
             let (kind, name, variables, directives) = (OperationKind::Query, None, Vec::new(), Vec::new());
-            self.document.operations.push(Operation { kind, name, variables, directives, selection_set, at });
+            self.document.operations.push(OperationDef {
+                kind,
+                name,
+                variables,
+                directives,
+                selection_set,
+                at,
+            });
             return Ok(());
         }
         if let Kind::Str(_) = self.peek().kind {
@@ -139,7 +146,7 @@
         }
         let directives = self.directives(false)?;
         let selection_set = self.selection_set()?;
-        self.document.operations.push(Operation { kind, name, variables, directives, selection_set, at });
+        self.document.operations.push(OperationDef { kind, name, variables, directives, selection_set, at });
         Ok(())
     }
 
@@ -155,7 +162,7 @@
         let type_condition = self.name()?;
         let directives = self.directives(false)?;
         let selection_set = self.selection_set()?;
-        self.document.fragments.push(Fragment { name, type_condition, directives, selection_set, at });
+        self.document.fragments.push(FragmentDef { name, type_condition, directives, selection_set, at });
         Ok(())
     }
 
@@ -290,22 +297,22 @@
 
     // ---- Type system (section 3) ----
 
-    fn type_system(&mut self, at: Pos, extend: bool) -> Parsed<()> {
+    fn type_system(&mut self, at: Pos, is_extension: bool) -> Parsed<()> {
         let what = self.word().unwrap_or("");
         let known = ["schema", "scalar", "type", "interface", "union", "enum", "input", "directive"];
-        if !known.contains(&what) || (extend && what == "directive") {
+        if !known.contains(&what) || (is_extension && what == "directive") {
             return self.wanted("a definition");
         }
         self.advance();
         if what == "schema" {
             let bare = self.directives(true)?.is_empty();
-            if extend && bare && !self.is('{') {
+            if is_extension && bare && !self.is('{') {
                 return self.wanted("what the extension adds");
             }
-            let mut roots = Vec::new();
-            if self.is('{') || !extend {
+            let mut root_operation_types = Vec::new();
+            if self.is('{') || !is_extension {
                 self.expect('{')?;
-                while !self.eat('}') || roots.is_empty() {
+                while !self.eat('}') || root_operation_types.is_empty() {
                     let kind = match self.name()?.as_str() {
                         "query" => OperationKind::Query,
                         "mutation" => OperationKind::Mutation,
@@ -313,10 +320,10 @@
                         _ => return self.wanted("`query`, `mutation` or `subscription` before"),
                     };
                     self.expect(':')?;
-                    roots.push((kind, self.name()?));
+                    root_operation_types.push((kind, self.name()?));
                 }
             }
-            self.document.definitions.push(Definition::Schema { roots, at });
+            self.document.type_system_definitions.push(TypeSystemDef::Schema { root_operation_types, at });
             return Ok(());
         }
         if what == "directive" {
@@ -332,7 +339,7 @@
             while self.eat('|') {
                 self.name()?;
             }
-            self.document.definitions.push(Definition::Directive { name, arguments, at });
+            self.document.type_system_definitions.push(TypeSystemDef::Directive { name, arguments, at });
             return Ok(());
         }
         let name = self.name()?;
@@ -378,10 +385,16 @@
             TypeBody::Union(names) | TypeBody::Enum(names) => names.is_empty(),
             TypeBody::Input(fields) => fields.is_empty(),
         };
-        if extend && empty && directives.is_empty() {
+        if is_extension && empty && directives.is_empty() {
             return self.wanted("what the extension adds");
         }
-        self.document.definitions.push(Definition::Type { name, body, directives, extend, at });
+        self.document.type_system_definitions.push(TypeSystemDef::Type {
+            name,
+            body,
+            directives,
+            is_extension,
+            at,
+        });
         Ok(())
     }
 
@@ -419,7 +432,7 @@
         Ok(fields)
     }
 
-    fn input_definitions(&mut self, open: char, close: char) -> Parsed<Vec<InputDef>> {
+    fn input_definitions(&mut self, open: char, close: char) -> Parsed<Vec<InputValueDef>> {
         let mut inputs = Vec::new();
         if self.eat(open) {
             while !self.eat(close) || inputs.is_empty() {
@@ -429,7 +442,7 @@
                 self.expect(':')?;
                 let kind = self.type_reference()?;
                 let default = if self.eat('=') { Some(self.value(true)?) } else { None };
-                inputs.push(InputDef { name, kind, default, directives: self.directives(true)?, at });
+                inputs.push(InputValueDef { name, kind, default, directives: self.directives(true)?, at });
             }
         }
         Ok(inputs)
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -65,7 +65,7 @@
     pub fn new(
         schema: Arc<Schema>, document: Arc<Document>, variables: Map<String, Json>, limits: &Limits,
     ) -> Self {
-        let one = |f: &Fragment| (f.name.clone(), (f.selection_set, schema.find(&f.type_condition)));
+        let one = |f: &FragmentDef| (f.name.clone(), (f.selection_set, schema.find(&f.type_condition)));
         let fragments = document.fragments.iter().map(one).collect();
         let (nodes, index, errors) = (Vec::new(), HashMap::new(), Vec::new());
         Self { schema, document, variables, fragments, nodes, index, list_size: limits.list_size, errors }
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -165,7 +165,7 @@
     types: Vec<TypeDef>,
     index: BTreeMap<String, TypeId>,
     directives: BTreeMap<String, BTreeMap<String, Input>>,
-    roots: Vec<(OperationKind, String, Pos)>,
+    root_operation_types: Vec<(OperationKind, String, Pos)>,
     errors: Vec<Error>,
 }
 
@@ -222,11 +222,11 @@
         Some(size)
     }
 
-    fn input(&mut self, def: &InputDef) -> Input {
+    fn input(&mut self, def: &InputValueDef) -> Input {
         Input { kind: def.kind.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
     }
 
-    fn inputs(&mut self, defs: &[InputDef]) -> BTreeMap<String, Input> {
+    fn inputs(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, Input> {
         let mut inputs = BTreeMap::new();
         for def in defs {
             let input = self.input(def);
@@ -243,15 +243,16 @@
         if let Some(at) = first {
             self.fault(at, "a schema holds no operations and no fragments".into());
         }
-        let extends = |d: &&Definition| matches!(d, Definition::Type { extend: true, .. });
-        let definitions = document.definitions.iter();
+        let extends = |d: &&TypeSystemDef| matches!(d, TypeSystemDef::Type { is_extension: true, .. });
+        let definitions = document.type_system_definitions.iter();
         let ordered = definitions.clone().filter(|d| !extends(d)).chain(definitions.filter(extends));
         for definition in ordered {
             match definition {
-                Definition::Schema { roots, at } => {
-                    self.roots.extend(roots.iter().map(|(kind, name)| (*kind, name.clone(), *at)));
+                TypeSystemDef::Schema { root_operation_types, at } => {
+                    self.root_operation_types
+                        .extend(root_operation_types.iter().map(|(kind, name)| (*kind, name.clone(), *at)));
                 }
-                Definition::Directive { name, arguments, at } => {
+                TypeSystemDef::Directive { name, arguments, at } => {
                     let arguments = self.inputs(arguments);
                     let known = self.directives.insert(name.clone(), arguments).is_some();
                     let stated = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
@@ -259,17 +260,17 @@
                         self.fault(*at, format!("directive `@{name}` is defined twice"));
                     }
                 }
-                Definition::Type { name, body, directives, extend, at } => {
+                TypeSystemDef::Type { name, body, directives, is_extension, at } => {
                     if name.starts_with("__") && !built_in {
                         self.fault(*at, format!("`{name}`: names with two underscores are reserved"));
                     }
-                    self.define(name, body, directives, *extend, *at);
+                    self.define(name, body, directives, *is_extension, *at);
                 }
             }
         }
     }
 
-    fn define(&mut self, name: &str, body: &TypeBody, directives: &[Directive], extend: bool, at: Pos) {
+    fn define(&mut self, name: &str, body: &TypeBody, directives: &[Directive], is_extension: bool, at: Pos) {
         let kind = match body {
             TypeBody::Scalar => TypeKind::Scalar,
             TypeBody::Object { .. } => TypeKind::Object,
@@ -280,7 +281,7 @@
         };
         let weight = self.weight(directives);
         let known = self.index.get(name).copied();
-        let id = match (known, extend) {
+        let id = match (known, is_extension) {
             (Some(id), true) if self.types[id].kind == kind => id,
             (Some(_), true) => {
                 return self.fault(at, format!("`{name}` is extended as another kind of type"));
@@ -339,9 +340,9 @@
 
     fn finish(mut self, document: &Document) -> Result<Schema, Vec<Error>> {
         let start = Pos { line: 1, column: 1 };
-        let stated = !self.roots.is_empty();
+        let stated = !self.root_operation_types.is_empty();
         let mut root = |kind, default: &str| {
-            let found = self.roots.iter().find(|(k, ..)| *k == kind).cloned();
+            let found = self.root_operation_types.iter().find(|(k, ..)| *k == kind).cloned();
             let (name, at) = match found {
                 Some((_, name, at)) => (name, at),
                 None if stated => return None,
@@ -478,19 +479,19 @@
 
 impl Schema {
     fn check_defaults(&self, document: &Document, errors: &mut Vec<Error>) {
-        let mut check = |def: &InputDef| {
+        let mut check = |def: &InputValueDef| {
             if let Some(default) = &def.default {
                 literal(self, default, &def.kind, &mut |_, _, _| {}, errors);
             }
         };
-        for definition in &document.definitions {
+        for definition in &document.type_system_definitions {
             match definition {
-                Definition::Type { body: TypeBody::Input(inputs), .. } => inputs.iter().for_each(&mut check),
-                Definition::Type {
+                TypeSystemDef::Type { body: TypeBody::Input(defs), .. } => defs.iter().for_each(&mut check),
+                TypeSystemDef::Type {
                     body: TypeBody::Object { fields, .. } | TypeBody::Interface { fields, .. },
                     ..
                 } => fields.iter().flat_map(|f| &f.arguments).for_each(&mut check),
-                Definition::Directive { arguments, .. } => arguments.iter().for_each(&mut check),
+                TypeSystemDef::Directive { arguments, .. } => arguments.iter().for_each(&mut check),
                 _ => {}
             }
         }
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -37,13 +37,13 @@
         if document.operations.is_empty() {
             self.fault(Pos { line: 1, column: 1 }, "the document holds no operation".into());
         }
-        if let Some(definition) = document.definitions.first() {
-            let (Definition::Schema { at, .. }
-            | Definition::Type { at, .. }
-            | Definition::Directive { at, .. }) = definition;
+        if let Some(definition) = document.type_system_definitions.first() {
+            let (TypeSystemDef::Schema { at, .. }
+            | TypeSystemDef::Type { at, .. }
+            | TypeSystemDef::Directive { at, .. }) = definition;
             self.fault(*at, "a type system has no place in a request".into());
         }
-        let mut fragments: HashMap<&str, &Fragment> = HashMap::new();
+        let mut fragments: HashMap<&str, &FragmentDef> = HashMap::new();
         for fragment in &document.fragments {
             if fragments.insert(&fragment.name, fragment).is_some() {
                 self.fault(fragment.at, format!("fragment `{}` is defined twice", fragment.name));
@@ -110,7 +110,7 @@
     }
 
     /// The fragments, each behind those it spreads; `None` with a fault where they form a cycle.
-    fn order(&mut self, fragments: &HashMap<&str, &'a Fragment>) -> Option<Vec<&'a Fragment>> {
+    fn order(&mut self, fragments: &HashMap<&str, &'a FragmentDef>) -> Option<Vec<&'a FragmentDef>> {
         let document = self.document;
         let mut waits: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         let mut users: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
@@ -123,12 +123,12 @@
                 }
             }
         }
-        let roots = document
+        let definition_selection_sets = document
             .operations
             .iter()
             .map(|o| o.selection_set)
             .chain(document.fragments.iter().map(|f| f.selection_set));
-        for (name, at) in roots.flat_map(|s| document.nested_fragment_spreads(s)) {
+        for (name, at) in definition_selection_sets.flat_map(|s| document.nested_fragment_spreads(s)) {
             if !fragments.contains_key(name) {
                 unknown = true;
                 self.errors.push(Error::new(at, format!("fragment `{name}` is not defined")));
@@ -182,7 +182,7 @@
     }
 
     fn operation(
-        &mut self, operation: &'a Operation, fragments: &HashMap<&str, &'a Fragment>,
+        &mut self, operation: &'a OperationDef, fragments: &HashMap<&str, &'a FragmentDef>,
         uses: &HashMap<&str, Vec<Use<'a>>>,
     ) {
         let Some(root) = self.schema.root(operation.kind) else {
@@ -237,7 +237,7 @@
     }
 
     fn selection_set(
-        &mut self, selection_set: SelectionSetId, parent: TypeId, fragments: &HashMap<&str, &'a Fragment>,
+        &mut self, selection_set: SelectionSetId, parent: TypeId, fragments: &HashMap<&str, &'a FragmentDef>,
         uses: &mut Vec<Use<'a>>,
     ) {
         let (document, schema) = (self.document, self.schema);
@@ -279,7 +279,7 @@
     }
 
     fn field(
-        &mut self, field: &'a Field, parent: TypeId, fragments: &HashMap<&str, &'a Fragment>,
+        &mut self, field: &'a Field, parent: TypeId, fragments: &HashMap<&str, &'a FragmentDef>,
         uses: &mut Vec<Use<'a>>,
     ) {
         let (schema, def) = (self.schema, &self.schema.types[parent]);
