--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -42,10 +42,10 @@
 }
 
 impl Type {
-    pub fn named(&self) -> &str {
+    pub fn named_type(&self) -> &str {
         match self {
             Self::Named(name) => name,
-            Self::List(inner) | Self::NonNull(inner) => inner.named(),
+            Self::List(inner) | Self::NonNull(inner) => inner.named_type(),
         }
     }
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct VariableDef {
     pub name: String,
-    pub kind: Type,
+    pub ty: Type,
     pub default: Option<Value>,
     pub at: Pos,
 }
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct InputValueDef {
     pub name: String,
-    pub kind: Type,
+    pub ty: Type,
     pub default: Option<Value>,
     pub directives: Vec<Directive>,
     pub at: Pos,
@@ -157,7 +157,7 @@
 pub(crate) struct FieldDef {
     pub name: String,
     pub arguments: Vec<InputValueDef>,
-    pub kind: Type,
+    pub ty: Type,
     pub directives: Vec<Directive>,
     pub at: Pos,
 }
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -162,7 +162,7 @@
 
     fn shapes(&self, fields: &[Asked<'a>]) -> Result<(), Error> {
         let first = fields[0];
-        let of = |f: &Asked| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.kind, d.named));
+        let of = |f: &Asked| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.ty, d.named));
         for other in &fields[1..] {
             let same = match (of(&first), of(other)) {
                 (Some((a, named_a)), Some((b, named_b))) => {
@@ -172,8 +172,8 @@
                 }
                 // `__typename` is a String! of every type.
                 (None, None) => true,
-                (Some((kind, named)), None) | (None, Some((kind, named))) => {
-                    matches!(kind, Type::NonNull(inner) if matches!(**inner, Type::Named(_)))
+                (Some((ty, named)), None) | (None, Some((ty, named))) => {
+                    matches!(ty, Type::NonNull(inner) if matches!(**inner, Type::Named(_)))
                         && self.schema.types[named].name == "String"
                 }
             };
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -138,10 +138,10 @@
                 self.expect('$')?;
                 let name = self.name()?;
                 self.expect(':')?;
-                let kind = self.type_reference()?;
+                let ty = self.type_reference()?;
                 let default = if self.eat('=') { Some(self.value(true)?) } else { None };
                 self.directives(true)?;
-                variables.push(VariableDef { name, kind, default, at });
+                variables.push(VariableDef { name, ty, default, at });
             }
         }
         let directives = self.directives(false)?;
@@ -425,8 +425,8 @@
                 let name = self.name()?;
                 let arguments = self.input_definitions('(', ')')?;
                 self.expect(':')?;
-                let kind = self.type_reference()?;
-                fields.push(FieldDef { name, arguments, kind, directives: self.directives(true)?, at });
+                let ty = self.type_reference()?;
+                fields.push(FieldDef { name, arguments, ty, directives: self.directives(true)?, at });
             }
         }
         Ok(fields)
@@ -440,9 +440,9 @@
                 let at = self.peek().at;
                 let name = self.name()?;
                 self.expect(':')?;
-                let kind = self.type_reference()?;
+                let ty = self.type_reference()?;
                 let default = if self.eat('=') { Some(self.value(true)?) } else { None };
-                inputs.push(InputValueDef { name, kind, default, directives: self.directives(true)?, at });
+                inputs.push(InputValueDef { name, ty, default, directives: self.directives(true)?, at });
             }
         }
         Ok(inputs)
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -169,7 +169,7 @@
             }
         }
         let size = self.list_size(field, def);
-        let list = def.kind.is_list();
+        let list = def.ty.is_list();
         let sized = size.zip(def.list_size.as_ref()).filter(|(_, d)| !d.sized.is_empty());
         let sized = sized.map(|(size, directive)| (size, directive.sized.clone()));
         let counted = list && size.is_some() && sized.is_none();
@@ -221,7 +221,7 @@
 
     /// The weight of an argument or an input field that was given, with what lies in it.
     fn input_weight(&self, input: &Input, value: &Json) -> f64 {
-        let def = self.schema.find(input.kind.named()).map(|t| &self.schema.types[t]);
+        let def = self.schema.find(input.ty.named_type()).map(|t| &self.schema.types[t]);
         let Some(def) = def else { return 0.0 };
         let own = input.weight.unwrap_or(if def.kind == TypeKind::Input { 1.0 } else { 0.0 });
         let inside = |v: &Json| match v {
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Input {
-    pub kind: Type,
+    pub ty: Type,
     pub default: Option<Value>,
     pub weight: Option<f64>,
 }
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct OutField {
-    pub kind: Type,
+    pub ty: Type,
     pub named: TypeId,
     pub arguments: BTreeMap<String, Input>,
     pub weight: Option<f64>,
@@ -213,7 +213,7 @@
         }
         for name in &size.slicing {
             let argument = field.arguments.iter().find(|a| a.name == *name);
-            if argument.is_none_or(|a| a.kind.is_list() || a.kind.named() != "Int") {
+            if argument.is_none_or(|a| a.ty.is_list() || a.ty.named_type() != "Int") {
                 let text =
                     format!("@listSize: slicing argument `{name}` is no Int argument of `{}`", field.name);
                 self.fault(directive.at, text);
@@ -223,7 +223,7 @@
     }
 
     fn input(&mut self, def: &InputValueDef) -> Input {
-        Input { kind: def.kind.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
+        Input { ty: def.ty.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
     }
 
     fn inputs(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, Input> {
@@ -329,7 +329,7 @@
                 self.fault(field.at, format!("`{}`: names with two underscores are reserved", field.name));
             }
             let made =
-                OutField { kind: field.kind.clone(), named: 0, arguments, weight, list_size, at: field.at };
+                OutField { ty: field.ty.clone(), named: 0, arguments, weight, list_size, at: field.at };
             if self.types[id].fields.insert(field.name.clone(), made).is_some() {
                 self.fault(field.at, format!("field `{name}.{}` is defined twice", field.name));
             }
@@ -367,11 +367,11 @@
         if let Some(query) = query {
             let meta = |named: TypeId, kind: &str, arguments| {
                 let (weight, list_size) = (Some(0.0), None);
-                OutField { kind: Type::Named(kind.into()), named, arguments, weight, list_size, at: start }
+                OutField { ty: Type::Named(kind.into()), named, arguments, weight, list_size, at: start }
             };
             let (schema, one) = (self.index["__Schema"], self.index["__Type"]);
             let name = Type::NonNull(Box::new(Type::Named("String".into())));
-            let name = Input { kind: name, default: None, weight: None };
+            let name = Input { ty: name, default: None, weight: None };
             let fields = &mut self.types[query].fields;
             fields.insert("__schema".into(), meta(schema, "__Schema", BTreeMap::new()));
             fields.insert("__type".into(), meta(one, "__Type", BTreeMap::from([("name".into(), name)])));
@@ -402,9 +402,9 @@
             }
             let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.at, a)));
             for (at, (name, input)) in inputs.chain(def.inputs.iter().map(|i| (def.at, i))) {
-                let found = self.index.get(input.kind.named()).map(|t| &self.types[*t]);
+                let found = self.index.get(input.ty.named_type()).map(|t| &self.types[*t]);
                 if found.is_none_or(|t| !t.is_input()) {
-                    errors.push(fault(at, format!("`{name}`: `{}` is no input type", input.kind.named())));
+                    errors.push(fault(at, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
                 }
             }
             for related in &def.related {
@@ -423,22 +423,22 @@
                 }
             }
             for (name, field) in &def.fields {
-                let found = self.index.get(field.kind.named()).map(|t| &self.types[*t]);
+                let found = self.index.get(field.ty.named_type()).map(|t| &self.types[*t]);
                 let Some(found) = found.filter(|t| t.kind != TypeKind::Input) else {
                     errors.push(fault(
                         field.at,
-                        format!("`{name}`: `{}` is no output type", field.kind.named()),
+                        format!("`{name}`: `{}` is no output type", field.ty.named_type()),
                     ));
                     continue;
                 };
                 for sized in field.list_size.iter().flat_map(|s| &s.sized) {
-                    if found.fields.get(sized).is_none_or(|f| !f.kind.is_list()) {
+                    if found.fields.get(sized).is_none_or(|f| !f.ty.is_list()) {
                         let text = format!("@listSize: sized field `{sized}` is no list of `{}`", found.name);
                         errors.push(fault(field.at, text));
                     }
                 }
                 if let Some(size) = &field.list_size
-                    && !field.kind.is_list()
+                    && !field.ty.is_list()
                     && size.sized.is_empty()
                 {
                     errors.push(fault(
@@ -466,7 +466,9 @@
         let named: Vec<BTreeMap<String, TypeId>> = self
             .types
             .iter()
-            .map(|t| t.fields.iter().filter_map(|(n, f)| Some((n.clone(), find(f.kind.named())?))).collect())
+            .map(|t| {
+                t.fields.iter().filter_map(|(n, f)| Some((n.clone(), find(f.ty.named_type())?))).collect()
+            })
             .collect();
         for ((def, possible), named) in self.types.iter_mut().zip(possible).zip(named) {
             def.possible = possible;
@@ -481,7 +483,7 @@
     fn check_defaults(&self, document: &Document, errors: &mut Vec<Error>) {
         let mut check = |def: &InputValueDef| {
             if let Some(default) = &def.default {
-                literal(self, default, &def.kind, &mut |_, _, _| {}, errors);
+                literal(self, default, &def.ty, &mut |_, _, _| {}, errors);
             }
         };
         for definition in &document.type_system_definitions {
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -194,13 +194,15 @@
             if known.insert(&def.name, def).is_some() {
                 self.fault(def.at, format!("variable `${}` is defined twice", def.name));
             }
-            match self.schema.find(def.kind.named()) {
+            match self.schema.find(def.ty.named_type()) {
                 Some(id) if self.schema.types[id].is_input() => {
                     if let Some(default) = &def.default {
-                        literal(self.schema, default, &def.kind, &mut |_, _, _| {}, &mut self.errors);
+                        literal(self.schema, default, &def.ty, &mut |_, _, _| {}, &mut self.errors);
                     }
                 }
-                _ => self.fault(def.at, format!("`${}`: `{}` is no input type", def.name, def.kind.named())),
+                _ => {
+                    self.fault(def.at, format!("`${}`: `{}` is no input type", def.name, def.ty.named_type()))
+                }
             }
         }
         let mut found = Vec::new();
@@ -222,7 +224,7 @@
                 None => errors
                     .push(Error::new(*at, format!("variable `${name}` is not defined by the operation"))),
                 Some(def) if !usable(def, wanted) => {
-                    let text = format!("variable `${name}` of type `{}` does not fit `{wanted}`", def.kind);
+                    let text = format!("variable `${name}` of type `{}` does not fit `{wanted}`", def.ty);
                     errors.push(Error::new(*at, text));
                 }
                 Some(_) => {}
@@ -300,10 +302,10 @@
             (Some(selection_set), true) => self.selection_set(selection_set, found.named, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
-                self.fault(field.at, format!("{what} of type `{}` has no fields of its own", found.kind))
+                self.fault(field.at, format!("{what} of type `{}` has no fields of its own", found.ty))
             }
             (None, true) => {
-                self.fault(field.at, format!("{what} of type `{}` needs a selection of fields", found.kind))
+                self.fault(field.at, format!("{what} of type `{}` needs a selection of fields", found.ty))
             }
         }
     }
@@ -319,14 +321,14 @@
             }
             match known.get(&argument.name) {
                 Some(input) => {
-                    let mut on = |name, kind, at| uses.push((name, kind, at));
+                    let mut on = |name, ty, at| uses.push((name, ty, at));
                     literal(self.schema, &argument.value, &place(input), &mut on, &mut self.errors);
                 }
                 None => self.fault(argument.at, format!("{what} has no argument `{}`", argument.name)),
             }
         }
         for (name, input) in known {
-            if matches!(input.kind, Type::NonNull(_)) && input.default.is_none() && !names.contains(name) {
+            if matches!(input.ty, Type::NonNull(_)) && input.default.is_none() && !names.contains(name) {
                 self.fault(at, format!("{what} needs argument `{name}`"));
             }
         }
@@ -352,12 +354,12 @@
 
 /// Whether a variable may stand where a type is wanted (section 5.8.5).
 fn usable(def: &VariableDef, wanted: &Type) -> bool {
-    match (wanted, &def.kind) {
-        (Type::NonNull(inner), kind) if !matches!(kind, Type::NonNull(_)) => {
+    match (wanted, &def.ty) {
+        (Type::NonNull(inner), ty) if !matches!(ty, Type::NonNull(_)) => {
             let default = def.default.as_ref().is_some_and(|d| d.kind != ValueKind::Null);
-            default && compatible(kind, inner)
+            default && compatible(ty, inner)
         }
-        _ => compatible(&def.kind, wanted),
+        _ => compatible(&def.ty, wanted),
     }
 }
 
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -10,11 +10,11 @@
 
 /// Checks a literal against a type; tells of each variable in it with the type its place wants.
 pub(crate) fn literal<'d>(
-    schema: &Schema, value: &'d Value, kind: &Type, on: OnVariable<'_, 'd>, errors: &mut Vec<Error>,
+    schema: &Schema, value: &'d Value, ty: &Type, on: OnVariable<'_, 'd>, errors: &mut Vec<Error>,
 ) {
-    let wrong = |what: &str| Error::new(value.at, format!("expected a value of type `{kind}`, found {what}"));
-    match (&value.kind, kind) {
-        (ValueKind::Variable(name), _) => on(name, kind.clone(), value.at),
+    let wrong = |what: &str| Error::new(value.at, format!("expected a value of type `{ty}`, found {what}"));
+    match (&value.kind, ty) {
+        (ValueKind::Variable(name), _) => on(name, ty.clone(), value.at),
         (ValueKind::Null, Type::NonNull(_)) => errors.push(wrong("null")),
         (ValueKind::Null, _) => {}
         (_, Type::NonNull(inner)) => literal(schema, value, inner, on, errors),
@@ -38,7 +38,7 @@
                     }
                     for (field, input) in &def.inputs {
                         let given = fields.iter().any(|(n, _)| n == field);
-                        if !given && matches!(input.kind, Type::NonNull(_)) && input.default.is_none() {
+                        if !given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
                             errors.push(Error::new(
                                 value.at,
                                 format!("input field `{name}.{field}` is required"),
@@ -58,7 +58,7 @@
 
 /// The type that a place wants of a variable: one with a default takes a nullable variable (section 5.8.5).
 pub(crate) fn place(input: &crate::schema::Input) -> Type {
-    if input.default.is_some() { input.kind.nullable().clone() } else { input.kind.clone() }
+    if input.default.is_some() { input.ty.nullable().clone() } else { input.ty.clone() }
 }
 
 fn shown(value: &ValueKind) -> &'static str {
@@ -97,7 +97,7 @@
     for def in defs {
         let path = format!("${}", def.name);
         match (given.and_then(|g| g.get(&def.name)), &def.default) {
-            (Some(json), _) => match coerce(schema, json, &def.kind, &path) {
+            (Some(json), _) => match coerce(schema, json, &def.ty, &path) {
                 Ok(value) => drop(coerced.insert(def.name.clone(), value)),
                 Err(message) => errors.push(Error { message, at: None }),
             },
@@ -106,9 +106,9 @@
                     coerced.insert(def.name.clone(), value);
                 }
             }
-            (None, None) if matches!(def.kind, Type::NonNull(_)) => {
+            (None, None) if matches!(def.ty, Type::NonNull(_)) => {
                 errors.push(Error {
-                    message: format!("variable `{path}` of type `{}` is required", def.kind),
+                    message: format!("variable `{path}` of type `{}` is required", def.ty),
                     at: None,
                 });
             }
@@ -118,10 +118,9 @@
     coerced
 }
 
-fn coerce(schema: &Schema, json: &Json, kind: &Type, path: &str) -> Result<Json, String> {
-    let wrong =
-        || format!("variable `{path}`: expected a value of type `{kind}`, found {}", json_shown(json));
-    match (kind, json) {
+fn coerce(schema: &Schema, json: &Json, ty: &Type, path: &str) -> Result<Json, String> {
+    let wrong = || format!("variable `{path}`: expected a value of type `{ty}`, found {}", json_shown(json));
+    match (ty, json) {
         (Type::NonNull(_), Json::Null) => Err(wrong()),
         (Type::NonNull(inner), _) => coerce(schema, json, inner, path),
         (_, Json::Null) => Ok(Json::Null),
@@ -143,16 +142,13 @@
                         let path = format!("{path}.{field}");
                         match (fields.get(field), &input.default) {
                             (Some(value), _) => {
-                                made.insert(field.clone(), coerce(schema, value, &input.kind, &path)?);
+                                made.insert(field.clone(), coerce(schema, value, &input.ty, &path)?);
                             }
                             (None, Some(default)) => {
                                 made.extend(resolve(default, &Map::new()).map(|v| (field.clone(), v)));
                             }
-                            (None, None) if matches!(input.kind, Type::NonNull(_)) => {
-                                return Err(format!(
-                                    "variable `{path}` of type `{}` is required",
-                                    input.kind
-                                ));
+                            (None, None) if matches!(input.ty, Type::NonNull(_)) => {
+                                return Err(format!("variable `{path}` of type `{}` is required", input.ty));
                             }
                             (None, None) => {}
                         }
