--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Value {
     pub kind: ValueKind,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -75,14 +75,14 @@
 pub(crate) struct Argument {
     pub name: String,
     pub value: Value,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Directive {
     pub name: String,
     pub arguments: Vec<Argument>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
     pub arguments: Vec<Argument>,
     pub directives: Vec<Directive>,
     pub selection_set: Option<SelectionSetId>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 impl Field {
@@ -107,13 +107,13 @@
     FragmentSpread {
         name: String,
         directives: Vec<Directive>,
-        at: Pos,
+        pos: Pos,
     },
     InlineFragment {
         type_condition: Option<String>,
         directives: Vec<Directive>,
         selection_set: SelectionSetId,
-        at: Pos,
+        pos: Pos,
     },
 }
 
@@ -122,7 +122,7 @@
     pub name: String,
     pub ty: Type,
     pub default: Option<Value>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -132,7 +132,7 @@
     pub variables: Vec<VariableDef>,
     pub directives: Vec<Directive>,
     pub selection_set: SelectionSetId,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -141,7 +141,7 @@
     pub type_condition: String,
     pub directives: Vec<Directive>,
     pub selection_set: SelectionSetId,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -150,7 +150,7 @@
     pub ty: Type,
     pub default: Option<Value>,
     pub directives: Vec<Directive>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -159,7 +159,7 @@
     pub arguments: Vec<InputValueDef>,
     pub ty: Type,
     pub directives: Vec<Directive>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -174,9 +174,9 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum TypeSystemDef {
-    Schema { root_operation_types: Vec<(OperationKind, String)>, at: Pos },
-    Type { name: String, body: TypeBody, directives: Vec<Directive>, is_extension: bool, at: Pos },
-    Directive { name: String, arguments: Vec<InputValueDef>, at: Pos },
+    Schema { root_operation_types: Vec<(OperationKind, String)>, pos: Pos },
+    Type { name: String, body: TypeBody, directives: Vec<Directive>, is_extension: bool, pos: Pos },
+    Directive { name: String, arguments: Vec<InputValueDef>, pos: Pos },
 }
 
 /// A parsed source: operations, fragments, and the type system where it holds one.
@@ -209,9 +209,9 @@
 
     /// Every set that belongs to one, itself included, without those behind fragment spreads.
     pub(crate) fn nested_selection_sets(&self, selection_set: SelectionSetId) -> Vec<SelectionSetId> {
-        let (mut nested_selection_sets, mut at) = (vec![selection_set], 0);
-        while at < nested_selection_sets.len() {
-            for selection in &self.selection_sets[nested_selection_sets[at]] {
+        let (mut nested_selection_sets, mut index) = (vec![selection_set], 0);
+        while index < nested_selection_sets.len() {
+            for selection in &self.selection_sets[nested_selection_sets[index]] {
                 match selection {
                     Selection::Field(Field { selection_set: Some(selection_set), .. })
                     | Selection::InlineFragment { selection_set, .. } => {
@@ -220,7 +220,7 @@
                     _ => {}
                 }
             }
-            at += 1;
+            index += 1;
         }
         nested_selection_sets
     }
@@ -232,7 +232,11 @@
         let all =
             selection_sets.into_iter().flat_map(|s| self.selection_sets[s].iter()).filter(|s| spread(s));
         all.filter_map(|s| {
-            if let Selection::FragmentSpread { name, at, .. } = s { Some((name.as_str(), *at)) } else { None }
+            if let Selection::FragmentSpread { name, pos, .. } = s {
+                Some((name.as_str(), *pos))
+            } else {
+                None
+            }
         })
         .collect()
     }
--- a/crates/graphql/src/lexer.rs
+++ b/crates/graphql/src/lexer.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Token<'a> {
     pub kind: Kind,
     pub text: &'a str,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 impl Token<'_> {
@@ -33,7 +33,7 @@
 
 struct Lexer<'a> {
     source: &'a str,
-    at: usize,
+    offset: usize,
     line: u32,
     line_start: usize,
     /// The column's characters counted so far on this line, up to `counted`: no quadratic recount.
@@ -51,12 +51,12 @@
         ));
     }
     let skip = if source.starts_with('\u{feff}') { 3 } else { 0 };
-    let mut lexer = Lexer { source, at: skip, line: 1, line_start: skip, column: 1, counted: skip };
+    let mut lexer = Lexer { source, offset: skip, line: 1, line_start: skip, column: 1, counted: skip };
     let mut tokens = Vec::new();
     loop {
         let token = lexer.next()?;
         if tokens.len() > limits.tokens {
-            return Err(Error::new(token.at, format!("more than {} tokens", limits.tokens)));
+            return Err(Error::new(token.pos, format!("more than {} tokens", limits.tokens)));
         }
         let end = token.kind == Kind::End;
         tokens.push(token);
@@ -68,40 +68,40 @@
 
 impl<'a> Lexer<'a> {
     fn rest(&self) -> &'a str {
-        &self.source[self.at..]
+        &self.source[self.offset..]
     }
 
     fn pos(&mut self) -> Pos {
         if self.counted < self.line_start {
             (self.counted, self.column) = (self.line_start, 1);
         }
-        self.column += self.source[self.counted..self.at].chars().count() as u32;
-        self.counted = self.at;
+        self.column += self.source[self.counted..self.offset].chars().count() as u32;
+        self.counted = self.offset;
         Pos { line: self.line, column: self.column }
     }
 
     fn newline(&mut self) {
         self.line += 1;
-        self.line_start = self.at;
+        self.line_start = self.offset;
     }
 
     fn skip(&mut self) {
         loop {
             match self.rest().as_bytes().first() {
-                Some(b' ' | b'\t' | b',') => self.at += 1,
+                Some(b' ' | b'\t' | b',') => self.offset += 1,
                 Some(b'\n') => {
-                    self.at += 1;
+                    self.offset += 1;
                     self.newline();
                 }
                 Some(b'\r') => {
-                    self.at += if self.rest().starts_with("\r\n") { 2 } else { 1 };
+                    self.offset += if self.rest().starts_with("\r\n") { 2 } else { 1 };
                     self.newline();
                 }
                 Some(b'#') => {
                     let end = self.rest().find(['\n', '\r']).unwrap_or(self.rest().len());
-                    self.at += end;
+                    self.offset += end;
                 }
-                Some(0xef) if self.rest().starts_with('\u{feff}') => self.at += 3,
+                Some(0xef) if self.rest().starts_with('\u{feff}') => self.offset += 3,
                 _ => return,
             }
         }
@@ -109,15 +109,15 @@
 
     fn take(&mut self, length: usize) -> &'a str {
         let text = &self.rest()[..length];
-        self.at += length;
+        self.offset += length;
         text
     }
 
     fn next(&mut self) -> Result<Token<'a>, Error> {
         self.skip();
-        let at = self.pos();
+        let pos = self.pos();
         let Some(c) = self.rest().chars().next() else {
-            return Ok(Token { kind: Kind::End, text: "", at });
+            return Ok(Token { kind: Kind::End, text: "", pos });
         };
         let (kind, text) = match c {
             '!' | '$' | '&' | '(' | ')' | ':' | '=' | '@' | '[' | ']' | '{' | '|' | '}' => {
@@ -129,28 +129,28 @@
                 let end = rest.find(|c: char| !(c == '_' || c.is_ascii_alphanumeric())).unwrap_or(rest.len());
                 (Kind::Name, self.take(end))
             }
-            '-' | '0'..='9' => self.number(at)?,
-            '"' if self.rest().starts_with("\"\"\"") => self.block(at)?,
-            '"' => self.string(at)?,
-            c => return Err(Error::new(at, format!("unexpected character {c:?}"))),
+            '-' | '0'..='9' => self.number(pos)?,
+            '"' if self.rest().starts_with("\"\"\"") => self.block(pos)?,
+            '"' => self.string(pos)?,
+            c => return Err(Error::new(pos, format!("unexpected character {c:?}"))),
         };
-        Ok(Token { kind, text, at })
+        Ok(Token { kind, text, pos })
     }
 
-    fn number(&mut self, at: Pos) -> Result<(Kind, &'a str), Error> {
+    fn number(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
         let bytes = self.rest().as_bytes();
         let digits = |from: usize| bytes[from..].iter().take_while(|b| b.is_ascii_digit()).count();
         let mut end = usize::from(bytes[0] == b'-');
         let whole = digits(end);
         if whole == 0 || (whole > 1 && bytes[end] == b'0') {
-            return Err(Error::new(at, "malformed number: digits without a leading zero are wanted"));
+            return Err(Error::new(pos, "malformed number: digits without a leading zero are wanted"));
         }
         end += whole;
         let mut kind = Kind::Int;
         if bytes.get(end) == Some(&b'.') {
             let count = digits(end + 1);
             if count == 0 {
-                return Err(Error::new(at, "malformed number: digits are wanted after the point"));
+                return Err(Error::new(pos, "malformed number: digits are wanted after the point"));
             }
             (end, kind) = (end + 1 + count, Kind::Float);
         }
@@ -158,51 +158,51 @@
             let sign = usize::from(matches!(bytes.get(end + 1), Some(b'+' | b'-')));
             let count = digits(end + 1 + sign);
             if count == 0 {
-                return Err(Error::new(at, "malformed number: digits are wanted in the exponent"));
+                return Err(Error::new(pos, "malformed number: digits are wanted in the exponent"));
             }
             (end, kind) = (end + 1 + sign + count, Kind::Float);
         }
         // A name or a point right behind is no second token (section 2.9.1).
         if matches!(bytes.get(end), Some(b) if b.is_ascii_alphanumeric() || *b == b'_' || *b == b'.') {
-            return Err(Error::new(at, "malformed number: a name follows without a space"));
+            return Err(Error::new(pos, "malformed number: a name follows without a space"));
         }
         Ok((kind, self.take(end)))
     }
 
-    fn string(&mut self, at: Pos) -> Result<(Kind, &'a str), Error> {
-        let start = self.at;
-        self.at += 1;
+    fn string(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
+        let start = self.offset;
+        self.offset += 1;
         let mut value = String::new();
         loop {
             let Some(c) = self.rest().chars().next() else {
-                return Err(Error::new(at, "a string has no end"));
+                return Err(Error::new(pos, "a string has no end"));
             };
             match c {
                 '"' => {
-                    self.at += 1;
-                    return Ok((Kind::Str(value), &self.source[start..self.at]));
+                    self.offset += 1;
+                    return Ok((Kind::Str(value), &self.source[start..self.offset]));
                 }
-                '\n' | '\r' => return Err(Error::new(at, "a string has no end on its line")),
+                '\n' | '\r' => return Err(Error::new(pos, "a string has no end on its line")),
                 '\\' => {
-                    let here = self.pos();
-                    value.push(self.escape(here)?);
+                    let pos = self.pos();
+                    value.push(self.escape(pos)?);
                 }
                 c if c < ' ' && c != '\t' => {
-                    let here = self.pos();
-                    return Err(Error::new(here, "a control character in a string"));
+                    let pos = self.pos();
+                    return Err(Error::new(pos, "a control character in a string"));
                 }
                 c => {
                     value.push(c);
-                    self.at += c.len_utf8();
+                    self.offset += c.len_utf8();
                 }
             }
         }
     }
 
-    fn escape(&mut self, at: Pos) -> Result<char, Error> {
-        let bad = || Error::new(at, "malformed escape in a string");
+    fn escape(&mut self, pos: Pos) -> Result<char, Error> {
+        let bad = || Error::new(pos, "malformed escape in a string");
         let c = self.rest()[1..].chars().next().ok_or_else(bad)?;
-        self.at += 1 + c.len_utf8();
+        self.offset += 1 + c.len_utf8();
         Ok(match c {
             '"' | '\\' | '/' => c,
             'b' => '\u{8}',
@@ -215,7 +215,7 @@
                 let digits = &self.rest()[1..end];
                 let valid = digits.bytes().all(|b| b.is_ascii_hexdigit());
                 let code = u32::from_str_radix(digits, 16).ok().filter(|_| valid).ok_or_else(bad)?;
-                self.at += end + 1;
+                self.offset += end + 1;
                 char::from_u32(code).ok_or_else(bad)?
             }
             'u' => {
@@ -226,7 +226,7 @@
                 if !self.rest().starts_with("\\u") {
                     return Err(bad());
                 }
-                self.at += 2;
+                self.offset += 2;
                 let second = self.hex().filter(|s| (0xdc00..0xe000).contains(s)).ok_or_else(bad)?;
                 char::from_u32(0x10000 + ((first - 0xd800) << 10) + (second - 0xdc00)).ok_or_else(bad)?
             }
@@ -236,41 +236,41 @@
 
     fn hex(&mut self) -> Option<u32> {
         let digits = self.rest().get(..4).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
-        self.at += 4;
+        self.offset += 4;
         u32::from_str_radix(digits, 16).ok()
     }
 
-    fn block(&mut self, at: Pos) -> Result<(Kind, &'a str), Error> {
-        let start = self.at;
-        self.at += 3;
+    fn block(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
+        let start = self.offset;
+        self.offset += 3;
         let mut raw = String::new();
         loop {
             let rest = self.rest();
             let Some(c) = rest.chars().next() else {
-                return Err(Error::new(at, "a block string has no end"));
+                return Err(Error::new(pos, "a block string has no end"));
             };
             if rest.starts_with("\"\"\"") {
-                self.at += 3;
-                return Ok((Kind::Str(dedent(&raw)), &self.source[start..self.at]));
+                self.offset += 3;
+                return Ok((Kind::Str(dedent(&raw)), &self.source[start..self.offset]));
             }
             if rest.starts_with("\\\"\"\"") {
                 raw.push_str("\"\"\"");
-                self.at += 4;
+                self.offset += 4;
                 continue;
             }
             match c {
                 '\r' | '\n' => {
                     raw.push('\n');
-                    self.at += if rest.starts_with("\r\n") { 2 } else { 1 };
+                    self.offset += if rest.starts_with("\r\n") { 2 } else { 1 };
                     self.newline();
                 }
                 c if c < ' ' && c != '\t' => {
-                    let here = self.pos();
-                    return Err(Error::new(here, "a control character in a block string"));
+                    let pos = self.pos();
+                    return Err(Error::new(pos, "a control character in a block string"));
                 }
                 c => {
                     raw.push(c);
-                    self.at += c.len_utf8();
+                    self.offset += c.len_utf8();
                 }
             }
         }
@@ -336,7 +336,7 @@
     #[test]
     fn places_count_characters() {
         let tokens = tokens("\u{feff}# é\n  \"é\" a\r\n{", &Limits::default()).unwrap();
-        let places: Vec<_> = tokens.iter().map(|t| (t.at.line, t.at.column)).collect();
+        let places: Vec<_> = tokens.iter().map(|t| (t.pos.line, t.pos.column)).collect();
         assert_eq!(places, [(2, 3), (2, 7), (3, 1), (3, 2)]);
     }
 }
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -83,7 +83,7 @@
 }
 
 impl Error {
-    pub(crate) fn new(at: Pos, message: impl Into<String>) -> Self {
-        Self { message: message.into(), at: Some(at) }
+    pub(crate) fn new(pos: Pos, message: impl Into<String>) -> Self {
+        Self { message: message.into(), at: Some(pos) }
     }
 }
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -99,10 +99,9 @@
             let mut names = HashSet::with_capacity(selections.len());
             return selections.iter().all(|s| key(s).is_some_and(|k| names.insert(k)));
         }
-        selections
-            .iter()
-            .enumerate()
-            .all(|(at, s)| key(s).is_some_and(|k| selections[..at].iter().all(|other| key(other) != Some(k))))
+        selections.iter().enumerate().all(|(index, s)| {
+            key(s).is_some_and(|k| selections[..index].iter().all(|other| key(other) != Some(k)))
+        })
     }
 
     fn visit(&mut self, count: usize, field: &Field) -> Result<(), Error> {
@@ -110,7 +109,7 @@
         if self.visits <= VISITS {
             return Ok(());
         }
-        Err(Error::new(field.at, "the fields of this operation are merged in too many ways"))
+        Err(Error::new(field.pos, "the fields of this operation are merged in too many ways"))
     }
 
     /// The fields of some sets by response name, through fragments, in the order of the source.
@@ -202,10 +201,10 @@
 }
 
 fn conflict(first: &Field, other: &Field, why: &str) -> Error {
-    let (key, at) = (first.key(), first.at);
+    let (key, pos) = (first.key(), first.pos);
     let text =
-        format!("the fields `{key}` here and at {}:{} {why}: give one another alias", at.line, at.column);
-    Error::new(other.at, text)
+        format!("the fields `{key}` here and at {}:{} {why}: give one another alias", pos.line, pos.column);
+    Error::new(other.pos, text)
 }
 
 /// Lists and non-null agree, whatever they hold.
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -14,7 +14,7 @@
     let most = limits.depth.min(HARD_DEPTH_LIMIT);
     let mut parser = Parser { tokens, next: 0, depth: 0, most, aliases: limits.aliases, document };
     if parser.peek().kind == Kind::End {
-        return Err(Error::new(parser.peek().at, "the document is empty"));
+        return Err(Error::new(parser.peek().pos, "the document is empty"));
     }
     while parser.peek().kind != Kind::End {
         parser.definition()?;
@@ -45,7 +45,7 @@
     }
 
     fn wanted<T>(&self, what: &str) -> Parsed<T> {
-        Err(Error::new(self.peek().at, format!("expected {what}, found {}", self.peek().shown())))
+        Err(Error::new(self.peek().pos, format!("expected {what}, found {}", self.peek().shown())))
     }
 
     fn is(&self, c: char) -> bool {
@@ -86,13 +86,13 @@
     fn deeper(&mut self) -> Parsed<()> {
         self.depth += 1;
         if self.depth > self.most {
-            return Err(Error::new(self.peek().at, format!("nested deeper than {}", self.most)));
+            return Err(Error::new(self.peek().pos, format!("nested deeper than {}", self.most)));
         }
         Ok(())
     }
 
     fn definition(&mut self) -> Parsed<()> {
-        let at = self.peek().at;
+        let pos = self.peek().pos;
         if self.is('{') {
             let selection_set = self.selection_set()?;
             let (kind, name, variables, directives) = (OperationKind::Query, None, Vec::new(), Vec::new());
@@ -102,7 +102,7 @@
                 variables,
                 directives,
                 selection_set,
-                at,
+                pos,
             });
             return Ok(());
         }
@@ -112,7 +112,7 @@
                 Some("query" | "mutation" | "subscription" | "fragment" | "extend") | None => {
                     self.wanted("a type definition after a description")
                 }
-                _ => self.type_system(at, false),
+                _ => self.type_system(pos, false),
             };
         }
         match self.word() {
@@ -122,36 +122,36 @@
             Some("fragment") => self.fragment(),
             Some("extend") => {
                 self.advance();
-                self.type_system(at, true)
+                self.type_system(pos, true)
             }
-            _ => self.type_system(at, false),
+            _ => self.type_system(pos, false),
         }
     }
 
     fn operation(&mut self, kind: OperationKind) -> Parsed<()> {
-        let at = self.advance().at;
+        let pos = self.advance().pos;
         let name = if self.word().is_some() { Some(self.name()?) } else { None };
         let mut variables = Vec::new();
         if self.eat('(') {
             while !self.eat(')') || variables.is_empty() {
-                let at = self.peek().at;
+                let pos = self.peek().pos;
                 self.expect('$')?;
                 let name = self.name()?;
                 self.expect(':')?;
                 let ty = self.type_reference()?;
                 let default = if self.eat('=') { Some(self.value(true)?) } else { None };
                 self.directives(true)?;
-                variables.push(VariableDef { name, ty, default, at });
+                variables.push(VariableDef { name, ty, default, pos });
             }
         }
         let directives = self.directives(false)?;
         let selection_set = self.selection_set()?;
-        self.document.operations.push(OperationDef { kind, name, variables, directives, selection_set, at });
+        self.document.operations.push(OperationDef { kind, name, variables, directives, selection_set, pos });
         Ok(())
     }
 
     fn fragment(&mut self) -> Parsed<()> {
-        let at = self.advance().at;
+        let pos = self.advance().pos;
         if self.word() == Some("on") {
             return self.wanted("a fragment's name other than `on`");
         }
@@ -162,7 +162,7 @@
         let type_condition = self.name()?;
         let directives = self.directives(false)?;
         let selection_set = self.selection_set()?;
-        self.document.fragments.push(FragmentDef { name, type_condition, directives, selection_set, at });
+        self.document.fragments.push(FragmentDef { name, type_condition, directives, selection_set, pos });
         Ok(())
     }
 
@@ -180,41 +180,41 @@
     }
 
     fn selection(&mut self) -> Parsed<Selection> {
-        let at = self.peek().at;
+        let pos = self.peek().pos;
         if self.peek().kind == Kind::Spread {
             self.advance();
             if let Some(word) = self.word().filter(|w| *w != "on") {
                 self.advance();
                 let directives = self.directives(false)?;
-                return Ok(Selection::FragmentSpread { name: word.to_owned(), directives, at });
+                return Ok(Selection::FragmentSpread { name: word.to_owned(), directives, pos });
             }
             let type_condition = if self.eat_word("on") { Some(self.name()?) } else { None };
             let directives = self.directives(false)?;
             let selection_set = self.selection_set()?;
-            return Ok(Selection::InlineFragment { type_condition, directives, selection_set, at });
+            return Ok(Selection::InlineFragment { type_condition, directives, selection_set, pos });
         }
         let first = self.name()?;
         let (alias, name) = if self.eat(':') { (Some(first), self.name()?) } else { (None, first) };
         if alias.is_some() {
             self.aliases = match self.aliases.checked_sub(1) {
                 Some(left) => left,
-                None => return Err(Error::new(at, "more aliases than allowed")),
+                None => return Err(Error::new(pos, "more aliases than allowed")),
             };
         }
         let arguments = self.arguments(false)?;
         let directives = self.directives(false)?;
         let selection_set = if self.is('{') { Some(self.selection_set()?) } else { None };
-        Ok(Selection::Field(Field { alias, name, arguments, directives, selection_set, at }))
+        Ok(Selection::Field(Field { alias, name, arguments, directives, selection_set, pos }))
     }
 
     fn arguments(&mut self, constant: bool) -> Parsed<Vec<Argument>> {
         let mut arguments = Vec::new();
         if self.eat('(') {
             while !self.eat(')') || arguments.is_empty() {
-                let at = self.peek().at;
+                let pos = self.peek().pos;
                 let name = self.name()?;
                 self.expect(':')?;
-                arguments.push(Argument { name, value: self.value(constant)?, at });
+                arguments.push(Argument { name, value: self.value(constant)?, pos });
             }
         }
         Ok(arguments)
@@ -223,15 +223,15 @@
     fn directives(&mut self, constant: bool) -> Parsed<Vec<Directive>> {
         let mut directives = Vec::new();
         while self.is('@') {
-            let at = self.advance().at;
+            let pos = self.advance().pos;
             let name = self.name()?;
-            directives.push(Directive { name, arguments: self.arguments(constant)?, at });
+            directives.push(Directive { name, arguments: self.arguments(constant)?, pos });
         }
         Ok(directives)
     }
 
     fn value(&mut self, constant: bool) -> Parsed<Value> {
-        let at = self.peek().at;
+        let pos = self.peek().pos;
         let kind = match self.peek().kind.clone() {
             Kind::Punct('$') if !constant => {
                 self.advance();
@@ -264,10 +264,10 @@
                 self.deeper()?;
                 let mut fields: Vec<(String, Value)> = Vec::new();
                 while !self.eat('}') {
-                    let here = self.peek().at;
+                    let pos = self.peek().pos;
                     let name = self.name()?;
                     if fields.iter().any(|(n, _)| *n == name) {
-                        return Err(Error::new(here, format!("input field `{name}` is given twice")));
+                        return Err(Error::new(pos, format!("input field `{name}` is given twice")));
                     }
                     self.expect(':')?;
                     let value = self.value(constant)?;
@@ -279,7 +279,7 @@
             _ if constant => return self.wanted("a constant value"),
             _ => return self.wanted("a value"),
         };
-        Ok(Value { kind, at })
+        Ok(Value { kind, pos })
     }
 
     fn type_reference(&mut self) -> Parsed<Type> {
@@ -297,7 +297,7 @@
 
     // ---- Type system (section 3) ----
 
-    fn type_system(&mut self, at: Pos, is_extension: bool) -> Parsed<()> {
+    fn type_system(&mut self, pos: Pos, is_extension: bool) -> Parsed<()> {
         let what = self.word().unwrap_or("");
         let known = ["schema", "scalar", "type", "interface", "union", "enum", "input", "directive"];
         if !known.contains(&what) || (is_extension && what == "directive") {
@@ -323,7 +323,7 @@
                     root_operation_types.push((kind, self.name()?));
                 }
             }
-            self.document.type_system_definitions.push(TypeSystemDef::Schema { root_operation_types, at });
+            self.document.type_system_definitions.push(TypeSystemDef::Schema { root_operation_types, pos });
             return Ok(());
         }
         if what == "directive" {
@@ -339,7 +339,7 @@
             while self.eat('|') {
                 self.name()?;
             }
-            self.document.type_system_definitions.push(TypeSystemDef::Directive { name, arguments, at });
+            self.document.type_system_definitions.push(TypeSystemDef::Directive { name, arguments, pos });
             return Ok(());
         }
         let name = self.name()?;
@@ -393,7 +393,7 @@
             body,
             directives,
             is_extension,
-            at,
+            pos,
         });
         Ok(())
     }
@@ -421,12 +421,12 @@
         if self.eat('{') {
             while !self.eat('}') || fields.is_empty() {
                 self.description();
-                let at = self.peek().at;
+                let pos = self.peek().pos;
                 let name = self.name()?;
                 let arguments = self.input_definitions('(', ')')?;
                 self.expect(':')?;
                 let ty = self.type_reference()?;
-                fields.push(FieldDef { name, arguments, ty, directives: self.directives(true)?, at });
+                fields.push(FieldDef { name, arguments, ty, directives: self.directives(true)?, pos });
             }
         }
         Ok(fields)
@@ -437,12 +437,12 @@
         if self.eat(open) {
             while !self.eat(close) || inputs.is_empty() {
                 self.description();
-                let at = self.peek().at;
+                let pos = self.peek().pos;
                 let name = self.name()?;
                 self.expect(':')?;
                 let ty = self.type_reference()?;
                 let default = if self.eat('=') { Some(self.value(true)?) } else { None };
-                inputs.push(InputValueDef { name, ty, default, directives: self.directives(true)?, at });
+                inputs.push(InputValueDef { name, ty, default, directives: self.directives(true)?, pos });
             }
         }
         Ok(inputs)
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -207,14 +207,14 @@
         if directive.require_one && !directive.slicing.is_empty() && sizes.len() != 1 {
             let names = directive.slicing.join("`, `");
             let text = format!("field `{}` needs exactly one of the arguments `{names}`", field.name);
-            self.errors.push(Error::new(field.at, text));
+            self.errors.push(Error::new(field.pos, text));
         }
         let sizes: Vec<f64> = sizes.iter().filter_map(Json::as_f64).collect();
         // A list of less than nothing has no price, and one of more than any node holds no honest one.
         if let Some(size) = sizes.iter().find(|s| !(0.0..=SIZE_MOST).contains(*s)) {
             let text =
                 format!("field `{}` asks for a list of {size}: allowed is 0 to {SIZE_MOST}", field.name);
-            self.errors.push(Error::new(field.at, text));
+            self.errors.push(Error::new(field.pos, text));
         }
         sizes.into_iter().reduce(f64::max).map(|s| s.clamp(0.0, SIZE_MOST)).or(directive.assumed)
     }
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -30,7 +30,7 @@
     pub arguments: BTreeMap<String, Input>,
     pub weight: Option<f64>,
     pub list_size: Option<ListSize>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// The objects that a value of this type can be; itself for an object.
     pub possible: BTreeSet<TypeId>,
     pub weight: Option<f64>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 impl TypeDef {
@@ -170,8 +170,8 @@
 }
 
 impl Builder {
-    fn fault(&mut self, at: Pos, message: String) {
-        self.errors.push(Error::new(at, message));
+    fn fault(&mut self, pos: Pos, message: String) {
+        self.errors.push(Error::new(pos, message));
     }
 
     fn weight(&mut self, directives: &[Directive]) -> Option<f64> {
@@ -182,7 +182,7 @@
             _ => None,
         };
         if parsed.is_none() {
-            self.fault(cost.at, "@cost needs weight: a string that holds a finite number".into());
+            self.fault(cost.pos, "@cost needs weight: a string that holds a finite number".into());
         }
         parsed
     }
@@ -207,7 +207,7 @@
                 ("sizedFields", _, Some(names)) => size.sized = names,
                 ("requireOneSlicingArgument", ValueKind::Bool(b), _) => size.require_one = *b,
                 (name, ..) => {
-                    self.fault(argument.at, format!("@listSize: `{name}` is unknown or of the wrong type"))
+                    self.fault(argument.pos, format!("@listSize: `{name}` is unknown or of the wrong type"))
                 }
             }
         }
@@ -216,7 +216,7 @@
             if argument.is_none_or(|a| a.ty.is_list() || a.ty.named_type() != "Int") {
                 let text =
                     format!("@listSize: slicing argument `{name}` is no Int argument of `{}`", field.name);
-                self.fault(directive.at, text);
+                self.fault(directive.pos, text);
             }
         }
         Some(size)
@@ -231,7 +231,7 @@
         for def in defs {
             let input = self.input(def);
             if inputs.insert(def.name.clone(), input).is_some() {
-                self.fault(def.at, format!("`{}` is defined twice", def.name));
+                self.fault(def.pos, format!("`{}` is defined twice", def.name));
             }
         }
         inputs
@@ -239,38 +239,40 @@
 
     fn take(&mut self, document: &Document, built_in: bool) {
         let first =
-            document.operations.iter().map(|o| o.at).chain(document.fragments.iter().map(|f| f.at)).min();
-        if let Some(at) = first {
-            self.fault(at, "a schema holds no operations and no fragments".into());
+            document.operations.iter().map(|o| o.pos).chain(document.fragments.iter().map(|f| f.pos)).min();
+        if let Some(pos) = first {
+            self.fault(pos, "a schema holds no operations and no fragments".into());
         }
         let extends = |d: &&TypeSystemDef| matches!(d, TypeSystemDef::Type { is_extension: true, .. });
         let definitions = document.type_system_definitions.iter();
         let ordered = definitions.clone().filter(|d| !extends(d)).chain(definitions.filter(extends));
         for definition in ordered {
             match definition {
-                TypeSystemDef::Schema { root_operation_types, at } => {
+                TypeSystemDef::Schema { root_operation_types, pos } => {
                     self.root_operation_types
-                        .extend(root_operation_types.iter().map(|(kind, name)| (*kind, name.clone(), *at)));
+                        .extend(root_operation_types.iter().map(|(kind, name)| (*kind, name.clone(), *pos)));
                 }
-                TypeSystemDef::Directive { name, arguments, at } => {
+                TypeSystemDef::Directive { name, arguments, pos } => {
                     let arguments = self.inputs(arguments);
                     let known = self.directives.insert(name.clone(), arguments).is_some();
                     let stated = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
                     if known && !stated.contains(&name.as_str()) {
-                        self.fault(*at, format!("directive `@{name}` is defined twice"));
+                        self.fault(*pos, format!("directive `@{name}` is defined twice"));
                     }
                 }
-                TypeSystemDef::Type { name, body, directives, is_extension, at } => {
+                TypeSystemDef::Type { name, body, directives, is_extension, pos } => {
                     if name.starts_with("__") && !built_in {
-                        self.fault(*at, format!("`{name}`: names with two underscores are reserved"));
+                        self.fault(*pos, format!("`{name}`: names with two underscores are reserved"));
                     }
-                    self.define(name, body, directives, *is_extension, *at);
+                    self.define(name, body, directives, *is_extension, *pos);
                 }
             }
         }
     }
 
-    fn define(&mut self, name: &str, body: &TypeBody, directives: &[Directive], is_extension: bool, at: Pos) {
+    fn define(
+        &mut self, name: &str, body: &TypeBody, directives: &[Directive], is_extension: bool, pos: Pos,
+    ) {
         let kind = match body {
             TypeBody::Scalar => TypeKind::Scalar,
             TypeBody::Object { .. } => TypeKind::Object,
@@ -284,10 +286,10 @@
         let id = match (known, is_extension) {
             (Some(id), true) if self.types[id].kind == kind => id,
             (Some(_), true) => {
-                return self.fault(at, format!("`{name}` is extended as another kind of type"));
+                return self.fault(pos, format!("`{name}` is extended as another kind of type"));
             }
-            (None, true) => return self.fault(at, format!("`{name}` is extended and not defined")),
-            (Some(_), false) => return self.fault(at, format!("type `{name}` is defined twice")),
+            (None, true) => return self.fault(pos, format!("`{name}` is extended and not defined")),
+            (Some(_), false) => return self.fault(pos, format!("type `{name}` is defined twice")),
             (None, false) => {
                 let (fields, inputs, values) = Default::default();
                 let (related, possible) = Default::default();
@@ -302,7 +304,7 @@
                     related,
                     possible,
                     weight: None,
-                    at,
+                    pos,
                 });
                 self.types.len() - 1
             }
@@ -326,12 +328,12 @@
             let arguments = self.inputs(&field.arguments);
             let (weight, list_size) = (self.weight(&field.directives), self.list_size(&field));
             if field.name.starts_with("__") {
-                self.fault(field.at, format!("`{}`: names with two underscores are reserved", field.name));
+                self.fault(field.pos, format!("`{}`: names with two underscores are reserved", field.name));
             }
             let made =
-                OutField { ty: field.ty.clone(), named: 0, arguments, weight, list_size, at: field.at };
+                OutField { ty: field.ty.clone(), named: 0, arguments, weight, list_size, pos: field.pos };
             if self.types[id].fields.insert(field.name.clone(), made).is_some() {
-                self.fault(field.at, format!("field `{name}.{}` is defined twice", field.name));
+                self.fault(field.pos, format!("field `{name}.{}` is defined twice", field.name));
             }
         }
         self.types[id].related.extend(related);
@@ -343,15 +345,15 @@
         let stated = !self.root_operation_types.is_empty();
         let mut root = |kind, default: &str| {
             let found = self.root_operation_types.iter().find(|(k, ..)| *k == kind).cloned();
-            let (name, at) = match found {
-                Some((_, name, at)) => (name, at),
+            let (name, pos) = match found {
+                Some((_, name, pos)) => (name, pos),
                 None if stated => return None,
                 None => (default.to_owned(), start),
             };
             match self.index.get(&name) {
                 Some(id) if self.types[*id].kind == TypeKind::Object => Some(*id),
                 _ if stated => {
-                    self.errors.push(Error::new(at, format!("root type `{name}` is no object type")));
+                    self.errors.push(Error::new(pos, format!("root type `{name}` is no object type")));
                     None
                 }
                 _ => None,
@@ -367,7 +369,7 @@
         if let Some(query) = query {
             let meta = |named: TypeId, kind: &str, arguments| {
                 let (weight, list_size) = (Some(0.0), None);
-                OutField { ty: Type::Named(kind.into()), named, arguments, weight, list_size, at: start }
+                OutField { ty: Type::Named(kind.into()), named, arguments, weight, list_size, pos: start }
             };
             let (schema, one) = (self.index["__Schema"], self.index["__Type"]);
             let name = Type::NonNull(Box::new(Type::Named("String".into())));
@@ -389,7 +391,7 @@
         let mut errors = Vec::new();
         for id in 0..self.types.len() {
             let def = &self.types[id];
-            let fault = |at: Pos, text: String| Error::new(at, text);
+            let fault = |pos: Pos, text: String| Error::new(pos, text);
             let empty = match def.kind {
                 TypeKind::Object | TypeKind::Interface => def.fields.is_empty(),
                 TypeKind::Union => def.related.is_empty(),
@@ -398,13 +400,14 @@
                 TypeKind::Scalar => false,
             };
             if empty {
-                errors.push(fault(def.at, format!("type `{}` has no fields, members or values", def.name)));
+                errors.push(fault(def.pos, format!("type `{}` has no fields, members or values", def.name)));
             }
-            let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.at, a)));
-            for (at, (name, input)) in inputs.chain(def.inputs.iter().map(|i| (def.at, i))) {
+            let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.pos, a)));
+            for (pos, (name, input)) in inputs.chain(def.inputs.iter().map(|i| (def.pos, i))) {
                 let found = self.index.get(input.ty.named_type()).map(|t| &self.types[*t]);
                 if found.is_none_or(|t| !t.is_input()) {
-                    errors.push(fault(at, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
+                    errors
+                        .push(fault(pos, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
                 }
             }
             for related in &def.related {
@@ -412,13 +415,13 @@
                 let Some(other) =
                     self.index.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == wanted)
                 else {
-                    errors.push(fault(def.at, format!("`{}`: `{related}` is no {wanted:?}", def.name)));
+                    errors.push(fault(def.pos, format!("`{}`: `{related}` is no {wanted:?}", def.name)));
                     continue;
                 };
                 for name in other.fields.keys().filter(|_| wanted == TypeKind::Interface) {
                     if !def.fields.contains_key(name) {
                         let text = format!("`{}` lacks field `{name}` of interface `{related}`", def.name);
-                        errors.push(fault(def.at, text));
+                        errors.push(fault(def.pos, text));
                     }
                 }
             }
@@ -426,7 +429,7 @@
                 let found = self.index.get(field.ty.named_type()).map(|t| &self.types[*t]);
                 let Some(found) = found.filter(|t| t.kind != TypeKind::Input) else {
                     errors.push(fault(
-                        field.at,
+                        field.pos,
                         format!("`{name}`: `{}` is no output type", field.ty.named_type()),
                     ));
                     continue;
@@ -434,7 +437,7 @@
                 for sized in field.list_size.iter().flat_map(|s| &s.sized) {
                     if found.fields.get(sized).is_none_or(|f| !f.ty.is_list()) {
                         let text = format!("@listSize: sized field `{sized}` is no list of `{}`", found.name);
-                        errors.push(fault(field.at, text));
+                        errors.push(fault(field.pos, text));
                     }
                 }
                 if let Some(size) = &field.list_size
@@ -442,7 +445,7 @@
                     && size.sized.is_empty()
                 {
                     errors.push(fault(
-                        field.at,
+                        field.pos,
                         format!("@listSize: `{name}` is no list and names no sizedFields"),
                     ));
                 }
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -28,8 +28,8 @@
 type Use<'a> = (&'a str, Type, Pos);
 
 impl<'a> Check<'a> {
-    fn fault(&mut self, at: Pos, message: String) {
-        self.errors.push(Error::new(at, message));
+    fn fault(&mut self, pos: Pos, message: String) {
+        self.errors.push(Error::new(pos, message));
     }
 
     fn run(&mut self, limits: &Limits) {
@@ -38,25 +38,25 @@
             self.fault(Pos { line: 1, column: 1 }, "the document holds no operation".into());
         }
         if let Some(definition) = document.type_system_definitions.first() {
-            let (TypeSystemDef::Schema { at, .. }
-            | TypeSystemDef::Type { at, .. }
-            | TypeSystemDef::Directive { at, .. }) = definition;
-            self.fault(*at, "a type system has no place in a request".into());
+            let (TypeSystemDef::Schema { pos, .. }
+            | TypeSystemDef::Type { pos, .. }
+            | TypeSystemDef::Directive { pos, .. }) = definition;
+            self.fault(*pos, "a type system has no place in a request".into());
         }
         let mut fragments: HashMap<&str, &FragmentDef> = HashMap::new();
         for fragment in &document.fragments {
             if fragments.insert(&fragment.name, fragment).is_some() {
-                self.fault(fragment.at, format!("fragment `{}` is defined twice", fragment.name));
+                self.fault(fragment.pos, format!("fragment `{}` is defined twice", fragment.name));
             }
         }
         let mut names = BTreeSet::new();
         for operation in &document.operations {
             match &operation.name {
                 Some(name) if !names.insert(name) => {
-                    self.fault(operation.at, format!("operation `{name}` is defined twice"));
+                    self.fault(operation.pos, format!("operation `{name}` is defined twice"));
                 }
                 None if document.operations.len() > 1 => {
-                    self.fault(operation.at, "an operation without a name must be the only one".into());
+                    self.fault(operation.pos, "an operation without a name must be the only one".into());
                 }
                 _ => {}
             }
@@ -72,11 +72,11 @@
             let (fields, depth) = self.size(operation.selection_set, &sizes);
             if fields > limits.expansion {
                 let text = format!("{fields} fields with all fragments spread, at most {}", limits.expansion);
-                self.fault(operation.at, text);
+                self.fault(operation.pos, text);
             }
             if depth > limits.depth {
                 self.fault(
-                    operation.at,
+                    operation.pos,
                     format!("nested {depth} deep with all fragments spread, at most {}", limits.depth),
                 );
             }
@@ -89,7 +89,7 @@
             match id {
                 Some(id) => self.selection_set(fragment.selection_set, id, &fragments, &mut found),
                 None => {
-                    self.fault(fragment.at, format!("`{}` is no composite type", fragment.type_condition))
+                    self.fault(fragment.pos, format!("`{}` is no composite type", fragment.type_condition))
                 }
             }
             self.directives(&fragment.directives, &mut found);
@@ -128,10 +128,10 @@
             .iter()
             .map(|o| o.selection_set)
             .chain(document.fragments.iter().map(|f| f.selection_set));
-        for (name, at) in definition_selection_sets.flat_map(|s| document.nested_fragment_spreads(s)) {
+        for (name, pos) in definition_selection_sets.flat_map(|s| document.nested_fragment_spreads(s)) {
             if !fragments.contains_key(name) {
                 unknown = true;
-                self.errors.push(Error::new(at, format!("fragment `{name}` is not defined")));
+                self.errors.push(Error::new(pos, format!("fragment `{name}` is not defined")));
             }
         }
         let mut free: Vec<&str> = waits.iter().filter(|(_, w)| w.is_empty()).map(|(n, _)| *n).collect();
@@ -152,7 +152,7 @@
                 document.fragments.iter().find(|f| waits.get(f.name.as_str()).is_some_and(|w| !w.is_empty()));
             if let Some(fragment) = cyclic {
                 self.fault(
-                    fragment.at,
+                    fragment.pos,
                     format!("fragment `{}` spreads itself, over others or not", fragment.name),
                 );
             }
@@ -187,12 +187,12 @@
     ) {
         let Some(root) = self.schema.root(operation.kind) else {
             return self
-                .fault(operation.at, format!("the schema has no {:?} root", operation.kind).to_lowercase());
+                .fault(operation.pos, format!("the schema has no {:?} root", operation.kind).to_lowercase());
         };
         let mut known: BTreeMap<&str, &VariableDef> = BTreeMap::new();
         for def in &operation.variables {
             if known.insert(&def.name, def).is_some() {
-                self.fault(def.at, format!("variable `${}` is defined twice", def.name));
+                self.fault(def.pos, format!("variable `${}` is defined twice", def.name));
             }
             match self.schema.find(def.ty.named_type()) {
                 Some(id) if self.schema.types[id].is_input() => {
@@ -200,9 +200,8 @@
                         literal(self.schema, default, &def.ty, &mut |_, _, _| {}, &mut self.errors);
                     }
                 }
-                _ => {
-                    self.fault(def.at, format!("`${}`: `{}` is no input type", def.name, def.ty.named_type()))
-                }
+                _ => self
+                    .fault(def.pos, format!("`${}`: `{}` is no input type", def.name, def.ty.named_type())),
             }
         }
         let mut found = Vec::new();
@@ -219,13 +218,13 @@
         }
         let all = reached.iter().filter_map(|n| uses.get(n)).flatten().chain(&found);
         let mut errors = Vec::new();
-        for (name, wanted, at) in all {
+        for (name, wanted, pos) in all {
             match known.get(name) {
                 None => errors
-                    .push(Error::new(*at, format!("variable `${name}` is not defined by the operation"))),
+                    .push(Error::new(*pos, format!("variable `${name}` is not defined by the operation"))),
                 Some(def) if !usable(def, wanted) => {
                     let text = format!("variable `${name}` of type `{}` does not fit `{wanted}`", def.ty);
-                    errors.push(Error::new(*at, text));
+                    errors.push(Error::new(*pos, text));
                 }
                 Some(_) => {}
             }
@@ -234,7 +233,7 @@
         if operation.kind == OperationKind::Subscription
             && self.document.selection_sets[operation.selection_set].len() != 1
         {
-            self.fault(operation.at, "a subscription has one root field".into());
+            self.fault(operation.pos, "a subscription has one root field".into());
         }
     }
 
@@ -246,25 +245,25 @@
         for selection in &document.selection_sets[selection_set] {
             match selection {
                 Selection::Field(field) => self.field(field, parent, fragments, uses),
-                Selection::FragmentSpread { name, directives, at } => {
+                Selection::FragmentSpread { name, directives, pos } => {
                     self.directives(directives, uses);
                     let type_condition =
                         fragments.get(name.as_str()).and_then(|f| schema.find(&f.type_condition));
                     if let Some(type_condition) = type_condition {
-                        self.overlap(parent, type_condition, *at);
+                        self.overlap(parent, type_condition, *pos);
                     }
                 }
-                Selection::InlineFragment { type_condition, directives, selection_set, at } => {
+                Selection::InlineFragment { type_condition, directives, selection_set, pos } => {
                     self.directives(directives, uses);
                     let id = type_condition.as_ref().map_or(Some(parent), |c| schema.find(c));
                     match id.filter(|t| schema.types[*t].is_composite()) {
                         Some(id) => {
-                            self.overlap(parent, id, *at);
+                            self.overlap(parent, id, *pos);
                             self.selection_set(*selection_set, id, fragments, uses);
                         }
                         None => {
                             let name = type_condition.as_deref().unwrap_or_default();
-                            self.fault(*at, format!("`{name}` is no composite type"));
+                            self.fault(*pos, format!("`{name}` is no composite type"));
                         }
                     }
                 }
@@ -272,11 +271,11 @@
         }
     }
 
-    fn overlap(&mut self, parent: TypeId, type_condition: TypeId, at: Pos) {
+    fn overlap(&mut self, parent: TypeId, type_condition: TypeId, pos: Pos) {
         let (p, c) = (&self.schema.types[parent], &self.schema.types[type_condition]);
         if p.possible.is_disjoint(&c.possible) {
             let text = format!("a value of `{}` can never be a `{}`", p.name, c.name);
-            self.fault(at, text);
+            self.fault(pos, text);
         }
     }
 
@@ -288,48 +287,48 @@
         self.directives(&field.directives, uses);
         if field.name == "__typename" {
             if field.selection_set.is_some() || !field.arguments.is_empty() {
-                self.fault(field.at, "`__typename` takes no arguments and has no fields".into());
+                self.fault(field.pos, "`__typename` takes no arguments and has no fields".into());
             }
             return;
         }
         let Some(found) = def.fields.get(&field.name) else {
-            return self.fault(field.at, format!("type `{}` has no field `{}`", def.name, field.name));
+            return self.fault(field.pos, format!("type `{}` has no field `{}`", def.name, field.name));
         };
         let what = format!("field `{}.{}`", def.name, field.name);
-        self.arguments(&what, field.at, &field.arguments, &found.arguments, uses);
+        self.arguments(&what, field.pos, &field.arguments, &found.arguments, uses);
         let composite = schema.types[found.named].is_composite();
         match (field.selection_set, composite) {
             (Some(selection_set), true) => self.selection_set(selection_set, found.named, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
-                self.fault(field.at, format!("{what} of type `{}` has no fields of its own", found.ty))
+                self.fault(field.pos, format!("{what} of type `{}` has no fields of its own", found.ty))
             }
             (None, true) => {
-                self.fault(field.at, format!("{what} of type `{}` needs a selection of fields", found.ty))
+                self.fault(field.pos, format!("{what} of type `{}` needs a selection of fields", found.ty))
             }
         }
     }
 
     fn arguments(
-        &mut self, what: &str, at: Pos, given: &'a [Argument], known: &BTreeMap<String, Input>,
+        &mut self, what: &str, pos: Pos, given: &'a [Argument], known: &BTreeMap<String, Input>,
         uses: &mut Vec<Use<'a>>,
     ) {
         let mut names = BTreeSet::new();
         for argument in given {
             if !names.insert(&argument.name) {
-                self.fault(argument.at, format!("argument `{}` is given twice", argument.name));
+                self.fault(argument.pos, format!("argument `{}` is given twice", argument.name));
             }
             match known.get(&argument.name) {
                 Some(input) => {
-                    let mut on = |name, ty, at| uses.push((name, ty, at));
+                    let mut on = |name, ty, pos| uses.push((name, ty, pos));
                     literal(self.schema, &argument.value, &place(input), &mut on, &mut self.errors);
                 }
-                None => self.fault(argument.at, format!("{what} has no argument `{}`", argument.name)),
+                None => self.fault(argument.pos, format!("{what} has no argument `{}`", argument.name)),
             }
         }
         for (name, input) in known {
             if matches!(input.ty, Type::NonNull(_)) && input.default.is_none() && !names.contains(name) {
-                self.fault(at, format!("{what} needs argument `{name}`"));
+                self.fault(pos, format!("{what} needs argument `{name}`"));
             }
         }
     }
@@ -339,14 +338,14 @@
         for directive in directives {
             let schema = self.schema;
             if !names.insert(&directive.name) && matches!(directive.name.as_str(), "skip" | "include") {
-                self.fault(directive.at, format!("`@{}` is given twice", directive.name));
+                self.fault(directive.pos, format!("`@{}` is given twice", directive.name));
             }
             match schema.directives.get(&directive.name) {
                 Some(known) => {
                     let what = format!("directive `@{}`", directive.name);
-                    self.arguments(&what, directive.at, &directive.arguments, known, uses);
+                    self.arguments(&what, directive.pos, &directive.arguments, known, uses);
                 }
-                None => self.fault(directive.at, format!("directive `@{}` is unknown", directive.name)),
+                None => self.fault(directive.pos, format!("directive `@{}` is unknown", directive.name)),
             }
         }
     }
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -12,9 +12,9 @@
 pub(crate) fn literal<'d>(
     schema: &Schema, value: &'d Value, ty: &Type, on: OnVariable<'_, 'd>, errors: &mut Vec<Error>,
 ) {
-    let wrong = |what: &str| Error::new(value.at, format!("expected a value of type `{ty}`, found {what}"));
+    let wrong = |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
     match (&value.kind, ty) {
-        (ValueKind::Variable(name), _) => on(name, ty.clone(), value.at),
+        (ValueKind::Variable(name), _) => on(name, ty.clone(), value.pos),
         (ValueKind::Null, Type::NonNull(_)) => errors.push(wrong("null")),
         (ValueKind::Null, _) => {}
         (_, Type::NonNull(inner)) => literal(schema, value, inner, on, errors),
@@ -32,15 +32,17 @@
                     for (field, value) in fields {
                         match def.inputs.get(field) {
                             Some(input) => literal(schema, value, &place(input), on, errors),
-                            None => errors
-                                .push(Error::new(value.at, format!("`{name}` has no input field `{field}`"))),
+                            None => errors.push(Error::new(
+                                value.pos,
+                                format!("`{name}` has no input field `{field}`"),
+                            )),
                         }
                     }
                     for (field, input) in &def.inputs {
                         let given = fields.iter().any(|(n, _)| n == field);
                         if !given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
                             errors.push(Error::new(
-                                value.at,
+                                value.pos,
                                 format!("input field `{name}.{field}` is required"),
                             ));
                         }
@@ -125,7 +127,7 @@
         (Type::NonNull(inner), _) => coerce(schema, json, inner, path),
         (_, Json::Null) => Ok(Json::Null),
         (Type::List(inner), Json::Array(values)) => {
-            let one = |(at, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{at}]"));
+            let one = |(index, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{index}]"));
             values.iter().enumerate().map(one).collect::<Result<_, _>>().map(Json::Array)
         }
         (Type::List(inner), _) => Ok(Json::Array(vec![coerce(schema, json, inner, path)?])),
