--- a/crates/graphql/src/lexer.rs
+++ b/crates/graphql/src/lexer.rs
@@ -3,29 +3,29 @@
 use crate::{Error, Limits, Pos};
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Kind {
+pub(crate) enum TokenKind {
     /// One of `! $ & ( ) : = @ [ ] { | }`.
-    Punct(char),
-    Spread,
+    Punctuator(char),
+    Ellipsis,
     Name,
     Int,
     Float,
     Str(String),
-    End,
+    EndOfInput,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Token<'a> {
-    pub kind: Kind,
+    pub kind: TokenKind,
     pub text: &'a str,
     pub pos: Pos,
 }
 
 impl Token<'_> {
-    pub fn shown(&self) -> String {
+    pub fn describe(&self) -> String {
         match &self.kind {
-            Kind::End => "the end".into(),
-            Kind::Str(_) => "a string".into(),
+            TokenKind::EndOfInput => "the end".into(),
+            TokenKind::Str(_) => "a string".into(),
             _ => format!("`{}`", self.text),
         }
     }
@@ -38,11 +38,11 @@
     line_start: usize,
     /// The column's characters counted so far on this line, up to `counted`: no quadratic recount.
     column: u32,
-    counted: usize,
+    column_offset: usize,
 }
 
 /// All tokens of a source, the last one its end.
-pub(crate) fn tokens<'a>(source: &'a str, limits: &Limits) -> Result<Vec<Token<'a>>, Error> {
+pub(crate) fn tokenize<'a>(source: &'a str, limits: &Limits) -> Result<Vec<Token<'a>>, Error> {
     let start = Pos { line: 1, column: 1 };
     if source.len() > limits.bytes {
         return Err(Error::new(
@@ -50,17 +50,18 @@
             format!("the document has {} bytes, at most {}", source.len(), limits.bytes),
         ));
     }
-    let skip = if source.starts_with('\u{feff}') { 3 } else { 0 };
-    let mut lexer = Lexer { source, offset: skip, line: 1, line_start: skip, column: 1, counted: skip };
+    let bom_len = if source.starts_with('\u{feff}') { 3 } else { 0 };
+    let mut lexer =
+        Lexer { source, offset: bom_len, line: 1, line_start: bom_len, column: 1, column_offset: bom_len };
     let mut tokens = Vec::new();
     loop {
         let token = lexer.next()?;
         if tokens.len() > limits.tokens {
             return Err(Error::new(token.pos, format!("more than {} tokens", limits.tokens)));
         }
-        let end = token.kind == Kind::End;
+        let is_last = token.kind == TokenKind::EndOfInput;
         tokens.push(token);
-        if end {
+        if is_last {
             return Ok(tokens);
         }
     }
@@ -72,30 +73,30 @@
     }
 
     fn pos(&mut self) -> Pos {
-        if self.counted < self.line_start {
-            (self.counted, self.column) = (self.line_start, 1);
+        if self.column_offset < self.line_start {
+            (self.column_offset, self.column) = (self.line_start, 1);
         }
-        self.column += self.source[self.counted..self.offset].chars().count() as u32;
-        self.counted = self.offset;
+        self.column += self.source[self.column_offset..self.offset].chars().count() as u32;
+        self.column_offset = self.offset;
         Pos { line: self.line, column: self.column }
     }
 
-    fn newline(&mut self) {
+    fn start_line(&mut self) {
         self.line += 1;
         self.line_start = self.offset;
     }
 
-    fn skip(&mut self) {
+    fn skip_ignored(&mut self) {
         loop {
             match self.rest().as_bytes().first() {
                 Some(b' ' | b'\t' | b',') => self.offset += 1,
                 Some(b'\n') => {
                     self.offset += 1;
-                    self.newline();
+                    self.start_line();
                 }
                 Some(b'\r') => {
                     self.offset += if self.rest().starts_with("\r\n") { 2 } else { 1 };
-                    self.newline();
+                    self.start_line();
                 }
                 Some(b'#') => {
                     let end = self.rest().find(['\n', '\r']).unwrap_or(self.rest().len());
@@ -114,45 +115,45 @@
     }
 
     fn next(&mut self) -> Result<Token<'a>, Error> {
-        self.skip();
+        self.skip_ignored();
         let pos = self.pos();
         let Some(c) = self.rest().chars().next() else {
-            return Ok(Token { kind: Kind::End, text: "", pos });
+            return Ok(Token { kind: TokenKind::EndOfInput, text: "", pos });
         };
         let (kind, text) = match c {
             '!' | '$' | '&' | '(' | ')' | ':' | '=' | '@' | '[' | ']' | '{' | '|' | '}' => {
-                (Kind::Punct(c), self.take(1))
+                (TokenKind::Punctuator(c), self.take(1))
             }
-            '.' if self.rest().starts_with("...") => (Kind::Spread, self.take(3)),
+            '.' if self.rest().starts_with("...") => (TokenKind::Ellipsis, self.take(3)),
             '_' | 'a'..='z' | 'A'..='Z' => {
                 let rest = self.rest();
                 let end = rest.find(|c: char| !(c == '_' || c.is_ascii_alphanumeric())).unwrap_or(rest.len());
-                (Kind::Name, self.take(end))
+                (TokenKind::Name, self.take(end))
             }
             '-' | '0'..='9' => self.number(pos)?,
-            '"' if self.rest().starts_with("\"\"\"") => self.block(pos)?,
+            '"' if self.rest().starts_with("\"\"\"") => self.block_string(pos)?,
             '"' => self.string(pos)?,
             c => return Err(Error::new(pos, format!("unexpected character {c:?}"))),
         };
         Ok(Token { kind, text, pos })
     }
 
-    fn number(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
+    fn number(&mut self, pos: Pos) -> Result<(TokenKind, &'a str), Error> {
         let bytes = self.rest().as_bytes();
         let digits = |from: usize| bytes[from..].iter().take_while(|b| b.is_ascii_digit()).count();
         let mut end = usize::from(bytes[0] == b'-');
-        let whole = digits(end);
-        if whole == 0 || (whole > 1 && bytes[end] == b'0') {
+        let integer_digits = digits(end);
+        if integer_digits == 0 || (integer_digits > 1 && bytes[end] == b'0') {
             return Err(Error::new(pos, "malformed number: digits without a leading zero are wanted"));
         }
-        end += whole;
-        let mut kind = Kind::Int;
+        end += integer_digits;
+        let mut kind = TokenKind::Int;
         if bytes.get(end) == Some(&b'.') {
             let count = digits(end + 1);
             if count == 0 {
                 return Err(Error::new(pos, "malformed number: digits are wanted after the point"));
             }
-            (end, kind) = (end + 1 + count, Kind::Float);
+            (end, kind) = (end + 1 + count, TokenKind::Float);
         }
         if matches!(bytes.get(end), Some(b'e' | b'E')) {
             let sign = usize::from(matches!(bytes.get(end + 1), Some(b'+' | b'-')));
@@ -160,7 +161,7 @@
             if count == 0 {
                 return Err(Error::new(pos, "malformed number: digits are wanted in the exponent"));
             }
-            (end, kind) = (end + 1 + sign + count, Kind::Float);
+            (end, kind) = (end + 1 + sign + count, TokenKind::Float);
         }
         // A name or a point right behind is no second token (section 2.9.1).
         if matches!(bytes.get(end), Some(b) if b.is_ascii_alphanumeric() || *b == b'_' || *b == b'.') {
@@ -169,7 +170,7 @@
         Ok((kind, self.take(end)))
     }
 
-    fn string(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
+    fn string(&mut self, pos: Pos) -> Result<(TokenKind, &'a str), Error> {
         let start = self.offset;
         self.offset += 1;
         let mut value = String::new();
@@ -180,7 +181,7 @@
             match c {
                 '"' => {
                     self.offset += 1;
-                    return Ok((Kind::Str(value), &self.source[start..self.offset]));
+                    return Ok((TokenKind::Str(value), &self.source[start..self.offset]));
                 }
                 '\n' | '\r' => return Err(Error::new(pos, "a string has no end on its line")),
                 '\\' => {
@@ -200,8 +201,8 @@
     }
 
     fn escape(&mut self, pos: Pos) -> Result<char, Error> {
-        let bad = || Error::new(pos, "malformed escape in a string");
-        let c = self.rest()[1..].chars().next().ok_or_else(bad)?;
+        let malformed = || Error::new(pos, "malformed escape in a string");
+        let c = self.rest()[1..].chars().next().ok_or_else(malformed)?;
         self.offset += 1 + c.len_utf8();
         Ok(match c {
             '"' | '\\' | '/' => c,
@@ -211,36 +212,39 @@
             'r' => '\r',
             't' => '\t',
             'u' if self.rest().starts_with('{') => {
-                let end = self.rest().find('}').filter(|e| (2..=9).contains(e)).ok_or_else(bad)?;
+                let end = self.rest().find('}').filter(|e| (2..=9).contains(e)).ok_or_else(malformed)?;
                 let digits = &self.rest()[1..end];
                 let valid = digits.bytes().all(|b| b.is_ascii_hexdigit());
-                let code = u32::from_str_radix(digits, 16).ok().filter(|_| valid).ok_or_else(bad)?;
+                let code_point =
+                    u32::from_str_radix(digits, 16).ok().filter(|_| valid).ok_or_else(malformed)?;
                 self.offset += end + 1;
-                char::from_u32(code).ok_or_else(bad)?
+                char::from_u32(code_point).ok_or_else(malformed)?
             }
             'u' => {
-                let first = self.hex().ok_or_else(bad)?;
-                if !(0xd800..0xdc00).contains(&first) {
-                    return char::from_u32(first).ok_or_else(bad);
+                let code_unit = self.four_hex_digits().ok_or_else(malformed)?;
+                if !(0xd800..0xdc00).contains(&code_unit) {
+                    return char::from_u32(code_unit).ok_or_else(malformed);
                 }
                 if !self.rest().starts_with("\\u") {
-                    return Err(bad());
+                    return Err(malformed());
                 }
                 self.offset += 2;
-                let second = self.hex().filter(|s| (0xdc00..0xe000).contains(s)).ok_or_else(bad)?;
-                char::from_u32(0x10000 + ((first - 0xd800) << 10) + (second - 0xdc00)).ok_or_else(bad)?
+                let low_surrogate =
+                    self.four_hex_digits().filter(|s| (0xdc00..0xe000).contains(s)).ok_or_else(malformed)?;
+                char::from_u32(0x10000 + ((code_unit - 0xd800) << 10) + (low_surrogate - 0xdc00))
+                    .ok_or_else(malformed)?
             }
-            _ => return Err(bad()),
+            _ => return Err(malformed()),
         })
     }
 
-    fn hex(&mut self) -> Option<u32> {
+    fn four_hex_digits(&mut self) -> Option<u32> {
         let digits = self.rest().get(..4).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
         self.offset += 4;
         u32::from_str_radix(digits, 16).ok()
     }
 
-    fn block(&mut self, pos: Pos) -> Result<(Kind, &'a str), Error> {
+    fn block_string(&mut self, pos: Pos) -> Result<(TokenKind, &'a str), Error> {
         let start = self.offset;
         self.offset += 3;
         let mut raw = String::new();
@@ -251,7 +255,7 @@
             };
             if rest.starts_with("\"\"\"") {
                 self.offset += 3;
-                return Ok((Kind::Str(dedent(&raw)), &self.source[start..self.offset]));
+                return Ok((TokenKind::Str(block_string_value(&raw)), &self.source[start..self.offset]));
             }
             if rest.starts_with("\\\"\"\"") {
                 raw.push_str("\"\"\"");
@@ -262,7 +266,7 @@
                 '\r' | '\n' => {
                     raw.push('\n');
                     self.offset += if rest.starts_with("\r\n") { 2 } else { 1 };
-                    self.newline();
+                    self.start_line();
                 }
                 c if c < ' ' && c != '\t' => {
                     let pos = self.pos();
@@ -278,31 +282,34 @@
 }
 
 /// The value of a block string: common indentation and blank lines at both ends go (section 2.9.4).
-fn dedent(raw: &str) -> String {
+fn block_string_value(raw: &str) -> String {
     let mut lines: Vec<&str> = raw.split('\n').collect();
-    let blank = |line: &str| line.trim_matches([' ', '\t']).is_empty();
-    let indents =
-        lines.iter().skip(1).filter(|l| !blank(l)).map(|l| l.len() - l.trim_start_matches([' ', '\t']).len());
-    let common = indents.min().unwrap_or(0);
+    let is_blank = |line: &str| line.trim_matches([' ', '\t']).is_empty();
+    let indentations = lines
+        .iter()
+        .skip(1)
+        .filter(|l| !is_blank(l))
+        .map(|l| l.len() - l.trim_start_matches([' ', '\t']).len());
+    let common_indent = indentations.min().unwrap_or(0);
     for line in lines.iter_mut().skip(1) {
-        *line = line.get(common..).unwrap_or("");
+        *line = line.get(common_indent..).unwrap_or("");
     }
-    let first = lines.iter().position(|l| !blank(l)).unwrap_or(lines.len());
-    let last = lines.iter().rposition(|l| !blank(l)).map_or(first, |l| l + 1);
-    lines[first..last].join("\n")
+    let first = lines.iter().position(|l| !is_blank(l)).unwrap_or(lines.len());
+    let end = lines.iter().rposition(|l| !is_blank(l)).map_or(first, |l| l + 1);
+    lines[first..end].join("\n")
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn kinds(source: &str) -> Result<Vec<Kind>, Error> {
-        Ok(tokens(source, &Limits::default())?.into_iter().map(|t| t.kind).collect())
+    fn kinds(source: &str) -> Result<Vec<TokenKind>, Error> {
+        Ok(tokenize(source, &Limits::default())?.into_iter().map(|t| t.kind).collect())
     }
 
     fn text(source: &str) -> String {
         match &kinds(source).unwrap()[0] {
-            Kind::Str(s) => s.clone(),
+            TokenKind::Str(s) => s.clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -327,7 +334,10 @@
 
     #[test]
     fn numbers() {
-        assert_eq!(kinds("-0 1.5e-3 12").unwrap(), [Kind::Int, Kind::Float, Kind::Int, Kind::End]);
+        assert_eq!(
+            kinds("-0 1.5e-3 12").unwrap(),
+            [TokenKind::Int, TokenKind::Float, TokenKind::Int, TokenKind::EndOfInput]
+        );
         for bad in ["01", "-", "1.", "1e", "1a", "1.2.3", "-01"] {
             assert!(kinds(bad).is_err(), "{bad}");
         }
@@ -335,8 +345,8 @@
 
     #[test]
     fn places_count_characters() {
-        let tokens = tokens("\u{feff}# é\n  \"é\" a\r\n{", &Limits::default()).unwrap();
-        let places: Vec<_> = tokens.iter().map(|t| (t.pos.line, t.pos.column)).collect();
-        assert_eq!(places, [(2, 3), (2, 7), (3, 1), (3, 2)]);
+        let tokens = tokenize("\u{feff}# é\n  \"é\" a\r\n{", &Limits::default()).unwrap();
+        let positions: Vec<_> = tokens.iter().map(|t| (t.pos.line, t.pos.column)).collect();
+        assert_eq!(positions, [(2, 3), (2, 7), (3, 1), (3, 2)]);
     }
 }
--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -1,7 +1,7 @@
 //! The parser (GraphQL specification, section 2 and appendix B). Its recursion is bounded by [`Limits::depth`].
 
 use crate::ast::*;
-use crate::lexer::{Kind, Token, tokens};
+use crate::lexer::{Token, TokenKind, tokenize};
 use crate::{Error, HARD_DEPTH_LIMIT, Limits, Pos};
 
 /// Parses a source that holds operations, fragments, a type system, or all of them.
@@ -9,14 +9,14 @@
 /// # Errors
 /// The first fault, with its place.
 pub fn parse(source: &str, limits: &Limits) -> Result<Document, Error> {
-    let tokens = tokens(source, limits)?;
+    let tokens = tokenize(source, limits)?;
     let document = Document { token_count: tokens.len() - 1, ..Document::default() };
     let most = limits.depth.min(HARD_DEPTH_LIMIT);
     let mut parser = Parser { tokens, next: 0, depth: 0, most, aliases: limits.aliases, document };
-    if parser.peek().kind == Kind::End {
+    if parser.peek().kind == TokenKind::EndOfInput {
         return Err(Error::new(parser.peek().pos, "the document is empty"));
     }
-    while parser.peek().kind != Kind::End {
+    while parser.peek().kind != TokenKind::EndOfInput {
         parser.definition()?;
     }
     Ok(parser.document)
@@ -45,11 +45,11 @@
     }
 
     fn wanted<T>(&self, what: &str) -> Parsed<T> {
-        Err(Error::new(self.peek().pos, format!("expected {what}, found {}", self.peek().shown())))
+        Err(Error::new(self.peek().pos, format!("expected {what}, found {}", self.peek().describe())))
     }
 
     fn is(&self, c: char) -> bool {
-        self.peek().kind == Kind::Punct(c)
+        self.peek().kind == TokenKind::Punctuator(c)
     }
 
     fn eat(&mut self, c: char) -> bool {
@@ -65,7 +65,7 @@
     }
 
     fn word(&self) -> Option<&'a str> {
-        if self.peek().kind == Kind::Name { Some(self.peek().text) } else { None }
+        if self.peek().kind == TokenKind::Name { Some(self.peek().text) } else { None }
     }
 
     fn eat_word(&mut self, word: &str) -> bool {
@@ -106,7 +106,7 @@
             });
             return Ok(());
         }
-        if let Kind::Str(_) = self.peek().kind {
+        if let TokenKind::Str(_) = self.peek().kind {
             self.advance();
             return match self.word() {
                 Some("query" | "mutation" | "subscription" | "fragment" | "extend") | None => {
@@ -181,7 +181,7 @@
 
     fn selection(&mut self) -> Parsed<Selection> {
         let pos = self.peek().pos;
-        if self.peek().kind == Kind::Spread {
+        if self.peek().kind == TokenKind::Ellipsis {
             self.advance();
             if let Some(word) = self.word().filter(|w| *w != "on") {
                 self.advance();
@@ -233,23 +233,23 @@
     fn value(&mut self, constant: bool) -> Parsed<Value> {
         let pos = self.peek().pos;
         let kind = match self.peek().kind.clone() {
-            Kind::Punct('$') if !constant => {
+            TokenKind::Punctuator('$') if !constant => {
                 self.advance();
                 ValueKind::Variable(self.name()?)
             }
-            Kind::Int => ValueKind::Int(self.advance().text.to_owned()),
-            Kind::Float => ValueKind::Float(self.advance().text.to_owned()),
-            Kind::Str(text) => {
+            TokenKind::Int => ValueKind::Int(self.advance().text.to_owned()),
+            TokenKind::Float => ValueKind::Float(self.advance().text.to_owned()),
+            TokenKind::Str(text) => {
                 self.advance();
                 ValueKind::Str(text)
             }
-            Kind::Name => match self.advance().text {
+            TokenKind::Name => match self.advance().text {
                 "true" => ValueKind::Bool(true),
                 "false" => ValueKind::Bool(false),
                 "null" => ValueKind::Null,
                 name => ValueKind::Enum(name.to_owned()),
             },
-            Kind::Punct('[') => {
+            TokenKind::Punctuator('[') => {
                 self.advance();
                 self.deeper()?;
                 let mut values = Vec::new();
@@ -259,7 +259,7 @@
                 self.depth -= 1;
                 ValueKind::List(values)
             }
-            Kind::Punct('{') => {
+            TokenKind::Punctuator('{') => {
                 self.advance();
                 self.deeper()?;
                 let mut fields: Vec<(String, Value)> = Vec::new();
@@ -399,7 +399,7 @@
     }
 
     fn description(&mut self) {
-        if let Kind::Str(_) = self.peek().kind {
+        if let TokenKind::Str(_) = self.peek().kind {
             self.advance();
         }
     }
