--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -11,8 +11,9 @@
 pub fn parse(source: &str, limits: &Limits) -> Result<Document, Error> {
     let tokens = tokenize(source, limits)?;
     let document = Document { token_count: tokens.len() - 1, ..Document::default() };
-    let most = limits.depth.min(HARD_DEPTH_LIMIT);
-    let mut parser = Parser { tokens, next: 0, depth: 0, most, aliases: limits.aliases, document };
+    let max_depth = limits.depth.min(HARD_DEPTH_LIMIT);
+    let mut parser =
+        Parser { tokens, next: 0, depth: 0, max_depth, remaining_aliases: limits.aliases, document };
     if parser.peek().kind == TokenKind::EndOfInput {
         return Err(Error::new(parser.peek().pos, "the document is empty"));
     }
@@ -26,12 +27,12 @@
     tokens: Vec<Token<'a>>,
     next: usize,
     depth: usize,
-    most: usize,
-    aliases: usize,
+    max_depth: usize,
+    remaining_aliases: usize,
     document: Document,
 }
 
-type Parsed<T> = Result<T, Error>;
+type ParseResult<T> = Result<T, Error>;
 
 impl<'a> Parser<'a> {
     fn peek(&self) -> &Token<'a> {
@@ -44,56 +45,56 @@
         token
     }
 
-    fn wanted<T>(&self, what: &str) -> Parsed<T> {
-        Err(Error::new(self.peek().pos, format!("expected {what}, found {}", self.peek().describe())))
+    fn unexpected_token<T>(&self, expected: &str) -> ParseResult<T> {
+        Err(Error::new(self.peek().pos, format!("expected {expected}, found {}", self.peek().describe())))
     }
 
-    fn is(&self, c: char) -> bool {
+    fn peek_is(&self, c: char) -> bool {
         self.peek().kind == TokenKind::Punctuator(c)
     }
 
     fn eat(&mut self, c: char) -> bool {
-        let found = self.is(c);
+        let found = self.peek_is(c);
         if found {
             self.advance();
         }
         found
     }
 
-    fn expect(&mut self, c: char) -> Parsed<()> {
-        if self.eat(c) { Ok(()) } else { self.wanted(&format!("`{c}`")) }
+    fn expect(&mut self, c: char) -> ParseResult<()> {
+        if self.eat(c) { Ok(()) } else { self.unexpected_token(&format!("`{c}`")) }
     }
 
-    fn word(&self) -> Option<&'a str> {
+    fn peek_name(&self) -> Option<&'a str> {
         if self.peek().kind == TokenKind::Name { Some(self.peek().text) } else { None }
     }
 
-    fn eat_word(&mut self, word: &str) -> bool {
-        let found = self.word() == Some(word);
+    fn eat_keyword(&mut self, keyword: &str) -> bool {
+        let found = self.peek_name() == Some(keyword);
         if found {
             self.advance();
         }
         found
     }
 
-    fn name(&mut self) -> Parsed<String> {
-        if self.word().is_none() {
-            return self.wanted("a name");
+    fn name(&mut self) -> ParseResult<String> {
+        if self.peek_name().is_none() {
+            return self.unexpected_token("a name");
         }
         Ok(self.advance().text.to_owned())
     }
 
-    fn deeper(&mut self) -> Parsed<()> {
+    fn enter_nested(&mut self) -> ParseResult<()> {
         self.depth += 1;
-        if self.depth > self.most {
-            return Err(Error::new(self.peek().pos, format!("nested deeper than {}", self.most)));
+        if self.depth > self.max_depth {
+            return Err(Error::new(self.peek().pos, format!("nested deeper than {}", self.max_depth)));
         }
         Ok(())
     }
 
-    fn definition(&mut self) -> Parsed<()> {
+    fn definition(&mut self) -> ParseResult<()> {
         let pos = self.peek().pos;
-        if self.is('{') {
+        if self.peek_is('{') {
             let selection_set = self.selection_set()?;
             let (kind, name, variables, directives) = (OperationKind::Query, None, Vec::new(), Vec::new());
             self.document.operations.push(OperationDef {
@@ -108,29 +109,29 @@
         }
         if let TokenKind::Str(_) = self.peek().kind {
             self.advance();
-            return match self.word() {
+            return match self.peek_name() {
                 Some("query" | "mutation" | "subscription" | "fragment" | "extend") | None => {
-                    self.wanted("a type definition after a description")
+                    self.unexpected_token("a type definition after a description")
                 }
-                _ => self.type_system(pos, false),
+                _ => self.type_system_definition(pos, false),
             };
         }
-        match self.word() {
+        match self.peek_name() {
             Some("query") => self.operation(OperationKind::Query),
             Some("mutation") => self.operation(OperationKind::Mutation),
             Some("subscription") => self.operation(OperationKind::Subscription),
             Some("fragment") => self.fragment(),
             Some("extend") => {
                 self.advance();
-                self.type_system(pos, true)
+                self.type_system_definition(pos, true)
             }
-            _ => self.type_system(pos, false),
+            _ => self.type_system_definition(pos, false),
         }
     }
 
-    fn operation(&mut self, kind: OperationKind) -> Parsed<()> {
+    fn operation(&mut self, kind: OperationKind) -> ParseResult<()> {
         let pos = self.advance().pos;
-        let name = if self.word().is_some() { Some(self.name()?) } else { None };
+        let name = if self.peek_name().is_some() { Some(self.name()?) } else { None };
         let mut variables = Vec::new();
         if self.eat('(') {
             while !self.eat(')') || variables.is_empty() {
@@ -150,14 +151,14 @@
         Ok(())
     }
 
-    fn fragment(&mut self) -> Parsed<()> {
+    fn fragment(&mut self) -> ParseResult<()> {
         let pos = self.advance().pos;
-        if self.word() == Some("on") {
-            return self.wanted("a fragment's name other than `on`");
+        if self.peek_name() == Some("on") {
+            return self.unexpected_token("a fragment's name other than `on`");
         }
         let name = self.name()?;
-        if !self.eat_word("on") {
-            return self.wanted("`on`");
+        if !self.eat_keyword("on") {
+            return self.unexpected_token("`on`");
         }
         let type_condition = self.name()?;
         let directives = self.directives(false)?;
@@ -166,9 +167,9 @@
         Ok(())
     }
 
-    fn selection_set(&mut self) -> Parsed<SelectionSetId> {
+    fn selection_set(&mut self) -> ParseResult<SelectionSetId> {
         self.expect('{')?;
-        self.deeper()?;
+        self.enter_nested()?;
         let mut selections = Vec::new();
         while !self.eat('}') || selections.is_empty() {
             let selection = self.selection()?;
@@ -179,16 +180,16 @@
         Ok(self.document.selection_sets.len() - 1)
     }
 
-    fn selection(&mut self) -> Parsed<Selection> {
+    fn selection(&mut self) -> ParseResult<Selection> {
         let pos = self.peek().pos;
         if self.peek().kind == TokenKind::Ellipsis {
             self.advance();
-            if let Some(word) = self.word().filter(|w| *w != "on") {
+            if let Some(name) = self.peek_name().filter(|n| *n != "on") {
                 self.advance();
                 let directives = self.directives(false)?;
-                return Ok(Selection::FragmentSpread { name: word.to_owned(), directives, pos });
+                return Ok(Selection::FragmentSpread { name: name.to_owned(), directives, pos });
             }
-            let type_condition = if self.eat_word("on") { Some(self.name()?) } else { None };
+            let type_condition = if self.eat_keyword("on") { Some(self.name()?) } else { None };
             let directives = self.directives(false)?;
             let selection_set = self.selection_set()?;
             return Ok(Selection::InlineFragment { type_condition, directives, selection_set, pos });
@@ -196,18 +197,18 @@
         let first = self.name()?;
         let (alias, name) = if self.eat(':') { (Some(first), self.name()?) } else { (None, first) };
         if alias.is_some() {
-            self.aliases = match self.aliases.checked_sub(1) {
-                Some(left) => left,
+            self.remaining_aliases = match self.remaining_aliases.checked_sub(1) {
+                Some(remaining) => remaining,
                 None => return Err(Error::new(pos, "more aliases than allowed")),
             };
         }
         let arguments = self.arguments(false)?;
         let directives = self.directives(false)?;
-        let selection_set = if self.is('{') { Some(self.selection_set()?) } else { None };
+        let selection_set = if self.peek_is('{') { Some(self.selection_set()?) } else { None };
         Ok(Selection::Field(Field { alias, name, arguments, directives, selection_set, pos }))
     }
 
-    fn arguments(&mut self, constant: bool) -> Parsed<Vec<Argument>> {
+    fn arguments(&mut self, constant: bool) -> ParseResult<Vec<Argument>> {
         let mut arguments = Vec::new();
         if self.eat('(') {
             while !self.eat(')') || arguments.is_empty() {
@@ -220,9 +221,9 @@
         Ok(arguments)
     }
 
-    fn directives(&mut self, constant: bool) -> Parsed<Vec<Directive>> {
+    fn directives(&mut self, constant: bool) -> ParseResult<Vec<Directive>> {
         let mut directives = Vec::new();
-        while self.is('@') {
+        while self.peek_is('@') {
             let pos = self.advance().pos;
             let name = self.name()?;
             directives.push(Directive { name, arguments: self.arguments(constant)?, pos });
@@ -230,7 +231,7 @@
         Ok(directives)
     }
 
-    fn value(&mut self, constant: bool) -> Parsed<Value> {
+    fn value(&mut self, constant: bool) -> ParseResult<Value> {
         let pos = self.peek().pos;
         let kind = match self.peek().kind.clone() {
             TokenKind::Punctuator('$') if !constant => {
@@ -251,7 +252,7 @@
             },
             TokenKind::Punctuator('[') => {
                 self.advance();
-                self.deeper()?;
+                self.enter_nested()?;
                 let mut values = Vec::new();
                 while !self.eat(']') {
                     values.push(self.value(constant)?);
@@ -261,7 +262,7 @@
             }
             TokenKind::Punctuator('{') => {
                 self.advance();
-                self.deeper()?;
+                self.enter_nested()?;
                 let mut fields: Vec<(String, Value)> = Vec::new();
                 while !self.eat('}') {
                     let pos = self.peek().pos;
@@ -276,15 +277,15 @@
                 self.depth -= 1;
                 ValueKind::Object(fields)
             }
-            _ if constant => return self.wanted("a constant value"),
-            _ => return self.wanted("a value"),
+            _ if constant => return self.unexpected_token("a constant value"),
+            _ => return self.unexpected_token("a value"),
         };
         Ok(Value { kind, pos })
     }
 
-    fn type_reference(&mut self) -> Parsed<Type> {
+    fn type_reference(&mut self) -> ParseResult<Type> {
         let inner = if self.eat('[') {
-            self.deeper()?;
+            self.enter_nested()?;
             let inner = self.type_reference()?;
             self.depth -= 1;
             self.expect(']')?;
@@ -297,27 +298,27 @@
 
     // ---- Type system (section 3) ----
 
-    fn type_system(&mut self, pos: Pos, is_extension: bool) -> Parsed<()> {
-        let what = self.word().unwrap_or("");
-        let known = ["schema", "scalar", "type", "interface", "union", "enum", "input", "directive"];
-        if !known.contains(&what) || (is_extension && what == "directive") {
-            return self.wanted("a definition");
+    fn type_system_definition(&mut self, pos: Pos, is_extension: bool) -> ParseResult<()> {
+        let keyword = self.peek_name().unwrap_or("");
+        let keywords = ["schema", "scalar", "type", "interface", "union", "enum", "input", "directive"];
+        if !keywords.contains(&keyword) || (is_extension && keyword == "directive") {
+            return self.unexpected_token("a definition");
         }
         self.advance();
-        if what == "schema" {
-            let bare = self.directives(true)?.is_empty();
-            if is_extension && bare && !self.is('{') {
-                return self.wanted("what the extension adds");
+        if keyword == "schema" {
+            let no_directives = self.directives(true)?.is_empty();
+            if is_extension && no_directives && !self.peek_is('{') {
+                return self.unexpected_token("what the extension adds");
             }
             let mut root_operation_types = Vec::new();
-            if self.is('{') || !is_extension {
+            if self.peek_is('{') || !is_extension {
                 self.expect('{')?;
                 while !self.eat('}') || root_operation_types.is_empty() {
                     let kind = match self.name()?.as_str() {
                         "query" => OperationKind::Query,
                         "mutation" => OperationKind::Mutation,
                         "subscription" => OperationKind::Subscription,
-                        _ => return self.wanted("`query`, `mutation` or `subscription` before"),
+                        _ => return self.unexpected_token("`query`, `mutation` or `subscription` before"),
                     };
                     self.expect(':')?;
                     root_operation_types.push((kind, self.name()?));
@@ -326,13 +327,13 @@
             self.document.type_system_definitions.push(TypeSystemDef::Schema { root_operation_types, pos });
             return Ok(());
         }
-        if what == "directive" {
+        if keyword == "directive" {
             self.expect('@')?;
             let name = self.name()?;
-            let arguments = self.input_definitions('(', ')')?;
-            self.eat_word("repeatable");
-            if !self.eat_word("on") {
-                return self.wanted("`on`");
+            let arguments = self.input_value_definitions('(', ')')?;
+            self.eat_keyword("repeatable");
+            if !self.eat_keyword("on") {
+                return self.unexpected_token("`on`");
             }
             self.eat('|');
             self.name()?;
@@ -343,9 +344,10 @@
             return Ok(());
         }
         let name = self.name()?;
-        let interfaces = if matches!(what, "type" | "interface") { self.implements()? } else { Vec::new() };
+        let interfaces =
+            if matches!(keyword, "type" | "interface") { self.implemented_interfaces()? } else { Vec::new() };
         let directives = self.directives(true)?;
-        let body = match what {
+        let body = match keyword {
             "scalar" => TypeBody::Scalar,
             "type" => TypeBody::Object { interfaces, fields: self.field_definitions()? },
             "interface" => TypeBody::Interface { interfaces, fields: self.field_definitions()? },
@@ -364,9 +366,9 @@
                 let mut values = Vec::new();
                 if self.eat('{') {
                     while !self.eat('}') || values.is_empty() {
-                        self.description();
-                        if matches!(self.word(), Some("true" | "false" | "null")) {
-                            return self.wanted("an enum value other than true, false and null");
+                        self.skip_description();
+                        if matches!(self.peek_name(), Some("true" | "false" | "null")) {
+                            return self.unexpected_token("an enum value other than true, false and null");
                         }
                         values.push(self.name()?);
                         self.directives(true)?;
@@ -374,10 +376,10 @@
                 }
                 TypeBody::Enum(values)
             }
-            _ => TypeBody::Input(self.input_definitions('{', '}')?),
+            _ => TypeBody::Input(self.input_value_definitions('{', '}')?),
         };
         // An extension that adds nothing is none (specification, sections 3.5 to 3.10).
-        let empty = match &body {
+        let is_empty = match &body {
             TypeBody::Scalar => true,
             TypeBody::Object { interfaces, fields } | TypeBody::Interface { interfaces, fields } => {
                 interfaces.is_empty() && fields.is_empty()
@@ -385,8 +387,8 @@
             TypeBody::Union(names) | TypeBody::Enum(names) => names.is_empty(),
             TypeBody::Input(fields) => fields.is_empty(),
         };
-        if is_extension && empty && directives.is_empty() {
-            return self.wanted("what the extension adds");
+        if is_extension && is_empty && directives.is_empty() {
+            return self.unexpected_token("what the extension adds");
         }
         self.document.type_system_definitions.push(TypeSystemDef::Type {
             name,
@@ -398,15 +400,15 @@
         Ok(())
     }
 
-    fn description(&mut self) {
+    fn skip_description(&mut self) {
         if let TokenKind::Str(_) = self.peek().kind {
             self.advance();
         }
     }
 
-    fn implements(&mut self) -> Parsed<Vec<String>> {
+    fn implemented_interfaces(&mut self) -> ParseResult<Vec<String>> {
         let mut interfaces = Vec::new();
-        if self.eat_word("implements") {
+        if self.eat_keyword("implements") {
             self.eat('&');
             interfaces.push(self.name()?);
             while self.eat('&') {
@@ -416,14 +418,14 @@
         Ok(interfaces)
     }
 
-    fn field_definitions(&mut self) -> Parsed<Vec<FieldDef>> {
+    fn field_definitions(&mut self) -> ParseResult<Vec<FieldDef>> {
         let mut fields = Vec::new();
         if self.eat('{') {
             while !self.eat('}') || fields.is_empty() {
-                self.description();
+                self.skip_description();
                 let pos = self.peek().pos;
                 let name = self.name()?;
-                let arguments = self.input_definitions('(', ')')?;
+                let arguments = self.input_value_definitions('(', ')')?;
                 self.expect(':')?;
                 let ty = self.type_reference()?;
                 fields.push(FieldDef { name, arguments, ty, directives: self.directives(true)?, pos });
@@ -432,11 +434,11 @@
         Ok(fields)
     }
 
-    fn input_definitions(&mut self, open: char, close: char) -> Parsed<Vec<InputValueDef>> {
+    fn input_value_definitions(&mut self, open: char, close: char) -> ParseResult<Vec<InputValueDef>> {
         let mut inputs = Vec::new();
         if self.eat(open) {
             while !self.eat(close) || inputs.is_empty() {
-                self.description();
+                self.skip_description();
                 let pos = self.peek().pos;
                 let name = self.name()?;
                 self.expect(':')?;
