--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -96,7 +96,7 @@
 }
 
 impl Field {
-    pub fn key(&self) -> &str {
+    pub fn response_name(&self) -> &str {
         self.alias.as_ref().unwrap_or(&self.name)
     }
 }
--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -94,13 +94,15 @@
     /// Whether a set holds fields alone, none of one response name.
     fn distinct(&self, selection_set: SelectionSetId) -> bool {
         let selections = &self.document.selection_sets[selection_set];
-        let key = |s: &'a Selection| if let Selection::Field(field) = s { Some(field.key()) } else { None };
+        let response_name =
+            |s: &'a Selection| if let Selection::Field(f) = s { Some(f.response_name()) } else { None };
         if selections.len() > 16 {
             let mut names = HashSet::with_capacity(selections.len());
-            return selections.iter().all(|s| key(s).is_some_and(|k| names.insert(k)));
+            return selections.iter().all(|s| response_name(s).is_some_and(|n| names.insert(n)));
         }
         selections.iter().enumerate().all(|(index, s)| {
-            key(s).is_some_and(|k| selections[..index].iter().all(|other| key(other) != Some(k)))
+            response_name(s)
+                .is_some_and(|n| selections[..index].iter().all(|other| response_name(other) != Some(n)))
         })
     }
 
@@ -126,7 +128,7 @@
                 match selection {
                     Selection::Field(field) => {
                         self.visit(1, field)?;
-                        all.entry(field.key()).or_default().push((field, parent));
+                        all.entry(field.response_name()).or_default().push((field, parent));
                     }
                     Selection::FragmentSpread { name, .. } => {
                         let Some(fragment) = self.fragments.get(name.as_str()) else { continue };
@@ -201,9 +203,11 @@
 }
 
 fn conflict(first: &Field, other: &Field, why: &str) -> Error {
-    let (key, pos) = (first.key(), first.pos);
-    let text =
-        format!("the fields `{key}` here and at {}:{} {why}: give one another alias", pos.line, pos.column);
+    let (response_name, pos) = (first.response_name(), first.pos);
+    let text = format!(
+        "the fields `{response_name}` here and at {}:{} {why}: give one another alias",
+        pos.line, pos.column
+    );
     Error::new(other.pos, text)
 }
 
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -137,7 +137,7 @@
         // On an object the object's own definition counts, also where a fragment asks by an interface.
         let home = if schema.types[on].kind == TypeKind::Object { on } else { parent };
         if field.name == "__typename" {
-            let (name, key) = (field.name.clone(), field.key().to_owned());
+            let (name, response_name) = (field.name.clone(), field.response_name().to_owned());
             let named = schema.find("String").unwrap_or_default();
             let (weight, count, selection_sets) = (0.0, 1.0, Vec::new());
             let entry = Entry {
@@ -150,13 +150,13 @@
                 sized: None,
                 selection_sets,
             };
-            if node.entries.insert(key.clone(), entry).is_none() {
-                node.order.push(key);
+            if node.entries.insert(response_name.clone(), entry).is_none() {
+                node.order.push(response_name);
             }
             return;
         }
         let Some(def) = schema.types[home].fields.get(&field.name) else { return };
-        if let Some(entry) = node.entries.get_mut(field.key()) {
+        if let Some(entry) = node.entries.get_mut(field.response_name()) {
             entry.selection_sets.extend(field.selection_set.filter(|s| !entry.selection_sets.contains(s)));
             return;
         }
@@ -181,10 +181,10 @@
             self.list_size
         };
         let (name, selection_sets) = (field.name.clone(), field.selection_set.into_iter().collect());
-        let key = field.key().to_owned();
-        node.order.push(key.clone());
+        let response_name = field.response_name().to_owned();
+        node.order.push(response_name.clone());
         node.entries.insert(
-            key,
+            response_name,
             Entry { name, weight, named: def.named, count, counted, list, sized, selection_sets },
         );
     }
@@ -256,8 +256,8 @@
             return *cost;
         }
         let (mut field_cost, mut type_cost) = (0.0, 0.0);
-        for key in self.nodes[node].order.clone() {
-            let entry = self.nodes[node].entries[&key].clone();
+        for response_name in self.nodes[node].order.clone() {
+            let entry = self.nodes[node].entries[&response_name].clone();
             let told = sized.filter(|(_, names)| entry.list && !entry.counted && names.contains(&entry.name));
             let count = told.map_or(entry.count, |(size, _)| *size);
             field_cost += entry.weight;
--- a/crates/graphql/src/stub.rs
+++ b/crates/graphql/src/stub.rs
@@ -25,9 +25,9 @@
     out: &mut String,
 ) {
     out.push('{');
-    for (index, key) in plan.nodes[node].order.clone().into_iter().enumerate() {
-        let entry = plan.nodes[node].entries[&key].clone();
-        let _ = write!(out, "{}\"{key}\":", if index > 0 { "," } else { "" });
+    for (index, response_name) in plan.nodes[node].order.clone().into_iter().enumerate() {
+        let entry = plan.nodes[node].entries[&response_name].clone();
+        let _ = write!(out, "{}\"{response_name}\":", if index > 0 { "," } else { "" });
         let assumed_size = sized.filter(|(_, names)| names.contains(&entry.name)).map(|(n, _)| *n);
         let count = if entry.list {
             stub_data.list_length(&entry.name, assumed_size.unwrap_or(entry.count))
