--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -4,7 +4,7 @@
 
 use crate::ast::*;
 use crate::schema::{Input, OutField, Schema, TypeId, TypeKind};
-use crate::variables::resolve;
+use crate::variables::to_json;
 use crate::{Error, Limits};
 use serde_json::{Map, Value as Json};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -118,7 +118,7 @@
     fn included(&self, directives: &[Directive]) -> bool {
         directives.iter().all(|d| {
             let told =
-                d.arguments.iter().find(|a| a.name == "if").and_then(|a| resolve(&a.value, &self.variables));
+                d.arguments.iter().find(|a| a.name == "if").and_then(|a| to_json(&a.value, &self.variables));
             match d.name.as_str() {
                 "skip" => told != Some(Json::Bool(true)),
                 "include" => told != Some(Json::Bool(false)),
@@ -164,7 +164,7 @@
         let mut weight = def.weight.unwrap_or(if composite { 1.0 } else { 0.0 });
         for (name, input) in &def.arguments {
             let given = field.arguments.iter().find(|a| a.name == *name);
-            if let Some(value) = given.and_then(|a| resolve(&a.value, &self.variables)) {
+            if let Some(value) = given.and_then(|a| to_json(&a.value, &self.variables)) {
                 weight += self.input_weight(input, &value);
             }
         }
@@ -194,11 +194,11 @@
         let directive = def.list_size.as_ref()?;
         let value = |name: &String| {
             let given = field.arguments.iter().find(|a| a.name == *name);
-            given.and_then(|a| resolve(&a.value, &self.variables)).filter(|v| !v.is_null())
+            given.and_then(|a| to_json(&a.value, &self.variables)).filter(|v| !v.is_null())
         };
         let default = |name: &String| {
             let default = def.arguments.get(name).and_then(|i| i.default.as_ref());
-            default.and_then(|d| resolve(d, &Map::new())).filter(|v| !v.is_null())
+            default.and_then(|d| to_json(d, &Map::new())).filter(|v| !v.is_null())
         };
         let mut sizes: Vec<Json> = directive.slicing.iter().filter_map(value).collect();
         if sizes.is_empty() {
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -3,7 +3,7 @@
 use crate::ast::*;
 use crate::plan::{Cost, NodeId, Plan};
 use crate::scan::ResponseScanner;
-use crate::variables::coerce_all;
+use crate::variables::coerce_variables;
 use crate::{Error, Limits, Schema, parse, validate};
 use serde_json::{Map, Value as Json};
 use std::sync::Arc;
@@ -41,7 +41,7 @@
             None => &document.operations[0],
         };
         let mut errors = Vec::new();
-        let coerced = coerce_all(&schema, &chosen.variables, variables, &mut errors);
+        let coerced = coerce_variables(&schema, &chosen.variables, variables, &mut errors);
         if !errors.is_empty() {
             return Err(errors);
         }
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -2,7 +2,7 @@
 
 use crate::ast::*;
 use crate::parser::parse;
-use crate::variables::literal;
+use crate::variables::check_literal;
 use crate::{Error, HARD_DEPTH_LIMIT, Limits, OperationKind, Pos};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -486,7 +486,7 @@
     fn check_defaults(&self, document: &Document, errors: &mut Vec<Error>) {
         let mut check = |def: &InputValueDef| {
             if let Some(default) = &def.default {
-                literal(self, default, &def.ty, &mut |_, _, _| {}, errors);
+                check_literal(self, default, &def.ty, &mut |_, _, _| {}, errors);
             }
         };
         for definition in &document.type_system_definitions {
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -4,7 +4,7 @@
 use crate::ast::*;
 use crate::merge;
 use crate::schema::{Input, Schema, TypeId};
-use crate::variables::{literal, place};
+use crate::variables::{check_literal, location_type};
 use crate::{Error, Limits, OperationKind, Pos};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -197,7 +197,7 @@
             match self.schema.find(def.ty.named_type()) {
                 Some(id) if self.schema.types[id].is_input() => {
                     if let Some(default) = &def.default {
-                        literal(self.schema, default, &def.ty, &mut |_, _, _| {}, &mut self.errors);
+                        check_literal(self.schema, default, &def.ty, &mut |_, _, _| {}, &mut self.errors);
                     }
                 }
                 _ => self
@@ -321,7 +321,13 @@
             match known.get(&argument.name) {
                 Some(input) => {
                     let mut on = |name, ty, pos| uses.push((name, ty, pos));
-                    literal(self.schema, &argument.value, &place(input), &mut on, &mut self.errors);
+                    check_literal(
+                        self.schema,
+                        &argument.value,
+                        &location_type(input),
+                        &mut on,
+                        &mut self.errors,
+                    );
                 }
                 None => self.fault(argument.pos, format!("{what} has no argument `{}`", argument.name)),
             }
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -6,32 +6,35 @@
 use crate::{Error, Pos};
 use serde_json::{Map, Value as Json};
 
-type OnVariable<'f, 'd> = &'f mut dyn FnMut(&'d str, Type, Pos);
+type VariableCallback<'f, 'd> = &'f mut dyn FnMut(&'d str, Type, Pos);
 
 /// Checks a literal against a type; tells of each variable in it with the type its place wants.
-pub(crate) fn literal<'d>(
-    schema: &Schema, value: &'d Value, ty: &Type, on: OnVariable<'_, 'd>, errors: &mut Vec<Error>,
+pub(crate) fn check_literal<'d>(
+    schema: &Schema, value: &'d Value, ty: &Type, on_var: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
 ) {
-    let wrong = |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
+    let type_mismatch =
+        |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
     match (&value.kind, ty) {
-        (ValueKind::Variable(name), _) => on(name, ty.clone(), value.pos),
-        (ValueKind::Null, Type::NonNull(_)) => errors.push(wrong("null")),
+        (ValueKind::Variable(name), _) => on_var(name, ty.clone(), value.pos),
+        (ValueKind::Null, Type::NonNull(_)) => errors.push(type_mismatch("null")),
         (ValueKind::Null, _) => {}
-        (_, Type::NonNull(inner)) => literal(schema, value, inner, on, errors),
+        (_, Type::NonNull(inner)) => check_literal(schema, value, inner, on_var, errors),
         (ValueKind::List(values), Type::List(inner)) => {
-            values.iter().for_each(|v| literal(schema, v, inner, on, errors));
+            values.iter().for_each(|v| check_literal(schema, v, inner, on_var, errors));
         }
         // A single value stands for a list of one (section 3.11).
-        (_, Type::List(inner)) => literal(schema, value, inner, on, errors),
+        (_, Type::List(inner)) => check_literal(schema, value, inner, on_var, errors),
         (found, Type::Named(name)) => {
             let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return };
-            let fits = match (def.kind.clone(), found) {
-                (TypeKind::Scalar, _) => scalar(name, found),
+            let is_valid = match (def.kind.clone(), found) {
+                (TypeKind::Scalar, _) => scalar_accepts(name, found),
                 (TypeKind::Enum, ValueKind::Enum(v)) => def.values.contains(v),
                 (TypeKind::Input, ValueKind::Object(fields)) => {
                     for (field, value) in fields {
                         match def.inputs.get(field) {
-                            Some(input) => literal(schema, value, &place(input), on, errors),
+                            Some(input) => {
+                                check_literal(schema, value, &location_type(input), on_var, errors)
+                            }
                             None => errors.push(Error::new(
                                 value.pos,
                                 format!("`{name}` has no input field `{field}`"),
@@ -39,8 +42,8 @@
                         }
                     }
                     for (field, input) in &def.inputs {
-                        let given = fields.iter().any(|(n, _)| n == field);
-                        if !given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
+                        let is_given = fields.iter().any(|(n, _)| n == field);
+                        if !is_given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
                             errors.push(Error::new(
                                 value.pos,
                                 format!("input field `{name}.{field}` is required"),
@@ -51,19 +54,19 @@
                 }
                 _ => false,
             };
-            if !fits {
-                errors.push(wrong(shown(found)));
+            if !is_valid {
+                errors.push(type_mismatch(describe(found)));
             }
         }
     }
 }
 
 /// The type that a place wants of a variable: one with a default takes a nullable variable (section 5.8.5).
-pub(crate) fn place(input: &crate::schema::Input) -> Type {
+pub(crate) fn location_type(input: &crate::schema::Input) -> Type {
     if input.default.is_some() { input.ty.nullable().clone() } else { input.ty.clone() }
 }
 
-fn shown(value: &ValueKind) -> &'static str {
+fn describe(value: &ValueKind) -> &'static str {
     match value {
         ValueKind::Variable(_) => "a variable",
         ValueKind::Int(_) => "an integer (or one out of range)",
@@ -77,7 +80,7 @@
     }
 }
 
-fn scalar(name: &str, value: &ValueKind) -> bool {
+fn scalar_accepts(name: &str, value: &ValueKind) -> bool {
     match name {
         "Int" => matches!(value, ValueKind::Int(n) if n.parse::<i32>().is_ok()),
         "Float" => {
@@ -92,19 +95,19 @@
 }
 
 /// Coerces the variables of an operation from JSON.
-pub(crate) fn coerce_all(
-    schema: &Schema, defs: &[VariableDef], given: Option<&Map<String, Json>>, errors: &mut Vec<Error>,
+pub(crate) fn coerce_variables(
+    schema: &Schema, defs: &[VariableDef], values: Option<&Map<String, Json>>, errors: &mut Vec<Error>,
 ) -> Map<String, Json> {
     let mut coerced = Map::new();
     for def in defs {
         let path = format!("${}", def.name);
-        match (given.and_then(|g| g.get(&def.name)), &def.default) {
+        match (values.and_then(|v| v.get(&def.name)), &def.default) {
             (Some(json), _) => match coerce(schema, json, &def.ty, &path) {
                 Ok(value) => drop(coerced.insert(def.name.clone(), value)),
                 Err(message) => errors.push(Error { message, at: None }),
             },
             (None, Some(default)) => {
-                if let Some(value) = resolve(default, &Map::new()) {
+                if let Some(value) = to_json(default, &Map::new()) {
                     coerced.insert(def.name.clone(), value);
                 }
             }
@@ -121,33 +124,35 @@
 }
 
 fn coerce(schema: &Schema, json: &Json, ty: &Type, path: &str) -> Result<Json, String> {
-    let wrong = || format!("variable `{path}`: expected a value of type `{ty}`, found {}", json_shown(json));
+    let type_mismatch =
+        || format!("variable `{path}`: expected a value of type `{ty}`, found {}", describe_json(json));
     match (ty, json) {
-        (Type::NonNull(_), Json::Null) => Err(wrong()),
+        (Type::NonNull(_), Json::Null) => Err(type_mismatch()),
         (Type::NonNull(inner), _) => coerce(schema, json, inner, path),
         (_, Json::Null) => Ok(Json::Null),
         (Type::List(inner), Json::Array(values)) => {
-            let one = |(index, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{index}]"));
-            values.iter().enumerate().map(one).collect::<Result<_, _>>().map(Json::Array)
+            let coerce_item =
+                |(index, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{index}]"));
+            values.iter().enumerate().map(coerce_item).collect::<Result<_, _>>().map(Json::Array)
         }
         (Type::List(inner), _) => Ok(Json::Array(vec![coerce(schema, json, inner, path)?])),
         (Type::Named(name), _) => {
-            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return Err(wrong()) };
+            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return Err(type_mismatch()) };
             match (&def.kind, json) {
                 (TypeKind::Enum, Json::String(value)) if def.values.contains(value) => Ok(json.clone()),
                 (TypeKind::Input, Json::Object(fields)) => {
                     if let Some(field) = fields.keys().find(|f| !def.inputs.contains_key(*f)) {
                         return Err(format!("variable `{path}`: `{name}` has no input field `{field}`"));
                     }
-                    let mut made = Map::new();
+                    let mut object = Map::new();
                     for (field, input) in &def.inputs {
                         let path = format!("{path}.{field}");
                         match (fields.get(field), &input.default) {
                             (Some(value), _) => {
-                                made.insert(field.clone(), coerce(schema, value, &input.ty, &path)?);
+                                object.insert(field.clone(), coerce(schema, value, &input.ty, &path)?);
                             }
                             (None, Some(default)) => {
-                                made.extend(resolve(default, &Map::new()).map(|v| (field.clone(), v)));
+                                object.extend(to_json(default, &Map::new()).map(|v| (field.clone(), v)));
                             }
                             (None, None) if matches!(input.ty, Type::NonNull(_)) => {
                                 return Err(format!("variable `{path}` of type `{}` is required", input.ty));
@@ -155,10 +160,10 @@
                             (None, None) => {}
                         }
                     }
-                    Ok(Json::Object(made))
+                    Ok(Json::Object(object))
                 }
                 (TypeKind::Scalar, _) => {
-                    let fits = match name.as_str() {
+                    let is_valid = match name.as_str() {
                         "Int" => {
                             json.as_f64().is_some_and(|n| n.fract() == 0.0 && n.abs() <= f64::from(i32::MAX))
                         }
@@ -168,15 +173,15 @@
                         "ID" => json.is_string() || json.is_i64() || json.is_u64(),
                         _ => true,
                     };
-                    if fits { Ok(json.clone()) } else { Err(wrong()) }
+                    if is_valid { Ok(json.clone()) } else { Err(type_mismatch()) }
                 }
-                _ => Err(wrong()),
+                _ => Err(type_mismatch()),
             }
         }
     }
 }
 
-fn json_shown(json: &Json) -> &'static str {
+fn describe_json(json: &Json) -> &'static str {
     match json {
         Json::Null => "null",
         Json::Bool(_) => "a boolean",
@@ -188,7 +193,7 @@
 }
 
 /// A literal's value; `None` for a variable that has none.
-pub(crate) fn resolve(value: &Value, variables: &Map<String, Json>) -> Option<Json> {
+pub(crate) fn to_json(value: &Value, variables: &Map<String, Json>) -> Option<Json> {
     Some(match &value.kind {
         ValueKind::Variable(name) => return variables.get(name).cloned(),
         ValueKind::Int(n) | ValueKind::Float(n) => n.parse::<f64>().map_or(Json::Null, Json::from),
@@ -196,11 +201,11 @@
         ValueKind::Bool(b) => Json::from(*b),
         ValueKind::Null => Json::Null,
         ValueKind::List(values) => {
-            values.iter().map(|v| resolve(v, variables).unwrap_or(Json::Null)).collect::<Vec<_>>().into()
+            values.iter().map(|v| to_json(v, variables).unwrap_or(Json::Null)).collect::<Vec<_>>().into()
         }
         ValueKind::Object(fields) => fields
             .iter()
-            .filter_map(|(n, v)| Some((n.clone(), resolve(v, variables)?)))
+            .filter_map(|(n, v)| Some((n.clone(), to_json(v, variables)?)))
             .collect::<Map<_, _>>()
             .into(),
     })
