--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -94,16 +94,16 @@
     /// Whether a set holds fields alone, none of one response name.
     fn distinct(&self, selection_set: SelectionSetId) -> bool {
         let selections = &self.document.selection_sets[selection_set];
-        let response_name =
+        let name =
             |s: &'a Selection| if let Selection::Field(f) = s { Some(f.response_name()) } else { None };
         if selections.len() > 16 {
             let mut names = HashSet::with_capacity(selections.len());
-            return selections.iter().all(|s| response_name(s).is_some_and(|n| names.insert(n)));
+            return selections.iter().all(|s| name(s).is_some_and(|n| names.insert(n)));
         }
-        selections.iter().enumerate().all(|(index, s)| {
-            response_name(s)
-                .is_some_and(|n| selections[..index].iter().all(|other| response_name(other) != Some(n)))
-        })
+        selections
+            .iter()
+            .enumerate()
+            .all(|(i, s)| name(s).is_some_and(|n| selections[..i].iter().all(|other| name(other) != Some(n))))
     }
 
     fn visit(&mut self, count: usize, field: &Field) -> Result<(), Error> {
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -452,7 +452,7 @@
             }
         }
         self.errors.extend(errors);
-        let find = |name: &str| self.index.get(name).copied();
+        let get = |name: &str| self.index.get(name).copied();
         let objects: Vec<TypeId> =
             (0..self.types.len()).filter(|t| self.types[*t].kind == TypeKind::Object).collect();
         let possible: Vec<BTreeSet<TypeId>> = (0..self.types.len())
@@ -462,7 +462,7 @@
                     let name = &self.types[id].name;
                     objects.iter().copied().filter(|o| self.types[*o].related.contains(name)).collect()
                 }
-                TypeKind::Union => self.types[id].related.iter().filter_map(|m| find(m)).collect(),
+                TypeKind::Union => self.types[id].related.iter().filter_map(|m| get(m)).collect(),
                 _ => BTreeSet::new(),
             })
             .collect();
@@ -470,7 +470,7 @@
             .types
             .iter()
             .map(|t| {
-                t.fields.iter().filter_map(|(n, f)| Some((n.clone(), find(f.ty.named_type())?))).collect()
+                t.fields.iter().filter_map(|(n, f)| Some((n.clone(), get(f.ty.named_type())?))).collect()
             })
             .collect();
         for ((def, possible), named) in self.types.iter_mut().zip(possible).zip(named) {
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -13,113 +13,110 @@
 /// # Errors
 /// Every fault found, with its place.
 pub fn validate(schema: &Schema, document: &Document, limits: &Limits) -> Result<(), Vec<Error>> {
-    let mut check = Check { schema, document, errors: Vec::new() };
-    check.run(limits);
-    if check.errors.is_empty() { Ok(()) } else { Err(check.errors) }
+    let mut validator = Validator { schema, document, errors: Vec::new() };
+    validator.validate(limits);
+    if validator.errors.is_empty() { Ok(()) } else { Err(validator.errors) }
 }
 
-struct Check<'a> {
+struct Validator<'a> {
     schema: &'a Schema,
     document: &'a Document,
     errors: Vec<Error>,
 }
 
 /// A variable's use: its name, the type its place wants, and where.
-type Use<'a> = (&'a str, Type, Pos);
+type VariableUse<'a> = (&'a str, Type, Pos);
 
-impl<'a> Check<'a> {
-    fn fault(&mut self, pos: Pos, message: String) {
+impl<'a> Validator<'a> {
+    fn error(&mut self, pos: Pos, message: String) {
         self.errors.push(Error::new(pos, message));
     }
 
-    fn run(&mut self, limits: &Limits) {
+    fn validate(&mut self, limits: &Limits) {
         let document = self.document;
         if document.operations.is_empty() {
-            self.fault(Pos { line: 1, column: 1 }, "the document holds no operation".into());
+            self.error(Pos { line: 1, column: 1 }, "the document holds no operation".into());
         }
         if let Some(definition) = document.type_system_definitions.first() {
             let (TypeSystemDef::Schema { pos, .. }
             | TypeSystemDef::Type { pos, .. }
             | TypeSystemDef::Directive { pos, .. }) = definition;
-            self.fault(*pos, "a type system has no place in a request".into());
+            self.error(*pos, "a type system has no place in a request".into());
         }
         let mut fragments: HashMap<&str, &FragmentDef> = HashMap::new();
         for fragment in &document.fragments {
             if fragments.insert(&fragment.name, fragment).is_some() {
-                self.fault(fragment.pos, format!("fragment `{}` is defined twice", fragment.name));
+                self.error(fragment.pos, format!("fragment `{}` is defined twice", fragment.name));
             }
         }
         let mut names = BTreeSet::new();
         for operation in &document.operations {
             match &operation.name {
                 Some(name) if !names.insert(name) => {
-                    self.fault(operation.pos, format!("operation `{name}` is defined twice"));
+                    self.error(operation.pos, format!("operation `{name}` is defined twice"));
                 }
                 None if document.operations.len() > 1 => {
-                    self.fault(operation.pos, "an operation without a name must be the only one".into());
+                    self.error(operation.pos, "an operation without a name must be the only one".into());
                 }
                 _ => {}
             }
         }
-        let Some(order) = self.order(&fragments) else { return };
+        let Some(sorted_fragments) = self.sort_fragments(&fragments) else { return };
         // What each fragment holds in all, found from the innermost outward: never by spreading them out.
         let mut sizes: HashMap<&str, (u64, usize)> = HashMap::new();
-        for fragment in &order {
-            let size = self.size(fragment.selection_set, &sizes);
+        for fragment in &sorted_fragments {
+            let size = self.expanded_size(fragment.selection_set, &sizes);
             sizes.insert(&fragment.name, size);
         }
         for operation in &document.operations {
-            let (fields, depth) = self.size(operation.selection_set, &sizes);
+            let (fields, depth) = self.expanded_size(operation.selection_set, &sizes);
             if fields > limits.expansion {
                 let text = format!("{fields} fields with all fragments spread, at most {}", limits.expansion);
-                self.fault(operation.pos, text);
+                self.error(operation.pos, text);
             }
             if depth > limits.depth {
-                self.fault(
+                self.error(
                     operation.pos,
                     format!("nested {depth} deep with all fragments spread, at most {}", limits.depth),
                 );
             }
         }
-        let mut uses: HashMap<&str, Vec<Use<'a>>> = HashMap::new();
-        for fragment in &order {
-            let mut found = Vec::new();
-            let id =
-                self.schema.find(&fragment.type_condition).filter(|t| self.schema.types[*t].is_composite());
+        let mut uses_by_fragment: HashMap<&str, Vec<VariableUse<'a>>> = HashMap::new();
+        for def in &sorted_fragments {
+            let mut uses = Vec::new();
+            let id = self.schema.find(&def.type_condition).filter(|t| self.schema.types[*t].is_composite());
             match id {
-                Some(id) => self.selection_set(fragment.selection_set, id, &fragments, &mut found),
-                None => {
-                    self.fault(fragment.pos, format!("`{}` is no composite type", fragment.type_condition))
-                }
+                Some(id) => self.check_selections(def.selection_set, id, &fragments, &mut uses),
+                None => self.error(def.pos, format!("`{}` is no composite type", def.type_condition)),
             }
-            self.directives(&fragment.directives, &mut found);
-            uses.insert(&fragment.name, found);
+            self.check_directives(&def.directives, &mut uses);
+            uses_by_fragment.insert(&def.name, uses);
         }
         for operation in &document.operations {
-            self.operation(operation, &fragments, &uses);
+            self.check_operation(operation, &fragments, &uses_by_fragment);
         }
         if !self.errors.is_empty() {
             return;
         }
         for operation in &document.operations {
             let root = self.schema.root(operation.kind);
-            let merged = root
+            let result = root
                 .map(|root| merge::check(self.schema, document, &fragments, operation.selection_set, root));
-            self.errors.extend(merged.and_then(Result::err));
+            self.errors.extend(result.and_then(Result::err));
         }
     }
 
     /// The fragments, each behind those it spreads; `None` with a fault where they form a cycle.
-    fn order(&mut self, fragments: &HashMap<&str, &'a FragmentDef>) -> Option<Vec<&'a FragmentDef>> {
+    fn sort_fragments(&mut self, fragments: &HashMap<&str, &'a FragmentDef>) -> Option<Vec<&'a FragmentDef>> {
         let document = self.document;
-        let mut waits: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-        let mut users: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        let mut unknown = false;
+        let mut dependencies: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
+        let mut dependents: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+        let mut has_undefined = false;
         for fragment in &document.fragments {
-            let own = waits.entry(&fragment.name).or_default();
+            let own_dependencies = dependencies.entry(&fragment.name).or_default();
             for (name, _) in document.nested_fragment_spreads(fragment.selection_set) {
-                if fragments.contains_key(name) && own.insert(name) {
-                    users.entry(name).or_default().push(&fragment.name);
+                if fragments.contains_key(name) && own_dependencies.insert(name) {
+                    dependents.entry(name).or_default().push(&fragment.name);
                 }
             }
         }
@@ -130,69 +127,73 @@
             .chain(document.fragments.iter().map(|f| f.selection_set));
         for (name, pos) in definition_selection_sets.flat_map(|s| document.nested_fragment_spreads(s)) {
             if !fragments.contains_key(name) {
-                unknown = true;
+                has_undefined = true;
                 self.errors.push(Error::new(pos, format!("fragment `{name}` is not defined")));
             }
         }
-        let mut free: Vec<&str> = waits.iter().filter(|(_, w)| w.is_empty()).map(|(n, _)| *n).collect();
-        let mut order = Vec::new();
-        while let Some(name) = free.pop() {
-            order.push(fragments[name]);
-            for user in users.remove(name).unwrap_or_default() {
-                if let Some(wait) = waits.get_mut(user) {
-                    wait.remove(name);
-                    if wait.is_empty() {
-                        free.push(user);
+        let mut ready: Vec<&str> =
+            dependencies.iter().filter(|(_, w)| w.is_empty()).map(|(n, _)| *n).collect();
+        let mut sorted = Vec::new();
+        while let Some(name) = ready.pop() {
+            sorted.push(fragments[name]);
+            for dependent in dependents.remove(name).unwrap_or_default() {
+                if let Some(remaining) = dependencies.get_mut(dependent) {
+                    remaining.remove(name);
+                    if remaining.is_empty() {
+                        ready.push(dependent);
                     }
                 }
             }
         }
-        if order.len() < fragments.len() {
-            let cyclic =
-                document.fragments.iter().find(|f| waits.get(f.name.as_str()).is_some_and(|w| !w.is_empty()));
+        if sorted.len() < fragments.len() {
+            let cyclic = document
+                .fragments
+                .iter()
+                .find(|f| dependencies.get(f.name.as_str()).is_some_and(|w| !w.is_empty()));
             if let Some(fragment) = cyclic {
-                self.fault(
+                self.error(
                     fragment.pos,
                     format!("fragment `{}` spreads itself, over others or not", fragment.name),
                 );
             }
             return None;
         }
-        if unknown { None } else { Some(order) }
+        if has_undefined { None } else { Some(sorted) }
     }
 
     /// Fields and depth of a set with all fragments spread. Recursion only within the source's own nesting.
-    fn size(&self, selection_set: SelectionSetId, fragments: &HashMap<&str, (u64, usize)>) -> (u64, usize) {
+    fn expanded_size(
+        &self, selection_set: SelectionSetId, sizes: &HashMap<&str, (u64, usize)>,
+    ) -> (u64, usize) {
         let (mut fields, mut depth) = (0u64, 0);
         for selection in &self.document.selection_sets[selection_set] {
-            let (more, deep) = match selection {
+            let (selection_fields, selection_depth) = match selection {
                 Selection::Field(field) => {
-                    let (f, d) = field.selection_set.map_or((0, 0), |s| self.size(s, fragments));
-                    (f.saturating_add(1), d)
-                }
-                Selection::FragmentSpread { name, .. } => {
-                    fragments.get(name.as_str()).copied().unwrap_or((0, 0))
+                    let (fields, depth) =
+                        field.selection_set.map_or((0, 0), |s| self.expanded_size(s, sizes));
+                    (fields.saturating_add(1), depth)
                 }
-                Selection::InlineFragment { selection_set, .. } => self.size(*selection_set, fragments),
+                Selection::FragmentSpread { name, .. } => sizes.get(name.as_str()).copied().unwrap_or((0, 0)),
+                Selection::InlineFragment { selection_set, .. } => self.expanded_size(*selection_set, sizes),
             };
-            fields = fields.saturating_add(more);
-            depth = depth.max(deep);
+            fields = fields.saturating_add(selection_fields);
+            depth = depth.max(selection_depth);
         }
         (fields, depth + 1)
     }
 
-    fn operation(
+    fn check_operation(
         &mut self, operation: &'a OperationDef, fragments: &HashMap<&str, &'a FragmentDef>,
-        uses: &HashMap<&str, Vec<Use<'a>>>,
+        uses_by_fragment: &HashMap<&str, Vec<VariableUse<'a>>>,
     ) {
         let Some(root) = self.schema.root(operation.kind) else {
             return self
-                .fault(operation.pos, format!("the schema has no {:?} root", operation.kind).to_lowercase());
+                .error(operation.pos, format!("the schema has no {:?} root", operation.kind).to_lowercase());
         };
-        let mut known: BTreeMap<&str, &VariableDef> = BTreeMap::new();
+        let mut variables: BTreeMap<&str, &VariableDef> = BTreeMap::new();
         for def in &operation.variables {
-            if known.insert(&def.name, def).is_some() {
-                self.fault(def.pos, format!("variable `${}` is defined twice", def.name));
+            if variables.insert(&def.name, def).is_some() {
+                self.error(def.pos, format!("variable `${}` is defined twice", def.name));
             }
             match self.schema.find(def.ty.named_type()) {
                 Some(id) if self.schema.types[id].is_input() => {
@@ -201,29 +202,29 @@
                     }
                 }
                 _ => self
-                    .fault(def.pos, format!("`${}`: `{}` is no input type", def.name, def.ty.named_type())),
+                    .error(def.pos, format!("`${}`: `{}` is no input type", def.name, def.ty.named_type())),
             }
         }
-        let mut found = Vec::new();
-        self.selection_set(operation.selection_set, root, fragments, &mut found);
-        self.directives(&operation.directives, &mut found);
+        let mut uses = Vec::new();
+        self.check_selections(operation.selection_set, root, fragments, &mut uses);
+        self.check_directives(&operation.directives, &mut uses);
         // The fragments that the operation reaches.
-        let (mut open, mut reached) = (vec![operation.selection_set], BTreeSet::new());
-        while let Some(selection_set) = open.pop() {
+        let (mut pending, mut reached) = (vec![operation.selection_set], BTreeSet::new());
+        while let Some(selection_set) = pending.pop() {
             for (name, _) in self.document.nested_fragment_spreads(selection_set) {
                 if reached.insert(name) {
-                    open.extend(fragments.get(name).map(|f| f.selection_set));
+                    pending.extend(fragments.get(name).map(|f| f.selection_set));
                 }
             }
         }
-        let all = reached.iter().filter_map(|n| uses.get(n)).flatten().chain(&found);
+        let all_uses = reached.iter().filter_map(|n| uses_by_fragment.get(n)).flatten().chain(&uses);
         let mut errors = Vec::new();
-        for (name, wanted, pos) in all {
-            match known.get(name) {
+        for (name, expected, pos) in all_uses {
+            match variables.get(name) {
                 None => errors
                     .push(Error::new(*pos, format!("variable `${name}` is not defined by the operation"))),
-                Some(def) if !usable(def, wanted) => {
-                    let text = format!("variable `${name}` of type `{}` does not fit `{wanted}`", def.ty);
+                Some(def) if !is_variable_usage_allowed(def, expected) => {
+                    let text = format!("variable `${name}` of type `{}` does not fit `{expected}`", def.ty);
                     errors.push(Error::new(*pos, text));
                 }
                 Some(_) => {}
@@ -233,37 +234,37 @@
         if operation.kind == OperationKind::Subscription
             && self.document.selection_sets[operation.selection_set].len() != 1
         {
-            self.fault(operation.pos, "a subscription has one root field".into());
+            self.error(operation.pos, "a subscription has one root field".into());
         }
     }
 
-    fn selection_set(
+    fn check_selections(
         &mut self, selection_set: SelectionSetId, parent: TypeId, fragments: &HashMap<&str, &'a FragmentDef>,
-        uses: &mut Vec<Use<'a>>,
+        uses: &mut Vec<VariableUse<'a>>,
     ) {
         let (document, schema) = (self.document, self.schema);
         for selection in &document.selection_sets[selection_set] {
             match selection {
-                Selection::Field(field) => self.field(field, parent, fragments, uses),
+                Selection::Field(field) => self.check_field(field, parent, fragments, uses),
                 Selection::FragmentSpread { name, directives, pos } => {
-                    self.directives(directives, uses);
+                    self.check_directives(directives, uses);
                     let type_condition =
                         fragments.get(name.as_str()).and_then(|f| schema.find(&f.type_condition));
                     if let Some(type_condition) = type_condition {
-                        self.overlap(parent, type_condition, *pos);
+                        self.check_spread_possible(parent, type_condition, *pos);
                     }
                 }
                 Selection::InlineFragment { type_condition, directives, selection_set, pos } => {
-                    self.directives(directives, uses);
+                    self.check_directives(directives, uses);
                     let id = type_condition.as_ref().map_or(Some(parent), |c| schema.find(c));
                     match id.filter(|t| schema.types[*t].is_composite()) {
                         Some(id) => {
-                            self.overlap(parent, id, *pos);
-                            self.selection_set(*selection_set, id, fragments, uses);
+                            self.check_spread_possible(parent, id, *pos);
+                            self.check_selections(*selection_set, id, fragments, uses);
                         }
                         None => {
                             let name = type_condition.as_deref().unwrap_or_default();
-                            self.fault(*pos, format!("`{name}` is no composite type"));
+                            self.error(*pos, format!("`{name}` is no composite type"));
                         }
                     }
                 }
@@ -271,54 +272,54 @@
         }
     }
 
-    fn overlap(&mut self, parent: TypeId, type_condition: TypeId, pos: Pos) {
+    fn check_spread_possible(&mut self, parent: TypeId, type_condition: TypeId, pos: Pos) {
         let (p, c) = (&self.schema.types[parent], &self.schema.types[type_condition]);
         if p.possible.is_disjoint(&c.possible) {
             let text = format!("a value of `{}` can never be a `{}`", p.name, c.name);
-            self.fault(pos, text);
+            self.error(pos, text);
         }
     }
 
-    fn field(
+    fn check_field(
         &mut self, field: &'a Field, parent: TypeId, fragments: &HashMap<&str, &'a FragmentDef>,
-        uses: &mut Vec<Use<'a>>,
+        uses: &mut Vec<VariableUse<'a>>,
     ) {
-        let (schema, def) = (self.schema, &self.schema.types[parent]);
-        self.directives(&field.directives, uses);
+        let (schema, type_def) = (self.schema, &self.schema.types[parent]);
+        self.check_directives(&field.directives, uses);
         if field.name == "__typename" {
             if field.selection_set.is_some() || !field.arguments.is_empty() {
-                self.fault(field.pos, "`__typename` takes no arguments and has no fields".into());
+                self.error(field.pos, "`__typename` takes no arguments and has no fields".into());
             }
             return;
         }
-        let Some(found) = def.fields.get(&field.name) else {
-            return self.fault(field.pos, format!("type `{}` has no field `{}`", def.name, field.name));
+        let Some(found) = type_def.fields.get(&field.name) else {
+            return self.error(field.pos, format!("type `{}` has no field `{}`", type_def.name, field.name));
         };
-        let what = format!("field `{}.{}`", def.name, field.name);
-        self.arguments(&what, field.pos, &field.arguments, &found.arguments, uses);
+        let owner = format!("field `{}.{}`", type_def.name, field.name);
+        self.check_arguments(&owner, field.pos, &field.arguments, &found.arguments, uses);
         let composite = schema.types[found.named].is_composite();
         match (field.selection_set, composite) {
-            (Some(selection_set), true) => self.selection_set(selection_set, found.named, fragments, uses),
+            (Some(selection_set), true) => self.check_selections(selection_set, found.named, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
-                self.fault(field.pos, format!("{what} of type `{}` has no fields of its own", found.ty))
+                self.error(field.pos, format!("{owner} of type `{}` has no fields of its own", found.ty))
             }
             (None, true) => {
-                self.fault(field.pos, format!("{what} of type `{}` needs a selection of fields", found.ty))
+                self.error(field.pos, format!("{owner} of type `{}` needs a selection of fields", found.ty))
             }
         }
     }
 
-    fn arguments(
-        &mut self, what: &str, pos: Pos, given: &'a [Argument], known: &BTreeMap<String, Input>,
-        uses: &mut Vec<Use<'a>>,
+    fn check_arguments(
+        &mut self, owner: &str, pos: Pos, arguments: &'a [Argument], definitions: &BTreeMap<String, Input>,
+        uses: &mut Vec<VariableUse<'a>>,
     ) {
         let mut names = BTreeSet::new();
-        for argument in given {
+        for argument in arguments {
             if !names.insert(&argument.name) {
-                self.fault(argument.pos, format!("argument `{}` is given twice", argument.name));
+                self.error(argument.pos, format!("argument `{}` is given twice", argument.name));
             }
-            match known.get(&argument.name) {
+            match definitions.get(&argument.name) {
                 Some(input) => {
                     let mut on = |name, ty, pos| uses.push((name, ty, pos));
                     check_literal(
@@ -329,52 +330,52 @@
                         &mut self.errors,
                     );
                 }
-                None => self.fault(argument.pos, format!("{what} has no argument `{}`", argument.name)),
+                None => self.error(argument.pos, format!("{owner} has no argument `{}`", argument.name)),
             }
         }
-        for (name, input) in known {
+        for (name, input) in definitions {
             if matches!(input.ty, Type::NonNull(_)) && input.default.is_none() && !names.contains(name) {
-                self.fault(pos, format!("{what} needs argument `{name}`"));
+                self.error(pos, format!("{owner} needs argument `{name}`"));
             }
         }
     }
 
-    fn directives(&mut self, directives: &'a [Directive], uses: &mut Vec<Use<'a>>) {
+    fn check_directives(&mut self, directives: &'a [Directive], uses: &mut Vec<VariableUse<'a>>) {
         let mut names = BTreeSet::new();
         for directive in directives {
             let schema = self.schema;
             if !names.insert(&directive.name) && matches!(directive.name.as_str(), "skip" | "include") {
-                self.fault(directive.pos, format!("`@{}` is given twice", directive.name));
+                self.error(directive.pos, format!("`@{}` is given twice", directive.name));
             }
             match schema.directives.get(&directive.name) {
-                Some(known) => {
-                    let what = format!("directive `@{}`", directive.name);
-                    self.arguments(&what, directive.pos, &directive.arguments, known, uses);
+                Some(definitions) => {
+                    let owner = format!("directive `@{}`", directive.name);
+                    self.check_arguments(&owner, directive.pos, &directive.arguments, definitions, uses);
                 }
-                None => self.fault(directive.pos, format!("directive `@{}` is unknown", directive.name)),
+                None => self.error(directive.pos, format!("directive `@{}` is unknown", directive.name)),
             }
         }
     }
 }
 
 /// Whether a variable may stand where a type is wanted (section 5.8.5).
-fn usable(def: &VariableDef, wanted: &Type) -> bool {
-    match (wanted, &def.ty) {
+fn is_variable_usage_allowed(def: &VariableDef, location_type: &Type) -> bool {
+    match (location_type, &def.ty) {
         (Type::NonNull(inner), ty) if !matches!(ty, Type::NonNull(_)) => {
-            let default = def.default.as_ref().is_some_and(|d| d.kind != ValueKind::Null);
-            default && compatible(ty, inner)
+            let has_default = def.default.as_ref().is_some_and(|d| d.kind != ValueKind::Null);
+            has_default && are_types_compatible(ty, inner)
         }
-        _ => compatible(&def.ty, wanted),
+        _ => are_types_compatible(&def.ty, location_type),
     }
 }
 
-fn compatible(given: &Type, wanted: &Type) -> bool {
-    match (given, wanted) {
-        (Type::NonNull(g), Type::NonNull(w)) => compatible(g, w),
+fn are_types_compatible(variable_type: &Type, location_type: &Type) -> bool {
+    match (variable_type, location_type) {
+        (Type::NonNull(v), Type::NonNull(l)) => are_types_compatible(v, l),
         (_, Type::NonNull(_)) => false,
-        (Type::NonNull(g), w) => compatible(g, w),
-        (Type::List(g), Type::List(w)) => compatible(g, w),
-        (Type::Named(g), Type::Named(w)) => g == w,
+        (Type::NonNull(v), l) => are_types_compatible(v, l),
+        (Type::List(v), Type::List(l)) => are_types_compatible(v, l),
+        (Type::Named(v), Type::Named(l)) => v == l,
         _ => false,
     }
 }
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -10,20 +10,20 @@
 
 /// Checks a literal against a type; tells of each variable in it with the type its place wants.
 pub(crate) fn check_literal<'d>(
-    schema: &Schema, value: &'d Value, ty: &Type, on_var: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
+    schema: &Schema, value: &'d Value, ty: &Type, visit: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
 ) {
     let type_mismatch =
         |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
     match (&value.kind, ty) {
-        (ValueKind::Variable(name), _) => on_var(name, ty.clone(), value.pos),
+        (ValueKind::Variable(name), _) => visit(name, ty.clone(), value.pos),
         (ValueKind::Null, Type::NonNull(_)) => errors.push(type_mismatch("null")),
         (ValueKind::Null, _) => {}
-        (_, Type::NonNull(inner)) => check_literal(schema, value, inner, on_var, errors),
+        (_, Type::NonNull(inner)) => check_literal(schema, value, inner, visit, errors),
         (ValueKind::List(values), Type::List(inner)) => {
-            values.iter().for_each(|v| check_literal(schema, v, inner, on_var, errors));
+            values.iter().for_each(|v| check_literal(schema, v, inner, visit, errors));
         }
         // A single value stands for a list of one (section 3.11).
-        (_, Type::List(inner)) => check_literal(schema, value, inner, on_var, errors),
+        (_, Type::List(inner)) => check_literal(schema, value, inner, visit, errors),
         (found, Type::Named(name)) => {
             let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return };
             let is_valid = match (def.kind.clone(), found) {
@@ -32,9 +32,7 @@
                 (TypeKind::Input, ValueKind::Object(fields)) => {
                     for (field, value) in fields {
                         match def.inputs.get(field) {
-                            Some(input) => {
-                                check_literal(schema, value, &location_type(input), on_var, errors)
-                            }
+                            Some(input) => check_literal(schema, value, &location_type(input), visit, errors),
                             None => errors.push(Error::new(
                                 value.pos,
                                 format!("`{name}` has no input field `{field}`"),
