--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -57,7 +57,7 @@
                 self.visit(1, field)?;
                 let def = self.schema.types[*parent].fields.get(&field.name);
                 if let (Some(selection_set), Some(def)) = (field.selection_set, def) {
-                    self.selection_sets(&[(selection_set, def.named)], pass)?;
+                    self.selection_sets(&[(selection_set, def.named_type)], pass)?;
                 }
             }
             return Ok(());
@@ -132,13 +132,13 @@
                     }
                     Selection::FragmentSpread { name, .. } => {
                         let Some(fragment) = self.fragments.get(name.as_str()) else { continue };
-                        let on = self.schema.find(&fragment.type_condition);
+                        let on = self.schema.type_id(&fragment.type_condition);
                         if let Some(on) = on.filter(|_| spread.insert(name.as_str())) {
                             inner.push((fragment.selection_set, on));
                         }
                     }
                     Selection::InlineFragment { type_condition, selection_set, .. } => {
-                        let on = type_condition.as_ref().map_or(Some(parent), |c| self.schema.find(c));
+                        let on = type_condition.as_ref().map_or(Some(parent), |c| self.schema.type_id(c));
                         inner.extend(on.map(|on| (*selection_set, on)));
                     }
                 }
@@ -155,7 +155,7 @@
         for (field, parent) in fields {
             let def = self.schema.types[*parent].fields.get(&field.name);
             if let (Some(selection_set), Some(def)) = (field.selection_set, def) {
-                selection_sets.extend(Some((selection_set, def.named)).filter(|s| had.insert(*s)));
+                selection_sets.extend(Some((selection_set, def.named_type)).filter(|s| had.insert(*s)));
             }
         }
         self.selection_sets(&selection_sets, pass)
@@ -163,7 +163,7 @@
 
     fn shapes(&self, fields: &[Asked<'a>]) -> Result<(), Error> {
         let first = fields[0];
-        let of = |f: &Asked| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.ty, d.named));
+        let of = |f: &Asked| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.ty, d.named_type));
         for other in &fields[1..] {
             let same = match (of(&first), of(other)) {
                 (Some((a, named_a)), Some((b, named_b))) => {
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -46,7 +46,7 @@
             return Err(errors);
         }
         let (kind, selection_set) = (chosen.kind, chosen.selection_set);
-        let root_type = schema.root(kind).ok_or_else(|| fault("the schema lacks this root".into()))?;
+        let root_type = schema.root_type(kind).ok_or_else(|| fault("the schema lacks this root".into()))?;
         let mut plan = Plan::new(schema, Arc::new(document), coerced, &limits);
         let root = plan.node(&[selection_set], root_type);
         let mut cost = plan.price(root);
@@ -57,7 +57,7 @@
         cost.type_cost += plan.schema.types[root_type].weight.unwrap_or(0.0);
         cost.units = (cost.field_cost + cost.type_cost).max(0.0);
         let node = &plan.nodes[root];
-        let root_fields = node.order.iter().map(|k| node.entries[k].name.clone()).collect();
+        let root_fields = node.response_names.iter().map(|n| node.entries[n].field_name.clone()).collect();
         Ok(Self { plan, root, kind, root_fields, cost })
     }
 
--- a/crates/graphql/src/scan.rs
+++ b/crates/graphql/src/scan.rs
@@ -271,7 +271,7 @@
             _ => match frame.node.and_then(|n| self.plan.nodes[n].entries.get(key)) {
                 Some(entry) => {
                     self.counted.units += entry.weight;
-                    let (selection_sets, named) = (entry.selection_sets.clone(), entry.named);
+                    let (selection_sets, named) = (entry.selection_sets.clone(), entry.named_type);
                     let node = if selection_sets.is_empty() {
                         None
                     } else {
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -9,7 +9,7 @@
 pub(crate) type TypeId = usize;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Input {
+pub(crate) struct InputValue {
     pub ty: Type,
     pub default: Option<Value>,
     pub weight: Option<f64>,
@@ -17,17 +17,17 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ListSize {
-    pub assumed: Option<f64>,
-    pub slicing: Vec<String>,
-    pub sized: Vec<String>,
-    pub require_one: bool,
+    pub assumed_size: Option<f64>,
+    pub slicing_arguments: Vec<String>,
+    pub sized_fields: Vec<String>,
+    pub require_one_slicing: bool,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct OutField {
+pub(crate) struct OutputField {
     pub ty: Type,
-    pub named: TypeId,
-    pub arguments: BTreeMap<String, Input>,
+    pub named_type: TypeId,
+    pub arguments: BTreeMap<String, InputValue>,
     pub weight: Option<f64>,
     pub list_size: Option<ListSize>,
     pub pos: Pos,
@@ -47,13 +47,13 @@
 pub(crate) struct TypeDef {
     pub name: String,
     pub kind: TypeKind,
-    pub fields: BTreeMap<String, OutField>,
-    pub inputs: BTreeMap<String, Input>,
-    pub values: BTreeSet<String>,
+    pub fields: BTreeMap<String, OutputField>,
+    pub input_fields: BTreeMap<String, InputValue>,
+    pub enum_values: BTreeSet<String>,
     /// Interfaces of an object or interface, members of a union.
-    pub related: BTreeSet<String>,
+    pub related_types: BTreeSet<String>,
     /// The objects that a value of this type can be; itself for an object.
-    pub possible: BTreeSet<TypeId>,
+    pub possible_types: BTreeSet<TypeId>,
     pub weight: Option<f64>,
     pub pos: Pos,
 }
@@ -63,7 +63,7 @@
         matches!(self.kind, TypeKind::Object | TypeKind::Interface | TypeKind::Union)
     }
 
-    pub fn is_input(&self) -> bool {
+    pub fn is_input_type(&self) -> bool {
         matches!(self.kind, TypeKind::Scalar | TypeKind::Enum | TypeKind::Input)
     }
 }
@@ -73,7 +73,7 @@
 pub struct Schema {
     pub(crate) types: Vec<TypeDef>,
     pub(crate) index: BTreeMap<String, TypeId>,
-    pub(crate) directives: BTreeMap<String, BTreeMap<String, Input>>,
+    pub(crate) directives: BTreeMap<String, BTreeMap<String, InputValue>>,
     query: TypeId,
     mutation: Option<TypeId>,
     subscription: Option<TypeId>,
@@ -128,11 +128,11 @@
         builder.finish(&document)
     }
 
-    pub(crate) fn find(&self, name: &str) -> Option<TypeId> {
+    pub(crate) fn type_id(&self, name: &str) -> Option<TypeId> {
         self.index.get(name).copied()
     }
 
-    pub(crate) fn root(&self, kind: OperationKind) -> Option<TypeId> {
+    pub(crate) fn root_type(&self, kind: OperationKind) -> Option<TypeId> {
         match kind {
             OperationKind::Query => Some(self.query),
             OperationKind::Mutation => self.mutation,
@@ -142,7 +142,7 @@
 
     /// The fields of a root type: what classes are given to.
     pub fn root_fields(&self, kind: OperationKind) -> impl Iterator<Item = &str> {
-        let root = self.root(kind).map(|t| &self.types[t].fields);
+        let root = self.root_type(kind).map(|t| &self.types[t].fields);
         root.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
     }
 
@@ -154,7 +154,7 @@
         };
         let def = &self.types[id];
         if matches!(def.kind, TypeKind::Interface | TypeKind::Union) {
-            return def.possible.iter().map(|p| one(*p)).fold(0.0, f64::max);
+            return def.possible_types.iter().map(|p| one(*p)).fold(0.0, f64::max);
         }
         one(id)
     }
@@ -164,7 +164,7 @@
 struct Builder {
     types: Vec<TypeDef>,
     index: BTreeMap<String, TypeId>,
-    directives: BTreeMap<String, BTreeMap<String, Input>>,
+    directives: BTreeMap<String, BTreeMap<String, InputValue>>,
     root_operation_types: Vec<(OperationKind, String, Pos)>,
     errors: Vec<Error>,
 }
@@ -189,7 +189,12 @@
 
     fn list_size(&mut self, field: &FieldDef) -> Option<ListSize> {
         let directive = field.directives.iter().find(|d| d.name == "listSize")?;
-        let mut size = ListSize { assumed: None, slicing: Vec::new(), sized: Vec::new(), require_one: true };
+        let mut size = ListSize {
+            assumed_size: None,
+            slicing_arguments: Vec::new(),
+            sized_fields: Vec::new(),
+            require_one_slicing: true,
+        };
         for argument in &directive.arguments {
             let strings = match &argument.value.kind {
                 ValueKind::List(values) => {
@@ -201,17 +206,17 @@
             };
             match (argument.name.as_str(), &argument.value.kind, strings) {
                 ("assumedSize", ValueKind::Int(n), _) => {
-                    size.assumed = n.parse().ok().filter(|n: &f64| *n >= 0.0)
+                    size.assumed_size = n.parse().ok().filter(|n: &f64| *n >= 0.0)
                 }
-                ("slicingArguments", _, Some(names)) => size.slicing = names,
-                ("sizedFields", _, Some(names)) => size.sized = names,
-                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => size.require_one = *b,
+                ("slicingArguments", _, Some(names)) => size.slicing_arguments = names,
+                ("sizedFields", _, Some(names)) => size.sized_fields = names,
+                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => size.require_one_slicing = *b,
                 (name, ..) => {
                     self.fault(argument.pos, format!("@listSize: `{name}` is unknown or of the wrong type"))
                 }
             }
         }
-        for name in &size.slicing {
+        for name in &size.slicing_arguments {
             let argument = field.arguments.iter().find(|a| a.name == *name);
             if argument.is_none_or(|a| a.ty.is_list() || a.ty.named_type() != "Int") {
                 let text =
@@ -222,11 +227,11 @@
         Some(size)
     }
 
-    fn input(&mut self, def: &InputValueDef) -> Input {
-        Input { ty: def.ty.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
+    fn input(&mut self, def: &InputValueDef) -> InputValue {
+        InputValue { ty: def.ty.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
     }
 
-    fn inputs(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, Input> {
+    fn inputs(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, InputValue> {
         let mut inputs = BTreeMap::new();
         for def in defs {
             let input = self.input(def);
@@ -291,18 +296,18 @@
             (None, true) => return self.fault(pos, format!("`{name}` is extended and not defined")),
             (Some(_), false) => return self.fault(pos, format!("type `{name}` is defined twice")),
             (None, false) => {
-                let (fields, inputs, values) = Default::default();
-                let (related, possible) = Default::default();
+                let (fields, input_fields, enum_values) = Default::default();
+                let (related_types, possible_types) = Default::default();
                 let name = name.to_owned();
                 self.index.insert(name.clone(), self.types.len());
                 self.types.push(TypeDef {
                     name,
                     kind,
                     fields,
-                    inputs,
-                    values,
-                    related,
-                    possible,
+                    input_fields,
+                    enum_values,
+                    related_types,
+                    possible_types,
                     weight: None,
                     pos,
                 });
@@ -310,18 +315,18 @@
             }
         };
         let mut fields = Vec::new();
-        let mut related = Vec::new();
+        let mut related_types = Vec::new();
         match body {
             TypeBody::Scalar => {}
             TypeBody::Object { interfaces, fields: f } | TypeBody::Interface { interfaces, fields: f } => {
-                related.clone_from(interfaces);
+                related_types.clone_from(interfaces);
                 fields.clone_from(f);
             }
-            TypeBody::Union(members) => related.clone_from(members),
-            TypeBody::Enum(values) => self.types[id].values.extend(values.iter().cloned()),
+            TypeBody::Union(members) => related_types.clone_from(members),
+            TypeBody::Enum(values) => self.types[id].enum_values.extend(values.iter().cloned()),
             TypeBody::Input(inputs) => {
                 let inputs = self.inputs(inputs);
-                self.types[id].inputs.extend(inputs);
+                self.types[id].input_fields.extend(inputs);
             }
         }
         for field in fields {
@@ -330,13 +335,19 @@
             if field.name.starts_with("__") {
                 self.fault(field.pos, format!("`{}`: names with two underscores are reserved", field.name));
             }
-            let made =
-                OutField { ty: field.ty.clone(), named: 0, arguments, weight, list_size, pos: field.pos };
+            let made = OutputField {
+                ty: field.ty.clone(),
+                named_type: 0,
+                arguments,
+                weight,
+                list_size,
+                pos: field.pos,
+            };
             if self.types[id].fields.insert(field.name.clone(), made).is_some() {
                 self.fault(field.pos, format!("field `{name}.{}` is defined twice", field.name));
             }
         }
-        self.types[id].related.extend(related);
+        self.types[id].related_types.extend(related_types);
         self.types[id].weight = weight.or(self.types[id].weight);
     }
 
@@ -367,16 +378,24 @@
         }
         self.resolve();
         if let Some(query) = query {
-            let meta = |named: TypeId, kind: &str, arguments| {
+            let meta_field = |named_type: TypeId, type_name: &str, arguments| {
                 let (weight, list_size) = (Some(0.0), None);
-                OutField { ty: Type::Named(kind.into()), named, arguments, weight, list_size, pos: start }
+                OutputField {
+                    ty: Type::Named(type_name.into()),
+                    named_type,
+                    arguments,
+                    weight,
+                    list_size,
+                    pos: start,
+                }
             };
             let (schema, one) = (self.index["__Schema"], self.index["__Type"]);
             let name = Type::NonNull(Box::new(Type::Named("String".into())));
-            let name = Input { ty: name, default: None, weight: None };
+            let name = InputValue { ty: name, default: None, weight: None };
             let fields = &mut self.types[query].fields;
-            fields.insert("__schema".into(), meta(schema, "__Schema", BTreeMap::new()));
-            fields.insert("__type".into(), meta(one, "__Type", BTreeMap::from([("name".into(), name)])));
+            fields.insert("__schema".into(), meta_field(schema, "__Schema", BTreeMap::new()));
+            fields
+                .insert("__type".into(), meta_field(one, "__Type", BTreeMap::from([("name".into(), name)])));
         }
         let (types, index, directives) = (self.types, self.index, self.directives);
         let mut errors = self.errors;
@@ -394,23 +413,23 @@
             let fault = |pos: Pos, text: String| Error::new(pos, text);
             let empty = match def.kind {
                 TypeKind::Object | TypeKind::Interface => def.fields.is_empty(),
-                TypeKind::Union => def.related.is_empty(),
-                TypeKind::Enum => def.values.is_empty(),
-                TypeKind::Input => def.inputs.is_empty(),
+                TypeKind::Union => def.related_types.is_empty(),
+                TypeKind::Enum => def.enum_values.is_empty(),
+                TypeKind::Input => def.input_fields.is_empty(),
                 TypeKind::Scalar => false,
             };
             if empty {
                 errors.push(fault(def.pos, format!("type `{}` has no fields, members or values", def.name)));
             }
             let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.pos, a)));
-            for (pos, (name, input)) in inputs.chain(def.inputs.iter().map(|i| (def.pos, i))) {
+            for (pos, (name, input)) in inputs.chain(def.input_fields.iter().map(|i| (def.pos, i))) {
                 let found = self.index.get(input.ty.named_type()).map(|t| &self.types[*t]);
-                if found.is_none_or(|t| !t.is_input()) {
+                if found.is_none_or(|t| !t.is_input_type()) {
                     errors
                         .push(fault(pos, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
                 }
             }
-            for related in &def.related {
+            for related in &def.related_types {
                 let wanted = if def.kind == TypeKind::Union { TypeKind::Object } else { TypeKind::Interface };
                 let Some(other) =
                     self.index.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == wanted)
@@ -434,7 +453,7 @@
                     ));
                     continue;
                 };
-                for sized in field.list_size.iter().flat_map(|s| &s.sized) {
+                for sized in field.list_size.iter().flat_map(|s| &s.sized_fields) {
                     if found.fields.get(sized).is_none_or(|f| !f.ty.is_list()) {
                         let text = format!("@listSize: sized field `{sized}` is no list of `{}`", found.name);
                         errors.push(fault(field.pos, text));
@@ -442,7 +461,7 @@
                 }
                 if let Some(size) = &field.list_size
                     && !field.ty.is_list()
-                    && size.sized.is_empty()
+                    && size.sized_fields.is_empty()
                 {
                     errors.push(fault(
                         field.pos,
@@ -452,31 +471,30 @@
             }
         }
         self.errors.extend(errors);
-        let get = |name: &str| self.index.get(name).copied();
+        let id = |name: &str| self.index.get(name).copied();
         let objects: Vec<TypeId> =
             (0..self.types.len()).filter(|t| self.types[*t].kind == TypeKind::Object).collect();
-        let possible: Vec<BTreeSet<TypeId>> = (0..self.types.len())
-            .map(|id| match self.types[id].kind {
-                TypeKind::Object => BTreeSet::from([id]),
+        let possible_types: Vec<BTreeSet<TypeId>> = (0..self.types.len())
+            .map(|type_id| match self.types[type_id].kind {
+                TypeKind::Object => BTreeSet::from([type_id]),
                 TypeKind::Interface => {
-                    let name = &self.types[id].name;
-                    objects.iter().copied().filter(|o| self.types[*o].related.contains(name)).collect()
+                    let name = &self.types[type_id].name;
+                    objects.iter().copied().filter(|o| self.types[*o].related_types.contains(name)).collect()
                 }
-                TypeKind::Union => self.types[id].related.iter().filter_map(|m| get(m)).collect(),
+                TypeKind::Union => self.types[type_id].related_types.iter().filter_map(|m| id(m)).collect(),
                 _ => BTreeSet::new(),
             })
             .collect();
-        let named: Vec<BTreeMap<String, TypeId>> = self
+        let named_types: Vec<BTreeMap<String, TypeId>> = self
             .types
             .iter()
-            .map(|t| {
-                t.fields.iter().filter_map(|(n, f)| Some((n.clone(), get(f.ty.named_type())?))).collect()
-            })
+            .map(|t| t.fields.iter().filter_map(|(n, f)| Some((n.clone(), id(f.ty.named_type())?))).collect())
             .collect();
-        for ((def, possible), named) in self.types.iter_mut().zip(possible).zip(named) {
-            def.possible = possible;
+        for ((def, possible_types), named_types) in self.types.iter_mut().zip(possible_types).zip(named_types)
+        {
+            def.possible_types = possible_types;
             for (name, field) in &mut def.fields {
-                field.named = named.get(name).copied().unwrap_or(0);
+                field.named_type = named_types.get(name).copied().unwrap_or(0);
             }
         }
     }
--- a/crates/graphql/src/stub.rs
+++ b/crates/graphql/src/stub.rs
@@ -21,20 +21,21 @@
 }
 
 fn write_object(
-    plan: &mut Plan, node: NodeId, sized: Option<&(f64, Vec<String>)>, stub_data: &mut dyn StubData,
+    plan: &mut Plan, node: NodeId, sized_fields: Option<&(f64, Vec<String>)>, stub_data: &mut dyn StubData,
     out: &mut String,
 ) {
     out.push('{');
-    for (index, response_name) in plan.nodes[node].order.clone().into_iter().enumerate() {
+    for (index, response_name) in plan.nodes[node].response_names.clone().into_iter().enumerate() {
         let entry = plan.nodes[node].entries[&response_name].clone();
         let _ = write!(out, "{}\"{response_name}\":", if index > 0 { "," } else { "" });
-        let assumed_size = sized.filter(|(_, names)| names.contains(&entry.name)).map(|(n, _)| *n);
-        let count = if entry.list {
-            stub_data.list_length(&entry.name, assumed_size.unwrap_or(entry.count))
+        let assumed_size =
+            sized_fields.filter(|(_, names)| names.contains(&entry.field_name)).map(|(n, _)| *n);
+        let count = if entry.is_list {
+            stub_data.list_length(&entry.field_name, assumed_size.unwrap_or(entry.assumed_count))
         } else {
             1
         };
-        if entry.list {
+        if entry.is_list {
             out.push('[');
         }
         for item in 0..count {
@@ -42,15 +43,18 @@
                 out.push(',');
             }
             if entry.selection_sets.is_empty() {
-                write_leaf(plan, &entry.name, entry.named, stub_data, out);
+                write_leaf(plan, &entry.field_name, entry.named_type, stub_data, out);
             } else {
-                let object_type =
-                    plan.schema.types[entry.named].possible.first().copied().unwrap_or(entry.named);
+                let object_type = plan.schema.types[entry.named_type]
+                    .possible_types
+                    .first()
+                    .copied()
+                    .unwrap_or(entry.named_type);
                 let child = plan.node(&entry.selection_sets, object_type);
-                write_object(plan, child, entry.sized.as_ref(), stub_data, out);
+                write_object(plan, child, entry.sized_fields.as_ref(), stub_data, out);
             }
         }
-        if entry.list {
+        if entry.is_list {
             out.push(']');
         }
     }
@@ -64,7 +68,7 @@
         "Boolean" => out.push_str("true"),
         _ => {
             out.push('"');
-            match def.values.first() {
+            match def.enum_values.first() {
                 Some(value) => out.push_str(value),
                 None => stub_data.write_text(field, out),
             }
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -3,7 +3,7 @@
 
 use crate::ast::*;
 use crate::merge;
-use crate::schema::{Input, Schema, TypeId};
+use crate::schema::{InputValue, Schema, TypeId};
 use crate::variables::{check_literal, location_type};
 use crate::{Error, Limits, OperationKind, Pos};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -84,7 +84,8 @@
         let mut uses_by_fragment: HashMap<&str, Vec<VariableUse<'a>>> = HashMap::new();
         for def in &sorted_fragments {
             let mut uses = Vec::new();
-            let id = self.schema.find(&def.type_condition).filter(|t| self.schema.types[*t].is_composite());
+            let id =
+                self.schema.type_id(&def.type_condition).filter(|t| self.schema.types[*t].is_composite());
             match id {
                 Some(id) => self.check_selections(def.selection_set, id, &fragments, &mut uses),
                 None => self.error(def.pos, format!("`{}` is no composite type", def.type_condition)),
@@ -99,7 +100,7 @@
             return;
         }
         for operation in &document.operations {
-            let root = self.schema.root(operation.kind);
+            let root = self.schema.root_type(operation.kind);
             let result = root
                 .map(|root| merge::check(self.schema, document, &fragments, operation.selection_set, root));
             self.errors.extend(result.and_then(Result::err));
@@ -186,7 +187,7 @@
         &mut self, operation: &'a OperationDef, fragments: &HashMap<&str, &'a FragmentDef>,
         uses_by_fragment: &HashMap<&str, Vec<VariableUse<'a>>>,
     ) {
-        let Some(root) = self.schema.root(operation.kind) else {
+        let Some(root) = self.schema.root_type(operation.kind) else {
             return self
                 .error(operation.pos, format!("the schema has no {:?} root", operation.kind).to_lowercase());
         };
@@ -195,8 +196,8 @@
             if variables.insert(&def.name, def).is_some() {
                 self.error(def.pos, format!("variable `${}` is defined twice", def.name));
             }
-            match self.schema.find(def.ty.named_type()) {
-                Some(id) if self.schema.types[id].is_input() => {
+            match self.schema.type_id(def.ty.named_type()) {
+                Some(id) if self.schema.types[id].is_input_type() => {
                     if let Some(default) = &def.default {
                         check_literal(self.schema, default, &def.ty, &mut |_, _, _| {}, &mut self.errors);
                     }
@@ -249,14 +250,14 @@
                 Selection::FragmentSpread { name, directives, pos } => {
                     self.check_directives(directives, uses);
                     let type_condition =
-                        fragments.get(name.as_str()).and_then(|f| schema.find(&f.type_condition));
+                        fragments.get(name.as_str()).and_then(|f| schema.type_id(&f.type_condition));
                     if let Some(type_condition) = type_condition {
                         self.check_spread_possible(parent, type_condition, *pos);
                     }
                 }
                 Selection::InlineFragment { type_condition, directives, selection_set, pos } => {
                     self.check_directives(directives, uses);
-                    let id = type_condition.as_ref().map_or(Some(parent), |c| schema.find(c));
+                    let id = type_condition.as_ref().map_or(Some(parent), |c| schema.type_id(c));
                     match id.filter(|t| schema.types[*t].is_composite()) {
                         Some(id) => {
                             self.check_spread_possible(parent, id, *pos);
@@ -274,7 +275,7 @@
 
     fn check_spread_possible(&mut self, parent: TypeId, type_condition: TypeId, pos: Pos) {
         let (p, c) = (&self.schema.types[parent], &self.schema.types[type_condition]);
-        if p.possible.is_disjoint(&c.possible) {
+        if p.possible_types.is_disjoint(&c.possible_types) {
             let text = format!("a value of `{}` can never be a `{}`", p.name, c.name);
             self.error(pos, text);
         }
@@ -297,9 +298,9 @@
         };
         let owner = format!("field `{}.{}`", type_def.name, field.name);
         self.check_arguments(&owner, field.pos, &field.arguments, &found.arguments, uses);
-        let composite = schema.types[found.named].is_composite();
+        let composite = schema.types[found.named_type].is_composite();
         match (field.selection_set, composite) {
-            (Some(selection_set), true) => self.check_selections(selection_set, found.named, fragments, uses),
+            (Some(set), true) => self.check_selections(set, found.named_type, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
                 self.error(field.pos, format!("{owner} of type `{}` has no fields of its own", found.ty))
@@ -311,8 +312,8 @@
     }
 
     fn check_arguments(
-        &mut self, owner: &str, pos: Pos, arguments: &'a [Argument], definitions: &BTreeMap<String, Input>,
-        uses: &mut Vec<VariableUse<'a>>,
+        &mut self, owner: &str, pos: Pos, arguments: &'a [Argument],
+        definitions: &BTreeMap<String, InputValue>, uses: &mut Vec<VariableUse<'a>>,
     ) {
         let mut names = BTreeSet::new();
         for argument in arguments {
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -12,11 +12,11 @@
 pub(crate) fn check_literal<'d>(
     schema: &Schema, value: &'d Value, ty: &Type, visit: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
 ) {
-    let type_mismatch =
+    let mismatch =
         |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
     match (&value.kind, ty) {
         (ValueKind::Variable(name), _) => visit(name, ty.clone(), value.pos),
-        (ValueKind::Null, Type::NonNull(_)) => errors.push(type_mismatch("null")),
+        (ValueKind::Null, Type::NonNull(_)) => errors.push(mismatch("null")),
         (ValueKind::Null, _) => {}
         (_, Type::NonNull(inner)) => check_literal(schema, value, inner, visit, errors),
         (ValueKind::List(values), Type::List(inner)) => {
@@ -25,13 +25,13 @@
         // A single value stands for a list of one (section 3.11).
         (_, Type::List(inner)) => check_literal(schema, value, inner, visit, errors),
         (found, Type::Named(name)) => {
-            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return };
+            let Some(def) = schema.type_id(name).map(|t| &schema.types[t]) else { return };
             let is_valid = match (def.kind.clone(), found) {
                 (TypeKind::Scalar, _) => scalar_accepts(name, found),
-                (TypeKind::Enum, ValueKind::Enum(v)) => def.values.contains(v),
+                (TypeKind::Enum, ValueKind::Enum(v)) => def.enum_values.contains(v),
                 (TypeKind::Input, ValueKind::Object(fields)) => {
                     for (field, value) in fields {
-                        match def.inputs.get(field) {
+                        match def.input_fields.get(field) {
                             Some(input) => check_literal(schema, value, &location_type(input), visit, errors),
                             None => errors.push(Error::new(
                                 value.pos,
@@ -39,7 +39,7 @@
                             )),
                         }
                     }
-                    for (field, input) in &def.inputs {
+                    for (field, input) in &def.input_fields {
                         let is_given = fields.iter().any(|(n, _)| n == field);
                         if !is_given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
                             errors.push(Error::new(
@@ -53,14 +53,14 @@
                 _ => false,
             };
             if !is_valid {
-                errors.push(type_mismatch(describe(found)));
+                errors.push(mismatch(describe(found)));
             }
         }
     }
 }
 
 /// The type that a place wants of a variable: one with a default takes a nullable variable (section 5.8.5).
-pub(crate) fn location_type(input: &crate::schema::Input) -> Type {
+pub(crate) fn location_type(input: &crate::schema::InputValue) -> Type {
     if input.default.is_some() { input.ty.nullable().clone() } else { input.ty.clone() }
 }
 
@@ -122,10 +122,10 @@
 }
 
 fn coerce(schema: &Schema, json: &Json, ty: &Type, path: &str) -> Result<Json, String> {
-    let type_mismatch =
+    let mismatch =
         || format!("variable `{path}`: expected a value of type `{ty}`, found {}", describe_json(json));
     match (ty, json) {
-        (Type::NonNull(_), Json::Null) => Err(type_mismatch()),
+        (Type::NonNull(_), Json::Null) => Err(mismatch()),
         (Type::NonNull(inner), _) => coerce(schema, json, inner, path),
         (_, Json::Null) => Ok(Json::Null),
         (Type::List(inner), Json::Array(values)) => {
@@ -135,15 +135,15 @@
         }
         (Type::List(inner), _) => Ok(Json::Array(vec![coerce(schema, json, inner, path)?])),
         (Type::Named(name), _) => {
-            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return Err(type_mismatch()) };
+            let Some(def) = schema.type_id(name).map(|t| &schema.types[t]) else { return Err(mismatch()) };
             match (&def.kind, json) {
-                (TypeKind::Enum, Json::String(value)) if def.values.contains(value) => Ok(json.clone()),
+                (TypeKind::Enum, Json::String(value)) if def.enum_values.contains(value) => Ok(json.clone()),
                 (TypeKind::Input, Json::Object(fields)) => {
-                    if let Some(field) = fields.keys().find(|f| !def.inputs.contains_key(*f)) {
+                    if let Some(field) = fields.keys().find(|f| !def.input_fields.contains_key(*f)) {
                         return Err(format!("variable `{path}`: `{name}` has no input field `{field}`"));
                     }
                     let mut object = Map::new();
-                    for (field, input) in &def.inputs {
+                    for (field, input) in &def.input_fields {
                         let path = format!("{path}.{field}");
                         match (fields.get(field), &input.default) {
                             (Some(value), _) => {
@@ -171,9 +171,9 @@
                         "ID" => json.is_string() || json.is_i64() || json.is_u64(),
                         _ => true,
                     };
-                    if is_valid { Ok(json.clone()) } else { Err(type_mismatch()) }
+                    if is_valid { Ok(json.clone()) } else { Err(mismatch()) }
                 }
-                _ => Err(type_mismatch()),
+                _ => Err(mismatch()),
             }
         }
     }
