--- a/crates/graphql/src/scan.rs
+++ b/crates/graphql/src/scan.rs
@@ -22,26 +22,26 @@
 
 /// What a value at some place means.
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    Answer,
+enum Role {
+    Response,
     Data,
-    Value { node: Option<NodeId>, named: TypeId },
+    Value { node: Option<NodeId>, named_type: TypeId },
     Errors,
     Extensions,
-    Claim,
-    Nothing,
+    ReportedCost,
+    Ignored,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Frame {
-    array: bool,
-    place: Place,
+    is_array: bool,
+    role: Role,
     /// The node whose keys this object has.
     node: Option<NodeId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Want {
+enum State {
     /// A value, or the end of an array that is still empty.
     Value {
         or_end: bool,
@@ -51,13 +51,13 @@
     },
     Colon,
     CommaOrEnd,
-    Text {
-        key: bool,
-        escape: bool,
+    String {
+        is_key: bool,
+        escaped: bool,
     },
-    Word,
-    Nothing,
-    Bad,
+    Literal,
+    End,
+    Invalid,
 }
 
 /// Counts one answer.
@@ -65,35 +65,35 @@
 pub struct ResponseScanner {
     plan: Plan,
     root: NodeId,
-    depth: usize,
+    max_depth: usize,
     stack: Vec<Frame>,
-    want: Want,
+    state: State,
     /// The place of the value that comes next.
-    next: Place,
-    word: Vec<u8>,
-    counted: ResponseCost,
+    next_role: Role,
+    token: Vec<u8>,
+    cost: ResponseCost,
 }
 
 /// The longest key that is told apart; an alias is a name in a document of bounded size, but a node may send any.
-const KEY: usize = 1 << 16;
-const WORD: usize = 64;
+const MAX_KEY_BYTES: usize = 1 << 16;
+const MAX_LITERAL_BYTES: usize = 64;
 
 impl ResponseScanner {
-    pub(crate) fn new(plan: Plan, root: NodeId, depth: usize) -> Self {
-        let counted = ResponseCost {
+    pub(crate) fn new(plan: Plan, root: NodeId, max_depth: usize) -> Self {
+        let cost = ResponseCost {
             units: 0.0,
             complete: false,
             has_data: false,
             has_errors: false,
             reported_cost: None,
         };
-        let (stack, want) = (Vec::new(), Want::Value { or_end: false });
-        Self { plan, root, depth, stack, want, next: Place::Answer, word: Vec::new(), counted }
+        let (stack, state) = (Vec::new(), State::Value { or_end: false });
+        Self { plan, root, max_depth, stack, state, next_role: Role::Response, token: Vec::new(), cost }
     }
 
     /// Starts again, for another answer to the same operation.
     pub fn reset(&mut self) {
-        self.counted = ResponseCost {
+        self.cost = ResponseCost {
             units: 0.0,
             complete: false,
             has_data: false,
@@ -101,13 +101,13 @@
             reported_cost: None,
         };
         self.stack.clear();
-        (self.want, self.next) = (Want::Value { or_end: false }, Place::Answer);
+        (self.state, self.next_role) = (State::Value { or_end: false }, Role::Response);
     }
 
     /// Reads on.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.want == Want::Bad {
+            if self.state == State::Invalid {
                 return;
             }
             self.byte(*byte);
@@ -117,136 +117,136 @@
     /// Whether what came so far can no longer become an answer.
     #[must_use]
     pub fn is_malformed(&self) -> bool {
-        self.want == Want::Bad
+        self.state == State::Invalid
     }
 
     /// What has been counted; `whole` only when the answer is at its end.
     #[must_use]
     pub fn cost(&self) -> ResponseCost {
-        let told = self.counted.has_data || self.counted.has_errors;
-        ResponseCost { complete: self.want == Want::Nothing && told, ..self.counted }
+        let has_content = self.cost.has_data || self.cost.has_errors;
+        ResponseCost { complete: self.state == State::End && has_content, ..self.cost }
     }
 
     fn byte(&mut self, b: u8) {
-        match self.want {
-            Want::Text { key, escape } => return self.text(b, key, escape),
-            Want::Word if !matches!(b, b',' | b'}' | b']' | b' ' | b'\t' | b'\r' | b'\n') => {
-                self.word.push(b);
-                if self.word.len() > WORD {
-                    self.want = Want::Bad;
+        match self.state {
+            State::String { is_key, escaped } => return self.string_byte(b, is_key, escaped),
+            State::Literal if !matches!(b, b',' | b'}' | b']' | b' ' | b'\t' | b'\r' | b'\n') => {
+                self.token.push(b);
+                if self.token.len() > MAX_LITERAL_BYTES {
+                    self.state = State::Invalid;
                 }
                 return;
             }
-            Want::Word => self.end_word(),
+            State::Literal => self.end_literal(),
             _ => {}
         }
         if matches!(b, b' ' | b'\t' | b'\r' | b'\n') {
             return;
         }
-        self.want = match (self.want, b) {
-            (Want::Value { or_end: true }, b']') | (Want::Key { or_end: true }, b'}') => self.close(b),
-            (Want::Value { .. }, b'{' | b'[') => self.open(b == b'['),
-            (Want::Value { .. }, b'"') => {
-                self.leaf();
-                Want::Text { key: false, escape: false }
+        self.state = match (self.state, b) {
+            (State::Value { or_end: true }, b']') | (State::Key { or_end: true }, b'}') => self.close(b),
+            (State::Value { .. }, b'{' | b'[') => self.open(b == b'['),
+            (State::Value { .. }, b'"') => {
+                self.count_leaf();
+                State::String { is_key: false, escaped: false }
             }
-            (Want::Value { .. }, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') if !self.stack.is_empty() => {
-                self.word.clear();
-                self.word.push(b);
-                Want::Word
+            (State::Value { .. }, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') if !self.stack.is_empty() => {
+                self.token.clear();
+                self.token.push(b);
+                State::Literal
             }
-            (Want::Key { .. }, b'"') => {
-                self.word.clear();
-                Want::Text { key: true, escape: false }
+            (State::Key { .. }, b'"') => {
+                self.token.clear();
+                State::String { is_key: true, escaped: false }
             }
-            (Want::Colon, b':') => Want::Value { or_end: false },
-            (Want::CommaOrEnd, b',') => match self.stack.last() {
-                Some(frame) if frame.array => {
-                    self.next = frame.place;
-                    Want::Value { or_end: false }
+            (State::Colon, b':') => State::Value { or_end: false },
+            (State::CommaOrEnd, b',') => match self.stack.last() {
+                Some(frame) if frame.is_array => {
+                    self.next_role = frame.role;
+                    State::Value { or_end: false }
                 }
-                _ => Want::Key { or_end: false },
+                _ => State::Key { or_end: false },
             },
-            (Want::CommaOrEnd, b']' | b'}') => self.close(b),
-            _ => Want::Bad,
+            (State::CommaOrEnd, b']' | b'}') => self.close(b),
+            _ => State::Invalid,
         };
     }
 
-    fn text(&mut self, b: u8, key: bool, escape: bool) {
+    fn string_byte(&mut self, b: u8, is_key: bool, escaped: bool) {
         if b < b' ' {
-            self.want = Want::Bad;
-        } else if !escape && b == b'"' {
-            if key {
+            self.state = State::Invalid;
+        } else if !escaped && b == b'"' {
+            if is_key {
                 self.end_key();
-                self.want = Want::Colon;
+                self.state = State::Colon;
             } else {
-                self.want = self.after();
+                self.state = self.state_after_value();
             }
         } else {
-            if key {
-                self.word.push(b);
+            if is_key {
+                self.token.push(b);
             }
-            self.want = Want::Text { key, escape: !escape && b == b'\\' };
-            if self.word.len() > KEY {
-                self.want = Want::Bad;
+            self.state = State::String { is_key, escaped: !escaped && b == b'\\' };
+            if self.token.len() > MAX_KEY_BYTES {
+                self.state = State::Invalid;
             }
         }
     }
 
-    fn after(&self) -> Want {
-        if self.stack.is_empty() { Want::Nothing } else { Want::CommaOrEnd }
+    fn state_after_value(&self) -> State {
+        if self.stack.is_empty() { State::End } else { State::CommaOrEnd }
     }
 
-    fn open(&mut self, array: bool) -> Want {
-        if self.stack.len() >= self.depth || (array && self.stack.is_empty()) {
-            return Want::Bad;
+    fn open(&mut self, is_array: bool) -> State {
+        if self.stack.len() >= self.max_depth || (is_array && self.stack.is_empty()) {
+            return State::Invalid;
         }
-        let place = self.next;
+        let role = self.next_role;
         let mut node = None;
-        match place {
-            Place::Data if !array => {
-                self.counted.has_data = true;
+        match role {
+            Role::Data if !is_array => {
+                self.cost.has_data = true;
                 node = Some(self.root);
             }
-            Place::Value { node: below, named } if !array => {
-                self.counted.units += self.plan.schema.type_weight(named);
-                node = below;
+            Role::Value { node: child, named_type } if !is_array => {
+                self.cost.units += self.plan.schema.type_weight(named_type);
+                node = child;
             }
-            Place::Errors => self.counted.has_errors = true,
+            Role::Errors => self.cost.has_errors = true,
             _ => {}
         }
-        self.stack.push(Frame { array, place, node });
-        if array { Want::Value { or_end: true } } else { Want::Key { or_end: true } }
+        self.stack.push(Frame { is_array, role, node });
+        if is_array { State::Value { or_end: true } } else { State::Key { or_end: true } }
     }
 
-    fn close(&mut self, b: u8) -> Want {
+    fn close(&mut self, b: u8) -> State {
         match self.stack.pop() {
-            Some(frame) if frame.array == (b == b']') => self.after(),
-            _ => Want::Bad,
+            Some(frame) if frame.is_array == (b == b']') => self.state_after_value(),
+            _ => State::Invalid,
         }
     }
 
     /// A leaf that is not null.
-    fn leaf(&mut self) {
-        if let Place::Value { node: None, named } = self.next {
-            self.counted.units += self.plan.schema.type_weight(named);
+    fn count_leaf(&mut self) {
+        if let Role::Value { node: None, named_type } = self.next_role {
+            self.cost.units += self.plan.schema.type_weight(named_type);
         }
     }
 
-    fn end_word(&mut self) {
-        self.want = self.after();
-        match self.word.as_slice() {
+    fn end_literal(&mut self) {
+        self.state = self.state_after_value();
+        match self.token.as_slice() {
             b"null" => {}
-            b"true" | b"false" => self.leaf(),
-            word => {
-                let number = std::str::from_utf8(word).ok().filter(|_| json_number(word));
+            b"true" | b"false" => self.count_leaf(),
+            literal => {
+                let number = std::str::from_utf8(literal).ok().filter(|_| is_json_number(literal));
                 let Some(number) = number.and_then(|n| n.parse::<f64>().ok()) else {
-                    self.want = Want::Bad;
+                    self.state = State::Invalid;
                     return;
                 };
-                self.leaf();
-                if let Place::Claim = self.next {
-                    self.counted.reported_cost = Some(number);
+                self.count_leaf();
+                if let Role::ReportedCost = self.next_role {
+                    self.cost.reported_cost = Some(number);
                 }
             }
         }
@@ -254,42 +254,42 @@
 
     fn end_key(&mut self) {
         let Some(frame) = self.stack.last().copied() else { return };
-        let unescaped;
-        let key = match std::str::from_utf8(&self.word) {
+        let unescaped_key;
+        let key = match std::str::from_utf8(&self.token) {
             Ok(key) if !key.contains('\\') => key,
             _ => {
-                let quoted = [b"\"", self.word.as_slice(), b"\""].concat();
-                unescaped = serde_json::from_slice::<String>(&quoted).unwrap_or_default();
-                &unescaped
+                let quoted = [b"\"", self.token.as_slice(), b"\""].concat();
+                unescaped_key = serde_json::from_slice::<String>(&quoted).unwrap_or_default();
+                &unescaped_key
             }
         };
-        self.next = match (frame.place, key) {
-            (Place::Answer, "data") => Place::Data,
-            (Place::Answer, "errors") => Place::Errors,
-            (Place::Answer, "extensions") => Place::Extensions,
-            (Place::Extensions, "cost") | (Place::Claim, "actualCost") => Place::Claim,
+        self.next_role = match (frame.role, key) {
+            (Role::Response, "data") => Role::Data,
+            (Role::Response, "errors") => Role::Errors,
+            (Role::Response, "extensions") => Role::Extensions,
+            (Role::Extensions, "cost") | (Role::ReportedCost, "actualCost") => Role::ReportedCost,
             _ => match frame.node.and_then(|n| self.plan.nodes[n].entries.get(key)) {
                 Some(entry) => {
-                    self.counted.units += entry.weight;
-                    let (selection_sets, named) = (entry.selection_sets.clone(), entry.named_type);
+                    self.cost.units += entry.weight;
+                    let (selection_sets, named_type) = (entry.selection_sets.clone(), entry.named_type);
                     let node = if selection_sets.is_empty() {
                         None
                     } else {
-                        Some(self.plan.node(&selection_sets, named))
+                        Some(self.plan.node(&selection_sets, named_type))
                     };
-                    Place::Value { node, named }
+                    Role::Value { node, named_type }
                 }
-                None => Place::Nothing,
+                None => Role::Ignored,
             },
         };
     }
 }
 
 /// Whether a word is a number by RFC 8259, section 6.
-fn json_number(word: &[u8]) -> bool {
-    let rest = word.strip_prefix(b"-").unwrap_or(word);
+fn is_json_number(literal: &[u8]) -> bool {
+    let rest = literal.strip_prefix(b"-").unwrap_or(literal);
     let integer_digits = rest.iter().take_while(|b| b.is_ascii_digit()).count();
-    let fits = integer_digits > 0 && (integer_digits == 1 || rest[0] != b'0');
+    let integer_valid = integer_digits > 0 && (integer_digits == 1 || rest[0] != b'0');
     let mut rest = &rest[integer_digits..];
     if let Some(after) = rest.strip_prefix(b".") {
         let digits = after.iter().take_while(|b| b.is_ascii_digit()).count();
@@ -300,7 +300,7 @@
     }
     if let [b'e' | b'E', after @ ..] = rest {
         let after = after.strip_prefix(b"+").or(after.strip_prefix(b"-")).unwrap_or(after);
-        return fits && !after.is_empty() && after.iter().all(u8::is_ascii_digit);
+        return integer_valid && !after.is_empty() && after.iter().all(u8::is_ascii_digit);
     }
-    fits && rest.is_empty()
+    integer_valid && rest.is_empty()
 }
