--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Schema {
     pub(crate) types: Vec<TypeDef>,
-    pub(crate) index: BTreeMap<String, TypeId>,
+    pub(crate) type_ids: BTreeMap<String, TypeId>,
     pub(crate) directives: BTreeMap<String, BTreeMap<String, InputValue>>,
     query: TypeId,
     mutation: Option<TypeId>,
@@ -122,14 +122,14 @@
         };
         let document = parse(source, &limits).map_err(|e| vec![e])?;
         let built_in = parse(BUILT_IN, &limits).map_err(|e| vec![e])?;
-        let mut builder = Builder::default();
-        builder.take(&built_in, true);
-        builder.take(&document, false);
-        builder.finish(&document)
+        let mut builder = SchemaBuilder::default();
+        builder.add_document(&built_in, true);
+        builder.add_document(&document, false);
+        builder.build(&document)
     }
 
     pub(crate) fn type_id(&self, name: &str) -> Option<TypeId> {
-        self.index.get(name).copied()
+        self.type_ids.get(name).copied()
     }
 
     pub(crate) fn root_type(&self, kind: OperationKind) -> Option<TypeId> {
@@ -142,35 +142,35 @@
 
     /// The fields of a root type: what classes are given to.
     pub fn root_fields(&self, kind: OperationKind) -> impl Iterator<Item = &str> {
-        let root = self.root_type(kind).map(|t| &self.types[t].fields);
-        root.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
+        let fields = self.root_type(kind).map(|t| &self.types[t].fields);
+        fields.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
     }
 
     /// The weight of one instance of a type: `@cost`, else 1 for composite types and 0 for leaves.
     pub(crate) fn type_weight(&self, id: TypeId) -> f64 {
-        let one = |id: TypeId| {
+        let instance_weight = |id: TypeId| {
             let def = &self.types[id];
             def.weight.unwrap_or(if def.is_composite() || def.kind == TypeKind::Input { 1.0 } else { 0.0 })
         };
         let def = &self.types[id];
         if matches!(def.kind, TypeKind::Interface | TypeKind::Union) {
-            return def.possible_types.iter().map(|p| one(*p)).fold(0.0, f64::max);
+            return def.possible_types.iter().map(|p| instance_weight(*p)).fold(0.0, f64::max);
         }
-        one(id)
+        instance_weight(id)
     }
 }
 
 #[derive(Default)]
-struct Builder {
+struct SchemaBuilder {
     types: Vec<TypeDef>,
-    index: BTreeMap<String, TypeId>,
+    type_ids: BTreeMap<String, TypeId>,
     directives: BTreeMap<String, BTreeMap<String, InputValue>>,
     root_operation_types: Vec<(OperationKind, String, Pos)>,
     errors: Vec<Error>,
 }
 
-impl Builder {
-    fn fault(&mut self, pos: Pos, message: String) {
+impl SchemaBuilder {
+    fn error(&mut self, pos: Pos, message: String) {
         self.errors.push(Error::new(pos, message));
     }
 
@@ -182,75 +182,76 @@
             _ => None,
         };
         if parsed.is_none() {
-            self.fault(cost.pos, "@cost needs weight: a string that holds a finite number".into());
+            self.error(cost.pos, "@cost needs weight: a string that holds a finite number".into());
         }
         parsed
     }
 
     fn list_size(&mut self, field: &FieldDef) -> Option<ListSize> {
         let directive = field.directives.iter().find(|d| d.name == "listSize")?;
-        let mut size = ListSize {
+        let mut list_size = ListSize {
             assumed_size: None,
             slicing_arguments: Vec::new(),
             sized_fields: Vec::new(),
             require_one_slicing: true,
         };
         for argument in &directive.arguments {
-            let strings = match &argument.value.kind {
+            let names = match &argument.value.kind {
                 ValueKind::List(values) => {
-                    let text =
+                    let string =
                         |v: &Value| if let ValueKind::Str(s) = &v.kind { Some(s.clone()) } else { None };
-                    values.iter().map(text).collect::<Option<Vec<_>>>()
+                    values.iter().map(string).collect::<Option<Vec<_>>>()
                 }
                 _ => None,
             };
-            match (argument.name.as_str(), &argument.value.kind, strings) {
+            match (argument.name.as_str(), &argument.value.kind, names) {
                 ("assumedSize", ValueKind::Int(n), _) => {
-                    size.assumed_size = n.parse().ok().filter(|n: &f64| *n >= 0.0)
+                    list_size.assumed_size = n.parse().ok().filter(|n: &f64| *n >= 0.0)
                 }
-                ("slicingArguments", _, Some(names)) => size.slicing_arguments = names,
-                ("sizedFields", _, Some(names)) => size.sized_fields = names,
-                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => size.require_one_slicing = *b,
+                ("slicingArguments", _, Some(names)) => list_size.slicing_arguments = names,
+                ("sizedFields", _, Some(names)) => list_size.sized_fields = names,
+                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => list_size.require_one_slicing = *b,
                 (name, ..) => {
-                    self.fault(argument.pos, format!("@listSize: `{name}` is unknown or of the wrong type"))
+                    self.error(argument.pos, format!("@listSize: `{name}` is unknown or of the wrong type"))
                 }
             }
         }
-        for name in &size.slicing_arguments {
+        for name in &list_size.slicing_arguments {
             let argument = field.arguments.iter().find(|a| a.name == *name);
             if argument.is_none_or(|a| a.ty.is_list() || a.ty.named_type() != "Int") {
                 let text =
                     format!("@listSize: slicing argument `{name}` is no Int argument of `{}`", field.name);
-                self.fault(directive.pos, text);
+                self.error(directive.pos, text);
             }
         }
-        Some(size)
+        Some(list_size)
     }
 
-    fn input(&mut self, def: &InputValueDef) -> InputValue {
+    fn input_value(&mut self, def: &InputValueDef) -> InputValue {
         InputValue { ty: def.ty.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
     }
 
-    fn inputs(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, InputValue> {
+    fn input_values(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, InputValue> {
         let mut inputs = BTreeMap::new();
         for def in defs {
-            let input = self.input(def);
+            let input = self.input_value(def);
             if inputs.insert(def.name.clone(), input).is_some() {
-                self.fault(def.pos, format!("`{}` is defined twice", def.name));
+                self.error(def.pos, format!("`{}` is defined twice", def.name));
             }
         }
         inputs
     }
 
-    fn take(&mut self, document: &Document, built_in: bool) {
-        let first =
+    fn add_document(&mut self, document: &Document, built_in: bool) {
+        let first_executable =
             document.operations.iter().map(|o| o.pos).chain(document.fragments.iter().map(|f| f.pos)).min();
-        if let Some(pos) = first {
-            self.fault(pos, "a schema holds no operations and no fragments".into());
+        if let Some(pos) = first_executable {
+            self.error(pos, "a schema holds no operations and no fragments".into());
         }
-        let extends = |d: &&TypeSystemDef| matches!(d, TypeSystemDef::Type { is_extension: true, .. });
+        let is_extension = |d: &&TypeSystemDef| matches!(d, TypeSystemDef::Type { is_extension: true, .. });
         let definitions = document.type_system_definitions.iter();
-        let ordered = definitions.clone().filter(|d| !extends(d)).chain(definitions.filter(extends));
+        let ordered =
+            definitions.clone().filter(|d| !is_extension(d)).chain(definitions.filter(is_extension));
         for definition in ordered {
             match definition {
                 TypeSystemDef::Schema { root_operation_types, pos } => {
@@ -258,24 +259,24 @@
                         .extend(root_operation_types.iter().map(|(kind, name)| (*kind, name.clone(), *pos)));
                 }
                 TypeSystemDef::Directive { name, arguments, pos } => {
-                    let arguments = self.inputs(arguments);
-                    let known = self.directives.insert(name.clone(), arguments).is_some();
-                    let stated = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
-                    if known && !stated.contains(&name.as_str()) {
-                        self.fault(*pos, format!("directive `@{name}` is defined twice"));
+                    let arguments = self.input_values(arguments);
+                    let is_known = self.directives.insert(name.clone(), arguments).is_some();
+                    let redefinable = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
+                    if is_known && !redefinable.contains(&name.as_str()) {
+                        self.error(*pos, format!("directive `@{name}` is defined twice"));
                     }
                 }
                 TypeSystemDef::Type { name, body, directives, is_extension, pos } => {
                     if name.starts_with("__") && !built_in {
-                        self.fault(*pos, format!("`{name}`: names with two underscores are reserved"));
+                        self.error(*pos, format!("`{name}`: names with two underscores are reserved"));
                     }
-                    self.define(name, body, directives, *is_extension, *pos);
+                    self.add_type(name, body, directives, *is_extension, *pos);
                 }
             }
         }
     }
 
-    fn define(
+    fn add_type(
         &mut self, name: &str, body: &TypeBody, directives: &[Directive], is_extension: bool, pos: Pos,
     ) {
         let kind = match body {
@@ -287,19 +288,19 @@
             TypeBody::Input(_) => TypeKind::Input,
         };
         let weight = self.weight(directives);
-        let known = self.index.get(name).copied();
-        let id = match (known, is_extension) {
+        let existing = self.type_ids.get(name).copied();
+        let id = match (existing, is_extension) {
             (Some(id), true) if self.types[id].kind == kind => id,
             (Some(_), true) => {
-                return self.fault(pos, format!("`{name}` is extended as another kind of type"));
+                return self.error(pos, format!("`{name}` is extended as another kind of type"));
             }
-            (None, true) => return self.fault(pos, format!("`{name}` is extended and not defined")),
-            (Some(_), false) => return self.fault(pos, format!("type `{name}` is defined twice")),
+            (None, true) => return self.error(pos, format!("`{name}` is extended and not defined")),
+            (Some(_), false) => return self.error(pos, format!("type `{name}` is defined twice")),
             (None, false) => {
                 let (fields, input_fields, enum_values) = Default::default();
                 let (related_types, possible_types) = Default::default();
                 let name = name.to_owned();
-                self.index.insert(name.clone(), self.types.len());
+                self.type_ids.insert(name.clone(), self.types.len());
                 self.types.push(TypeDef {
                     name,
                     kind,
@@ -325,17 +326,17 @@
             TypeBody::Union(members) => related_types.clone_from(members),
             TypeBody::Enum(values) => self.types[id].enum_values.extend(values.iter().cloned()),
             TypeBody::Input(inputs) => {
-                let inputs = self.inputs(inputs);
+                let inputs = self.input_values(inputs);
                 self.types[id].input_fields.extend(inputs);
             }
         }
         for field in fields {
-            let arguments = self.inputs(&field.arguments);
+            let arguments = self.input_values(&field.arguments);
             let (weight, list_size) = (self.weight(&field.directives), self.list_size(&field));
             if field.name.starts_with("__") {
-                self.fault(field.pos, format!("`{}`: names with two underscores are reserved", field.name));
+                self.error(field.pos, format!("`{}`: names with two underscores are reserved", field.name));
             }
-            let made = OutputField {
+            let output_field = OutputField {
                 ty: field.ty.clone(),
                 named_type: 0,
                 arguments,
@@ -343,40 +344,40 @@
                 list_size,
                 pos: field.pos,
             };
-            if self.types[id].fields.insert(field.name.clone(), made).is_some() {
-                self.fault(field.pos, format!("field `{name}.{}` is defined twice", field.name));
+            if self.types[id].fields.insert(field.name.clone(), output_field).is_some() {
+                self.error(field.pos, format!("field `{name}.{}` is defined twice", field.name));
             }
         }
         self.types[id].related_types.extend(related_types);
         self.types[id].weight = weight.or(self.types[id].weight);
     }
 
-    fn finish(mut self, document: &Document) -> Result<Schema, Vec<Error>> {
+    fn build(mut self, document: &Document) -> Result<Schema, Vec<Error>> {
         let start = Pos { line: 1, column: 1 };
-        let stated = !self.root_operation_types.is_empty();
-        let mut root = |kind, default: &str| {
+        let has_schema_definition = !self.root_operation_types.is_empty();
+        let mut root_type = |kind, default: &str| {
             let found = self.root_operation_types.iter().find(|(k, ..)| *k == kind).cloned();
             let (name, pos) = match found {
                 Some((_, name, pos)) => (name, pos),
-                None if stated => return None,
+                None if has_schema_definition => return None,
                 None => (default.to_owned(), start),
             };
-            match self.index.get(&name) {
+            match self.type_ids.get(&name) {
                 Some(id) if self.types[*id].kind == TypeKind::Object => Some(*id),
-                _ if stated => {
+                _ if has_schema_definition => {
                     self.errors.push(Error::new(pos, format!("root type `{name}` is no object type")));
                     None
                 }
                 _ => None,
             }
         };
-        let query = root(OperationKind::Query, "Query");
-        let mutation = root(OperationKind::Mutation, "Mutation");
-        let subscription = root(OperationKind::Subscription, "Subscription");
+        let query = root_type(OperationKind::Query, "Query");
+        let mutation = root_type(OperationKind::Mutation, "Mutation");
+        let subscription = root_type(OperationKind::Subscription, "Subscription");
         if query.is_none() {
-            self.fault(start, "a schema needs a query root: `type Query`, or `schema { query: ... }`".into());
+            self.error(start, "a schema needs a query root: `type Query`, or `schema { query: ... }`".into());
         }
-        self.resolve();
+        self.resolve_types();
         if let Some(query) = query {
             let meta_field = |named_type: TypeId, type_name: &str, arguments| {
                 let (weight, list_size) = (Some(0.0), None);
@@ -389,81 +390,86 @@
                     pos: start,
                 }
             };
-            let (schema, one) = (self.index["__Schema"], self.index["__Type"]);
+            let (introspection_schema, introspection_type) =
+                (self.type_ids["__Schema"], self.type_ids["__Type"]);
             let name = Type::NonNull(Box::new(Type::Named("String".into())));
             let name = InputValue { ty: name, default: None, weight: None };
             let fields = &mut self.types[query].fields;
-            fields.insert("__schema".into(), meta_field(schema, "__Schema", BTreeMap::new()));
-            fields
-                .insert("__type".into(), meta_field(one, "__Type", BTreeMap::from([("name".into(), name)])));
+            fields.insert("__schema".into(), meta_field(introspection_schema, "__Schema", BTreeMap::new()));
+            fields.insert(
+                "__type".into(),
+                meta_field(introspection_type, "__Type", BTreeMap::from([("name".into(), name)])),
+            );
         }
-        let (types, index, directives) = (self.types, self.index, self.directives);
+        let (types, type_ids, directives) = (self.types, self.type_ids, self.directives);
         let mut errors = self.errors;
         let Some(query) = query else { return Err(errors) };
-        let schema = Schema { types, index, directives, query, mutation, subscription };
+        let schema = Schema { types, type_ids, directives, query, mutation, subscription };
         schema.check_defaults(document, &mut errors);
         if errors.is_empty() { Ok(schema) } else { Err(errors) }
     }
 
     /// Resolves names, finds possible types, and checks what refers to what.
-    fn resolve(&mut self) {
+    fn resolve_types(&mut self) {
         let mut errors = Vec::new();
         for id in 0..self.types.len() {
             let def = &self.types[id];
-            let fault = |pos: Pos, text: String| Error::new(pos, text);
-            let empty = match def.kind {
+            let error = |pos: Pos, text: String| Error::new(pos, text);
+            let is_empty = match def.kind {
                 TypeKind::Object | TypeKind::Interface => def.fields.is_empty(),
                 TypeKind::Union => def.related_types.is_empty(),
                 TypeKind::Enum => def.enum_values.is_empty(),
                 TypeKind::Input => def.input_fields.is_empty(),
                 TypeKind::Scalar => false,
             };
-            if empty {
-                errors.push(fault(def.pos, format!("type `{}` has no fields, members or values", def.name)));
+            if is_empty {
+                errors.push(error(def.pos, format!("type `{}` has no fields, members or values", def.name)));
             }
-            let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.pos, a)));
-            for (pos, (name, input)) in inputs.chain(def.input_fields.iter().map(|i| (def.pos, i))) {
-                let found = self.index.get(input.ty.named_type()).map(|t| &self.types[*t]);
+            let arguments = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.pos, a)));
+            for (pos, (name, input)) in arguments.chain(def.input_fields.iter().map(|i| (def.pos, i))) {
+                let found = self.type_ids.get(input.ty.named_type()).map(|t| &self.types[*t]);
                 if found.is_none_or(|t| !t.is_input_type()) {
                     errors
-                        .push(fault(pos, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
+                        .push(error(pos, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
                 }
             }
             for related in &def.related_types {
-                let wanted = if def.kind == TypeKind::Union { TypeKind::Object } else { TypeKind::Interface };
+                let expected =
+                    if def.kind == TypeKind::Union { TypeKind::Object } else { TypeKind::Interface };
                 let Some(other) =
-                    self.index.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == wanted)
+                    self.type_ids.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == expected)
                 else {
-                    errors.push(fault(def.pos, format!("`{}`: `{related}` is no {wanted:?}", def.name)));
+                    errors.push(error(def.pos, format!("`{}`: `{related}` is no {expected:?}", def.name)));
                     continue;
                 };
-                for name in other.fields.keys().filter(|_| wanted == TypeKind::Interface) {
+                for name in other.fields.keys().filter(|_| expected == TypeKind::Interface) {
                     if !def.fields.contains_key(name) {
                         let text = format!("`{}` lacks field `{name}` of interface `{related}`", def.name);
-                        errors.push(fault(def.pos, text));
+                        errors.push(error(def.pos, text));
                     }
                 }
             }
             for (name, field) in &def.fields {
-                let found = self.index.get(field.ty.named_type()).map(|t| &self.types[*t]);
+                let found = self.type_ids.get(field.ty.named_type()).map(|t| &self.types[*t]);
                 let Some(found) = found.filter(|t| t.kind != TypeKind::Input) else {
-                    errors.push(fault(
+                    errors.push(error(
                         field.pos,
                         format!("`{name}`: `{}` is no output type", field.ty.named_type()),
                     ));
                     continue;
                 };
-                for sized in field.list_size.iter().flat_map(|s| &s.sized_fields) {
-                    if found.fields.get(sized).is_none_or(|f| !f.ty.is_list()) {
-                        let text = format!("@listSize: sized field `{sized}` is no list of `{}`", found.name);
-                        errors.push(fault(field.pos, text));
+                for sized_field in field.list_size.iter().flat_map(|s| &s.sized_fields) {
+                    if found.fields.get(sized_field).is_none_or(|f| !f.ty.is_list()) {
+                        let text =
+                            format!("@listSize: sized field `{sized_field}` is no list of `{}`", found.name);
+                        errors.push(error(field.pos, text));
                     }
                 }
-                if let Some(size) = &field.list_size
+                if let Some(list_size) = &field.list_size
                     && !field.ty.is_list()
-                    && size.sized_fields.is_empty()
+                    && list_size.sized_fields.is_empty()
                 {
-                    errors.push(fault(
+                    errors.push(error(
                         field.pos,
                         format!("@listSize: `{name}` is no list and names no sizedFields"),
                     ));
@@ -471,7 +477,7 @@
             }
         }
         self.errors.extend(errors);
-        let id = |name: &str| self.index.get(name).copied();
+        let id = |name: &str| self.type_ids.get(name).copied();
         let objects: Vec<TypeId> =
             (0..self.types.len()).filter(|t| self.types[*t].kind == TypeKind::Object).collect();
         let possible_types: Vec<BTreeSet<TypeId>> = (0..self.types.len())
