--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -70,7 +70,7 @@
 
 /// A fault of a document, a schema or variables.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}{message}", place(.at))]
+#[error("{}{message}", position_prefix(.at))]
 pub struct Error {
     /// What is wrong, and what is allowed.
     pub message: String,
@@ -78,7 +78,7 @@
     pub at: Option<Pos>,
 }
 
-fn place(at: &Option<Pos>) -> String {
+fn position_prefix(at: &Option<Pos>) -> String {
     at.map_or_else(String::new, |p| format!("{}:{}: ", p.line, p.column))
 }
 
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -29,25 +29,25 @@
     ) -> Result<Self, Vec<Error>> {
         let document = parse(source, &limits).map_err(|e| vec![e])?;
         validate(&schema, &document, &limits)?;
-        let fault = |message: String| vec![Error { message, at: None }];
-        let chosen = match operation {
+        let error = |message: String| vec![Error { message, at: None }];
+        let selected = match operation {
             Some(name) => {
                 let found = document.operations.iter().find(|o| o.name.as_deref() == Some(name));
-                found.ok_or_else(|| fault(format!("the document has no operation `{name}`")))?
+                found.ok_or_else(|| error(format!("the document has no operation `{name}`")))?
             }
             None if document.operations.len() > 1 => {
-                return Err(fault("the document has several operations: operationName must name one".into()));
+                return Err(error("the document has several operations: operationName must name one".into()));
             }
             None => &document.operations[0],
         };
         let mut errors = Vec::new();
-        let coerced = coerce_variables(&schema, &chosen.variables, variables, &mut errors);
+        let variable_values = coerce_variables(&schema, &selected.variables, variables, &mut errors);
         if !errors.is_empty() {
             return Err(errors);
         }
-        let (kind, selection_set) = (chosen.kind, chosen.selection_set);
-        let root_type = schema.root_type(kind).ok_or_else(|| fault("the schema lacks this root".into()))?;
-        let mut plan = Plan::new(schema, Arc::new(document), coerced, &limits);
+        let (kind, selection_set) = (selected.kind, selected.selection_set);
+        let root_type = schema.root_type(kind).ok_or_else(|| error("the schema lacks this root".into()))?;
+        let mut plan = Plan::new(schema, Arc::new(document), variable_values, &limits);
         let root = plan.node(&[selection_set], root_type);
         let mut cost = plan.price(root);
         if !plan.errors.is_empty() {
@@ -89,7 +89,7 @@
 
     /// A counter for an answer to this operation, which takes the operation over.
     #[must_use]
-    pub fn into_response_scanner(self, depth: usize) -> ResponseScanner {
-        ResponseScanner::new(self.plan, self.root, depth)
+    pub fn into_response_scanner(self, max_depth: usize) -> ResponseScanner {
+        ResponseScanner::new(self.plan, self.root, max_depth)
     }
 }
