--- a/crates/graphql/tests/documents.rs
+++ b/crates/graphql/tests/documents.rs
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn cut_and_is_malformed_answers_are_not_whole() {
+fn cut_and_malformed_answers_are_not_whole() {
     let query = "{ previews(first: 40) { waveform } }";
     for bad in [
         "",
