--- a/crates/graphql/benches/price.rs
+++ b/crates/graphql/benches/price.rs
@@ -9,8 +9,9 @@
     type Preview { id: ID! title: String url: String waveform: String }";
 
 fn queries() -> [(&'static str, String); 2] {
-    let many: String = (0..40).map(|n| format!("p{n}: preview(id: \"{n}\") {{ id title url }} ")).collect();
-    [("small", "{ preview(id: 7) { id title url } }".into()), ("forty", format!("{{ {many} }}"))]
+    let forty_fields: String =
+        (0..40).map(|n| format!("p{n}: preview(id: \"{n}\") {{ id title url }} ")).collect();
+    [("small", "{ preview(id: 7) { id title url } }".into()), ("forty", format!("{{ {forty_fields} }}"))]
 }
 
 fn bench(c: &mut Criterion) {
@@ -22,16 +23,16 @@
         let prepare =
             || PreparedOperation::new(schema.clone(), &source, None, None, Limits::default()).unwrap();
         group.bench_function("parse, validate and price", |b| b.iter(|| prepare().cost()));
-        let rows: String =
+        let fields: String =
             (0..40).map(|n| format!("\"p{n}\":{{\"id\":\"{n}\",\"title\":\"t\",\"url\":\"u\"}},")).collect();
-        let answer = format!("{{\"data\":{{{}}}}}", rows.trim_end_matches(','));
-        group.throughput(Throughput::Bytes(answer.len() as u64));
+        let response = format!("{{\"data\":{{{}}}}}", fields.trim_end_matches(','));
+        group.throughput(Throughput::Bytes(response.len() as u64));
         group.bench_function("count an answer", |b| {
             b.iter_batched(
                 || prepare().into_response_scanner(50),
-                |mut scan| {
-                    scan.feed(answer.as_bytes());
-                    scan.cost()
+                |mut scanner| {
+                    scanner.feed(response.as_bytes());
+                    scanner.cost()
                 },
                 criterion::BatchSize::SmallInput,
             );
--- a/crates/graphql/tests/documents.rs
+++ b/crates/graphql/tests/documents.rs
@@ -38,15 +38,18 @@
     prepare(source, variables).unwrap_or_else(|e| panic!("{source}: {e:?}")).cost().units
 }
 
-fn refused(source: &str, variables: Value, part: &str) {
+fn assert_rejected(source: &str, variables: Value, expected: &str) {
     let Err(errors) = prepare(source, variables) else { panic!("{source} passed") };
-    assert!(errors.iter().any(|e| e.to_string().contains(part)), "{source}: {errors:?} lacks {part:?}");
+    assert!(
+        errors.iter().any(|e| e.to_string().contains(expected)),
+        "{source}: {errors:?} lacks {expected:?}"
+    );
 }
 
-fn counted(source: &str, answer: &str) -> ResponseCost {
-    let mut scan = prepare(source, json!({})).unwrap().into_response_scanner(20);
-    scan.feed(answer.as_bytes());
-    scan.cost()
+fn response_cost(source: &str, response: &str) -> ResponseCost {
+    let mut scanner = prepare(source, json!({})).unwrap().into_response_scanner(20);
+    scanner.feed(response.as_bytes());
+    scanner.cost()
 }
 
 #[test]
@@ -58,9 +61,9 @@
     // A default of the schema counts where no slicing argument is given.
     assert_eq!(units("{ previews { url } }", json!({})), 3.0);
     assert_eq!(units("{ previews(first: 0) { url } }", json!({})), 0.0);
-    refused("{ previews(first: -5) { url } }", json!({}), "a list of -5: allowed is 0 to 1000000");
-    refused("{ previews(first: 2000000000) { url } }", json!({}), "a list of 2000000000: allowed");
-    refused("query($n: Int) { previews(first: $n) { url } }", json!({"n": -1}), "a list of -1");
+    assert_rejected("{ previews(first: -5) { url } }", json!({}), "a list of -5: allowed is 0 to 1000000");
+    assert_rejected("{ previews(first: 2000000000) { url } }", json!({}), "a list of 2000000000: allowed");
+    assert_rejected("query($n: Int) { previews(first: $n) { url } }", json!({"n": -1}), "a list of -1");
     // sizedFields: the size goes to the edges below.
     assert_eq!(units("{ page(first: 6) { edges { waveform } total } }", json!({})), 1.0 + 1.0 + 6.0 * 1.5);
     // A list without a size counts as the limit says; an assumed one as the schema says, of the dearest type.
@@ -98,15 +101,15 @@
             &format!("fragment F{n} on Preview {{ a: like {{ ...F{0} }} b: like {{ ...F{0} }} }} ", n + 1);
     }
     source += "fragment F25 on Preview { url }";
-    refused(&source, json!({}), "fields with all fragments spread, at most 10000");
+    assert_rejected(&source, json!({}), "fields with all fragments spread, at most 10000");
     let limits = Limits { expansion: u64::MAX, ..Limits::default() };
-    refused_depth(&source.replace("F25 on Preview { url }", "F25 on Preview { url } "), limits);
+    assert_depth_rejected(&source.replace("F25 on Preview { url }", "F25 on Preview { url } "), limits);
     let deep = Limits { depth: 60, ..limits };
     let prepared = PreparedOperation::new(schema(), &source, None, None, deep).unwrap();
     assert!(prepared.cost().units > 1e14);
 }
 
-fn refused_depth(source: &str, limits: Limits) {
+fn assert_depth_rejected(source: &str, limits: Limits) {
     let errors = PreparedOperation::new(schema(), source, None, None, limits).unwrap_err();
     assert!(errors[0].to_string().contains("deep with all fragments spread, at most 30"), "{errors:?}");
 }
@@ -132,7 +135,7 @@
 
 #[test]
 fn faults_have_places() {
-    for (source, part) in [
+    for (source, expected) in [
         ("{ preview(id: 1) { nope } }", "1:20: type `Preview` has no field `nope`"),
         ("{ preview { url } }", "1:3: field `Query.preview` needs argument `id`"),
         ("{ preview(id: 1.5) { url } }", "1:15: expected a value of type `ID`, found a float"),
@@ -159,17 +162,17 @@
         ("subscription { x }", "no subscription root"),
         ("{ preview(id: 1) { url }", "expected a name, found the end"),
     ] {
-        refused(source, json!({}), part);
+        assert_rejected(source, json!({}), expected);
     }
     let source = "query($f: Filter!) { previews(first: 1, filter: $f) { url } }";
-    refused(source, json!({}), "`$f` of type `Filter!` is required");
-    refused(source, json!({"f": {"words": ["a", 1]}}), "`$f.words[1]`");
-    refused(source, json!({"f": {"not": {"x": 1}}}), "has no input field `x`");
+    assert_rejected(source, json!({}), "`$f` of type `Filter!` is required");
+    assert_rejected(source, json!({"f": {"words": ["a", 1]}}), "`$f.words[1]`");
+    assert_rejected(source, json!({"f": {"not": {"x": 1}}}), "has no input field `x`");
 }
 
 #[test]
 fn schemas_are_checked() {
-    for (sdl, part) in [
+    for (sdl, expected) in [
         ("type A { a: Int }", "needs a query root"),
         ("type Query { a: B }", "`B` is no output type"),
         ("type Query { a: Int @cost(weight: 1) }", "@cost needs weight: a string"),
@@ -185,7 +188,7 @@
         ("schema { query: Q }", "root type `Q` is no object type"),
     ] {
         let errors = Schema::parse(sdl).unwrap_err();
-        assert!(errors.iter().any(|e| e.to_string().contains(part)), "{sdl}: {errors:?}");
+        assert!(errors.iter().any(|e| e.to_string().contains(expected)), "{sdl}: {errors:?}");
     }
     let schema = Schema::parse("schema { query: Q } type Q { a: Int } extend type Q { b: Int }").unwrap();
     assert_eq!(schema.root_fields(OperationKind::Query).collect::<Vec<_>>(), ["a", "b"]);
@@ -194,24 +197,21 @@
 #[test]
 fn answers_are_counted_by_what_came_back() {
     let query = "{ previews(first: 40) { waveform like { url } } }";
-    let answer = r#"{"data":{"previews":[{"waveform":"a]}\"","like":[{"url":"x"},null]},{"waveform":null,"like":null}]}}"#;
+    let response = r#"{"data":{"previews":[{"waveform":"a]}\"","like":[{"url":"x"},null]},{"waveform":null,"like":null}]}}"#;
     // Two previews, one liked; the field `like` weighs 1 and `waveform` 0.5 for each of the two.
-    let found = counted(query, answer);
-    assert_eq!(
-        (found.units, found.complete, found.has_data),
-        (2.0 + 1.0 + 2.0 * 1.0 + 2.0 * 0.5, true, true)
-    );
-    let claimed =
-        counted(query, r#"{"data":{"previews":[]},"extensions":{"cost":{"actualCost":7.5,"x":1}}}"#);
-    assert_eq!((claimed.units, claimed.reported_cost), (0.0, Some(7.5)));
-    let failed = counted(query, r#"{"errors":[{"message":"no"}],"data":null}"#);
+    let cost = response_cost(query, response);
+    assert_eq!((cost.units, cost.complete, cost.has_data), (2.0 + 1.0 + 2.0 * 1.0 + 2.0 * 0.5, true, true));
+    let reported =
+        response_cost(query, r#"{"data":{"previews":[]},"extensions":{"cost":{"actualCost":7.5,"x":1}}}"#);
+    assert_eq!((reported.units, reported.reported_cost), (0.0, Some(7.5)));
+    let failed = response_cost(query, r#"{"errors":[{"message":"no"}],"data":null}"#);
     assert_eq!((failed.complete, failed.has_data, failed.has_errors, failed.units), (true, false, true, 0.0));
     // What was not asked for has no weight, wherever it stands, also behind an escaped key.
-    let odd = counted(
+    let unrequested = response_cost(
         query,
         r#"{"data":{"preview\u0073":[{"junk":[{"waveform":"x"}]}],"data":{"previews":[{}]}}}"#,
     );
-    assert_eq!((odd.units, odd.complete), (1.0, true));
+    assert_eq!((unrequested.units, unrequested.complete), (1.0, true));
 }
 
 #[test]
@@ -233,40 +233,40 @@
         "{}",
         r#"{"other":1}"#,
     ] {
-        assert!(!counted(query, bad).complete, "{bad}");
+        assert!(!response_cost(query, bad).complete, "{bad}");
     }
     let deep = format!(r#"{{"data":{}"#, "[".repeat(100));
-    assert!(!counted(query, &deep).complete);
+    assert!(!response_cost(query, &deep).complete);
 }
 
 proptest! {
     #[test]
-    fn a_count_does_not_depend_on_how_bytes_come(cut in 0usize..90, list in prop::collection::vec(0u8..4, 0..6)) {
-        let rows: Vec<Value> = list.iter().map(|n| json!({"waveform": "w", "like": vec![json!({"url": "é"}); usize::from(*n)]})).collect();
-        let answer = json!({"data": {"previews": rows}}).to_string();
+    fn a_count_does_not_depend_on_how_bytes_come(split in 0usize..90, like_counts in prop::collection::vec(0u8..4, 0..6)) {
+        let previews: Vec<Value> = like_counts.iter().map(|n| json!({"waveform": "w", "like": vec![json!({"url": "é"}); usize::from(*n)]})).collect();
+        let response = json!({"data": {"previews": previews}}).to_string();
         let query = "{ previews(first: 40) { waveform like { url } } }";
-        let cut = cut.min(answer.len());
-        let mut scan = prepare(query, json!({})).unwrap().into_response_scanner(20);
-        scan.feed(&answer.as_bytes()[..cut]);
-        scan.feed(&answer.as_bytes()[cut..]);
-        let likes: f64 = list.iter().map(|n| f64::from(*n)).sum();
-        let wanted = list.len() as f64 * 2.5 + likes;
-        prop_assert_eq!(scan.cost().units, wanted);
-        prop_assert!(scan.cost().complete);
+        let split = split.min(response.len());
+        let mut scanner = prepare(query, json!({})).unwrap().into_response_scanner(20);
+        scanner.feed(&response.as_bytes()[..split]);
+        scanner.feed(&response.as_bytes()[split..]);
+        let likes: f64 = like_counts.iter().map(|n| f64::from(*n)).sum();
+        let expected_units = like_counts.len() as f64 * 2.5 + likes;
+        prop_assert_eq!(scanner.cost().units, expected_units);
+        prop_assert!(scanner.cost().complete);
     }
 
     #[test]
-    fn noise_never_panics(noise in "[{}()\\[\\]:!$@\"\\\\a-z0-9. \n#|&=\u{e9}-]{0,80}") {
-        let _ = PreparedOperation::new(schema(), &noise, None, None, Limits::default());
-        let _ = Schema::parse(&noise);
-        let mut scan = prepare("{ one { __typename } }", json!({})).unwrap().into_response_scanner(20);
-        scan.feed(noise.as_bytes());
+    fn noise_never_panics(input in "[{}()\\[\\]:!$@\"\\\\a-z0-9. \n#|&=\u{e9}-]{0,80}") {
+        let _ = PreparedOperation::new(schema(), &input, None, None, Limits::default());
+        let _ = Schema::parse(&input);
+        let mut scanner = prepare("{ one { __typename } }", json!({})).unwrap().into_response_scanner(20);
+        scanner.feed(input.as_bytes());
     }
 }
 
 #[test]
 fn fields_that_cannot_be_merged_are_refused() {
-    for (source, part) in [
+    for (source, expected) in [
         (
             "{ previews(first: 1) { url } previews(first: 40) { url } }",
             "1:30: the fields `previews` here and at 1:3 have other",
@@ -297,7 +297,7 @@
         ("{ one { ... on Named { a: title } ... on Preview { a: waveform } } }", "another shape"),
         ("{ preview(id: 1) { a: __typename a: title } }", "are `__typename` and `title`"),
     ] {
-        refused(source, json!({}), part);
+        assert_rejected(source, json!({}), expected);
     }
     for source in [
         "{ previews(first: 2) { url } previews(first: 2) { title } }",
@@ -320,8 +320,8 @@
     let equal = format!("{{ {} }}", "preview(id: 1) { url like { title } } ".repeat(3000));
     let prepared = PreparedOperation::new(schema(), &equal, None, None, limits);
     assert!(prepared.is_ok());
-    let odd = equal.replacen("like { title }", "like { title: url }", 1);
-    assert!(PreparedOperation::new(schema(), &odd, None, None, limits).is_err());
+    let conflicting = equal.replacen("like { title }", "like { title: url }", 1);
+    assert!(PreparedOperation::new(schema(), &conflicting, None, None, limits).is_err());
 }
 
 #[test]
