--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -1,7 +1,8 @@
-//! GraphQL for a gateway: documents, schemas, validation, and the cost of a query and of its answer.
+//! GraphQL for a gateway: parsing, schemas, validation, the price of an operation and the cost of its response.
 //!
-//! By the GraphQL specification (October 2021, with the later `\u{...}` escapes) and the GraphQL Cost Directives
-//! specification (`@cost`, `@listSize`). No I/O; no recursion deeper than [`Limits::depth`] allows.
+//! Implements the GraphQL specification (October 2021, with the later `\u{...}` escapes) and the IBM cost directive
+//! specification (`@cost`, `@listSize`). Performs no I/O. [`Limits::depth`] bounds the recursion, and in variables the
+//! depth of their JSON does.
 //!
 //! ```
 //! use doorcourse_graphql::{Limits, PreparedOperation, Schema};
@@ -33,24 +34,24 @@
 pub use stub::StubData;
 pub use validate::validate;
 
-/// Bounds on a document. Each has a default; the greatest depth is [`HARD_DEPTH_LIMIT`].
+/// Limits on a document, and the assumed size of lists. Depth is capped at [`HARD_DEPTH_LIMIT`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the source.
+    /// Maximum size of the source, in bytes.
     pub bytes: usize,
-    /// Tokens of the source.
+    /// Maximum number of tokens in the source.
     pub tokens: usize,
-    /// How deep selection sets (through fragments), values and types may nest.
+    /// Maximum nesting depth of selection sets (fragments included), values and types.
     pub depth: usize,
-    /// Fields with an alias.
+    /// Maximum number of aliased fields in a document.
     pub aliases: usize,
-    /// Fields once all fragments are spread out.
+    /// Maximum number of fields in an operation after expanding all fragment spreads.
     pub expansion: u64,
-    /// The size of a list of which the schema says nothing.
+    /// Assumed size of a list for which the schema gives no size.
     pub list_size: f64,
 }
 
-/// The greatest [`Limits::depth`] that may be set: what recursion the stack surely bears.
+/// Upper bound of [`Limits::depth`], at which recursion is still safe for the stack.
 pub const HARD_DEPTH_LIMIT: usize = 200;
 
 impl Default for Limits {
@@ -59,22 +60,22 @@
     }
 }
 
-/// A place in a source: line and column from 1, the column in characters.
+/// A position in a source. Lines and columns start at 1; columns count characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Pos {
-    /// The line.
+    /// Line number.
     pub line: u32,
-    /// The column.
+    /// Column number, in characters.
     pub column: u32,
 }
 
-/// A fault of a document, a schema or variables.
+/// An error in a document, a schema, a set of variables or the choice of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}{message}", position_prefix(.at))]
 pub struct Error {
-    /// What is wrong, and what is allowed.
+    /// Describes the error, and what is allowed.
     pub message: String,
-    /// Where; variables have no place.
+    /// Position in the source; `None` for variables and for the choice of an operation.
     pub at: Option<Pos>,
 }
 
