--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -1,15 +1,16 @@
-//! Documents. Selection sets lie in one arena, so that walking and dropping them needs no recursion.
+//! Syntax tree of a document. Selection sets are stored in one arena, so that traversing and dropping them needs no
+//! recursion.
 
 use crate::Pos;
 
-/// What an operation does.
+/// Kind of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
-    /// Reads.
+    /// Reads data.
     Query,
-    /// Writes.
+    /// Writes data, then reads.
     Mutation,
-    /// A stream of answers.
+    /// Subscribes to a stream of responses.
     Subscription,
 }
 
@@ -179,35 +180,35 @@
     Directive { name: String, arguments: Vec<InputValueDef>, pos: Pos },
 }
 
-/// A parsed source: operations, fragments, and the type system where it holds one.
+/// A parsed document: operations, fragments and type system definitions.
 #[derive(Clone, Debug, Default)]
 pub struct Document {
     pub(crate) operations: Vec<OperationDef>,
     pub(crate) fragments: Vec<FragmentDef>,
     pub(crate) type_system_definitions: Vec<TypeSystemDef>,
     pub(crate) selection_sets: Vec<Vec<Selection>>,
-    /// How many tokens the source has.
+    /// Number of tokens in the source.
     pub token_count: usize,
 }
 
 impl Document {
-    /// The operations in their order: kind and name.
+    /// Kind and name of each operation, in source order.
     pub fn operations(&self) -> impl Iterator<Item = (OperationKind, Option<&str>)> {
         self.operations.iter().map(|o| (o.kind, o.name.as_deref()))
     }
 
-    /// The names of the fragments.
+    /// Names of the fragments, in source order.
     pub fn fragment_names(&self) -> impl Iterator<Item = &str> {
         self.fragments.iter().map(|f| f.name.as_str())
     }
 
-    /// How many definitions of a type system there are.
+    /// Number of type system definitions and extensions.
     #[must_use]
     pub fn type_system_definition_count(&self) -> usize {
         self.type_system_definitions.len()
     }
 
-    /// Every set that belongs to one, itself included, without those behind fragment spreads.
+    /// The selection set itself and all selection sets nested in it. Fragment spreads are not followed.
     pub(crate) fn nested_selection_sets(&self, selection_set: SelectionSetId) -> Vec<SelectionSetId> {
         let (mut nested_selection_sets, mut index) = (vec![selection_set], 0);
         while index < nested_selection_sets.len() {
@@ -225,7 +226,7 @@
         nested_selection_sets
     }
 
-    /// Names of the fragments spread anywhere in a set.
+    /// Name and position of each fragment spread in the selection set or in one nested in it.
     pub(crate) fn nested_fragment_spreads(&self, selection_set: SelectionSetId) -> Vec<(&str, Pos)> {
         let selection_sets = self.nested_selection_sets(selection_set);
         let spread = |s: &'_ Selection| matches!(s, Selection::FragmentSpread { .. });
