--- a/crates/graphql/src/lexer.rs
+++ b/crates/graphql/src/lexer.rs
@@ -1,10 +1,10 @@
-//! Tokens (GraphQL specification, section 2.1).
+//! Lexer (GraphQL specification, section 2.1).
 
 use crate::{Error, Limits, Pos};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TokenKind {
-    /// One of `! $ & ( ) : = @ [ ] { | }`.
+    /// One of `! $ & ( ) : = @ [ ] { | }`; `...` is [`TokenKind::Ellipsis`].
     Punctuator(char),
     Ellipsis,
     Name,
@@ -36,12 +36,13 @@
     offset: usize,
     line: u32,
     line_start: usize,
-    /// The column's characters counted so far on this line, up to `counted`: no quadratic recount.
+    /// Column at `column_offset`. Cached, since counting from the start of the line for each token is quadratic in its
+    /// length.
     column: u32,
     column_offset: usize,
 }
 
-/// All tokens of a source, the last one its end.
+/// Splits a source into tokens. The last one is always [`TokenKind::EndOfInput`].
 pub(crate) fn tokenize<'a>(source: &'a str, limits: &Limits) -> Result<Vec<Token<'a>>, Error> {
     let start = Pos { line: 1, column: 1 };
     if source.len() > limits.bytes {
@@ -163,7 +164,7 @@
             }
             (end, kind) = (end + 1 + sign + count, TokenKind::Float);
         }
-        // A name or a point right behind is no second token (section 2.9.1).
+        // A number may not be followed directly by a name or a dot (sections 2.9.1 and 2.9.2).
         if matches!(bytes.get(end), Some(b) if b.is_ascii_alphanumeric() || *b == b'_' || *b == b'.') {
             return Err(Error::new(pos, "malformed number: a name follows without a space"));
         }
@@ -281,7 +282,7 @@
     }
 }
 
-/// The value of a block string: common indentation and blank lines at both ends go (section 2.9.4).
+/// Value of a block string: removes the common indentation and leading and trailing blank lines (section 2.9.4).
 fn block_string_value(raw: &str) -> String {
     let mut lines: Vec<&str> = raw.split('\n').collect();
     let is_blank = |line: &str| line.trim_matches([' ', '\t']).is_empty();
