--- a/crates/graphql/src/parser.rs
+++ b/crates/graphql/src/parser.rs
@@ -1,13 +1,13 @@
-//! The parser (GraphQL specification, section 2 and appendix B). Its recursion is bounded by [`Limits::depth`].
+//! Recursive descent parser (GraphQL specification, section 2 and appendix B). [`Limits::depth`] bounds the recursion.
 
 use crate::ast::*;
 use crate::lexer::{Token, TokenKind, tokenize};
 use crate::{Error, HARD_DEPTH_LIMIT, Limits, Pos};
 
-/// Parses a source that holds operations, fragments, a type system, or all of them.
+/// Parses a document of executable definitions, type system definitions and extensions, in any mix.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first lexical or syntax error, with its position.
 pub fn parse(source: &str, limits: &Limits) -> Result<Document, Error> {
     let tokens = tokenize(source, limits)?;
     let document = Document { token_count: tokens.len() - 1, ..Document::default() };
@@ -296,7 +296,7 @@
         Ok(if self.eat('!') { Type::NonNull(Box::new(inner)) } else { inner })
     }
 
-    // ---- Type system (section 3) ----
+    // Type system definitions and extensions (section 3).
 
     fn type_system_definition(&mut self, pos: Pos, is_extension: bool) -> ParseResult<()> {
         let keyword = self.peek_name().unwrap_or("");
@@ -378,7 +378,7 @@
             }
             _ => TypeBody::Input(self.input_value_definitions('{', '}')?),
         };
-        // An extension that adds nothing is none (specification, sections 3.5 to 3.10).
+        // An extension must add something (sections 3.5 to 3.10).
         let is_empty = match &body {
             TypeBody::Scalar => true,
             TypeBody::Object { interfaces, fields } | TypeBody::Interface { interfaces, fields } => {
