--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -1,4 +1,4 @@
-//! A schema built from its SDL, with the weights and list sizes of the Cost Directives specification.
+//! Schema built from its SDL, with the weights and list sizes of the IBM cost directive specification.
 
 use crate::ast::*;
 use crate::parser::parse;
@@ -50,9 +50,9 @@
     pub fields: BTreeMap<String, OutputField>,
     pub input_fields: BTreeMap<String, InputValue>,
     pub enum_values: BTreeSet<String>,
-    /// Interfaces of an object or interface, members of a union.
+    /// Names of the interfaces of an object or interface type, or of the members of a union.
     pub related_types: BTreeSet<String>,
-    /// The objects that a value of this type can be; itself for an object.
+    /// Object types that a value of this type can have; for an object type, itself.
     pub possible_types: BTreeSet<TypeId>,
     pub weight: Option<f64>,
     pub pos: Pos,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A checked schema.
+/// A valid schema.
 #[derive(Clone, Debug)]
 pub struct Schema {
     pub(crate) types: Vec<TypeDef>,
@@ -79,8 +79,8 @@
     subscription: Option<TypeId>,
 }
 
-/// What every schema holds: the scalars of section 3.5, the directives of 3.13 and of the Cost Directives
-/// specification, and introspection (section 4.2), which costs nothing.
+/// Definitions in every schema: the built-in scalars (section 3.5) and directives (section 3.13), the directives of the
+/// IBM cost directive specification, and the introspection types (section 4.2), whose type cost is 0.
 const BUILT_IN: &str = r#"
 scalar Int scalar Float scalar String scalar Boolean scalar ID
 directive @skip(if: Boolean!) on FIELD
@@ -111,7 +111,7 @@
     /// Builds a schema from its SDL.
     ///
     /// # Errors
-    /// Every fault found, with its place.
+    /// All errors found, with their positions.
     pub fn parse(source: &str) -> Result<Self, Vec<Error>> {
         let limits = Limits {
             bytes: 8 << 20,
@@ -140,13 +140,14 @@
         }
     }
 
-    /// The fields of a root type: what classes are given to.
+    /// Names of the fields of a root operation type, without introspection. The settings assign classes to them.
     pub fn root_fields(&self, kind: OperationKind) -> impl Iterator<Item = &str> {
         let fields = self.root_type(kind).map(|t| &self.types[t].fields);
         fields.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
     }
 
-    /// The weight of one instance of a type: `@cost`, else 1 for composite types and 0 for leaves.
+    /// Weight of one value of a type: `@cost`, or else 1 for composite and input object types and 0 for leaf types. For
+    /// an abstract type, the maximum over its possible types.
     pub(crate) fn type_weight(&self, id: TypeId) -> f64 {
         let instance_weight = |id: TypeId| {
             let def = &self.types[id];
@@ -409,7 +410,7 @@
         if errors.is_empty() { Ok(schema) } else { Err(errors) }
     }
 
-    /// Resolves names, finds possible types, and checks what refers to what.
+    /// Checks the references between types, and fills in the possible types and the named types of fields.
     fn resolve_types(&mut self) {
         let mut errors = Vec::new();
         for id in 0..self.types.len() {
