--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -1,5 +1,5 @@
-//! Input values: literals checked against types, variables coerced (GraphQL specification, sections 3.x "Input
-//! Coercion", 5.6 and 6.1.2).
+//! Input values: checks literals against types and coerces variables (GraphQL specification, "Input Coercion" in
+//! section 3, and sections 5.6 and 6.1.2).
 
 use crate::ast::*;
 use crate::schema::{Schema, TypeKind};
@@ -8,7 +8,7 @@
 
 type VariableCallback<'f, 'd> = &'f mut dyn FnMut(&'d str, Type, Pos);
 
-/// Checks a literal against a type; tells of each variable in it with the type its place wants.
+/// Checks a literal against a type, and calls `visit` for each variable in it with the type expected at its location.
 pub(crate) fn check_literal<'d>(
     schema: &Schema, value: &'d Value, ty: &Type, visit: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
 ) {
@@ -22,7 +22,7 @@
         (ValueKind::List(values), Type::List(inner)) => {
             values.iter().for_each(|v| check_literal(schema, v, inner, visit, errors));
         }
-        // A single value stands for a list of one (section 3.11).
+        // A single value is coerced to a list of one (section 3.11).
         (_, Type::List(inner)) => check_literal(schema, value, inner, visit, errors),
         (found, Type::Named(name)) => {
             let Some(def) = schema.type_id(name).map(|t| &schema.types[t]) else { return };
@@ -59,7 +59,7 @@
     }
 }
 
-/// The type that a place wants of a variable: one with a default takes a nullable variable (section 5.8.5).
+/// Type expected of a variable used for an input value: nullable if the input value has a default (section 5.8.5).
 pub(crate) fn location_type(input: &crate::schema::InputValue) -> Type {
     if input.default.is_some() { input.ty.nullable().clone() } else { input.ty.clone() }
 }
@@ -87,12 +87,12 @@
         "String" => matches!(value, ValueKind::Str(_)),
         "Boolean" => matches!(value, ValueKind::Bool(_)),
         "ID" => matches!(value, ValueKind::Str(_) | ValueKind::Int(_)),
-        // A custom scalar's values are its service's affair (section 3.5).
+        // The backend defines and checks the values of custom scalars (section 3.5).
         _ => true,
     }
 }
 
-/// Coerces the variables of an operation from JSON.
+/// Coerces the variables of a request to the types that the operation declares (section 6.1.2).
 pub(crate) fn coerce_variables(
     schema: &Schema, defs: &[VariableDef], values: Option<&Map<String, Json>>, errors: &mut Vec<Error>,
 ) -> Map<String, Json> {
@@ -190,7 +190,7 @@
     }
 }
 
-/// A literal's value; `None` for a variable that has none.
+/// Converts a literal to JSON; `None` for a variable without a value.
 pub(crate) fn to_json(value: &Value, variables: &Map<String, Json>) -> Option<Json> {
     Some(match &value.kind {
         ValueKind::Variable(name) => return variables.get(name).cloned(),
