--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -1,5 +1,5 @@
-//! The validation that a gateway needs (GraphQL specification, section 5): what would make the price of an
-//! operation meaningless or let it grow without bound. Merging of fields is in `merge.rs`.
+//! Validation of executable documents (GraphQL specification, section 5), limited to the rules that a gateway needs:
+//! those without which the price of an operation would be meaningless or unbounded. Field merging is in `merge.rs`.
 
 use crate::ast::*;
 use crate::merge;
@@ -11,7 +11,8 @@
 /// Validates all operations and fragments of a document.
 ///
 /// # Errors
-/// Every fault found, with its place.
+/// All errors found, with their positions. Undefined and cyclic fragments end the validation, and field merging is
+/// checked only if the other rules hold.
 pub fn validate(schema: &Schema, document: &Document, limits: &Limits) -> Result<(), Vec<Error>> {
     let mut validator = Validator { schema, document, errors: Vec::new() };
     validator.validate(limits);
@@ -24,7 +25,7 @@
     errors: Vec<Error>,
 }
 
-/// A variable's use: its name, the type its place wants, and where.
+/// Use of a variable: its name, the type expected at that location, and the position.
 type VariableUse<'a> = (&'a str, Type, Pos);
 
 impl<'a> Validator<'a> {
@@ -62,7 +63,7 @@
             }
         }
         let Some(sorted_fragments) = self.sort_fragments(&fragments) else { return };
-        // What each fragment holds in all, found from the innermost outward: never by spreading them out.
+        // Sizes are summed up from the innermost fragments outward: expanding the spreads could take exponential time.
         let mut sizes: HashMap<&str, (u64, usize)> = HashMap::new();
         for fragment in &sorted_fragments {
             let size = self.expanded_size(fragment.selection_set, &sizes);
@@ -107,7 +108,8 @@
         }
     }
 
-    /// The fragments, each behind those it spreads; `None` with a fault where they form a cycle.
+    /// Sorts the fragments so that each follows those it spreads. Reports an error and returns `None` if a fragment is
+    /// undefined or spreads itself (sections 5.5.2.1 and 5.5.2.2).
     fn sort_fragments(&mut self, fragments: &HashMap<&str, &'a FragmentDef>) -> Option<Vec<&'a FragmentDef>> {
         let document = self.document;
         let mut dependencies: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
@@ -162,7 +164,8 @@
         if has_undefined { None } else { Some(sorted) }
     }
 
-    /// Fields and depth of a set with all fragments spread. Recursion only within the source's own nesting.
+    /// Number of fields and depth of a selection set after expanding all fragment spreads. Looks up the sizes of
+    /// fragments, so that it recurses only as deep as the source nests.
     fn expanded_size(
         &self, selection_set: SelectionSetId, sizes: &HashMap<&str, (u64, usize)>,
     ) -> (u64, usize) {
@@ -209,7 +212,7 @@
         let mut uses = Vec::new();
         self.check_selections(operation.selection_set, root, fragments, &mut uses);
         self.check_directives(&operation.directives, &mut uses);
-        // The fragments that the operation reaches.
+        // Fragments that the operation spreads, directly or through other fragments.
         let (mut pending, mut reached) = (vec![operation.selection_set], BTreeSet::new());
         while let Some(selection_set) = pending.pop() {
             for (name, _) in self.document.nested_fragment_spreads(selection_set) {
@@ -359,7 +362,7 @@
     }
 }
 
-/// Whether a variable may stand where a type is wanted (section 5.8.5).
+/// Whether a variable may be used where a type is expected (section 5.8.5).
 fn is_variable_usage_allowed(def: &VariableDef, location_type: &Type) -> bool {
     match (location_type, &def.ty) {
         (Type::NonNull(inner), ty) if !matches!(ty, Type::NonNull(_)) => {
