--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -1,21 +1,22 @@
-//! Field selection merging (GraphQL specification, section 5.3.2): two fields of one response name must be the same
-//! field with the same arguments wherever both can answer, and of one shape everywhere. Without it the price of the
-//! first would be paid and both would be sent on.
+//! Field selection merging (GraphQL specification, section 5.3.2): fields with the same response name must be the same
+//! field with the same arguments if they can apply to the same object, and must have the same response shape in any
+//! case. Without this rule, only the first of them would be priced, and all of them forwarded to the backend.
 //!
-//! Not pair by pair, which a document of equal fields makes quadratic: the fields of one response name are gathered
-//! once, each is compared with the first of them, and what lies below is gathered from all of them together. Two
-//! passes, since shape must agree over all parents, the field itself only where parents can be the same object.
+//! Comparing all pairs is quadratic in the number of equal fields. Instead, the fields with one response name are
+//! collected once and each is compared with the first; their nested selection sets are then checked together. This
+//! takes two passes, since the shape must agree across all parent types, but the field and its arguments only where the
+//! parents can be the same object.
 
 use crate::Error;
 use crate::ast::*;
 use crate::schema::{Schema, TypeId, TypeKind};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Fields looked at in one operation. Abstract parents are looked at beside each object they may be, which a hostile
-/// schema and document could multiply; an honest document needs a few times its size.
+/// Maximum number of field visits for one operation. Fields on abstract types are visited again for each object type,
+/// which a malicious document could use to multiply the work; a usual document needs a few visits per field.
 const MAX_FIELD_VISITS: usize = 1_000_000;
 
-/// Checks a selection set and all below; the document must be valid otherwise.
+/// Checks a selection set and all that are nested in it. The document must satisfy the other validation rules.
 pub(crate) fn check(
     schema: &Schema, document: &Document, fragments: &HashMap<&str, &FragmentDef>,
     selection_set: SelectionSetId, root: TypeId,
@@ -32,7 +33,7 @@
     Field,
 }
 
-/// A field and the type that it is asked of.
+/// A field and its parent type.
 type ParentedField<'a> = (&'a Field, TypeId);
 
 struct FieldMerging<'a, 'b> {
@@ -40,16 +41,16 @@
     document: &'a Document,
     fragments: &'b HashMap<&'b str, &'a FragmentDef>,
     visits: usize,
-    /// Groups of sets that were looked at in each pass.
+    /// Groups of selection sets that each pass has already checked.
     checked: [HashSet<Vec<(SelectionSetId, TypeId)>>; 2],
 }
 
 impl<'a> FieldMerging<'a, '_> {
-    /// Recursion is as deep as the document nests with its fragments spread, which is bounded.
+    /// Recurses as deep as the operation nests after expanding its fragments, which [`crate::Limits::depth`] bounds.
     fn check_selection_sets(
         &mut self, selection_sets: &[(SelectionSetId, TypeId)], pass: Pass,
     ) -> Result<(), Error> {
-        // Most sets: fields alone, no name twice. Nothing is merged there, only below.
+        // The usual case: only fields, each response name once. Only nested selection sets need a check.
         if let [(selection_set, parent)] = selection_sets
             && self.has_distinct_fields(*selection_set)
         {
@@ -74,7 +75,7 @@
                 self.check_nested(&fields, pass)?;
                 continue;
             }
-            // Fields of different objects never answer together; one of an abstract type may answer with any.
+            // Fields on different object types never apply together; one on an abstract type may apply with any.
             let is_object = |f: &&ParentedField| self.schema.types[f.1].kind == TypeKind::Object;
             let (on_objects, on_abstract_types): (Vec<&ParentedField>, Vec<&ParentedField>) =
                 fields.iter().partition(is_object);
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Whether a set holds fields alone, none of one response name.
+    /// Whether a selection set contains only fields, and no response name twice.
     fn has_distinct_fields(&self, selection_set: SelectionSetId) -> bool {
         let selections = &self.document.selection_sets[selection_set];
         let name =
@@ -116,7 +117,7 @@
         Err(Error::new(field.pos, "the fields of this operation are merged in too many ways"))
     }
 
-    /// The fields of some sets by response name, through fragments, in the order of the source.
+    /// Collects the fields of selection sets and the fragments in them by response name, in source order.
     fn collect_fields(
         &mut self, selection_sets: &[(SelectionSetId, TypeId)],
     ) -> Result<BTreeMap<&'a str, Vec<ParentedField<'a>>>, Error> {
@@ -151,7 +152,7 @@
         Ok(fields)
     }
 
-    /// What the fields of one response name ask of their values, together.
+    /// Checks the nested selection sets of fields with the same response name, all together.
     fn check_nested(&mut self, fields: &[ParentedField<'a>], pass: Pass) -> Result<(), Error> {
         let mut selection_sets: Vec<(SelectionSetId, TypeId)> = Vec::new();
         let mut included = HashSet::new();
@@ -176,7 +177,7 @@
                         if is_leaf(named_a) || is_leaf(named_b) { named_a == named_b } else { true };
                     same_type && same_wrappers(a, b)
                 }
-                // `__typename` is a String! of every type.
+                // `__typename: String!` exists on every type and has no definition.
                 (None, None) => true,
                 (Some((ty, named)), None) | (None, Some((ty, named))) => {
                     matches!(ty, Type::NonNull(inner) if matches!(**inner, Type::Named(_)))
@@ -219,7 +220,7 @@
     Error::new(other.pos, text)
 }
 
-/// Lists and non-null agree, whatever they hold.
+/// Whether the list and non-null wrappers of two types agree, whatever their named types.
 fn same_wrappers(a: &Type, b: &Type) -> bool {
     match (a, b) {
         (Type::Named(_), Type::Named(_)) => true,
@@ -228,7 +229,7 @@
     }
 }
 
-/// Literals that are the same; variables by name; fields of an input object in any order.
+/// Whether two literals are equal. Variables are compared by name, fields of an input object in any order.
 fn same_value(a: &Value, b: &Value) -> bool {
     match (&a.kind, &b.kind) {
         (ValueKind::List(a), ValueKind::List(b)) => {
