--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -1,6 +1,6 @@
-//! What an operation asks for, merged as execution merges it (GraphQL specification, section 6.3.2): for each
-//! place in the answer its response keys with their weights. Made as it is needed and remembered, so fragments
-//! are never spread out more often than the answer or the price can tell apart.
+//! Cost plan of an operation: its fields, collected as execution does (GraphQL specification, section 6.3.2), by
+//! response name and with their weights. Nodes are created on demand and cached by selection sets and type, so that a
+//! fragment is expanded only once for each combination that differs in the price or the response.
 
 use crate::ast::*;
 use crate::schema::{InputValue, OutputField, Schema, TypeId, TypeKind};
@@ -12,33 +12,33 @@
 
 pub(crate) type NodeId = usize;
 
-/// The largest list that a slicing argument may ask for; as `graphql.list_size` in the settings.
+/// Largest list that a slicing argument may request; same as the maximum of the setting `graphql.list_size`.
 const MAX_LIST_SIZE: f64 = 1e6;
 
-/// The cost of an operation by the Cost Directives specification.
+/// Cost of an operation according to the IBM cost directive specification.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// The weights of the fields asked for, with their arguments.
+    /// Weights of the requested fields and their arguments.
     pub field_cost: f64,
-    /// The weights of the objects and leaves that come back.
+    /// Weights of the types of the returned objects and leaf values.
     pub type_cost: f64,
-    /// Both: what an account is charged.
+    /// Sum of both: the units that an account is charged.
     pub units: f64,
 }
 
-/// One response key at one place.
+/// A response name in a node.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub field_name: String,
-    /// The weight of the field with its arguments, counted once for each parent.
+    /// Weight of the field with its arguments, charged once for each parent object.
     pub weight: f64,
     pub named_type: TypeId,
-    /// How many values a list is taken to hold; 1 where there is none.
+    /// Assumed number of values in a list; 1 if the field is not a list.
     pub assumed_count: f64,
-    /// Whether the schema tells the list's size; else a parent's sizedFields may.
+    /// Whether `@listSize` on this field gives the size of this list. Otherwise `sizedFields` of the parent may.
     pub size_known: bool,
     pub is_list: bool,
-    /// The size for the fields below that are named by sizedFields.
+    /// Size of the child fields listed in `sizedFields`, and their names.
     pub sized_fields: Option<(f64, Vec<String>)>,
     pub selection_sets: Vec<SelectionSetId>,
 }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The node for some sets on a type. On an abstract type it holds what any of its objects may answer.
+    /// Node for selection sets on a type. On an abstract type it contains the fields of all its possible types.
     pub fn node(&mut self, selection_sets: &[SelectionSetId], node_type: TypeId) -> NodeId {
         let key = (selection_sets.to_vec(), node_type);
         if let Some(id) = self.node_ids.get(&key) {
@@ -147,7 +147,7 @@
 
     fn add_field(&mut self, node: &mut Node, field: &Field, parent: TypeId, node_type: TypeId) {
         let schema = Arc::clone(&self.schema);
-        // On an object the object's own definition counts, also where a fragment asks by an interface.
+        // On an object type its own field definition applies, even if a fragment selects the field on an interface.
         let defining_type = if schema.types[node_type].kind == TypeKind::Object { node_type } else { parent };
         if field.name == "__typename" {
             let (field_name, response_name) = (field.name.clone(), field.response_name().to_owned());
@@ -211,7 +211,7 @@
         );
     }
 
-    /// The size that `@listSize` tells of a field: by its slicing arguments, else as assumed.
+    /// Size that `@listSize` gives for a field: the largest of its slicing arguments, or else the assumed size.
     fn list_size(&mut self, field: &Field, def: &OutputField) -> Option<f64> {
         let directive = def.list_size.as_ref()?;
         let argument_value = |name: &String| {
@@ -232,7 +232,7 @@
             self.errors.push(Error::new(field.pos, text));
         }
         let sizes: Vec<f64> = sizes.iter().filter_map(Json::as_f64).collect();
-        // A list of less than nothing has no price, and one of more than any node holds no honest one.
+        // A negative size has no meaningful price, nor has one above what any backend could return.
         if let Some(size) = sizes.iter().find(|s| !(0.0..=MAX_LIST_SIZE).contains(*s)) {
             let text =
                 format!("field `{}` asks for a list of {size}: allowed is 0 to {MAX_LIST_SIZE}", field.name);
@@ -241,7 +241,7 @@
         sizes.into_iter().reduce(f64::max).map(|s| s.clamp(0.0, MAX_LIST_SIZE)).or(directive.assumed_size)
     }
 
-    /// The weight of an argument or an input field that was given, with what lies in it.
+    /// Weight of the value of an argument or input field, including nested input fields.
     fn input_weight(&self, input: &InputValue, value: &Json) -> f64 {
         let def = self.schema.type_id(input.ty.named_type()).map(|t| &self.schema.types[t]);
         let Some(def) = def else { return 0.0 };
@@ -254,13 +254,14 @@
             _ => 0.0,
         };
         match value {
-            // Each value of a list is one of the input's type.
+            // Each item of a list is charged as a value of the input type.
             Json::Array(values) => values.iter().map(|v| own_weight + fields_weight(v)).sum(),
             value => own_weight + fields_weight(value),
         }
     }
 
-    /// The price of a node before it runs. Remembered by node: a place is priced once however often it is met.
+    /// Price of a node, before execution. Costs are cached by node, except below `sizedFields`, so that a node reached
+    /// repeatedly is priced once.
     pub fn price(&mut self, root: NodeId) -> Cost {
         let mut priced = HashMap::new();
         let (field_cost, type_cost) = self.price_node(root, None, &mut priced);
@@ -289,7 +290,7 @@
                 type_cost += count * self.schema.type_weight(entry.named_type);
                 continue;
             }
-            // Of the objects that may come back, the dearest.
+            // Any of the possible types may be returned: charge the most expensive.
             let possible: BTreeSet<TypeId> = self.schema.types[entry.named_type].possible_types.clone();
             let mut most_expensive = (0.0, 0.0);
             for object_type in possible {
