--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -1,4 +1,4 @@
-//! One operation made ready: parsed, validated, its variables coerced, its price known.
+//! Prepares an operation: parses and validates the document, coerces the variables and computes the price.
 
 use crate::ast::*;
 use crate::plan::{Cost, NodeId, Plan};
@@ -8,7 +8,7 @@
 use serde_json::{Map, Value as Json};
 use std::sync::Arc;
 
-/// An operation that may be priced, sent on, and whose answer can be counted.
+/// A valid operation with its price, ready to be forwarded. Turns into a scanner for its response.
 #[derive(Debug)]
 pub struct PreparedOperation {
     plan: Plan,
@@ -19,10 +19,10 @@
 }
 
 impl PreparedOperation {
-    /// Parses and validates a request and prices the operation named, or the only one.
+    /// Parses and validates a document, and prices the named operation or, without a name, the only one.
     ///
     /// # Errors
-    /// Every fault found; one alone where the source does not parse.
+    /// All errors found, or the first one if the document does not parse.
     pub fn new(
         schema: Arc<Schema>, source: &str, operation: Option<&str>, variables: Option<&Map<String, Json>>,
         limits: Limits,
@@ -53,7 +53,7 @@
         if !plan.errors.is_empty() {
             return Err(plan.errors);
         }
-        // The root object itself comes back once; only a weight in the schema makes it cost anything.
+        // The root object is returned once, and is free unless the schema gives its type a weight.
         cost.type_cost += plan.schema.types[root_type].weight.unwrap_or(0.0);
         cost.units = (cost.field_cost + cost.type_cost).max(0.0);
         let node = &plan.nodes[root];
@@ -69,25 +69,25 @@
         &mut self.plan
     }
 
-    /// What the operation does.
+    /// Kind of the operation.
     #[must_use]
     pub fn kind(&self) -> OperationKind {
         self.kind
     }
 
-    /// The names of the root fields that will run, each response key once, in their order.
+    /// Names of the root fields to execute, one for each response name, in order of execution.
     #[must_use]
     pub fn root_fields(&self) -> &[String] {
         &self.root_fields
     }
 
-    /// The price before it runs.
+    /// Price of the operation, before execution.
     #[must_use]
     pub fn cost(&self) -> Cost {
         self.cost
     }
 
-    /// A counter for an answer to this operation, which takes the operation over.
+    /// Creates a scanner for the response to this operation. `max_depth` bounds the nesting of the response.
     #[must_use]
     pub fn into_response_scanner(self, max_depth: usize) -> ResponseScanner {
         ResponseScanner::new(self.plan, self.root, max_depth)
