--- a/crates/graphql/src/scan.rs
+++ b/crates/graphql/src/scan.rs
@@ -1,26 +1,26 @@
-//! What an answer truly touched, counted while its bytes pass. The state is a stack as deep as the answer nests
-//! and one short word; no tree of the answer is made. It reads JSON (RFC 8259) strictly enough to tell a whole
-//! answer from a cut or malformed one.
+//! Streaming scanner that computes the cost of a response from its bytes. Its state is a stack as deep as the response
+//! nests and one token; no tree is built. It parses JSON (RFC 8259) strictly enough to tell a complete response from a
+//! truncated or malformed one.
 
 use crate::plan::{NodeId, Plan};
 use crate::schema::TypeId;
 
-/// What an answer came to.
+/// Cost of a response, and what the response contains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseCost {
-    /// The weights of what came back: fields and values, by the same weights as the price.
+    /// Weights of the returned fields and values: the same weights that the price uses.
     pub units: f64,
-    /// Whether it is one whole JSON object with `data` or `errors`.
+    /// Whether the response is one complete JSON object with non-null `data` or with `errors`.
     pub complete: bool,
-    /// Whether it holds data other than null.
+    /// Whether `data` is an object, not null.
     pub has_data: bool,
-    /// Whether it holds errors.
+    /// Whether the response contains `errors`.
     pub has_errors: bool,
-    /// What the node claims in `extensions.cost`, as a number or in its `actualCost`.
+    /// Cost that the backend reports in `extensions.cost`, as a number or in its `actualCost`.
     pub reported_cost: Option<f64>,
 }
 
-/// What a value at some place means.
+/// Meaning of a value, by its location in the response.
 #[derive(Clone, Copy, Debug)]
 enum Role {
     Response,
@@ -36,13 +36,13 @@
 struct Frame {
     is_array: bool,
     role: Role,
-    /// The node whose keys this object has.
+    /// Plan node with the response names of this object.
     node: Option<NodeId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// A value, or the end of an array that is still empty.
+    /// Expects a value or, in an array that is still empty, its end.
     Value {
         or_end: bool,
     },
@@ -60,7 +60,7 @@
     Invalid,
 }
 
-/// Counts one answer.
+/// Computes the cost of a response while its bytes arrive.
 #[derive(Debug)]
 pub struct ResponseScanner {
     plan: Plan,
@@ -68,13 +68,14 @@
     max_depth: usize,
     stack: Vec<Frame>,
     state: State,
-    /// The place of the value that comes next.
+    /// Role of the next value.
     next_role: Role,
     token: Vec<u8>,
     cost: ResponseCost,
 }
 
-/// The longest key that is told apart; an alias is a name in a document of bounded size, but a node may send any.
+/// Maximum key length. The document size bounds aliases, but a backend may send keys of any length; a longer one makes
+/// the response malformed.
 const MAX_KEY_BYTES: usize = 1 << 16;
 const MAX_LITERAL_BYTES: usize = 64;
 
@@ -91,7 +92,7 @@
         Self { plan, root, max_depth, stack, state, next_role: Role::Response, token: Vec::new(), cost }
     }
 
-    /// Starts again, for another answer to the same operation.
+    /// Resets the scanner for another response to the same operation.
     pub fn reset(&mut self) {
         self.cost = ResponseCost {
             units: 0.0,
@@ -104,7 +105,7 @@
         (self.state, self.next_role) = (State::Value { or_end: false }, Role::Response);
     }
 
-    /// Reads on.
+    /// Processes the next bytes of the response.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.state == State::Invalid {
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Whether what came so far can no longer become an answer.
+    /// Whether the bytes so far cannot be the start of a valid response.
     #[must_use]
     pub fn is_malformed(&self) -> bool {
         self.state == State::Invalid
     }
 
-    /// What has been counted; `whole` only when the answer is at its end.
+    /// Cost of the bytes so far; `complete` only after the end of the response.
     #[must_use]
     pub fn cost(&self) -> ResponseCost {
         let has_content = self.cost.has_data || self.cost.has_errors;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// A leaf that is not null.
+    /// Adds the weight of a leaf value that is not null.
     fn count_leaf(&mut self) {
         if let Role::Value { node: None, named_type } = self.next_role {
             self.cost.units += self.plan.schema.type_weight(named_type);
@@ -285,7 +286,7 @@
     }
 }
 
-/// Whether a word is a number by RFC 8259, section 6.
+/// Whether a literal is a number according to RFC 8259, section 6.
 fn is_json_number(literal: &[u8]) -> bool {
     let rest = literal.strip_prefix(b"-").unwrap_or(literal);
     let integer_digits = rest.iter().take_while(|b| b.is_ascii_digit()).count();
