--- a/crates/graphql/src/stub.rs
+++ b/crates/graphql/src/stub.rs
@@ -1,19 +1,19 @@
-//! Answers of the right shape without data behind them: what a stand-in for a service writes.
+//! Stub responses for emulated backends: data of the shape that an operation requests, with generated values.
 
 use crate::plan::{NodeId, Plan};
 use crate::prepare::PreparedOperation;
 use std::fmt::Write;
 
-/// What a stand-in chooses of an answer.
+/// Supplies the list lengths and texts of a stub response.
 pub trait StubData {
-    /// How many values a list field gets; `sized` is what the price took it for.
+    /// Number of items for a list field; `assumed_size` is the size from the schema or the default.
     fn list_length(&mut self, field: &str, assumed_size: f64) -> usize;
-    /// A text for a leaf field.
+    /// Appends the text of a leaf field, without quotes.
     fn write_text(&mut self, field: &str, out: &mut String);
 }
 
 impl PreparedOperation {
-    /// Appends the JSON object that belongs under `data`.
+    /// Appends the JSON object for `data` in a stub response.
     pub fn write_data(&mut self, stub_data: &mut dyn StubData, out: &mut String) {
         let root = self.root();
         write_object(self.plan_mut(), root, None, stub_data, out);
