--- a/crates/graphql/tests/documents.rs
+++ b/crates/graphql/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Validation, cost, and the count of an answer.
+//! Validation, price, and cost of the response.
 
 use doorcourse_graphql::{Error, Limits, OperationKind, PreparedOperation, ResponseCost, Schema};
 use proptest::prelude::*;
@@ -58,15 +58,15 @@
     assert_eq!(units("{ previews(first: 40) { waveform } }", json!({})), 40.0 * 1.5);
     assert_eq!(units("query($n: Int = 7) { previews(first: $n) { url } }", json!({})), 7.0);
     assert_eq!(units("query($n: Int = 7) { previews(first: $n) { url } }", json!({"n": 9})), 9.0);
-    // A default of the schema counts where no slicing argument is given.
+    // Without a slicing argument, its default in the schema applies.
     assert_eq!(units("{ previews { url } }", json!({})), 3.0);
     assert_eq!(units("{ previews(first: 0) { url } }", json!({})), 0.0);
     assert_rejected("{ previews(first: -5) { url } }", json!({}), "a list of -5: allowed is 0 to 1000000");
     assert_rejected("{ previews(first: 2000000000) { url } }", json!({}), "a list of 2000000000: allowed");
     assert_rejected("query($n: Int) { previews(first: $n) { url } }", json!({"n": -1}), "a list of -1");
-    // sizedFields: the size goes to the edges below.
+    // sizedFields applies the size to `edges`.
     assert_eq!(units("{ page(first: 6) { edges { waveform } total } }", json!({})), 1.0 + 1.0 + 6.0 * 1.5);
-    // A list without a size counts as the limit says; an assumed one as the schema says, of the dearest type.
+    // A list without a size has the default size; one with an assumed size is priced by the most expensive type.
     assert_eq!(units("{ preview(id: 1) { like { url } } }", json!({})), 1.0 + 1.0 + 10.0);
     assert_eq!(
         units("{ any { ... on Preview { waveform } ... on Album { title } } }", json!({})),
@@ -198,7 +198,7 @@
 fn answers_are_counted_by_what_came_back() {
     let query = "{ previews(first: 40) { waveform like { url } } }";
     let response = r#"{"data":{"previews":[{"waveform":"a]}\"","like":[{"url":"x"},null]},{"waveform":null,"like":null}]}}"#;
-    // Two previews, one liked; the field `like` weighs 1 and `waveform` 0.5 for each of the two.
+    // Two previews, and one under `like`. The fields `like` (1) and `waveform` (0.5) count for each of the two.
     let cost = response_cost(query, response);
     assert_eq!((cost.units, cost.complete, cost.has_data), (2.0 + 1.0 + 2.0 * 1.0 + 2.0 * 0.5, true, true));
     let reported =
@@ -206,7 +206,7 @@
     assert_eq!((reported.units, reported.reported_cost), (0.0, Some(7.5)));
     let failed = response_cost(query, r#"{"errors":[{"message":"no"}],"data":null}"#);
     assert_eq!((failed.complete, failed.has_data, failed.has_errors, failed.units), (true, false, true, 0.0));
-    // What was not asked for has no weight, wherever it stands, also behind an escaped key.
+    // Fields that were not requested have no weight at any level, even below an escaped key.
     let unrequested = response_cost(
         query,
         r#"{"data":{"preview\u0073":[{"junk":[{"waveform":"x"}]}],"data":{"previews":[{}]}}}"#,
@@ -309,11 +309,11 @@
     ] {
         units(source, json!({}));
     }
-    // Different objects never answer together: other arguments are of no harm there.
+    // Fields on different object types never apply together, so they need not be the same field.
     units("{ any { ... on Preview { p: like { t: title } } ... on Album { t: title } } }", json!({}));
 }
 
-/// Compared pair by pair these would be millions at each level: this test would not end within minutes.
+/// Comparing all pairs would take millions of comparisons at each level, and this test several minutes.
 #[test]
 fn thousands_of_equal_fields_are_merged_in_near_linear_time() {
     let limits = Limits { bytes: 1 << 20, tokens: 100_000, expansion: 20_000, ..Limits::default() };
