--- a/crates/graphql/benches/price.rs
+++ b/crates/graphql/benches/price.rs
@@ -1,4 +1,4 @@
-//! What parsing, pricing and counting cost, for a small query and one of forty fields.
+//! Time to parse a query, to price it and to compute the cost of a response, for a small query and one of 40 fields.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use doorcourse_graphql::{Limits, PreparedOperation, Schema, parse};
