--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -34,7 +34,7 @@
 }
 
 /// A field and its parent type.
-type ParentedField<'a> = (&'a Field, TypeId);
+type FieldOnType<'a> = (&'a Field, TypeId);
 
 struct FieldMerging<'a, 'b> {
     schema: &'a Schema,
@@ -76,10 +76,10 @@
                 continue;
             }
             // Fields on different object types never apply together; one on an abstract type may apply with any.
-            let is_object = |f: &&ParentedField| self.schema.types[f.1].kind == TypeKind::Object;
-            let (on_objects, on_abstract_types): (Vec<&ParentedField>, Vec<&ParentedField>) =
+            let is_object = |f: &&FieldOnType| self.schema.types[f.1].kind == TypeKind::Object;
+            let (on_objects, on_abstract_types): (Vec<&FieldOnType>, Vec<&FieldOnType>) =
                 fields.iter().partition(is_object);
-            let mut groups: BTreeMap<TypeId, Vec<ParentedField<'a>>> = BTreeMap::new();
+            let mut groups: BTreeMap<TypeId, Vec<FieldOnType<'a>>> = BTreeMap::new();
             on_objects.iter().for_each(|f| groups.entry(f.1).or_default().push(**f));
             if groups.is_empty() {
                 groups.insert(0, Vec::new());
@@ -120,9 +120,9 @@
     /// Collects the fields of selection sets and the fragments in them by response name, in source order.
     fn collect_fields(
         &mut self, selection_sets: &[(SelectionSetId, TypeId)],
-    ) -> Result<BTreeMap<&'a str, Vec<ParentedField<'a>>>, Error> {
+    ) -> Result<BTreeMap<&'a str, Vec<FieldOnType<'a>>>, Error> {
         let document = self.document;
-        let mut fields: BTreeMap<&'a str, Vec<ParentedField<'a>>> = BTreeMap::new();
+        let mut fields: BTreeMap<&'a str, Vec<FieldOnType<'a>>> = BTreeMap::new();
         let (mut spread_fragments, mut pending) = (HashSet::new(), Vec::new());
         pending.extend(selection_sets.iter().rev().copied());
         while let Some((selection_set, parent)) = pending.pop() {
@@ -153,7 +153,7 @@
     }
 
     /// Checks the nested selection sets of fields with the same response name, all together.
-    fn check_nested(&mut self, fields: &[ParentedField<'a>], pass: Pass) -> Result<(), Error> {
+    fn check_nested(&mut self, fields: &[FieldOnType<'a>], pass: Pass) -> Result<(), Error> {
         let mut selection_sets: Vec<(SelectionSetId, TypeId)> = Vec::new();
         let mut included = HashSet::new();
         for (field, parent) in fields {
@@ -165,10 +165,10 @@
         self.check_selection_sets(&selection_sets, pass)
     }
 
-    fn check_response_shape(&self, fields: &[ParentedField<'a>]) -> Result<(), Error> {
+    fn check_response_shape(&self, fields: &[FieldOnType<'a>]) -> Result<(), Error> {
         let first = fields[0];
         let output_type =
-            |f: &ParentedField| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.ty, d.named_type));
+            |f: &FieldOnType| self.schema.types[f.1].fields.get(&f.0.name).map(|d| (&d.ty, d.named_type));
         for other in &fields[1..] {
             let same = match (output_type(&first), output_type(other)) {
                 (Some((a, named_a)), Some((b, named_b))) => {
@@ -191,7 +191,7 @@
         Ok(())
     }
 
-    fn check_same_field(&self, fields: &[ParentedField<'a>]) -> Result<(), Error> {
+    fn check_same_field(&self, fields: &[FieldOnType<'a>]) -> Result<(), Error> {
         let first = fields[0].0;
         for (other, _) in &fields[1..] {
             if other.name != first.name {
--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -173,11 +173,11 @@
             entry.selection_sets.extend(field.selection_set.filter(|s| !entry.selection_sets.contains(s)));
             return;
         }
-        let composite = schema.types[def.named_type].is_composite();
-        let mut weight = def.weight.unwrap_or(if composite { 1.0 } else { 0.0 });
+        let is_composite = schema.types[def.named_type].is_composite();
+        let mut weight = def.weight.unwrap_or(if is_composite { 1.0 } else { 0.0 });
         for (name, input) in &def.arguments {
-            let given = field.arguments.iter().find(|a| a.name == *name);
-            if let Some(value) = given.and_then(|a| to_json(&a.value, &self.variables)) {
+            let argument = field.arguments.iter().find(|a| a.name == *name);
+            if let Some(value) = argument.and_then(|a| to_json(&a.value, &self.variables)) {
                 weight += self.input_weight(input, &value);
             }
         }
@@ -215,8 +215,8 @@
     fn list_size(&mut self, field: &Field, def: &OutputField) -> Option<f64> {
         let directive = def.list_size.as_ref()?;
         let argument_value = |name: &String| {
-            let given = field.arguments.iter().find(|a| a.name == *name);
-            given.and_then(|a| to_json(&a.value, &self.variables)).filter(|v| !v.is_null())
+            let argument = field.arguments.iter().find(|a| a.name == *name);
+            argument.and_then(|a| to_json(&a.value, &self.variables)).filter(|v| !v.is_null())
         };
         let default_value = |name: &String| {
             let default = def.arguments.get(name).and_then(|i| i.default.as_ref());
@@ -248,8 +248,8 @@
         let own_weight = input.weight.unwrap_or(if def.kind == TypeKind::Input { 1.0 } else { 0.0 });
         let fields_weight = |v: &Json| match v {
             Json::Object(fields) if def.kind == TypeKind::Input => {
-                let known = fields.iter().filter_map(|(n, v)| Some((def.input_fields.get(n)?, v)));
-                known.map(|(i, v)| self.input_weight(i, v)).sum()
+                let defined_fields = fields.iter().filter_map(|(n, v)| Some((def.input_fields.get(n)?, v)));
+                defined_fields.map(|(i, v)| self.input_weight(i, v)).sum()
             }
             _ => 0.0,
         };
--- a/crates/graphql/src/validate.rs
+++ b/crates/graphql/src/validate.rs
@@ -135,7 +135,7 @@
             }
         }
         let mut ready: Vec<&str> =
-            dependencies.iter().filter(|(_, w)| w.is_empty()).map(|(n, _)| *n).collect();
+            dependencies.iter().filter(|(_, d)| d.is_empty()).map(|(n, _)| *n).collect();
         let mut sorted = Vec::new();
         while let Some(name) = ready.pop() {
             sorted.push(fragments[name]);
@@ -152,7 +152,7 @@
             let cyclic = document
                 .fragments
                 .iter()
-                .find(|f| dependencies.get(f.name.as_str()).is_some_and(|w| !w.is_empty()));
+                .find(|f| dependencies.get(f.name.as_str()).is_some_and(|d| !d.is_empty()));
             if let Some(fragment) = cyclic {
                 self.error(
                     fragment.pos,
@@ -301,8 +301,8 @@
         };
         let owner = format!("field `{}.{}`", type_def.name, field.name);
         self.check_arguments(&owner, field.pos, &field.arguments, &found.arguments, uses);
-        let composite = schema.types[found.named_type].is_composite();
-        match (field.selection_set, composite) {
+        let is_composite = schema.types[found.named_type].is_composite();
+        match (field.selection_set, is_composite) {
             (Some(set), true) => self.check_selections(set, found.named_type, fragments, uses),
             (None, false) => {}
             (Some(_), false) => {
