--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -117,7 +117,8 @@
         Err(Error::new(field.pos, "the fields of this operation are merged in too many ways"))
     }
 
-    /// Collects the fields of selection sets and the fragments in them by response name, in source order.
+    /// Collects the fields of selection sets by response name. The fields of fragments follow those of the selection set
+    /// that spreads them.
     fn collect_fields(
         &mut self, selection_sets: &[(SelectionSetId, TypeId)],
     ) -> Result<BTreeMap<&'a str, Vec<FieldOnType<'a>>>, Error> {
--- a/crates/graphql/src/prepare.rs
+++ b/crates/graphql/src/prepare.rs
@@ -75,7 +75,7 @@
         self.kind
     }
 
-    /// Names of the root fields to execute, one for each response name, in order of execution.
+    /// Names of the root fields to execute, one for each response name. Fields of fragments come last.
     #[must_use]
     pub fn root_fields(&self) -> &[String] {
         &self.root_fields
