--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::{Args, Subcommand};
-use doorcourse_graphql::{Error, Limits, OperationKind, Prepared, Schema, parse, validate};
+use doorcourse_graphql::{Error, Limits, OperationKind, PreparedOperation, Schema, parse, validate};
 use serde_json::{Map, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -72,8 +72,12 @@
                 for (k, name) in document.operations() {
                     say!("{} {}", kind(k), name.unwrap_or("(no name)"));
                 }
-                document.fragments().for_each(|f| say!("fragment {f}"));
-                say!("{} tokens, {} definitions of a type system", document.tokens, document.type_system());
+                document.fragment_names().for_each(|f| say!("fragment {f}"));
+                say!(
+                    "{} tokens, {} definitions of a type system",
+                    document.token_count,
+                    document.type_system_definition_count()
+                );
                 ExitCode::SUCCESS
             }
         }),
@@ -101,13 +105,18 @@
                 Err(errors) => return Ok(told(&schema.schema, &errors)),
             };
             let source = read(&file)?;
-            let prepared =
-                Prepared::new(schema.into(), &source, operation.as_deref(), variables.as_ref(), limits);
+            let prepared = PreparedOperation::new(
+                schema.into(),
+                &source,
+                operation.as_deref(),
+                variables.as_ref(),
+                limits,
+            );
             Ok(match prepared {
                 Err(errors) => told(&file, &errors),
                 Ok(prepared) => {
                     let cost = prepared.cost();
-                    say!("{} units: {} of fields, {} of types", cost.units, cost.fields, cost.types);
+                    say!("{} units: {} of fields, {} of types", cost.units, cost.field_cost, cost.type_cost);
                     ExitCode::SUCCESS
                 }
             })
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -7,7 +7,7 @@
 use crate::recorder::Recorder;
 use doorcourse_conformance::Event;
 use doorcourse_event_loop::{Clock, Flow, Interest, Poller, Socket, Timers, Waker, listen};
-use doorcourse_graphql::{Limits, Prepared, Schema, Shape};
+use doorcourse_graphql::{Limits, PreparedOperation, Schema, StubData};
 use doorcourse_http::{
     Decoder, Framing, Head, Limits as HttpLimits, Part, Role, chunk, chunk_end, response_head,
 };
@@ -133,7 +133,7 @@
     connection: usize,
     node: usize,
     incarnation: u32,
-    prepared: Prepared,
+    prepared: PreparedOperation,
 }
 
 enum TimerEvent {
@@ -444,14 +444,15 @@
         let limits = Limits { tokens: 100_000, aliases: 10_000, expansion: 1_000_000, ..Limits::default() };
         let variables = request["variables"].as_object();
         let operation = request["operationName"].as_str();
-        let prepared = match Prepared::new(Arc::clone(&self.schema), query, operation, variables, limits) {
-            Ok(prepared) => prepared,
-            Err(errors) => {
-                let message = errors.first().map_or(String::new(), ToString::to_string);
-                let answer = serde_json::json!({"errors": [{"message": message}]}).to_string();
-                return self.reply(slot, attempt, 400, &answer, 0.0);
-            }
-        };
+        let prepared =
+            match PreparedOperation::new(Arc::clone(&self.schema), query, operation, variables, limits) {
+                Ok(prepared) => prepared,
+                Err(errors) => {
+                    let message = errors.first().map_or(String::new(), ToString::to_string);
+                    let answer = serde_json::json!({"errors": [{"message": message}]}).to_string();
+                    return self.reply(slot, attempt, 400, &answer, 0.0);
+                }
+            };
         self.pending.insert(attempt, PendingRequest { connection: slot, node, incarnation, prepared });
         let idempotency_key = head.field("idempotency-key").map(str::to_owned);
         let mut out = Vec::new();
@@ -498,10 +499,10 @@
         pending
             .prepared
             .write_data(&mut ResponseShape { extra_text_bytes: node.extra_text_bytes }, &mut answer);
-        let mut scan = pending.prepared.scan(100);
+        let mut scan = pending.prepared.into_response_scanner(100);
         scan.feed(answer.as_bytes());
         scan.feed(b"}");
-        let units = scan.counted().units;
+        let units = scan.cost().units;
         let reported_cost = units * node.cost_factor;
         answer += &format!(",\"extensions\":{{\"cost\":{{\"actualCost\":{reported_cost}}}}}}}");
         let index = pending.node;
@@ -598,8 +599,8 @@
     extra_text_bytes: usize,
 }
 
-impl Shape for ResponseShape {
-    fn length(&mut self, field: &str, sized: f64) -> usize {
+impl StubData for ResponseShape {
+    fn list_length(&mut self, field: &str, sized: f64) -> usize {
         match field {
             "similar" => sized as usize * 5,
             "shelf" => sized as usize / 5,
@@ -607,7 +608,7 @@
         }
     }
 
-    fn text(&mut self, field: &str, out: &mut String) {
+    fn write_text(&mut self, field: &str, out: &mut String) {
         out.push_str(field);
         if field == "waveform" || self.extra_text_bytes > 0 {
             out.extend(std::iter::repeat_n('~', self.extra_text_bytes.max(64)));
--- a/crates/graphql/src/ast.rs
+++ b/crates/graphql/src/ast.rs
@@ -1,19 +1,20 @@
-//! Documents. Selection sets lie in one arena, so that walking and dropping them needs no recursion.
+//! Syntax tree of a document. Selection sets are stored in one arena, so that traversing and dropping them needs no
+//! recursion.
 
 use crate::Pos;
 
-/// What an operation does.
+/// Kind of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
-    /// Reads.
+    /// Reads data.
     Query,
-    /// Writes.
+    /// Writes data, then reads.
     Mutation,
-    /// A stream of answers.
+    /// Subscribes to a stream of responses.
     Subscription,
 }
 
-pub(crate) type SetId = usize;
+pub(crate) type SelectionSetId = usize;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ValueKind {
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Value {
     pub kind: ValueKind,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -42,10 +43,10 @@
 }
 
 impl Type {
-    pub fn named(&self) -> &str {
+    pub fn named_type(&self) -> &str {
         match self {
             Self::Named(name) => name,
-            Self::List(inner) | Self::NonNull(inner) => inner.named(),
+            Self::List(inner) | Self::NonNull(inner) => inner.named_type(),
         }
     }
 
@@ -75,14 +76,14 @@
 pub(crate) struct Argument {
     pub name: String,
     pub value: Value,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Directive {
     pub name: String,
     pub arguments: Vec<Argument>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -91,12 +92,12 @@
     pub name: String,
     pub arguments: Vec<Argument>,
     pub directives: Vec<Directive>,
-    pub set: Option<SetId>,
-    pub at: Pos,
+    pub selection_set: Option<SelectionSetId>,
+    pub pos: Pos,
 }
 
 impl Field {
-    pub fn key(&self) -> &str {
+    pub fn response_name(&self) -> &str {
         self.alias.as_ref().unwrap_or(&self.name)
     }
 }
@@ -104,53 +105,62 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Selection {
     Field(Field),
-    Spread { name: String, directives: Vec<Directive>, at: Pos },
-    Inline { condition: Option<String>, directives: Vec<Directive>, set: SetId, at: Pos },
+    FragmentSpread {
+        name: String,
+        directives: Vec<Directive>,
+        pos: Pos,
+    },
+    InlineFragment {
+        type_condition: Option<String>,
+        directives: Vec<Directive>,
+        selection_set: SelectionSetId,
+        pos: Pos,
+    },
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct VariableDef {
     pub name: String,
-    pub kind: Type,
+    pub ty: Type,
     pub default: Option<Value>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Operation {
+pub(crate) struct OperationDef {
     pub kind: OperationKind,
     pub name: Option<String>,
     pub variables: Vec<VariableDef>,
     pub directives: Vec<Directive>,
-    pub set: SetId,
-    pub at: Pos,
+    pub selection_set: SelectionSetId,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Fragment {
+pub(crate) struct FragmentDef {
     pub name: String,
-    pub condition: String,
+    pub type_condition: String,
     pub directives: Vec<Directive>,
-    pub set: SetId,
-    pub at: Pos,
+    pub selection_set: SelectionSetId,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct InputDef {
+pub(crate) struct InputValueDef {
     pub name: String,
-    pub kind: Type,
+    pub ty: Type,
     pub default: Option<Value>,
     pub directives: Vec<Directive>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct FieldDef {
     pub name: String,
-    pub arguments: Vec<InputDef>,
-    pub kind: Type,
+    pub arguments: Vec<InputValueDef>,
+    pub ty: Type,
     pub directives: Vec<Directive>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug)]
@@ -160,68 +170,74 @@
     Interface { interfaces: Vec<String>, fields: Vec<FieldDef> },
     Union(Vec<String>),
     Enum(Vec<String>),
-    Input(Vec<InputDef>),
+    Input(Vec<InputValueDef>),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Definition {
-    Schema { roots: Vec<(OperationKind, String)>, at: Pos },
-    Type { name: String, body: TypeBody, directives: Vec<Directive>, extend: bool, at: Pos },
-    Directive { name: String, arguments: Vec<InputDef>, at: Pos },
+pub(crate) enum TypeSystemDef {
+    Schema { root_operation_types: Vec<(OperationKind, String)>, pos: Pos },
+    Type { name: String, body: TypeBody, directives: Vec<Directive>, is_extension: bool, pos: Pos },
+    Directive { name: String, arguments: Vec<InputValueDef>, pos: Pos },
 }
 
-/// A parsed source: operations, fragments, and the type system where it holds one.
+/// A parsed document: operations, fragments and type system definitions.
 #[derive(Clone, Debug, Default)]
 pub struct Document {
-    pub(crate) operations: Vec<Operation>,
-    pub(crate) fragments: Vec<Fragment>,
-    pub(crate) definitions: Vec<Definition>,
-    pub(crate) sets: Vec<Vec<Selection>>,
-    /// How many tokens the source has.
-    pub tokens: usize,
+    pub(crate) operations: Vec<OperationDef>,
+    pub(crate) fragments: Vec<FragmentDef>,
+    pub(crate) type_system_definitions: Vec<TypeSystemDef>,
+    pub(crate) selection_sets: Vec<Vec<Selection>>,
+    /// Number of tokens in the source.
+    pub token_count: usize,
 }
 
 impl Document {
-    /// The operations in their order: kind and name.
+    /// Kind and name of each operation, in source order.
     pub fn operations(&self) -> impl Iterator<Item = (OperationKind, Option<&str>)> {
         self.operations.iter().map(|o| (o.kind, o.name.as_deref()))
     }
 
-    /// The names of the fragments.
-    pub fn fragments(&self) -> impl Iterator<Item = &str> {
+    /// Names of the fragments, in source order.
+    pub fn fragment_names(&self) -> impl Iterator<Item = &str> {
         self.fragments.iter().map(|f| f.name.as_str())
     }
 
-    /// How many definitions of a type system there are.
+    /// Number of type system definitions and extensions.
     #[must_use]
-    pub fn type_system(&self) -> usize {
-        self.definitions.len()
+    pub fn type_system_definition_count(&self) -> usize {
+        self.type_system_definitions.len()
     }
 
-    /// Every set that belongs to one, itself included, without those behind fragment spreads.
-    pub(crate) fn sets_below(&self, set: SetId) -> Vec<SetId> {
-        let (mut found, mut at) = (vec![set], 0);
-        while at < found.len() {
-            for selection in &self.sets[found[at]] {
+    /// The selection set itself and all selection sets nested in it. Fragment spreads are not followed.
+    pub(crate) fn nested_selection_sets(&self, selection_set: SelectionSetId) -> Vec<SelectionSetId> {
+        let (mut nested_selection_sets, mut index) = (vec![selection_set], 0);
+        while index < nested_selection_sets.len() {
+            for selection in &self.selection_sets[nested_selection_sets[index]] {
                 match selection {
-                    Selection::Field(Field { set: Some(set), .. }) | Selection::Inline { set, .. } => {
-                        found.push(*set)
+                    Selection::Field(Field { selection_set: Some(selection_set), .. })
+                    | Selection::InlineFragment { selection_set, .. } => {
+                        nested_selection_sets.push(*selection_set)
                     }
                     _ => {}
                 }
             }
-            at += 1;
+            index += 1;
         }
-        found
+        nested_selection_sets
     }
 
-    /// Names of the fragments spread anywhere in a set.
-    pub(crate) fn spreads_below(&self, set: SetId) -> Vec<(&str, Pos)> {
-        let sets = self.sets_below(set);
-        let spread = |s: &'_ Selection| matches!(s, Selection::Spread { .. });
-        let all = sets.into_iter().flat_map(|s| self.sets[s].iter()).filter(|s| spread(s));
+    /// Name and position of each fragment spread in the selection set or in one nested in it.
+    pub(crate) fn nested_fragment_spreads(&self, selection_set: SelectionSetId) -> Vec<(&str, Pos)> {
+        let selection_sets = self.nested_selection_sets(selection_set);
+        let spread = |s: &'_ Selection| matches!(s, Selection::FragmentSpread { .. });
+        let all =
+            selection_sets.into_iter().flat_map(|s| self.selection_sets[s].iter()).filter(|s| spread(s));
         all.filter_map(|s| {
-            if let Selection::Spread { name, at, .. } = s { Some((name.as_str(), *at)) } else { None }
+            if let Selection::FragmentSpread { name, pos, .. } = s {
+                Some((name.as_str(), *pos))
+            } else {
+                None
+            }
         })
         .collect()
     }
--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -1,36 +1,36 @@
-//! A schema built from its SDL, with the weights and list sizes of the Cost Directives specification.
+//! Schema built from its SDL, with the weights and list sizes of the IBM cost directive specification.
 
 use crate::ast::*;
 use crate::parser::parse;
-use crate::variables::literal;
-use crate::{DEPTH_MOST, Error, Limits, OperationKind, Pos};
+use crate::variables::check_literal;
+use crate::{Error, HARD_DEPTH_LIMIT, Limits, OperationKind, Pos};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(crate) type TypeId = usize;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Input {
-    pub kind: Type,
+pub(crate) struct InputValue {
+    pub ty: Type,
     pub default: Option<Value>,
     pub weight: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct ListSize {
-    pub assumed: Option<f64>,
-    pub slicing: Vec<String>,
-    pub sized: Vec<String>,
-    pub require_one: bool,
+    pub assumed_size: Option<f64>,
+    pub slicing_arguments: Vec<String>,
+    pub sized_fields: Vec<String>,
+    pub require_one_slicing: bool,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct OutField {
-    pub kind: Type,
-    pub named: TypeId,
-    pub arguments: BTreeMap<String, Input>,
+pub(crate) struct OutputField {
+    pub ty: Type,
+    pub named_type: TypeId,
+    pub arguments: BTreeMap<String, InputValue>,
     pub weight: Option<f64>,
     pub list_size: Option<ListSize>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,15 +47,15 @@
 pub(crate) struct TypeDef {
     pub name: String,
     pub kind: TypeKind,
-    pub fields: BTreeMap<String, OutField>,
-    pub inputs: BTreeMap<String, Input>,
-    pub values: BTreeSet<String>,
-    /// Interfaces of an object or interface, members of a union.
-    pub related: BTreeSet<String>,
-    /// The objects that a value of this type can be; itself for an object.
-    pub possible: BTreeSet<TypeId>,
+    pub fields: BTreeMap<String, OutputField>,
+    pub input_fields: BTreeMap<String, InputValue>,
+    pub enum_values: BTreeSet<String>,
+    /// Names of the interfaces of an object or interface type, or of the members of a union.
+    pub related_types: BTreeSet<String>,
+    /// Object types that a value of this type can have; for an object type, itself.
+    pub possible_types: BTreeSet<TypeId>,
     pub weight: Option<f64>,
-    pub at: Pos,
+    pub pos: Pos,
 }
 
 impl TypeDef {
@@ -63,24 +63,24 @@
         matches!(self.kind, TypeKind::Object | TypeKind::Interface | TypeKind::Union)
     }
 
-    pub fn is_input(&self) -> bool {
+    pub fn is_input_type(&self) -> bool {
         matches!(self.kind, TypeKind::Scalar | TypeKind::Enum | TypeKind::Input)
     }
 }
 
-/// A checked schema.
+/// A valid schema.
 #[derive(Clone, Debug)]
 pub struct Schema {
     pub(crate) types: Vec<TypeDef>,
-    pub(crate) index: BTreeMap<String, TypeId>,
-    pub(crate) directives: BTreeMap<String, BTreeMap<String, Input>>,
+    pub(crate) type_ids: BTreeMap<String, TypeId>,
+    pub(crate) directives: BTreeMap<String, BTreeMap<String, InputValue>>,
     query: TypeId,
     mutation: Option<TypeId>,
     subscription: Option<TypeId>,
 }
 
-/// What every schema holds: the scalars of section 3.5, the directives of 3.13 and of the Cost Directives
-/// specification, and introspection (section 4.2), which costs nothing.
+/// Definitions in every schema: the built-in scalars (section 3.5) and directives (section 3.13), the directives of the
+/// IBM cost directive specification, and the introspection types (section 4.2), whose type cost is 0.
 const BUILT_IN: &str = r#"
 scalar Int scalar Float scalar String scalar Boolean scalar ID
 directive @skip(if: Boolean!) on FIELD
@@ -111,23 +111,28 @@
     /// Builds a schema from its SDL.
     ///
     /// # Errors
-    /// Every fault found, with its place.
+    /// All errors found, with their positions.
     pub fn parse(source: &str) -> Result<Self, Vec<Error>> {
-        let limits =
-            Limits { bytes: 8 << 20, tokens: 1 << 20, depth: DEPTH_MOST, aliases: 0, ..Limits::default() };
+        let limits = Limits {
+            bytes: 8 << 20,
+            tokens: 1 << 20,
+            depth: HARD_DEPTH_LIMIT,
+            aliases: 0,
+            ..Limits::default()
+        };
         let document = parse(source, &limits).map_err(|e| vec![e])?;
         let built_in = parse(BUILT_IN, &limits).map_err(|e| vec![e])?;
-        let mut builder = Builder::default();
-        builder.take(&built_in, true);
-        builder.take(&document, false);
-        builder.finish(&document)
+        let mut builder = SchemaBuilder::default();
+        builder.add_document(&built_in, true);
+        builder.add_document(&document, false);
+        builder.build(&document)
     }
 
-    pub(crate) fn find(&self, name: &str) -> Option<TypeId> {
-        self.index.get(name).copied()
+    pub(crate) fn type_id(&self, name: &str) -> Option<TypeId> {
+        self.type_ids.get(name).copied()
     }
 
-    pub(crate) fn root(&self, kind: OperationKind) -> Option<TypeId> {
+    pub(crate) fn root_type(&self, kind: OperationKind) -> Option<TypeId> {
         match kind {
             OperationKind::Query => Some(self.query),
             OperationKind::Mutation => self.mutation,
@@ -135,38 +140,39 @@
         }
     }
 
-    /// The fields of a root type: what classes are given to.
+    /// Names of the fields of a root operation type, without introspection. The settings assign classes to them.
     pub fn root_fields(&self, kind: OperationKind) -> impl Iterator<Item = &str> {
-        let root = self.root(kind).map(|t| &self.types[t].fields);
-        root.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
+        let fields = self.root_type(kind).map(|t| &self.types[t].fields);
+        fields.into_iter().flatten().map(|(name, _)| name.as_str()).filter(|n| !n.starts_with("__"))
     }
 
-    /// The weight of one instance of a type: `@cost`, else 1 for composite types and 0 for leaves.
+    /// Weight of one value of a type: `@cost`, or else 1 for composite and input object types and 0 for leaf types. For
+    /// an abstract type, the maximum over its possible types.
     pub(crate) fn type_weight(&self, id: TypeId) -> f64 {
-        let one = |id: TypeId| {
+        let instance_weight = |id: TypeId| {
             let def = &self.types[id];
             def.weight.unwrap_or(if def.is_composite() || def.kind == TypeKind::Input { 1.0 } else { 0.0 })
         };
         let def = &self.types[id];
         if matches!(def.kind, TypeKind::Interface | TypeKind::Union) {
-            return def.possible.iter().map(|p| one(*p)).fold(0.0, f64::max);
+            return def.possible_types.iter().map(|p| instance_weight(*p)).fold(0.0, f64::max);
         }
-        one(id)
+        instance_weight(id)
     }
 }
 
 #[derive(Default)]
-struct Builder {
+struct SchemaBuilder {
     types: Vec<TypeDef>,
-    index: BTreeMap<String, TypeId>,
-    directives: BTreeMap<String, BTreeMap<String, Input>>,
-    roots: Vec<(OperationKind, String, Pos)>,
+    type_ids: BTreeMap<String, TypeId>,
+    directives: BTreeMap<String, BTreeMap<String, InputValue>>,
+    root_operation_types: Vec<(OperationKind, String, Pos)>,
     errors: Vec<Error>,
 }
 
-impl Builder {
-    fn fault(&mut self, at: Pos, message: String) {
-        self.errors.push(Error::new(at, message));
+impl SchemaBuilder {
+    fn error(&mut self, pos: Pos, message: String) {
+        self.errors.push(Error::new(pos, message));
     }
 
     fn weight(&mut self, directives: &[Directive]) -> Option<f64> {
@@ -177,94 +183,103 @@
             _ => None,
         };
         if parsed.is_none() {
-            self.fault(cost.at, "@cost needs weight: a string that holds a finite number".into());
+            self.error(cost.pos, "@cost needs weight: a string that holds a finite number".into());
         }
         parsed
     }
 
     fn list_size(&mut self, field: &FieldDef) -> Option<ListSize> {
         let directive = field.directives.iter().find(|d| d.name == "listSize")?;
-        let mut size = ListSize { assumed: None, slicing: Vec::new(), sized: Vec::new(), require_one: true };
+        let mut list_size = ListSize {
+            assumed_size: None,
+            slicing_arguments: Vec::new(),
+            sized_fields: Vec::new(),
+            require_one_slicing: true,
+        };
         for argument in &directive.arguments {
-            let strings = match &argument.value.kind {
+            let names = match &argument.value.kind {
                 ValueKind::List(values) => {
-                    let text =
+                    let string =
                         |v: &Value| if let ValueKind::Str(s) = &v.kind { Some(s.clone()) } else { None };
-                    values.iter().map(text).collect::<Option<Vec<_>>>()
+                    values.iter().map(string).collect::<Option<Vec<_>>>()
                 }
                 _ => None,
             };
-            match (argument.name.as_str(), &argument.value.kind, strings) {
+            match (argument.name.as_str(), &argument.value.kind, names) {
                 ("assumedSize", ValueKind::Int(n), _) => {
-                    size.assumed = n.parse().ok().filter(|n: &f64| *n >= 0.0)
+                    list_size.assumed_size = n.parse().ok().filter(|n: &f64| *n >= 0.0)
                 }
-                ("slicingArguments", _, Some(names)) => size.slicing = names,
-                ("sizedFields", _, Some(names)) => size.sized = names,
-                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => size.require_one = *b,
+                ("slicingArguments", _, Some(names)) => list_size.slicing_arguments = names,
+                ("sizedFields", _, Some(names)) => list_size.sized_fields = names,
+                ("requireOneSlicingArgument", ValueKind::Bool(b), _) => list_size.require_one_slicing = *b,
                 (name, ..) => {
-                    self.fault(argument.at, format!("@listSize: `{name}` is unknown or of the wrong type"))
+                    self.error(argument.pos, format!("@listSize: `{name}` is unknown or of the wrong type"))
                 }
             }
         }
-        for name in &size.slicing {
+        for name in &list_size.slicing_arguments {
             let argument = field.arguments.iter().find(|a| a.name == *name);
-            if argument.is_none_or(|a| a.kind.is_list() || a.kind.named() != "Int") {
+            if argument.is_none_or(|a| a.ty.is_list() || a.ty.named_type() != "Int") {
                 let text =
                     format!("@listSize: slicing argument `{name}` is no Int argument of `{}`", field.name);
-                self.fault(directive.at, text);
+                self.error(directive.pos, text);
             }
         }
-        Some(size)
+        Some(list_size)
     }
 
-    fn input(&mut self, def: &InputDef) -> Input {
-        Input { kind: def.kind.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
+    fn input_value(&mut self, def: &InputValueDef) -> InputValue {
+        InputValue { ty: def.ty.clone(), default: def.default.clone(), weight: self.weight(&def.directives) }
     }
 
-    fn inputs(&mut self, defs: &[InputDef]) -> BTreeMap<String, Input> {
+    fn input_values(&mut self, defs: &[InputValueDef]) -> BTreeMap<String, InputValue> {
         let mut inputs = BTreeMap::new();
         for def in defs {
-            let input = self.input(def);
+            let input = self.input_value(def);
             if inputs.insert(def.name.clone(), input).is_some() {
-                self.fault(def.at, format!("`{}` is defined twice", def.name));
+                self.error(def.pos, format!("`{}` is defined twice", def.name));
             }
         }
         inputs
     }
 
-    fn take(&mut self, document: &Document, built_in: bool) {
-        let first =
-            document.operations.iter().map(|o| o.at).chain(document.fragments.iter().map(|f| f.at)).min();
-        if let Some(at) = first {
-            self.fault(at, "a schema holds no operations and no fragments".into());
+    fn add_document(&mut self, document: &Document, built_in: bool) {
+        let first_executable =
+            document.operations.iter().map(|o| o.pos).chain(document.fragments.iter().map(|f| f.pos)).min();
+        if let Some(pos) = first_executable {
+            self.error(pos, "a schema holds no operations and no fragments".into());
         }
-        let extends = |d: &&Definition| matches!(d, Definition::Type { extend: true, .. });
-        let definitions = document.definitions.iter();
-        let ordered = definitions.clone().filter(|d| !extends(d)).chain(definitions.filter(extends));
+        let is_extension = |d: &&TypeSystemDef| matches!(d, TypeSystemDef::Type { is_extension: true, .. });
+        let definitions = document.type_system_definitions.iter();
+        let ordered =
+            definitions.clone().filter(|d| !is_extension(d)).chain(definitions.filter(is_extension));
         for definition in ordered {
             match definition {
-                Definition::Schema { roots, at } => {
-                    self.roots.extend(roots.iter().map(|(kind, name)| (*kind, name.clone(), *at)));
+                TypeSystemDef::Schema { root_operation_types, pos } => {
+                    self.root_operation_types
+                        .extend(root_operation_types.iter().map(|(kind, name)| (*kind, name.clone(), *pos)));
                 }
-                Definition::Directive { name, arguments, at } => {
-                    let arguments = self.inputs(arguments);
-                    let known = self.directives.insert(name.clone(), arguments).is_some();
-                    let stated = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
-                    if known && !stated.contains(&name.as_str()) {
-                        self.fault(*at, format!("directive `@{name}` is defined twice"));
+                TypeSystemDef::Directive { name, arguments, pos } => {
+                    let arguments = self.input_values(arguments);
+                    let is_known = self.directives.insert(name.clone(), arguments).is_some();
+                    let redefinable = ["cost", "listSize", "skip", "include", "deprecated", "specifiedBy"];
+                    if is_known && !redefinable.contains(&name.as_str()) {
+                        self.error(*pos, format!("directive `@{name}` is defined twice"));
                     }
                 }
-                Definition::Type { name, body, directives, extend, at } => {
+                TypeSystemDef::Type { name, body, directives, is_extension, pos } => {
                     if name.starts_with("__") && !built_in {
-                        self.fault(*at, format!("`{name}`: names with two underscores are reserved"));
+                        self.error(*pos, format!("`{name}`: names with two underscores are reserved"));
                     }
-                    self.define(name, body, directives, *extend, *at);
+                    self.add_type(name, body, directives, *is_extension, *pos);
                 }
             }
         }
     }
 
-    fn define(&mut self, name: &str, body: &TypeBody, directives: &[Directive], extend: bool, at: Pos) {
+    fn add_type(
+        &mut self, name: &str, body: &TypeBody, directives: &[Directive], is_extension: bool, pos: Pos,
+    ) {
         let kind = match body {
             TypeBody::Scalar => TypeKind::Scalar,
             TypeBody::Object { .. } => TypeKind::Object,
@@ -274,198 +289,219 @@
             TypeBody::Input(_) => TypeKind::Input,
         };
         let weight = self.weight(directives);
-        let known = self.index.get(name).copied();
-        let id = match (known, extend) {
+        let existing = self.type_ids.get(name).copied();
+        let id = match (existing, is_extension) {
             (Some(id), true) if self.types[id].kind == kind => id,
             (Some(_), true) => {
-                return self.fault(at, format!("`{name}` is extended as another kind of type"));
+                return self.error(pos, format!("`{name}` is extended as another kind of type"));
             }
-            (None, true) => return self.fault(at, format!("`{name}` is extended and not defined")),
-            (Some(_), false) => return self.fault(at, format!("type `{name}` is defined twice")),
+            (None, true) => return self.error(pos, format!("`{name}` is extended and not defined")),
+            (Some(_), false) => return self.error(pos, format!("type `{name}` is defined twice")),
             (None, false) => {
-                let (fields, inputs, values) = Default::default();
-                let (related, possible) = Default::default();
+                let (fields, input_fields, enum_values) = Default::default();
+                let (related_types, possible_types) = Default::default();
                 let name = name.to_owned();
-                self.index.insert(name.clone(), self.types.len());
+                self.type_ids.insert(name.clone(), self.types.len());
                 self.types.push(TypeDef {
                     name,
                     kind,
                     fields,
-                    inputs,
-                    values,
-                    related,
-                    possible,
+                    input_fields,
+                    enum_values,
+                    related_types,
+                    possible_types,
                     weight: None,
-                    at,
+                    pos,
                 });
                 self.types.len() - 1
             }
         };
         let mut fields = Vec::new();
-        let mut related = Vec::new();
+        let mut related_types = Vec::new();
         match body {
             TypeBody::Scalar => {}
             TypeBody::Object { interfaces, fields: f } | TypeBody::Interface { interfaces, fields: f } => {
-                related.clone_from(interfaces);
+                related_types.clone_from(interfaces);
                 fields.clone_from(f);
             }
-            TypeBody::Union(members) => related.clone_from(members),
-            TypeBody::Enum(values) => self.types[id].values.extend(values.iter().cloned()),
+            TypeBody::Union(members) => related_types.clone_from(members),
+            TypeBody::Enum(values) => self.types[id].enum_values.extend(values.iter().cloned()),
             TypeBody::Input(inputs) => {
-                let inputs = self.inputs(inputs);
-                self.types[id].inputs.extend(inputs);
+                let inputs = self.input_values(inputs);
+                self.types[id].input_fields.extend(inputs);
             }
         }
         for field in fields {
-            let arguments = self.inputs(&field.arguments);
+            let arguments = self.input_values(&field.arguments);
             let (weight, list_size) = (self.weight(&field.directives), self.list_size(&field));
             if field.name.starts_with("__") {
-                self.fault(field.at, format!("`{}`: names with two underscores are reserved", field.name));
+                self.error(field.pos, format!("`{}`: names with two underscores are reserved", field.name));
             }
-            let made =
-                OutField { kind: field.kind.clone(), named: 0, arguments, weight, list_size, at: field.at };
-            if self.types[id].fields.insert(field.name.clone(), made).is_some() {
-                self.fault(field.at, format!("field `{name}.{}` is defined twice", field.name));
+            let output_field = OutputField {
+                ty: field.ty.clone(),
+                named_type: 0,
+                arguments,
+                weight,
+                list_size,
+                pos: field.pos,
+            };
+            if self.types[id].fields.insert(field.name.clone(), output_field).is_some() {
+                self.error(field.pos, format!("field `{name}.{}` is defined twice", field.name));
             }
         }
-        self.types[id].related.extend(related);
+        self.types[id].related_types.extend(related_types);
         self.types[id].weight = weight.or(self.types[id].weight);
     }
 
-    fn finish(mut self, document: &Document) -> Result<Schema, Vec<Error>> {
+    fn build(mut self, document: &Document) -> Result<Schema, Vec<Error>> {
         let start = Pos { line: 1, column: 1 };
-        let stated = !self.roots.is_empty();
-        let mut root = |kind, default: &str| {
-            let found = self.roots.iter().find(|(k, ..)| *k == kind).cloned();
-            let (name, at) = match found {
-                Some((_, name, at)) => (name, at),
-                None if stated => return None,
+        let has_schema_definition = !self.root_operation_types.is_empty();
+        let mut root_type = |kind, default: &str| {
+            let found = self.root_operation_types.iter().find(|(k, ..)| *k == kind).cloned();
+            let (name, pos) = match found {
+                Some((_, name, pos)) => (name, pos),
+                None if has_schema_definition => return None,
                 None => (default.to_owned(), start),
             };
-            match self.index.get(&name) {
+            match self.type_ids.get(&name) {
                 Some(id) if self.types[*id].kind == TypeKind::Object => Some(*id),
-                _ if stated => {
-                    self.errors.push(Error::new(at, format!("root type `{name}` is no object type")));
+                _ if has_schema_definition => {
+                    self.errors.push(Error::new(pos, format!("root type `{name}` is no object type")));
                     None
                 }
                 _ => None,
             }
         };
-        let query = root(OperationKind::Query, "Query");
-        let mutation = root(OperationKind::Mutation, "Mutation");
-        let subscription = root(OperationKind::Subscription, "Subscription");
+        let query = root_type(OperationKind::Query, "Query");
+        let mutation = root_type(OperationKind::Mutation, "Mutation");
+        let subscription = root_type(OperationKind::Subscription, "Subscription");
         if query.is_none() {
-            self.fault(start, "a schema needs a query root: `type Query`, or `schema { query: ... }`".into());
+            self.error(start, "a schema needs a query root: `type Query`, or `schema { query: ... }`".into());
         }
-        self.resolve();
+        self.resolve_types();
         if let Some(query) = query {
-            let meta = |named: TypeId, kind: &str, arguments| {
+            let meta_field = |named_type: TypeId, type_name: &str, arguments| {
                 let (weight, list_size) = (Some(0.0), None);
-                OutField { kind: Type::Named(kind.into()), named, arguments, weight, list_size, at: start }
+                OutputField {
+                    ty: Type::Named(type_name.into()),
+                    named_type,
+                    arguments,
+                    weight,
+                    list_size,
+                    pos: start,
+                }
             };
-            let (schema, one) = (self.index["__Schema"], self.index["__Type"]);
+            let (introspection_schema, introspection_type) =
+                (self.type_ids["__Schema"], self.type_ids["__Type"]);
             let name = Type::NonNull(Box::new(Type::Named("String".into())));
-            let name = Input { kind: name, default: None, weight: None };
+            let name = InputValue { ty: name, default: None, weight: None };
             let fields = &mut self.types[query].fields;
-            fields.insert("__schema".into(), meta(schema, "__Schema", BTreeMap::new()));
-            fields.insert("__type".into(), meta(one, "__Type", BTreeMap::from([("name".into(), name)])));
+            fields.insert("__schema".into(), meta_field(introspection_schema, "__Schema", BTreeMap::new()));
+            fields.insert(
+                "__type".into(),
+                meta_field(introspection_type, "__Type", BTreeMap::from([("name".into(), name)])),
+            );
         }
-        let (types, index, directives) = (self.types, self.index, self.directives);
+        let (types, type_ids, directives) = (self.types, self.type_ids, self.directives);
         let mut errors = self.errors;
         let Some(query) = query else { return Err(errors) };
-        let schema = Schema { types, index, directives, query, mutation, subscription };
+        let schema = Schema { types, type_ids, directives, query, mutation, subscription };
         schema.check_defaults(document, &mut errors);
         if errors.is_empty() { Ok(schema) } else { Err(errors) }
     }
 
-    /// Resolves names, finds possible types, and checks what refers to what.
-    fn resolve(&mut self) {
+    /// Checks the references between types, and fills in the possible types and the named types of fields.
+    fn resolve_types(&mut self) {
         let mut errors = Vec::new();
         for id in 0..self.types.len() {
             let def = &self.types[id];
-            let fault = |at: Pos, text: String| Error::new(at, text);
-            let empty = match def.kind {
+            let error = |pos: Pos, text: String| Error::new(pos, text);
+            let is_empty = match def.kind {
                 TypeKind::Object | TypeKind::Interface => def.fields.is_empty(),
-                TypeKind::Union => def.related.is_empty(),
-                TypeKind::Enum => def.values.is_empty(),
-                TypeKind::Input => def.inputs.is_empty(),
+                TypeKind::Union => def.related_types.is_empty(),
+                TypeKind::Enum => def.enum_values.is_empty(),
+                TypeKind::Input => def.input_fields.is_empty(),
                 TypeKind::Scalar => false,
             };
-            if empty {
-                errors.push(fault(def.at, format!("type `{}` has no fields, members or values", def.name)));
+            if is_empty {
+                errors.push(error(def.pos, format!("type `{}` has no fields, members or values", def.name)));
             }
-            let inputs = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.at, a)));
-            for (at, (name, input)) in inputs.chain(def.inputs.iter().map(|i| (def.at, i))) {
-                let found = self.index.get(input.kind.named()).map(|t| &self.types[*t]);
-                if found.is_none_or(|t| !t.is_input()) {
-                    errors.push(fault(at, format!("`{name}`: `{}` is no input type", input.kind.named())));
+            let arguments = def.fields.values().flat_map(|f| f.arguments.iter().map(move |a| (f.pos, a)));
+            for (pos, (name, input)) in arguments.chain(def.input_fields.iter().map(|i| (def.pos, i))) {
+                let found = self.type_ids.get(input.ty.named_type()).map(|t| &self.types[*t]);
+                if found.is_none_or(|t| !t.is_input_type()) {
+                    errors
+                        .push(error(pos, format!("`{name}`: `{}` is no input type", input.ty.named_type())));
                 }
             }
-            for related in &def.related {
-                let wanted = if def.kind == TypeKind::Union { TypeKind::Object } else { TypeKind::Interface };
+            for related in &def.related_types {
+                let expected =
+                    if def.kind == TypeKind::Union { TypeKind::Object } else { TypeKind::Interface };
                 let Some(other) =
-                    self.index.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == wanted)
+                    self.type_ids.get(related).map(|t| &self.types[*t]).filter(|t| t.kind == expected)
                 else {
-                    errors.push(fault(def.at, format!("`{}`: `{related}` is no {wanted:?}", def.name)));
+                    errors.push(error(def.pos, format!("`{}`: `{related}` is no {expected:?}", def.name)));
                     continue;
                 };
-                for name in other.fields.keys().filter(|_| wanted == TypeKind::Interface) {
+                for name in other.fields.keys().filter(|_| expected == TypeKind::Interface) {
                     if !def.fields.contains_key(name) {
                         let text = format!("`{}` lacks field `{name}` of interface `{related}`", def.name);
-                        errors.push(fault(def.at, text));
+                        errors.push(error(def.pos, text));
                     }
                 }
             }
             for (name, field) in &def.fields {
-                let found = self.index.get(field.kind.named()).map(|t| &self.types[*t]);
+                let found = self.type_ids.get(field.ty.named_type()).map(|t| &self.types[*t]);
                 let Some(found) = found.filter(|t| t.kind != TypeKind::Input) else {
-                    errors.push(fault(
-                        field.at,
-                        format!("`{name}`: `{}` is no output type", field.kind.named()),
+                    errors.push(error(
+                        field.pos,
+                        format!("`{name}`: `{}` is no output type", field.ty.named_type()),
                     ));
                     continue;
                 };
-                for sized in field.list_size.iter().flat_map(|s| &s.sized) {
-                    if found.fields.get(sized).is_none_or(|f| !f.kind.is_list()) {
-                        let text = format!("@listSize: sized field `{sized}` is no list of `{}`", found.name);
-                        errors.push(fault(field.at, text));
+                for sized_field in field.list_size.iter().flat_map(|s| &s.sized_fields) {
+                    if found.fields.get(sized_field).is_none_or(|f| !f.ty.is_list()) {
+                        let text =
+                            format!("@listSize: sized field `{sized_field}` is no list of `{}`", found.name);
+                        errors.push(error(field.pos, text));
                     }
                 }
-                if let Some(size) = &field.list_size
-                    && !field.kind.is_list()
-                    && size.sized.is_empty()
+                if let Some(list_size) = &field.list_size
+                    && !field.ty.is_list()
+                    && list_size.sized_fields.is_empty()
                 {
-                    errors.push(fault(
-                        field.at,
+                    errors.push(error(
+                        field.pos,
                         format!("@listSize: `{name}` is no list and names no sizedFields"),
                     ));
                 }
             }
         }
         self.errors.extend(errors);
-        let find = |name: &str| self.index.get(name).copied();
+        let id = |name: &str| self.type_ids.get(name).copied();
         let objects: Vec<TypeId> =
             (0..self.types.len()).filter(|t| self.types[*t].kind == TypeKind::Object).collect();
-        let possible: Vec<BTreeSet<TypeId>> = (0..self.types.len())
-            .map(|id| match self.types[id].kind {
-                TypeKind::Object => BTreeSet::from([id]),
+        let possible_types: Vec<BTreeSet<TypeId>> = (0..self.types.len())
+            .map(|type_id| match self.types[type_id].kind {
+                TypeKind::Object => BTreeSet::from([type_id]),
                 TypeKind::Interface => {
-                    let name = &self.types[id].name;
-                    objects.iter().copied().filter(|o| self.types[*o].related.contains(name)).collect()
+                    let name = &self.types[type_id].name;
+                    objects.iter().copied().filter(|o| self.types[*o].related_types.contains(name)).collect()
                 }
-                TypeKind::Union => self.types[id].related.iter().filter_map(|m| find(m)).collect(),
+                TypeKind::Union => self.types[type_id].related_types.iter().filter_map(|m| id(m)).collect(),
                 _ => BTreeSet::new(),
             })
             .collect();
-        let named: Vec<BTreeMap<String, TypeId>> = self
+        let named_types: Vec<BTreeMap<String, TypeId>> = self
             .types
             .iter()
-            .map(|t| t.fields.iter().filter_map(|(n, f)| Some((n.clone(), find(f.kind.named())?))).collect())
+            .map(|t| t.fields.iter().filter_map(|(n, f)| Some((n.clone(), id(f.ty.named_type())?))).collect())
             .collect();
-        for ((def, possible), named) in self.types.iter_mut().zip(possible).zip(named) {
-            def.possible = possible;
+        for ((def, possible_types), named_types) in self.types.iter_mut().zip(possible_types).zip(named_types)
+        {
+            def.possible_types = possible_types;
             for (name, field) in &mut def.fields {
-                field.named = named.get(name).copied().unwrap_or(0);
+                field.named_type = named_types.get(name).copied().unwrap_or(0);
             }
         }
     }
@@ -473,19 +509,19 @@
 
 impl Schema {
     fn check_defaults(&self, document: &Document, errors: &mut Vec<Error>) {
-        let mut check = |def: &InputDef| {
+        let mut check = |def: &InputValueDef| {
             if let Some(default) = &def.default {
-                literal(self, default, &def.kind, &mut |_, _, _| {}, errors);
+                check_literal(self, default, &def.ty, &mut |_, _, _| {}, errors);
             }
         };
-        for definition in &document.definitions {
+        for definition in &document.type_system_definitions {
             match definition {
-                Definition::Type { body: TypeBody::Input(inputs), .. } => inputs.iter().for_each(&mut check),
-                Definition::Type {
+                TypeSystemDef::Type { body: TypeBody::Input(defs), .. } => defs.iter().for_each(&mut check),
+                TypeSystemDef::Type {
                     body: TypeBody::Object { fields, .. } | TypeBody::Interface { fields, .. },
                     ..
                 } => fields.iter().flat_map(|f| &f.arguments).for_each(&mut check),
-                Definition::Directive { arguments, .. } => arguments.iter().for_each(&mut check),
+                TypeSystemDef::Directive { arguments, .. } => arguments.iter().for_each(&mut check),
                 _ => {}
             }
         }
--- a/crates/graphql/src/variables.rs
+++ b/crates/graphql/src/variables.rs
@@ -1,46 +1,49 @@
-//! Input values: literals checked against types, variables coerced (GraphQL specification, sections 3.x "Input
-//! Coercion", 5.6 and 6.1.2).
+//! Input values: checks literals against types and coerces variables (GraphQL specification, "Input Coercion" in
+//! section 3, and sections 5.6 and 6.1.2).
 
 use crate::ast::*;
 use crate::schema::{Schema, TypeKind};
 use crate::{Error, Pos};
 use serde_json::{Map, Value as Json};
 
-type OnVariable<'f, 'd> = &'f mut dyn FnMut(&'d str, Type, Pos);
+type VariableCallback<'f, 'd> = &'f mut dyn FnMut(&'d str, Type, Pos);
 
-/// Checks a literal against a type; tells of each variable in it with the type its place wants.
-pub(crate) fn literal<'d>(
-    schema: &Schema, value: &'d Value, kind: &Type, on: OnVariable<'_, 'd>, errors: &mut Vec<Error>,
+/// Checks a literal against a type, and calls `visit` for each variable in it with the type expected at its location.
+pub(crate) fn check_literal<'d>(
+    schema: &Schema, value: &'d Value, ty: &Type, visit: VariableCallback<'_, 'd>, errors: &mut Vec<Error>,
 ) {
-    let wrong = |what: &str| Error::new(value.at, format!("expected a value of type `{kind}`, found {what}"));
-    match (&value.kind, kind) {
-        (ValueKind::Variable(name), _) => on(name, kind.clone(), value.at),
-        (ValueKind::Null, Type::NonNull(_)) => errors.push(wrong("null")),
+    let mismatch =
+        |what: &str| Error::new(value.pos, format!("expected a value of type `{ty}`, found {what}"));
+    match (&value.kind, ty) {
+        (ValueKind::Variable(name), _) => visit(name, ty.clone(), value.pos),
+        (ValueKind::Null, Type::NonNull(_)) => errors.push(mismatch("null")),
         (ValueKind::Null, _) => {}
-        (_, Type::NonNull(inner)) => literal(schema, value, inner, on, errors),
+        (_, Type::NonNull(inner)) => check_literal(schema, value, inner, visit, errors),
         (ValueKind::List(values), Type::List(inner)) => {
-            values.iter().for_each(|v| literal(schema, v, inner, on, errors));
+            values.iter().for_each(|v| check_literal(schema, v, inner, visit, errors));
         }
-        // A single value stands for a list of one (section 3.11).
-        (_, Type::List(inner)) => literal(schema, value, inner, on, errors),
+        // A single value is coerced to a list of one (section 3.11).
+        (_, Type::List(inner)) => check_literal(schema, value, inner, visit, errors),
         (found, Type::Named(name)) => {
-            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return };
-            let fits = match (def.kind.clone(), found) {
-                (TypeKind::Scalar, _) => scalar(name, found),
-                (TypeKind::Enum, ValueKind::Enum(v)) => def.values.contains(v),
+            let Some(def) = schema.type_id(name).map(|t| &schema.types[t]) else { return };
+            let is_valid = match (def.kind.clone(), found) {
+                (TypeKind::Scalar, _) => scalar_accepts(name, found),
+                (TypeKind::Enum, ValueKind::Enum(v)) => def.enum_values.contains(v),
                 (TypeKind::Input, ValueKind::Object(fields)) => {
                     for (field, value) in fields {
-                        match def.inputs.get(field) {
-                            Some(input) => literal(schema, value, &place(input), on, errors),
-                            None => errors
-                                .push(Error::new(value.at, format!("`{name}` has no input field `{field}`"))),
+                        match def.input_fields.get(field) {
+                            Some(input) => check_literal(schema, value, &location_type(input), visit, errors),
+                            None => errors.push(Error::new(
+                                value.pos,
+                                format!("`{name}` has no input field `{field}`"),
+                            )),
                         }
                     }
-                    for (field, input) in &def.inputs {
-                        let given = fields.iter().any(|(n, _)| n == field);
-                        if !given && matches!(input.kind, Type::NonNull(_)) && input.default.is_none() {
+                    for (field, input) in &def.input_fields {
+                        let is_given = fields.iter().any(|(n, _)| n == field);
+                        if !is_given && matches!(input.ty, Type::NonNull(_)) && input.default.is_none() {
                             errors.push(Error::new(
-                                value.at,
+                                value.pos,
                                 format!("input field `{name}.{field}` is required"),
                             ));
                         }
@@ -49,19 +52,19 @@
                 }
                 _ => false,
             };
-            if !fits {
-                errors.push(wrong(shown(found)));
+            if !is_valid {
+                errors.push(mismatch(describe(found)));
             }
         }
     }
 }
 
-/// The type that a place wants of a variable: one with a default takes a nullable variable (section 5.8.5).
-pub(crate) fn place(input: &crate::schema::Input) -> Type {
-    if input.default.is_some() { input.kind.nullable().clone() } else { input.kind.clone() }
+/// Type expected of a variable used for an input value: nullable if the input value has a default (section 5.8.5).
+pub(crate) fn location_type(input: &crate::schema::InputValue) -> Type {
+    if input.default.is_some() { input.ty.nullable().clone() } else { input.ty.clone() }
 }
 
-fn shown(value: &ValueKind) -> &'static str {
+fn describe(value: &ValueKind) -> &'static str {
     match value {
         ValueKind::Variable(_) => "a variable",
         ValueKind::Int(_) => "an integer (or one out of range)",
@@ -75,7 +78,7 @@
     }
 }
 
-fn scalar(name: &str, value: &ValueKind) -> bool {
+fn scalar_accepts(name: &str, value: &ValueKind) -> bool {
     match name {
         "Int" => matches!(value, ValueKind::Int(n) if n.parse::<i32>().is_ok()),
         "Float" => {
@@ -84,31 +87,31 @@
         "String" => matches!(value, ValueKind::Str(_)),
         "Boolean" => matches!(value, ValueKind::Bool(_)),
         "ID" => matches!(value, ValueKind::Str(_) | ValueKind::Int(_)),
-        // A custom scalar's values are its service's affair (section 3.5).
+        // The backend defines and checks the values of custom scalars (section 3.5).
         _ => true,
     }
 }
 
-/// Coerces the variables of an operation from JSON.
-pub(crate) fn coerce_all(
-    schema: &Schema, defs: &[VariableDef], given: Option<&Map<String, Json>>, errors: &mut Vec<Error>,
+/// Coerces the variables of a request to the types that the operation declares (section 6.1.2).
+pub(crate) fn coerce_variables(
+    schema: &Schema, defs: &[VariableDef], values: Option<&Map<String, Json>>, errors: &mut Vec<Error>,
 ) -> Map<String, Json> {
     let mut coerced = Map::new();
     for def in defs {
         let path = format!("${}", def.name);
-        match (given.and_then(|g| g.get(&def.name)), &def.default) {
-            (Some(json), _) => match coerce(schema, json, &def.kind, &path) {
+        match (values.and_then(|v| v.get(&def.name)), &def.default) {
+            (Some(json), _) => match coerce(schema, json, &def.ty, &path) {
                 Ok(value) => drop(coerced.insert(def.name.clone(), value)),
                 Err(message) => errors.push(Error { message, at: None }),
             },
             (None, Some(default)) => {
-                if let Some(value) = resolve(default, &Map::new()) {
+                if let Some(value) = to_json(default, &Map::new()) {
                     coerced.insert(def.name.clone(), value);
                 }
             }
-            (None, None) if matches!(def.kind, Type::NonNull(_)) => {
+            (None, None) if matches!(def.ty, Type::NonNull(_)) => {
                 errors.push(Error {
-                    message: format!("variable `{path}` of type `{}` is required", def.kind),
+                    message: format!("variable `{path}` of type `{}` is required", def.ty),
                     at: None,
                 });
             }
@@ -118,49 +121,47 @@
     coerced
 }
 
-fn coerce(schema: &Schema, json: &Json, kind: &Type, path: &str) -> Result<Json, String> {
-    let wrong =
-        || format!("variable `{path}`: expected a value of type `{kind}`, found {}", json_shown(json));
-    match (kind, json) {
-        (Type::NonNull(_), Json::Null) => Err(wrong()),
+fn coerce(schema: &Schema, json: &Json, ty: &Type, path: &str) -> Result<Json, String> {
+    let mismatch =
+        || format!("variable `{path}`: expected a value of type `{ty}`, found {}", describe_json(json));
+    match (ty, json) {
+        (Type::NonNull(_), Json::Null) => Err(mismatch()),
         (Type::NonNull(inner), _) => coerce(schema, json, inner, path),
         (_, Json::Null) => Ok(Json::Null),
         (Type::List(inner), Json::Array(values)) => {
-            let one = |(at, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{at}]"));
-            values.iter().enumerate().map(one).collect::<Result<_, _>>().map(Json::Array)
+            let coerce_item =
+                |(index, v): (usize, &Json)| coerce(schema, v, inner, &format!("{path}[{index}]"));
+            values.iter().enumerate().map(coerce_item).collect::<Result<_, _>>().map(Json::Array)
         }
         (Type::List(inner), _) => Ok(Json::Array(vec![coerce(schema, json, inner, path)?])),
         (Type::Named(name), _) => {
-            let Some(def) = schema.find(name).map(|t| &schema.types[t]) else { return Err(wrong()) };
+            let Some(def) = schema.type_id(name).map(|t| &schema.types[t]) else { return Err(mismatch()) };
             match (&def.kind, json) {
-                (TypeKind::Enum, Json::String(value)) if def.values.contains(value) => Ok(json.clone()),
+                (TypeKind::Enum, Json::String(value)) if def.enum_values.contains(value) => Ok(json.clone()),
                 (TypeKind::Input, Json::Object(fields)) => {
-                    if let Some(field) = fields.keys().find(|f| !def.inputs.contains_key(*f)) {
+                    if let Some(field) = fields.keys().find(|f| !def.input_fields.contains_key(*f)) {
                         return Err(format!("variable `{path}`: `{name}` has no input field `{field}`"));
                     }
-                    let mut made = Map::new();
-                    for (field, input) in &def.inputs {
+                    let mut object = Map::new();
+                    for (field, input) in &def.input_fields {
                         let path = format!("{path}.{field}");
                         match (fields.get(field), &input.default) {
                             (Some(value), _) => {
-                                made.insert(field.clone(), coerce(schema, value, &input.kind, &path)?);
+                                object.insert(field.clone(), coerce(schema, value, &input.ty, &path)?);
                             }
                             (None, Some(default)) => {
-                                made.extend(resolve(default, &Map::new()).map(|v| (field.clone(), v)));
+                                object.extend(to_json(default, &Map::new()).map(|v| (field.clone(), v)));
                             }
-                            (None, None) if matches!(input.kind, Type::NonNull(_)) => {
-                                return Err(format!(
-                                    "variable `{path}` of type `{}` is required",
-                                    input.kind
-                                ));
+                            (None, None) if matches!(input.ty, Type::NonNull(_)) => {
+                                return Err(format!("variable `{path}` of type `{}` is required", input.ty));
                             }
                             (None, None) => {}
                         }
                     }
-                    Ok(Json::Object(made))
+                    Ok(Json::Object(object))
                 }
                 (TypeKind::Scalar, _) => {
-                    let fits = match name.as_str() {
+                    let is_valid = match name.as_str() {
                         "Int" => {
                             json.as_f64().is_some_and(|n| n.fract() == 0.0 && n.abs() <= f64::from(i32::MAX))
                         }
@@ -170,15 +171,15 @@
                         "ID" => json.is_string() || json.is_i64() || json.is_u64(),
                         _ => true,
                     };
-                    if fits { Ok(json.clone()) } else { Err(wrong()) }
+                    if is_valid { Ok(json.clone()) } else { Err(mismatch()) }
                 }
-                _ => Err(wrong()),
+                _ => Err(mismatch()),
             }
         }
     }
 }
 
-fn json_shown(json: &Json) -> &'static str {
+fn describe_json(json: &Json) -> &'static str {
     match json {
         Json::Null => "null",
         Json::Bool(_) => "a boolean",
@@ -189,8 +190,8 @@
     }
 }
 
-/// A literal's value; `None` for a variable that has none.
-pub(crate) fn resolve(value: &Value, variables: &Map<String, Json>) -> Option<Json> {
+/// Converts a literal to JSON; `None` for a variable without a value.
+pub(crate) fn to_json(value: &Value, variables: &Map<String, Json>) -> Option<Json> {
     Some(match &value.kind {
         ValueKind::Variable(name) => return variables.get(name).cloned(),
         ValueKind::Int(n) | ValueKind::Float(n) => n.parse::<f64>().map_or(Json::Null, Json::from),
@@ -198,11 +199,11 @@
         ValueKind::Bool(b) => Json::from(*b),
         ValueKind::Null => Json::Null,
         ValueKind::List(values) => {
-            values.iter().map(|v| resolve(v, variables).unwrap_or(Json::Null)).collect::<Vec<_>>().into()
+            values.iter().map(|v| to_json(v, variables).unwrap_or(Json::Null)).collect::<Vec<_>>().into()
         }
         ValueKind::Object(fields) => fields
             .iter()
-            .filter_map(|(n, v)| Some((n.clone(), resolve(v, variables)?)))
+            .filter_map(|(n, v)| Some((n.clone(), to_json(v, variables)?)))
             .collect::<Map<_, _>>()
             .into(),
     })
--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -5,7 +5,7 @@
 use crate::clients::ForwardedHead;
 use crate::graphql_front::MediaType;
 use doorcourse::{AttemptEnd, AttemptOutcome, Millis, Name, RequestId};
-use doorcourse_graphql::Scan;
+use doorcourse_graphql::ResponseScanner;
 use doorcourse_http::{Framing, Head};
 use doorcourse_request_lifecycle::RequestLifecycle;
 
@@ -92,11 +92,11 @@
     /// Whether the head has been forwarded.
     head_forwarded: bool,
     /// Counts the cost of the response while it is received.
-    pub scan: Scan,
+    pub scan: ResponseScanner,
 }
 
 impl BufferedResponse {
-    pub(super) fn new(scan: Scan) -> Self {
+    pub(super) fn new(scan: ResponseScanner) -> Self {
         Self { head: None, buffer: Vec::new(), complete: false, head_forwarded: false, scan }
     }
 
