--- a/crates/resp/src/replies.rs
+++ b/crates/resp/src/replies.rs
@@ -38,7 +38,7 @@
 
 /// Bytes that are no reply, or that pass a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an answer that cannot be read")]
+#[error("malformed reply")]
 pub struct MalformedReply;
 
 /// The longest value in bytes.
@@ -73,8 +73,8 @@
         }
         match input.first() {
             None => Ok(None),
-            Some(b'+' | b'-') => read_line_answer(input),
-            Some(b'$') => read_bulk_answer(input),
+            Some(b'+' | b'-') => read_line_reply(input),
+            Some(b'$') => read_bulk_reply(input),
             Some(b'*') => {
                 let Some(value) = read_value_range(input)? else { return Ok(None) };
                 self.value = Some(value.clone());
@@ -92,10 +92,10 @@
             return Ok(None);
         }
         let mut position = value.end + LINE_END_BYTES;
-        let Some(used) = read_trailing_element(input, &mut position)? else { return Ok(None) };
+        let Some(units) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         let Some(report) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         self.value = None;
-        Ok(Some((Reply::Served { value, units: used, report }, position)))
+        Ok(Some((Reply::Served { value, units, report }, position)))
     }
 }
 
@@ -119,7 +119,7 @@
     Ok(Some(start..start + length))
 }
 
-fn read_bulk_answer(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
+fn read_bulk_reply(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
     let Some(range) = read_bulk_range(input, 0)? else { return Ok(None) };
     if !has_line_end(input, range.end)? {
         return Ok(None);
@@ -177,9 +177,9 @@
 }
 
 /// Reads a reply of a single line: a simple string or an error.
-fn read_line_answer(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
+fn read_line_reply(input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
     let Some(line) = first_line(input, MAX_LINE_BYTES)? else { return Ok(None) };
-    let answer = if line == b"+PONG" {
+    let reply = if line == b"+PONG" {
         Reply::Pong
     } else if let Some(rest) = strip_error_code(line, b"-BUSY") {
         Reply::Busy { report: report_text(rest) }
@@ -191,7 +191,7 @@
     } else {
         return Err(MalformedReply);
     };
-    Ok(Some((answer, line.len() + LINE_END_BYTES)))
+    Ok(Some((reply, line.len() + LINE_END_BYTES)))
 }
 
 /// What follows an error code on its line: nothing, or a space and more. A longer code that begins alike is another.
--- a/crates/resp/src/replies/tests.rs
+++ b/crates/resp/src/replies/tests.rs
@@ -1,4 +1,4 @@
-//! Answers: each form, malformed bytes, limits, and any split of the input.
+//! Replies: each form, malformed bytes, limits, and any split of the input.
 
 use super::*;
 
@@ -8,13 +8,13 @@
 
 const SERVED: &[u8] = b"*3\r\n$5\r\nhello\r\n$1\r\n3\r\n$18\r\ninflight=7,queue=2\r\n";
 
-fn served_answer() -> Reply {
+fn served_reply() -> Reply {
     Reply::Served { value: 8..13, units: Some("3".into()), report: Some("inflight=7,queue=2".into()) }
 }
 
 #[test]
 fn each_form_of_an_answer_is_read() {
-    assert_eq!(read_first(SERVED), Ok(Some((served_answer(), SERVED.len()))));
+    assert_eq!(read_first(SERVED), Ok(Some((served_reply(), SERVED.len()))));
     let bare = b"*3\r\n$0\r\n\r\n$-1\r\n*-1\r\n";
     let served = Reply::Served { value: 8..8, units: None, report: None };
     assert_eq!(read_first(bare), Ok(Some((served, bare.len()))));
@@ -67,9 +67,9 @@
     for all in [SERVED, b"-ERR failed queue=2\r\n", b"$3\r\na=1\r\n"] {
         let unsplit = read_first(all).unwrap().unwrap();
         for cut in 0..all.len() {
-            let mut answers = ReplyReader::default();
-            assert_eq!(answers.read(&all[..cut]), Ok(None), "cut at {cut}");
-            assert_eq!(answers.read(all), Ok(Some(unsplit.clone())), "cut at {cut}");
+            let mut replies = ReplyReader::default();
+            assert_eq!(replies.read(&all[..cut]), Ok(None), "cut at {cut}");
+            assert_eq!(replies.read(all), Ok(Some(unsplit.clone())), "cut at {cut}");
         }
     }
 }
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -1,4 +1,4 @@
-//! The readers of commands and answers under any input and any split: no panic, the same result however the bytes are
+//! The readers of commands and replies under any input and any split: no panic, the same result however the bytes are
 //! split, and no more input buffered than the limits allow.
 
 use doorcourse_resp::{
@@ -36,7 +36,7 @@
     (commands, None)
 }
 
-fn read_answer(bytes: &[u8], cut: usize) -> Result<Option<(Reply, usize)>, MalformedReply> {
+fn read_reply(bytes: &[u8], cut: usize) -> Result<Option<(Reply, usize)>, MalformedReply> {
     let mut reader = ReplyReader::default();
     match reader.read(&bytes[..cut.min(bytes.len())]) {
         Ok(None) => reader.read(bytes),
@@ -88,7 +88,7 @@
         prop_assert_eq!(read_commands(&bytes, &[]), read_commands(&bytes, &cuts));
         let unsplit = ReplyReader::default().read(&bytes);
         for cut in 0..=bytes.len() {
-            prop_assert_eq!(&read_answer(&bytes, cut), &unsplit);
+            prop_assert_eq!(&read_reply(&bytes, cut), &unsplit);
         }
     }
 
