--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -58,12 +58,14 @@
 impl BackendResponse {
     /// The response in these input bytes; `None` where it does not belong to what was sent. Unreadable units or an
     /// unreadable load report leave the rest of the response valid.
-    pub(super) fn from_answer(answer: Reply, input: &[u8], is_health_check: bool) -> Option<Self> {
-        match answer {
-            Reply::Served { value, units: used, report } if !is_health_check => Some(Self {
+    pub(super) fn from_reply(reply: Reply, input: &[u8], is_health_check: bool) -> Option<Self> {
+        match reply {
+            Reply::Served { value, units, report } if !is_health_check => Some(Self {
                 reply: BackendReply::Value,
                 value: input[value].to_vec(),
-                units: used.and_then(|u| u.parse().ok()).filter(|u: &f64| u.is_finite() && *u > 0.0),
+                units: units
+                    .and_then(|text| text.parse().ok())
+                    .filter(|units: &f64| units.is_finite() && *units > 0.0),
                 load_report: parse_load_report(report),
             }),
             Reply::Failed { report } => Some(Self::without_value(BackendReply::Failed, report)),
--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -26,7 +26,7 @@
     /// The incarnation of its backend that it was made for.
     pub incarnation: u64,
     pub state: ConnectionState,
-    answers: ReplyReader,
+    replies: ReplyReader,
     /// Whether the next flush handles this connection.
     pub flush_scheduled: bool,
     usage: Usage,
@@ -52,7 +52,7 @@
             backend,
             incarnation,
             state: ConnectionState::Connecting { since: now },
-            answers: ReplyReader::default(),
+            replies: ReplyReader::default(),
             flush_scheduled: false,
             usage: Usage::default(),
         }
@@ -81,12 +81,12 @@
     pub(super) fn read_response(&mut self, request: RequestId) -> Option<ReadResponse> {
         let (_, flow) = self.registered.socket.read();
         let input = &self.registered.socket.input;
-        let result = match self.answers.read(input) {
+        let result = match self.replies.read(input) {
             Ok(None) if flow == Flow::Open => return None,
             Ok(None) => Err(AttemptEvent::ConnectionLost),
             Err(_) => Err(AttemptEvent::InvalidResponse),
-            Ok(Some((answer, length))) => {
-                let response = BackendResponse::from_answer(answer, input, is_health_check(request));
+            Ok(Some((reply, length))) => {
+                let response = BackendResponse::from_reply(reply, input, is_health_check(request));
                 self.registered.socket.consume(length);
                 response.ok_or(AttemptEvent::InvalidResponse)
             }
--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -25,13 +25,13 @@
     let mut client = rig.client();
     // The gateway may reset the connection: then the rest cannot be written.
     let _ = client.stream.write_all(bytes);
-    let answer = client.read_response();
+    let response = client.read_response();
     assert!(
         began.elapsed() < FAULT_LIMIT,
-        "{:?}: {answer:?}",
+        "{:?}: {response:?}",
         String::from_utf8_lossy(&bytes[..bytes.len().min(60)])
     );
-    answer
+    response
 }
 
 #[test]
@@ -53,9 +53,9 @@
     ];
     let mut good = rig.client();
     for bytes in faults {
-        let answer = response_to(&rig, bytes);
+        let response = response_to(&rig, bytes);
         let what = String::from_utf8_lossy(&bytes[..bytes.len().min(40)]).into_owned();
-        assert!(answer.as_ref().is_none_or(is_invalid), "{what:?}: {answer:?}");
+        assert!(response.as_ref().is_none_or(is_invalid), "{what:?}: {response:?}");
         assert!(is_served(&good.request("order", 1000), "good"));
     }
     let mut client = rig.client();
@@ -115,8 +115,8 @@
     for arguments in &invalid {
         let mut client = rig.client();
         let began = Instant::now();
-        let answer = client.call(arguments);
-        assert!(is_invalid(&answer), "{arguments:?}: {answer:?}");
+        let response = client.call(arguments);
+        assert!(is_invalid(&response), "{arguments:?}: {response:?}");
         assert!(is_served(&client.request("lookup", 1000), "good"), "{arguments:?}");
         assert!(began.elapsed() < FAULT_LIMIT, "{arguments:?}");
     }
@@ -223,8 +223,8 @@
     backend.closed_connections.wait("the end of the attempt", |e| e.contains(&1));
     let mut other = rig.client();
     let list = "c=order,t=team,d=300,units=1,spread=1,first=0";
-    let answer = other.call(&["Q.DO", "00000000b4d65521", &id, list, "B"]);
-    assert!(is_failed(&answer) || is_rejected(&answer), "{answer:?}");
+    let response = other.call(&["Q.DO", "00000000b4d65521", &id, list, "B"]);
+    assert!(is_failed(&response) || is_rejected(&response), "{response:?}");
 }
 
 #[test]
--- a/crates/resp-gateway/tests/discovery.rs
+++ b/crates/resp-gateway/tests/discovery.rs
@@ -168,7 +168,7 @@
 }
 
 impl HeldRequest {
-    fn answer(&mut self, list: &Json) {
+    fn respond(&mut self, list: &Json) {
         let text = list.to_string();
         let bytes = if self.is_watch {
             let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
@@ -232,7 +232,7 @@
     client.stream.set_nonblocking(true).unwrap();
     let early = client.stream.peek(&mut [0; 64]).map_err(|e| e.kind());
     assert_eq!(early, Err(std::io::ErrorKind::WouldBlock), "requested again only after the order had failed");
-    next.answer(&json!({"seq": 2, "whole": true, "hosts": [
+    next.respond(&json!({"seq": 2, "whole": true, "hosts": [
         endpoint("b0", old.address, "leaving"), endpoint("b1", new.address, "active")]}));
     let began = Instant::now();
     while !is_served(&rig.client().request("lookup", 500), "new") {
@@ -255,7 +255,7 @@
         let mut answered = Vec::new();
         for request in requests {
             if let Some(mut held) = before.replace(request) {
-                held.answer(&list);
+                held.respond(&list);
                 answered.push(held);
             }
         }
@@ -278,10 +278,10 @@
     rig.client().call(&["PING"]);
     let list = json!({"seq": 2, "whole": true, "hosts": [
         endpoint("b0", old.address, "leaving"), endpoint("b1", new.address, "active")]});
-    next.answer(&list);
+    next.respond(&list);
     // So is each later request, where the machine was slower than the gateway waits.
-    std::thread::spawn(move || requests.into_iter().map(|mut request| request.answer(&list)).for_each(drop));
+    std::thread::spawn(move || requests.into_iter().map(|mut request| request.respond(&list)).for_each(drop));
     // Less than the gateway would wait for the rest of the head.
-    let answer = rig.client().request("order", 1000);
-    assert!(is_served(&answer, "new"), "{answer:?}");
+    let response = rig.client().request("order", 1000);
+    assert!(is_served(&response, "new"), "{response:?}");
 }
--- a/crates/resp-gateway/tests/gone.rs
+++ b/crates/resp-gateway/tests/gone.rs
@@ -136,7 +136,7 @@
     // Refused as those before it: the system retries all in the order in which they were started.
     fence(&rig);
     let late = late.open();
-    let answer = other.read_response().unwrap();
-    assert!(is_served(&answer, "good"), "{answer:?}");
+    let response = other.read_response().unwrap();
+    assert!(is_served(&response, "good"), "{response:?}");
     assert_eq!(late.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>()), [id]);
 }
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -172,8 +172,8 @@
     let rig = TestGateway::with_backends(&[]);
     let mut client = rig.client();
     let began = Instant::now();
-    let answer = client.request("lookup", 2400);
-    assert!(rig::is_rejected(&answer), "{answer:?}");
+    let response = client.request("lookup", 2400);
+    assert!(rig::is_rejected(&response), "{response:?}");
     assert!(began.elapsed() < Duration::from_millis(1200));
 }
 
@@ -193,9 +193,9 @@
             std::thread::spawn(move || {
                 let mut answered = 0;
                 // A client that sees the close of its connection goes elsewhere; a request that crosses the close is sent again.
-                while let Some(answer) = client.try_request("lookup", 2400) {
-                    assert!(is_served(&answer, "good") || rig::is_rejected(&answer), "{answer:?}");
-                    answered += usize::from(is_served(&answer, "good"));
+                while let Some(response) = client.try_request("lookup", 2400) {
+                    assert!(is_served(&response, "good") || rig::is_rejected(&response), "{response:?}");
+                    answered += usize::from(is_served(&response, "good"));
                     let is_overdue =
                         |at: &mut Option<Instant>| at.is_some_and(|at| at.elapsed() > CLOSE_LIMIT);
                     assert!(!stopped_at.update(is_overdue), "its connection was never closed");
@@ -229,8 +229,8 @@
                 std::thread::sleep(Duration::from_millis(5 * step));
                 let Ok(stream) = TcpStream::connect(address) else { return false };
                 match rig::Client::on(stream).try_request("lookup", 2000) {
-                    Some(answer) => {
-                        assert!(is_served(&answer, "good") || rig::is_rejected(&answer), "{answer:?}");
+                    Some(response) => {
+                        assert!(is_served(&response, "good") || rig::is_rejected(&response), "{response:?}");
                         true
                     }
                     None => false,
@@ -266,9 +266,9 @@
     // The listener is closed by now; the rest of the command comes on a connection that is still open.
     std::thread::sleep(Duration::from_millis(500));
     half.stream.write_all(&encoded[encoded.len() / 2..]).unwrap();
-    let good = |answer: Option<doorcourse_resp::Value>| {
-        let answer = answer.expect("a complete response");
-        assert!(is_served(&answer, &long) || rig::is_rejected(&answer), "{answer:.80?}");
+    let good = |response: Option<doorcourse_resp::Value>| {
+        let response = response.expect("a complete response");
+        assert!(is_served(&response, &long) || rig::is_rejected(&response), "{response:.80?}");
     };
     good(half.read_response());
     (0..10).for_each(|_| good(piped.read_response()));
@@ -299,8 +299,8 @@
     rig.handle.reload();
     rig.handle.stop();
     for (at, client) in clients.iter_mut().enumerate() {
-        let answer = client.read_response().unwrap_or_else(|| panic!("client {at} has no response"));
-        assert!(is_failed(&answer) || rig::is_rejected(&answer), "{answer:?}");
+        let response = client.read_response().unwrap_or_else(|| panic!("client {at} has no response"));
+        assert!(is_failed(&response) || rig::is_rejected(&response), "{response:?}");
     }
     rig.join();
 }
--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -37,8 +37,8 @@
     // The request is read and forwarded: its connection is being made.
     rig.client().call(&["PING"]);
     rig.discovery.publish_changes(vec![backend_started_at(new.address, 1)]);
-    let answer = client.read_response().unwrap();
-    assert!(is_served(&answer, "new"), "{answer:?}");
+    let response = client.read_response().unwrap();
+    assert!(is_served(&response, "new"), "{response:?}");
 }
 
 /// A response of the former incarnation that comes after the list is forwarded, and its connection is not reused.
@@ -71,7 +71,7 @@
             is_served(&second.read_response().unwrap(), "2"),
             "the response under way reaches its client"
         );
-        let answer = first.request("order", 8000);
-        assert!(is_served(&answer, if moves { "new" } else { "3" }), "moves {moves}: {answer:?}");
+        let response = first.request("order", 8000);
+        assert!(is_served(&response, if moves { "new" } else { "3" }), "moves {moves}: {response:?}");
     }
 }
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -82,17 +82,17 @@
             let backend = once(fault);
             let rig = TestGateway::with_backends(&[backend.address]);
             let mut client = rig.client();
-            let answer = client.request(class, 1100);
-            let what = format!("fault {number}, {class}: {answer:?}");
+            let response = client.request(class, 1100);
+            let what = format!("fault {number}, {class}: {response:?}");
             if class == "order" {
-                assert!(is_failed(&answer), "{what}");
+                assert!(is_failed(&response), "{what}");
                 assert_eq!(backend.command_count(), 1, "{what}");
             } else {
                 // The only backend is ejected for a while after a failure: a request that waits for it may be given up,
                 // but one with a key that may have been executed is never rejected as safe to retry elsewhere.
-                let is_allowed = is_served(&answer, "good")
-                    || is_failed(&answer)
-                    || class == "lookup" && is_rejected(&answer);
+                let is_allowed = is_served(&response, "good")
+                    || is_failed(&response)
+                    || class == "lookup" && is_rejected(&response);
                 assert!(is_allowed, "{what}");
             }
         }
@@ -150,8 +150,8 @@
         rig.counter.fault.update(|current| *current = fault);
         let mut client = rig.client();
         for number in 0..5 {
-            let answer = client.request("lookup", 1000);
-            assert!(is_served(&answer, "good"), "{fault:?}, request {number}: {answer:?}");
+            let response = client.request("lookup", 1000);
+            assert!(is_served(&response, "good"), "{fault:?}, request {number}: {response:?}");
         }
     }
 }
@@ -190,8 +190,8 @@
     backend.commands.wait("both attempts", |c| c.len() == 2);
     sleep_until_after(first, Duration::from_millis(510));
     rig.discovery.publish_changes(vec![endpoint("b1", later.address, "active")]);
-    let answer = client.read_response().unwrap();
-    assert!(is_failed(&answer), "{answer:?}");
+    let response = client.read_response().unwrap();
+    assert!(is_failed(&response), "{response:?}");
     assert_eq!((backend.command_count(), later.command_count()), (2, 0));
     // Nor is anything sent later.
     assert!(is_served(&client.request("order", 9000), "again"));
@@ -215,8 +215,8 @@
     // The window is over; the connection is made after it, with the next retry of the system.
     sleep_until_after(sent, Duration::from_millis(410));
     let late = late.open();
-    let answer = client.read_response().unwrap();
-    assert!(is_failed(&answer), "{answer:?}");
+    let response = client.read_response().unwrap();
+    assert!(is_failed(&response), "{response:?}");
     // The first request that it carries is this one.
     let mut other = rig.client();
     let id = other.send_request("save", 9000);
