--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -156,12 +156,12 @@
 
     /// Sends the response to a command; it is dropped where the client has disconnected.
     pub(crate) fn respond(&mut self, now: Millis, command: CommandId, response: Response) {
-        let is_fault = matches!(response, Response::InvalidRequest(_));
+        let is_invalid = matches!(response, Response::InvalidRequest(_));
         let Some(slot) = self.slot_mut(command) else { return };
         *slot = ResponseSlot::Ready(response);
         let connection = &mut self.connections[command.connection];
-        if is_fault {
-            connection.record_fault(now);
+        if is_invalid {
+            connection.record_invalid_command(now);
         }
         connection.encode_ready_responses(now);
         schedule_flush(&mut self.to_flush, connection);
@@ -242,7 +242,7 @@
             let Some(connection) = self.connections.get(index) else { continue };
             if is_expired(&connection.activity) {
                 self.close_after_last_read(reactor, deployment, index, is_expired, events);
-            } else if connection.has_faults() && connection.reads_input(now) {
+            } else if connection.has_invalid_commands() && connection.reads_input(now) {
                 self.process_commands(reactor, deployment, index, events);
                 self.update_interest(reactor, index);
             }
--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -52,7 +52,7 @@
     first_sequence: u64,
     pub activity: ConnectionActivity,
     /// Commands so far that could not be accepted.
-    faults: u32,
+    invalid_commands: u32,
     /// Nothing is read before then.
     read_resumes_at: Millis,
     /// No command follows: the framing is lost, or this side is closed.
@@ -71,7 +71,7 @@
             slots: VecDeque::new(),
             first_sequence: 0,
             activity: ConnectionActivity::new(now),
-            faults: 0,
+            invalid_commands: 0,
             read_resumes_at: f64::NEG_INFINITY,
             input_closed: false,
             discarded_bytes: 0,
@@ -99,8 +99,8 @@
     }
 
     /// Whether the client has sent commands that could not be accepted, so that reading may be backed off.
-    pub(super) fn has_faults(&self) -> bool {
-        self.faults > 0
+    pub(super) fn has_invalid_commands(&self) -> bool {
+        self.invalid_commands > 0
     }
 
     /// Reads once. Bytes that come during the lingering close are discarded.
@@ -128,10 +128,10 @@
                     self.activity.partial_request_since = None;
                     self.process_command(now, request::parse(deployment, rest, &arguments), events);
                 }
-                Err(fault) => {
+                Err(error) => {
                     // The error is written behind the responses that are still due, and nothing follows it.
                     self.input_closed = true;
-                    self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(fault)));
+                    self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(error)));
                     used = input.len();
                 }
             }
@@ -166,7 +166,7 @@
             }
             Err(error) => {
                 self.push_slot(ResponseSlot::Ready(Response::InvalidRequest(error)));
-                self.record_fault(now);
+                self.record_invalid_command(now);
             }
         }
     }
@@ -188,9 +188,9 @@
     }
 
     /// Backs off from reading after a command that could not be accepted.
-    pub(super) fn record_fault(&mut self, now: Millis) {
-        self.faults += 1;
-        self.read_resumes_at = now + fault_backoff(self.faults);
+    pub(super) fn record_invalid_command(&mut self, now: Millis) {
+        self.invalid_commands += 1;
+        self.read_resumes_at = now + fault_backoff(self.invalid_commands);
     }
 
     /// Moves the responses that are next in order to the output. From here on they are unread, also while they are not
--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -61,7 +61,7 @@
             Self::Rejected { retry_after_ms: Some(wait) } => write!(output, "-BUSY {wait}\r\n"),
             Self::Failed(failure) => write!(output, "-ERR failed: {}\r\n", failure.message()),
             Self::InvalidRequest(error) => write!(output, "-ERR {error}\r\n"),
-            Self::InvalidFraming(fault) => write!(output, "-ERR {fault}\r\n"),
+            Self::InvalidFraming(error) => write!(output, "-ERR {error}\r\n"),
             Self::Pong => write!(output, "+PONG\r\n"),
             Self::Loading => write!(output, "-LOADING not ready yet\r\n"),
         };
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -48,9 +48,9 @@
     /// # Errors
     /// A line that names the file and the field at fault.
     pub fn open(path: &Path) -> anyhow::Result<Self> {
-        let shown = path.display().to_string();
-        let text = std::fs::read(path).with_context(|| shown.clone())?;
-        Self::read(&text).map_err(|fault| anyhow::anyhow!("{shown}: {fault}"))
+        let path_text = path.display().to_string();
+        let text = std::fs::read(path).with_context(|| path_text.clone())?;
+        Self::read(&text).map_err(|error| anyhow::anyhow!("{path_text}: {error}"))
     }
 
     /// Reads the text of the file.
--- a/crates/resp/src/commands/tests.rs
+++ b/crates/resp/src/commands/tests.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn malformed_or_oversized_command_is_rejected() {
-    let faults: [(&[u8], CommandError); 15] = [
+    let malformed: [(&[u8], CommandError); 15] = [
         (b"PING\r\n", CommandError::ExpectedArray),
         (b"\x00", CommandError::ExpectedArray),
         (b"*0\r\n", CommandError::InvalidLength),
@@ -44,8 +44,8 @@
         (b"*1\r\n$60000000\r\n", CommandError::TooLarge),
         (b"*1\r\n$4\r\nPINGS\r\n", CommandError::MissingLineEnd),
     ];
-    for (bytes, fault) in faults {
-        assert_eq!(read_arguments(bytes), Err(fault), "{:?}", String::from_utf8_lossy(bytes));
+    for (bytes, error) in malformed {
+        assert_eq!(read_arguments(bytes), Err(error), "{:?}", String::from_utf8_lossy(bytes));
     }
     assert_eq!(read_arguments(b"*2\r\n$65536\r\n"), Ok(None), "the longest argument that is allowed");
     let longest = b"*2\r\n$65536\r\n".iter().copied().chain(std::iter::repeat_n(b'x', 65536));
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -28,7 +28,7 @@
                     commands.push(arguments.into_iter().map(|range| unconsumed[range].to_vec()).collect());
                     unconsumed.drain(..consumed);
                 }
-                Err(fault) => return (commands, Some(fault)),
+                Err(error) => return (commands, Some(error)),
             }
         }
         assert!(unconsumed.len() <= LIMITS.bytes + 6 * 30 + (end - from) + 64 || end == bytes.len());
