--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -95,13 +95,13 @@
     /// the former ones end there.
     pub(crate) fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
         self.call_timeout = call_timeout;
-        let is_current = |link: &PooledLink| link.retires_at.is_none() && Some(link.address) == address;
-        if self.links.iter().any(|(_, link)| is_current(link)) {
+        let is_current = |pooled: &PooledLink| pooled.retires_at.is_none() && Some(pooled.address) == address;
+        if self.links.iter().any(|(_, pooled)| is_current(pooled)) {
             return;
         }
-        for (_, link) in &mut self.links {
-            link.retires_at.get_or_insert(now + RETIREMENT_MS);
-            link.next_timeout = link.next_timeout.min(now + RETIREMENT_MS);
+        for (_, pooled) in &mut self.links {
+            pooled.retires_at.get_or_insert(now + RETIREMENT_MS);
+            pooled.next_timeout = pooled.next_timeout.min(now + RETIREMENT_MS);
         }
         if let Some(address) = address {
             self.add_links(address);
@@ -110,8 +110,9 @@
 
     /// Makes a call. Without a connection it ends as not added.
     pub(crate) fn call(&mut self, reactor: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
-        let ready = self.links.iter().filter(|(_, link)| link.link.is_ready());
-        let preferred = ready.min_by_key(|(_, link)| (link.retires_at.is_some(), link.link.in_flight()));
+        let ready = self.links.iter().filter(|(_, pooled)| pooled.link.is_ready());
+        let preferred =
+            ready.min_by_key(|(_, pooled)| (pooled.retires_at.is_some(), pooled.link.in_flight()));
         let Some((index, _)) = preferred else {
             return events.push(Event::CounterCallEnded {
                 counter: call.counter,
@@ -119,35 +120,35 @@
                 latency: 0.0,
             });
         };
-        let link = &mut self.links[index];
+        let pooled = &mut self.links[index];
         let mut actions = Vec::new();
-        link.link.call(reactor.now, call, &mut actions);
-        link.flush_scheduled = true;
-        link.next_timeout = link.next_timeout.min(reactor.now + self.call_timeout);
+        pooled.link.call(reactor.now, call, &mut actions);
+        pooled.flush_scheduled = true;
+        pooled.next_timeout = pooled.next_timeout.min(reactor.now + self.call_timeout);
         self.execute_actions(reactor, index, actions, events);
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
     pub(crate) fn next_timeout(&self) -> Millis {
-        self.links.iter().map(|(_, link)| link.next_timeout).fold(f64::INFINITY, f64::min)
+        self.links.iter().map(|(_, pooled)| pooled.next_timeout).fold(f64::INFINITY, f64::min)
     }
 
     /// Times out calls, replaces connections and ends those to a former address.
     pub(crate) fn handle_timeout(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         let now = reactor.now;
         for index in 0..self.links.capacity() {
-            let Some(link) = self.links.get_mut(index).filter(|link| now >= link.next_timeout) else {
+            let Some(pooled) = self.links.get_mut(index).filter(|pooled| now >= pooled.next_timeout) else {
                 continue;
             };
             let mut actions = Vec::new();
-            if link.retires_at.is_some_and(|retires_at| now >= retires_at) {
-                link.link.connection_lost(now, "the counter has another address", &mut actions);
+            if pooled.retires_at.is_some_and(|retires_at| now >= retires_at) {
+                pooled.link.connection_lost(now, "the counter has another address", &mut actions);
                 self.execute_actions(reactor, index, actions, events);
                 self.links.remove(index);
                 continue;
             }
-            let link_timeout = link.link.handle_timeout(now, &mut actions);
-            link.next_timeout = link_timeout.min(link.retires_at.unwrap_or(f64::INFINITY));
+            let link_timeout = pooled.link.handle_timeout(now, &mut actions);
+            pooled.next_timeout = link_timeout.min(pooled.retires_at.unwrap_or(f64::INFINITY));
             self.execute_actions(reactor, index, actions, events);
         }
     }
@@ -156,17 +157,17 @@
     pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>,
     ) {
-        let Some(link) = self.links.get_mut(token.index) else { return };
-        if link.connection.registered().is_none_or(|registered| registered.token != token) {
+        let Some(pooled) = self.links.get_mut(token.index) else { return };
+        if pooled.connection.registered().is_none_or(|registered| registered.token != token) {
             return;
         }
         let mut actions = Vec::new();
-        if let Err(reason) = link.receive(reactor, ready, &mut actions) {
-            link.connection = Connection::Closed;
-            link.link.connection_lost(reactor.now, &reason, &mut actions);
+        if let Err(reason) = pooled.receive(reactor, ready, &mut actions) {
+            pooled.connection = Connection::Closed;
+            pooled.link.connection_lost(reactor.now, &reason, &mut actions);
         }
-        link.flush_scheduled |= ready.write;
-        link.next_timeout = f64::NEG_INFINITY;
+        pooled.flush_scheduled |= ready.write;
+        pooled.next_timeout = f64::NEG_INFINITY;
         self.execute_actions(reactor, token.index, actions, events);
     }
 
@@ -192,11 +193,11 @@
 
     fn connect(&mut self, reactor: &mut Reactor, index: usize, events: &mut Vec<Event>) {
         let token = Token { kind: TokenKind::Counter, serial: reactor.next_serial(), index };
-        let link = &mut self.links[index];
-        let connected = connect(link.address)
+        let pooled = &mut self.links[index];
+        let connected = connect(pooled.address)
             .and_then(|socket| RegisteredSocket::new(reactor, socket, token, Interest::BOTH));
         match connected {
-            Ok(registered) => link.connection = Connection::Connecting(registered),
+            Ok(registered) => pooled.connection = Connection::Connecting(registered),
             Err(error) => self.connection_lost(reactor, index, &error.to_string(), events),
         }
     }
@@ -204,20 +205,22 @@
     fn connection_lost(
         &mut self, reactor: &mut Reactor, index: usize, reason: &str, events: &mut Vec<Event>,
     ) {
-        let link = &mut self.links[index];
-        link.connection = Connection::Closed;
+        let pooled = &mut self.links[index];
+        pooled.connection = Connection::Closed;
         let mut actions = Vec::new();
-        link.link.connection_lost(reactor.now, reason, &mut actions);
-        link.next_timeout = f64::NEG_INFINITY;
+        pooled.link.connection_lost(reactor.now, reason, &mut actions);
+        pooled.next_timeout = f64::NEG_INFINITY;
         self.execute_actions(reactor, index, actions, events);
     }
 
     /// Writes the calls of the iteration.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         for index in 0..self.links.capacity() {
-            let Some(link) = self.links.get_mut(index).filter(|link| link.flush_scheduled) else { continue };
-            link.flush_scheduled = false;
-            if link.flush(reactor) == Flow::Broken {
+            let Some(pooled) = self.links.get_mut(index).filter(|pooled| pooled.flush_scheduled) else {
+                continue;
+            };
+            pooled.flush_scheduled = false;
+            if pooled.flush(reactor) == Flow::Broken {
                 self.connection_lost(reactor, index, "broken while writing", events);
             }
         }
@@ -225,7 +228,7 @@
 
     /// How many connections there are, for the log.
     pub(crate) fn connection_count(&self) -> usize {
-        let connections = self.links.iter().map(|(_, link)| &link.connection);
+        let connections = self.links.iter().map(|(_, pooled)| &pooled.connection);
         connections.filter(|connection| !matches!(connection, Connection::Closed)).count()
     }
 }
