--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -118,13 +118,13 @@
         &mut self, now: Millis, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) -> bool {
         let input = std::mem::take(&mut self.registered.socket.input);
-        let mut used = 0;
-        while used < input.len() && self.reads_input(now) {
-            let rest = &input[used..];
+        let mut consumed = 0;
+        while consumed < input.len() && self.reads_input(now) {
+            let rest = &input[consumed..];
             match self.commands.read(rest) {
                 Ok(None) => break,
                 Ok(Some((arguments, length))) => {
-                    used += length;
+                    consumed += length;
                     self.activity.partial_request_since = None;
                     self.process_command(now, request::parse(deployment, rest, &arguments), events);
                 }
@@ -132,21 +132,21 @@
                     // The error is written behind the responses that are still due, and nothing follows it.
                     self.input_closed = true;
                     self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(error)));
-                    used = input.len();
+                    consumed = input.len();
                 }
             }
         }
         self.registered.socket.input = input;
-        self.registered.socket.consume(used);
+        self.registered.socket.consume(consumed);
         if self.registered.socket.input.is_empty() {
             self.activity.partial_request_since = None;
         } else {
             self.activity.partial_request_since.get_or_insert(now);
         }
-        if used > 0 {
+        if consumed > 0 {
             self.encode_ready_responses(now);
         }
-        used > 0
+        consumed > 0
     }
 
     fn process_command(
@@ -259,10 +259,10 @@
 pub(super) fn reject_connection(mut socket: Socket) {
     socket.read();
     let input = std::mem::take(&mut socket.input);
-    let mut used = 0;
+    let mut consumed = 0;
     let mut commands = CommandReader::new(COMMAND_LIMITS);
-    while let Ok(Some((_, length))) = commands.read(&input[used..]) {
-        used += length;
+    while let Ok(Some((_, length))) = commands.read(&input[consumed..]) {
+        consumed += length;
         Response::Rejected { retry_after_ms: None }.encode(socket.output());
     }
     // What is read at once makes few responses: they fit into the system's buffer of a new connection.
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -203,9 +203,9 @@
         let (_, flow) = exchange.registered.socket.read();
         let input = std::mem::take(&mut exchange.registered.socket.input);
         let mut decoded = self.decode(reactor.now, &mut exchange.decoder, &input, lists);
-        let has_rest = decoded.used < input.len();
+        let has_rest = decoded.consumed < input.len();
         exchange.registered.socket.input = input;
-        exchange.registered.socket.consume(decoded.used);
+        exchange.registered.socket.consume(decoded.consumed);
         // A list without a length ends with its connection, if that ends in order.
         decoded.is_ended |= flow == Flow::Ended
             && decoded.result.is_ok()
--- a/crates/resp-gateway/src/discovery/body.rs
+++ b/crates/resp-gateway/src/discovery/body.rs
@@ -11,7 +11,7 @@
 /// How far a response was decoded.
 pub(super) struct DecodedResponse {
     /// Bytes of the input that were consumed.
-    pub used: usize,
+    pub consumed: usize,
     /// Whether the response is at its end.
     pub is_ended: bool,
     pub result: Result<(), DiscoveryError>,
@@ -22,16 +22,16 @@
     pub(super) fn decode(
         &mut self, now: Millis, decoder: &mut Decoder, input: &[u8], lists: &mut Vec<EndpointList>,
     ) -> DecodedResponse {
-        let mut decoded = DecodedResponse { used: 0, is_ended: false, result: Ok(()) };
+        let mut decoded = DecodedResponse { consumed: 0, is_ended: false, result: Ok(()) };
         while decoded.result.is_ok() && !decoded.is_ended {
-            let (length, part) = match decoder.decode(&input[decoded.used..]) {
+            let (length, part) = match decoder.decode(&input[decoded.consumed..]) {
                 Ok(next) => next,
                 Err(error) => {
                     decoded.result = Err(DiscoveryError::Http(error.to_string()));
                     break;
                 }
             };
-            decoded.used += length;
+            decoded.consumed += length;
             match part {
                 None => break,
                 Some(Part::Head(head)) if head.status != 200 => {
@@ -72,13 +72,13 @@
     /// Applies the lists of the watch that have been received completely.
     fn apply_watched_lists(&mut self, lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
         let body = std::mem::take(&mut self.body);
-        let mut used = 0;
+        let mut consumed = 0;
         let result = loop {
-            used += body[used..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            match EndpointList::read_first(&body[used..]) {
+            consumed += body[consumed..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            match EndpointList::read_first(&body[consumed..]) {
                 Ok(None) => break Ok(()),
                 Ok(Some((list, length))) => {
-                    used += length;
+                    consumed += length;
                     if let Err(error) = self.apply(list, lists) {
                         break Err(error);
                     }
@@ -86,7 +86,7 @@
                 Err(error) => break Err(error.into()),
             }
         };
-        self.body = body[used..].to_vec();
+        self.body = body[consumed..].to_vec();
         result
     }
 
--- a/crates/resp-gateway/src/reactor.rs
+++ b/crates/resp-gateway/src/reactor.rs
@@ -25,7 +25,7 @@
 ];
 
 /// Serial numbers fit into the 24 bits of a packed token.
-const SERIALS: u32 = 1 << 24;
+const SERIAL_COUNT: u32 = 1 << 24;
 
 /// Identifies a descriptor in the poller. The serial number keeps an event of a closed descriptor apart from the
 /// descriptor that has its index now.
@@ -40,14 +40,14 @@
 impl Token {
     /// Packs the token: kind in bits 56 to 63, serial in 32 to 55, index in 0 to 31.
     pub(crate) fn pack(self) -> u64 {
-        let serial = u64::from(self.serial % SERIALS);
+        let serial = u64::from(self.serial % SERIAL_COUNT);
         (self.kind as u64) << 56 | serial << 32 | (self.index as u64 & 0xffff_ffff)
     }
 
     pub(crate) fn unpack(token: u64) -> Option<Self> {
         Some(Self {
             kind: Self::kind_of(token)?,
-            serial: (token >> 32) as u32 % SERIALS,
+            serial: (token >> 32) as u32 % SERIAL_COUNT,
             index: (token & 0xffff_ffff) as usize,
         })
     }
@@ -93,7 +93,7 @@
 
     /// The serial number of a descriptor that is about to be registered.
     pub(crate) fn next_serial(&mut self) -> u32 {
-        self.last_serial = (self.last_serial + 1) % SERIALS;
+        self.last_serial = (self.last_serial + 1) % SERIAL_COUNT;
         self.last_serial
     }
 }
--- a/crates/resp-gateway/tests/rig/client.rs
+++ b/crates/resp-gateway/tests/rig/client.rs
@@ -58,8 +58,8 @@
     }
 
     pub(crate) fn send_request(&mut self, class: &str, deadline_ms: u32) -> String {
-        let (id, taken) = self.begin_request(class, deadline_ms);
-        assert!(taken, "the connection closed");
+        let (id, is_written) = self.begin_request(class, deadline_ms);
+        assert!(is_written, "the connection closed");
         id
     }
 
@@ -99,8 +99,8 @@
     pub(crate) fn read_response(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
-            if let Some((value, took)) = decode(&self.input).expect("the gateway speaks RESP") {
-                self.input.drain(..took);
+            if let Some((value, consumed)) = decode(&self.input).expect("the gateway speaks RESP") {
+                self.input.drain(..consumed);
                 return Some(value);
             }
             match self.stream.read(&mut buffer) {
