--- a/crates/resp-gateway/src/backends/tests.rs
+++ b/crates/resp-gateway/src/backends/tests.rs
@@ -4,9 +4,9 @@
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 
-fn endpoint_list(health: &str, address: SocketAddr, born: u64) -> EndpointList {
+fn endpoint_list(health: &str, address: SocketAddr, started_ms: u64) -> EndpointList {
     let text = format!(
-        r#"{{"seq":1,"whole":false,"hosts":[{{"host":"b0","dial":"{address}","health":"{health}","born_ms":{born}}}]}}"#
+        r#"{{"seq":1,"whole":false,"hosts":[{{"host":"b0","dial":"{address}","health":"{health}","born_ms":{started_ms}}}]}}"#
     );
     EndpointList::read(text.as_bytes()).unwrap()
 }
@@ -23,14 +23,14 @@
         input.extend_from_slice(word.as_bytes());
     }
     let Ok(ClientCommand::Request(request)) = request::parse(&deployment, &input, &arguments) else {
-        panic!("a good request")
+        panic!("a valid request")
     };
     Arc::new(request.forwarded)
 }
 
 #[test]
 fn attempt_waiting_for_a_connection_is_withdrawn_when_its_backend_drains_is_removed_or_restarts() {
-    for (health, born) in [("leaving", 0), ("left", 0), ("active", 7)] {
+    for (health, started_ms) in [("leaving", 0), ("left", 0), ("active", 7)] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let mut reactor = Reactor::new().unwrap();
@@ -43,7 +43,7 @@
             updates.is_empty() && backends.awaits_connection(1),
             "{health}: its connection is being made"
         );
-        backends.apply_endpoints(&endpoint_list(health, address, born), &mut updates);
+        backends.apply_endpoints(&endpoint_list(health, address, started_ms), &mut updates);
         let withdrawn = AttemptUpdate { request: 1, event: AttemptEvent::Withdrawn };
         assert_eq!(updates, [withdrawn], "{health}");
         backends.abandon(1);
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -11,9 +11,10 @@
     let deployment = doorcourse_deployment::parse(SETTINGS).unwrap();
     let listener = doorcourse_event_loop::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let words = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
+    let arguments =
+        ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
     let mut bytes = Vec::new();
-    doorcourse_resp::command(&mut bytes, &words);
+    doorcourse_resp::command(&mut bytes, &arguments);
     client.write_all(&bytes).unwrap();
     let mut clients = ClientTable::new(&mut reactor, listener, max_connections).unwrap();
     let mut events = Vec::new();
@@ -23,7 +24,7 @@
             clients.read(&mut reactor, &deployment, index, &mut events);
         }
     }
-    let Some(ClientEvent::RequestReceived { command, .. }) = events.pop() else { panic!("a good request") };
+    let Some(ClientEvent::RequestReceived { command, .. }) = events.pop() else { panic!("a valid request") };
     (reactor, deployment, clients, command, client)
 }
 
--- a/crates/resp-gateway/tests/gone.rs
+++ b/crates/resp-gateway/tests/gone.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns once the gateway has read what was written before on any connection.
-fn fence(rig: &TestGateway) {
+fn wait_until_input_is_read(rig: &TestGateway) {
     assert_eq!(rig.client().call(&["PING"]), Value::Simple("PONG".into()));
 }
 
@@ -45,18 +45,18 @@
 
 #[test]
 fn close_behind_unread_commands_is_noticed_and_no_attempt_follows() {
-    let held = Arc::new(Mutex::new(()));
-    let open = Arc::new(AtomicBool::new(false));
-    let gate = held.clone();
-    let through = open.clone();
+    let reply_lock = Arc::new(Mutex::new(()));
+    let is_serving = Arc::new(AtomicBool::new(false));
+    let backend_lock = reply_lock.clone();
+    let backend_is_serving = is_serving.clone();
     let backend = Backend::start(move |_| {
-        if through.load(Ordering::SeqCst) {
+        if backend_is_serving.load(Ordering::SeqCst) {
             return Reply::Bytes(value("good"));
         }
-        drop(gate.lock());
+        drop(backend_lock.lock());
         Reply::Reset
     });
-    let gate = held.lock().unwrap();
+    let held_replies = reply_lock.lock().unwrap();
     let rig =
         TestGateway::new(vec![endpoint("b0", backend.address, "active")], settings_without_counter(), 1024);
     let mut client = rig.client();
@@ -68,8 +68,8 @@
     backend.commands.wait("attempts", |c| c.len() == 4);
     disconnect(client);
     // Only now do the attempts end: each would be retried for the disconnected client.
-    open.store(true, Ordering::SeqCst);
-    drop(gate);
+    is_serving.store(true, Ordering::SeqCst);
+    drop(held_replies);
     backend.closed_connections.wait("the end of the attempts", |e| e.len() == 4);
     // The backend is ejected for a while after so many failures: wait until another request is served.
     let mut other = rig.client();
@@ -87,13 +87,13 @@
     for class in ["lookup", "save", "order"] {
         let mut client = rig.client();
         client.send_request(class, 15_000);
-        fence(&rig);
+        wait_until_input_is_read(&rig);
         disconnect(client);
     }
     let mut other = rig.client();
     let id = other.send_request("order", 15_000);
     // Refused as those before it: the system retries all in the order in which they were started.
-    fence(&rig);
+    wait_until_input_is_read(&rig);
     let late = late.open();
     assert!(is_served(&other.read_response().unwrap(), "good"));
     let ids = late.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>());
@@ -119,8 +119,8 @@
                         drop(client);
                     }
                     _ => {
-                        let half = client.encode_request("lookup", 9000);
-                        std::io::Write::write_all(&mut client.stream, &half[..half.len() / 2]).unwrap();
+                        let encoded = client.encode_request("lookup", 9000);
+                        std::io::Write::write_all(&mut client.stream, &encoded[..encoded.len() / 2]).unwrap();
                         drop(client);
                     }
                 }
@@ -129,12 +129,12 @@
         .collect();
     clients.into_iter().for_each(|c| c.join().unwrap());
     // Twice: a connection that was accepted last is read in the first iteration.
-    fence(&rig);
-    fence(&rig);
+    wait_until_input_is_read(&rig);
+    wait_until_input_is_read(&rig);
     let mut other = rig.client();
     let id = other.send_request("order", 15_000);
     // Refused as those before it: the system retries all in the order in which they were started.
-    fence(&rig);
+    wait_until_input_is_read(&rig);
     let late = late.open();
     let response = other.read_response().unwrap();
     assert!(is_served(&response, "good"), "{response:?}");
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn good() -> Backend {
+fn serving_backend() -> Backend {
     Backend::start(|_| Reply::Bytes(value("good")))
 }
 
@@ -28,8 +28,8 @@
 
 #[test]
 fn draining_backend_gets_no_new_attempts() {
-    let first = good();
-    let second = good();
+    let first = serving_backend();
+    let second = serving_backend();
     let rig = TestGateway::with_backends(&[first.address, second.address]);
     serve_until(&rig, "both to serve", || first.command_count() > 0 && second.command_count() > 0);
     rig.discovery.publish_changes(vec![endpoint("b0", first.address, "leaving")]);
@@ -45,7 +45,7 @@
 
 #[test]
 fn another_backend_at_the_same_address_gets_its_own_connections() {
-    let backend = good();
+    let backend = serving_backend();
     let rig = TestGateway::with_backends(&[backend.address]);
     serve_until(&rig, "the first to serve", || backend.command_count() > 0);
     rig.discovery.publish_changes(vec![
@@ -60,8 +60,8 @@
 
 #[test]
 fn unreadable_line_makes_the_gateway_request_the_complete_list() {
-    let first = good();
-    let second = good();
+    let first = serving_backend();
+    let second = serving_backend();
     let rig = TestGateway::with_backends(&[first.address]);
     rig.discovery.set_endpoints(vec![endpoint("b1", second.address, "active")]);
     rig.discovery.publish_line("{\"seq\":7,\"whole\":fal");
@@ -70,8 +70,8 @@
 
 #[test]
 fn ended_watch_is_resumed_from_its_version() {
-    let first = good();
-    let second = good();
+    let first = serving_backend();
+    let second = serving_backend();
     let rig = TestGateway::with_backends(&[first.address]);
     rig.discovery.close_watches();
     rig.discovery.wait_for_requests(2);
@@ -81,8 +81,8 @@
 
 #[test]
 fn reload_moves_discovery_and_counter_while_requests_go_on() {
-    let first = good();
-    let second = good();
+    let first = serving_backend();
+    let second = serving_backend();
     let mut rig = TestGateway::with_backends(&[first.address]);
     let discovery = Discovery::start(vec![endpoint("b1", second.address, "active")]);
     let counter = Counter::start();
@@ -97,7 +97,7 @@
 
 #[test]
 fn unusable_file_changes_nothing() {
-    let backend = good();
+    let backend = serving_backend();
     let rig = TestGateway::with_backends(&[backend.address]);
     for text in ["", "{", "{\"name\":1}", "[]"] {
         std::fs::write(&rig.path, text).unwrap();
@@ -111,7 +111,7 @@
 
 #[test]
 fn reloaded_settings_apply_to_later_requests() {
-    let backend = good();
+    let backend = serving_backend();
     let mut rig = TestGateway::with_backends(&[backend.address]);
     let list = "c=lookup,t=gold,d=900,units=1,spread=1,first=0";
     let ask = |rig: &TestGateway| rig.client().call(&["Q.ASK", "00000000b4d65521", &rig::new_id(), list]);
@@ -219,7 +219,7 @@
 /// A request received before the listener closes is answered, wherever it waits: in a socket or in the accept queue.
 #[test]
 fn requests_at_any_moment_of_the_shutdown_get_a_response_or_an_orderly_close() {
-    let backend = good();
+    let backend = serving_backend();
     let mut rig = TestGateway::with_backends(&[backend.address]);
     let address = rig.address;
     rig.handle.stop();
@@ -254,26 +254,26 @@
         Reply::Bytes(text.clone())
     });
     let mut rig = TestGateway::with_backends(&[backend.address]);
-    let mut piped = rig.client();
-    let mut half = rig.client();
+    let mut pipelined = rig.client();
+    let mut partial = rig.client();
     let mut slow = rig.client();
-    let encoded = half.encode_request("lookup", 2000);
-    half.stream.write_all(&encoded[..encoded.len() / 2]).unwrap();
+    let encoded = partial.encode_request("lookup", 2000);
+    partial.stream.write_all(&encoded[..encoded.len() / 2]).unwrap();
     rig.handle.stop();
     std::thread::sleep(Duration::from_millis(600));
-    (0..10).for_each(|_| drop(piped.send_request("lookup", 2000)));
+    (0..10).for_each(|_| drop(pipelined.send_request("lookup", 2000)));
     (0..20).for_each(|_| drop(slow.send_request("lookup", 2000)));
     // The listener is closed by now; the rest of the command comes on a connection that is still open.
     std::thread::sleep(Duration::from_millis(500));
-    half.stream.write_all(&encoded[encoded.len() / 2..]).unwrap();
-    let good = |response: Option<doorcourse_resp::Value>| {
+    partial.stream.write_all(&encoded[encoded.len() / 2..]).unwrap();
+    let assert_finished = |response: Option<doorcourse_resp::Value>| {
         let response = response.expect("a complete response");
         assert!(is_served(&response, &long) || rig::is_rejected(&response), "{response:.80?}");
     };
-    good(half.read_response());
-    (0..10).for_each(|_| good(piped.read_response()));
-    (0..20).for_each(|_| good(slow.read_response()));
-    for client in [&mut half, &mut piped, &mut slow] {
+    assert_finished(partial.read_response());
+    (0..10).for_each(|_| assert_finished(pipelined.read_response()));
+    (0..20).for_each(|_| assert_finished(slow.read_response()));
+    for client in [&mut partial, &mut pipelined, &mut slow] {
         assert_eq!(client.read_response(), None, "its connection closes behind its responses");
     }
     rig.join();
@@ -285,8 +285,8 @@
     let silent: Vec<_> = (0..3).map(|_| Backend::start(|_| Reply::Withheld)).collect();
     let mut rig = TestGateway::with_backends(&silent.iter().map(|b| b.address).collect::<Vec<_>>());
     let mut clients: Vec<_> = (0..9).map(|_| rig.client()).collect();
-    for (at, client) in clients.iter_mut().enumerate() {
-        client.send_request(["lookup", "save", "order"][at % 3], 2400);
+    for (index, client) in clients.iter_mut().enumerate() {
+        client.send_request(["lookup", "save", "order"][index % 3], 2400);
     }
     silent[0].commands.wait("an attempt", |c| !c.is_empty());
     // Its new counter and discovery do not respond.
@@ -298,8 +298,8 @@
     rig.handle.stop();
     rig.handle.reload();
     rig.handle.stop();
-    for (at, client) in clients.iter_mut().enumerate() {
-        let response = client.read_response().unwrap_or_else(|| panic!("client {at} has no response"));
+    for (index, client) in clients.iter_mut().enumerate() {
+        let response = client.read_response().unwrap_or_else(|| panic!("client {index} has no response"));
         assert!(is_failed(&response) || rig::is_rejected(&response), "{response:?}");
     }
     rig.join();
--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -20,9 +20,9 @@
 }
 
 /// The backend `b0`, started at that time.
-fn backend_started_at(address: SocketAddr, born: u64) -> Json {
+fn backend_started_at(address: SocketAddr, started_ms: u64) -> Json {
     let mut entry = endpoint("b0", address, "active");
-    entry["born_ms"] = json!(born);
+    entry["born_ms"] = json!(started_ms);
     entry
 }
 
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A backend that replies to the first command in this way and serves all others.
-fn once(first: impl Fn() -> Reply + Send + Sync + 'static) -> Backend {
+fn backend_with_first_reply(first: impl Fn() -> Reply + Send + Sync + 'static) -> Backend {
     let count = AtomicUsize::new(0);
     Backend::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0 => first(),
@@ -33,16 +33,16 @@
         ("Q.DO", "00000000b4d65521", &id, "BODY")
     );
     let (before, rest) = arguments[3].split_once("d=").unwrap();
-    let (left, after) = rest.split_once(',').unwrap();
+    let (remaining, after) = rest.split_once(',').unwrap();
     assert_eq!((before, after), ("c=save,t=team,", &*format!("k={id},units=1,spread=1,first=0")));
-    let left: u32 = left.parse().unwrap();
-    assert!((1..1900).contains(&left), "{left}");
+    let remaining: u32 = remaining.parse().unwrap();
+    assert!((1..1900).contains(&remaining), "{remaining}");
 }
 
 #[test]
 fn rejected_attempt_is_retried_in_every_class() {
     for class in ["lookup", "save", "order"] {
-        let backend = once(|| Reply::Bytes(b"-BUSY\r\n".to_vec()));
+        let backend = backend_with_first_reply(|| Reply::Bytes(b"-BUSY\r\n".to_vec()));
         let other = Backend::start(|_| Reply::Bytes(value("good")));
         let rig = TestGateway::with_backends(&[backend.address, other.address]);
         // Whichever of the two is chosen first, a rejected attempt is served by one of them.
@@ -55,9 +55,9 @@
 
 #[test]
 fn refused_connection_is_retried() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let other = Backend::start(|_| Reply::Bytes(value("good")));
-    let rig = TestGateway::with_backends(&[gone, other.address]);
+    let rig = TestGateway::with_backends(&[closed_address, other.address]);
     let mut client = rig.client();
     for _ in 0..4 {
         assert!(is_served(&client.request("order", 1000), "good"));
@@ -79,7 +79,7 @@
     ];
     for (number, fault) in faults.into_iter().enumerate() {
         for class in ["lookup", "save", "order"] {
-            let backend = once(fault);
+            let backend = backend_with_first_reply(fault);
             let rig = TestGateway::with_backends(&[backend.address]);
             let mut client = rig.client();
             let response = client.request(class, 1100);
@@ -101,7 +101,7 @@
 
 #[test]
 fn unanswered_attempt_ends_at_the_deadline_and_closes_its_connection() {
-    let backend = once(|| Reply::Withheld);
+    let backend = backend_with_first_reply(|| Reply::Withheld);
     let rig = TestGateway::with_backends(&[backend.address]);
     let mut client = rig.client();
     let began = std::time::Instant::now();
@@ -114,7 +114,7 @@
 #[test]
 fn bytes_behind_a_response_never_become_the_next_one() {
     for extra in [value("stale"), b"noise".to_vec(), b"-ERR failed\r\n".to_vec()] {
-        let backend = once(move || Reply::Bytes([value("good"), extra.clone()].concat()));
+        let backend = backend_with_first_reply(move || Reply::Bytes([value("good"), extra.clone()].concat()));
         let rig = TestGateway::with_backends(&[backend.address]);
         let mut client = rig.client();
         for _ in 0..3 {
--- a/crates/resp-gateway/tests/rig/client.rs
+++ b/crates/resp-gateway/tests/rig/client.rs
@@ -99,7 +99,7 @@
     pub(crate) fn read_response(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
-            if let Some((value, consumed)) = decode(&self.input).expect("the gateway speaks RESP") {
+            if let Some((value, consumed)) = decode(&self.input).expect("the gateway writes valid RESP") {
                 self.input.drain(..consumed);
                 return Some(value);
             }
--- a/crates/resp-gateway/tests/rig/counter.rs
+++ b/crates/resp-gateway/tests/rig/counter.rs
@@ -49,7 +49,7 @@
     fn serve(stream: TcpStream, totals: &Shared<HashMap<String, f64>>, fault: &Shared<CounterFault>) {
         each_target(stream, |target, stream| {
             let rest = target.strip_prefix("/v1/count/").expect("the path of the counter protocol");
-            let (name, query) = rest.split_once('?').expect("an amount and a life");
+            let (name, query) = rest.split_once('?').expect("an amount and a time to live");
             let amount = query.split('&').find_map(|p| p.strip_prefix("add=")).expect("an amount");
             let amount: f64 = amount.parse().expect("a decimal");
             let fault = fault.update(|fault| *fault);
--- a/crates/resp-gateway/tests/rig/gateway.rs
+++ b/crates/resp-gateway/tests/rig/gateway.rs
@@ -48,7 +48,8 @@
 impl TestGateway {
     /// A gateway with these backends, named b0, b1 and so on.
     pub(crate) fn with_backends(backends: &[SocketAddr]) -> Self {
-        let endpoints = backends.iter().enumerate().map(|(n, at)| endpoint(&format!("b{n}"), *at, "active"));
+        let endpoints =
+            backends.iter().enumerate().map(|(n, address)| endpoint(&format!("b{n}"), *address, "active"));
         Self::new(endpoints.collect(), settings(), 1024)
     }
 
