--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -1,11 +1,12 @@
-//! The gateway on the users' platform: RESP from clients and to backends, HTTP/1.1 to discovery and the counter.
+//! The RESP gateway: it speaks RESP to clients and backends, and HTTP/1.1 to discovery and the counter.
 //!
-//! It translates between sockets and decisions. Which request is admitted, where it is sent, when it is retried and how
-//! it ends is decided in `doorcourse`; what bytes mean for one request in `doorcourse_request_lifecycle`.
+//! It translates between sockets and the decision library. `doorcourse`, the decision library, decides which request is
+//! admitted, where it is sent, when it is retried and how it ends; `doorcourse_request_lifecycle` decides what an event
+//! on a socket means for one request.
 //!
-//! [`RespGateway`] is the event loop over the components. Each component (client table, backends, counter pool, discovery
-//! client, request table) owns its state; components exchange typed messages through the loop. [`request`] and
-//! [`endpoints`] parse what clients and discovery send, without I/O.
+//! [`RespGateway`] is the event loop over the components. Each component (client table, backends, counter pool,
+//! discovery client, request table) owns its state; components exchange typed messages through the loop. [`request`]
+//! and [`endpoints`] parse what clients and discovery send, without I/O.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
