--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Memory where the file states none, in MiB.
+/// The memory limit in MiB where the file states none.
 const DEFAULT_MEMORY_MIB: u64 = 128;
-/// Descriptors where the file states none.
+/// The limit of descriptors where the file states none.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 
-/// What the machine allows the process.
+/// The limits that the machine sets the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineLimits {
     /// Memory in bytes.
@@ -21,7 +21,7 @@
     pub descriptors: usize,
 }
 
-/// The configuration file as it was read.
+/// The contents of the configuration file.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The gateway's name, the same after a restart.
@@ -32,11 +32,11 @@
     pub discovery: SocketAddr,
     /// The address of the shared counter; `None` for a deployment without one.
     pub counter: Option<SocketAddr>,
-    /// The seed of the decisions' random generator, new with each start.
+    /// The seed of the decision library's random number generator, new at each start.
     pub seed: u64,
-    /// What the machine allows.
+    /// The limits of the machine.
     pub limits: MachineLimits,
-    /// The endpoint list that this gateway had last.
+    /// The endpoint list that this gateway had last, in use until discovery responds.
     pub known_endpoints: Option<EndpointList>,
     /// The settings of the deployment.
     pub deployment: Deployment,
@@ -46,7 +46,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// A line that names the file and the field at fault.
+    /// When the file cannot be read or a field is invalid; the message names both.
     pub fn open(path: &Path) -> anyhow::Result<Self> {
         let path_text = path.display().to_string();
         let text = std::fs::read(path).with_context(|| path_text.clone())?;
@@ -56,7 +56,7 @@
     /// Reads the text of the file.
     ///
     /// # Errors
-    /// A line that names the field at fault.
+    /// When a field is missing or invalid; the message names it.
     pub fn read(text: &[u8]) -> Result<Self, String> {
         let root: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let seed = string(&root, "seed")?;
