--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -1,18 +1,18 @@
-//! The gateway's event loop: carries messages between the components and the decisions.
+//! The gateway's event loop: passes messages between the components and the decision library.
 //!
 //! Order of an iteration:
 //!
-//! 1. Wait for readiness or the next timeout, and read the clock once. An iteration that stalled polls again, so that
-//!    what happened meanwhile is processed before what is due.
-//! 2. Clients that have disconnected, before anything that could start an attempt for them.
-//! 3. What was received: signals, the endpoint list, counter replies, responses of backends.
-//! 4. Timeouts of the components, then timers.
-//! 5. New connections and the commands of clients; timeouts of client connections.
+//! 1. Wait for readiness or the next timeout, and read the clock once. After a wait that ended far too late, re-poll so
+//!    that input which arrived in the meantime is processed before timeouts.
+//! 2. Handle clients that have disconnected, before anything that could start an attempt for them.
+//! 3. Handle input: signals, endpoint lists, counter replies, responses of backends.
+//! 4. Handle timeouts of the components, then timers.
+//! 5. Accept connections and read the commands of clients; handle timeouts of client connections.
 //! 6. While draining: stop accepting, and examine every client connection.
 //! 7. At the final-response deadline: respond to every open request.
-//! 8. Write each socket once.
+//! 8. Write to the sockets, in at most [`MAX_FLUSH_ROUNDS`] rounds.
 //!
-//! After each of these messages are processed until none is pending ([`RespGateway::process_pending_events`]).
+//! After each step, messages are processed until none is pending ([`RespGateway::process_pending_events`]).
 
 mod actions;
 mod configuration;
@@ -44,8 +44,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Rounds of writing in one iteration. Writing may end attempts, and that may bring more to write; what is left then is
-/// written in the next iteration.
+/// Rounds of writing in one iteration. A failed write ends an attempt, and its retry or response has to be written too;
+/// what is left after the last round is written in the next iteration.
 const MAX_FLUSH_ROUNDS: usize = 4;
 
 /// A running gateway.
@@ -54,7 +54,7 @@
     config_path: PathBuf,
     reserved_descriptor: ReservedDescriptor,
     deployment: Deployment,
-    /// The decisions.
+    /// The decision library.
     decisions: Gateway,
     clients: ClientTable,
     backends: Backends,
@@ -65,25 +65,25 @@
     diagnostics: Diagnostics,
     readiness: Readiness,
     shutdown: GracefulShutdown,
-    /// Whether the listener was closed to drain.
+    /// Whether the listener was closed because draining began.
     stopped_accepting: bool,
     address: SocketAddr,
     signals: SignalPipes,
     pending: PendingEvents,
-    /// Buffer for the actions of the decisions.
+    /// Reused buffer for the actions of the decision library.
     actions: Vec<Action>,
-    /// Buffer for the commands of the request table.
+    /// Reused buffer for the commands of the request table.
     commands: Vec<RequestCommand>,
 }
 
-/// What the components reported and is not processed yet.
+/// Events that the components reported and that are not processed yet.
 #[derive(Default)]
 struct PendingEvents {
-    /// For the decisions, in order.
+    /// Events for the decision library, in order.
     decisions: VecDeque<Event>,
     attempts: Vec<AttemptUpdate>,
     clients: Vec<ClientEvent>,
-    /// For the decisions, from the counter.
+    /// Events for the decision library from the counter.
     counter: Vec<Event>,
 }
 
@@ -95,8 +95,8 @@
 }
 
 impl RespGateway {
-    /// Listens as the configuration says; nothing is served before [`run`](Self::run). The file at `config_path` is read
-    /// again on reload.
+    /// Binds the configured address; clients are served from [`run`](Self::run) on. A reload reads the file at
+    /// `config_path` again.
     ///
     /// # Errors
     /// When the settings cannot be used or the address cannot be bound.
@@ -159,16 +159,16 @@
         );
     }
 
-    /// The address on which it listens.
+    /// The address on which the gateway listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Has these signals wake the loop; those received already are processed in its first iteration.
+    /// Lets these signals wake the loop; those received already are processed in its first iteration.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// When the poller cannot register them.
     pub fn attach_signals(&mut self, handlers: SignalHandlers) -> std::io::Result<()> {
         self.signals.attach(&mut self.reactor, handlers)
     }
@@ -184,7 +184,7 @@
     /// Serves until the graceful shutdown is complete.
     ///
     /// # Errors
-    /// When the system fails.
+    /// When the poller fails.
     pub fn run(&mut self) -> anyhow::Result<()> {
         let mut ready = Vec::new();
         while !self.shutdown.is_finished(self.reactor.now, self.clients.connection_count()) {
@@ -276,8 +276,8 @@
         }
     }
 
-    /// Processes what the components reported, passes events to the decisions and executes their actions, until nothing
-    /// is pending.
+    /// Processes the events of the components, passes events to the decision library and executes its actions, until no
+    /// event is pending.
     fn process_pending_events(&mut self) {
         loop {
             self.process_component_events();
@@ -314,7 +314,7 @@
         self.actions = actions;
     }
 
-    /// Stops accepting when draining begins; in that and every later iteration, examines every connection.
+    /// Stops accepting in the first iteration of draining, and has every client connection examined in each.
     fn drain_clients(&mut self) {
         if std::mem::replace(&mut self.stopped_accepting, true) {
             self.clients.schedule_flush_of_all();
@@ -323,8 +323,8 @@
         }
     }
 
-    /// Responds to every open request by the rules: the deadlines of the attempts that are out expire, and the decisions
-    /// choose the final response. What they send anew reaches no socket, since nothing is written before the last round.
+    /// Responds to every open request: the deadlines of the attempts in flight expire, and the decision library chooses
+    /// the final response. Retries that it starts here reach no socket, since nothing is written before the last round.
     fn respond_to_all(&mut self) {
         let mut rounds = FinalRounds::new(self.deployment.settings.max_attempts);
         loop {
