--- a/crates/resp-gateway/src/gateway/actions.rs
+++ b/crates/resp-gateway/src/gateway/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions of the decisions, and handles the events of clients, attempts and timers.
+//! Executes the actions of the decision library, and handles the events of clients, attempts and timers.
 
 use super::RespGateway;
 use crate::backends::{AttemptEvent, AttemptUpdate};
@@ -29,7 +29,7 @@
                 let call = CounterCall { counter, amount, time_to_live };
                 self.counter.call(&mut self.reactor, call, &mut self.pending.counter);
             }
-            // Gateways cannot reach each other on this platform, and the watch is always on.
+            // RESP gateways have no connections to each other, and the watch of the endpoint list always runs.
             Action::Gossip { .. } | Action::WatchBackends => {}
             Action::Log(line) => tracing::info!(target: "doorcourse::decisions", "{line}"),
         }
@@ -111,7 +111,7 @@
             }
             StartOutcome::DuplicateId => Response::InvalidRequest(RequestError::DuplicateId),
             StartOutcome::DeadlineTooShort => Response::Failed(RequestFailure::DeadlineTooShort),
-            // Another gateway accepts it at once: there is nothing to wait for.
+            // Another gateway can accept the request at once, so the client need not wait.
             StartOutcome::ShuttingDown => Response::Rejected { retry_after_ms: None },
         };
         self.clients.respond(now, command, response);
