--- a/crates/resp-gateway/src/gateway/configuration.rs
+++ b/crates/resp-gateway/src/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! Applies a configuration that is reloaded, and endpoint lists.
+//! Applies reloaded configurations and endpoint lists.
 
 use super::RespGateway;
 use crate::config::Config;
@@ -29,12 +29,12 @@
 }
 
 impl RespGateway {
-    /// Reads the configuration file again. One that cannot be read, or fails its checks, changes nothing.
+    /// Reads the configuration file again. A file that cannot be read or is invalid changes nothing.
     pub(super) fn reload_configuration(&mut self) {
         let path = &self.config_path;
         let config = match self.reserved_descriptor.released_for(|| Config::open(path)) {
             Ok(config) => config,
-            // The error names the file and the field at fault.
+            // The error names the file and the invalid field.
             Err(error) => {
                 let error = format!("{error:#}");
                 return tracing::error!(
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Applies an endpoint list to the backends and the decisions.
+    /// Applies an endpoint list to the backends and the decision library.
     ///
-    /// The addresses have to be known before the decisions send there, and the decisions have to know of a drain before
-    /// what it withdraws is placed anew: withdrawn attempts are reported after the list.
+    /// The backends receive the addresses first, since the decision library may send an attempt as soon as it has the
+    /// list. Withdrawn attempts are reported last: they are retried, and not at a backend that the list drains.
     pub(super) fn apply_endpoints(&mut self, list: EndpointList) {
         let entries = list.endpoints.iter().map(|endpoint| endpoint.entry.clone()).collect();
         let event = if list.complete { Event::BackendList(entries) } else { Event::BackendChanges(entries) };
