--- a/crates/resp-gateway/src/gateway/health_checks.rs
+++ b/crates/resp-gateway/src/gateway/health_checks.rs
@@ -1,4 +1,4 @@
-//! The health checks that are out.
+//! The health checks in flight.
 
 use super::RespGateway;
 use crate::backends::{AttemptEvent, AttemptUpdate};
@@ -7,13 +7,13 @@
 use doorcourse_request_lifecycle::BackendReply;
 use std::collections::HashMap;
 
-/// A health check that is out.
+/// A health check in flight.
 struct HealthCheck {
     backend: Name,
     started_at: Millis,
 }
 
-/// The health checks that are out, by their ids.
+/// The health checks in flight, by id.
 #[derive(Default)]
 pub(super) struct HealthChecks {
     in_flight: HashMap<RequestId, HealthCheck>,
