--- a/crates/resp-gateway/src/gateway/signals.rs
+++ b/crates/resp-gateway/src/gateway/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the process, and the handle that has the same effect from another thread.
+//! Signals of the process, and the handle with which another thread has the same effect.
 
 use super::RespGateway;
 use crate::reactor::{Reactor, Token, TokenKind};
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read from a pipe at once; each is one signal.
+/// Bytes read from a pipe at a time; each byte is one signal.
 const MAX_SIGNALS_READ: usize = 16;
 
 /// What a signal requests of the process.
@@ -48,8 +48,8 @@
     }
 }
 
-/// Handlers of SIGTERM, SIGINT and SIGHUP. Install them before anything listens: from then on a signal that would end the
-/// process waits for the loop, so that no accepted connection is lost.
+/// Handlers of SIGTERM, SIGINT and SIGHUP. Install them before the gateway listens: a signal then waits for the event
+/// loop and does not kill the process, so that no accepted connection is lost.
 #[derive(Debug)]
 pub struct SignalHandlers(Vec<SignalPipe>);
 
@@ -57,7 +57,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// When a pipe cannot be created or a handler cannot be installed.
     pub fn install() -> std::io::Result<Self> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         let signals = [
@@ -76,15 +76,15 @@
     }
 }
 
-/// A pipe that wakes the loop.
+/// A pipe that wakes the event loop.
 #[derive(Debug)]
 struct SignalPipe {
     receiver: UnixStream,
-    /// The signal that each byte represents; `None` where the byte says which.
+    /// The signal that every byte represents; `None` where the byte itself tells the signal.
     signal: Option<ProcessSignal>,
 }
 
-/// The pipes that wake the loop: one of the handles, then those of the signal handlers.
+/// The pipes that wake the event loop: first the one of all handles, then those of the signal handlers.
 pub(super) struct SignalPipes {
     pipes: Vec<SignalPipe>,
     handle_sender: UnixStream,
@@ -115,7 +115,7 @@
         Ok(GatewayHandle(self.handle_sender.try_clone()?))
     }
 
-    /// The signals that came on a pipe.
+    /// Reads the signals that have arrived on a pipe.
     fn receive(&mut self, index: usize) -> Vec<ProcessSignal> {
         let mut bytes = [0; MAX_SIGNALS_READ];
         let Some(pipe) = self.pipes.get_mut(index) else { return Vec::new() };
