--- a/crates/resp-gateway/src/reactor.rs
+++ b/crates/resp-gateway/src/reactor.rs
@@ -1,10 +1,10 @@
-//! What every component needs of the event loop: the poller, the time of the iteration, timers and descriptor tokens.
+//! The parts of the event loop that every component uses: poller, clock, timers and descriptor tokens.
 
 use doorcourse::{Millis, RequestId};
 use doorcourse_event_loop::{Clock, Interest, Poller, Socket, Timers};
 
-/// Which component owns a descriptor. The order is the order of an iteration: what was received is processed before
-/// anything new begins.
+/// Which component owns a descriptor. An iteration handles descriptors in this order: responses and changes are
+/// processed before new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TokenKind {
     Signal,
@@ -24,11 +24,11 @@
     TokenKind::Client,
 ];
 
-/// Serial numbers fit into the 24 bits of a packed token.
+/// Serial numbers are below this: they fit into 24 bits of a packed token.
 const SERIAL_COUNT: u32 = 1 << 24;
 
-/// Identifies a descriptor in the poller. The serial number keeps an event of a closed descriptor apart from the
-/// descriptor that has its index now.
+/// Identifies a descriptor in the poller. The serial number distinguishes it from a closed descriptor that had the same
+/// index, whose events may still be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Token {
     pub kind: TokenKind,
@@ -58,18 +58,18 @@
     }
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// Set by the decisions.
+    /// Set by the decision library.
     Decision { token: u64 },
     /// The request's deadline.
     RequestDeadline { request: RequestId },
-    /// The attempt's connection has to be made by then.
+    /// The attempt must have a connection by then.
     ConnectTimeout { request: RequestId, attempt: u32 },
-    /// The attempt must not be written after this: the idempotency window in which backends drop it as a duplicate ends.
+    /// The attempt must not be written after this: the deduplication window, in which backends drop a duplicate, ends.
     WriteDeadline { request: RequestId, attempt: u32 },
-    /// The reply to a health check is due.
+    /// The health check fails unless it has a reply by then.
     HealthCheckTimeout { check: RequestId },
 }
 
@@ -91,7 +91,7 @@
         Ok(Self { poller, clock, now, timers: Timers::default(), last_serial: 0 })
     }
 
-    /// The serial number of a descriptor that is about to be registered.
+    /// Returns the serial number for a descriptor that is about to be registered.
     pub(crate) fn next_serial(&mut self) -> u32 {
         self.last_serial = (self.last_serial + 1) % SERIAL_COUNT;
         self.last_serial
@@ -113,12 +113,12 @@
         Ok(Self { socket, token, interest })
     }
 
-    /// Changes which readiness is reported, where it differs from the registration.
+    /// Changes which readiness is reported, if that differs from the registration.
     pub(crate) fn set_interest(&mut self, reactor: &Reactor, read: bool, write: bool) {
         let interest = Interest { read, write, ..self.interest };
         if interest != self.interest {
             self.interest = interest;
-            // This fails only for a descriptor that is closed, and a closed one reports nothing.
+            // Fails only for a closed descriptor, which reports nothing.
             let _ = reactor.poller.change(&self.socket, self.token.pack(), interest);
         }
     }
