--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -10,12 +10,12 @@
 use fields::RequestFields;
 use std::ops::Range;
 
-/// Customer numbers are below this.
+/// Customer ids are below this.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 /// The longest idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 64;
 
-/// Why a command with good framing is invalid; it is answered with an error and the connection stays open.
+/// Why a command with valid framing is invalid. The response is an error, and the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// No such command.
@@ -67,7 +67,7 @@
     pub class: usize,
     /// Index of the plan in the settings.
     pub plan: usize,
-    /// The units that it uses.
+    /// The units that the request uses.
     pub units: f64,
     /// How many gateways serve the customer.
     pub gateway_count: u32,
@@ -75,7 +75,7 @@
     pub first_gateway: u32,
     /// How long the client waits, in ms.
     pub timeout: Millis,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub client_retry: bool,
     /// The command to send to backends.
     pub forwarded: ForwardedCommand,
@@ -139,7 +139,8 @@
     })))
 }
 
-/// The index of the class, which has to belong to the command: `Q.ASK` for idempotent classes, `Q.DO` for the others.
+/// Returns the index of the class, which must belong to the command: `Q.ASK` for idempotent classes, `Q.DO` for the
+/// others.
 fn parse_class(
     settings: &Settings, fields: &RequestFields<'_>, is_idempotent_command: bool,
 ) -> Result<usize, RequestError> {
@@ -155,7 +156,7 @@
     units.ok_or(RequestError::Units)
 }
 
-/// How many gateways serve the customer, and the first of them.
+/// Returns how many gateways serve the customer, and the index of the first of them.
 fn parse_gateway_set(settings: &Settings, fields: &RequestFields<'_>) -> Result<(u32, u32), RequestError> {
     let count = parse_integer(fields.gateway_count)
         .filter(|count| (1..=settings.gateway_count).contains(count))
@@ -166,7 +167,7 @@
     Ok((count, first))
 }
 
-/// A key is required exactly where the class is idempotent by key.
+/// Checks the idempotency key: classes that are idempotent by key require one, others must not have one.
 fn check_key(idempotency: Idempotency, key: Option<&str>) -> Result<(), RequestError> {
     let needs_key = idempotency == Idempotency::WithKey;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
@@ -179,7 +180,7 @@
     if is_valid { Ok(()) } else { Err(RequestError::IdempotencyKey) }
 }
 
-/// Exactly 16 hex digits in lower case.
+/// Parses exactly 16 hex digits in lower case.
 fn parse_hex(argument: &[u8]) -> Option<u64> {
     let is_digit = |byte: &u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(byte);
     if argument.len() != 16 || !argument.iter().all(is_digit) {
@@ -188,13 +189,13 @@
     u64::from_str_radix(std::str::from_utf8(argument).ok()?, 16).ok()
 }
 
-/// One to nine decimal digits.
+/// Parses one to nine decimal digits.
 fn parse_integer(text: Option<&str>) -> Option<u32> {
     let text = text.filter(|text| (1..10).contains(&text.len()))?;
     if text.bytes().all(|byte| byte.is_ascii_digit()) { text.parse().ok() } else { None }
 }
 
-/// A number without sign and exponent: what Rust accepts beyond it (inf, nan, 1e9) is invalid here.
+/// Parses a number without sign or exponent. Other forms that Rust's parser accepts (inf, nan, 1e9) are invalid.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text.len() <= 20 && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     if is_plain { text.parse().ok() } else { None }
