--- a/crates/resp-gateway/src/request/fields.rs
+++ b/crates/resp-gateway/src/request/fields.rs
@@ -2,7 +2,7 @@
 
 use super::RequestError;
 
-/// The fields of a request, each at most once; only `r=0` may be repeated.
+/// The fields of a request. Each occurs at most once, except `r=0`, which may be repeated.
 #[derive(Default)]
 pub(super) struct RequestFields<'a> {
     pub class: Option<&'a str>,
@@ -15,7 +15,7 @@
     pub client_retry: bool,
     /// The list up to the value of the deadline.
     pub before_deadline: &'a str,
-    /// The list behind the value of the deadline.
+    /// The list after the value of the deadline.
     pub after_deadline: &'a str,
 }
 
