--- a/crates/resp-gateway/src/request/forwarded.rs
+++ b/crates/resp-gateway/src/request/forwarded.rs
@@ -1,22 +1,22 @@
-//! The command that is sent to backends for a request.
+//! The command that the gateway sends to backends for a request.
 
 use super::fields::RequestFields;
 use doorcourse::Millis;
 use std::io::Write;
 use std::ops::Range;
 
-/// The longest timeout that is sent, in ms; its digits fit into [`TIMEOUT_DIGITS`].
+/// The longest timeout sent to a backend, in ms; its digits fit into [`TIMEOUT_DIGITS`].
 const MAX_TIMEOUT_MS: f64 = 1e9;
 const TIMEOUT_DIGITS: usize = 12;
 
-/// A request as it is sent to a backend: unchanged but for its timeout, which is the time that remains.
+/// A request as it is sent to a backend: unchanged except for its timeout, which becomes the time that remains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedCommand {
     /// Command, customer and request id, encoded.
     encoded_head: Box<[u8]>,
     /// The list of fields up to the value of the timeout.
     before_timeout: Box<str>,
-    /// The list of fields behind the value of the timeout.
+    /// The list of fields after the value of the timeout.
     after_timeout: Box<str>,
     body: Option<Box<[u8]>>,
 }
