--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -1,7 +1,7 @@
-//! The table of open requests: one `RequestLifecycle` for each, between the decisions and the sockets.
+//! The table of open requests: one `RequestLifecycle` for each, between the decision library and the sockets.
 //!
-//! What becomes of a request is decided by `doorcourse_request_lifecycle`. The table owns what belongs to a request (its
-//! client, its command, its deadline, the response that is held) and returns [`RequestCommand`]s to execute.
+//! `doorcourse_request_lifecycle` decides how each event changes a request. The table owns the data of a request (its
+//! client, its command, its deadline, the buffered response) and returns [`RequestCommand`]s to execute.
 
 use crate::backends::AttemptEvent;
 use crate::clients::{CommandId, RequestFailure, Response};
@@ -15,32 +15,31 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// How long a response travels to the client, in ms: one that is ready later than this before the client's deadline comes
-/// too late.
+/// Time for a response to reach its client, in ms. The gateway's deadline is up to this much earlier than the client's.
 const RESPONSE_TRANSIT_MS: Millis = 4.0;
 
-/// Log target that follows each request by its client's id, at the level `trace`.
+/// Log target for the steps of each request, at the level `trace`; the first message holds the id that the client gave.
 const LOG_TARGET: &str = "doorcourse::requests";
 
-/// What is to be done for a request.
+/// What the event loop has to do for a request.
 pub(crate) enum RequestCommand {
-    /// Pass an event to the decisions.
+    /// Pass an event to the decision library.
     NotifyDecisions(Event),
     /// Send the response to the client.
     Respond { command: CommandId, response: Response },
-    /// End the attempt that is out; its response is not waited for any more.
+    /// End the attempt in flight without waiting for its response.
     AbandonAttempt { request: RequestId },
 }
 
-/// What becomes of a request that was received.
+/// Whether a received request was opened, or why not.
 pub(crate) enum StartOutcome {
-    /// It is open until its deadline; the decisions are to receive the event.
+    /// The request is open until its deadline; the event goes to the decision library.
     Started { request: RequestId, deadline: Millis, event: Event },
-    /// A request with its id is open.
+    /// Another request with the same id is open.
     DuplicateId,
     /// No response could reach the client in time.
     DeadlineTooShort,
-    /// It could not end before the process has to exit.
+    /// The request could not finish before the process has to exit.
     ShuttingDown,
 }
 
@@ -51,10 +50,10 @@
     forwarded: Arc<ForwardedCommand>,
     started_at: Millis,
     deadline: Millis,
-    /// The backend of the last attempt, and when that started.
+    /// The backend of the last attempt.
     backend: Name,
     attempt_started_at: Millis,
-    /// The value of the response that is held.
+    /// The value of the buffered response.
     value: Vec<u8>,
     load_report: Option<LoadReport>,
 }
@@ -75,12 +74,12 @@
     /// The ids that clients gave to open requests; a second request with such an id is an error.
     by_client_id: HashMap<u64, RequestId>,
     last_id: RequestId,
-    /// Buffer for the actions of a lifecycle.
+    /// Reused buffer for the actions of a lifecycle.
     actions: Vec<LifecycleAction>,
 }
 
 impl RequestTable {
-    /// Opens a request, unless its id, its deadline or the shutdown forbids it.
+    /// Opens a request, unless its id is in use, its deadline is too short or the shutdown rejects it.
     pub(crate) fn start(
         &mut self, now: Millis, deployment: &Deployment, shutdown: &GracefulShutdown, command: CommandId,
         request: Request,
@@ -124,7 +123,7 @@
         StartOutcome::Started { request: id, deadline, event: Event::RequestReceived(incoming) }
     }
 
-    /// Starts an attempt that the decisions send to a backend; `None` where the request is closed.
+    /// Starts an attempt that the decision library sends to a backend; `None` if the request has finished.
     pub(crate) fn start_attempt(
         &mut self, now: Millis, id: RequestId, backend: &Name,
     ) -> Option<OutgoingAttempt> {
@@ -144,14 +143,14 @@
         })
     }
 
-    /// Whether this attempt is out.
+    /// Whether this attempt is in flight.
     pub(crate) fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
         self.open
             .get(&id)
             .is_some_and(|open| open.lifecycle.has_attempt() && open.lifecycle.attempts() == attempt)
     }
 
-    /// Handles what happened to a request's attempt.
+    /// Handles an event of a request's attempt.
     pub(crate) fn handle_attempt_event(
         &mut self, now: Millis, id: RequestId, event: AttemptEvent, send_retry_after: bool,
         commands: &mut Vec<RequestCommand>,
@@ -173,7 +172,7 @@
         self.handle_event(now, id, event, send_retry_after, commands);
     }
 
-    /// Handles what happened to a request.
+    /// Handles an event of a request.
     pub(crate) fn handle_event(
         &mut self, now: Millis, id: RequestId, event: LifecycleEvent, send_retry_after: bool,
         commands: &mut Vec<RequestCommand>,
@@ -207,7 +206,7 @@
         waiting.map(|(id, _)| *id).collect()
     }
 
-    /// Open requests, including those whose clients have disconnected while an attempt is out.
+    /// The number of open requests, including those whose clients have disconnected while an attempt is in flight.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Executes an action of the lifecycle as far as it concerns this request's state; returns what is left to do.
+    /// Applies an action of the lifecycle to this request's state; returns the command for the event loop, if any.
     fn execute(
         &mut self, now: Millis, id: RequestId, action: LifecycleAction, send_retry_after: bool,
     ) -> Option<RequestCommand> {
@@ -255,7 +254,7 @@
                 None
             }
             LifecycleAction::CloseBackendConnection => Some(RequestCommand::AbandonAttempt { request: id }),
-            // Responses are held until they are complete: none is forwarded in part.
+            // A response is buffered until it is complete, so no client has received a part of one.
             LifecycleAction::EndResponse | LifecycleAction::ResetClient | LifecycleAction::Finished => None,
         }
     }
@@ -283,7 +282,7 @@
     }
 }
 
-/// The response that the gateway makes itself. A rejection states when to retry only where clients receive advice.
+/// Builds a response of the gateway itself. A rejection tells when to retry only if the settings allow it.
 fn final_response(response: FinalResponse, send_retry_after: bool) -> Response {
     match response {
         FinalResponse::Rejected { retry_after, .. } => {
