--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -52,7 +52,7 @@
     first_sequence: u64,
     pub activity: ConnectionActivity,
     /// Commands so far that could not be accepted.
-    faults: u32,
+    invalid_commands: u32,
     /// Nothing is read before then.
     read_resumes_at: Millis,
     /// No command follows: the framing is lost, or this side is closed.
@@ -71,7 +71,7 @@
             slots: VecDeque::new(),
             first_sequence: 0,
             activity: ConnectionActivity::new(now),
-            faults: 0,
+            invalid_commands: 0,
             read_resumes_at: f64::NEG_INFINITY,
             input_closed: false,
             discarded_bytes: 0,
@@ -99,8 +99,8 @@
     }
 
     /// Whether the client has sent commands that could not be accepted, so that reading may be backed off.
-    pub(super) fn has_faults(&self) -> bool {
-        self.faults > 0
+    pub(super) fn has_invalid_commands(&self) -> bool {
+        self.invalid_commands > 0
     }
 
     /// Reads once. Bytes that come during the lingering close are discarded.
@@ -118,35 +118,35 @@
         &mut self, now: Millis, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) -> bool {
         let input = std::mem::take(&mut self.registered.socket.input);
-        let mut used = 0;
-        while used < input.len() && self.reads_input(now) {
-            let rest = &input[used..];
+        let mut consumed = 0;
+        while consumed < input.len() && self.reads_input(now) {
+            let rest = &input[consumed..];
             match self.commands.read(rest) {
                 Ok(None) => break,
                 Ok(Some((arguments, length))) => {
-                    used += length;
+                    consumed += length;
                     self.activity.partial_request_since = None;
                     self.process_command(now, request::parse(deployment, rest, &arguments), events);
                 }
-                Err(fault) => {
+                Err(error) => {
                     // The error is written behind the responses that are still due, and nothing follows it.
                     self.input_closed = true;
-                    self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(fault)));
-                    used = input.len();
+                    self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(error)));
+                    consumed = input.len();
                 }
             }
         }
         self.registered.socket.input = input;
-        self.registered.socket.consume(used);
+        self.registered.socket.consume(consumed);
         if self.registered.socket.input.is_empty() {
             self.activity.partial_request_since = None;
         } else {
             self.activity.partial_request_since.get_or_insert(now);
         }
-        if used > 0 {
+        if consumed > 0 {
             self.encode_ready_responses(now);
         }
-        used > 0
+        consumed > 0
     }
 
     fn process_command(
@@ -166,7 +166,7 @@
             }
             Err(error) => {
                 self.push_slot(ResponseSlot::Ready(Response::InvalidRequest(error)));
-                self.record_fault(now);
+                self.record_invalid_command(now);
             }
         }
     }
@@ -188,9 +188,9 @@
     }
 
     /// Backs off from reading after a command that could not be accepted.
-    pub(super) fn record_fault(&mut self, now: Millis) {
-        self.faults += 1;
-        self.read_resumes_at = now + fault_backoff(self.faults);
+    pub(super) fn record_invalid_command(&mut self, now: Millis) {
+        self.invalid_commands += 1;
+        self.read_resumes_at = now + fault_backoff(self.invalid_commands);
     }
 
     /// Moves the responses that are next in order to the output. From here on they are unread, also while they are not
@@ -259,10 +259,10 @@
 pub(super) fn reject_connection(mut socket: Socket) {
     socket.read();
     let input = std::mem::take(&mut socket.input);
-    let mut used = 0;
+    let mut consumed = 0;
     let mut commands = CommandReader::new(COMMAND_LIMITS);
-    while let Ok(Some((_, length))) = commands.read(&input[used..]) {
-        used += length;
+    while let Ok(Some((_, length))) = commands.read(&input[consumed..]) {
+        consumed += length;
         Response::Rejected { retry_after_ms: None }.encode(socket.output());
     }
     // What is read at once makes few responses: they fit into the system's buffer of a new connection.
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A backend that replies to the first command in this way and serves all others.
-fn once(first: impl Fn() -> Reply + Send + Sync + 'static) -> Backend {
+fn backend_with_first_reply(first: impl Fn() -> Reply + Send + Sync + 'static) -> Backend {
     let count = AtomicUsize::new(0);
     Backend::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0 => first(),
@@ -33,16 +33,16 @@
         ("Q.DO", "00000000b4d65521", &id, "BODY")
     );
     let (before, rest) = arguments[3].split_once("d=").unwrap();
-    let (left, after) = rest.split_once(',').unwrap();
+    let (remaining, after) = rest.split_once(',').unwrap();
     assert_eq!((before, after), ("c=save,t=team,", &*format!("k={id},units=1,spread=1,first=0")));
-    let left: u32 = left.parse().unwrap();
-    assert!((1..1900).contains(&left), "{left}");
+    let remaining: u32 = remaining.parse().unwrap();
+    assert!((1..1900).contains(&remaining), "{remaining}");
 }
 
 #[test]
 fn rejected_attempt_is_retried_in_every_class() {
     for class in ["lookup", "save", "order"] {
-        let backend = once(|| Reply::Bytes(b"-BUSY\r\n".to_vec()));
+        let backend = backend_with_first_reply(|| Reply::Bytes(b"-BUSY\r\n".to_vec()));
         let other = Backend::start(|_| Reply::Bytes(value("good")));
         let rig = TestGateway::with_backends(&[backend.address, other.address]);
         // Whichever of the two is chosen first, a rejected attempt is served by one of them.
@@ -55,9 +55,9 @@
 
 #[test]
 fn refused_connection_is_retried() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let other = Backend::start(|_| Reply::Bytes(value("good")));
-    let rig = TestGateway::with_backends(&[gone, other.address]);
+    let rig = TestGateway::with_backends(&[closed_address, other.address]);
     let mut client = rig.client();
     for _ in 0..4 {
         assert!(is_served(&client.request("order", 1000), "good"));
@@ -79,20 +79,20 @@
     ];
     for (number, fault) in faults.into_iter().enumerate() {
         for class in ["lookup", "save", "order"] {
-            let backend = once(fault);
+            let backend = backend_with_first_reply(fault);
             let rig = TestGateway::with_backends(&[backend.address]);
             let mut client = rig.client();
-            let answer = client.request(class, 1100);
-            let what = format!("fault {number}, {class}: {answer:?}");
+            let response = client.request(class, 1100);
+            let what = format!("fault {number}, {class}: {response:?}");
             if class == "order" {
-                assert!(is_failed(&answer), "{what}");
+                assert!(is_failed(&response), "{what}");
                 assert_eq!(backend.command_count(), 1, "{what}");
             } else {
                 // The only backend is ejected for a while after a failure: a request that waits for it may be given up,
                 // but one with a key that may have been executed is never rejected as safe to retry elsewhere.
-                let is_allowed = is_served(&answer, "good")
-                    || is_failed(&answer)
-                    || class == "lookup" && is_rejected(&answer);
+                let is_allowed = is_served(&response, "good")
+                    || is_failed(&response)
+                    || class == "lookup" && is_rejected(&response);
                 assert!(is_allowed, "{what}");
             }
         }
@@ -101,7 +101,7 @@
 
 #[test]
 fn unanswered_attempt_ends_at_the_deadline_and_closes_its_connection() {
-    let backend = once(|| Reply::Withheld);
+    let backend = backend_with_first_reply(|| Reply::Withheld);
     let rig = TestGateway::with_backends(&[backend.address]);
     let mut client = rig.client();
     let began = std::time::Instant::now();
@@ -114,7 +114,7 @@
 #[test]
 fn bytes_behind_a_response_never_become_the_next_one() {
     for extra in [value("stale"), b"noise".to_vec(), b"-ERR failed\r\n".to_vec()] {
-        let backend = once(move || Reply::Bytes([value("good"), extra.clone()].concat()));
+        let backend = backend_with_first_reply(move || Reply::Bytes([value("good"), extra.clone()].concat()));
         let rig = TestGateway::with_backends(&[backend.address]);
         let mut client = rig.client();
         for _ in 0..3 {
@@ -150,8 +150,8 @@
         rig.counter.fault.update(|current| *current = fault);
         let mut client = rig.client();
         for number in 0..5 {
-            let answer = client.request("lookup", 1000);
-            assert!(is_served(&answer, "good"), "{fault:?}, request {number}: {answer:?}");
+            let response = client.request("lookup", 1000);
+            assert!(is_served(&response, "good"), "{fault:?}, request {number}: {response:?}");
         }
     }
 }
@@ -190,8 +190,8 @@
     backend.commands.wait("both attempts", |c| c.len() == 2);
     sleep_until_after(first, Duration::from_millis(510));
     rig.discovery.publish_changes(vec![endpoint("b1", later.address, "active")]);
-    let answer = client.read_response().unwrap();
-    assert!(is_failed(&answer), "{answer:?}");
+    let response = client.read_response().unwrap();
+    assert!(is_failed(&response), "{response:?}");
     assert_eq!((backend.command_count(), later.command_count()), (2, 0));
     // Nor is anything sent later.
     assert!(is_served(&client.request("order", 9000), "again"));
@@ -215,8 +215,8 @@
     // The window is over; the connection is made after it, with the next retry of the system.
     sleep_until_after(sent, Duration::from_millis(410));
     let late = late.open();
-    let answer = client.read_response().unwrap();
-    assert!(is_failed(&answer), "{answer:?}");
+    let response = client.read_response().unwrap();
+    assert!(is_failed(&response), "{response:?}");
     // The first request that it carries is this one.
     let mut other = rig.client();
     let id = other.send_request("save", 9000);
