--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -103,7 +103,8 @@
         node: String,
     },
     /// A client sent a request.
-    Ask {
+    #[serde(rename = "ask")]
+    RequestSent {
         /// Its name, never used twice.
         id: String,
         /// To which gateway.
@@ -130,7 +131,8 @@
         first: Option<String>,
     },
     /// A client read a final answer.
-    Answer {
+    #[serde(rename = "answer")]
+    ResponseReceived {
         /// Which request.
         id: String,
         /// How it read.
@@ -141,32 +143,38 @@
         code: String,
     },
     /// A client read more behind the final answer.
-    Extra {
+    #[serde(rename = "extra")]
+    DataAfterResponse {
         /// Which request.
         id: String,
     },
     /// The answer broke off in the middle.
-    Cut {
+    #[serde(rename = "cut")]
+    ResponseTruncated {
         /// Which request.
         id: String,
     },
     /// The connection ended before any answer, or was never made.
-    Lost {
+    #[serde(rename = "lost")]
+    ConnectionLost {
         /// Which request.
         id: String,
     },
     /// The client's time was up without an answer.
-    GaveUp {
+    #[serde(rename = "gave_up")]
+    TimedOut {
         /// Which request.
         id: String,
     },
     /// The client left before its time.
-    Left {
+    #[serde(rename = "left")]
+    Cancelled {
         /// Which request.
         id: String,
     },
     /// A node read a whole request.
-    Got {
+    #[serde(rename = "got")]
+    RequestReceived {
         /// Which request.
         id: String,
         /// Which node.
@@ -177,12 +185,14 @@
         work: f64,
     },
     /// A node read a trial: a request of a gateway's own, without a client and without an effect.
-    Tried {
+    #[serde(rename = "tried")]
+    ProbeReceived {
         /// Which node.
         node: String,
     },
     /// A node began to run it.
-    Ran {
+    #[serde(rename = "ran")]
+    RequestExecuted {
         /// Which request.
         id: String,
         /// Which node.
@@ -191,7 +201,8 @@
         dropped: bool,
     },
     /// A node wrote its answer.
-    Replied {
+    #[serde(rename = "replied")]
+    ResponseSent {
         /// The node's number for this attempt.
         attempt: u64,
         /// The status.
@@ -200,7 +211,8 @@
         units: f64,
     },
     /// The connection ended while a node had the request.
-    Closed {
+    #[serde(rename = "closed")]
+    AttemptClosed {
         /// The node's number for this attempt.
         attempt: u64,
     },
@@ -225,7 +237,8 @@
         node: String,
     },
     /// A cold node was pushed over.
-    NodeFell {
+    #[serde(rename = "node_fell")]
+    NodeCrashed {
         /// Which.
         node: String,
     },
--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -64,13 +64,13 @@
         let (mut asked, mut new) = (HashMap::new(), Self::default());
         for record in records {
             match &record.event {
-                Event::Ask { id, gateway, plan, worth, aim, .. } => {
+                Event::RequestSent { id, gateway, plan, worth, aim, .. } => {
                     asked.insert(id.as_str(), (record.t, *gateway, plan, *worth, *aim));
                     new.end = new.end.max(record.t);
                 }
                 Event::CounterCall => add(&mut new.calls, record.t, 1.0),
                 Event::Connected { node } => add(new.nodes.entry(node.clone()).or_default(), record.t, 1.0),
-                Event::Answer { id, kind: Kind::Served, .. } => {
+                Event::ResponseReceived { id, kind: Kind::Served, .. } => {
                     let Some((since, gateway, plan, worth, aim)) = asked.remove(id.as_str()) else {
                         continue;
                     };
@@ -176,7 +176,7 @@
             let id2 = id.clone();
             records.push(Record {
                 t,
-                event: Event::Ask {
+                event: Event::RequestSent {
                     id,
                     gateway,
                     customer,
@@ -193,7 +193,10 @@
             });
             if answered(t, gateway) {
                 let (kind, status, code) = (Kind::Served, 200, String::new());
-                records.push(Record { t: t + 5.0, event: Event::Answer { id: id2, kind, status, code } });
+                records.push(Record {
+                    t: t + 5.0,
+                    event: Event::ResponseReceived { id: id2, kind, status, code },
+                });
             }
         }
         records
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -102,7 +102,7 @@
                 report.phases.push((name.clone(), Answers::default()));
                 latencies.push(Vec::new());
             }
-            Event::Ask { id, customer, plan, units, worth, aim, .. } => {
+            Event::RequestSent { id, customer, plan, units, worth, aim, .. } => {
                 report.phases[phase].1.asked += 1;
                 asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *aim));
                 report.worth.entry(plan.clone()).or_default().1 += worth;
@@ -110,7 +110,7 @@
                 account.plan.clone_from(plan);
                 account.asked += units;
             }
-            Event::Answer { id, kind, code, .. } => {
+            Event::ResponseReceived { id, kind, code, .. } => {
                 let Some((phase, t, _, plan, _, worth, aim)) = asked.get(id.as_str()) else { continue };
                 let answers = &mut report.phases[*phase].1;
                 match kind {
@@ -130,16 +130,19 @@
                     *report.codes.entry(code.clone()).or_default() += 1;
                 }
             }
-            Event::Cut { id } | Event::Lost { id } | Event::Left { id } | Event::GaveUp { id } => {
+            Event::ResponseTruncated { id }
+            | Event::ConnectionLost { id }
+            | Event::Cancelled { id }
+            | Event::TimedOut { id } => {
                 let Some((phase, ..)) = asked.get(id.as_str()) else { continue };
                 let answers = &mut report.phases[*phase].1;
                 match record.event {
-                    Event::Cut { .. } => answers.cut += 1,
-                    Event::Lost { .. } => answers.lost += 1,
+                    Event::ResponseTruncated { .. } => answers.cut += 1,
+                    Event::ConnectionLost { .. } => answers.lost += 1,
                     _ => answers.left += 1,
                 }
             }
-            Event::Got { id, attempt, .. } => {
+            Event::RequestReceived { id, attempt, .. } => {
                 attempt_of.insert(*attempt, id);
                 report.attempts.0 += 1;
                 let Some((_, _, customer, _, units, ..)) = asked.get(id.as_str()) else { continue };
@@ -149,7 +152,7 @@
                     report.attempts.1 += 1;
                 }
             }
-            Event::Replied { attempt, units, .. } => {
+            Event::ResponseSent { attempt, units, .. } => {
                 let customer = attempt_of.get(attempt).and_then(|id| asked.get(id)).map(|a| a.2);
                 if let Some(customer) = customer {
                     report.accounts.entry(customer.to_owned()).or_default().true_units += units;
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -66,7 +66,9 @@
 fn asks<'a>(records: &[&'a Record]) -> HashMap<&'a str, Asked<'a>> {
     let mut asks = HashMap::new();
     for record in records {
-        if let Event::Ask { id, gateway, customer, plan, anew, memory, units, patience, .. } = &record.event {
+        if let Event::RequestSent { id, gateway, customer, plan, anew, memory, units, patience, .. } =
+            &record.event
+        {
             let (t, gateway, anew, memory) = (record.t, *gateway, *anew, *memory);
             let (units, patience, ended) = (*units, *patience, None);
             asks.insert(
@@ -106,31 +108,33 @@
     for record in records {
         let t = record.t;
         let id = match &record.event {
-            Event::Answer { id, .. } | Event::Cut { id } | Event::Lost { id } => id,
-            Event::GaveUp { id } | Event::Left { id } | Event::Extra { id } => id,
+            Event::ResponseReceived { id, .. }
+            | Event::ResponseTruncated { id }
+            | Event::ConnectionLost { id } => id,
+            Event::TimedOut { id } | Event::Cancelled { id } | Event::DataAfterResponse { id } => id,
             _ => continue,
         };
         let Some(ask) = asks.get_mut(id.as_str()) else {
             breach(t, format!("{id}: an end without a request"));
             continue;
         };
-        if ask.ended.is_some() || matches!(record.event, Event::Extra { .. }) {
+        if ask.ended.is_some() || matches!(record.event, Event::DataAfterResponse { .. }) {
             breach(t, format!("{id}: something more was sent after the final answer"));
             continue;
         }
         ask.ended = Some((t, &record.event));
         let late = t > ask.t + ask.patience + bounds.answer_slack;
         match &record.event {
-            Event::Answer { .. } | Event::Cut { .. } if late => {
+            Event::ResponseReceived { .. } | Event::ResponseTruncated { .. } if late => {
                 breach(
                     t,
                     format!("{id}: answered {:.0} ms after the client's time", t - ask.t - ask.patience),
                 );
             }
-            Event::GaveUp { .. } if !gone(ask.gateway, ask.t, t) => {
+            Event::TimedOut { .. } if !gone(ask.gateway, ask.t, t) => {
                 breach(t, format!("{id}: no answer from gateway {} in {:.0} ms", ask.gateway, ask.patience));
             }
-            Event::Lost { .. } if !gone(ask.gateway, ask.t, t) => {
+            Event::ConnectionLost { .. } if !gone(ask.gateway, ask.t, t) => {
                 breach(t, format!("{id}: gateway {} broke off without an answer", ask.gateway));
             }
             _ => {}
@@ -156,21 +160,21 @@
         let t = record.t;
         match &record.event {
             Event::NodeUp { node, cell, .. } => drop(cells.insert(node, *cell)),
-            Event::NodeDown { node } | Event::NodeFell { node } => {
+            Event::NodeDown { node } | Event::NodeCrashed { node } => {
                 let open = by_number.values_mut().filter(|a| a.node == node && a.over.is_none());
                 open.for_each(|a| a.over = Some((t, 0)));
             }
-            Event::Replied { attempt, status, .. } => {
+            Event::ResponseSent { attempt, status, .. } => {
                 if let Some(a) = by_number.get_mut(attempt) {
                     a.over = a.over.or(Some((t, *status)));
                 }
             }
-            Event::Closed { attempt } => {
+            Event::AttemptClosed { attempt } => {
                 if let Some(a) = by_number.get_mut(attempt) {
                     a.over = a.over.or(Some((t, 0)));
                 }
             }
-            Event::Got { id, node, attempt, .. } => {
+            Event::RequestReceived { id, node, attempt, .. } => {
                 let Some(ask) = asks.get(id.as_str()) else {
                     breach(t, format!("{id}: {node} got a request that no client sent"));
                     continue;
@@ -209,14 +213,14 @@
                 earlier.push(*attempt);
                 by_number.insert(*attempt, Attempt { t, node, over: None });
             }
-            Event::Ran { id, dropped: false, .. } => {
+            Event::RequestExecuted { id, dropped: false, .. } => {
                 let count = ran.entry(id).or_default();
                 *count += 1;
                 if *count > 1 && asks.get(id.as_str()).is_some_and(|a| a.anew != Anew::Safe) {
                     breach(t, format!("{id}: its effect happened {count} times"));
                 }
             }
-            Event::Answer { id, kind: Kind::Refused, .. } => {
+            Event::ResponseReceived { id, kind: Kind::Refused, .. } => {
                 // A refusal promises that trying again is harmless.
                 let may_have_run = attempts
                     .get(id.as_str())
@@ -237,7 +241,7 @@
     let from = records.partition_point(|r| r.t < t);
     let near = records[from..].iter().take_while(|r| r.t <= t + TURN);
     near.into_iter().any(|r| match &r.event {
-        Event::Closed { attempt } | Event::Replied { attempt, .. } => *attempt == number,
+        Event::AttemptClosed { attempt } | Event::ResponseSent { attempt, .. } => *attempt == number,
         _ => false,
     })
 }
@@ -249,8 +253,8 @@
         match &record.event {
             Event::Listed { node, ready: false } => drop(told.entry(node).or_insert(record.t)),
             Event::Listed { node, ready: true } => drop(told.remove(node.as_str())),
-            Event::Got { node, .. } | Event::Tried { node } => {
-                let id = if let Event::Got { id, .. } = &record.event { id } else { "a trial" };
+            Event::RequestReceived { node, .. } | Event::ProbeReceived { node } => {
+                let id = if let Event::RequestReceived { id, .. } = &record.event { id } else { "a trial" };
                 let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace);
                 if let Some(late) = late.filter(|l| *l > 0.0) {
                     let what = format!("{id}: sent to {node} {late:.0} ms after the grace of its drain");
@@ -283,14 +287,14 @@
             Event::NodeUp { node, cold: false, .. } | Event::NodeDown { node } => {
                 drop(nodes.remove(node.as_str()))
             }
-            Event::NodeFell { node } => {
+            Event::NodeCrashed { node } => {
                 let what = format!(
                     "{node} fell over {:.0} ms after its start",
                     nodes.get(node.as_str()).map_or(0.0, |c| t - c.start)
                 );
                 breaches.push(Breach { rule: Rule::ColdNodes, t, what });
             }
-            Event::Got { node, work, .. } => {
+            Event::RequestReceived { node, work, .. } => {
                 let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm) else {
                     continue;
                 };
@@ -349,7 +353,7 @@
     for record in records {
         let t = record.t;
         match &record.event {
-            Event::Got { id, attempt, .. } => {
+            Event::RequestReceived { id, attempt, .. } => {
                 of_attempt.insert(*attempt, id);
                 let Some(ask) = asks.get(id.as_str()) else { continue };
                 if !first.insert(id) {
@@ -379,7 +383,7 @@
                     }
                 }
             }
-            Event::Replied { attempt, status: 200, units } => {
+            Event::ResponseSent { attempt, status: 200, units } => {
                 let ask = of_attempt.get(attempt).and_then(|id| asks.get(id));
                 if let Some((ask, store)) = ask.and_then(|a| Some((a, quotas.get_mut(a.customer)?))) {
                     // Only what comes back is settled here: what ran beyond its price was let in by its price.
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -11,23 +11,39 @@
     let (customer, plan, class) = ("c".into(), "p".into(), "x".into());
     let (memory, worth, aim, patience) = (1000.0, 1.0, 300.0, 800.0);
     let (id, gateway, first) = (id.into(), 0, None);
-    at(t, Event::Ask { id, gateway, customer, plan, class, anew, memory, units, worth, aim, patience, first })
+    at(
+        t,
+        Event::RequestSent {
+            id,
+            gateway,
+            customer,
+            plan,
+            class,
+            anew,
+            memory,
+            units,
+            worth,
+            aim,
+            patience,
+            first,
+        },
+    )
 }
 
 fn answer(t: f64, id: &str, kind: Kind) -> Record {
-    at(t, Event::Answer { id: id.into(), kind, status: 200, code: String::new() })
+    at(t, Event::ResponseReceived { id: id.into(), kind, status: 200, code: String::new() })
 }
 
 fn got(t: f64, id: &str, node: &str, attempt: u64) -> Record {
-    at(t, Event::Got { id: id.into(), node: node.into(), attempt, work: 50.0 })
+    at(t, Event::RequestReceived { id: id.into(), node: node.into(), attempt, work: 50.0 })
 }
 
 fn ran(t: f64, id: &str) -> Record {
-    at(t, Event::Ran { id: id.into(), node: "a".into(), dropped: false })
+    at(t, Event::RequestExecuted { id: id.into(), node: "a".into(), dropped: false })
 }
 
 fn replied(t: f64, attempt: u64, status: u16) -> Record {
-    at(t, Event::Replied { attempt, status, units: 1.0 })
+    at(t, Event::ResponseSent { attempt, status, units: 1.0 })
 }
 
 fn up(t: f64, node: &str, cell: u64, cold: bool) -> Record {
@@ -58,7 +74,7 @@
         answer(61.0, "r1", Kind::Served),
         ask(100.0, "r2", Anew::Keyed, 1.0),
         got(101.0, "r2", "a", 2),
-        at(150.0, Event::Closed { attempt: 2 }),
+        at(150.0, Event::AttemptClosed { attempt: 2 }),
         got(151.0, "r2", "c", 3),
         ran(152.0, "r2"),
         replied(200.0, 3, 200),
@@ -93,15 +109,15 @@
 fn one_answer() {
     let rule = Rule::OneAnswer;
     spoiled(rule, "after the final answer", vec![answer(330.0, "r3", Kind::Served)]);
-    spoiled(rule, "after the final answer", vec![at(330.0, Event::Extra { id: "r3".into() })]);
+    spoiled(rule, "after the final answer", vec![at(330.0, Event::DataAfterResponse { id: "r3".into() })]);
     spoiled(
         rule,
         "ms after the client's time",
         vec![ask(500.0, "x", Anew::Safe, 0.1), answer(1400.0, "x", Kind::Failed)],
     );
-    let gave_up = at(1300.0, Event::GaveUp { id: "x".into() });
+    let gave_up = at(1300.0, Event::TimedOut { id: "x".into() });
     spoiled(rule, "no answer from gateway 0", vec![ask(500.0, "x", Anew::Safe, 0.1), gave_up.clone()]);
-    let lost = at(600.0, Event::Lost { id: "x".into() });
+    let lost = at(600.0, Event::ConnectionLost { id: "x".into() });
     spoiled(rule, "broke off without", vec![ask(500.0, "x", Anew::Safe, 0.1), lost.clone()]);
     spoiled(rule, "tells no end", vec![ask(500.0, "x", Anew::Safe, 0.1)]);
     spoiled(rule, "an end without a request", vec![answer(500.0, "y", Kind::Served)]);
@@ -161,7 +177,7 @@
 
 #[test]
 fn cold_nodes() {
-    let fell = at(500.0, Event::NodeFell { node: "c".into() });
+    let fell = at(500.0, Event::NodeCrashed { node: "c".into() });
     spoiled(Rule::ColdNodes, "fell over", vec![fell]);
     // Capacity 2, a fifth of it cold: 2 x 0.4 x 1000 = 800 ms of work in a window, and two pieces by chance.
     let burst = |count: u64| {
@@ -193,7 +209,7 @@
     assert_eq!(judge(&fits), []);
     // What comes back by the true units may be used again; a ceiling goes by the price.
     let mut back = spend(6, 1.0);
-    back.extend((0..6).map(|n| at(902.0, Event::Replied { attempt: 20 + n, status: 200, units: 0.0 })));
+    back.extend((0..6).map(|n| at(902.0, Event::ResponseSent { attempt: 20 + n, status: 200, units: 0.0 })));
     back.extend([
         ask(910.0, "y", Anew::Safe, 4.0),
         got(911.0, "y", "a", 99),
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -303,7 +303,7 @@
         };
         let key_of = first.clone().unwrap_or_else(|| id.clone());
         self.known.insert(id.clone(), (customer, operation, key_of.clone(), first.is_some()));
-        let ask = Event::Ask {
+        let ask = Event::RequestSent {
             id: id.clone(),
             gateway,
             customer: name,
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -51,13 +51,13 @@
     pub fn answers(&self) -> BTreeMap<&str, String> {
         fn one(record: &Record) -> Option<(&str, String)> {
             match &record.event {
-                Event::Answer { id, kind, code, .. } => {
+                Event::ResponseReceived { id, kind, code, .. } => {
                     Some((id.as_str(), format!("{kind:?} {code}").trim().to_lowercase()))
                 }
-                Event::Cut { id } => Some((id.as_str(), "cut".into())),
-                Event::Lost { id } => Some((id.as_str(), "lost".into())),
-                Event::GaveUp { id } => Some((id.as_str(), "gave up".into())),
-                Event::Left { id } => Some((id.as_str(), "left".into())),
+                Event::ResponseTruncated { id } => Some((id.as_str(), "cut".into())),
+                Event::ConnectionLost { id } => Some((id.as_str(), "lost".into())),
+                Event::TimedOut { id } => Some((id.as_str(), "gave up".into())),
+                Event::Cancelled { id } => Some((id.as_str(), "left".into())),
                 _ => None,
             }
         }
@@ -283,7 +283,7 @@
 fn wait_until(wait: &Wait, fleet: &Fleet) -> anyhow::Result<()> {
     let served = || {
         let all = fleet.recorder.records();
-        all.iter().filter(|r| matches!(r.event, Event::Answer { kind: Kind::Served, .. })).count()
+        all.iter().filter(|r| matches!(r.event, Event::ResponseReceived { kind: Kind::Served, .. })).count()
     };
     let (before, limit) = (served(), wait.limit_s.unwrap_or(10.0));
     let until = fleet.clock.now() + limit * 1000.0;
@@ -310,7 +310,9 @@
     for record in records {
         match &record.event {
             Event::Phase { name } => phase.clone_from(name),
-            Event::Got { node, .. } => *sent.entry((phase.clone(), node.clone())).or_default() += 1,
+            Event::RequestReceived { node, .. } => {
+                *sent.entry((phase.clone(), node.clone())).or_default() += 1
+            }
             _ => {}
         }
     }
--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -193,7 +193,7 @@
         let slot = match reused.map_or_else(|| self.open_connection(scheduled.gateway, address), Ok) {
             Ok(slot) => slot,
             Err(_) => {
-                self.record(Event::Lost { id: scheduled.id.clone() });
+                self.record(Event::ConnectionLost { id: scheduled.id.clone() });
                 return source.request_ended(now, &scheduled, &RequestOutcome::ConnectionLost);
             }
         };
@@ -265,12 +265,12 @@
         let id = in_flight.scheduled.id.clone();
         let event = match &outcome {
             RequestOutcome::Response { kind, status, code, .. } => {
-                Event::Answer { id: id.clone(), kind: *kind, status: *status, code: code.clone() }
+                Event::ResponseReceived { id: id.clone(), kind: *kind, status: *status, code: code.clone() }
             }
-            RequestOutcome::Truncated => Event::Cut { id: id.clone() },
-            RequestOutcome::ConnectionLost => Event::Lost { id: id.clone() },
-            RequestOutcome::TimedOut => Event::GaveUp { id: id.clone() },
-            RequestOutcome::Cancelled => Event::Left { id: id.clone() },
+            RequestOutcome::Truncated => Event::ResponseTruncated { id: id.clone() },
+            RequestOutcome::ConnectionLost => Event::ConnectionLost { id: id.clone() },
+            RequestOutcome::TimedOut => Event::TimedOut { id: id.clone() },
+            RequestOutcome::Cancelled => Event::Cancelled { id: id.clone() },
         };
         self.record(event);
         if let Some(connection) = self.connections.get_mut(slot) {
@@ -338,7 +338,7 @@
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
             if connection.in_flight.is_none() && !connection.socket.input.is_empty() {
-                let extra = connection.last_request.clone().map(|id| Event::Extra { id });
+                let extra = connection.last_request.clone().map(|id| Event::DataAfterResponse { id });
                 connection.socket.input.clear();
                 if let Some(extra) = extra {
                     self.record(extra);
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -369,7 +369,7 @@
     fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         for attempt in connection.attempts {
-            self.recorder.record(Event::Closed { attempt });
+            self.recorder.record(Event::AttemptClosed { attempt });
         }
     }
 
@@ -434,9 +434,9 @@
         let probe = id.is_empty() && query == PROBE_QUERY;
         let work = if probe { 0.0 } else { work };
         self.recorder.record(if probe {
-            Event::Tried { node: name }
+            Event::ProbeReceived { node: name }
         } else {
-            Event::Got { id: id.clone(), node: name, attempt, work }
+            Event::RequestReceived { id: id.clone(), node: name, attempt, work }
         });
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.attempts.push(attempt);
@@ -469,7 +469,7 @@
             let name = self.nodes[node].spec.name.clone();
             match action {
                 NodeAction::Started { job, dropped, duration_ms } => {
-                    self.recorder.record(Event::Ran { id: job.id, node: name, dropped });
+                    self.recorder.record(Event::RequestExecuted { id: job.id, node: name, dropped });
                     self.timers.schedule(self.clock.now() + duration_ms, TimerEvent::Finished(job.attempt));
                 }
                 NodeAction::Rejected { attempt } => {
@@ -479,7 +479,7 @@
                     }
                 }
                 NodeAction::Crashed => {
-                    self.recorder.record(Event::NodeFell { node: name });
+                    self.recorder.record(Event::NodeCrashed { node: name });
                     self.stop_node(node);
                 }
             }
@@ -527,7 +527,7 @@
     fn reply(&mut self, slot: usize, attempt: u64, status: u16, answer: &str, units: f64) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.attempts.retain(|a| *a != attempt);
-        self.recorder.record(Event::Replied { attempt, status, units });
+        self.recorder.record(Event::ResponseSent { attempt, status, units });
         let mut fields = vec![("content-type", JSON)];
         if !connection.keep_alive {
             fields.push(("connection", "close"));
