--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -11,7 +11,7 @@
 mod rules;
 
 pub use acts::{Act, acts};
-pub use record::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule, read};
+pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, read};
 pub use recovery::{Recovery, recoveries};
 pub use report::{Answers, Report, summary};
 pub use rules::{Breach, judge};
--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -18,7 +18,7 @@
 /// What a repeat of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Anew {
+pub enum RetrySafety {
     /// Anything.
     Safe,
     /// Dropped by the nodes of one cell for so many ms.
@@ -116,7 +116,8 @@
         /// Of which class.
         class: String,
         /// Repeats of the class.
-        anew: Anew,
+        #[serde(rename = "anew")]
+        retry_safety: RetrySafety,
         /// For how long a keyed repeat is dropped, in ms.
         memory: f64,
         /// Its price.
--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -161,7 +161,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::Anew;
+    use crate::record::RetrySafety;
 
     /// A request each 10 ms for 20 s at two gateways by turns, answered after 5 ms where `answered` says so.
     fn run(answered: impl Fn(f64, usize) -> bool, faults: &[f64]) -> Vec<Record> {
@@ -172,7 +172,8 @@
                 records.push(Record { t: *at, event: Event::Fault { what: format!("at {at}") } });
             }
             let (customer, plan, class, first) = ("c".into(), "basic".into(), "x".into(), None);
-            let (anew, memory, units, worth, aim, patience) = (Anew::Safe, 0.0, 1.0, 1.0, 100.0, 500.0);
+            let (retry_safety, memory, units, worth, aim, patience) =
+                (RetrySafety::Safe, 0.0, 1.0, 1.0, 100.0, 500.0);
             let id2 = id.clone();
             records.push(Record {
                 t,
@@ -182,7 +183,7 @@
                     customer,
                     plan,
                     class,
-                    anew,
+                    retry_safety,
                     memory,
                     units,
                     worth,
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules as statements about records. Each breach names the request or the node and what was seen.
 
-use crate::record::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule};
+use crate::record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -29,7 +29,7 @@
     gateway: usize,
     customer: &'a str,
     plan: &'a str,
-    anew: Anew,
+    retry_safety: RetrySafety,
     memory: f64,
     units: f64,
     patience: f64,
@@ -66,14 +66,15 @@
 fn asks<'a>(records: &[&'a Record]) -> HashMap<&'a str, Asked<'a>> {
     let mut asks = HashMap::new();
     for record in records {
-        if let Event::RequestSent { id, gateway, customer, plan, anew, memory, units, patience, .. } =
-            &record.event
+        if let Event::RequestSent {
+            id, gateway, customer, plan, retry_safety, memory, units, patience, ..
+        } = &record.event
         {
-            let (t, gateway, anew, memory) = (record.t, *gateway, *anew, *memory);
+            let (t, gateway, retry_safety, memory) = (record.t, *gateway, *retry_safety, *memory);
             let (units, patience, ended) = (*units, *patience, None);
             asks.insert(
                 id.as_str(),
-                Asked { t, gateway, customer, plan, anew, memory, units, patience, ended },
+                Asked { t, gateway, customer, plan, retry_safety, memory, units, patience, ended },
             );
         }
     }
@@ -189,16 +190,16 @@
                     if matches!(other.over, Some((_, 429))) {
                         continue; // Turned away unseen.
                     }
-                    match ask.anew {
-                        Anew::Safe => {}
-                        Anew::Unsafe => breach(
+                    match ask.retry_safety {
+                        RetrySafety::Safe => {}
+                        RetrySafety::Unsafe => breach(
                             t,
                             format!("{id}: sent again to {node} after {} may have run it", other.node),
                         ),
-                        Anew::Keyed if cells.get(other.node) != cells.get(node.as_str()) => {
+                        RetrySafety::Keyed if cells.get(other.node) != cells.get(node.as_str()) => {
                             breach(t, format!("{id}: repeated at {node}, another cell than {}", other.node));
                         }
-                        Anew::Keyed if t > other.t + ask.memory => {
+                        RetrySafety::Keyed if t > other.t + ask.memory => {
                             breach(
                                 t,
                                 format!(
@@ -207,7 +208,7 @@
                                 ),
                             );
                         }
-                        Anew::Keyed => {}
+                        RetrySafety::Keyed => {}
                     }
                 }
                 earlier.push(*attempt);
@@ -216,7 +217,7 @@
             Event::RequestExecuted { id, dropped: false, .. } => {
                 let count = ran.entry(id).or_default();
                 *count += 1;
-                if *count > 1 && asks.get(id.as_str()).is_some_and(|a| a.anew != Anew::Safe) {
+                if *count > 1 && asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe) {
                     breach(t, format!("{id}: its effect happened {count} times"));
                 }
             }
@@ -227,7 +228,7 @@
                     .into_iter()
                     .flatten()
                     .any(|n| by_number.get(n).is_some_and(|a| !matches!(a.over, Some((_, 429)))));
-                let strict = asks.get(id.as_str()).is_some_and(|a| a.anew != Anew::Safe);
+                let strict = asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe);
                 if may_have_run && strict {
                     breach(t, format!("{id}: refused after a node may have run it"));
                 }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -1,13 +1,15 @@
 //! A good record passes; for each rule a spoiled one is refused.
 
-use doorcourse_conformance::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule, judge, read, summary};
+use doorcourse_conformance::{
+    Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, judge, read, summary,
+};
 use std::collections::BTreeMap;
 
 fn at(t: f64, event: Event) -> Record {
     Record { t, event }
 }
 
-fn ask(t: f64, id: &str, anew: Anew, units: f64) -> Record {
+fn ask(t: f64, id: &str, retry_safety: RetrySafety, units: f64) -> Record {
     let (customer, plan, class) = ("c".into(), "p".into(), "x".into());
     let (memory, worth, aim, patience) = (1000.0, 1.0, 300.0, 800.0);
     let (id, gateway, first) = (id.into(), 0, None);
@@ -19,7 +21,7 @@
             customer,
             plan,
             class,
-            anew,
+            retry_safety,
             memory,
             units,
             worth,
@@ -67,19 +69,19 @@
         up(0.0, "a", 1, false),
         up(0.0, "b", 2, false),
         up(0.0, "c", 1, true),
-        ask(10.0, "r1", Anew::Unsafe, 1.0),
+        ask(10.0, "r1", RetrySafety::Unsafe, 1.0),
         got(12.0, "r1", "a", 1),
         ran(12.0, "r1"),
         replied(60.0, 1, 200),
         answer(61.0, "r1", Kind::Served),
-        ask(100.0, "r2", Anew::Keyed, 1.0),
+        ask(100.0, "r2", RetrySafety::Keyed, 1.0),
         got(101.0, "r2", "a", 2),
         at(150.0, Event::AttemptClosed { attempt: 2 }),
         got(151.0, "r2", "c", 3),
         ran(152.0, "r2"),
         replied(200.0, 3, 200),
         answer(201.0, "r2", Kind::Served),
-        ask(300.0, "r3", Anew::Safe, 1.0),
+        ask(300.0, "r3", RetrySafety::Safe, 1.0),
         answer(310.0, "r3", Kind::Refused),
         at(4000.0, Event::Phase { name: "end".into() }),
     ]
@@ -113,18 +115,18 @@
     spoiled(
         rule,
         "ms after the client's time",
-        vec![ask(500.0, "x", Anew::Safe, 0.1), answer(1400.0, "x", Kind::Failed)],
+        vec![ask(500.0, "x", RetrySafety::Safe, 0.1), answer(1400.0, "x", Kind::Failed)],
     );
     let gave_up = at(1300.0, Event::TimedOut { id: "x".into() });
-    spoiled(rule, "no answer from gateway 0", vec![ask(500.0, "x", Anew::Safe, 0.1), gave_up.clone()]);
+    spoiled(rule, "no answer from gateway 0", vec![ask(500.0, "x", RetrySafety::Safe, 0.1), gave_up.clone()]);
     let lost = at(600.0, Event::ConnectionLost { id: "x".into() });
-    spoiled(rule, "broke off without", vec![ask(500.0, "x", Anew::Safe, 0.1), lost.clone()]);
-    spoiled(rule, "tells no end", vec![ask(500.0, "x", Anew::Safe, 0.1)]);
+    spoiled(rule, "broke off without", vec![ask(500.0, "x", RetrySafety::Safe, 0.1), lost.clone()]);
+    spoiled(rule, "tells no end", vec![ask(500.0, "x", RetrySafety::Safe, 0.1)]);
     spoiled(rule, "an end without a request", vec![answer(500.0, "y", Kind::Served)]);
     // A gateway that was killed meanwhile owes nothing; another's death excuses nothing.
     let mut killed = good();
     killed.extend([
-        ask(500.0, "x", Anew::Safe, 0.1),
+        ask(500.0, "x", RetrySafety::Safe, 0.1),
         at(590.0, Event::GatewayDown { gateway: 0 }),
         lost.clone(),
     ]);
@@ -132,7 +134,7 @@
     spoiled(
         rule,
         "broke off",
-        vec![ask(500.0, "x", Anew::Safe, 0.1), at(590.0, Event::GatewayDown { gateway: 1 }), lost],
+        vec![ask(500.0, "x", RetrySafety::Safe, 0.1), at(590.0, Event::GatewayDown { gateway: 1 }), lost],
     );
 }
 
@@ -145,12 +147,15 @@
     spoiled(rule, "still had it", vec![got(20.0, "r1", "b", 9)]);
     spoiled(rule, "happened 2 times", vec![ran(190.0, "r2")]);
     spoiled(rule, "no client sent", vec![got(190.0, "nobody", "a", 9)]);
-    let refused =
-        vec![ask(500.0, "x", Anew::Unsafe, 0.1), got(501.0, "x", "a", 9), answer(600.0, "x", Kind::Refused)];
+    let refused = vec![
+        ask(500.0, "x", RetrySafety::Unsafe, 0.1),
+        got(501.0, "x", "a", 9),
+        answer(600.0, "x", Kind::Refused),
+    ];
     spoiled(rule, "refused after", refused);
     // Turned away unseen, another node may have it, and a refusal is true.
     let mut full = good();
-    full.extend([ask(500.0, "x", Anew::Unsafe, 0.1), got(501.0, "x", "a", 9), replied(502.0, 9, 429)]);
+    full.extend([ask(500.0, "x", RetrySafety::Unsafe, 0.1), got(501.0, "x", "a", 9), replied(502.0, 9, 429)]);
     full.extend([got(503.0, "x", "b", 10), replied(504.0, 10, 429), answer(600.0, "x", Kind::Refused)]);
     assert_eq!(judge(&full), []);
 }
@@ -160,7 +165,7 @@
     let told = at(400.0, Event::Listed { node: "a".into(), ready: false });
     let late = vec![
         told.clone(),
-        ask(500.0, "x", Anew::Safe, 0.1),
+        ask(500.0, "x", RetrySafety::Safe, 0.1),
         got(750.0, "x", "a", 9),
         answer(760.0, "x", Kind::Served),
     ];
@@ -168,7 +173,7 @@
     let mut back = good();
     back.extend([told, at(450.0, Event::Listed { node: "a".into(), ready: true })]);
     back.extend([
-        ask(500.0, "x", Anew::Safe, 0.1),
+        ask(500.0, "x", RetrySafety::Safe, 0.1),
         got(750.0, "x", "a", 9),
         answer(760.0, "x", Kind::Served),
     ]);
@@ -182,7 +187,7 @@
     // Capacity 2, a fifth of it cold: 2 x 0.4 x 1000 = 800 ms of work in a window, and two pieces by chance.
     let burst = |count: u64| {
         let one = |n: u64| {
-            [ask(500.0, &format!("x{n}"), Anew::Safe, 0.0), got(501.0, &format!("x{n}"), "c", 20 + n)]
+            [ask(500.0, &format!("x{n}"), RetrySafety::Safe, 0.0), got(501.0, &format!("x{n}"), "c", 20 + n)]
         };
         let ends = (0..count).map(|n| answer(600.0, &format!("x{n}"), Kind::Served));
         (0..count).flat_map(one).chain(ends).collect::<Vec<_>>()
@@ -197,7 +202,10 @@
 fn ceilings_and_quotas() {
     let spend = |count: u64, units: f64| {
         let one = |n: u64| {
-            [ask(900.0, &format!("x{n}"), Anew::Safe, units), got(901.0, &format!("x{n}"), "a", 20 + n)]
+            [
+                ask(900.0, &format!("x{n}"), RetrySafety::Safe, units),
+                got(901.0, &format!("x{n}"), "a", 20 + n),
+            ]
         };
         let ends = (0..count).map(|n| answer(950.0, &format!("x{n}"), Kind::Served));
         (0..count).flat_map(one).chain(ends).collect::<Vec<_>>()
@@ -211,7 +219,7 @@
     let mut back = spend(6, 1.0);
     back.extend((0..6).map(|n| at(902.0, Event::ResponseSent { attempt: 20 + n, status: 200, units: 0.0 })));
     back.extend([
-        ask(910.0, "y", Anew::Safe, 4.0),
+        ask(910.0, "y", RetrySafety::Safe, 4.0),
         got(911.0, "y", "a", 99),
         answer(950.0, "y", Kind::Served),
     ]);
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a drill: customers on plans, a mix of operations, retries, and manners that the script changes.
 
-use doorcourse_conformance::{Anew, Event, Kind, PlanBounds};
+use doorcourse_conformance::{Event, Kind, PlanBounds, RetrySafety};
 use doorcourse_emulators::{
     CATALOGUE, Operation, RequestOutcome, RequestSource, ScheduledRequest, operations,
 };
@@ -18,7 +18,7 @@
     pub aim: f64,
     pub give_up: f64,
     pub worth: f64,
-    pub anew: Anew,
+    pub retry_safety: RetrySafety,
     pub queries: &'static [&'static str],
     pub mutations: &'static [&'static str],
 }
@@ -29,10 +29,10 @@
 impl DrillClass {
     /// In the words of the settings.
     pub fn effect(&self) -> String {
-        match self.anew {
-            Anew::Safe => "effect: SAFE".into(),
-            Anew::Keyed => format!("effect: KEYED group: CELL memory_ms: {MEMORY}"),
-            Anew::Unsafe => "effect: UNSAFE".into(),
+        match self.retry_safety {
+            RetrySafety::Safe => "effect: SAFE".into(),
+            RetrySafety::Keyed => format!("effect: KEYED group: CELL memory_ms: {MEMORY}"),
+            RetrySafety::Unsafe => "effect: UNSAFE".into(),
         }
     }
 }
@@ -43,7 +43,7 @@
         aim: 800.0,
         give_up: 2500.0,
         worth: 2.0,
-        anew: Anew::Safe,
+        retry_safety: RetrySafety::Safe,
         queries: &["preview", "previews"],
         mutations: &[],
     },
@@ -52,7 +52,7 @@
         aim: 1000.0,
         give_up: 3000.0,
         worth: 1.0,
-        anew: Anew::Safe,
+        retry_safety: RetrySafety::Safe,
         queries: &["search", "similar", "shelf"],
         mutations: &[],
     },
@@ -61,7 +61,7 @@
         aim: 800.0,
         give_up: 2000.0,
         worth: 3.0,
-        anew: Anew::Keyed,
+        retry_safety: RetrySafety::Keyed,
         queries: &[],
         mutations: &["savePlaylist"],
     },
@@ -70,7 +70,7 @@
         aim: 500.0,
         give_up: 1200.0,
         worth: 5.0,
-        anew: Anew::Unsafe,
+        retry_safety: RetrySafety::Unsafe,
         queries: &[],
         mutations: &["orderLicence"],
     },
@@ -309,7 +309,7 @@
             customer: name,
             plan: plan.name.into(),
             class: class.name.into(),
-            anew: class.anew,
+            retry_safety: class.retry_safety,
             memory: MEMORY,
             units,
             worth: class.worth,
@@ -317,7 +317,7 @@
             patience,
             first,
         };
-        let idempotency = if class.anew == Anew::Keyed { Some(key_of) } else { None };
+        let idempotency = if class.retry_safety == RetrySafety::Keyed { Some(key_of) } else { None };
         Some(ScheduledRequest {
             id,
             due_at: now,
@@ -374,14 +374,15 @@
     fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
         let Some((customer, operation, first, repeat)) = self.known.remove(&shot.id) else { return };
         let class = self.operations[operation].operation.class;
-        let anew = CLASSES.iter().find(|c| c.name == class).map_or(Anew::Unsafe, |c| c.anew);
+        let retry_safety =
+            CLASSES.iter().find(|c| c.name == class).map_or(RetrySafety::Unsafe, |c| c.retry_safety);
         // A client tries once more: anything safe, the rest only where it was told that this is harmless.
         let wait = match end {
             RequestOutcome::Response { kind: Kind::Refused, retry_after, .. } => retry_after.unwrap_or(500.0),
             RequestOutcome::Response { kind: Kind::Failed, .. }
             | RequestOutcome::Truncated
             | RequestOutcome::ConnectionLost
-                if anew == Anew::Safe =>
+                if retry_safety == RetrySafety::Safe =>
             {
                 200.0
             }
