--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -66,17 +66,22 @@
     /// The plans by name.
     pub plans: BTreeMap<String, PlanBounds>,
     /// What an answer may come after the client's deadline, in ms: the way and the reading.
-    pub answer_slack: f64,
+    #[serde(rename = "answer_slack")]
+    pub response_slack_ms: f64,
     /// How long after the list said so a node may still be sent to, in ms.
-    pub drain_grace: f64,
+    #[serde(rename = "drain_grace")]
+    pub drain_grace_ms: f64,
     /// How many bursts a customer may use at once by the design's bound for this run's troubles.
-    pub bursts: f64,
+    #[serde(rename = "bursts")]
+    pub allowed_bursts: f64,
     /// The most units of one request.
-    pub most_units: f64,
+    #[serde(rename = "most_units")]
+    pub max_request_units: f64,
     /// Sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... over this long in ms, a cold node falls over.
-    pub fall_time: f64,
+    #[serde(rename = "fall_time")]
+    pub fall_window_ms: f64,
 }
 
 /// One thing that happened.
@@ -119,17 +124,21 @@
         #[serde(rename = "anew")]
         retry_safety: RetrySafety,
         /// For how long a keyed repeat is dropped, in ms.
-        memory: f64,
+        #[serde(rename = "memory")]
+        key_retention_ms: f64,
         /// Its price.
         units: f64,
         /// What a timely answer is worth.
         worth: f64,
         /// Within which time, in ms.
-        aim: f64,
+        #[serde(rename = "aim")]
+        target_ms: f64,
         /// How long the client waits, in ms.
-        patience: f64,
+        #[serde(rename = "patience")]
+        timeout_ms: f64,
         /// The first try that this one repeats.
-        first: Option<String>,
+        #[serde(rename = "first")]
+        retry_of: Option<String>,
     },
     /// A client read a final answer.
     #[serde(rename = "answer")]
@@ -183,7 +192,8 @@
         /// The node's number for this attempt.
         attempt: u64,
         /// What it is to do, in ms of one core at full speed.
-        work: f64,
+        #[serde(rename = "work")]
+        work_ms: f64,
     },
     /// A node read a trial: a request of a gateway's own, without a client and without an effect.
     #[serde(rename = "tried")]
@@ -226,9 +236,11 @@
         /// Whether it is cold.
         cold: bool,
         /// The share of its capacity that it starts with.
-        share: f64,
+        #[serde(rename = "share")]
+        cold_share: f64,
         /// It is warm after this, in ms.
-        warm: f64,
+        #[serde(rename = "warm")]
+        warm_up_ms: f64,
         /// Its cores: ms of work it does in a ms when warm.
         capacity: f64,
     },
--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -64,17 +64,17 @@
         let (mut asked, mut new) = (HashMap::new(), Self::default());
         for record in records {
             match &record.event {
-                Event::RequestSent { id, gateway, plan, worth, aim, .. } => {
-                    asked.insert(id.as_str(), (record.t, *gateway, plan, *worth, *aim));
+                Event::RequestSent { id, gateway, plan, worth, target_ms, .. } => {
+                    asked.insert(id.as_str(), (record.t, *gateway, plan, *worth, *target_ms));
                     new.end = new.end.max(record.t);
                 }
                 Event::CounterCall => add(&mut new.calls, record.t, 1.0),
                 Event::Connected { node } => add(new.nodes.entry(node.clone()).or_default(), record.t, 1.0),
                 Event::ResponseReceived { id, kind: Kind::Served, .. } => {
-                    let Some((since, gateway, plan, worth, aim)) = asked.remove(id.as_str()) else {
+                    let Some((since, gateway, plan, worth, target_ms)) = asked.remove(id.as_str()) else {
                         continue;
                     };
-                    if record.t - since <= aim {
+                    if record.t - since <= target_ms {
                         add(&mut new.all, record.t, worth);
                         add(new.gateways.entry(gateway).or_default(), record.t, worth);
                         add(new.plans.entry(plan.clone()).or_default(), record.t, worth);
@@ -171,8 +171,8 @@
             for at in faults.iter().filter(|at| **at > t - 10.0 && **at <= t) {
                 records.push(Record { t: *at, event: Event::Fault { what: format!("at {at}") } });
             }
-            let (customer, plan, class, first) = ("c".into(), "basic".into(), "x".into(), None);
-            let (retry_safety, memory, units, worth, aim, patience) =
+            let (customer, plan, class, retry_of) = ("c".into(), "basic".into(), "x".into(), None);
+            let (retry_safety, key_retention_ms, units, worth, target_ms, timeout_ms) =
                 (RetrySafety::Safe, 0.0, 1.0, 1.0, 100.0, 500.0);
             let id2 = id.clone();
             records.push(Record {
@@ -184,12 +184,12 @@
                     plan,
                     class,
                     retry_safety,
-                    memory,
+                    key_retention_ms,
                     units,
                     worth,
-                    aim,
-                    patience,
-                    first,
+                    target_ms,
+                    timeout_ms,
+                    retry_of,
                 },
             });
             if answered(t, gateway) {
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -12,7 +12,7 @@
     pub asked: u64,
     /// Data, whole.
     pub served: u64,
-    /// Of these, after the aim.
+    /// Of these, after the target_ms.
     pub late: u64,
     /// Refused.
     pub refused: u64,
@@ -88,7 +88,7 @@
     report.length = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
     report.phases.push(("start".into(), Answers::default()));
     // Each request belongs to the phase that it was asked in.
-    // Phase, time, customer, plan, units, worth, aim.
+    // Phase, time, customer, plan, units, worth, target_ms.
     type Asked<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
     let mut asked: HashMap<&str, Asked> = HashMap::new();
     let (mut got, mut attempt_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
@@ -102,22 +102,22 @@
                 report.phases.push((name.clone(), Answers::default()));
                 latencies.push(Vec::new());
             }
-            Event::RequestSent { id, customer, plan, units, worth, aim, .. } => {
+            Event::RequestSent { id, customer, plan, units, worth, target_ms, .. } => {
                 report.phases[phase].1.asked += 1;
-                asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *aim));
+                asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *target_ms));
                 report.worth.entry(plan.clone()).or_default().1 += worth;
                 let account = report.accounts.entry(customer.clone()).or_default();
                 account.plan.clone_from(plan);
                 account.asked += units;
             }
             Event::ResponseReceived { id, kind, code, .. } => {
-                let Some((phase, t, _, plan, _, worth, aim)) = asked.get(id.as_str()) else { continue };
+                let Some((phase, t, _, plan, _, worth, target_ms)) = asked.get(id.as_str()) else { continue };
                 let answers = &mut report.phases[*phase].1;
                 match kind {
                     Kind::Served => {
                         answers.served += 1;
                         latencies[*phase].push(record.t - t);
-                        if record.t > t + aim {
+                        if record.t > t + target_ms {
                             answers.late += 1;
                         } else {
                             report.worth.entry((*plan).to_owned()).or_default().0 += worth;
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -30,9 +30,9 @@
     customer: &'a str,
     plan: &'a str,
     retry_safety: RetrySafety,
-    memory: f64,
+    key_retention_ms: f64,
     units: f64,
-    patience: f64,
+    timeout_ms: f64,
     ended: Option<(f64, &'a Event)>,
 }
 
@@ -67,14 +67,33 @@
     let mut asks = HashMap::new();
     for record in records {
         if let Event::RequestSent {
-            id, gateway, customer, plan, retry_safety, memory, units, patience, ..
+            id,
+            gateway,
+            customer,
+            plan,
+            retry_safety,
+            key_retention_ms,
+            units,
+            timeout_ms,
+            ..
         } = &record.event
         {
-            let (t, gateway, retry_safety, memory) = (record.t, *gateway, *retry_safety, *memory);
-            let (units, patience, ended) = (*units, *patience, None);
+            let (t, gateway, retry_safety, key_retention_ms) =
+                (record.t, *gateway, *retry_safety, *key_retention_ms);
+            let (units, timeout_ms, ended) = (*units, *timeout_ms, None);
             asks.insert(
                 id.as_str(),
-                Asked { t, gateway, customer, plan, retry_safety, memory, units, patience, ended },
+                Asked {
+                    t,
+                    gateway,
+                    customer,
+                    plan,
+                    retry_safety,
+                    key_retention_ms,
+                    units,
+                    timeout_ms,
+                    ended,
+                },
             );
         }
     }
@@ -124,16 +143,19 @@
             continue;
         }
         ask.ended = Some((t, &record.event));
-        let late = t > ask.t + ask.patience + bounds.answer_slack;
+        let late = t > ask.t + ask.timeout_ms + bounds.response_slack_ms;
         match &record.event {
             Event::ResponseReceived { .. } | Event::ResponseTruncated { .. } if late => {
                 breach(
                     t,
-                    format!("{id}: answered {:.0} ms after the client's time", t - ask.t - ask.patience),
+                    format!("{id}: answered {:.0} ms after the client's time", t - ask.t - ask.timeout_ms),
                 );
             }
             Event::TimedOut { .. } if !gone(ask.gateway, ask.t, t) => {
-                breach(t, format!("{id}: no answer from gateway {} in {:.0} ms", ask.gateway, ask.patience));
+                breach(
+                    t,
+                    format!("{id}: no answer from gateway {} in {:.0} ms", ask.gateway, ask.timeout_ms),
+                );
             }
             Event::ConnectionLost { .. } if !gone(ask.gateway, ask.t, t) => {
                 breach(t, format!("{id}: gateway {} broke off without an answer", ask.gateway));
@@ -143,7 +165,7 @@
     }
     let end = records.last().map_or(0.0, |r| r.t);
     for (id, ask) in asks.iter().filter(|(_, a)| a.ended.is_none()) {
-        if ask.t + ask.patience + bounds.answer_slack < end {
+        if ask.t + ask.timeout_ms + bounds.response_slack_ms < end {
             breach(ask.t, format!("{id}: the record tells no end"));
         }
     }
@@ -199,7 +221,7 @@
                         RetrySafety::Keyed if cells.get(other.node) != cells.get(node.as_str()) => {
                             breach(t, format!("{id}: repeated at {node}, another cell than {}", other.node));
                         }
-                        RetrySafety::Keyed if t > other.t + ask.memory => {
+                        RetrySafety::Keyed if t > other.t + ask.key_retention_ms => {
                             breach(
                                 t,
                                 format!(
@@ -256,7 +278,7 @@
             Event::Listed { node, ready: true } => drop(told.remove(node.as_str())),
             Event::RequestReceived { node, .. } | Event::ProbeReceived { node } => {
                 let id = if let Event::RequestReceived { id, .. } = &record.event { id } else { "a trial" };
-                let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace);
+                let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace_ms);
                 if let Some(late) = late.filter(|l| *l > 0.0) {
                     let what = format!("{id}: sent to {node} {late:.0} ms after the grace of its drain");
                     breaches.push(Breach { rule: Rule::DrainsKept, t: record.t, what });
@@ -271,8 +293,8 @@
 fn cold(records: &[&Record], bounds: &Bounds, breaches: &mut Vec<Breach>) {
     struct Cold {
         start: f64,
-        share: f64,
-        warm: f64,
+        cold_share: f64,
+        warm_up_ms: f64,
         capacity: f64,
         got: Vec<(f64, f64)>,
         told: bool,
@@ -281,9 +303,12 @@
     for record in records {
         let t = record.t;
         match &record.event {
-            Event::NodeUp { node, cold: true, share, warm, capacity, .. } => {
-                let (share, warm, capacity) = (*share, *warm, *capacity);
-                nodes.insert(node, Cold { start: t, share, warm, capacity, got: Vec::new(), told: false });
+            Event::NodeUp { node, cold: true, cold_share, warm_up_ms, capacity, .. } => {
+                let (cold_share, warm_up_ms, capacity) = (*cold_share, *warm_up_ms, *capacity);
+                nodes.insert(
+                    node,
+                    Cold { start: t, cold_share, warm_up_ms, capacity, got: Vec::new(), told: false },
+                );
             }
             Event::NodeUp { node, cold: false, .. } | Event::NodeDown { node } => {
                 drop(nodes.remove(node.as_str()))
@@ -295,22 +320,22 @@
                 );
                 breaches.push(Breach { rule: Rule::ColdNodes, t, what });
             }
-            Event::RequestReceived { node, work, .. } => {
-                let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm) else {
+            Event::RequestReceived { node, work_ms, .. } => {
+                let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm_up_ms) else {
                     continue;
                 };
-                cold.got.push((t, *work));
-                cold.got.retain(|(at, _)| *at > t - bounds.fall_time);
+                cold.got.push((t, *work_ms));
+                cold.got.retain(|(at, _)| *at > t - bounds.fall_window_ms);
                 let sent: f64 = cold.got.iter().map(|(_, work)| work).sum();
                 let largest = cold.got.iter().map(|(_, work)| *work).fold(0.0, f64::max);
                 // The capacity at the window's start: it only rises.
-                let age = ((t - bounds.fall_time - cold.start) / cold.warm).max(0.0);
-                let present = cold.capacity * (cold.share + (1.0 - cold.share) * age);
-                let most = bounds.fall_multiple * present * bounds.fall_time + COLD_CHANCE * largest;
+                let age = ((t - bounds.fall_window_ms - cold.start) / cold.warm_up_ms).max(0.0);
+                let present = cold.capacity * (cold.cold_share + (1.0 - cold.cold_share) * age);
+                let most = bounds.fall_multiple * present * bounds.fall_window_ms + COLD_CHANCE * largest;
                 if sent > most && !std::mem::replace(&mut cold.told, true) {
                     let what = format!(
                         "{node}: sent {sent:.0} ms of work in {:.0} ms, cold, at most {most:.0}",
-                        bounds.fall_time
+                        bounds.fall_window_ms
                     );
                     breaches.push(Breach { rule: Rule::ColdNodes, t, what });
                 }
@@ -373,12 +398,12 @@
                     }
                 }
                 if plan.rate > 0.0 {
-                    let fresh = || Store::new(plan.burst * bounds.bursts, plan.rate, t);
+                    let fresh = || Store::new(plan.burst * bounds.allowed_bursts, plan.rate, t);
                     let held = quotas.entry(ask.customer).or_insert_with(fresh).take(t, ask.units);
-                    if held < -bounds.most_units - 1e-6 && told_quota.insert(ask.customer) {
+                    if held < -bounds.max_request_units - 1e-6 && told_quota.insert(ask.customer) {
                         let what = format!(
                             "{}: {:.1} units beyond {} bursts and its rate",
-                            ask.customer, -held, bounds.bursts
+                            ask.customer, -held, bounds.allowed_bursts
                         );
                         breaches.push(Breach { rule: Rule::Quotas, t, what });
                     }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -11,8 +11,8 @@
 
 fn ask(t: f64, id: &str, retry_safety: RetrySafety, units: f64) -> Record {
     let (customer, plan, class) = ("c".into(), "p".into(), "x".into());
-    let (memory, worth, aim, patience) = (1000.0, 1.0, 300.0, 800.0);
-    let (id, gateway, first) = (id.into(), 0, None);
+    let (key_retention_ms, worth, target_ms, timeout_ms) = (1000.0, 1.0, 300.0, 800.0);
+    let (id, gateway, retry_of) = (id.into(), 0, None);
     at(
         t,
         Event::RequestSent {
@@ -22,12 +22,12 @@
             plan,
             class,
             retry_safety,
-            memory,
+            key_retention_ms,
             units,
             worth,
-            aim,
-            patience,
-            first,
+            target_ms,
+            timeout_ms,
+            retry_of,
         },
     )
 }
@@ -37,7 +37,7 @@
 }
 
 fn got(t: f64, id: &str, node: &str, attempt: u64) -> Record {
-    at(t, Event::RequestReceived { id: id.into(), node: node.into(), attempt, work: 50.0 })
+    at(t, Event::RequestReceived { id: id.into(), node: node.into(), attempt, work_ms: 50.0 })
 }
 
 fn ran(t: f64, id: &str) -> Record {
@@ -49,7 +49,7 @@
 }
 
 fn up(t: f64, node: &str, cell: u64, cold: bool) -> Record {
-    at(t, Event::NodeUp { node: node.into(), cell, cold, share: 0.2, warm: 5000.0, capacity: 2.0 })
+    at(t, Event::NodeUp { node: node.into(), cell, cold, cold_share: 0.2, warm_up_ms: 5000.0, capacity: 2.0 })
 }
 
 fn good() -> Vec<Record> {
@@ -57,12 +57,12 @@
         PlanBounds { rate: 2.0, burst: 4.0, ceiling_rate: 4.0, ceiling_burst: 8.0, ceiling_slack: 1.0 };
     let bounds = Bounds {
         plans: BTreeMap::from([("p".into(), plan)]),
-        answer_slack: 50.0,
-        drain_grace: 300.0,
-        bursts: 1.5,
-        most_units: 1.0,
+        response_slack_ms: 50.0,
+        drain_grace_ms: 300.0,
+        allowed_bursts: 1.5,
+        max_request_units: 1.0,
         fall_multiple: 2.0,
-        fall_time: 1000.0,
+        fall_window_ms: 1000.0,
     };
     vec![
         at(0.0, Event::Bounds(bounds)),
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -310,12 +310,12 @@
             plan: plan.name.into(),
             class: class.name.into(),
             retry_safety: class.retry_safety,
-            memory: MEMORY,
+            key_retention_ms: MEMORY,
             units,
             worth: class.worth,
-            aim: class.aim,
-            patience,
-            first,
+            target_ms: class.aim,
+            timeout_ms: patience,
+            retry_of: first,
         };
         let idempotency = if class.retry_safety == RetrySafety::Keyed { Some(key_of) } else { None };
         Some(ScheduledRequest {
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -75,12 +75,12 @@
 pub(crate) fn bounds(times: f64) -> Event {
     Event::Bounds(Bounds {
         plans: plan_bounds(times),
-        answer_slack: SLACK,
-        drain_grace: POLL + GRACE,
-        bursts: BURSTS,
-        most_units: MOST_UNITS,
+        response_slack_ms: SLACK,
+        drain_grace_ms: POLL + GRACE,
+        allowed_bursts: BURSTS,
+        max_request_units: MOST_UNITS,
         fall_multiple: FALL_MULTIPLE,
-        fall_time: FALL_TIME,
+        fall_window_ms: FALL_TIME,
     })
 }
 
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -228,9 +228,10 @@
 
     fn record_node_up(&self, index: usize, cold: bool) {
         let spec = &self.nodes[index].spec;
-        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
+        let (node, cell, cold_share, warm_up_ms) =
+            (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
         let capacity = spec.cores as f64;
-        self.recorder.record(Event::NodeUp { node, cell, cold, share, warm, capacity });
+        self.recorder.record(Event::NodeUp { node, cell, cold, cold_share, warm_up_ms, capacity });
     }
 
     fn run(&mut self) {
@@ -436,7 +437,7 @@
         self.recorder.record(if probe {
             Event::ProbeReceived { node: name }
         } else {
-            Event::RequestReceived { id: id.clone(), node: name, attempt, work }
+            Event::RequestReceived { id: id.clone(), node: name, attempt, work_ms: work }
         });
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.attempts.push(attempt);
