--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -184,7 +184,7 @@
     },
     /// A node read a whole request.
     #[serde(rename = "got")]
-    RequestReceived {
+    RequestRead {
         /// Which request.
         id: String,
         /// Which node.
@@ -197,7 +197,7 @@
     },
     /// A node read a trial: a request of a gateway's own, without a client and without an effect.
     #[serde(rename = "tried")]
-    ProbeReceived {
+    ProbeRead {
         /// Which node.
         node: String,
     },
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -142,7 +142,7 @@
                     _ => answers.left += 1,
                 }
             }
-            Event::RequestReceived { id, attempt, .. } => {
+            Event::RequestRead { id, attempt, .. } => {
                 attempt_of.insert(*attempt, id);
                 report.attempts.0 += 1;
                 let Some((_, _, customer, _, units, ..)) = asked.get(id.as_str()) else { continue };
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -197,7 +197,7 @@
                     a.over = a.over.or(Some((t, 0)));
                 }
             }
-            Event::RequestReceived { id, node, attempt, .. } => {
+            Event::RequestRead { id, node, attempt, .. } => {
                 let Some(ask) = asks.get(id.as_str()) else {
                     breach(t, format!("{id}: {node} got a request that no client sent"));
                     continue;
@@ -276,8 +276,8 @@
         match &record.event {
             Event::Listed { node, ready: false } => drop(told.entry(node).or_insert(record.t)),
             Event::Listed { node, ready: true } => drop(told.remove(node.as_str())),
-            Event::RequestReceived { node, .. } | Event::ProbeReceived { node } => {
-                let id = if let Event::RequestReceived { id, .. } = &record.event { id } else { "a trial" };
+            Event::RequestRead { node, .. } | Event::ProbeRead { node } => {
+                let id = if let Event::RequestRead { id, .. } = &record.event { id } else { "a trial" };
                 let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace_ms);
                 if let Some(late) = late.filter(|l| *l > 0.0) {
                     let what = format!("{id}: sent to {node} {late:.0} ms after the grace of its drain");
@@ -320,7 +320,7 @@
                 );
                 breaches.push(Breach { rule: Rule::ColdNodes, t, what });
             }
-            Event::RequestReceived { node, work_ms, .. } => {
+            Event::RequestRead { node, work_ms, .. } => {
                 let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm_up_ms) else {
                     continue;
                 };
@@ -379,7 +379,7 @@
     for record in records {
         let t = record.t;
         match &record.event {
-            Event::RequestReceived { id, attempt, .. } => {
+            Event::RequestRead { id, attempt, .. } => {
                 of_attempt.insert(*attempt, id);
                 let Some(ask) = asks.get(id.as_str()) else { continue };
                 if !first.insert(id) {
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -37,7 +37,7 @@
 }
 
 fn got(t: f64, id: &str, node: &str, attempt: u64) -> Record {
-    at(t, Event::RequestReceived { id: id.into(), node: node.into(), attempt, work_ms: 50.0 })
+    at(t, Event::RequestRead { id: id.into(), node: node.into(), attempt, work_ms: 50.0 })
 }
 
 fn ran(t: f64, id: &str) -> Record {
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -310,9 +310,7 @@
     for record in records {
         match &record.event {
             Event::Phase { name } => phase.clone_from(name),
-            Event::RequestReceived { node, .. } => {
-                *sent.entry((phase.clone(), node.clone())).or_default() += 1
-            }
+            Event::RequestRead { node, .. } => *sent.entry((phase.clone(), node.clone())).or_default() += 1,
             _ => {}
         }
     }
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -435,9 +435,9 @@
         let probe = id.is_empty() && query == PROBE_QUERY;
         let work = if probe { 0.0 } else { work };
         self.recorder.record(if probe {
-            Event::ProbeReceived { node: name }
+            Event::ProbeRead { node: name }
         } else {
-            Event::RequestReceived { id: id.clone(), node: name, attempt, work_ms: work }
+            Event::RequestRead { id: id.clone(), node: name, attempt, work_ms: work }
         });
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.attempts.push(attempt);
--- a/crates/http-gateway/tests/sockets.rs
+++ b/crates/http-gateway/tests/sockets.rs
@@ -42,7 +42,7 @@
 
 /// The number of requests that reached backends.
 fn received(recorder: &Recorder) -> usize {
-    recorder.records().iter().filter(|r| matches!(r.event, Event::RequestReceived { .. })).count()
+    recorder.records().iter().filter(|r| matches!(r.event, Event::RequestRead { .. })).count()
 }
 
 #[test]
