--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -14,4 +14,4 @@
 pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, read};
 pub use recovery::{Recovery, recoveries};
 pub use report::{Answers, Report, summary};
-pub use rules::{Breach, judge};
+pub use rules::{Violation, check_rules};
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -1,7 +1,7 @@
 //! What happened, for people: answers by phase and kind, worth by plan, use by account.
 
 use crate::record::{Event, Kind, Record, Rule};
-use crate::rules::{Breach, judge};
+use crate::rules::{Violation, check_rules};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -49,7 +49,7 @@
     /// Whether every rule was kept.
     pub kept: bool,
     /// Breaches by rule; a rule without any was kept.
-    pub rules: BTreeMap<Rule, Vec<Breach>>,
+    pub rules: BTreeMap<Rule, Vec<Violation>>,
     /// Answers by phase, in their order.
     pub phases: Vec<(String, Answers)>,
     /// Worth answered in time and worth asked for, by plan.
@@ -81,8 +81,8 @@
         Rule::Quotas,
     ];
     report.rules = all.iter().map(|r| (*r, Vec::new())).collect();
-    for breach in judge(records) {
-        report.rules.entry(breach.rule).or_default().push(breach);
+    for violation in check_rules(records) {
+        report.rules.entry(violation.rule).or_default().push(violation);
     }
     report.kept = report.rules.values().all(Vec::is_empty);
     report.length = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules as statements about records. Each breach names the request or the node and what was seen.
+//! The rules as statements about records. Each violation names the request or the node and what was seen.
 
 use crate::record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule};
 use serde::Serialize;
@@ -6,7 +6,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When, in ms.
@@ -43,24 +43,24 @@
     over: Option<(f64, u16)>,
 }
 
-/// Judges a run: all breaches, in the order of the rules.
+/// Judges a run: all violations, in the order of the rules.
 #[must_use]
-pub fn judge(records: &[Record]) -> Vec<Breach> {
+pub fn check_rules(records: &[Record]) -> Vec<Violation> {
     let mut sorted: Vec<&Record> = records.iter().collect();
     sorted.sort_by(|a, b| a.t.total_cmp(&b.t));
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let Some(bounds) =
         sorted.iter().find_map(|r| if let Event::Bounds(b) = &r.event { Some(b) } else { None })
     else {
-        let what = "the record holds no bounds to judge by".into();
-        return vec![Breach { rule: Rule::OneAnswer, t: 0.0, what }];
+        let what = "the record holds no bounds to check_rules by".into();
+        return vec![Violation { rule: Rule::OneAnswer, t: 0.0, what }];
     };
-    answers(&sorted, bounds, &mut breaches);
-    effects(&sorted, &mut breaches);
-    drains(&sorted, bounds, &mut breaches);
-    cold(&sorted, bounds, &mut breaches);
-    accounts(&sorted, bounds, &mut breaches);
-    breaches
+    answers(&sorted, bounds, &mut violations);
+    effects(&sorted, &mut violations);
+    drains(&sorted, bounds, &mut violations);
+    cold(&sorted, bounds, &mut violations);
+    accounts(&sorted, bounds, &mut violations);
+    violations
 }
 
 fn asks<'a>(records: &[&'a Record]) -> HashMap<&'a str, Asked<'a>> {
@@ -101,7 +101,7 @@
 }
 
 /// Rule 1: one final answer for each request, before the client's time is up, nothing after it.
-fn answers(records: &[&Record], bounds: &Bounds, breaches: &mut Vec<Breach>) {
+fn answers(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let mut asks = asks(records);
     // When each gateway was not there: a request to it may be lost.
     let mut down: BTreeMap<usize, Vec<(f64, f64)>> = BTreeMap::new();
@@ -124,7 +124,7 @@
             from <= *end + TURN && to >= *start - TURN && to <= *end + NOTICE.max(to - from)
         })
     };
-    let mut breach = |t, what| breaches.push(Breach { rule: Rule::OneAnswer, t, what });
+    let mut violation = |t, what| violations.push(Violation { rule: Rule::OneAnswer, t, what });
     for record in records {
         let t = record.t;
         let id = match &record.event {
@@ -135,30 +135,30 @@
             _ => continue,
         };
         let Some(ask) = asks.get_mut(id.as_str()) else {
-            breach(t, format!("{id}: an end without a request"));
+            violation(t, format!("{id}: an end without a request"));
             continue;
         };
         if ask.ended.is_some() || matches!(record.event, Event::DataAfterResponse { .. }) {
-            breach(t, format!("{id}: something more was sent after the final answer"));
+            violation(t, format!("{id}: something more was sent after the final answer"));
             continue;
         }
         ask.ended = Some((t, &record.event));
         let late = t > ask.t + ask.timeout_ms + bounds.response_slack_ms;
         match &record.event {
             Event::ResponseReceived { .. } | Event::ResponseTruncated { .. } if late => {
-                breach(
+                violation(
                     t,
                     format!("{id}: answered {:.0} ms after the client's time", t - ask.t - ask.timeout_ms),
                 );
             }
             Event::TimedOut { .. } if !gone(ask.gateway, ask.t, t) => {
-                breach(
+                violation(
                     t,
                     format!("{id}: no answer from gateway {} in {:.0} ms", ask.gateway, ask.timeout_ms),
                 );
             }
             Event::ConnectionLost { .. } if !gone(ask.gateway, ask.t, t) => {
-                breach(t, format!("{id}: gateway {} broke off without an answer", ask.gateway));
+                violation(t, format!("{id}: gateway {} broke off without an answer", ask.gateway));
             }
             _ => {}
         }
@@ -166,19 +166,19 @@
     let end = records.last().map_or(0.0, |r| r.t);
     for (id, ask) in asks.iter().filter(|(_, a)| a.ended.is_none()) {
         if ask.t + ask.timeout_ms + bounds.response_slack_ms < end {
-            breach(ask.t, format!("{id}: the record tells no end"));
+            violation(ask.t, format!("{id}: the record tells no end"));
         }
     }
 }
 
 /// Rule 2: no effect twice, repeats as the classes allow, never two attempts at once.
-fn effects<'a>(records: &[&'a Record], breaches: &mut Vec<Breach>) {
+fn effects<'a>(records: &[&'a Record], violations: &mut Vec<Violation>) {
     let asks = asks(records);
     let mut attempts: HashMap<&str, Vec<u64>> = HashMap::new();
     let mut by_number: HashMap<u64, Attempt<'a>> = HashMap::new();
     let mut cells: HashMap<&str, u64> = HashMap::new();
     let mut ran: HashMap<&str, u32> = HashMap::new();
-    let mut breach = |t, what| breaches.push(Breach { rule: Rule::NoEffectTwice, t, what });
+    let mut violation = |t, what| violations.push(Violation { rule: Rule::NoEffectTwice, t, what });
     for record in records {
         let t = record.t;
         match &record.event {
@@ -199,7 +199,7 @@
             }
             Event::RequestRead { id, node, attempt, .. } => {
                 let Some(ask) = asks.get(id.as_str()) else {
-                    breach(t, format!("{id}: {node} got a request that no client sent"));
+                    violation(t, format!("{id}: {node} got a request that no client sent"));
                     continue;
                 };
                 let earlier = attempts.entry(id).or_default();
@@ -207,22 +207,25 @@
                     let Some(other) = by_number.get(number) else { continue };
                     // One still out: the nodes' turns may write its end after this.
                     if other.over.is_none() && !closes_soon(records, *number, t) {
-                        breach(t, format!("{id}: {node} got it while {} still had it", other.node));
+                        violation(t, format!("{id}: {node} got it while {} still had it", other.node));
                     }
                     if matches!(other.over, Some((_, 429))) {
                         continue; // Turned away unseen.
                     }
                     match ask.retry_safety {
                         RetrySafety::Safe => {}
-                        RetrySafety::Unsafe => breach(
+                        RetrySafety::Unsafe => violation(
                             t,
                             format!("{id}: sent again to {node} after {} may have run it", other.node),
                         ),
                         RetrySafety::Keyed if cells.get(other.node) != cells.get(node.as_str()) => {
-                            breach(t, format!("{id}: repeated at {node}, another cell than {}", other.node));
+                            violation(
+                                t,
+                                format!("{id}: repeated at {node}, another cell than {}", other.node),
+                            );
                         }
                         RetrySafety::Keyed if t > other.t + ask.key_retention_ms => {
-                            breach(
+                            violation(
                                 t,
                                 format!(
                                     "{id}: repeated at {node} {:.0} ms later, past the memory",
@@ -240,7 +243,7 @@
                 let count = ran.entry(id).or_default();
                 *count += 1;
                 if *count > 1 && asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe) {
-                    breach(t, format!("{id}: its effect happened {count} times"));
+                    violation(t, format!("{id}: its effect happened {count} times"));
                 }
             }
             Event::ResponseReceived { id, kind: Kind::Refused, .. } => {
@@ -252,7 +255,7 @@
                     .any(|n| by_number.get(n).is_some_and(|a| !matches!(a.over, Some((_, 429)))));
                 let strict = asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe);
                 if may_have_run && strict {
-                    breach(t, format!("{id}: refused after a node may have run it"));
+                    violation(t, format!("{id}: refused after a node may have run it"));
                 }
             }
             _ => {}
@@ -270,7 +273,7 @@
 }
 
 /// Rule 3: nothing new to a node that the list calls draining or gone, after the grace.
-fn drains(records: &[&Record], bounds: &Bounds, breaches: &mut Vec<Breach>) {
+fn drains(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let mut told: HashMap<&str, f64> = HashMap::new();
     for record in records {
         match &record.event {
@@ -281,7 +284,7 @@
                 let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace_ms);
                 if let Some(late) = late.filter(|l| *l > 0.0) {
                     let what = format!("{id}: sent to {node} {late:.0} ms after the grace of its drain");
-                    breaches.push(Breach { rule: Rule::DrainsKept, t: record.t, what });
+                    violations.push(Violation { rule: Rule::DrainsKept, t: record.t, what });
                 }
             }
             _ => {}
@@ -290,7 +293,7 @@
 }
 
 /// Rule 4: no cold node is pushed over. Judged by the work sent, in every window, and by what fell.
-fn cold(records: &[&Record], bounds: &Bounds, breaches: &mut Vec<Breach>) {
+fn cold(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     struct Cold {
         start: f64,
         cold_share: f64,
@@ -318,7 +321,7 @@
                     "{node} fell over {:.0} ms after its start",
                     nodes.get(node.as_str()).map_or(0.0, |c| t - c.start)
                 );
-                breaches.push(Breach { rule: Rule::ColdNodes, t, what });
+                violations.push(Violation { rule: Rule::ColdNodes, t, what });
             }
             Event::RequestRead { node, work_ms, .. } => {
                 let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm_up_ms) else {
@@ -337,7 +340,7 @@
                         "{node}: sent {sent:.0} ms of work in {:.0} ms, cold, at most {most:.0}",
                         bounds.fall_window_ms
                     );
-                    breaches.push(Breach { rule: Rule::ColdNodes, t, what });
+                    violations.push(Violation { rule: Rule::ColdNodes, t, what });
                 }
             }
             _ => {}
@@ -368,7 +371,7 @@
 
 /// Rule 5, and the quotas: what all gateways sent on for each account. A ceiling goes by the price; a quota by the
 /// price when it is sent on and by the true units once the answer told them.
-fn accounts(records: &[&Record], bounds: &Bounds, breaches: &mut Vec<Breach>) {
+fn accounts(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let asks = asks(records);
     let none = PlanBounds::default();
     let mut ceilings: BTreeMap<&str, Store> = BTreeMap::new();
@@ -394,7 +397,7 @@
                             "{}: {:.1} units below its ceiling, at most {}",
                             ask.customer, -held, plan.ceiling_slack
                         );
-                        breaches.push(Breach { rule: Rule::Ceilings, t, what });
+                        violations.push(Violation { rule: Rule::Ceilings, t, what });
                     }
                 }
                 if plan.rate > 0.0 {
@@ -405,7 +408,7 @@
                             "{}: {:.1} units beyond {} bursts and its rate",
                             ask.customer, -held, bounds.allowed_bursts
                         );
-                        breaches.push(Breach { rule: Rule::Quotas, t, what });
+                        violations.push(Violation { rule: Rule::Quotas, t, what });
                     }
                 }
             }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -1,7 +1,7 @@
 //! A good record passes; for each rule a spoiled one is refused.
 
 use doorcourse_conformance::{
-    Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, judge, read, summary,
+    Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, check_rules, read, summary,
 };
 use std::collections::BTreeMap;
 
@@ -90,21 +90,21 @@
 fn spoiled(rule: Rule, part: &str, more: Vec<Record>) {
     let mut records = good();
     records.extend(more);
-    let breaches = judge(&records);
-    assert!(breaches.iter().any(|b| b.rule == rule && b.what.contains(part)), "{part}: {breaches:?}");
+    let violations = check_rules(&records);
+    assert!(violations.iter().any(|b| b.rule == rule && b.what.contains(part)), "{part}: {violations:?}");
     assert!(!summary(&records).kept);
 }
 
 #[test]
 fn a_good_record_passes() {
-    assert_eq!(judge(&good()), []);
+    assert_eq!(check_rules(&good()), []);
     let report = summary(&good());
     assert!(report.kept);
     assert_eq!((report.attempts, report.worth["p"]), ((3, 1), (2.0, 3.0)));
     let text: String = good().iter().map(|r| serde_json::to_string(r).unwrap() + "\n").collect();
     assert_eq!(read(&text).unwrap(), good());
     assert!(read("{\"t\":1,\"ev\":\"nonsense\"}").unwrap_err().starts_with("line 1"));
-    assert_eq!(judge(&[]).len(), 1, "a record without bounds proves nothing");
+    assert_eq!(check_rules(&[]).len(), 1, "a record without bounds proves nothing");
 }
 
 #[test]
@@ -130,7 +130,7 @@
         at(590.0, Event::GatewayDown { gateway: 0 }),
         lost.clone(),
     ]);
-    assert_eq!(judge(&killed), []);
+    assert_eq!(check_rules(&killed), []);
     spoiled(
         rule,
         "broke off",
@@ -157,7 +157,7 @@
     let mut full = good();
     full.extend([ask(500.0, "x", RetrySafety::Unsafe, 0.1), got(501.0, "x", "a", 9), replied(502.0, 9, 429)]);
     full.extend([got(503.0, "x", "b", 10), replied(504.0, 10, 429), answer(600.0, "x", Kind::Refused)]);
-    assert_eq!(judge(&full), []);
+    assert_eq!(check_rules(&full), []);
 }
 
 #[test]
@@ -177,7 +177,7 @@
         got(750.0, "x", "a", 9),
         answer(760.0, "x", Kind::Served),
     ]);
-    assert_eq!(judge(&back), []);
+    assert_eq!(check_rules(&back), []);
 }
 
 #[test]
@@ -195,7 +195,7 @@
     spoiled(Rule::ColdNodes, "ms of work", burst(19));
     let mut fits = good();
     fits.extend(burst(15));
-    assert_eq!(judge(&fits), []);
+    assert_eq!(check_rules(&fits), []);
 }
 
 #[test]
@@ -214,7 +214,7 @@
     spoiled(Rule::Quotas, "beyond 1.5 bursts", spend(8, 1.0));
     let mut fits = good();
     fits.extend(spend(6, 1.0));
-    assert_eq!(judge(&fits), []);
+    assert_eq!(check_rules(&fits), []);
     // What comes back by the true units may be used again; a ceiling goes by the price.
     let mut back = spend(6, 1.0);
     back.extend((0..6).map(|n| at(902.0, Event::ResponseSent { attempt: 20 + n, status: 200, units: 0.0 })));
@@ -225,6 +225,6 @@
     ]);
     let mut records = good();
     records.extend(back);
-    let breaches = judge(&records);
-    assert!(breaches.iter().all(|b| b.rule == Rule::Ceilings) && breaches.len() == 1, "{breaches:?}");
+    let violations = check_rules(&records);
+    assert!(violations.iter().all(|b| b.rule == Rule::Ceilings) && violations.len() == 1, "{violations:?}");
 }
--- a/crates/drill/src/show.rs
+++ b/crates/drill/src/show.rs
@@ -94,12 +94,12 @@
         report.latency.0,
         report.latency.1
     );
-    for (which, breaches) in &report.rules {
+    for (which, violations) in &report.rules {
         let verdict =
-            if breaches.is_empty() { "kept".into() } else { format!("BROKEN {} times", breaches.len()) };
+            if violations.is_empty() { "kept".into() } else { format!("BROKEN {} times", violations.len()) };
         let _ = writeln!(out, "{:<28} {verdict}", rule(*which));
-        for breach in breaches.iter().take(5) {
-            let _ = writeln!(out, "    at {:.3} s: {}", breach.t / 1000.0, breach.what);
+        for violation in violations.iter().take(5) {
+            let _ = writeln!(out, "    at {:.3} s: {}", violation.t / 1000.0, violation.what);
         }
     }
     out
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -57,13 +57,15 @@
             let rows = report.phases.iter().filter(|(_, a)| a.asked > 0).map(row);
             let table = Table::new(rows, widths).header(Row::new(titles).style(Style::new().bold()));
             frame.render_widget(table.block(Block::bordered().title(" answers ")), answers);
-            let verdict =
-                |(rule, breaches): (&doorcourse_conformance::Rule, &Vec<doorcourse_conformance::Breach>)| {
-                    match breaches.first() {
-                        None => Line::from(format!("{rule:?}: kept so far").green()),
-                        Some(first) => Line::from(format!("{rule:?}: broken: {}", first.what).red()),
-                    }
-                };
+            let verdict = |(rule, violations): (
+                &doorcourse_conformance::Rule,
+                &Vec<doorcourse_conformance::Violation>,
+            )| {
+                match violations.first() {
+                    None => Line::from(format!("{rule:?}: kept so far").green()),
+                    Some(first) => Line::from(format!("{rule:?}: broken: {}", first.what).red()),
+                }
+            };
             let lines: Vec<Line> = report.rules.iter().map(verdict).collect();
             frame.render_widget(Paragraph::new(lines).block(Block::bordered().title(" rules ")), rules);
         });
