--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,6 +1,6 @@
 //! Tasks of one holder at a time, with processes of the program: by hand, at a drain, at a takeover, with secrets changed.
 
-use doorcourse_conformance::acts;
+use doorcourse_conformance::check_acts;
 use doorcourse_emulators::{Relay, TaskEndpoint};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -104,7 +104,7 @@
     }
 
     fn judge(&self) {
-        let broken = acts(&self.witness.acts(), true);
+        let broken = check_acts(&self.witness.acts(), true);
         assert!(broken.is_empty(), "{broken:#?}");
     }
 }
--- a/crates/conformance/src/acts.rs
+++ b/crates/conformance/src/acts.rs
@@ -25,7 +25,7 @@
 /// Every way in which acts broke the rules: of one task, acts under different tokens never overlap in time, tokens never
 /// go back, and no act lasts beyond its deadline (`deadlines`: for a receiver that goes by them).
 #[must_use]
-pub fn acts(acts: &[Act], deadlines: bool) -> Vec<String> {
+pub fn check_acts(acts: &[Act], deadlines: bool) -> Vec<String> {
     let mut tasks = BTreeMap::<&str, Vec<&Act>>::new();
     for act in acts.iter().filter(|a| a.accepted) {
         tasks.entry(&act.task).or_default().push(act);
@@ -70,14 +70,14 @@
     #[test]
     fn each_rule_is_caught_alone_and_good_acts_pass() {
         let good = [act(0, 1, 0.0, 9.0), act(0, 1, 10.0, 19.0), act(1, 2, 19.0, 30.0)];
-        assert!(acts(&good, true).is_empty());
+        assert!(check_acts(&good, true).is_empty());
         let overlap = [act(0, 1, 0.0, 20.0), act(0, 1, 5.0, 6.0), act(1, 2, 19.0, 30.0)];
-        assert!(acts(&overlap, true).iter().any(|b| b.contains("while gateway 0 acts until 20.0")));
+        assert!(check_acts(&overlap, true).iter().any(|b| b.contains("while gateway 0 acts until 20.0")));
         let back = [act(1, 2, 0.0, 9.0), act(0, 1, 10.0, 19.0)];
-        assert!(acts(&back, true).iter().any(|b| b.contains("token 1 of gateway 0")));
+        assert!(check_acts(&back, true).iter().any(|b| b.contains("token 1 of gateway 0")));
         let late = [Act { deadline: 5.0, ..act(0, 1, 6.0, 7.0) }];
-        assert_eq!((acts(&late, true).len(), acts(&late, false).len()), (1, 0));
+        assert_eq!((check_acts(&late, true).len(), check_acts(&late, false).len()), (1, 0));
         let refused = [act(1, 2, 0.0, 9.0), Act { accepted: false, ..act(0, 1, 3.0, 4.0) }];
-        assert!(acts(&refused, true).is_empty(), "what was refused had no effect");
+        assert!(check_acts(&refused, true).is_empty(), "what was refused had no effect");
     }
 }
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -10,7 +10,7 @@
 mod report;
 mod rules;
 
-pub use acts::{Act, acts};
+pub use acts::{Act, check_acts};
 pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, read};
 pub use recovery::{Recovery, recoveries};
 pub use report::{Answers, Report, summary};
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -52,7 +52,7 @@
     let Some(bounds) =
         sorted.iter().find_map(|r| if let Event::Bounds(b) = &r.event { Some(b) } else { None })
     else {
-        let what = "the record holds no bounds to check_rules by".into();
+        let what = "the record holds no bounds to judge by".into();
         return vec![Violation { rule: Rule::OneAnswer, t: 0.0, what }];
     };
     answers(&sorted, bounds, &mut violations);
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/holders.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
-use doorcourse_conformance::{Act, acts};
+use doorcourse_conformance::{Act, check_acts};
 use doorcourse_emulators::{
     CATALOGUE, EmulatorServer, EmulatorServerSpec, LinkFaults, Recorder, Relay, TaskEndpoint,
 };
@@ -178,7 +178,7 @@
     (held.datagrams, held.bytes) = (datagrams as f64 / seconds, bytes as f64 / seconds);
     for (at, witness) in play.witnesses.iter().enumerate() {
         let all = witness.acts();
-        held.broken.extend(acts(&all, !witness.checks_tokens()));
+        held.broken.extend(check_acts(&all, !witness.checks_tokens()));
         let mut good: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
         good.sort_by(|a, b| a.begin.total_cmp(&b.begin));
         (held.accepted[at], held.refused[at]) = (good.len(), all.len() - good.len());
