--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -11,7 +11,7 @@
 mod rules;
 
 pub use acts::{Act, check_acts};
-pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, read};
-pub use recovery::{Recovery, recoveries};
-pub use report::{Answers, Report, summary};
+pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, parse_records};
+pub use recovery::{Recovery, measure_recoveries};
+pub use report::{Answers, Report, summarize};
 pub use rules::{Violation, check_rules};
--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How a final answer read to its client.
+/// How a final answer parse_records to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -140,19 +140,19 @@
         #[serde(rename = "first")]
         retry_of: Option<String>,
     },
-    /// A client read a final answer.
+    /// A client parse_records a final answer.
     #[serde(rename = "answer")]
     ResponseReceived {
         /// Which request.
         id: String,
-        /// How it read.
+        /// How it parse_records.
         kind: Kind,
         /// The status.
         status: u16,
         /// The error's code, or nothing.
         code: String,
     },
-    /// A client read more behind the final answer.
+    /// A client parse_records more behind the final answer.
     #[serde(rename = "extra")]
     DataAfterResponse {
         /// Which request.
@@ -182,7 +182,7 @@
         /// Which request.
         id: String,
     },
-    /// A node read a whole request.
+    /// A node parse_records a whole request.
     #[serde(rename = "got")]
     RequestRead {
         /// Which request.
@@ -195,7 +195,7 @@
         #[serde(rename = "work")]
         work_ms: f64,
     },
-    /// A node read a trial: a request of a gateway's own, without a client and without an effect.
+    /// A node parse_records a trial: a request of a gateway's own, without a client and without an effect.
     #[serde(rename = "tried")]
     ProbeRead {
         /// Which node.
@@ -288,7 +288,7 @@
 ///
 /// # Errors
 /// The number of the first line that is no record, and why.
-pub fn read(text: &str) -> Result<Vec<Record>, String> {
+pub fn parse_records(text: &str) -> Result<Vec<Record>, String> {
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
     lines.map(|(n, l)| serde_json::from_str(l).map_err(|e| format!("line {}: {e}", n + 1))).collect()
 }
--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -120,7 +120,7 @@
 
 /// How the fleet came back from each fault of a run, beside one of the same seed without faults.
 #[must_use]
-pub fn recoveries(records: &[Record], quiet: &[Record]) -> Vec<Recovery> {
+pub fn measure_recoveries(records: &[Record], quiet: &[Record]) -> Vec<Recovery> {
     let faults: Vec<(f64, &String)> = records
         .iter()
         .filter_map(|r| if let Event::Fault { what } = &r.event { Some((r.t, what)) } else { None })
@@ -207,7 +207,7 @@
     fn the_time_to_full_service_is_when_nothing_is_missing_any_more() {
         let quiet = run(|_, _| true, &[]);
         let came_back = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &recoveries(&came_back, &quiet)[0];
+        let found = &measure_recoveries(&came_back, &quiet)[0];
         // 95% of two seconds: a tenth of a second of the trouble may lie in the window.
         assert_eq!(found.full, Some(2900.0), "{found:?}");
         assert_eq!((found.deepest, found.second_dips), (0.0, 0));
@@ -226,7 +226,7 @@
             records.extend((0..20).map(|n| Record { t: f64::from(n) * 1000.0, event: node(n) }));
             records
         };
-        let found = &recoveries(&with_calls(50), &with_calls(0))[0];
+        let found = &measure_recoveries(&with_calls(50), &with_calls(0))[0];
         assert!((found.counter_calls.0 - 60.0).abs() <= 1.0, "{found:?}");
         assert!((found.counter_calls.1 - 10.0).abs() < 0.1, "{found:?}");
         assert!(
@@ -239,7 +239,7 @@
     fn one_gateway_s_trouble_is_told_at_that_one() {
         let quiet = run(|_, _| true, &[]);
         let half = run(|t, g| g == 0 || !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &recoveries(&half, &quiet)[0];
+        let found = &measure_recoveries(&half, &quiet)[0];
         assert_eq!(found.gateways[&0], Some(0.0));
         assert_eq!(found.gateways[&1], Some(2900.0));
         assert!((0.45..0.55).contains(&found.deepest), "{found:?}");
@@ -250,10 +250,10 @@
         let quiet = run(|_, _| true, &[]);
         let trouble =
             |t: f64| (4000.0..5000.0).contains(&t) || (9000.0..9500.0).contains(&t) || t >= 15_000.0;
-        let found = recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &quiet);
+        let found = measure_recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &quiet);
         assert_eq!((found[0].second_dips, found[0].full), (1, Some(900.0)));
         assert!(found[1].full.is_none() && found[1].measured);
-        let close = recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &quiet);
+        let close = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &quiet);
         assert_eq!((close[0].measured, close[1].measured), (false, true), "too close to the next fault");
     }
 }
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -68,7 +68,7 @@
 
 /// Sums a run up and judges it.
 #[must_use]
-pub fn summary(records: &[Record]) -> Report {
+pub fn summarize(records: &[Record]) -> Report {
     let mut sorted: Vec<&Record> = records.iter().collect();
     sorted.sort_by(|a, b| a.t.total_cmp(&b.t));
     let mut report = Report::default();
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -1,7 +1,7 @@
 //! A good record passes; for each rule a spoiled one is refused.
 
 use doorcourse_conformance::{
-    Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, check_rules, read, summary,
+    Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, check_rules, parse_records, summarize,
 };
 use std::collections::BTreeMap;
 
@@ -92,18 +92,18 @@
     records.extend(more);
     let violations = check_rules(&records);
     assert!(violations.iter().any(|b| b.rule == rule && b.what.contains(part)), "{part}: {violations:?}");
-    assert!(!summary(&records).kept);
+    assert!(!summarize(&records).kept);
 }
 
 #[test]
 fn a_good_record_passes() {
     assert_eq!(check_rules(&good()), []);
-    let report = summary(&good());
+    let report = summarize(&good());
     assert!(report.kept);
     assert_eq!((report.attempts, report.worth["p"]), ((3, 1), (2.0, 3.0)));
     let text: String = good().iter().map(|r| serde_json::to_string(r).unwrap() + "\n").collect();
-    assert_eq!(read(&text).unwrap(), good());
-    assert!(read("{\"t\":1,\"ev\":\"nonsense\"}").unwrap_err().starts_with("line 1"));
+    assert_eq!(parse_records(&text).unwrap(), good());
+    assert!(parse_records("{\"t\":1,\"ev\":\"nonsense\"}").unwrap_err().starts_with("line 1"));
     assert_eq!(check_rules(&[]).len(), 1, "a record without bounds proves nothing");
 }
 
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/kit.rs
@@ -7,7 +7,7 @@
 use crate::script::read_act;
 use crate::show::show;
 use anyhow::Context;
-use doorcourse_conformance::summary;
+use doorcourse_conformance::summarize;
 use doorcourse_emulators::ClientEmulator;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -91,7 +91,7 @@
     playing.change(|m| m.over = true);
     let _ = crowd.join();
     playing.fleet.recorder.save(&options.folder.join("traffic.jsonl"))?;
-    let report = summary(&playing.fleet.recorder.records());
+    let report = summarize(&playing.fleet.recorder.records());
     drop(playing);
     let _ = std::fs::remove_file(&path);
     print!("{}", show(&report));
@@ -107,7 +107,7 @@
     let call: Value = serde_json::from_str(&line).unwrap_or_default();
     let answer = match call["method"].as_str().unwrap_or("") {
         "status" => Ok(status(playing)),
-        "report" => Ok(json!(show(&summary(&playing.fleet.recorder.records())))),
+        "report" => Ok(json!(show(&summarize(&playing.fleet.recorder.records())))),
         "stop" => Ok(json!("stopping")),
         "do" => act(playing, call["params"]["act"].as_str().unwrap_or("")),
         other => Err(format!("there is no method `{other}`")),
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -4,7 +4,9 @@
 use crate::clients::{Clients, Manner, customers, plan_bounds};
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
-use doorcourse_conformance::{Answers, Bounds, Event, Kind, Record, Recovery, Report, recoveries, summary};
+use doorcourse_conformance::{
+    Answers, Bounds, Event, Kind, Record, Recovery, Report, measure_recoveries, summarize,
+};
 use doorcourse_emulators::{ClientEmulator, Command, CounterFault, NodeFault};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -182,7 +184,7 @@
         "the run without faults broke a rule already: there is nothing to compare with"
     );
     let mut outcome = play_once(drill, options, seen)?;
-    outcome.recoveries = recoveries(&outcome.records, &quiet.records);
+    outcome.recoveries = measure_recoveries(&outcome.records, &quiet.records);
     Ok(outcome)
 }
 
@@ -237,7 +239,7 @@
     ended?;
     let records = recorder.records();
     drop(playing);
-    let report = summary(&records);
+    let report = summarize(&records);
     let sent = sent(&records);
     let mut missed: Vec<String> = drill.expects.iter().flat_map(|e| miss(e, &report)).collect();
     missed.extend(drill.expects.iter().flat_map(|e| miss_shares(e, &sent)));
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -1,7 +1,7 @@
 //! A drill on a terminal while it runs: the script's phase, the fleet, answers by phase, each rule's verdict so far.
 
 use crate::fleet::Fleet;
-use doorcourse_conformance::summary;
+use doorcourse_conformance::summarize;
 use ratatui::DefaultTerminal;
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize};
@@ -27,7 +27,7 @@
 
     /// Draws what is known by now; a terminal that fails is no reason to stop a drill.
     pub fn draw(&mut self, phase: &str, part: f64, fleet: &Fleet) {
-        let report = summary(&fleet.recorder.records());
+        let report = summarize(&fleet.recorder.records());
         let wanted = fleet.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
         let running = fleet.running();
         let (title, about) = (self.title.clone(), self.about.clone());
