--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -106,7 +106,7 @@
     }
     say!(
         "{}",
-        match (outcome.report.kept, outcome.missed.is_empty()) {
+        match (outcome.report.rules_kept, outcome.missed.is_empty()) {
             (true, true) => "every rule was kept",
             (true, false) => "every rule was kept, but the drill expected otherwise",
             (false, _) => "a rule was broken",
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -13,5 +13,5 @@
 pub use acts::{Act, check_acts};
 pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, parse_records};
 pub use recovery::{Recovery, measure_recoveries};
-pub use report::{Answers, Report, summarize};
+pub use report::{Report, ResponseCounts, summarize};
 pub use rules::{Violation, check_rules};
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -1,15 +1,16 @@
-//! What happened, for people: answers by phase and kind, worth by plan, use by account.
+//! What happened, for people: counts by phase and kind, worth by plan, use by account.
 
 use crate::record::{Event, Kind, Record, Rule};
 use crate::rules::{Violation, check_rules};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Answers of one phase.
+/// ResponseCounts of one phase.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answers {
+pub struct ResponseCounts {
     /// Requests sent.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Data, whole.
     pub served: u64,
     /// Of these, after the target_ms.
@@ -19,51 +20,63 @@
     /// Failed.
     pub failed: u64,
     /// Broken off in the middle.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub truncated: u64,
     /// Lost with a gateway.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub connection_lost: u64,
     /// Left or given up by the client.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub cancelled: u64,
     /// Latency of what was served, in ms: the median and the 99th percentile.
-    pub latency: (f64, f64),
+    #[serde(rename = "latency")]
+    pub latency_ms: (f64, f64),
 }
 
 /// One account's use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
+pub struct AccountUsage {
     /// Its plan.
     pub plan: String,
     /// Units asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub requested_units: f64,
     /// Units sent on, by their price.
-    pub sent: f64,
-    /// Units that the nodes' answers were worth.
+    #[serde(rename = "sent")]
+    pub forwarded_units: f64,
+    /// Units that the nodes' counts were worth.
     pub true_units: f64,
     /// What its quota grants over the run: its burst and its rate.
-    pub quota: f64,
+    #[serde(rename = "quota")]
+    pub quota_units: f64,
 }
 
 /// A whole run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Whether every rule was kept.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub rules_kept: bool,
     /// Breaches by rule; a rule without any was kept.
-    pub rules: BTreeMap<Rule, Vec<Violation>>,
-    /// Answers by phase, in their order.
-    pub phases: Vec<(String, Answers)>,
+    #[serde(rename = "rules")]
+    pub violations: BTreeMap<Rule, Vec<Violation>>,
+    /// ResponseCounts by phase, in their order.
+    pub phases: Vec<(String, ResponseCounts)>,
     /// Worth answered in time and worth asked for, by plan.
     pub worth: BTreeMap<String, (f64, f64)>,
-    /// Answers by code.
-    pub codes: BTreeMap<String, u64>,
+    /// ResponseCounts by code.
+    #[serde(rename = "codes")]
+    pub responses_by_code: BTreeMap<String, u64>,
     /// Use by account.
-    pub accounts: BTreeMap<String, Account>,
+    pub accounts: BTreeMap<String, AccountUsage>,
     /// Attempts at nodes, and how many were repeats.
     pub attempts: (u64, u64),
     /// Latency of all that was served, in ms: the median and the 99th percentile.
-    pub latency: (f64, f64),
+    #[serde(rename = "latency")]
+    pub latency_ms: (f64, f64),
     /// From the first record to the last, in ms.
-    pub length: f64,
+    #[serde(rename = "length")]
+    pub duration_ms: f64,
 }
 
 /// Sums a run up and judges it.
@@ -80,13 +93,13 @@
         Rule::Ceilings,
         Rule::Quotas,
     ];
-    report.rules = all.iter().map(|r| (*r, Vec::new())).collect();
+    report.violations = all.iter().map(|r| (*r, Vec::new())).collect();
     for violation in check_rules(records) {
-        report.rules.entry(violation.rule).or_default().push(violation);
+        report.violations.entry(violation.rule).or_default().push(violation);
     }
-    report.kept = report.rules.values().all(Vec::is_empty);
-    report.length = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
-    report.phases.push(("start".into(), Answers::default()));
+    report.rules_kept = report.violations.values().all(Vec::is_empty);
+    report.duration_ms = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
+    report.phases.push(("start".into(), ResponseCounts::default()));
     // Each request belongs to the phase that it was asked in.
     // Phase, time, customer, plan, units, worth, target_ms.
     type Asked<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
@@ -99,35 +112,35 @@
         match &record.event {
             Event::Bounds(bounds) => plans = bounds.plans.clone(),
             Event::Phase { name } => {
-                report.phases.push((name.clone(), Answers::default()));
+                report.phases.push((name.clone(), ResponseCounts::default()));
                 latencies.push(Vec::new());
             }
             Event::RequestSent { id, customer, plan, units, worth, target_ms, .. } => {
-                report.phases[phase].1.asked += 1;
+                report.phases[phase].1.requests += 1;
                 asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *target_ms));
                 report.worth.entry(plan.clone()).or_default().1 += worth;
                 let account = report.accounts.entry(customer.clone()).or_default();
                 account.plan.clone_from(plan);
-                account.asked += units;
+                account.requested_units += units;
             }
             Event::ResponseReceived { id, kind, code, .. } => {
                 let Some((phase, t, _, plan, _, worth, target_ms)) = asked.get(id.as_str()) else { continue };
-                let answers = &mut report.phases[*phase].1;
+                let counts = &mut report.phases[*phase].1;
                 match kind {
                     Kind::Served => {
-                        answers.served += 1;
+                        counts.served += 1;
                         latencies[*phase].push(record.t - t);
                         if record.t > t + target_ms {
-                            answers.late += 1;
+                            counts.late += 1;
                         } else {
                             report.worth.entry((*plan).to_owned()).or_default().0 += worth;
                         }
                     }
-                    Kind::Refused => answers.refused += 1,
-                    Kind::Failed => answers.failed += 1,
+                    Kind::Refused => counts.refused += 1,
+                    Kind::Failed => counts.failed += 1,
                 }
                 if !code.is_empty() {
-                    *report.codes.entry(code.clone()).or_default() += 1;
+                    *report.responses_by_code.entry(code.clone()).or_default() += 1;
                 }
             }
             Event::ResponseTruncated { id }
@@ -135,11 +148,11 @@
             | Event::Cancelled { id }
             | Event::TimedOut { id } => {
                 let Some((phase, ..)) = asked.get(id.as_str()) else { continue };
-                let answers = &mut report.phases[*phase].1;
+                let counts = &mut report.phases[*phase].1;
                 match record.event {
-                    Event::ResponseTruncated { .. } => answers.cut += 1,
-                    Event::ConnectionLost { .. } => answers.lost += 1,
-                    _ => answers.left += 1,
+                    Event::ResponseTruncated { .. } => counts.truncated += 1,
+                    Event::ConnectionLost { .. } => counts.connection_lost += 1,
+                    _ => counts.cancelled += 1,
                 }
             }
             Event::RequestRead { id, attempt, .. } => {
@@ -147,7 +160,7 @@
                 report.attempts.0 += 1;
                 let Some((_, _, customer, _, units, ..)) = asked.get(id.as_str()) else { continue };
                 if got.insert(id) {
-                    report.accounts.entry((*customer).to_owned()).or_default().sent += units;
+                    report.accounts.entry((*customer).to_owned()).or_default().forwarded_units += units;
                 } else {
                     report.attempts.1 += 1;
                 }
@@ -162,12 +175,12 @@
         }
     }
     for (phase, found) in report.phases.iter_mut().zip(&mut latencies) {
-        phase.1.latency = quantiles(found);
+        phase.1.latency_ms = quantiles(found);
     }
-    report.latency = quantiles(&mut latencies.concat());
+    report.latency_ms = quantiles(&mut latencies.concat());
     for account in report.accounts.values_mut() {
         let plan = plans.get(&account.plan);
-        account.quota = plan.map_or(0.0, |p| p.burst + p.rate * report.length / 1000.0);
+        account.quota_units = plan.map_or(0.0, |p| p.burst + p.rate * report.duration_ms / 1000.0);
     }
     report
 }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -92,14 +92,14 @@
     records.extend(more);
     let violations = check_rules(&records);
     assert!(violations.iter().any(|b| b.rule == rule && b.what.contains(part)), "{part}: {violations:?}");
-    assert!(!summarize(&records).kept);
+    assert!(!summarize(&records).rules_kept);
 }
 
 #[test]
 fn a_good_record_passes() {
     assert_eq!(check_rules(&good()), []);
     let report = summarize(&good());
-    assert!(report.kept);
+    assert!(report.rules_kept);
     assert_eq!((report.attempts, report.worth["p"]), ((3, 1), (2.0, 3.0)));
     let text: String = good().iter().map(|r| serde_json::to_string(r).unwrap() + "\n").collect();
     assert_eq!(parse_records(&text).unwrap(), good());
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/play.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
 use doorcourse_conformance::{
-    Answers, Bounds, Event, Kind, Record, Recovery, Report, measure_recoveries, summarize,
+    Bounds, Event, Kind, Record, Recovery, Report, ResponseCounts, measure_recoveries, summarize,
 };
 use doorcourse_emulators::{ClientEmulator, Command, CounterFault, NodeFault};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     /// Whether every rule was kept and every expectation met.
     #[must_use]
     pub fn good(&self) -> bool {
-        self.report.kept && self.missed.is_empty()
+        self.report.rules_kept && self.missed.is_empty()
     }
 
     /// Each request's final answer, by its name: how it ended and with which code.
@@ -338,15 +338,15 @@
 
 /// What an expectation misses.
 fn miss(expect: &Expect, report: &Report) -> Vec<String> {
-    let mut all = Answers::default();
+    let mut all = ResponseCounts::default();
     for (_, a) in report.phases.iter().filter(|(name, _)| expect.phase.is_empty() || *name == expect.phase) {
-        all.asked += a.asked;
+        all.requests += a.requests;
         all.served += a.served;
-        all.failed += a.failed + a.cut;
-        all.lost += a.lost;
+        all.failed += a.failed + a.truncated;
+        all.connection_lost += a.connection_lost;
     }
     let place = if expect.phase.is_empty() { "in all".to_owned() } else { format!("in `{}`", expect.phase) };
-    let share = |n: u64| n as f64 / all.asked.max(1) as f64;
+    let share = |n: u64| n as f64 / all.requests.max(1) as f64;
     let mut missed = Vec::new();
     if let Some(least) = expect.served_at_least.filter(|least| share(all.served) < *least) {
         missed.push(format!("{place}: {:.3} served, at least {least} expected", share(all.served)));
@@ -354,8 +354,8 @@
     if let Some(most) = expect.failed_at_most.filter(|most| share(all.failed) > *most) {
         missed.push(format!("{place}: {:.3} failed, at most {most} expected", share(all.failed)));
     }
-    if let Some(most) = expect.lost_at_most.filter(|most| all.lost > u64::from(*most)) {
-        missed.push(format!("{place}: {} lost, at most {most} expected", all.lost));
+    if let Some(most) = expect.lost_at_most.filter(|most| all.connection_lost > u64::from(*most)) {
+        missed.push(format!("{place}: {} lost, at most {most} expected", all.connection_lost));
     }
     if let Some(least) = expect.worth_at_least {
         let (got, asked) = report.worth.get(&expect.plan).copied().unwrap_or_default();
--- a/crates/drill/src/show.rs
+++ b/crates/drill/src/show.rs
@@ -59,11 +59,11 @@
         "{:<42} {:>6} {:>7} {:>5} {:>8} {:>7} {:>5} {:>5} {:>5}",
         "phase", "asked", "served", "late", "refused", "failed", "cut", "lost", "left"
     );
-    for (name, a) in report.phases.iter().filter(|(_, a)| a.asked > 0) {
+    for (name, a) in report.phases.iter().filter(|(_, a)| a.requests > 0) {
         let _ = writeln!(
             out,
             "{name:<42} {:>6} {:>7} {:>5} {:>8} {:>7} {:>5} {:>5} {:>5}",
-            a.asked, a.served, a.late, a.refused, a.failed, a.cut, a.lost, a.left
+            a.requests, a.served, a.late, a.refused, a.failed, a.truncated, a.connection_lost, a.cancelled
         );
     }
     let _ = writeln!(out, "\nworth answered in time, of what was asked for:");
@@ -71,7 +71,7 @@
         let _ = writeln!(out, "  {plan:<12} {:>5.1}%  of {asked:.0}", 100.0 * got / asked.max(1e-9));
     }
     let _ = writeln!(out, "\nanswers that were not data, by code:");
-    for (code, count) in &report.codes {
+    for (code, count) in &report.responses_by_code {
         let _ = writeln!(out, "  {code:<20} {count}");
     }
     let _ = writeln!(
@@ -83,18 +83,18 @@
         let _ = writeln!(
             out,
             "  {name:<14} {:>8.0} {:>8.0} {:>8.0} {:>10.0}",
-            a.asked, a.sent, a.true_units, a.quota
+            a.requested_units, a.forwarded_units, a.true_units, a.quota_units
         );
     }
     let (attempts, repeats) = report.attempts;
     let _ = writeln!(
         out,
         "\n{attempts} attempts at nodes, {repeats} of them repeats; {:.1} s; latency p50 {:.1} ms, p99 {:.1} ms\n",
-        report.length / 1000.0,
-        report.latency.0,
-        report.latency.1
+        report.duration_ms / 1000.0,
+        report.latency_ms.0,
+        report.latency_ms.1
     );
-    for (which, violations) in &report.rules {
+    for (which, violations) in &report.violations {
         let verdict =
             if violations.is_empty() { "kept".into() } else { format!("BROKEN {} times", violations.len()) };
         let _ = writeln!(out, "{:<28} {verdict}", rule(*which));
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -47,14 +47,15 @@
                 Paragraph::new(Line::from(spans)).block(Block::bordered().title(about)),
                 gateways,
             );
-            let row = |(name, a): &(String, doorcourse_conformance::Answers)| {
-                let figures = [a.asked, a.served, a.late, a.refused, a.failed + a.cut, a.lost];
-                let cells = figures.iter().map(ToString::to_string).chain([format!("{:.0}", a.latency.1)]);
+            let row = |(name, a): &(String, doorcourse_conformance::ResponseCounts)| {
+                let figures =
+                    [a.requests, a.served, a.late, a.refused, a.failed + a.truncated, a.connection_lost];
+                let cells = figures.iter().map(ToString::to_string).chain([format!("{:.0}", a.latency_ms.1)]);
                 Row::new([name.clone()].into_iter().chain(cells).map(Cell::from))
             };
             let titles = ["phase", "asked", "served", "late", "refused", "failed", "lost", "p99 ms"];
             let widths = [Constraint::Min(30)].into_iter().chain([Constraint::Length(8); 7]);
-            let rows = report.phases.iter().filter(|(_, a)| a.asked > 0).map(row);
+            let rows = report.phases.iter().filter(|(_, a)| a.requests > 0).map(row);
             let table = Table::new(rows, widths).header(Row::new(titles).style(Style::new().bold()));
             frame.render_widget(table.block(Block::bordered().title(" answers ")), answers);
             let verdict = |(rule, violations): (
@@ -66,7 +67,7 @@
                     Some(first) => Line::from(format!("{rule:?}: broken: {}", first.what).red()),
                 }
             };
-            let lines: Vec<Line> = report.rules.iter().map(verdict).collect();
+            let lines: Vec<Line> = report.violations.iter().map(verdict).collect();
             frame.render_widget(Paragraph::new(lines).block(Block::bordered().title(" rules ")), rules);
         });
     }
