--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -19,18 +19,21 @@
     /// What was done.
     pub fault: String,
     /// When, from the first record on.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub at_ms: f64,
     /// Whether two seconds were left before the next fault or the end: else nothing below says anything.
     pub measured: bool,
     /// The first moment from which two seconds of worth answered in time are 95% of the run without faults; none if there
     /// is no such before the next fault or the end.
-    pub full: Option<f64>,
+    #[serde(rename = "full")]
+    pub full_service_ms: Option<f64>,
     /// The same for each gateway.
     pub gateways: BTreeMap<usize, Option<f64>>,
     /// The same for each plan.
     pub plans: BTreeMap<String, Option<f64>>,
     /// The least share of the run without faults in two seconds.
-    pub deepest: f64,
+    #[serde(rename = "deepest")]
+    pub lowest_share: f64,
     /// How often it fell below 90% again after full service.
     pub second_dips: u32,
     /// Counter calls of all gateways: the most in a second, and the mean second of the run without faults.
@@ -140,12 +143,12 @@
         }
         Recovery {
             fault: (*what).clone(),
-            at: *at,
+            at_ms: *at,
             measured: at + WINDOW + GRID <= until,
-            full: all,
+            full_service_ms: all,
             gateways: quiet.gateways.iter().map(|(g, q)| (*g, of(worth.gateways.get(g), q))).collect(),
             plans: quiet.plans.iter().map(|(p, q)| (p.clone(), of(worth.plans.get(p), q))).collect(),
-            deepest: shares().map(|(_, share)| share).fold(1.0, f64::min),
+            lowest_share: shares().map(|(_, share)| share).fold(1.0, f64::min),
             second_dips,
             counter_calls: (peak(&worth.calls, *at, until), mean(&quiet.calls, quiet.end)),
             connections: (
@@ -209,8 +212,8 @@
         let came_back = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
         let found = &measure_recoveries(&came_back, &quiet)[0];
         // 95% of two seconds: a tenth of a second of the trouble may lie in the window.
-        assert_eq!(found.full, Some(2900.0), "{found:?}");
-        assert_eq!((found.deepest, found.second_dips), (0.0, 0));
+        assert_eq!(found.full_service_ms, Some(2900.0), "{found:?}");
+        assert_eq!((found.lowest_share, found.second_dips), (0.0, 0));
         assert_eq!(found.plans["basic"], Some(2900.0));
     }
 
@@ -242,7 +245,7 @@
         let found = &measure_recoveries(&half, &quiet)[0];
         assert_eq!(found.gateways[&0], Some(0.0));
         assert_eq!(found.gateways[&1], Some(2900.0));
-        assert!((0.45..0.55).contains(&found.deepest), "{found:?}");
+        assert!((0.45..0.55).contains(&found.lowest_share), "{found:?}");
     }
 
     #[test]
@@ -251,8 +254,8 @@
         let trouble =
             |t: f64| (4000.0..5000.0).contains(&t) || (9000.0..9500.0).contains(&t) || t >= 15_000.0;
         let found = measure_recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &quiet);
-        assert_eq!((found[0].second_dips, found[0].full), (1, Some(900.0)));
-        assert!(found[1].full.is_none() && found[1].measured);
+        assert_eq!((found[0].second_dips, found[0].full_service_ms), (1, Some(900.0)));
+        assert!(found[1].full_service_ms.is_none() && found[1].measured);
         let close = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &quiet);
         assert_eq!((close[0].measured, close[1].measured), (false, true), "too close to the next fault");
     }
--- a/crates/drill/src/show.rs
+++ b/crates/drill/src/show.rs
@@ -35,8 +35,8 @@
             out,
             "  {:<40} {:>7}  deepest {:>4.0}%  second dips {}  last gateway {worst}  {}",
             r.fault,
-            time(&r.full),
-            r.deepest * 100.0,
+            time(&r.full_service_ms),
+            r.lowest_share * 100.0,
             r.second_dips,
             plans.join(", ")
         );
