--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Worth is summed over this long; a moment is one on a grid. In ms.
-const WINDOW: f64 = 2000.0;
-const GRID: f64 = 100.0;
+const WINDOW_MS: f64 = 2000.0;
+const BUCKET_MS: f64 = 100.0;
 /// Rates are counted over this long, in ms.
-const SECOND: f64 = 1000.0;
+const RATE_WINDOW_MS: f64 = 1000.0;
 /// Full service is this share of the run without faults, and a dip after it is less than that.
-const FULL: f64 = 0.95;
-const DIP: f64 = 0.9;
+const FULL_SERVICE_SHARE: f64 = 0.95;
+const DIP_SHARE: f64 = 0.9;
 
 /// How the fleet came back from one fault. Times in ms after it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -21,7 +21,7 @@
     /// When, from the first record on.
     #[serde(rename = "at")]
     pub at_ms: f64,
-    /// Whether two seconds were left before the next fault or the end: else nothing below says anything.
+    /// Whether two seconds were left before the next fault or the end: else empty below says anything.
     pub measured: bool,
     /// The first moment from which two seconds of worth answered in time are 95% of the run without faults; none if there
     /// is no such before the next fault or the end.
@@ -44,121 +44,127 @@
 
 /// Worth answered in time by buckets of the grid: in all, by gateway, by plan.
 #[derive(Default)]
-struct Worth {
+struct Timeline {
     all: Vec<f64>,
     gateways: BTreeMap<usize, Vec<f64>>,
     plans: BTreeMap<String, Vec<f64>>,
-    /// Counter calls, and new connections by node.
-    calls: Vec<f64>,
+    /// Counter calls, and run connections by node.
+    counter_calls: Vec<f64>,
     nodes: BTreeMap<String, Vec<f64>>,
     end: f64,
 }
 
 fn add(buckets: &mut Vec<f64>, t: f64, worth: f64) {
-    let at = (t.max(0.0) / GRID) as usize;
+    let at = (t.max(0.0) / BUCKET_MS) as usize;
     if buckets.len() <= at {
         buckets.resize(at + 1, 0.0);
     }
     buckets[at] += worth;
 }
 
-impl Worth {
-    fn of(records: &[Record]) -> Self {
-        let (mut asked, mut new) = (HashMap::new(), Self::default());
+impl Timeline {
+    fn from_records(records: &[Record]) -> Self {
+        let (mut asked, mut run) = (HashMap::new(), Self::default());
         for record in records {
             match &record.event {
                 Event::RequestSent { id, gateway, plan, worth, target_ms, .. } => {
                     asked.insert(id.as_str(), (record.t, *gateway, plan, *worth, *target_ms));
-                    new.end = new.end.max(record.t);
+                    run.end = run.end.max(record.t);
                 }
-                Event::CounterCall => add(&mut new.calls, record.t, 1.0),
-                Event::Connected { node } => add(new.nodes.entry(node.clone()).or_default(), record.t, 1.0),
+                Event::CounterCall => add(&mut run.counter_calls, record.t, 1.0),
+                Event::Connected { node } => add(run.nodes.entry(node.clone()).or_default(), record.t, 1.0),
                 Event::ResponseReceived { id, kind: Kind::Served, .. } => {
-                    let Some((since, gateway, plan, worth, target_ms)) = asked.remove(id.as_str()) else {
+                    let Some((sent_at, gateway, plan, worth, target_ms)) = asked.remove(id.as_str()) else {
                         continue;
                     };
-                    if record.t - since <= target_ms {
-                        add(&mut new.all, record.t, worth);
-                        add(new.gateways.entry(gateway).or_default(), record.t, worth);
-                        add(new.plans.entry(plan.clone()).or_default(), record.t, worth);
+                    if record.t - sent_at <= target_ms {
+                        add(&mut run.all, record.t, worth);
+                        add(run.gateways.entry(gateway).or_default(), record.t, worth);
+                        add(run.plans.entry(plan.clone()).or_default(), record.t, worth);
                     }
                 }
                 _ => {}
             }
         }
-        new
+        run
     }
 }
 
-/// The share that a window from a moment on has of the quiet run; all of it where that has nothing.
-fn share(worth: &[f64], quiet: &[f64], from: f64) -> f64 {
+/// The share that a window from a moment on has of the baseline run; all of it where that has empty.
+fn share_of_baseline(worth: &[f64], baseline: &[f64], from: f64) -> f64 {
     let sum = |buckets: &[f64]| {
-        let (first, last) = ((from / GRID) as usize, ((from + WINDOW) / GRID) as usize);
+        let (first, last) = ((from / BUCKET_MS) as usize, ((from + WINDOW_MS) / BUCKET_MS) as usize);
         buckets.iter().take(last).skip(first).sum::<f64>()
     };
-    let wanted = sum(quiet);
-    if wanted > 0.0 { sum(worth) / wanted } else { 1.0 }
+    let expected = sum(baseline);
+    if expected > 0.0 { sum(worth) / expected } else { 1.0 }
 }
 
-fn moments(from: f64, until: f64) -> impl Iterator<Item = f64> {
-    let first = (from / GRID).ceil();
-    (0..).map(move |n| (first + f64::from(n)) * GRID).take_while(move |at| at + WINDOW <= until)
+fn window_starts(from: f64, until: f64) -> impl Iterator<Item = f64> {
+    let first = (from / BUCKET_MS).ceil();
+    (0..).map(move |n| (first + f64::from(n)) * BUCKET_MS).take_while(move |at| at + WINDOW_MS <= until)
 }
 
 /// The most in a second that begins after a moment and ends before another.
-fn peak(buckets: &[f64], from: f64, until: f64) -> f64 {
-    let (first, last) = ((from / GRID).ceil() as usize, ((until / GRID) as usize).min(buckets.len()));
-    let second = (SECOND / GRID) as usize;
+fn peak_rate(buckets: &[f64], from: f64, until: f64) -> f64 {
+    let (first, last) =
+        ((from / BUCKET_MS).ceil() as usize, ((until / BUCKET_MS) as usize).min(buckets.len()));
+    let second = (RATE_WINDOW_MS / BUCKET_MS) as usize;
     let part = buckets.get(first..last).unwrap_or_default();
     part.windows(second.min(part.len()).max(1)).map(|w| w.iter().sum()).fold(0.0, f64::max)
 }
 
-fn mean(buckets: &[f64], end: f64) -> f64 {
-    buckets.iter().sum::<f64>() / (end / SECOND).max(1e-9)
+fn mean_rate(buckets: &[f64], end: f64) -> f64 {
+    buckets.iter().sum::<f64>() / (end / RATE_WINDOW_MS).max(1e-9)
 }
 
-fn full(worth: &[f64], quiet: &[f64], from: f64, until: f64) -> Option<f64> {
-    moments(from, until).find(|at| share(worth, quiet, *at) >= FULL).map(|at| at - from)
+fn time_to_full(worth: &[f64], baseline: &[f64], from: f64, until: f64) -> Option<f64> {
+    window_starts(from, until)
+        .find(|at| share_of_baseline(worth, baseline, *at) >= FULL_SERVICE_SHARE)
+        .map(|at| at - from)
 }
 
 /// How the fleet came back from each fault of a run, beside one of the same seed without faults.
 #[must_use]
-pub fn measure_recoveries(records: &[Record], quiet: &[Record]) -> Vec<Recovery> {
+pub fn measure_recoveries(records: &[Record], baseline: &[Record]) -> Vec<Recovery> {
     let faults: Vec<(f64, &String)> = records
         .iter()
         .filter_map(|r| if let Event::Fault { what } = &r.event { Some((r.t, what)) } else { None })
         .collect();
-    let (worth, quiet) = (Worth::of(records), Worth::of(quiet));
-    let (end, nothing) = (worth.end.min(quiet.end), Vec::new());
-    let one = |(number, (at, what)): (usize, &(f64, &String))| {
+    let (run, baseline) = (Timeline::from_records(records), Timeline::from_records(baseline));
+    let (end, empty) = (run.end.min(baseline.end), Vec::new());
+    let recovery = |(number, (at, what)): (usize, &(f64, &String))| {
         let until = faults.get(number + 1).map_or(end, |f| f.0);
-        let of = |worth: Option<&Vec<f64>>, quiet: &[f64]| full(worth.unwrap_or(&nothing), quiet, *at, until);
-        let all = full(&worth.all, &quiet.all, *at, until);
-        let shares = || moments(*at, until).map(|m| (m, share(&worth.all, &quiet.all, m)));
-        let (mut second_dips, mut low) = (0, false);
+        let ms = |run: Option<&Vec<f64>>, base: &[f64]| time_to_full(run.unwrap_or(&empty), base, *at, until);
+        let all = time_to_full(&run.all, &baseline.all, *at, until);
+        let shares = || window_starts(*at, until).map(|m| (m, share_of_baseline(&run.all, &baseline.all, m)));
+        let (mut second_dips, mut in_dip) = (0, false);
         for (moment, share) in shares() {
-            let dips = share < DIP && all.is_some_and(|after| moment > at + after);
-            second_dips += u32::from(dips && !std::mem::replace(&mut low, dips));
-            low &= share < FULL;
+            let dips = share < DIP_SHARE && all.is_some_and(|after| moment > at + after);
+            second_dips += u32::from(dips && !std::mem::replace(&mut in_dip, dips));
+            in_dip &= share < FULL_SERVICE_SHARE;
         }
         Recovery {
             fault: (*what).clone(),
             at_ms: *at,
-            measured: at + WINDOW + GRID <= until,
+            measured: at + WINDOW_MS + BUCKET_MS <= until,
             full_service_ms: all,
-            gateways: quiet.gateways.iter().map(|(g, q)| (*g, of(worth.gateways.get(g), q))).collect(),
-            plans: quiet.plans.iter().map(|(p, q)| (p.clone(), of(worth.plans.get(p), q))).collect(),
+            gateways: baseline.gateways.iter().map(|(g, q)| (*g, ms(run.gateways.get(g), q))).collect(),
+            plans: baseline.plans.iter().map(|(p, q)| (p.clone(), ms(run.plans.get(p), q))).collect(),
             lowest_share: shares().map(|(_, share)| share).fold(1.0, f64::min),
             second_dips,
-            counter_calls: (peak(&worth.calls, *at, until), mean(&quiet.calls, quiet.end)),
+            counter_calls: (
+                peak_rate(&run.counter_calls, *at, until),
+                mean_rate(&baseline.counter_calls, baseline.end),
+            ),
             connections: (
-                worth.nodes.values().map(|n| peak(n, *at, until)).fold(0.0, f64::max),
-                quiet.nodes.values().map(|n| mean(n, quiet.end)).sum::<f64>()
-                    / (quiet.nodes.len().max(1) as f64),
+                run.nodes.values().map(|n| peak_rate(n, *at, until)).fold(0.0, f64::max),
+                baseline.nodes.values().map(|n| mean_rate(n, baseline.end)).sum::<f64>()
+                    / (baseline.nodes.len().max(1) as f64),
             ),
         }
     };
-    faults.iter().enumerate().map(one).collect()
+    faults.iter().enumerate().map(recovery).collect()
 }
 
 #[cfg(test)]
@@ -207,10 +213,10 @@
     }
 
     #[test]
-    fn the_time_to_full_service_is_when_nothing_is_missing_any_more() {
-        let quiet = run(|_, _| true, &[]);
+    fn the_time_to_full_is_when_nothing_is_missing_any_more() {
+        let baseline = run(|_, _| true, &[]);
         let came_back = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &measure_recoveries(&came_back, &quiet)[0];
+        let found = &measure_recoveries(&came_back, &baseline)[0];
         // 95% of two seconds: a tenth of a second of the trouble may lie in the window.
         assert_eq!(found.full_service_ms, Some(2900.0), "{found:?}");
         assert_eq!((found.lowest_share, found.second_dips), (0.0, 0));
@@ -240,9 +246,9 @@
 
     #[test]
     fn one_gateway_s_trouble_is_told_at_that_one() {
-        let quiet = run(|_, _| true, &[]);
+        let baseline = run(|_, _| true, &[]);
         let half = run(|t, g| g == 0 || !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &measure_recoveries(&half, &quiet)[0];
+        let found = &measure_recoveries(&half, &baseline)[0];
         assert_eq!(found.gateways[&0], Some(0.0));
         assert_eq!(found.gateways[&1], Some(2900.0));
         assert!((0.45..0.55).contains(&found.lowest_share), "{found:?}");
@@ -250,13 +256,13 @@
 
     #[test]
     fn a_second_dip_and_a_fault_without_return_are_told() {
-        let quiet = run(|_, _| true, &[]);
+        let baseline = run(|_, _| true, &[]);
         let trouble =
             |t: f64| (4000.0..5000.0).contains(&t) || (9000.0..9500.0).contains(&t) || t >= 15_000.0;
-        let found = measure_recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &quiet);
+        let found = measure_recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &baseline);
         assert_eq!((found[0].second_dips, found[0].full_service_ms), (1, Some(900.0)));
         assert!(found[1].full_service_ms.is_none() && found[1].measured);
-        let close = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &quiet);
+        let close = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &baseline);
         assert_eq!((close[0].measured, close[1].measured), (false, true), "too close to the next fault");
     }
 }
