--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -1,56 +1,62 @@
-//! How a fleet comes back: worth answered in time after each fault beside the same seed's run without faults.
+//! Measures how a fleet recovers from each fault: the worth answered in time, compared with a run of the same seed
+//! without faults (the baseline).
 
 use crate::record::{Event, Kind, Record};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Worth is summed over this long; a moment is one on a grid. In ms.
+/// Worth is summed over windows of this length. They start at multiples of `BUCKET_MS`.
 const WINDOW_MS: f64 = 2000.0;
 const BUCKET_MS: f64 = 100.0;
-/// Rates are counted over this long, in ms.
+/// Rates are counted over windows of this length.
 const RATE_WINDOW_MS: f64 = 1000.0;
-/// Full service is this share of the run without faults, and a dip after it is less than that.
+/// Share of the baseline's worth that counts as full service.
 const FULL_SERVICE_SHARE: f64 = 0.95;
+/// A share below this after full service counts as a second dip.
 const DIP_SHARE: f64 = 0.9;
 
-/// How the fleet came back from one fault. Times in ms after it.
+/// How the fleet recovered from one fault. Times to full service are in ms after the fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Recovery {
-    /// What was done.
+    /// Description of the fault.
     pub fault: String,
-    /// When, from the first record on.
+    /// Time of the fault in ms on the clock of the record.
     #[serde(rename = "at")]
     pub at_ms: f64,
-    /// Whether two seconds were left before the next fault or the end: else empty below says anything.
+    /// Whether at least one window of two seconds fits before the next fault or the end. If not, the other fields have no
+    /// meaning.
     pub measured: bool,
-    /// The first moment from which two seconds of worth answered in time are 95% of the run without faults; none if there
-    /// is no such before the next fault or the end.
+    /// Time to full service: the start of the first window of two seconds whose worth answered in time is at least 95% of
+    /// the baseline; `None` if there is none before the next fault or the end.
     #[serde(rename = "full")]
     pub full_service_ms: Option<f64>,
-    /// The same for each gateway.
+    /// Time to full service by gateway.
     pub gateways: BTreeMap<usize, Option<f64>>,
-    /// The same for each plan.
+    /// Time to full service by plan.
     pub plans: BTreeMap<String, Option<f64>>,
-    /// The least share of the run without faults in two seconds.
+    /// Lowest share of the baseline's worth in any window of two seconds, at most 1.
     #[serde(rename = "deepest")]
     pub lowest_share: f64,
-    /// How often it fell below 90% again after full service.
+    /// How often the share fell below 90% again after full service.
     pub second_dips: u32,
-    /// Counter calls of all gateways: the most in a second, and the mean second of the run without faults.
+    /// Counter calls of all gateways: the highest number in one second, and the baseline's mean per second.
     pub counter_calls: (f64, f64),
-    /// New connections at the node where they were most in a second, and the mean second of a node of the run without faults.
+    /// New connections at a single node: the highest number in one second at any node, and the baseline's mean per node and
+    /// second.
     pub connections: (f64, f64),
 }
 
-/// Worth answered in time by buckets of the grid: in all, by gateway, by plan.
+/// Totals per bucket of `BUCKET_MS`: the worth answered in time in all, by gateway and by plan.
 #[derive(Default)]
 struct Timeline {
     all: Vec<f64>,
     gateways: BTreeMap<usize, Vec<f64>>,
     plans: BTreeMap<String, Vec<f64>>,
-    /// Counter calls, and run connections by node.
+    /// Number of counter calls.
     counter_calls: Vec<f64>,
+    /// Number of new connections by node.
     nodes: BTreeMap<String, Vec<f64>>,
+    /// Time of the last request, in ms.
     end: f64,
 }
 
@@ -90,7 +96,7 @@
     }
 }
 
-/// The share that a window from a moment on has of the baseline run; all of it where that has empty.
+/// Returns the worth in the window that starts at `from` as a share of the baseline; 1 where the baseline has none.
 fn share_of_baseline(worth: &[f64], baseline: &[f64], from: f64) -> f64 {
     let sum = |buckets: &[f64]| {
         let (first, last) = ((from / BUCKET_MS) as usize, ((from + WINDOW_MS) / BUCKET_MS) as usize);
@@ -100,12 +106,13 @@
     if expected > 0.0 { sum(worth) / expected } else { 1.0 }
 }
 
+/// Returns the starts of all windows that fit between `from` and `until`.
 fn window_starts(from: f64, until: f64) -> impl Iterator<Item = f64> {
     let first = (from / BUCKET_MS).ceil();
     (0..).map(move |n| (first + f64::from(n)) * BUCKET_MS).take_while(move |at| at + WINDOW_MS <= until)
 }
 
-/// The most in a second that begins after a moment and ends before another.
+/// Returns the highest number in any second between `from` and `until`.
 fn peak_rate(buckets: &[f64], from: f64, until: f64) -> f64 {
     let (first, last) =
         ((from / BUCKET_MS).ceil() as usize, ((until / BUCKET_MS) as usize).min(buckets.len()));
@@ -114,17 +121,19 @@
     part.windows(second.min(part.len()).max(1)).map(|w| w.iter().sum()).fold(0.0, f64::max)
 }
 
+/// Returns the mean number per second from time 0 to `end`.
 fn mean_rate(buckets: &[f64], end: f64) -> f64 {
     buckets.iter().sum::<f64>() / (end / RATE_WINDOW_MS).max(1e-9)
 }
 
+/// Returns the time from `from` to the first window with full service.
 fn time_to_full(worth: &[f64], baseline: &[f64], from: f64, until: f64) -> Option<f64> {
     window_starts(from, until)
         .find(|at| share_of_baseline(worth, baseline, *at) >= FULL_SERVICE_SHARE)
         .map(|at| at - from)
 }
 
-/// How the fleet came back from each fault of a run, beside one of the same seed without faults.
+/// Measures the recovery from each fault of a run. `baseline` is a run of the same seed without faults.
 #[must_use]
 pub fn measure_recoveries(records: &[Record], baseline: &[Record]) -> Vec<Recovery> {
     let faults: Vec<(f64, &String)> = records
@@ -172,7 +181,7 @@
     use super::*;
     use crate::record::RetrySafety;
 
-    /// A request each 10 ms for 20 s at two gateways by turns, answered after 5 ms where `answered` says so.
+    /// A request every 10 ms for 20 s, alternating between two gateways, answered after 5 ms if `answered` returns true.
     fn run(answered: impl Fn(f64, usize) -> bool, faults: &[f64]) -> Vec<Record> {
         let mut records = Vec::new();
         for n in 0..2000 {
@@ -217,7 +226,7 @@
         let baseline = run(|_, _| true, &[]);
         let came_back = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
         let found = &measure_recoveries(&came_back, &baseline)[0];
-        // 95% of two seconds: a tenth of a second of the trouble may lie in the window.
+        // With a threshold of 95%, 100 ms of the outage may lie in the window of two seconds.
         assert_eq!(found.full_service_ms, Some(2900.0), "{found:?}");
         assert_eq!((found.lowest_share, found.second_dips), (0.0, 0));
         assert_eq!(found.plans["basic"], Some(2900.0));
