--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -17,15 +17,15 @@
 
 /// How long what happened at one stand-in may be written after what followed from it at another, in ms: they
 /// share a clock and take turns reading their sockets.
-const TURN: f64 = 30.0;
+const EVENT_ORDER_SLACK_MS: f64 = 30.0;
 /// How long after a gateway's end its clients still notice, in ms.
-const NOTICE: f64 = 1500.0;
+const OUTAGE_NOTICE_MS: f64 = 1500.0;
 /// What chance may add to a cold node's share, in pieces of work of the largest size: the budget is of an even
 /// part of the sends, which comes by chance.
-const COLD_CHANCE: f64 = 2.0;
+const COLD_SLACK_REQUESTS: f64 = 2.0;
 
-struct Asked<'a> {
-    t: f64,
+struct Request<'a> {
+    sent_at: f64,
     gateway: usize,
     customer: &'a str,
     plan: &'a str,
@@ -40,7 +40,7 @@
     t: f64,
     node: &'a str,
     /// When it was surely over, with the status if it was answered.
-    over: Option<(f64, u16)>,
+    ended: Option<(f64, u16)>,
 }
 
 /// Judges a run: all violations, in the order of the rules.
@@ -55,16 +55,16 @@
         let what = "the record holds no bounds to judge by".into();
         return vec![Violation { rule: Rule::OneAnswer, t: 0.0, what }];
     };
-    answers(&sorted, bounds, &mut violations);
-    effects(&sorted, &mut violations);
-    drains(&sorted, bounds, &mut violations);
-    cold(&sorted, bounds, &mut violations);
-    accounts(&sorted, bounds, &mut violations);
+    check_responses(&sorted, bounds, &mut violations);
+    check_effects(&sorted, &mut violations);
+    check_drains(&sorted, bounds, &mut violations);
+    check_cold_nodes(&sorted, bounds, &mut violations);
+    check_accounts(&sorted, bounds, &mut violations);
     violations
 }
 
-fn asks<'a>(records: &[&'a Record]) -> HashMap<&'a str, Asked<'a>> {
-    let mut asks = HashMap::new();
+fn requests_by_id<'a>(records: &[&'a Record]) -> HashMap<&'a str, Request<'a>> {
+    let mut requests = HashMap::new();
     for record in records {
         if let Event::RequestSent {
             id,
@@ -78,13 +78,13 @@
             ..
         } = &record.event
         {
-            let (t, gateway, retry_safety, key_retention_ms) =
+            let (sent_at, gateway, retry_safety, key_retention_ms) =
                 (record.t, *gateway, *retry_safety, *key_retention_ms);
             let (units, timeout_ms, ended) = (*units, *timeout_ms, None);
-            asks.insert(
+            requests.insert(
                 id.as_str(),
-                Asked {
-                    t,
+                Request {
+                    sent_at,
                     gateway,
                     customer,
                     plan,
@@ -97,12 +97,12 @@
             );
         }
     }
-    asks
+    requests
 }
 
 /// Rule 1: one final answer for each request, before the client's time is up, nothing after it.
-fn answers(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
-    let mut asks = asks(records);
+fn check_responses(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
+    let mut requests = requests_by_id(records);
     // When each gateway was not there: a request to it may be lost.
     let mut down: BTreeMap<usize, Vec<(f64, f64)>> = BTreeMap::new();
     for record in records {
@@ -118,10 +118,12 @@
             _ => {}
         }
     }
-    let gone = |gateway: usize, from: f64, to: f64| {
+    let unavailable = |gateway: usize, from: f64, to: f64| {
         let spans = down.get(&gateway).into_iter().flatten();
         spans.clone().any(|(start, end)| {
-            from <= *end + TURN && to >= *start - TURN && to <= *end + NOTICE.max(to - from)
+            from <= *end + EVENT_ORDER_SLACK_MS
+                && to >= *start - EVENT_ORDER_SLACK_MS
+                && to <= *end + OUTAGE_NOTICE_MS.max(to - from)
         })
     };
     let mut violation = |t, what| violations.push(Violation { rule: Rule::OneAnswer, t, what });
@@ -134,85 +136,91 @@
             Event::TimedOut { id } | Event::Cancelled { id } | Event::DataAfterResponse { id } => id,
             _ => continue,
         };
-        let Some(ask) = asks.get_mut(id.as_str()) else {
+        let Some(request) = requests.get_mut(id.as_str()) else {
             violation(t, format!("{id}: an end without a request"));
             continue;
         };
-        if ask.ended.is_some() || matches!(record.event, Event::DataAfterResponse { .. }) {
+        if request.ended.is_some() || matches!(record.event, Event::DataAfterResponse { .. }) {
             violation(t, format!("{id}: something more was sent after the final answer"));
             continue;
         }
-        ask.ended = Some((t, &record.event));
-        let late = t > ask.t + ask.timeout_ms + bounds.response_slack_ms;
+        request.ended = Some((t, &record.event));
+        let late = t > request.sent_at + request.timeout_ms + bounds.response_slack_ms;
         match &record.event {
             Event::ResponseReceived { .. } | Event::ResponseTruncated { .. } if late => {
                 violation(
                     t,
-                    format!("{id}: answered {:.0} ms after the client's time", t - ask.t - ask.timeout_ms),
+                    format!(
+                        "{id}: answered {:.0} ms after the client's time",
+                        t - request.sent_at - request.timeout_ms
+                    ),
                 );
             }
-            Event::TimedOut { .. } if !gone(ask.gateway, ask.t, t) => {
+            Event::TimedOut { .. } if !unavailable(request.gateway, request.sent_at, t) => {
                 violation(
                     t,
-                    format!("{id}: no answer from gateway {} in {:.0} ms", ask.gateway, ask.timeout_ms),
+                    format!(
+                        "{id}: no answer from gateway {} in {:.0} ms",
+                        request.gateway, request.timeout_ms
+                    ),
                 );
             }
-            Event::ConnectionLost { .. } if !gone(ask.gateway, ask.t, t) => {
-                violation(t, format!("{id}: gateway {} broke off without an answer", ask.gateway));
+            Event::ConnectionLost { .. } if !unavailable(request.gateway, request.sent_at, t) => {
+                violation(t, format!("{id}: gateway {} broke off without an answer", request.gateway));
             }
             _ => {}
         }
     }
     let end = records.last().map_or(0.0, |r| r.t);
-    for (id, ask) in asks.iter().filter(|(_, a)| a.ended.is_none()) {
-        if ask.t + ask.timeout_ms + bounds.response_slack_ms < end {
-            violation(ask.t, format!("{id}: the record tells no end"));
+    for (id, request) in requests.iter().filter(|(_, a)| a.ended.is_none()) {
+        if request.sent_at + request.timeout_ms + bounds.response_slack_ms < end {
+            violation(request.sent_at, format!("{id}: the record tells no end"));
         }
     }
 }
 
 /// Rule 2: no effect twice, repeats as the classes allow, never two attempts at once.
-fn effects<'a>(records: &[&'a Record], violations: &mut Vec<Violation>) {
-    let asks = asks(records);
-    let mut attempts: HashMap<&str, Vec<u64>> = HashMap::new();
-    let mut by_number: HashMap<u64, Attempt<'a>> = HashMap::new();
+fn check_effects<'a>(records: &[&'a Record], violations: &mut Vec<Violation>) {
+    let requests = requests_by_id(records);
+    let mut attempts_of: HashMap<&str, Vec<u64>> = HashMap::new();
+    let mut attempts: HashMap<u64, Attempt<'a>> = HashMap::new();
     let mut cells: HashMap<&str, u64> = HashMap::new();
-    let mut ran: HashMap<&str, u32> = HashMap::new();
+    let mut executions: HashMap<&str, u32> = HashMap::new();
     let mut violation = |t, what| violations.push(Violation { rule: Rule::NoEffectTwice, t, what });
     for record in records {
         let t = record.t;
         match &record.event {
             Event::NodeUp { node, cell, .. } => drop(cells.insert(node, *cell)),
             Event::NodeDown { node } | Event::NodeCrashed { node } => {
-                let open = by_number.values_mut().filter(|a| a.node == node && a.over.is_none());
-                open.for_each(|a| a.over = Some((t, 0)));
+                let open = attempts.values_mut().filter(|a| a.node == node && a.ended.is_none());
+                open.for_each(|a| a.ended = Some((t, 0)));
             }
             Event::ResponseSent { attempt, status, .. } => {
-                if let Some(a) = by_number.get_mut(attempt) {
-                    a.over = a.over.or(Some((t, *status)));
+                if let Some(a) = attempts.get_mut(attempt) {
+                    a.ended = a.ended.or(Some((t, *status)));
                 }
             }
             Event::AttemptClosed { attempt } => {
-                if let Some(a) = by_number.get_mut(attempt) {
-                    a.over = a.over.or(Some((t, 0)));
+                if let Some(a) = attempts.get_mut(attempt) {
+                    a.ended = a.ended.or(Some((t, 0)));
                 }
             }
             Event::RequestRead { id, node, attempt, .. } => {
-                let Some(ask) = asks.get(id.as_str()) else {
+                let Some(request) = requests.get(id.as_str()) else {
                     violation(t, format!("{id}: {node} got a request that no client sent"));
                     continue;
                 };
-                let earlier = attempts.entry(id).or_default();
+                let earlier = attempts_of.entry(id).or_default();
                 for number in earlier.iter() {
-                    let Some(other) = by_number.get(number) else { continue };
+                    let Some(other) = attempts.get(number) else { continue };
                     // One still out: the nodes' turns may write its end after this.
-                    if other.over.is_none() && !closes_soon(records, *number, t) {
+                    if other.ended.is_none() && !ends_soon(records, *number, t) {
                         violation(t, format!("{id}: {node} got it while {} still had it", other.node));
                     }
-                    if matches!(other.over, Some((_, 429))) {
+                    if matches!(other.ended, Some((_, 429))) {
                         continue; // Turned away unseen.
                     }
-                    match ask.retry_safety {
+                    match request.retry_safety {
                         RetrySafety::Safe => {}
                         RetrySafety::Unsafe => violation(
                             t,
@@ -224,7 +232,7 @@
                                 format!("{id}: repeated at {node}, another cell than {}", other.node),
                             );
                         }
-                        RetrySafety::Keyed if t > other.t + ask.key_retention_ms => {
+                        RetrySafety::Keyed if t > other.t + request.key_retention_ms => {
                             violation(
                                 t,
                                 format!(
@@ -237,23 +245,25 @@
                     }
                 }
                 earlier.push(*attempt);
-                by_number.insert(*attempt, Attempt { t, node, over: None });
+                attempts.insert(*attempt, Attempt { t, node, ended: None });
             }
             Event::RequestExecuted { id, dropped: false, .. } => {
-                let count = ran.entry(id).or_default();
+                let count = executions.entry(id).or_default();
                 *count += 1;
-                if *count > 1 && asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe) {
+                if *count > 1
+                    && requests.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe)
+                {
                     violation(t, format!("{id}: its effect happened {count} times"));
                 }
             }
             Event::ResponseReceived { id, kind: Kind::Refused, .. } => {
                 // A refusal promises that trying again is harmless.
-                let may_have_run = attempts
+                let may_have_run = attempts_of
                     .get(id.as_str())
                     .into_iter()
                     .flatten()
-                    .any(|n| by_number.get(n).is_some_and(|a| !matches!(a.over, Some((_, 429)))));
-                let strict = asks.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe);
+                    .any(|n| attempts.get(n).is_some_and(|a| !matches!(a.ended, Some((_, 429)))));
+                let strict = requests.get(id.as_str()).is_some_and(|a| a.retry_safety != RetrySafety::Safe);
                 if may_have_run && strict {
                     violation(t, format!("{id}: refused after a node may have run it"));
                 }
@@ -263,9 +273,9 @@
     }
 }
 
-fn closes_soon(records: &[&Record], number: u64, t: f64) -> bool {
+fn ends_soon(records: &[&Record], number: u64, t: f64) -> bool {
     let from = records.partition_point(|r| r.t < t);
-    let near = records[from..].iter().take_while(|r| r.t <= t + TURN);
+    let near = records[from..].iter().take_while(|r| r.t <= t + EVENT_ORDER_SLACK_MS);
     near.into_iter().any(|r| match &r.event {
         Event::AttemptClosed { attempt } | Event::ResponseSent { attempt, .. } => *attempt == number,
         _ => false,
@@ -273,17 +283,18 @@
 }
 
 /// Rule 3: nothing new to a node that the list calls draining or gone, after the grace.
-fn drains(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
-    let mut told: HashMap<&str, f64> = HashMap::new();
+fn check_drains(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
+    let mut not_ready_since: HashMap<&str, f64> = HashMap::new();
     for record in records {
         match &record.event {
-            Event::Listed { node, ready: false } => drop(told.entry(node).or_insert(record.t)),
-            Event::Listed { node, ready: true } => drop(told.remove(node.as_str())),
+            Event::Listed { node, ready: false } => drop(not_ready_since.entry(node).or_insert(record.t)),
+            Event::Listed { node, ready: true } => drop(not_ready_since.remove(node.as_str())),
             Event::RequestRead { node, .. } | Event::ProbeRead { node } => {
                 let id = if let Event::RequestRead { id, .. } = &record.event { id } else { "a trial" };
-                let late = told.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace_ms);
-                if let Some(late) = late.filter(|l| *l > 0.0) {
-                    let what = format!("{id}: sent to {node} {late:.0} ms after the grace of its drain");
+                let excess =
+                    not_ready_since.get(node.as_str()).map(|at| record.t - at - bounds.drain_grace_ms);
+                if let Some(excess) = excess.filter(|l| *l > 0.0) {
+                    let what = format!("{id}: sent to {node} {excess:.0} ms after the grace of its drain");
                     violations.push(Violation { rule: Rule::DrainsKept, t: record.t, what });
                 }
             }
@@ -293,16 +304,16 @@
 }
 
 /// Rule 4: no cold node is pushed over. Judged by the work sent, in every window, and by what fell.
-fn cold(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
-    struct Cold {
+fn check_cold_nodes(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
+    struct ColdNode {
         start: f64,
         cold_share: f64,
         warm_up_ms: f64,
         capacity: f64,
-        got: Vec<(f64, f64)>,
-        told: bool,
+        requests: Vec<(f64, f64)>,
+        reported: bool,
     }
-    let mut nodes: HashMap<&str, Cold> = HashMap::new();
+    let mut nodes: HashMap<&str, ColdNode> = HashMap::new();
     for record in records {
         let t = record.t;
         match &record.event {
@@ -310,7 +321,14 @@
                 let (cold_share, warm_up_ms, capacity) = (*cold_share, *warm_up_ms, *capacity);
                 nodes.insert(
                     node,
-                    Cold { start: t, cold_share, warm_up_ms, capacity, got: Vec::new(), told: false },
+                    ColdNode {
+                        start: t,
+                        cold_share,
+                        warm_up_ms,
+                        capacity,
+                        requests: Vec::new(),
+                        reported: false,
+                    },
                 );
             }
             Event::NodeUp { node, cold: false, .. } | Event::NodeDown { node } => {
@@ -327,17 +345,18 @@
                 let Some(cold) = nodes.get_mut(node.as_str()).filter(|c| t <= c.start + c.warm_up_ms) else {
                     continue;
                 };
-                cold.got.push((t, *work_ms));
-                cold.got.retain(|(at, _)| *at > t - bounds.fall_window_ms);
-                let sent: f64 = cold.got.iter().map(|(_, work)| work).sum();
-                let largest = cold.got.iter().map(|(_, work)| *work).fold(0.0, f64::max);
+                cold.requests.push((t, *work_ms));
+                cold.requests.retain(|(at, _)| *at > t - bounds.fall_window_ms);
+                let sent: f64 = cold.requests.iter().map(|(_, work)| work).sum();
+                let largest = cold.requests.iter().map(|(_, work)| *work).fold(0.0, f64::max);
                 // The capacity at the window's start: it only rises.
                 let age = ((t - bounds.fall_window_ms - cold.start) / cold.warm_up_ms).max(0.0);
-                let present = cold.capacity * (cold.cold_share + (1.0 - cold.cold_share) * age);
-                let most = bounds.fall_multiple * present * bounds.fall_window_ms + COLD_CHANCE * largest;
-                if sent > most && !std::mem::replace(&mut cold.told, true) {
+                let current = cold.capacity * (cold.cold_share + (1.0 - cold.cold_share) * age);
+                let limit =
+                    bounds.fall_multiple * current * bounds.fall_window_ms + COLD_SLACK_REQUESTS * largest;
+                if sent > limit && !std::mem::replace(&mut cold.reported, true) {
                     let what = format!(
-                        "{node}: sent {sent:.0} ms of work in {:.0} ms, cold, at most {most:.0}",
+                        "{node}: sent {sent:.0} ms of work in {:.0} ms, cold, at most {limit:.0}",
                         bounds.fall_window_ms
                     );
                     violations.push(Violation { rule: Rule::ColdNodes, t, what });
@@ -349,74 +368,75 @@
 }
 
 /// A store that fills at a rate: how far below nothing it has been, by all that was taken.
-struct Store {
-    held: f64,
-    most: f64,
+struct TokenBucket {
+    tokens: f64,
+    capacity: f64,
     rate: f64,
-    at: f64,
+    updated_at: f64,
 }
 
-impl Store {
-    fn new(most: f64, rate: f64, at: f64) -> Self {
-        Self { held: most, most, rate, at }
+impl TokenBucket {
+    fn new(capacity: f64, rate: f64, updated_at: f64) -> Self {
+        Self { tokens: capacity, capacity, rate, updated_at }
     }
 
     fn take(&mut self, t: f64, units: f64) -> f64 {
-        self.held = (self.held + self.rate * (t - self.at) / 1000.0).min(self.most);
-        self.at = t;
-        self.held = (self.held - units).min(self.most);
-        self.held
+        self.tokens = (self.tokens + self.rate * (t - self.updated_at) / 1000.0).min(self.capacity);
+        self.updated_at = t;
+        self.tokens = (self.tokens - units).min(self.capacity);
+        self.tokens
     }
 }
 
 /// Rule 5, and the quotas: what all gateways sent on for each account. A ceiling goes by the price; a quota by the
 /// price when it is sent on and by the true units once the answer told them.
-fn accounts(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
-    let asks = asks(records);
-    let none = PlanBounds::default();
-    let mut ceilings: BTreeMap<&str, Store> = BTreeMap::new();
-    let mut quotas: BTreeMap<&str, Store> = BTreeMap::new();
-    let mut first: HashSet<&str> = HashSet::new();
-    let mut of_attempt: HashMap<u64, &str> = HashMap::new();
-    let (mut told_ceiling, mut told_quota): (HashSet<&str>, HashSet<&str>) = Default::default();
+fn check_accounts(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
+    let requests = requests_by_id(records);
+    let no_limits = PlanBounds::default();
+    let mut ceilings: BTreeMap<&str, TokenBucket> = BTreeMap::new();
+    let mut quotas: BTreeMap<&str, TokenBucket> = BTreeMap::new();
+    let mut counted: HashSet<&str> = HashSet::new();
+    let mut request_of: HashMap<u64, &str> = HashMap::new();
+    let (mut reported_ceiling, mut reported_quota): (HashSet<&str>, HashSet<&str>) = Default::default();
     for record in records {
         let t = record.t;
         match &record.event {
             Event::RequestRead { id, attempt, .. } => {
-                of_attempt.insert(*attempt, id);
-                let Some(ask) = asks.get(id.as_str()) else { continue };
-                if !first.insert(id) {
+                request_of.insert(*attempt, id);
+                let Some(request) = requests.get(id.as_str()) else { continue };
+                if !counted.insert(id) {
                     continue;
                 }
-                let plan = bounds.plans.get(ask.plan).unwrap_or(&none);
+                let plan = bounds.plans.get(request.plan).unwrap_or(&no_limits);
                 if plan.ceiling_rate > 0.0 {
-                    let fresh = || Store::new(plan.ceiling_burst, plan.ceiling_rate, t);
-                    let held = ceilings.entry(ask.customer).or_insert_with(fresh).take(t, ask.units);
-                    if held < -plan.ceiling_slack - 1e-6 && told_ceiling.insert(ask.customer) {
+                    let full = || TokenBucket::new(plan.ceiling_burst, plan.ceiling_rate, t);
+                    let tokens = ceilings.entry(request.customer).or_insert_with(full).take(t, request.units);
+                    if tokens < -plan.ceiling_slack - 1e-6 && reported_ceiling.insert(request.customer) {
                         let what = format!(
                             "{}: {:.1} units below its ceiling, at most {}",
-                            ask.customer, -held, plan.ceiling_slack
+                            request.customer, -tokens, plan.ceiling_slack
                         );
                         violations.push(Violation { rule: Rule::Ceilings, t, what });
                     }
                 }
                 if plan.rate > 0.0 {
-                    let fresh = || Store::new(plan.burst * bounds.allowed_bursts, plan.rate, t);
-                    let held = quotas.entry(ask.customer).or_insert_with(fresh).take(t, ask.units);
-                    if held < -bounds.max_request_units - 1e-6 && told_quota.insert(ask.customer) {
+                    let full = || TokenBucket::new(plan.burst * bounds.allowed_bursts, plan.rate, t);
+                    let tokens = quotas.entry(request.customer).or_insert_with(full).take(t, request.units);
+                    if tokens < -bounds.max_request_units - 1e-6 && reported_quota.insert(request.customer) {
                         let what = format!(
                             "{}: {:.1} units beyond {} bursts and its rate",
-                            ask.customer, -held, bounds.allowed_bursts
+                            request.customer, -tokens, bounds.allowed_bursts
                         );
                         violations.push(Violation { rule: Rule::Quotas, t, what });
                     }
                 }
             }
             Event::ResponseSent { attempt, status: 200, units } => {
-                let ask = of_attempt.get(attempt).and_then(|id| asks.get(id));
-                if let Some((ask, store)) = ask.and_then(|a| Some((a, quotas.get_mut(a.customer)?))) {
+                let request = request_of.get(attempt).and_then(|id| requests.get(id));
+                if let Some((request, bucket)) = request.and_then(|a| Some((a, quotas.get_mut(a.customer)?)))
+                {
                     // Only what comes back is settled here: what ran beyond its price was let in by its price.
-                    store.take(t, (units - ask.units).min(0.0));
+                    bucket.take(t, (units - request.units).min(0.0));
                 }
             }
             _ => {}
