--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -1,29 +1,30 @@
-//! The rules as statements about records. Each violation names the request or the node and what was seen.
+//! The checks of the rules. Each violation names the request, node or account and what was observed.
 
 use crate::record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// When, in ms.
+    /// Time in ms.
     pub t: f64,
-    /// What was seen.
+    /// Description of the observation.
     pub what: String,
 }
 
-/// How long what happened at one stand-in may be written after what followed from it at another, in ms: they
-/// share a clock and take turns reading their sockets.
+/// How much later an event may be recorded than an event that it caused at another emulator: emulators share a clock, but
+/// each reads its sockets in turn.
 const EVENT_ORDER_SLACK_MS: f64 = 30.0;
-/// How long after a gateway's end its clients still notice, in ms.
+/// How long after the outage of a gateway its clients may still notice that a request was lost.
 const OUTAGE_NOTICE_MS: f64 = 1500.0;
-/// What chance may add to a cold node's share, in pieces of work of the largest size: the budget is of an even
-/// part of the sends, which comes by chance.
+/// Allowance for a cold node, in requests of the largest size: gateways budget for an even share of the requests, but the
+/// actual distribution is random.
 const COLD_SLACK_REQUESTS: f64 = 2.0;
 
+/// A request as its client sent it.
 struct Request<'a> {
     sent_at: f64,
     gateway: usize,
@@ -33,17 +34,20 @@
     key_retention_ms: f64,
     units: f64,
     timeout_ms: f64,
+    /// Time and event that ended the request.
     ended: Option<(f64, &'a Event)>,
 }
 
+/// A request at a node.
 struct Attempt<'a> {
+    /// Time at which the node read the request.
     t: f64,
     node: &'a str,
-    /// When it was surely over, with the status if it was answered.
+    /// Time at which the attempt had certainly ended, and the status of the response; 0 if there was none.
     ended: Option<(f64, u16)>,
 }
 
-/// Judges a run: all violations, in the order of the rules.
+/// Checks a run and returns all violations, in the order of the rules.
 #[must_use]
 pub fn check_rules(records: &[Record]) -> Vec<Violation> {
     let mut sorted: Vec<&Record> = records.iter().collect();
@@ -63,6 +67,7 @@
     violations
 }
 
+/// Returns all requests of the record by their id.
 fn requests_by_id<'a>(records: &[&'a Record]) -> HashMap<&'a str, Request<'a>> {
     let mut requests = HashMap::new();
     for record in records {
@@ -100,10 +105,10 @@
     requests
 }
 
-/// Rule 1: one final answer for each request, before the client's time is up, nothing after it.
+/// Rule 1: each request gets one final response before the client's timeout, and nothing after it.
 fn check_responses(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let mut requests = requests_by_id(records);
-    // When each gateway was not there: a request to it may be lost.
+    // Outages of each gateway, in which requests to it may be lost.
     let mut down: BTreeMap<usize, Vec<(f64, f64)>> = BTreeMap::new();
     for record in records {
         match &record.event {
@@ -179,7 +184,7 @@
     }
 }
 
-/// Rule 2: no effect twice, repeats as the classes allow, never two attempts at once.
+/// Rule 2: no effect takes place twice, retries follow the class of the request, and two attempts never overlap.
 fn check_effects<'a>(records: &[&'a Record], violations: &mut Vec<Violation>) {
     let requests = requests_by_id(records);
     let mut attempts_of: HashMap<&str, Vec<u64>> = HashMap::new();
@@ -213,12 +218,12 @@
                 let earlier = attempts_of.entry(id).or_default();
                 for number in earlier.iter() {
                     let Some(other) = attempts.get(number) else { continue };
-                    // One still out: the nodes' turns may write its end after this.
+                    // The end of the other attempt may be recorded slightly later than this event.
                     if other.ended.is_none() && !ends_soon(records, *number, t) {
                         violation(t, format!("{id}: {node} got it while {} still had it", other.node));
                     }
                     if matches!(other.ended, Some((_, 429))) {
-                        continue; // Turned away unseen.
+                        continue; // The node rejected the request without running it.
                     }
                     match request.retry_safety {
                         RetrySafety::Safe => {}
@@ -257,7 +262,7 @@
                 }
             }
             Event::ResponseReceived { id, kind: Kind::Refused, .. } => {
-                // A refusal promises that trying again is harmless.
+                // A refusal says that a retry is safe, so no node may have run the request.
                 let may_have_run = attempts_of
                     .get(id.as_str())
                     .into_iter()
@@ -273,6 +278,7 @@
     }
 }
 
+/// Returns whether the end of an attempt is recorded within the order slack after `t`.
 fn ends_soon(records: &[&Record], number: u64, t: f64) -> bool {
     let from = records.partition_point(|r| r.t < t);
     let near = records[from..].iter().take_while(|r| r.t <= t + EVENT_ORDER_SLACK_MS);
@@ -282,7 +288,7 @@
     })
 }
 
-/// Rule 3: nothing new to a node that the list calls draining or gone, after the grace.
+/// Rule 3: after the grace period, no new request goes to a node that the list marks as draining or no longer contains.
 fn check_drains(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let mut not_ready_since: HashMap<&str, f64> = HashMap::new();
     for record in records {
@@ -303,13 +309,15 @@
     }
 }
 
-/// Rule 4: no cold node is pushed over. Judged by the work sent, in every window, and by what fell.
+/// Rule 4: no cold node is overloaded. Checks the work sent in each window as well as crashes.
 fn check_cold_nodes(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
+    /// A node that started cold.
     struct ColdNode {
         start: f64,
         cold_share: f64,
         warm_up_ms: f64,
         capacity: f64,
+        /// Time and work of the requests in the current window, in ms.
         requests: Vec<(f64, f64)>,
         reported: bool,
     }
@@ -349,7 +357,7 @@
                 cold.requests.retain(|(at, _)| *at > t - bounds.fall_window_ms);
                 let sent: f64 = cold.requests.iter().map(|(_, work)| work).sum();
                 let largest = cold.requests.iter().map(|(_, work)| *work).fold(0.0, f64::max);
-                // The capacity at the window's start: it only rises.
+                // Capacity at the start of the window, the lowest in it since capacity only rises.
                 let age = ((t - bounds.fall_window_ms - cold.start) / cold.warm_up_ms).max(0.0);
                 let current = cold.capacity * (cold.cold_share + (1.0 - cold.cold_share) * age);
                 let limit =
@@ -367,10 +375,11 @@
     }
 }
 
-/// A store that fills at a rate: how far below nothing it has been, by all that was taken.
+/// A token bucket that may go below zero, so that a negative level shows by how much a limit was exceeded.
 struct TokenBucket {
     tokens: f64,
     capacity: f64,
+    /// Tokens per second.
     rate: f64,
     updated_at: f64,
 }
@@ -380,6 +389,7 @@
         Self { tokens: capacity, capacity, rate, updated_at }
     }
 
+    /// Takes units and returns the level; a negative number gives units back.
     fn take(&mut self, t: f64, units: f64) -> f64 {
         self.tokens = (self.tokens + self.rate * (t - self.updated_at) / 1000.0).min(self.capacity);
         self.updated_at = t;
@@ -388,8 +398,8 @@
     }
 }
 
-/// Rule 5, and the quotas: what all gateways sent on for each account. A ceiling goes by the price; a quota by the
-/// price when it is sent on and by the true units once the answer told them.
+/// Rule 5 and the quotas, for what all gateways forwarded for each account. A ceiling counts the price of a request. A
+/// quota counts the price when the request is forwarded and the true units once the response is known.
 fn check_accounts(records: &[&Record], bounds: &Bounds, violations: &mut Vec<Violation>) {
     let requests = requests_by_id(records);
     let no_limits = PlanBounds::default();
@@ -435,7 +445,7 @@
                 let request = request_of.get(attempt).and_then(|id| requests.get(id));
                 if let Some((request, bucket)) = request.and_then(|a| Some((a, quotas.get_mut(a.customer)?)))
                 {
-                    // Only what comes back is settled here: what ran beyond its price was let in by its price.
+                    // Only unused units are given back: a request that cost more than its price was admitted by its price.
                     bucket.take(t, (units - request.units).min(0.0));
                 }
             }
