--- a/crates/conformance/src/acts.rs
+++ b/crates/conformance/src/acts.rs
@@ -1,29 +1,29 @@
-//! The rules of fleet-wide tasks, from what witnesses saw of each act alone, on one clock.
+//! Checks the rules of fleet-wide tasks from the acts that the task endpoints recorded, all on one clock.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One act as its receiver saw it. Times in ms on the witness's clock.
+/// An act of a lease holder as the task endpoint recorded it. Times are in ms on the clock of the endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Act {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Which gateway acted.
+    /// Number of the gateway that acted.
     pub gateway: u32,
-    /// Under which token.
+    /// Fencing token of the call.
     pub token: u64,
-    /// When it came, and when its effect was over.
+    /// Time at which the endpoint accepted or rejected the call.
     pub begin: f64,
-    /// See `begin`.
+    /// Time at which the effect ended.
     pub end: f64,
-    /// By when it was to be over, by its sender's word.
+    /// Time by which the act had to end, as the sender stated it.
     pub deadline: f64,
-    /// Whether its effect took place.
+    /// Whether the effect took place.
     pub accepted: bool,
 }
 
-/// Every way in which acts broke the rules: of one task, acts under different tokens never overlap in time, tokens never
-/// go back, and no act lasts beyond its deadline (`deadlines`: for a receiver that goes by them).
+/// Checks the acts of each task and returns a description of each violation: acts under different tokens must not overlap,
+/// tokens must not decrease, and, if `deadlines` is set, no act may last beyond its deadline.
 #[must_use]
 pub fn check_acts(acts: &[Act], deadlines: bool) -> Vec<String> {
     let mut tasks = BTreeMap::<&str, Vec<&Act>>::new();
@@ -41,7 +41,7 @@
                     act.token, act.gateway, act.begin, before.token, before.gateway
                 ));
             }
-            // The one that lasted longest so far: of another token, it must be over.
+            // The act with the latest end so far must have ended, unless it has the same token.
             if let Some(other) = until.filter(|u| u.token != act.token && u.end > act.begin) {
                 broken.push(format!(
                     "{task}: gateway {} acts from {:.1} ms while gateway {} acts until {:.1} ms",
