--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -1,85 +1,85 @@
-//! What happened, for people: counts by phase and kind, worth by plan, use by account.
+//! A summary of a run for people: responses by phase and kind, worth by plan, usage by account.
 
 use crate::record::{Event, Kind, Record, Rule};
 use crate::rules::{Violation, check_rules};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// ResponseCounts of one phase.
+/// Numbers of requests and responses in one phase.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ResponseCounts {
     /// Requests sent.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Data, whole.
+    /// Responses with complete data.
     pub served: u64,
-    /// Of these, after the target_ms.
+    /// Served responses that came after the target time.
     pub late: u64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
-    /// Broken off in the middle.
+    /// Responses that ended in the middle.
     #[serde(rename = "cut")]
     pub truncated: u64,
-    /// Lost with a gateway.
+    /// Requests whose connection was lost before a response.
     #[serde(rename = "lost")]
     pub connection_lost: u64,
-    /// Left or given up by the client.
+    /// Requests that the client cancelled or that timed out.
     #[serde(rename = "left")]
     pub cancelled: u64,
-    /// Latency of what was served, in ms: the median and the 99th percentile.
+    /// Latency of served responses, in ms: median and 99th percentile.
     #[serde(rename = "latency")]
     pub latency_ms: (f64, f64),
 }
 
-/// One account's use.
+/// Usage of one account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct AccountUsage {
-    /// Its plan.
+    /// Plan of the account.
     pub plan: String,
-    /// Units asked for.
+    /// Units of all requests, by their price.
     #[serde(rename = "asked")]
     pub requested_units: f64,
-    /// Units sent on, by their price.
+    /// Units of the requests that gateways forwarded, by their price.
     #[serde(rename = "sent")]
     pub forwarded_units: f64,
-    /// Units that the nodes' counts were worth.
+    /// Units that the nodes' responses were worth.
     pub true_units: f64,
-    /// What its quota grants over the run: its burst and its rate.
+    /// Units that the quota allows over the run: the burst plus the rate times the duration.
     #[serde(rename = "quota")]
     pub quota_units: f64,
 }
 
-/// A whole run.
+/// Summary of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Whether every rule was kept.
     #[serde(rename = "kept")]
     pub rules_kept: bool,
-    /// Breaches by rule; a rule without any was kept.
+    /// Violations by rule; empty for each rule that was kept.
     #[serde(rename = "rules")]
     pub violations: BTreeMap<Rule, Vec<Violation>>,
-    /// ResponseCounts by phase, in their order.
+    /// Counts by phase, in the order of the phases.
     pub phases: Vec<(String, ResponseCounts)>,
-    /// Worth answered in time and worth asked for, by plan.
+    /// Worth answered in time and worth of all requests, by plan.
     pub worth: BTreeMap<String, (f64, f64)>,
-    /// ResponseCounts by code.
+    /// Number of responses by error code.
     #[serde(rename = "codes")]
     pub responses_by_code: BTreeMap<String, u64>,
-    /// Use by account.
+    /// Usage by account.
     pub accounts: BTreeMap<String, AccountUsage>,
-    /// Attempts at nodes, and how many were repeats.
+    /// Number of attempts at nodes, and how many of them were retries.
     pub attempts: (u64, u64),
-    /// Latency of all that was served, in ms: the median and the 99th percentile.
+    /// Latency of all served responses, in ms: median and 99th percentile.
     #[serde(rename = "latency")]
     pub latency_ms: (f64, f64),
-    /// From the first record to the last, in ms.
+    /// Time from the first record to the last, in ms.
     #[serde(rename = "length")]
     pub duration_ms: f64,
 }
 
-/// Sums a run up and judges it.
+/// Summarizes a run and checks the rules.
 #[must_use]
 pub fn summarize(records: &[Record]) -> Report {
     let mut sorted: Vec<&Record> = records.iter().collect();
@@ -100,8 +100,8 @@
     report.rules_kept = report.violations.values().all(Vec::is_empty);
     report.duration_ms = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
     report.phases.push(("start".into(), ResponseCounts::default()));
-    // Each request belongs to the phase that it was asked in.
-    // Phase, time, customer, plan, units, worth, target_ms.
+    // Phase, time, customer, plan, units, worth and target time of each request. A request counts in the phase in which it
+    // was sent.
     type Asked<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
     let mut asked: HashMap<&str, Asked> = HashMap::new();
     let (mut got, mut attempt_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
@@ -185,6 +185,7 @@
     report
 }
 
+/// Sorts the values and returns their median and 99th percentile, or zeros if there are none.
 fn quantiles(found: &mut [f64]) -> (f64, f64) {
     found.sort_by(f64::total_cmp);
     let at =
