--- a/crates/conformance/src/acts.rs
+++ b/crates/conformance/src/acts.rs
@@ -30,33 +30,34 @@
     for act in acts.iter().filter(|a| a.accepted) {
         tasks.entry(&act.task).or_default().push(act);
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (task, mut acts) in tasks {
         acts.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-        let (mut last, mut until) = (None::<&Act>, None::<&Act>);
+        let (mut previous, mut longest) = (None::<&Act>, None::<&Act>);
         for act in acts {
-            if let Some(before) = last.filter(|b| b.token > act.token) {
-                broken.push(format!(
+            if let Some(earlier) = previous.filter(|p| p.token > act.token) {
+                violations.push(format!(
                     "{task}: token {} of gateway {} at {:.1} ms behind token {} of gateway {}",
-                    act.token, act.gateway, act.begin, before.token, before.gateway
+                    act.token, act.gateway, act.begin, earlier.token, earlier.gateway
                 ));
             }
             // The act with the latest end so far must have ended, unless it has the same token.
-            if let Some(other) = until.filter(|u| u.token != act.token && u.end > act.begin) {
-                broken.push(format!(
+            if let Some(other) = longest.filter(|u| u.token != act.token && u.end > act.begin) {
+                violations.push(format!(
                     "{task}: gateway {} acts from {:.1} ms while gateway {} acts until {:.1} ms",
                     act.gateway, act.begin, other.gateway, other.end
                 ));
             }
             if deadlines && act.end > act.deadline {
                 let (late, gateway) = (act.end - act.deadline, act.gateway);
-                broken.push(format!("{task}: gateway {gateway} acts until {late:.1} ms behind its deadline"));
+                violations
+                    .push(format!("{task}: gateway {gateway} acts until {late:.1} ms behind its deadline"));
             }
-            last = Some(act);
-            until = until.filter(|u| u.end >= act.end).or(Some(act));
+            previous = Some(act);
+            longest = longest.filter(|u| u.end >= act.end).or(Some(act));
         }
     }
-    broken
+    violations
 }
 
 #[cfg(test)]
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -102,9 +102,9 @@
     report.phases.push(("start".into(), ResponseCounts::default()));
     // Phase, time, customer, plan, units, worth and target time of each request. A request counts in the phase in which it
     // was sent.
-    type Asked<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
-    let mut asked: HashMap<&str, Asked> = HashMap::new();
-    let (mut got, mut attempt_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
+    type Sent<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
+    let mut sent: HashMap<&str, Sent> = HashMap::new();
+    let (mut forwarded, mut request_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
     let mut plans = BTreeMap::new();
     let mut latencies: Vec<Vec<f64>> = vec![Vec::new()];
     for record in sorted {
@@ -117,14 +117,14 @@
             }
             Event::RequestSent { id, customer, plan, units, worth, target_ms, .. } => {
                 report.phases[phase].1.requests += 1;
-                asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *target_ms));
+                sent.insert(id, (phase, record.t, customer, plan, *units, *worth, *target_ms));
                 report.worth.entry(plan.clone()).or_default().1 += worth;
                 let account = report.accounts.entry(customer.clone()).or_default();
                 account.plan.clone_from(plan);
                 account.requested_units += units;
             }
             Event::ResponseReceived { id, kind, code, .. } => {
-                let Some((phase, t, _, plan, _, worth, target_ms)) = asked.get(id.as_str()) else { continue };
+                let Some((phase, t, _, plan, _, worth, target_ms)) = sent.get(id.as_str()) else { continue };
                 let counts = &mut report.phases[*phase].1;
                 match kind {
                     Kind::Served => {
@@ -147,7 +147,7 @@
             | Event::ConnectionLost { id }
             | Event::Cancelled { id }
             | Event::TimedOut { id } => {
-                let Some((phase, ..)) = asked.get(id.as_str()) else { continue };
+                let Some((phase, ..)) = sent.get(id.as_str()) else { continue };
                 let counts = &mut report.phases[*phase].1;
                 match record.event {
                     Event::ResponseTruncated { .. } => counts.truncated += 1,
@@ -156,17 +156,17 @@
                 }
             }
             Event::RequestRead { id, attempt, .. } => {
-                attempt_of.insert(*attempt, id);
+                request_of.insert(*attempt, id);
                 report.attempts.0 += 1;
-                let Some((_, _, customer, _, units, ..)) = asked.get(id.as_str()) else { continue };
-                if got.insert(id) {
+                let Some((_, _, customer, _, units, ..)) = sent.get(id.as_str()) else { continue };
+                if forwarded.insert(id) {
                     report.accounts.entry((*customer).to_owned()).or_default().forwarded_units += units;
                 } else {
                     report.attempts.1 += 1;
                 }
             }
             Event::ResponseSent { attempt, units, .. } => {
-                let customer = attempt_of.get(attempt).and_then(|id| asked.get(id)).map(|a| a.2);
+                let customer = request_of.get(attempt).and_then(|id| sent.get(id)).map(|a| a.2);
                 if let Some(customer) = customer {
                     report.accounts.entry(customer.to_owned()).or_default().true_units += units;
                 }
@@ -186,9 +186,9 @@
 }
 
 /// Sorts the values and returns their median and 99th percentile, or zeros if there are none.
-fn quantiles(found: &mut [f64]) -> (f64, f64) {
-    found.sort_by(f64::total_cmp);
+fn quantiles(times: &mut [f64]) -> (f64, f64) {
+    times.sort_by(f64::total_cmp);
     let at =
-        |q: f64| found.get(((found.len() as f64 * q) as usize).min(found.len().saturating_sub(1))).copied();
+        |q: f64| times.get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1))).copied();
     (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0))
 }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -1,4 +1,4 @@
-//! A good record passes; for each rule a spoiled one is refused.
+//! A record without violations passes, and for each rule a record that violates it is reported.
 
 use doorcourse_conformance::{
     Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, check_rules, parse_records, summarize,
@@ -123,7 +123,7 @@
     spoiled(rule, "broke off without", vec![ask(500.0, "x", RetrySafety::Safe, 0.1), lost.clone()]);
     spoiled(rule, "tells no end", vec![ask(500.0, "x", RetrySafety::Safe, 0.1)]);
     spoiled(rule, "an end without a request", vec![answer(500.0, "y", Kind::Served)]);
-    // A gateway that was killed meanwhile owes nothing; another's death excuses nothing.
+    // Requests to a gateway that was killed meanwhile may be lost; the end of another gateway is no excuse.
     let mut killed = good();
     killed.extend([
         ask(500.0, "x", RetrySafety::Safe, 0.1),
@@ -153,7 +153,7 @@
         answer(600.0, "x", Kind::Refused),
     ];
     spoiled(rule, "refused after", refused);
-    // Turned away unseen, another node may have it, and a refusal is true.
+    // After a rejection with 429 another node may get the request, and a refusal is correct.
     let mut full = good();
     full.extend([ask(500.0, "x", RetrySafety::Unsafe, 0.1), got(501.0, "x", "a", 9), replied(502.0, 9, 429)]);
     full.extend([got(503.0, "x", "b", 10), replied(504.0, 10, 429), answer(600.0, "x", Kind::Refused)]);
@@ -184,7 +184,7 @@
 fn cold_nodes() {
     let fell = at(500.0, Event::NodeCrashed { node: "c".into() });
     spoiled(Rule::ColdNodes, "fell over", vec![fell]);
-    // Capacity 2, a fifth of it cold: 2 x 0.4 x 1000 = 800 ms of work in a window, and two pieces by chance.
+    // Capacity 2, a fifth of it cold: 2 x 0.4 x 1000 = 800 ms of work per window, and two requests of 50 ms as allowance.
     let burst = |count: u64| {
         let one = |n: u64| {
             [ask(500.0, &format!("x{n}"), RetrySafety::Safe, 0.0), got(501.0, &format!("x{n}"), "c", 20 + n)]
@@ -215,7 +215,7 @@
     let mut fits = good();
     fits.extend(spend(6, 1.0));
     assert_eq!(check_rules(&fits), []);
-    // What comes back by the true units may be used again; a ceiling goes by the price.
+    // Units that are given back by the true units may be used again; a ceiling counts the price.
     let mut back = spend(6, 1.0);
     back.extend((0..6).map(|n| at(902.0, Event::ResponseSent { attempt: 20 + n, status: 200, units: 0.0 })));
     back.extend([
