--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::Args;
 use doorcourse_drill::{
-    DRILLS, HolderOptions, LEASE, Options, View, compare, cost_of_holders, play, play_holders, read, show,
-    show_recoveries, time_to_next_holder,
+    DRILLS, LEASE_MS, LeaseDrillOptions, Options, View, compare, measure_failover_times, measure_lease_cost,
+    play, read, run_lease_drill, show, show_recoveries,
 };
 use serde_json::json;
 use std::io::IsTerminal;
@@ -121,27 +121,41 @@
     for gateways in [5, 9] {
         for tasks in [2, 100, 1000] {
             let folder = folder.join(format!("{gateways}-{tasks}"));
-            let (binary, more_tasks) = (binary.to_owned(), tasks - 2);
-            let options =
-                HolderOptions { binary, folder, gateways, faults: 0, seed, more_tasks, lease: 3000.0 };
-            let cost = cost_of_holders(&options, 6.0)?;
+            let (binary, additional_tasks) = (binary.to_owned(), tasks - 2);
+            let options = LeaseDrillOptions {
+                binary,
+                folder,
+                gateways,
+                faults: 0,
+                seed,
+                additional_tasks,
+                lease_ms: 3000.0,
+            };
+            let cost = measure_lease_cost(&options, 6.0)?;
             say!(
                 "{gateways:>8}  {tasks:>5}  {:>5}  {:>11.1}  {:>4.1}  {:>8.2}%",
-                cost.held,
-                cost.datagrams,
-                cost.bytes / 1000.0,
-                cost.processor * 100.0
+                cost.held_tasks,
+                cost.datagrams_per_s,
+                cost.bytes_per_s / 1000.0,
+                cost.cpu_share * 100.0
             );
         }
     }
     for gateways in [5, 9] {
         let (binary, folder) = (binary.to_owned(), folder.join(format!("{gateways}-kills")));
-        let options =
-            HolderOptions { binary, folder, gateways, faults: 0, seed, more_tasks: 0, lease: LEASE };
-        let spans = time_to_next_holder(&options, 30)?;
+        let options = LeaseDrillOptions {
+            binary,
+            folder,
+            gateways,
+            faults: 0,
+            seed,
+            additional_tasks: 0,
+            lease_ms: LEASE_MS,
+        };
+        let spans = measure_failover_times(&options, 30)?;
         let of = |share: f64| spans[((spans.len() - 1) as f64 * share).round() as usize];
         say!(
-            "{gateways} gateways, lease {LEASE:.0} ms, holder killed 30 times: the next one acts after p50 {:.0} ms, p99 {:.0} ms",
+            "{gateways} gateways, lease {LEASE_MS:.0} ms, holder killed 30 times: the next one acts after p50 {:.0} ms, p99 {:.0} ms",
             of(0.5),
             of(0.99)
         );
@@ -168,14 +182,14 @@
         while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
             let folder = folder.join(format!("{seed}"));
             let (binary, gateways, seed) = (binary.clone(), drill.gateways, *seed);
-            let held = play_holders(&HolderOptions {
+            let held = run_lease_drill(&LeaseDrillOptions {
                 binary,
                 folder,
                 gateways,
                 faults,
                 seed,
-                more_tasks: 0,
-                lease: LEASE,
+                additional_tasks: 0,
+                lease_ms: LEASE_MS,
             });
             told.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, held));
         }
@@ -187,21 +201,21 @@
     for (seed, held) in told {
         let held = held.with_context(|| format!("seed {seed}"))?;
         if drill.seeds <= 1 {
-            held.done.iter().for_each(|line| say!("{line}"));
+            held.log.iter().for_each(|line| say!("{line}"));
         }
         say!(
             "seed {seed}: {} acts took place, {} refused, {} holders, {:.0} datagrams and {:.1} kB a second",
             held.accepted.iter().sum::<usize>(),
-            held.refused.iter().sum::<usize>(),
+            held.rejected.iter().sum::<usize>(),
             held.holders.iter().sum::<usize>(),
-            held.datagrams,
-            held.bytes / 1000.0
+            held.datagrams_per_s,
+            held.bytes_per_s / 1000.0
         );
-        held.broken.iter().for_each(|line| say!("seed {seed}: BROKEN {line}"));
-        broken += usize::from(!held.broken.is_empty());
+        held.violations.iter().for_each(|line| say!("seed {seed}: BROKEN {line}"));
+        broken += usize::from(!held.violations.is_empty());
         acts += held.accepted.iter().sum::<usize>();
         holders += held.holders.iter().sum::<usize>();
-        gaps.extend(held.gaps);
+        gaps.extend(held.gaps_ms);
     }
     gaps.sort_by(f64::total_cmp);
     let share = |part: f64| gaps.get((gaps.len() as f64 * part) as usize).copied().unwrap_or_default();
--- a/crates/drill/src/holders.rs
+++ b/crates/drill/src/lease_drill.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 /// The lease in ms of a drill: short, so that it sees many holders, and long beside what a busy machine holds a process up.
-pub const LEASE: f64 = 500.0;
+pub const LEASE_MS: f64 = 500.0;
 /// How long a call takes with its effect, and how long the effect takes at most, in ms.
 const NEEDS: f64 = 100.0;
 const WORK: f64 = 40.0;
@@ -33,7 +33,7 @@
 
 /// How the drill is played.
 #[derive(Clone, Debug)]
-pub struct HolderOptions {
+pub struct LeaseDrillOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
     /// Where settings and logs lie.
@@ -45,30 +45,30 @@
     /// The seed of all chance.
     pub seed: u64,
     /// Tasks beside the two that are acted on: they are held and renewed, and hardly ever called.
-    pub more_tasks: usize,
+    pub additional_tasks: usize,
     /// The lease in ms.
-    pub lease: f64,
+    pub lease_ms: f64,
 }
 
 /// What came of it.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct LeaseDrillOutcome {
     /// Every rule that was broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// What was done, in order.
-    pub done: Vec<String>,
+    pub log: Vec<String>,
     /// Acts that took place and that were refused, by witness.
     pub accepted: [usize; 2],
     /// See `accepted`.
-    pub refused: [usize; 2],
+    pub rejected: [usize; 2],
     /// How many gateways held each task in turn.
     pub holders: [usize; 2],
     /// Ms between the last act of a holder and the first of the next, in order of size.
-    pub gaps: Vec<f64>,
+    pub gaps_ms: Vec<f64>,
     /// Datagrams and bytes a second that the gateways sent each other.
-    pub datagrams: f64,
+    pub datagrams_per_s: f64,
     /// See `datagrams`.
-    pub bytes: f64,
+    pub bytes_per_s: f64,
 }
 
 /// Kills the holder of a task so many times in a fleet that is well, and tells how long nobody acted then, in ms and in order
@@ -76,15 +76,16 @@
 ///
 /// # Errors
 /// When processes cannot be started or do not come to serve.
-pub fn time_to_next_holder(options: &HolderOptions, times: usize) -> anyhow::Result<Vec<f64>> {
-    let (mut play, mut held, mut spans) = (Play::start_all(options)?, Held::default(), Vec::new());
+pub fn measure_failover_times(options: &LeaseDrillOptions, times: usize) -> anyhow::Result<Vec<f64>> {
+    let (mut play, mut held, mut spans) =
+        (Play::start_all(options)?, LeaseDrillOutcome::default(), Vec::new());
     play.wait_for_acts("at the start", &mut held);
     for _ in 0..times {
         play.pass(2.0);
         let holder = play.holder(0).context("nobody acts")?;
         play.kill(holder);
         let at = play.clock.now();
-        let limit = at + 20.0 * options.lease;
+        let limit = at + 20.0 * options.lease_ms;
         while play.holder(0) == Some(holder) {
             anyhow::ensure!(play.clock.now() < limit, "nobody follows gateway {holder}");
             std::thread::sleep(Duration::from_millis(1));
@@ -98,44 +99,44 @@
 
 /// What leases cost a fleet that is well.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cost {
+pub struct LeaseCost {
     /// Datagrams and bytes a second that one gateway sends.
-    pub datagrams: f64,
+    pub datagrams_per_s: f64,
     /// See `datagrams`.
-    pub bytes: f64,
+    pub bytes_per_s: f64,
     /// The share of one processor that one gateway takes.
-    pub processor: f64,
+    pub cpu_share: f64,
     /// Tasks that are held by somebody at the end.
-    pub held: usize,
+    pub held_tasks: usize,
 }
 
 /// Measures a fleet that is well for some seconds, once every task is held.
 ///
 /// # Errors
 /// When processes cannot be started or do not come to serve.
-pub fn cost_of_holders(options: &HolderOptions, seconds: f64) -> anyhow::Result<Cost> {
+pub fn measure_lease_cost(options: &LeaseDrillOptions, seconds: f64) -> anyhow::Result<LeaseCost> {
     let play = Play::start_all(options)?;
-    let tasks = options.more_tasks + TASKS.len();
+    let tasks = options.additional_tasks + TASKS.len();
     let held = |play: &Play| {
         let one = |at| play.call(at, "leases").map_or(0, |told| held_in(&told));
         (0..options.gateways).map(one).sum::<usize>()
     };
-    let until = play.clock.now() + 10.0 * options.lease + 10_000.0;
+    let until = play.clock.now() + 10.0 * options.lease_ms + 10_000.0;
     while held(&play) < tasks && play.clock.now() < until {
         std::thread::sleep(Duration::from_millis(100));
     }
     // A lease goes by before it counts: who lost the race asks no more then.
-    std::thread::sleep(Duration::from_secs_f64(options.lease / 1000.0));
+    std::thread::sleep(Duration::from_secs_f64(options.lease_ms / 1000.0));
     let (before, ticks, began) = (play.relay.counts(), play.ticks(), play.clock.now());
     std::thread::sleep(Duration::from_secs_f64(seconds));
     let (after, later, span) = (play.relay.counts(), play.ticks(), (play.clock.now() - began) / 1000.0);
     let each = options.gateways as f64 * span;
     let second = rustix::param::clock_ticks_per_second() as f64;
-    Ok(Cost {
-        datagrams: (after.0 - before.0) as f64 / each,
-        bytes: (after.1 - before.1) as f64 / each,
-        processor: (later - ticks) as f64 / second / each,
-        held: held(&play),
+    Ok(LeaseCost {
+        datagrams_per_s: (after.0 - before.0) as f64 / each,
+        bytes_per_s: (after.1 - before.1) as f64 / each,
+        cpu_share: (later - ticks) as f64 / second / each,
+        held_tasks: held(&play),
     })
 }
 
@@ -144,7 +145,7 @@
 }
 
 struct Play {
-    options: HolderOptions,
+    options: LeaseDrillOptions,
     world: EmulatorServer,
     relay: Relay,
     witnesses: [TaskEndpoint; 2],
@@ -160,10 +161,10 @@
 ///
 /// # Errors
 /// When processes cannot be started or do not come to serve.
-pub fn play_holders(options: &HolderOptions) -> anyhow::Result<Held> {
+pub fn run_lease_drill(options: &LeaseDrillOptions) -> anyhow::Result<LeaseDrillOutcome> {
     let mut play = Play::start_all(options)?;
     let clock = play.clock;
-    let mut held = Held::default();
+    let mut held = LeaseDrillOutcome::default();
     play.wait_for_acts("at the start", &mut held);
     let mut dice = ChaCha8Rng::seed_from_u64(options.seed);
     for _ in 0..options.faults {
@@ -175,17 +176,17 @@
     play.heal()?;
     play.wait_for_acts("after all faults", &mut held);
     let ((datagrams, bytes), seconds) = (play.relay.counts(), (clock.now() - play.began) / 1000.0);
-    (held.datagrams, held.bytes) = (datagrams as f64 / seconds, bytes as f64 / seconds);
+    (held.datagrams_per_s, held.bytes_per_s) = (datagrams as f64 / seconds, bytes as f64 / seconds);
     for (at, witness) in play.witnesses.iter().enumerate() {
         let all = witness.acts();
-        held.broken.extend(check_acts(&all, !witness.checks_tokens()));
+        held.violations.extend(check_acts(&all, !witness.checks_tokens()));
         let mut good: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
         good.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-        (held.accepted[at], held.refused[at]) = (good.len(), all.len() - good.len());
+        (held.accepted[at], held.rejected[at]) = (good.len(), all.len() - good.len());
         let changes: Vec<f64> =
             good.windows(2).filter(|p| p[0].token != p[1].token).map(|p| p[1].begin - p[0].begin).collect();
         held.holders[at] = changes.len() + 1;
-        held.gaps.extend(changes);
+        held.gaps_ms.extend(changes);
         let path = options.folder.join(format!("{}.jsonl", TASKS[at]));
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         for act in &all {
@@ -193,13 +194,13 @@
             file.write_all(b"\n")?;
         }
     }
-    held.gaps.sort_by(f64::total_cmp);
-    held.done = std::mem::take(&mut play.told);
+    held.gaps_ms.sort_by(f64::total_cmp);
+    held.log = std::mem::take(&mut play.told);
     Ok(held)
 }
 
 impl Play {
-    fn start_all(options: &HolderOptions) -> anyhow::Result<Self> {
+    fn start_all(options: &LeaseDrillOptions) -> anyhow::Result<Self> {
         anyhow::ensure!((3..=9).contains(&options.gateways), "3 to 9 gateways are wanted");
         std::fs::create_dir_all(&options.folder).with_context(|| options.folder.display().to_string())?;
         std::fs::write(options.folder.join("catalogue.graphql"), CATALOGUE)?;
@@ -252,7 +253,7 @@
     }
 
     fn pass(&self, leases: f64) {
-        std::thread::sleep(Duration::from_secs_f64(leases * self.options.lease / 1000.0));
+        std::thread::sleep(Duration::from_secs_f64(leases * self.options.lease_ms / 1000.0));
     }
 
     // ---- Processes ----
@@ -272,7 +273,7 @@
             "}} }}\nlisten: \"127.0.0.1:0\"\ncounter {{ address: \"{counter}\" }}\n\
              nodes {{ name: \"n\" address: \"127.0.0.1:9\" }}\ngraphql {{ schema_file: \"catalogue.graphql\" }}\n\
              admin {{ socket: \"g{number}.sock\" }}\nleases {{ length_ms: {} voters_version: {} ",
-            self.options.lease, self.voters.0
+            self.options.lease_ms, self.voters.0
         ));
         self.voters.1.iter().for_each(|v| text.push_str(&format!("voters: {v} ")));
         self.voters.2.iter().for_each(|v| text.push_str(&format!("voters_before: {v} ")));
@@ -283,7 +284,7 @@
             ));
         }
         let address = self.witnesses[0].address();
-        for at in 0..self.options.more_tasks {
+        for at in 0..self.options.additional_tasks {
             text.push_str(&format!(
                 "tasks {{ name: \"more-{at}\" address: \"{address}\" every_ms: 86400000 needs_ms: {NEEDS} }} "
             ));
@@ -371,15 +372,15 @@
         acts.iter().rev().find(|a| a.accepted).map(|a| a.gateway as usize)
     }
 
-    fn wait_for_acts(&mut self, when: &str, held: &mut Held) {
+    fn wait_for_acts(&mut self, when: &str, held: &mut LeaseDrillOutcome) {
         let before: Vec<usize> =
             self.witnesses.iter().map(|w| w.acts().iter().filter(|a| a.accepted).count()).collect();
-        let until = self.clock.now() + AGAIN * self.options.lease + 2000.0;
+        let until = self.clock.now() + AGAIN * self.options.lease_ms + 2000.0;
         let mut turns = 0;
         for (at, before) in before.into_iter().enumerate() {
             while self.witnesses[at].acts().iter().filter(|a| a.accepted).count() <= before {
                 if self.clock.now() > until {
-                    held.broken.push(format!("{}: nobody acts {when}", TASKS[at]));
+                    held.violations.push(format!("{}: nobody acts {when}", TASKS[at]));
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(5));
@@ -417,7 +418,7 @@
                 self.tell(format!(
                     "holder {holder}'s calls held up on their way for {span:.1} leases, and it is killed"
                 ));
-                self.witnesses.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease));
+                self.witnesses.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease_ms));
                 std::thread::sleep(Duration::from_millis(60));
                 self.kill(holder);
                 self.pass(dice.random_range(0.0..span));
@@ -445,7 +446,7 @@
                     cut: false,
                     loss: 0.3,
                     duplication: 0.1,
-                    max_delay_ms: self.options.lease / 8.0,
+                    max_delay_ms: self.options.lease_ms / 8.0,
                 };
                 self.relay.update_links(|_, _| true, |way| *way = rough);
                 self.pass(dice.random_range(2.0..5.0));
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -4,8 +4,8 @@
 mod clients;
 mod compare;
 mod fleet;
-mod holders;
 mod kit;
+mod lease_drill;
 mod play;
 mod script;
 mod show;
@@ -13,8 +13,11 @@
 
 pub use compare::compare;
 pub use fleet::Fleet;
-pub use holders::{Cost, Held, HolderOptions, LEASE, cost_of_holders, play_holders, time_to_next_holder};
 pub use kit::{KitOptions, call, up};
+pub use lease_drill::{
+    LEASE_MS, LeaseCost, LeaseDrillOptions, LeaseDrillOutcome, measure_failover_times, measure_lease_cost,
+    run_lease_drill,
+};
 pub use play::{Options, Outcome, play};
 pub use script::{DRILLS, Drill, read};
 pub use show::{show, show_recoveries};
