--- a/crates/drill/src/lease_drill.rs
+++ b/crates/drill/src/lease_drill.rs
@@ -24,12 +24,12 @@
 /// The lease in ms of a drill: short, so that it sees many holders, and long beside what a busy machine holds a process up.
 pub const LEASE_MS: f64 = 500.0;
 /// How long a call takes with its effect, and how long the effect takes at most, in ms.
-const NEEDS: f64 = 100.0;
-const WORK: f64 = 40.0;
+const CALL_TIME_MS: f64 = 100.0;
+const MAX_EFFECT_MS: f64 = 40.0;
 /// What is called: by the kind of its witness.
 const TASKS: [&str; 2] = ["fenced", "timed"];
 /// After all faults are over, each task is done again within so many leases.
-const AGAIN: f64 = 12.0;
+const RECOVERY_LEASES: f64 = 12.0;
 
 /// How the drill is played.
 #[derive(Clone, Debug)]
@@ -76,25 +76,25 @@
 ///
 /// # Errors
 /// When processes cannot be started or do not come to serve.
-pub fn measure_failover_times(options: &LeaseDrillOptions, times: usize) -> anyhow::Result<Vec<f64>> {
-    let (mut play, mut held, mut spans) =
-        (Play::start_all(options)?, LeaseDrillOutcome::default(), Vec::new());
-    play.wait_for_acts("at the start", &mut held);
-    for _ in 0..times {
-        play.pass(2.0);
-        let holder = play.holder(0).context("nobody acts")?;
-        play.kill(holder);
-        let at = play.clock.now();
-        let limit = at + 20.0 * options.lease_ms;
-        while play.holder(0) == Some(holder) {
-            anyhow::ensure!(play.clock.now() < limit, "nobody follows gateway {holder}");
+pub fn measure_failover_times(options: &LeaseDrillOptions, count: usize) -> anyhow::Result<Vec<f64>> {
+    let (mut drill, mut outcome, mut times_ms) =
+        (LeaseDrill::start(options)?, LeaseDrillOutcome::default(), Vec::new());
+    drill.wait_for_acts("at the start", &mut outcome);
+    for _ in 0..count {
+        drill.wait_leases(2.0);
+        let holder = drill.last_holder(0).context("nobody acts")?;
+        drill.kill_gateway(holder);
+        let killed_at = drill.clock.now();
+        let deadline = killed_at + 20.0 * options.lease_ms;
+        while drill.last_holder(0) == Some(holder) {
+            anyhow::ensure!(drill.clock.now() < deadline, "nobody follows gateway {holder}");
             std::thread::sleep(Duration::from_millis(1));
         }
-        spans.push(play.clock.now() - at);
-        play.start(holder)?;
+        times_ms.push(drill.clock.now() - killed_at);
+        drill.start_gateway(holder)?;
     }
-    spans.sort_by(f64::total_cmp);
-    Ok(spans)
+    times_ms.sort_by(f64::total_cmp);
+    Ok(times_ms)
 }
 
 /// What leases cost a fleet that is well.
@@ -115,46 +115,48 @@
 /// # Errors
 /// When processes cannot be started or do not come to serve.
 pub fn measure_lease_cost(options: &LeaseDrillOptions, seconds: f64) -> anyhow::Result<LeaseCost> {
-    let play = Play::start_all(options)?;
+    let drill = LeaseDrill::start(options)?;
     let tasks = options.additional_tasks + TASKS.len();
-    let held = |play: &Play| {
-        let one = |at| play.call(at, "leases").map_or(0, |told| held_in(&told));
-        (0..options.gateways).map(one).sum::<usize>()
+    let count_held = |drill: &LeaseDrill| {
+        let held_by = |gateway| drill.call(gateway, "leases").map_or(0, |status| count_held_tasks(&status));
+        (0..options.gateways).map(held_by).sum::<usize>()
     };
-    let until = play.clock.now() + 10.0 * options.lease_ms + 10_000.0;
-    while held(&play) < tasks && play.clock.now() < until {
+    let deadline = drill.clock.now() + 10.0 * options.lease_ms + 10_000.0;
+    while count_held(&drill) < tasks && drill.clock.now() < deadline {
         std::thread::sleep(Duration::from_millis(100));
     }
     // A lease goes by before it counts: who lost the race asks no more then.
     std::thread::sleep(Duration::from_secs_f64(options.lease_ms / 1000.0));
-    let (before, ticks, began) = (play.relay.counts(), play.ticks(), play.clock.now());
+    let (counts_before, ticks_before, started_at) =
+        (drill.relay.counts(), drill.cpu_ticks(), drill.clock.now());
     std::thread::sleep(Duration::from_secs_f64(seconds));
-    let (after, later, span) = (play.relay.counts(), play.ticks(), (play.clock.now() - began) / 1000.0);
-    let each = options.gateways as f64 * span;
-    let second = rustix::param::clock_ticks_per_second() as f64;
+    let (counts_after, ticks_after, seconds_passed) =
+        (drill.relay.counts(), drill.cpu_ticks(), (drill.clock.now() - started_at) / 1000.0);
+    let gateway_seconds = options.gateways as f64 * seconds_passed;
+    let ticks_per_s = rustix::param::clock_ticks_per_second() as f64;
     Ok(LeaseCost {
-        datagrams_per_s: (after.0 - before.0) as f64 / each,
-        bytes_per_s: (after.1 - before.1) as f64 / each,
-        cpu_share: (later - ticks) as f64 / second / each,
-        held_tasks: held(&play),
+        datagrams_per_s: (counts_after.0 - counts_before.0) as f64 / gateway_seconds,
+        bytes_per_s: (counts_after.1 - counts_before.1) as f64 / gateway_seconds,
+        cpu_share: (ticks_after - ticks_before) as f64 / ticks_per_s / gateway_seconds,
+        held_tasks: count_held(&drill),
     })
 }
 
-fn held_in(told: &Value) -> usize {
-    told["tasks"].as_array().map_or(0, |tasks| tasks.iter().filter(|t| t["here"] == "held").count())
+fn count_held_tasks(status: &Value) -> usize {
+    status["tasks"].as_array().map_or(0, |tasks| tasks.iter().filter(|t| t["here"] == "held").count())
 }
 
-struct Play {
+struct LeaseDrill {
     options: LeaseDrillOptions,
-    world: EmulatorServer,
+    emulators: EmulatorServer,
     relay: Relay,
-    witnesses: [TaskEndpoint; 2],
+    endpoints: [TaskEndpoint; 2],
     gateways: Vec<Option<Child>>,
     /// The list of voters in the settings: version, now, before.
     voters: (u64, BTreeSet<usize>, BTreeSet<usize>),
     clock: Clock,
-    began: f64,
-    told: Vec<String>,
+    started_at: f64,
+    log: Vec<String>,
 }
 
 /// Plays it once.
@@ -162,45 +164,48 @@
 /// # Errors
 /// When processes cannot be started or do not come to serve.
 pub fn run_lease_drill(options: &LeaseDrillOptions) -> anyhow::Result<LeaseDrillOutcome> {
-    let mut play = Play::start_all(options)?;
-    let clock = play.clock;
-    let mut held = LeaseDrillOutcome::default();
-    play.wait_for_acts("at the start", &mut held);
-    let mut dice = ChaCha8Rng::seed_from_u64(options.seed);
+    let mut drill = LeaseDrill::start(options)?;
+    let clock = drill.clock;
+    let mut outcome = LeaseDrillOutcome::default();
+    drill.wait_for_acts("at the start", &mut outcome);
+    let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     for _ in 0..options.faults {
-        play.fault(&mut dice)?;
-        play.pass(dice.random_range(0.4..2.5));
+        drill.inject_fault(&mut rng)?;
+        drill.wait_leases(rng.random_range(0.4..2.5));
         // A build with `pause-before-write` stops itself between check and write: it is resumed after others have moved on.
-        play.wake()?;
+        drill.resume_all()?;
     }
-    play.heal()?;
-    play.wait_for_acts("after all faults", &mut held);
-    let ((datagrams, bytes), seconds) = (play.relay.counts(), (clock.now() - play.began) / 1000.0);
-    (held.datagrams_per_s, held.bytes_per_s) = (datagrams as f64 / seconds, bytes as f64 / seconds);
-    for (at, witness) in play.witnesses.iter().enumerate() {
-        let all = witness.acts();
-        held.violations.extend(check_acts(&all, !witness.checks_tokens()));
-        let mut good: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
-        good.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-        (held.accepted[at], held.rejected[at]) = (good.len(), all.len() - good.len());
-        let changes: Vec<f64> =
-            good.windows(2).filter(|p| p[0].token != p[1].token).map(|p| p[1].begin - p[0].begin).collect();
-        held.holders[at] = changes.len() + 1;
-        held.gaps_ms.extend(changes);
-        let path = options.folder.join(format!("{}.jsonl", TASKS[at]));
+    drill.end_faults()?;
+    drill.wait_for_acts("after all faults", &mut outcome);
+    let ((datagrams, bytes), seconds) = (drill.relay.counts(), (clock.now() - drill.started_at) / 1000.0);
+    (outcome.datagrams_per_s, outcome.bytes_per_s) = (datagrams as f64 / seconds, bytes as f64 / seconds);
+    for (index, endpoint) in drill.endpoints.iter().enumerate() {
+        let all = endpoint.acts();
+        outcome.violations.extend(check_acts(&all, !endpoint.checks_tokens()));
+        let mut accepted: Vec<&Act> = all.iter().filter(|a| a.accepted).collect();
+        accepted.sort_by(|a, b| a.begin.total_cmp(&b.begin));
+        (outcome.accepted[index], outcome.rejected[index]) = (accepted.len(), all.len() - accepted.len());
+        let gaps: Vec<f64> = accepted
+            .windows(2)
+            .filter(|p| p[0].token != p[1].token)
+            .map(|p| p[1].begin - p[0].begin)
+            .collect();
+        outcome.holders[index] = gaps.len() + 1;
+        outcome.gaps_ms.extend(gaps);
+        let path = options.folder.join(format!("{}.jsonl", TASKS[index]));
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         for act in &all {
             serde_json::to_writer(&mut file, act)?;
             file.write_all(b"\n")?;
         }
     }
-    held.gaps_ms.sort_by(f64::total_cmp);
-    held.log = std::mem::take(&mut play.told);
-    Ok(held)
+    outcome.gaps_ms.sort_by(f64::total_cmp);
+    outcome.log = std::mem::take(&mut drill.log);
+    Ok(outcome)
 }
 
-impl Play {
-    fn start_all(options: &LeaseDrillOptions) -> anyhow::Result<Self> {
+impl LeaseDrill {
+    fn start(options: &LeaseDrillOptions) -> anyhow::Result<Self> {
         anyhow::ensure!((3..=9).contains(&options.gateways), "3 to 9 gateways are wanted");
         std::fs::create_dir_all(&options.folder).with_context(|| options.folder.display().to_string())?;
         std::fs::write(options.folder.join("catalogue.graphql"), CATALOGUE)?;
@@ -219,47 +224,49 @@
             speed: 1.0,
             discard_records: true,
         };
-        let world = EmulatorServer::start(&spec, clock, Recorder::disabled(clock))?;
-        let witness = |at: usize| TaskEndpoint::start(at == 0, WORK, options.seed ^ at as u64);
-        let mut play = Self {
-            world,
+        let emulators = EmulatorServer::start(&spec, clock, Recorder::disabled(clock))?;
+        let endpoint =
+            |index: usize| TaskEndpoint::start(index == 0, MAX_EFFECT_MS, options.seed ^ index as u64);
+        let mut drill = Self {
+            emulators,
             relay: Relay::start(options.gateways, options.seed)?,
-            witnesses: [witness(0)?, witness(1)?],
+            endpoints: [endpoint(0)?, endpoint(1)?],
             gateways: (0..options.gateways).map(|_| None).collect(),
             voters: (0, (0..options.gateways).collect(), BTreeSet::new()),
             clock,
-            began: clock.now(),
-            told: Vec::new(),
+            started_at: clock.now(),
+            log: Vec::new(),
             options: options.clone(),
         };
-        (0..options.gateways).try_for_each(|at| play.start(at))?;
-        Ok(play)
+        (0..options.gateways).try_for_each(|index| drill.start_gateway(index))?;
+        Ok(drill)
     }
 
     /// Clock ticks of processor that all gateways have taken.
-    fn ticks(&self) -> u64 {
-        let one = |child: &Child| {
+    fn cpu_ticks(&self) -> u64 {
+        let ticks_of = |child: &Child| {
             let text = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
             // Behind the name, which may hold anything, user and system time are the 12th and 13th.
             let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-            let field = |at: usize| fields.get(at).and_then(|f| f.parse::<u64>().ok()).unwrap_or_default();
+            let field =
+                |index: usize| fields.get(index).and_then(|f| f.parse::<u64>().ok()).unwrap_or_default();
             field(11) + field(12)
         };
-        self.gateways.iter().flatten().map(one).sum()
+        self.gateways.iter().flatten().map(ticks_of).sum()
     }
 
-    fn tell(&mut self, what: String) {
-        self.told.push(format!("{:>7.0} ms  {what}", self.clock.now() - self.began));
+    fn log_action(&mut self, action: String) {
+        self.log.push(format!("{:>7.0} ms  {action}", self.clock.now() - self.started_at));
     }
 
-    fn pass(&self, leases: f64) {
+    fn wait_leases(&self, leases: f64) {
         std::thread::sleep(Duration::from_secs_f64(leases * self.options.lease_ms / 1000.0));
     }
 
     // ---- Processes ----
 
-    fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter_address.context("the counter has no address")?;
+    fn write_settings(&self, number: usize) -> anyhow::Result<PathBuf> {
+        let counter = self.emulators.counter_address.context("the counter has no address")?;
         let gateways = self.options.gateways;
         let mut text = format!(
             "fleet {{ gateways: {gateways} number: {number} link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" \
@@ -277,16 +284,16 @@
         ));
         self.voters.1.iter().for_each(|v| text.push_str(&format!("voters: {v} ")));
         self.voters.2.iter().for_each(|v| text.push_str(&format!("voters_before: {v} ")));
-        for (task, witness) in TASKS.iter().zip(&self.witnesses) {
-            let address = witness.address();
+        for (task, endpoint) in TASKS.iter().zip(&self.endpoints) {
+            let address = endpoint.address();
             text.push_str(&format!(
-                "tasks {{ name: \"{task}\" address: \"{address}\" every_ms: 15 needs_ms: {NEEDS} }} "
+                "tasks {{ name: \"{task}\" address: \"{address}\" every_ms: 15 needs_ms: {CALL_TIME_MS} }} "
             ));
         }
-        let address = self.witnesses[0].address();
-        for at in 0..self.options.additional_tasks {
+        let address = self.endpoints[0].address();
+        for number in 0..self.options.additional_tasks {
             text.push_str(&format!(
-                "tasks {{ name: \"more-{at}\" address: \"{address}\" every_ms: 86400000 needs_ms: {NEEDS} }} "
+                "tasks {{ name: \"more-{number}\" address: \"{address}\" every_ms: 86400000 needs_ms: {CALL_TIME_MS} }} "
             ));
         }
         text.push_str("}\n");
@@ -306,10 +313,10 @@
         Ok(path)
     }
 
-    fn start(&mut self, at: usize) -> anyhow::Result<()> {
-        let settings = self.settings(at)?;
+    fn start_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
+        let settings = self.write_settings(gateway)?;
         // What a killed process left in the way.
-        let _ = std::fs::remove_file(self.options.folder.join(format!("g{at}.sock")));
+        let _ = std::fs::remove_file(self.options.folder.join(format!("g{gateway}.sock")));
         let mut child = Command::new(&self.options.binary)
             .args(["serve", "--config"])
             .arg(&settings)
@@ -318,9 +325,9 @@
             .stderr(Stdio::piped())
             .spawn()
             .with_context(|| self.options.binary.display().to_string())?;
-        let log = self.options.folder.join(format!("g{at}.log"));
+        let log = self.options.folder.join(format!("g{gateway}.log"));
         let lines = BufReader::new(child.stderr.take().context("a gateway without a log")?);
-        let (told, link) = mpsc::channel();
+        let (sender, link) = mpsc::channel();
         std::thread::spawn(move || {
             let file = std::fs::OpenOptions::new().create(true).append(true).open(log);
             let Ok(mut file) = file else { return };
@@ -329,36 +336,39 @@
                 let json: Value = serde_json::from_str(&line).unwrap_or_default();
                 let address = json["address"].as_str().and_then(|a| a.parse::<SocketAddr>().ok());
                 if let Some(address) = address.filter(|_| json["message"] == "link up") {
-                    let _ = told.send(address);
+                    let _ = sender.send(address);
                 }
             }
         });
         let Ok(link) = link.recv_timeout(Duration::from_secs(20)) else {
             let _ = child.kill();
             let _ = child.wait();
-            anyhow::bail!("gateway {at} did not come up; see its log in {}", self.options.folder.display());
+            anyhow::bail!(
+                "gateway {gateway} did not come up; see its log in {}",
+                self.options.folder.display()
+            );
         };
-        self.relay.set_destination(at, link);
-        self.gateways[at] = Some(child);
+        self.relay.set_destination(gateway, link);
+        self.gateways[gateway] = Some(child);
         Ok(())
     }
 
-    fn kill(&mut self, at: usize) {
-        if let Some(mut child) = self.gateways[at].take() {
+    fn kill_gateway(&mut self, gateway: usize) {
+        if let Some(mut child) = self.gateways[gateway].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    fn signal(&self, at: usize, signal: Signal) -> anyhow::Result<()> {
-        if let Some(child) = &self.gateways[at] {
+    fn signal(&self, gateway: usize, signal: Signal) -> anyhow::Result<()> {
+        if let Some(child) = &self.gateways[gateway] {
             kill_process(Pid::from_child(child), signal)?;
         }
         Ok(())
     }
 
-    fn call(&self, at: usize, method: &str) -> anyhow::Result<Value> {
-        let mut stream = UnixStream::connect(self.options.folder.join(format!("g{at}.sock")))?;
+    fn call(&self, gateway: usize, method: &str) -> anyhow::Result<Value> {
+        let mut stream = UnixStream::connect(self.options.folder.join(format!("g{gateway}.sock")))?;
         stream.set_read_timeout(Some(Duration::from_secs(5)))?;
         stream.write_all(format!("{{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"{method}\"}}\n").as_bytes())?;
         let mut line = String::new();
@@ -367,26 +377,26 @@
     }
 
     /// Who acted last for a task, by its witness.
-    fn holder(&self, task: usize) -> Option<usize> {
-        let acts = self.witnesses[task].acts();
+    fn last_holder(&self, task: usize) -> Option<usize> {
+        let acts = self.endpoints[task].acts();
         acts.iter().rev().find(|a| a.accepted).map(|a| a.gateway as usize)
     }
 
-    fn wait_for_acts(&mut self, when: &str, held: &mut LeaseDrillOutcome) {
-        let before: Vec<usize> =
-            self.witnesses.iter().map(|w| w.acts().iter().filter(|a| a.accepted).count()).collect();
-        let until = self.clock.now() + AGAIN * self.options.lease_ms + 2000.0;
-        let mut turns = 0;
-        for (at, before) in before.into_iter().enumerate() {
-            while self.witnesses[at].acts().iter().filter(|a| a.accepted).count() <= before {
-                if self.clock.now() > until {
-                    held.violations.push(format!("{}: nobody acts {when}", TASKS[at]));
+    fn wait_for_acts(&mut self, when: &str, outcome: &mut LeaseDrillOutcome) {
+        let accepted_before: Vec<usize> =
+            self.endpoints.iter().map(|w| w.acts().iter().filter(|a| a.accepted).count()).collect();
+        let deadline = self.clock.now() + RECOVERY_LEASES * self.options.lease_ms + 2000.0;
+        let mut polls = 0;
+        for (task, accepted_before) in accepted_before.into_iter().enumerate() {
+            while self.endpoints[task].acts().iter().filter(|a| a.accepted).count() <= accepted_before {
+                if self.clock.now() > deadline {
+                    outcome.violations.push(format!("{}: nobody acts {when}", TASKS[task]));
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(5));
-                turns += 1;
-                if turns % 100 == 0 {
-                    let _ = self.wake();
+                polls += 1;
+                if polls % 100 == 0 {
+                    let _ = self.resume_all();
                 }
             }
         }
@@ -394,127 +404,135 @@
 
     // ---- Faults ----
 
-    fn fault(&mut self, dice: &mut ChaCha8Rng) -> anyhow::Result<()> {
-        let count = self.options.gateways;
-        let holder = self.holder(dice.random_range(0..2)).unwrap_or(0);
-        let minority: Vec<usize> = (0..count).filter(|at| at % 2 == 1 && *at != holder).collect();
-        match dice.random_range(0..14) {
+    fn inject_fault(&mut self, rng: &mut ChaCha8Rng) -> anyhow::Result<()> {
+        let gateways = self.options.gateways;
+        let holder = self.last_holder(rng.random_range(0..2)).unwrap_or(0);
+        let minority: Vec<usize> =
+            (0..gateways).filter(|gateway| gateway % 2 == 1 && *gateway != holder).collect();
+        match rng.random_range(0..14) {
             0 | 1 => {
-                self.tell(format!("holder {holder} killed"));
-                self.kill(holder);
-                self.pass(dice.random_range(0.0..2.0));
-                self.start(holder)?;
+                self.log_action(format!("holder {holder} killed"));
+                self.kill_gateway(holder);
+                self.wait_leases(rng.random_range(0.0..2.0));
+                self.start_gateway(holder)?;
             }
             2..=4 => {
-                let span = dice.random_range(1.0..5.0);
-                self.tell(format!("holder {holder} stopped for {span:.1} leases"));
+                let span = rng.random_range(1.0..5.0);
+                self.log_action(format!("holder {holder} stopped for {span:.1} leases"));
                 self.signal(holder, Signal::STOP)?;
-                self.pass(span);
+                self.wait_leases(span);
                 self.signal(holder, Signal::CONT)?;
             }
             12 | 13 => {
                 // Sent in time and there too late: only the token or the deadline can tell.
-                let span = dice.random_range(1.0..4.0);
-                self.tell(format!(
+                let span = rng.random_range(1.0..4.0);
+                self.log_action(format!(
                     "holder {holder}'s calls held up on their way for {span:.1} leases, and it is killed"
                 ));
-                self.witnesses.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease_ms));
+                self.endpoints.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease_ms));
                 std::thread::sleep(Duration::from_millis(60));
-                self.kill(holder);
-                self.pass(dice.random_range(0.0..span));
-                self.start(holder)?;
+                self.kill_gateway(holder);
+                self.wait_leases(rng.random_range(0.0..span));
+                self.start_gateway(holder)?;
             }
             5 => {
-                self.tell(format!("holder {holder} cut off"));
-                self.relay.update_links(|a, b| a == holder || b == holder, |way| way.cut = true);
-                self.pass(dice.random_range(0.5..3.0));
-                self.relay.update_links(|_, _| true, |way| way.cut = false);
+                self.log_action(format!("holder {holder} cut off"));
+                self.relay.update_links(|a, b| a == holder || b == holder, |link| link.cut = true);
+                self.wait_leases(rng.random_range(0.5..3.0));
+                self.relay.update_links(|_, _| true, |link| link.cut = false);
             }
             6 => {
-                let inward = dice.random_bool(0.5);
-                self.tell(format!("holder {holder} cut off {}", if inward { "inwards" } else { "outwards" }));
+                let inward = rng.random_bool(0.5);
+                self.log_action(format!(
+                    "holder {holder} cut off {}",
+                    if inward { "inwards" } else { "outwards" }
+                ));
                 self.relay.update_links(
                     |a, b| if inward { b == holder } else { a == holder },
-                    |way| way.cut = true,
+                    |link| link.cut = true,
                 );
-                self.pass(dice.random_range(0.5..3.0));
-                self.relay.update_links(|_, _| true, |way| way.cut = false);
+                self.wait_leases(rng.random_range(0.5..3.0));
+                self.relay.update_links(|_, _| true, |link| link.cut = false);
             }
             7 => {
-                self.tell("a third lost, delays, doubles".into());
-                let rough = LinkFaults {
+                self.log_action("a third lost, delays, doubles".into());
+                let lossy = LinkFaults {
                     cut: false,
                     loss: 0.3,
                     duplication: 0.1,
                     max_delay_ms: self.options.lease_ms / 8.0,
                 };
-                self.relay.update_links(|_, _| true, |way| *way = rough);
-                self.pass(dice.random_range(2.0..5.0));
-                self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
+                self.relay.update_links(|_, _| true, |link| *link = lossy);
+                self.wait_leases(rng.random_range(2.0..5.0));
+                self.relay.update_links(|_, _| true, |link| *link = LinkFaults::NONE);
             }
-            8 => self.restart(&minority, "a minority")?,
+            8 => self.restart_gateways(&minority, "a minority")?,
             9 => {
-                let majority: Vec<usize> = (0..=count / 2).map(|at| (holder + at) % count).collect();
-                self.restart(&majority, "a majority")?;
+                let majority: Vec<usize> =
+                    (0..=gateways / 2).map(|offset| (holder + offset) % gateways).collect();
+                self.restart_gateways(&majority, "a majority")?;
             }
-            10 => self.restart(&(0..count).collect::<Vec<_>>(), "all")?,
-            _ => self.change_voters(dice)?,
+            10 => self.restart_gateways(&(0..gateways).collect::<Vec<_>>(), "all")?,
+            _ => self.change_voters(rng)?,
         }
         Ok(())
     }
 
-    fn restart(&mut self, which: &[usize], what: &str) -> anyhow::Result<()> {
-        self.tell(format!("{what} killed and started: {which:?}"));
-        which.iter().for_each(|at| self.kill(*at));
-        which.iter().try_for_each(|at| self.start(*at))
+    fn restart_gateways(&mut self, gateways: &[usize], group: &str) -> anyhow::Result<()> {
+        self.log_action(format!("{group} killed and started: {gateways:?}"));
+        gateways.iter().for_each(|gateway| self.kill_gateway(*gateway));
+        gateways.iter().try_for_each(|gateway| self.start_gateway(*gateway))
     }
 
     /// One voter is added or removed, and the gateways read the settings one behind the other; only once a majority of the
     /// list before votes by it, as the operators' page says.
-    fn change_voters(&mut self, dice: &mut ChaCha8Rng) -> anyhow::Result<()> {
-        let votes = |at: &&usize| {
-            let told = self.call(**at, "leases").unwrap_or_default();
-            told["votes"] == true && told["voters_version"] == self.voters.0
+    fn change_voters(&mut self, rng: &mut ChaCha8Rng) -> anyhow::Result<()> {
+        let counts_version = |gateway: &&usize| {
+            let status = self.call(**gateway, "leases").unwrap_or_default();
+            status["votes"] == true && status["voters_version"] == self.voters.0
         };
-        if self.voters.1.iter().filter(votes).count() * 2 <= self.voters.1.len() {
-            self.tell("voters stay: the last list is not in force yet".into());
+        if self.voters.1.iter().filter(counts_version).count() * 2 <= self.voters.1.len() {
+            self.log_action("voters stay: the last list is not in force yet".into());
             return Ok(());
         }
-        let mut next = self.voters.1.clone();
-        let number = dice.random_range(0..self.options.gateways);
-        if !next.remove(&number) || next.len() < 3 {
-            next.insert(number);
+        let mut new_voters = self.voters.1.clone();
+        let voter = rng.random_range(0..self.options.gateways);
+        if !new_voters.remove(&voter) || new_voters.len() < 3 {
+            new_voters.insert(voter);
         }
-        if next == self.voters.1 {
+        if new_voters == self.voters.1 {
             return Ok(());
         }
-        self.tell(format!("voters from {:?} to {next:?}, one gateway after the other", self.voters.1));
-        self.voters = (self.voters.0 + 1, next, self.voters.1.clone());
-        for at in 0..self.options.gateways {
-            self.settings(at)?;
-            self.signal(at, Signal::HUP)?;
-            self.pass(dice.random_range(0.0..0.4));
+        self.log_action(format!(
+            "voters from {:?} to {new_voters:?}, one gateway after the other",
+            self.voters.1
+        ));
+        self.voters = (self.voters.0 + 1, new_voters, self.voters.1.clone());
+        for gateway in 0..self.options.gateways {
+            self.write_settings(gateway)?;
+            self.signal(gateway, Signal::HUP)?;
+            self.wait_leases(rng.random_range(0.0..0.4));
         }
         Ok(())
     }
 
-    fn wake(&self) -> anyhow::Result<()> {
-        (0..self.options.gateways).try_for_each(|at| self.signal(at, Signal::CONT))
+    fn resume_all(&self) -> anyhow::Result<()> {
+        (0..self.options.gateways).try_for_each(|gateway| self.signal(gateway, Signal::CONT))
     }
 
-    fn heal(&mut self) -> anyhow::Result<()> {
-        self.tell("all is well again".into());
-        self.relay.update_links(|_, _| true, |way| *way = LinkFaults::NONE);
-        for at in 0..self.options.gateways {
-            if self.gateways[at].is_none() {
-                self.start(at)?;
+    fn end_faults(&mut self) -> anyhow::Result<()> {
+        self.log_action("all is well again".into());
+        self.relay.update_links(|_, _| true, |link| *link = LinkFaults::NONE);
+        for gateway in 0..self.options.gateways {
+            if self.gateways[gateway].is_none() {
+                self.start_gateway(gateway)?;
             }
         }
         Ok(())
     }
 }
 
-impl Drop for Play {
+impl Drop for LeaseDrill {
     fn drop(&mut self) {
         for mut child in self.gateways.iter_mut().filter_map(Option::take) {
             // One that is stopped cannot be told anything else.
