--- a/crates/drill/src/lease_drill.rs
+++ b/crates/drill/src/lease_drill.rs
@@ -1,5 +1,6 @@
-//! The drill `lease-holder-lost`: processes of this program that hold tasks in turn, their datagrams led through a relay,
-//! faults between them at seeded moments, and a verdict from what two witnesses recorded of each act alone.
+//! The drill `lease-holder-lost`: gateway processes that hold the leases of tasks and exchange datagrams through a relay.
+//! Faults are injected at random times from a seed. The rules are checked only from the acts that two task endpoints
+//! recorded.
 
 use crate::clients::{CLASSES, PLANS};
 use anyhow::Context;
@@ -21,73 +22,75 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// The lease in ms of a drill: short, so that it sees many holders, and long beside what a busy machine holds a process up.
+/// Lease of the drill: short, so that a run sees many holders, and long compared with the time that a busy machine delays
+/// a process.
 pub const LEASE_MS: f64 = 500.0;
-/// How long a call takes with its effect, and how long the effect takes at most, in ms.
+/// Time that a call with its effect may take.
 const CALL_TIME_MS: f64 = 100.0;
+/// Longest duration of the effect of a call.
 const MAX_EFFECT_MS: f64 = 40.0;
-/// What is called: by the kind of its witness.
+/// The tasks, named after the kind of their endpoint: `fenced` checks tokens, `timed` checks deadlines.
 const TASKS: [&str; 2] = ["fenced", "timed"];
-/// After all faults are over, each task is done again within so many leases.
+/// Number of leases within which each task must run again after the last fault.
 const RECOVERY_LEASES: f64 = 12.0;
 
-/// How the drill is played.
+/// Options of the lease drill.
 #[derive(Clone, Debug)]
 pub struct LeaseDrillOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
-    /// Where settings and logs lie.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// How many gateways: 3 to 9.
+    /// Number of gateways, 3 to 9.
     pub gateways: usize,
-    /// How many faults.
+    /// Number of faults.
     pub faults: usize,
-    /// The seed of all chance.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Tasks beside the two that are acted on: they are held and renewed, and hardly ever called.
+    /// Number of tasks besides the two that are checked: their leases are held and renewed, but they hardly ever run.
     pub additional_tasks: usize,
-    /// The lease in ms.
+    /// Lease in ms.
     pub lease_ms: f64,
 }
 
-/// What came of it.
+/// Result of the lease drill.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseDrillOutcome {
-    /// Every rule that was broken.
+    /// Descriptions of all violations.
     pub violations: Vec<String>,
-    /// What was done, in order.
+    /// Log of the injected faults, in order.
     pub log: Vec<String>,
-    /// Acts that took place and that were refused, by witness.
+    /// Number of accepted acts, by endpoint.
     pub accepted: [usize; 2],
-    /// See `accepted`.
+    /// Number of rejected acts, by endpoint.
     pub rejected: [usize; 2],
-    /// How many gateways held each task in turn.
+    /// Number of successive holders of each task.
     pub holders: [usize; 2],
-    /// Ms between the last act of a holder and the first of the next, in order of size.
+    /// Times from the last act of a holder to the first act of the next one, in ms, sorted.
     pub gaps_ms: Vec<f64>,
-    /// Datagrams and bytes a second that the gateways sent each other.
+    /// Datagrams per second that all gateways sent each other.
     pub datagrams_per_s: f64,
-    /// See `datagrams`.
+    /// Bytes per second that all gateways sent each other.
     pub bytes_per_s: f64,
 }
 
-/// Kills the holder of a task so many times in a fleet that is well, and tells how long nobody acted then, in ms and in order
-/// of size. Each comes back, and is given time to vote again.
+/// Kills the holder of a task `count` times in an otherwise healthy fleet and returns the times until the next holder acts,
+/// in ms, sorted. After each kill the gateway is restarted and gets time to vote again.
 ///
 /// # Errors
-/// When processes cannot be started or do not come to serve.
+/// Fails when a process cannot be started or does not begin to serve.
 pub fn measure_failover_times(options: &LeaseDrillOptions, count: usize) -> anyhow::Result<Vec<f64>> {
     let (mut drill, mut outcome, mut times_ms) =
         (LeaseDrill::start(options)?, LeaseDrillOutcome::default(), Vec::new());
     drill.wait_for_acts("at the start", &mut outcome);
     for _ in 0..count {
         drill.wait_leases(2.0);
-        let holder = drill.last_holder(0).context("nobody acts")?;
+        let holder = drill.last_holder(0).context("no gateway acts")?;
         drill.kill_gateway(holder);
         let killed_at = drill.clock.now();
         let deadline = killed_at + 20.0 * options.lease_ms;
         while drill.last_holder(0) == Some(holder) {
-            anyhow::ensure!(drill.clock.now() < deadline, "nobody follows gateway {holder}");
+            anyhow::ensure!(drill.clock.now() < deadline, "no gateway takes over from gateway {holder}");
             std::thread::sleep(Duration::from_millis(1));
         }
         times_ms.push(drill.clock.now() - killed_at);
@@ -97,23 +100,23 @@
     Ok(times_ms)
 }
 
-/// What leases cost a fleet that is well.
+/// Cost of leases in a healthy fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaseCost {
-    /// Datagrams and bytes a second that one gateway sends.
+    /// Datagrams per second that one gateway sends.
     pub datagrams_per_s: f64,
-    /// See `datagrams`.
+    /// Bytes per second that one gateway sends.
     pub bytes_per_s: f64,
-    /// The share of one processor that one gateway takes.
+    /// Share of one processor that one gateway uses.
     pub cpu_share: f64,
-    /// Tasks that are held by somebody at the end.
+    /// Number of tasks that are held by a gateway at the end.
     pub held_tasks: usize,
 }
 
-/// Measures a fleet that is well for some seconds, once every task is held.
+/// Measures a healthy fleet for some seconds once every task is held.
 ///
 /// # Errors
-/// When processes cannot be started or do not come to serve.
+/// Fails when a process cannot be started or does not begin to serve.
 pub fn measure_lease_cost(options: &LeaseDrillOptions, seconds: f64) -> anyhow::Result<LeaseCost> {
     let drill = LeaseDrill::start(options)?;
     let tasks = options.additional_tasks + TASKS.len();
@@ -125,7 +128,7 @@
     while count_held(&drill) < tasks && drill.clock.now() < deadline {
         std::thread::sleep(Duration::from_millis(100));
     }
-    // A lease goes by before it counts: who lost the race asks no more then.
+    // Waits for one lease, after which gateways that were not elected no longer ask for votes.
     std::thread::sleep(Duration::from_secs_f64(options.lease_ms / 1000.0));
     let (counts_before, ticks_before, started_at) =
         (drill.relay.counts(), drill.cpu_ticks(), drill.clock.now());
@@ -142,27 +145,29 @@
     })
 }
 
+/// Returns the number of tasks that a gateway holds, from its answer to `leases`.
 fn count_held_tasks(status: &Value) -> usize {
     status["tasks"].as_array().map_or(0, |tasks| tasks.iter().filter(|t| t["here"] == "held").count())
 }
 
+/// A running lease drill.
 struct LeaseDrill {
     options: LeaseDrillOptions,
     emulators: EmulatorServer,
     relay: Relay,
     endpoints: [TaskEndpoint; 2],
     gateways: Vec<Option<Child>>,
-    /// The list of voters in the settings: version, now, before.
+    /// The voters in the settings: version, current voters, previous voters.
     voters: (u64, BTreeSet<usize>, BTreeSet<usize>),
     clock: Clock,
     started_at: f64,
     log: Vec<String>,
 }
 
-/// Plays it once.
+/// Runs the lease drill once.
 ///
 /// # Errors
-/// When processes cannot be started or do not come to serve.
+/// Fails when a process cannot be started or does not begin to serve.
 pub fn run_lease_drill(options: &LeaseDrillOptions) -> anyhow::Result<LeaseDrillOutcome> {
     let mut drill = LeaseDrill::start(options)?;
     let clock = drill.clock;
@@ -172,7 +177,8 @@
     for _ in 0..options.faults {
         drill.inject_fault(&mut rng)?;
         drill.wait_leases(rng.random_range(0.4..2.5));
-        // A build with `pause-before-write` stops itself between check and write: it is resumed after others have moved on.
+        // A build with the feature `pause-before-write` stops itself between the check of the lease and the write. It is
+        // resumed here, after the other gateways have gone on.
         drill.resume_all()?;
     }
     drill.end_faults()?;
@@ -206,7 +212,7 @@
 
 impl LeaseDrill {
     fn start(options: &LeaseDrillOptions) -> anyhow::Result<Self> {
-        anyhow::ensure!((3..=9).contains(&options.gateways), "3 to 9 gateways are wanted");
+        anyhow::ensure!((3..=9).contains(&options.gateways), "the number of gateways must be 3 to 9");
         std::fs::create_dir_all(&options.folder).with_context(|| options.folder.display().to_string())?;
         std::fs::write(options.folder.join("catalogue.graphql"), CATALOGUE)?;
         std::fs::write(
@@ -242,11 +248,11 @@
         Ok(drill)
     }
 
-    /// Clock ticks of processor that all gateways have taken.
+    /// Returns the processor time of all gateways in clock ticks.
     fn cpu_ticks(&self) -> u64 {
         let ticks_of = |child: &Child| {
             let text = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
-            // Behind the name, which may hold anything, user and system time are the 12th and 13th.
+            // The name may contain any character. After it, user and system time are the 12th and 13th field.
             let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
             let field =
                 |index: usize| fields.get(index).and_then(|f| f.parse::<u64>().ok()).unwrap_or_default();
@@ -259,6 +265,7 @@
         self.log.push(format!("{:>7.0} ms  {action}", self.clock.now() - self.started_at));
     }
 
+    /// Sleeps for a number of leases.
     fn wait_leases(&self, leases: f64) {
         std::thread::sleep(Duration::from_secs_f64(leases * self.options.lease_ms / 1000.0));
     }
@@ -315,7 +322,7 @@
 
     fn start_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
         let settings = self.write_settings(gateway)?;
-        // What a killed process left in the way.
+        // A killed process leaves its socket behind.
         let _ = std::fs::remove_file(self.options.folder.join(format!("g{gateway}.sock")));
         let mut child = Command::new(&self.options.binary)
             .args(["serve", "--config"])
@@ -326,7 +333,8 @@
             .spawn()
             .with_context(|| self.options.binary.display().to_string())?;
         let log = self.options.folder.join(format!("g{gateway}.log"));
-        let lines = BufReader::new(child.stderr.take().context("a gateway without a log")?);
+        let lines =
+            BufReader::new(child.stderr.take().context("the standard error of a gateway is not available")?);
         let (sender, link) = mpsc::channel();
         std::thread::spawn(move || {
             let file = std::fs::OpenOptions::new().create(true).append(true).open(log);
@@ -344,7 +352,7 @@
             let _ = child.kill();
             let _ = child.wait();
             anyhow::bail!(
-                "gateway {gateway} did not come up; see its log in {}",
+                "gateway {gateway} did not start; see its log in {}",
                 self.options.folder.display()
             );
         };
@@ -376,12 +384,13 @@
         Ok(serde_json::from_str::<Value>(&line)?["result"].clone())
     }
 
-    /// Who acted last for a task, by its witness.
+    /// Returns the gateway whose act the endpoint of a task accepted last.
     fn last_holder(&self, task: usize) -> Option<usize> {
         let acts = self.endpoints[task].acts();
         acts.iter().rev().find(|a| a.accepted).map(|a| a.gateway as usize)
     }
 
+    /// Waits until each task has run again; a task that does not run in time is a violation.
     fn wait_for_acts(&mut self, when: &str, outcome: &mut LeaseDrillOutcome) {
         let accepted_before: Vec<usize> =
             self.endpoints.iter().map(|w| w.acts().iter().filter(|a| a.accepted).count()).collect();
@@ -390,7 +399,7 @@
         for (task, accepted_before) in accepted_before.into_iter().enumerate() {
             while self.endpoints[task].acts().iter().filter(|a| a.accepted).count() <= accepted_before {
                 if self.clock.now() > deadline {
-                    outcome.violations.push(format!("{}: nobody acts {when}", TASKS[task]));
+                    outcome.violations.push(format!("{}: no gateway acts {when}", TASKS[task]));
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(5));
@@ -424,10 +433,10 @@
                 self.signal(holder, Signal::CONT)?;
             }
             12 | 13 => {
-                // Sent in time and there too late: only the token or the deadline can tell.
+                // The call is sent in time but arrives late, so only the token or the deadline can reject it.
                 let span = rng.random_range(1.0..4.0);
                 self.log_action(format!(
-                    "holder {holder}'s calls held up on their way for {span:.1} leases, and it is killed"
+                    "calls of holder {holder} delayed for {span:.1} leases, and holder killed"
                 ));
                 self.endpoints.iter().for_each(|w| w.delay_calls(60.0, span * self.options.lease_ms));
                 std::thread::sleep(Duration::from_millis(60));
@@ -455,7 +464,7 @@
                 self.relay.update_links(|_, _| true, |link| link.cut = false);
             }
             7 => {
-                self.log_action("a third lost, delays, doubles".into());
+                self.log_action("30% of datagrams lost, some delayed or duplicated".into());
                 let lossy = LinkFaults {
                     cut: false,
                     loss: 0.3,
@@ -479,20 +488,20 @@
     }
 
     fn restart_gateways(&mut self, gateways: &[usize], group: &str) -> anyhow::Result<()> {
-        self.log_action(format!("{group} killed and started: {gateways:?}"));
+        self.log_action(format!("gateways restarted ({group}): {gateways:?}"));
         gateways.iter().for_each(|gateway| self.kill_gateway(*gateway));
         gateways.iter().try_for_each(|gateway| self.start_gateway(*gateway))
     }
 
-    /// One voter is added or removed, and the gateways read the settings one behind the other; only once a majority of the
-    /// list before votes by it, as the operators' page says.
+    /// Adds or removes one voter and lets the gateways reload their settings one after the other. As the operators' page
+    /// demands, this happens only once a majority of the current voters uses the current list.
     fn change_voters(&mut self, rng: &mut ChaCha8Rng) -> anyhow::Result<()> {
-        let counts_version = |gateway: &&usize| {
+        let uses_latest_list = |gateway: &&usize| {
             let status = self.call(**gateway, "leases").unwrap_or_default();
             status["votes"] == true && status["voters_version"] == self.voters.0
         };
-        if self.voters.1.iter().filter(counts_version).count() * 2 <= self.voters.1.len() {
-            self.log_action("voters stay: the last list is not in force yet".into());
+        if self.voters.1.iter().filter(uses_latest_list).count() * 2 <= self.voters.1.len() {
+            self.log_action("voters unchanged: the current list is not in force yet".into());
             return Ok(());
         }
         let mut new_voters = self.voters.1.clone();
@@ -516,12 +525,13 @@
         Ok(())
     }
 
+    /// Resumes stopped processes.
     fn resume_all(&self) -> anyhow::Result<()> {
         (0..self.options.gateways).try_for_each(|gateway| self.signal(gateway, Signal::CONT))
     }
 
     fn end_faults(&mut self) -> anyhow::Result<()> {
-        self.log_action("all is well again".into());
+        self.log_action("all faults ended".into());
         self.relay.update_links(|_, _| true, |link| *link = LinkFaults::NONE);
         for gateway in 0..self.options.gateways {
             if self.gateways[gateway].is_none() {
@@ -535,7 +545,7 @@
 impl Drop for LeaseDrill {
     fn drop(&mut self) {
         for mut child in self.gateways.iter_mut().filter_map(Option::take) {
-            // One that is stopped cannot be told anything else.
+            // A stopped process reacts to no other signal.
             let _ = child.kill();
             let _ = child.wait();
         }
