--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::Args;
 use doorcourse_drill::{
-    DRILLS, LEASE_MS, LeaseDrillOptions, Options, View, compare, measure_failover_times, measure_lease_cost,
-    play, read, run_lease_drill, show, show_recoveries,
+    DRILLS, DrillOptions, LEASE_MS, LeaseDrillOptions, View, compare, format_recoveries, format_report,
+    measure_failover_times, measure_lease_cost, parse_drill, run_drill, run_lease_drill,
 };
 use serde_json::json;
 use std::io::IsTerminal;
@@ -59,7 +59,7 @@
 pub fn run(drill: &Drill) -> anyhow::Result<ExitCode> {
     let Some(name) = &drill.name else {
         for (name, text) in DRILLS {
-            let about = read(name, text).map_or(String::new(), |d| d.about);
+            let about = parse_drill(name, text).map_or(String::new(), |d| d.about);
             say!("{name:<20} {about}");
         }
         say!("{HOLDERS:<20} {HOLDERS_ABOUT}");
@@ -74,7 +74,7 @@
         None => std::fs::read_to_string(name)
             .with_context(|| format!("{name}: no drill of this name, and no file"))?,
     };
-    let script = match read(name, &text) {
+    let script = match parse_drill(name, &text) {
         Ok(script) => script,
         Err(faults) => {
             faults.iter().for_each(|f| eprintln!("{f}"));
@@ -82,23 +82,24 @@
         }
     };
     let binary = std::env::current_exe().context("this program's own file")?;
-    let options = Options { binary, short: drill.short, seed: drill.seed, keep: drill.keep.clone() };
+    let options = DrillOptions { binary, short: drill.short, seed: drill.seed, keep: drill.keep.clone() };
     let shown = (drill.view || !drill.plain) && std::io::stdout().is_terminal();
     let outcome = match shown {
-        false => play(&script, &options, &mut |_, _, _| {})?,
+        false => run_drill(&script, &options, &mut |_, _, _| {})?,
         true => {
             let mut view = View::start(&script.name, &script.about)?;
-            let outcome = play(&script, &options, &mut |phase, part, fleet| view.draw(phase, part, fleet));
+            let outcome =
+                run_drill(&script, &options, &mut |phase, part, fleet| view.draw(phase, part, fleet));
             drop(view);
             outcome?
         }
     };
-    say_on!("{}", show(&outcome.report));
-    say_on!("{}", show_recoveries(&outcome.recoveries));
-    outcome.missed.iter().for_each(|m| say!("expected otherwise: {m}"));
+    say_on!("{}", format_report(&outcome.report));
+    say_on!("{}", format_recoveries(&outcome.recoveries));
+    outcome.unmet_expectations.iter().for_each(|m| say!("expected otherwise: {m}"));
     if let Some(file) = &drill.json {
-        let told = json!({"drill": script.name, "seed": drill.seed, "good": outcome.good(),
-            "missed": outcome.missed, "report": outcome.report, "recoveries": outcome.recoveries, "answers": outcome.answers()});
+        let told = json!({"drill": script.name, "seed": drill.seed, "good": outcome.passed(),
+            "missed": outcome.unmet_expectations, "report": outcome.report, "recoveries": outcome.recoveries, "answers": outcome.outcomes_by_request()});
         write(file, &serde_json::to_vec_pretty(&told)?)?;
     }
     if let Some(folder) = &outcome.folder {
@@ -106,13 +107,13 @@
     }
     say!(
         "{}",
-        match (outcome.report.rules_kept, outcome.missed.is_empty()) {
+        match (outcome.report.rules_kept, outcome.unmet_expectations.is_empty()) {
             (true, true) => "every rule was kept",
             (true, false) => "every rule was kept, but the drill expected otherwise",
             (false, _) => "a rule was broken",
         }
     );
-    Ok(if outcome.good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if outcome.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 /// Tells what leases cost a fleet that is well.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::Subcommand;
-use doorcourse_drill::{KitOptions, call, up};
+use doorcourse_drill::{FleetServerOptions, call_fleet, run_fleet};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -66,7 +66,7 @@
         Fleet::Up { folder, gateways, nodes, load, seed } => {
             let binary = std::env::current_exe().context("this program's own file")?;
             let (folder, gateways, nodes) = (folder.clone(), *gateways, *nodes);
-            up(&KitOptions { binary, folder, gateways, nodes, load: *load, seed: *seed })?;
+            run_fleet(&FleetServerOptions { binary, folder, gateways, nodes, load: *load, seed: *seed })?;
             return Ok(ExitCode::SUCCESS);
         }
         Fleet::Status { folder } => (folder, "status", json!({})),
@@ -74,7 +74,7 @@
         Fleet::Do { folder, act } => (folder, "do", json!({"act": act})),
         Fleet::Stop { folder } => (folder, "stop", json!({})),
     };
-    match call(folder, method, &parameters)? {
+    match call_fleet(folder, method, &parameters)? {
         Value::String(text) => say!("{text}"),
         other => say!("{other:#}"),
     }
--- a/crates/drill/src/kit.rs
+++ b/crates/drill/src/fleet_server.rs
@@ -3,9 +3,9 @@
 
 use crate::clients::{Clients, Manner, customers};
 use crate::fleet::{Fleet, FleetSpec};
-use crate::play::{Playing, SLACK, bounds};
-use crate::script::read_act;
-use crate::show::show;
+use crate::format::format_report;
+use crate::runner::{ActiveDrill, SLACK, bounds};
+use crate::script::parse_act;
 use anyhow::Context;
 use doorcourse_conformance::summarize;
 use doorcourse_emulators::ClientEmulator;
@@ -19,7 +19,7 @@
 
 /// How a fleet is brought up.
 #[derive(Clone, Debug)]
-pub struct KitOptions {
+pub struct FleetServerOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
     /// Where everything lies.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// When it cannot be started.
-pub fn up(options: &KitOptions) -> anyhow::Result<()> {
+pub fn run_fleet(options: &FleetServerOptions) -> anyhow::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
@@ -76,7 +76,7 @@
     let mut clients = Clients::new(options.seed, open, Arc::clone(&manner), clock.now(), load)?;
     let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = Playing { fleet, manner, nodes: options.nodes };
+    let mut playing = ActiveDrill { fleet, manner, nodes: options.nodes };
     println!("{:#}", status(&playing));
     println!("up; `doorcourse fleet --folder {} stop` ends it", options.folder.display());
     while !stop.load(Ordering::SeqCst) {
@@ -94,12 +94,12 @@
     let report = summarize(&playing.fleet.recorder.records());
     drop(playing);
     let _ = std::fs::remove_file(&path);
-    print!("{}", show(&report));
+    print!("{}", format_report(&report));
     Ok(())
 }
 
 /// Answers one call; `true` when it asks for the end.
-fn serve(playing: &mut Playing, stream: UnixStream) -> anyhow::Result<bool> {
+fn serve(playing: &mut ActiveDrill, stream: UnixStream) -> anyhow::Result<bool> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     let mut line = String::new();
@@ -107,7 +107,7 @@
     let call: Value = serde_json::from_str(&line).unwrap_or_default();
     let answer = match call["method"].as_str().unwrap_or("") {
         "status" => Ok(status(playing)),
-        "report" => Ok(json!(show(&summarize(&playing.fleet.recorder.records())))),
+        "report" => Ok(json!(format_report(&summarize(&playing.fleet.recorder.records())))),
         "stop" => Ok(json!("stopping")),
         "do" => act(playing, call["params"]["act"].as_str().unwrap_or("")),
         other => Err(format!("there is no method `{other}`")),
@@ -120,11 +120,11 @@
     Ok(call["method"] == "stop")
 }
 
-fn act(playing: &mut Playing, text: &str) -> Result<Value, String> {
+fn act(playing: &mut ActiveDrill, text: &str) -> Result<Value, String> {
     let told = |faults: Vec<doorcourse_config::Fault>| {
         faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
     };
-    let act = read_act(text).map_err(told)?;
+    let act = parse_act(text).map_err(told)?;
     let what = act.what.ok_or("say what to do, as in a drill: `kill_node: 3`, `stop_gateway: 0`")?;
     // The same checks as in a drill: a number of no node would end the kit.
     let (gateways, nodes) = (playing.fleet.running().len(), playing.nodes);
@@ -133,12 +133,12 @@
     );
     let plain =
         |faults: Vec<doorcourse_config::Fault>| faults.iter().map(|f| f.message.clone()).collect::<Vec<_>>();
-    crate::script::read("act", &script).map_err(|f| format!("`{text}`: {}", plain(f).join("; ")))?;
+    crate::script::parse_drill("act", &script).map_err(|f| format!("`{text}`: {}", plain(f).join("; ")))?;
     playing.act(&what).map_err(|e| format!("{e:#}"))?;
     Ok(json!("done"))
 }
 
-fn status(playing: &Playing) -> Value {
+fn status(playing: &ActiveDrill) -> Value {
     let fleet = &playing.fleet;
     let addresses = fleet.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
     let gateway = |(at, address): (usize, &std::net::SocketAddr)| {
@@ -158,7 +158,7 @@
 ///
 /// # Errors
 /// When none is, or it refuses.
-pub fn call(folder: &Path, method: &str, parameters: &Value) -> anyhow::Result<Value> {
+pub fn call_fleet(folder: &Path, method: &str, parameters: &Value) -> anyhow::Result<Value> {
     let path = folder.join(SOCKET);
     let mut stream =
         UnixStream::connect(&path).with_context(|| format!("{}: no fleet is up there", folder.display()))?;
--- a/crates/drill/src/show.rs
+++ b/crates/drill/src/format.rs
@@ -3,7 +3,7 @@
 use doorcourse_conformance::{Recovery, Report, Rule};
 use std::fmt::Write;
 
-fn rule(rule: Rule) -> &'static str {
+fn rule_text(rule: Rule) -> &'static str {
     match rule {
         Rule::OneAnswer => "one final answer, in time",
         Rule::NoEffectTwice => "no effect twice",
@@ -16,7 +16,7 @@
 
 /// How the fleet came back from each fault, for a person; nothing where that was not measured.
 #[must_use]
-pub fn show_recoveries(recoveries: &[Recovery]) -> String {
+pub fn format_recoveries(recoveries: &[Recovery]) -> String {
     let mut out = String::new();
     if recoveries.is_empty() {
         return out;
@@ -52,7 +52,7 @@
 
 /// The report for a person: phases, answers, worth, accounts, and each rule's verdict.
 #[must_use]
-pub fn show(report: &Report) -> String {
+pub fn format_report(report: &Report) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -97,7 +97,7 @@
     for (which, violations) in &report.violations {
         let verdict =
             if violations.is_empty() { "kept".into() } else { format!("BROKEN {} times", violations.len()) };
-        let _ = writeln!(out, "{:<28} {verdict}", rule(*which));
+        let _ = writeln!(out, "{:<28} {verdict}", rule_text(*which));
         for violation in violations.iter().take(5) {
             let _ = writeln!(out, "    at {:.3} s: {}", violation.t / 1000.0, violation.what);
         }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -4,21 +4,21 @@
 mod clients;
 mod compare;
 mod fleet;
-mod kit;
+mod fleet_server;
+mod format;
 mod lease_drill;
-mod play;
+mod runner;
 mod script;
-mod show;
 mod view;
 
 pub use compare::compare;
 pub use fleet::Fleet;
-pub use kit::{KitOptions, call, up};
+pub use fleet_server::{FleetServerOptions, call_fleet, run_fleet};
+pub use format::{format_recoveries, format_report};
 pub use lease_drill::{
     LEASE_MS, LeaseCost, LeaseDrillOptions, LeaseDrillOutcome, measure_failover_times, measure_lease_cost,
     run_lease_drill,
 };
-pub use play::{Options, Outcome, play};
-pub use script::{DRILLS, Drill, read};
-pub use show::{show, show_recoveries};
+pub use runner::{DrillOptions, DrillOutcome, run_drill};
+pub use script::{DRILLS, Drill, parse_drill};
 pub use view::View;
--- a/crates/drill/src/play.rs
+++ b/crates/drill/src/runner.rs
@@ -15,7 +15,7 @@
 
 /// How a drill is run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct DrillOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
     /// The short form, for checks at every landing.
@@ -28,11 +28,11 @@
 
 /// What came of a drill.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct DrillOutcome {
     /// The verdict and the figures.
     pub report: Report,
     /// What the drill expected and did not see.
-    pub missed: Vec<String>,
+    pub unmet_expectations: Vec<String>,
     /// Where the record and the logs are, if they were kept.
     pub folder: Option<PathBuf>,
     /// The traffic record.
@@ -41,16 +41,16 @@
     pub recoveries: Vec<Recovery>,
 }
 
-impl Outcome {
+impl DrillOutcome {
     /// Whether every rule was kept and every expectation met.
     #[must_use]
-    pub fn good(&self) -> bool {
-        self.report.rules_kept && self.missed.is_empty()
+    pub fn passed(&self) -> bool {
+        self.report.rules_kept && self.unmet_expectations.is_empty()
     }
 
     /// Each request's final answer, by its name: how it ended and with which code.
     #[must_use]
-    pub fn answers(&self) -> BTreeMap<&str, String> {
+    pub fn outcomes_by_request(&self) -> BTreeMap<&str, String> {
         fn one(record: &Record) -> Option<(&str, String)> {
             match &record.event {
                 Event::ResponseReceived { id, kind, code, .. } => {
@@ -87,13 +87,13 @@
 }
 
 /// A fleet with clients, to which things are done.
-pub(crate) struct Playing {
+pub(crate) struct ActiveDrill {
     pub fleet: Fleet,
     pub manner: Arc<Mutex<Manner>>,
     pub nodes: usize,
 }
 
-impl Playing {
+impl ActiveDrill {
     pub fn act(&mut self, what: &What) -> anyhow::Result<()> {
         let fleet = &mut self.fleet;
         let counter = |fault| Command::Counter(fault);
@@ -169,28 +169,28 @@
 ///
 /// # Errors
 /// When the fleet cannot be started or a step cannot be carried out; a broken rule is no error but in the report.
-pub fn play(
-    drill: &Drill, options: &Options, seen: &mut dyn FnMut(&str, f64, &Fleet),
-) -> anyhow::Result<Outcome> {
+pub fn run_drill(
+    drill: &Drill, options: &DrillOptions, seen: &mut dyn FnMut(&str, f64, &Fleet),
+) -> anyhow::Result<DrillOutcome> {
     if !drill.recovery {
-        return play_once(drill, options, seen);
+        return run_once(drill, options, seen);
     }
     let mut quiet = drill.clone();
     (quiet.steps, quiet.expects) = (Vec::new(), Vec::new());
     let keep = options.keep.as_ref().map(|folder| folder.join("without-faults"));
-    let quiet = play_once(&quiet, &Options { keep, ..options.clone() }, seen)?;
+    let quiet = run_once(&quiet, &DrillOptions { keep, ..options.clone() }, seen)?;
     anyhow::ensure!(
-        quiet.good(),
+        quiet.passed(),
         "the run without faults broke a rule already: there is nothing to compare with"
     );
-    let mut outcome = play_once(drill, options, seen)?;
+    let mut outcome = run_once(drill, options, seen)?;
     outcome.recoveries = measure_recoveries(&outcome.records, &quiet.records);
     Ok(outcome)
 }
 
-fn play_once(
-    drill: &Drill, options: &Options, seen: &mut dyn FnMut(&str, f64, &Fleet),
-) -> anyhow::Result<Outcome> {
+fn run_once(
+    drill: &Drill, options: &DrillOptions, seen: &mut dyn FnMut(&str, f64, &Fleet),
+) -> anyhow::Result<DrillOutcome> {
     let length = if options.short { drill.short_s } else { drill.length_s } * 1000.0;
     let folder = options.keep.clone().unwrap_or_else(|| {
         std::env::temp_dir().join(format!("doorcourse-drill-{}-{}", std::process::id(), options.seed))
@@ -229,7 +229,7 @@
     let mut crowd =
         ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = Playing { fleet, manner, nodes: drill.nodes() };
+    let mut playing = ActiveDrill { fleet, manner, nodes: drill.nodes() };
     let played = steps(drill, &mut playing, start, length, seen);
     playing.change(|m| m.over = true);
     let ended = crowd.join().map_err(|_| anyhow::anyhow!("the clients' thread broke down"))?;
@@ -241,10 +241,11 @@
     drop(playing);
     let report = summarize(&records);
     let sent = sent(&records);
-    let mut missed: Vec<String> = drill.expects.iter().flat_map(|e| miss(e, &report)).collect();
-    missed.extend(drill.expects.iter().flat_map(|e| miss_shares(e, &sent)));
-    let mut outcome = Outcome { report, missed, folder: None, records, recoveries: Vec::new() };
-    if options.keep.is_some() || !outcome.good() {
+    let mut unmet_expectations: Vec<String> = drill.expects.iter().flat_map(|e| miss(e, &report)).collect();
+    unmet_expectations.extend(drill.expects.iter().flat_map(|e| miss_shares(e, &sent)));
+    let mut outcome =
+        DrillOutcome { report, unmet_expectations, folder: None, records, recoveries: Vec::new() };
+    if options.keep.is_some() || !outcome.passed() {
         recorder.save(&folder.join("traffic.jsonl"))?;
         outcome.folder = Some(folder);
     } else {
@@ -254,11 +255,12 @@
 }
 
 fn steps(
-    drill: &Drill, playing: &mut Playing, start: f64, length: f64, seen: &mut dyn FnMut(&str, f64, &Fleet),
+    drill: &Drill, playing: &mut ActiveDrill, start: f64, length: f64,
+    seen: &mut dyn FnMut(&str, f64, &Fleet),
 ) -> anyhow::Result<()> {
     let clock = playing.fleet.clock;
     let mut phase = String::from("start");
-    let mut until = |playing: &Playing, phase: &str, at: f64| {
+    let mut until = |playing: &ActiveDrill, phase: &str, at: f64| {
         while clock.now() < at {
             std::thread::sleep(clock.until(at.min(clock.now() + 250.0)));
             seen(phase, (clock.now() - start) / length, &playing.fleet);
@@ -347,27 +349,28 @@
     }
     let place = if expect.phase.is_empty() { "in all".to_owned() } else { format!("in `{}`", expect.phase) };
     let share = |n: u64| n as f64 / all.requests.max(1) as f64;
-    let mut missed = Vec::new();
+    let mut unmet_expectations = Vec::new();
     if let Some(least) = expect.served_at_least.filter(|least| share(all.served) < *least) {
-        missed.push(format!("{place}: {:.3} served, at least {least} expected", share(all.served)));
+        unmet_expectations
+            .push(format!("{place}: {:.3} served, at least {least} expected", share(all.served)));
     }
     if let Some(most) = expect.failed_at_most.filter(|most| share(all.failed) > *most) {
-        missed.push(format!("{place}: {:.3} failed, at most {most} expected", share(all.failed)));
+        unmet_expectations.push(format!("{place}: {:.3} failed, at most {most} expected", share(all.failed)));
     }
     if let Some(most) = expect.lost_at_most.filter(|most| all.connection_lost > u64::from(*most)) {
-        missed.push(format!("{place}: {} lost, at most {most} expected", all.connection_lost));
+        unmet_expectations.push(format!("{place}: {} lost, at most {most} expected", all.connection_lost));
     }
     if let Some(least) = expect.worth_at_least {
         let (got, asked) = report.worth.get(&expect.plan).copied().unwrap_or_default();
         if got < least * asked {
-            missed.push(format!(
+            unmet_expectations.push(format!(
                 "{}: {:.3} of its worth in time, at least {least} expected",
                 expect.plan,
                 got / asked
             ));
         }
     }
-    missed
+    unmet_expectations
 }
 
 #[cfg(test)]
@@ -380,17 +383,25 @@
         for (phase, node, n) in [("a", "node-0", 30), ("a", "node-1", 70), ("b", "node-0", 100)] {
             sent.insert((phase.to_owned(), node.to_owned()), n);
         }
-        let missed = |phase: &str, nodes: &[u32], low, high| {
+        let unmet_expectations = |phase: &str, nodes: &[u32], low, high| {
             let share = Share { nodes: nodes.to_vec(), at_least: Some(low), at_most: Some(high) };
             miss_shares(&Expect { phase: phase.into(), shares: vec![share], ..Expect::default() }, &sent)
                 .len()
         };
         assert_eq!(
-            (missed("a", &[0], 0.25, 0.35), missed("a", &[0], 0.4, 0.5), missed("a", &[0, 1], 1.0, 1.0)),
+            (
+                unmet_expectations("a", &[0], 0.25, 0.35),
+                unmet_expectations("a", &[0], 0.4, 0.5),
+                unmet_expectations("a", &[0, 1], 1.0, 1.0)
+            ),
             (0, 1, 0)
         );
         assert_eq!(
-            (missed("b", &[1], 0.0, 0.0), missed("none", &[0], 0.0, 1.0), missed("", &[0], 0.6, 0.7)),
+            (
+                unmet_expectations("b", &[1], 0.0, 0.0),
+                unmet_expectations("none", &[0], 0.0, 1.0),
+                unmet_expectations("", &[0], 0.6, 0.7)
+            ),
             (0, 1, 0)
         );
     }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// The first fault.
-pub fn read_act(text: &str) -> Result<Act, Vec<Fault>> {
+pub fn parse_act(text: &str) -> Result<Act, Vec<Fault>> {
     parse_text(DESCRIPTORS, "doorcourse.drill.Act", "act", text)
 }
 
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// Every fault, with file, line and field.
-pub fn read(file: &str, text: &str) -> Result<Drill, Vec<Fault>> {
+pub fn parse_drill(file: &str, text: &str) -> Result<Drill, Vec<Fault>> {
     let drill: Drill = parse_text(DESCRIPTORS, "doorcourse.drill.Drill", file, text)?;
     let places = Places::new(text);
     let mut faults = Vec::new();
@@ -188,7 +188,7 @@
     #[test]
     fn the_drills_that_come_along_are_good() {
         for (name, text) in DRILLS {
-            let drill = read(name, text).unwrap_or_else(|f| panic!("{name}: {f:?}"));
+            let drill = parse_drill(name, text).unwrap_or_else(|f| panic!("{name}: {f:?}"));
             assert_eq!(drill.name, *name);
             assert!(!drill.about.is_empty() && !drill.steps.is_empty());
         }
@@ -199,7 +199,8 @@
     fn faults_name_line_and_field() {
         let text = "name: 'x' length_s: 1 short_s: 9\nsteps { at: 0.5 do { kill_node: 99 } }\nsteps { at: 0.2 }\n\
             expects { phase: 'none' }\nexpects { plan: 'gold' }";
-        let faults: Vec<String> = read("d", text).unwrap_err().iter().map(ToString::to_string).collect();
+        let faults: Vec<String> =
+            parse_drill("d", text).unwrap_err().iter().map(ToString::to_string).collect();
         for told in [
             "d:1:11: length_s: 1 is out of range",
             "d:2:17: steps[0].do[0]: 99 is out",
@@ -209,6 +210,6 @@
         ] {
             assert!(faults.iter().any(|f| f.starts_with(told)), "{faults:?} lacks {told}");
         }
-        assert!(read("d", "nonsense: 1").unwrap_err()[0].to_string().starts_with("d:1:1"));
+        assert!(parse_drill("d", "nonsense: 1").unwrap_err()[0].to_string().starts_with("d:1:1"));
     }
 }
