--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::Args;
 use doorcourse_drill::{
-    DRILLS, DrillOptions, LEASE_MS, LeaseDrillOptions, View, compare, format_recoveries, format_report,
-    measure_failover_times, measure_lease_cost, parse_drill, run_drill, run_lease_drill,
+    DRILLS, DrillOptions, LEASE_MS, LeaseDrillOptions, TerminalView, compare, format_recoveries,
+    format_report, measure_failover_times, measure_lease_cost, parse_drill, run_drill, run_lease_drill,
 };
 use serde_json::json;
 use std::io::IsTerminal;
@@ -87,7 +87,7 @@
     let outcome = match shown {
         false => run_drill(&script, &options, &mut |_, _, _| {})?,
         true => {
-            let mut view = View::start(&script.name, &script.about)?;
+            let mut view = TerminalView::start(&script.name, &script.about)?;
             let outcome =
                 run_drill(&script, &options, &mut |phase, part, fleet| view.draw(phase, part, fleet));
             drop(view);
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::Subcommand;
-use doorcourse_drill::{FleetServerOptions, call_fleet, run_fleet};
+use doorcourse_drill::{LocalFleetOptions, call_fleet, run_local_fleet};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -66,7 +66,14 @@
         Fleet::Up { folder, gateways, nodes, load, seed } => {
             let binary = std::env::current_exe().context("this program's own file")?;
             let (folder, gateways, nodes) = (folder.clone(), *gateways, *nodes);
-            run_fleet(&FleetServerOptions { binary, folder, gateways, nodes, load: *load, seed: *seed })?;
+            run_local_fleet(&LocalFleetOptions {
+                binary,
+                folder,
+                gateways,
+                nodes,
+                load: *load,
+                seed: *seed,
+            })?;
             return Ok(ExitCode::SUCCESS);
         }
         Fleet::Status { folder } => (folder, "status", json!({})),
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -4,21 +4,21 @@
 mod clients;
 mod compare;
 mod fleet;
-mod fleet_server;
-mod format;
 mod lease_drill;
+mod local_fleet;
 mod runner;
 mod script;
+mod text_report;
 mod view;
 
 pub use compare::compare;
 pub use fleet::Fleet;
-pub use fleet_server::{FleetServerOptions, call_fleet, run_fleet};
-pub use format::{format_recoveries, format_report};
 pub use lease_drill::{
     LEASE_MS, LeaseCost, LeaseDrillOptions, LeaseDrillOutcome, measure_failover_times, measure_lease_cost,
     run_lease_drill,
 };
+pub use local_fleet::{LocalFleetOptions, call_fleet, run_local_fleet};
 pub use runner::{DrillOptions, DrillOutcome, run_drill};
 pub use script::{DRILLS, Drill, parse_drill};
-pub use view::View;
+pub use text_report::{format_recoveries, format_report};
+pub use view::TerminalView;
--- a/crates/drill/src/fleet_server.rs
+++ b/crates/drill/src/local_fleet.rs
@@ -3,9 +3,9 @@
 
 use crate::clients::{Clients, Manner, customers};
 use crate::fleet::{Fleet, FleetSpec};
-use crate::format::format_report;
 use crate::runner::{ActiveDrill, SLACK, bounds};
 use crate::script::parse_act;
+use crate::text_report::format_report;
 use anyhow::Context;
 use doorcourse_conformance::summarize;
 use doorcourse_emulators::ClientEmulator;
@@ -19,7 +19,7 @@
 
 /// How a fleet is brought up.
 #[derive(Clone, Debug)]
-pub struct FleetServerOptions {
+pub struct LocalFleetOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
     /// Where everything lies.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// When it cannot be started.
-pub fn run_fleet(options: &FleetServerOptions) -> anyhow::Result<()> {
+pub fn run_local_fleet(options: &LocalFleetOptions) -> anyhow::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -9,13 +9,13 @@
 use ratatui::widgets::{Block, Cell, Gauge, Paragraph, Row, Table};
 
 /// The terminal; it is given back as it was when this is dropped.
-pub struct View {
+pub struct TerminalView {
     terminal: DefaultTerminal,
     title: String,
     about: String,
 }
 
-impl View {
+impl TerminalView {
     /// Takes the terminal.
     ///
     /// # Errors
@@ -26,39 +26,47 @@
     }
 
     /// Draws what is known by now; a terminal that fails is no reason to stop a drill.
-    pub fn draw(&mut self, phase: &str, part: f64, fleet: &Fleet) {
+    pub fn draw(&mut self, phase: &str, progress: f64, fleet: &Fleet) {
         let report = summarize(&fleet.recorder.records());
-        let wanted = fleet.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
+        let accepting = fleet.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
         let running = fleet.running();
         let (title, about) = (self.title.clone(), self.about.clone());
         let _ = self.terminal.draw(|frame| {
-            let parts =
+            let heights =
                 [Constraint::Length(3), Constraint::Length(3), Constraint::Min(8), Constraint::Length(8)];
-            let [head, gateways, answers, rules] = Layout::vertical(parts).areas(frame.area());
-            let gauge = Gauge::default().ratio(part.clamp(0.0, 1.0)).label(phase.to_owned());
+            let [head, gateways, answers, rules] = Layout::vertical(heights).areas(frame.area());
+            let gauge = Gauge::default().ratio(progress.clamp(0.0, 1.0)).label(phase.to_owned());
             frame.render_widget(gauge.block(Block::bordered().title(title)).gauge_style(Color::Cyan), head);
-            let state = |at: usize| match (running[at], wanted[at]) {
-                (true, true) => format!("gateway {at} serves").green(),
-                (true, false) => format!("gateway {at} drains").yellow(),
-                (false, _) => format!("gateway {at} is down").red(),
+            let state = |gateway: usize| match (running[gateway], accepting[gateway]) {
+                (true, true) => format!("gateway {gateway} serves").green(),
+                (true, false) => format!("gateway {gateway} drains").yellow(),
+                (false, _) => format!("gateway {gateway} is down").red(),
             };
-            let spans = (0..running.len()).flat_map(|at| [state(at), "   ".into()]).collect::<Vec<_>>();
+            let gateway_states =
+                (0..running.len()).flat_map(|gateway| [state(gateway), "   ".into()]).collect::<Vec<_>>();
             frame.render_widget(
-                Paragraph::new(Line::from(spans)).block(Block::bordered().title(about)),
+                Paragraph::new(Line::from(gateway_states)).block(Block::bordered().title(about)),
                 gateways,
             );
-            let row = |(name, a): &(String, doorcourse_conformance::ResponseCounts)| {
-                let figures =
-                    [a.requests, a.served, a.late, a.refused, a.failed + a.truncated, a.connection_lost];
-                let cells = figures.iter().map(ToString::to_string).chain([format!("{:.0}", a.latency_ms.1)]);
+            let phase_row = |(name, counts): &(String, doorcourse_conformance::ResponseCounts)| {
+                let figures = [
+                    counts.requests,
+                    counts.served,
+                    counts.late,
+                    counts.refused,
+                    counts.failed + counts.truncated,
+                    counts.connection_lost,
+                ];
+                let cells =
+                    figures.iter().map(ToString::to_string).chain([format!("{:.0}", counts.latency_ms.1)]);
                 Row::new([name.clone()].into_iter().chain(cells).map(Cell::from))
             };
             let titles = ["phase", "asked", "served", "late", "refused", "failed", "lost", "p99 ms"];
             let widths = [Constraint::Min(30)].into_iter().chain([Constraint::Length(8); 7]);
-            let rows = report.phases.iter().filter(|(_, a)| a.requests > 0).map(row);
+            let rows = report.phases.iter().filter(|(_, counts)| counts.requests > 0).map(phase_row);
             let table = Table::new(rows, widths).header(Row::new(titles).style(Style::new().bold()));
             frame.render_widget(table.block(Block::bordered().title(" answers ")), answers);
-            let verdict = |(rule, violations): (
+            let rule_line = |(rule, violations): (
                 &doorcourse_conformance::Rule,
                 &Vec<doorcourse_conformance::Violation>,
             )| {
@@ -67,13 +75,13 @@
                     Some(first) => Line::from(format!("{rule:?}: broken: {}", first.what).red()),
                 }
             };
-            let lines: Vec<Line> = report.violations.iter().map(verdict).collect();
+            let lines: Vec<Line> = report.violations.iter().map(rule_line).collect();
             frame.render_widget(Paragraph::new(lines).block(Block::bordered().title(" rules ")), rules);
         });
     }
 }
 
-impl Drop for View {
+impl Drop for TerminalView {
     fn drop(&mut self) {
         ratatui::restore();
     }
