--- a/crates/drill/build.rs
+++ b/crates/drill/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the drills' schema without protoc: descriptors for the text format, types for the code.
+//! Compiles the protobuf schema of the drills without protoc: descriptors for the text format and Rust types.
 
 use prost_build::Config;
 use std::{env, fs, path::PathBuf};
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drills: a small fleet of gateway processes with stand-ins on loopback, a script of troubles, and a verdict from
-//! the traffic that crossed the sockets.
+//! Drills: a small fleet of gateway processes with emulated clients, nodes and counter on loopback, a schedule of faults,
+//! and a check of the rules from the traffic on the sockets.
 
 mod clients;
 mod compare;
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -1,4 +1,5 @@
-//! A drill on a terminal while it runs: the script's phase, the fleet, answers by phase, each rule's verdict so far.
+//! Shows a running drill on a terminal: the current phase, the gateways, responses by phase and the result of each rule so
+//! far.
 
 use crate::fleet::Fleet;
 use doorcourse_conformance::summarize;
@@ -8,7 +9,7 @@
 use ratatui::text::Line;
 use ratatui::widgets::{Block, Cell, Gauge, Paragraph, Row, Table};
 
-/// The terminal; it is given back as it was when this is dropped.
+/// The terminal in use; its previous state is restored on drop.
 pub struct TerminalView {
     terminal: DefaultTerminal,
     title: String,
@@ -16,16 +17,16 @@
 }
 
 impl TerminalView {
-    /// Takes the terminal.
+    /// Initializes the terminal.
     ///
     /// # Errors
-    /// When there is none that can be used.
+    /// Fails when there is no usable terminal.
     pub fn start(name: &str, about: &str) -> std::io::Result<Self> {
         let terminal = ratatui::try_init()?;
         Ok(Self { terminal, title: format!(" drill {name} "), about: about.to_owned() })
     }
 
-    /// Draws what is known by now; a terminal that fails is no reason to stop a drill.
+    /// Draws the current state. Errors of the terminal are ignored, since they must not stop the drill.
     pub fn draw(&mut self, phase: &str, progress: f64, fleet: &Fleet) {
         let report = summarize(&fleet.recorder.records());
         let accepting = fleet.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
