--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -136,33 +136,33 @@
 
 /// What the script changes.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct ClientBehavior {
     /// One customer asks for this many times its quota.
     pub flood: Option<(usize, f64)>,
     /// This share of the clients leaves midway.
-    pub leaving: f64,
+    pub cancel_share: f64,
     /// A factor on all patience.
-    pub patience: f64,
+    pub timeout_factor: f64,
     /// This share asks what truly costs five times its price; as many what costs a fifth.
-    pub odd_costs: f64,
+    pub mispriced_share: f64,
     /// A factor on what all ask for.
-    pub rate: f64,
+    pub rate_factor: f64,
     /// The share of licence orders, where it is not the ordinary one.
-    pub licences: Option<f64>,
+    pub licence_share: Option<f64>,
     /// The day is over: nothing new is asked.
-    pub over: bool,
+    pub stopped: bool,
 }
 
-impl Default for Manner {
+impl Default for ClientBehavior {
     fn default() -> Self {
         Self {
             flood: None,
-            leaving: 0.0,
-            patience: 1.0,
-            odd_costs: 0.04,
-            rate: 1.0,
-            licences: None,
-            over: false,
+            cancel_share: 0.0,
+            timeout_factor: 1.0,
+            mispriced_share: 0.04,
+            rate_factor: 1.0,
+            licence_share: None,
+            stopped: false,
         }
     }
 }
@@ -183,7 +183,7 @@
     /// Which gateways want clients, as whoever routes clients to them hears.
     open: Arc<Mutex<Vec<bool>>>,
     random: ChaCha8Rng,
-    manner: Arc<Mutex<Manner>>,
+    behavior: Arc<Mutex<ClientBehavior>>,
     /// The next time of each customer, in micros so that it can be ordered.
     next: BinaryHeap<Reverse<(u64, usize)>>,
     again: BinaryHeap<Reverse<(u64, u64)>>,
@@ -200,7 +200,7 @@
 impl Clients {
     /// The customers of the drill, from a time on.
     pub fn new(
-        seed: u64, open: Arc<Mutex<Vec<bool>>>, manner: Arc<Mutex<Manner>>, start: f64, load: f64,
+        seed: u64, open: Arc<Mutex<Vec<bool>>>, behavior: Arc<Mutex<ClientBehavior>>, start: f64, load: f64,
     ) -> anyhow::Result<Self> {
         let schema = Arc::new(Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("{e:?}"))?);
         let weight = |name: &str| match name {
@@ -231,7 +231,7 @@
             operations: asked,
             open,
             random,
-            manner,
+            behavior,
             next,
             again,
             repeats,
@@ -242,25 +242,25 @@
         })
     }
 
-    fn manner(&self) -> Manner {
-        self.manner.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
+    fn behavior(&self) -> ClientBehavior {
+        self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.random.random::<f64>()).ln() * mean
     }
 
-    fn pick(&mut self, manner: &Manner) -> usize {
+    fn pick(&mut self, behavior: &ClientBehavior) -> usize {
         let named = |name: &str| self.operations.iter().position(|a| a.operation.name == name).unwrap_or(0);
         let (similar, shelf) = (named("similar"), named("shelf"));
         let chance: f64 = self.random.random();
-        if chance < manner.odd_costs {
+        if chance < behavior.mispriced_share {
             return similar;
         }
-        if chance < 2.0 * manner.odd_costs {
+        if chance < 2.0 * behavior.mispriced_share {
             return shelf;
         }
-        if let Some(share) = manner.licences {
+        if let Some(share) = behavior.licence_share {
             return named(if self.random.random::<f64>() < share { "licence" } else { "preview" });
         }
         let total: f64 = self.operations.iter().map(|a| a.weight).sum();
@@ -285,7 +285,8 @@
     }
 
     fn shot(
-        &mut self, now: f64, customer: usize, operation: usize, first: Option<String>, manner: &Manner,
+        &mut self, now: f64, customer: usize, operation: usize, first: Option<String>,
+        behavior: &ClientBehavior,
     ) -> Option<ScheduledRequest> {
         self.count += 1;
         let id = format!("q{}", self.count);
@@ -295,8 +296,8 @@
         let class = CLASSES.iter().find(|c| c.name == class)?;
         let body = json!({"query": asked.operation.query}).to_string();
         let (name, plan, key) = self.customers[customer].clone();
-        let patience = class.give_up * (0.5 + 0.5 * self.random.random::<f64>()) * manner.patience;
-        let leave = if self.random.random::<f64>() < manner.leaving {
+        let patience = class.give_up * (0.5 + 0.5 * self.random.random::<f64>()) * behavior.timeout_factor;
+        let leave = if self.random.random::<f64>() < behavior.cancel_share {
             Some(self.random.random::<f64>() * 60.0)
         } else {
             None
@@ -334,39 +335,39 @@
 
 impl RequestSource for Clients {
     fn next_due(&mut self) -> Option<f64> {
-        let manner = self.manner();
-        if manner.over {
+        let behavior = self.behavior();
+        if behavior.stopped {
             return None;
         }
         let first = self.next.peek().map(|r| r.0.0);
         let again = self.again.peek().map(|r| r.0.0);
         let ordinary = first.into_iter().chain(again).min().map(|t| t as f64 / 1000.0);
-        ordinary.into_iter().chain(manner.flood.map(|_| self.flood_next)).reduce(f64::min)
+        ordinary.into_iter().chain(behavior.flood.map(|_| self.flood_next)).reduce(f64::min)
     }
 
     fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest> {
-        let (manner, mut shots) = (self.manner(), Vec::new());
+        let (behavior, mut shots) = (self.behavior(), Vec::new());
         while self.again.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
             let Some(Reverse((_, number))) = self.again.pop() else { break };
             let Some((customer, operation, first)) = self.repeats.remove(&number) else { continue };
-            shots.extend(self.shot(now, customer, operation, Some(first), &manner));
+            shots.extend(self.shot(now, customer, operation, Some(first), &behavior));
         }
         while self.next.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
             let Some(Reverse((at, customer))) = self.next.pop() else { break };
-            let operation = self.pick(&manner);
-            let rate = self.customers[customer].1.rate * self.load * manner.rate.max(1e-3);
+            let operation = self.pick(&behavior);
+            let rate = self.customers[customer].1.rate * self.load * behavior.rate_factor.max(1e-3);
             // In units: what costs more is asked for more seldom.
             let wait = self.exponential(self.operations[operation].units / rate * 1e6);
             self.next.push(Reverse((at + wait.min(20e6) as u64, customer)));
-            shots.extend(self.shot(now, customer, operation, None, &manner));
+            shots.extend(self.shot(now, customer, operation, None, &behavior));
         }
         // A flood comes on top of the customer's ordinary use.
         self.flood_next = self.flood_next.max(now - FLOOD_BEHIND);
-        while let Some((customer, times)) = manner.flood.filter(|_| self.flood_next <= now) {
-            let operation = self.pick(&manner);
+        while let Some((customer, times)) = behavior.flood.filter(|_| self.flood_next <= now) {
+            let operation = self.pick(&behavior);
             let rate = self.customers[customer].1.rate * times;
             self.flood_next += self.exponential(self.operations[operation].units / rate * 1000.0);
-            shots.extend(self.shot(now, customer, operation, None, &manner));
+            shots.extend(self.shot(now, customer, operation, None, &behavior));
         }
         shots
     }
--- a/crates/drill/src/local_fleet.rs
+++ b/crates/drill/src/local_fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet that stays up until it is told otherwise, for rehearsing by hand: one process holds the stand-ins and
 //! its gateways' processes, and listens on a socket in its folder (JSON-RPC 2.0, one object a line).
 
-use crate::clients::{Clients, Manner, customers};
+use crate::clients::{ClientBehavior, Clients, customers};
 use crate::fleet::{Fleet, FleetSpec};
 use crate::runner::{ActiveDrill, SLACK, bounds};
 use crate::script::parse_act;
@@ -71,12 +71,13 @@
     let _ = std::fs::remove_file(&path);
     let listener = UnixListener::bind(&path).with_context(|| path.display().to_string())?;
     listener.set_nonblocking(true)?;
-    let manner = Arc::new(Mutex::new(Manner { over: options.load <= 0.0, ..Manner::default() }));
+    let behavior =
+        Arc::new(Mutex::new(ClientBehavior { stopped: options.load <= 0.0, ..ClientBehavior::default() }));
     let (open, load) = (Arc::clone(&fleet.open), options.load.max(0.01));
-    let mut clients = Clients::new(options.seed, open, Arc::clone(&manner), clock.now(), load)?;
+    let mut clients = Clients::new(options.seed, open, Arc::clone(&behavior), clock.now(), load)?;
     let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = ActiveDrill { fleet, manner, nodes: options.nodes };
+    let mut playing = ActiveDrill { fleet, behavior, nodes: options.nodes };
     println!("{:#}", status(&playing));
     println!("up; `doorcourse fleet --folder {} stop` ends it", options.folder.display());
     while !stop.load(Ordering::SeqCst) {
@@ -88,7 +89,7 @@
             Err(_) => std::thread::sleep(Duration::from_millis(50)),
         }
     }
-    playing.change(|m| m.over = true);
+    playing.change(|m| m.stopped = true);
     let _ = crowd.join();
     playing.fleet.recorder.save(&options.folder.join("traffic.jsonl"))?;
     let report = summarize(&playing.fleet.recorder.records());
--- a/crates/drill/src/runner.rs
+++ b/crates/drill/src/runner.rs
@@ -1,7 +1,7 @@
 //! Plays a drill: starts its fleet and clients, carries out its steps in their time, and judges what crossed the
 //! sockets.
 
-use crate::clients::{Clients, Manner, customers, plan_bounds};
+use crate::clients::{ClientBehavior, Clients, customers, plan_bounds};
 use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
 use doorcourse_conformance::{
@@ -89,7 +89,7 @@
 /// A fleet with clients, to which things are done.
 pub(crate) struct ActiveDrill {
     pub fleet: Fleet,
-    pub manner: Arc<Mutex<Manner>>,
+    pub behavior: Arc<Mutex<ClientBehavior>>,
     pub nodes: usize,
 }
 
@@ -145,23 +145,23 @@
             What::SpoilList(_) => fleet.spoil_list()?,
             What::Import(more) => fleet.import(more)?,
             What::Mood(mood) => {
-                let manner = Manner {
+                let behavior = ClientBehavior {
                     flood: mood.flood_customer.map(|c| (c as usize, mood.flood_times)),
-                    leaving: mood.leaving,
-                    patience: mood.patience.unwrap_or(1.0),
-                    odd_costs: mood.odd_costs.unwrap_or(Manner::default().odd_costs),
-                    rate: mood.rate.unwrap_or(1.0),
-                    licences: mood.licences,
-                    over: false,
+                    cancel_share: mood.leaving,
+                    timeout_factor: mood.patience.unwrap_or(1.0),
+                    mispriced_share: mood.odd_costs.unwrap_or(ClientBehavior::default().mispriced_share),
+                    rate_factor: mood.rate.unwrap_or(1.0),
+                    licence_share: mood.licences,
+                    stopped: false,
                 };
-                self.change(|m| *m = manner);
+                self.change(|m| *m = behavior);
             }
         }
         Ok(())
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut Manner)) {
-        change(&mut self.manner.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
+    pub fn change(&self, change: impl FnOnce(&mut ClientBehavior)) {
+        change(&mut self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
     }
 }
 
@@ -223,15 +223,16 @@
     recorder.record(bounds(times.fold(1.0, f64::max)));
     let clock = fleet.clock;
     let start = clock.now();
-    let manner = Arc::new(Mutex::new(Manner::default()));
+    let behavior = Arc::new(Mutex::new(ClientBehavior::default()));
     let load = spec.load.unwrap_or(0.6);
-    let mut clients = Clients::new(options.seed, Arc::clone(&fleet.open), Arc::clone(&manner), start, load)?;
+    let mut clients =
+        Clients::new(options.seed, Arc::clone(&fleet.open), Arc::clone(&behavior), start, load)?;
     let mut crowd =
         ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = ActiveDrill { fleet, manner, nodes: drill.nodes() };
+    let mut playing = ActiveDrill { fleet, behavior, nodes: drill.nodes() };
     let played = steps(drill, &mut playing, start, length, seen);
-    playing.change(|m| m.over = true);
+    playing.change(|m| m.stopped = true);
     let ended = crowd.join().map_err(|_| anyhow::anyhow!("the clients' thread broke down"))?;
     // What nodes write last may come behind the clients' last word.
     std::thread::sleep(Duration::from_millis(50));
