--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -15,8 +15,8 @@
 /// A class of the drill's settings.
 pub struct DrillClass {
     pub name: &'static str,
-    pub aim: f64,
-    pub give_up: f64,
+    pub target_ms: f64,
+    pub give_up_ms: f64,
     pub worth: f64,
     pub retry_safety: RetrySafety,
     pub queries: &'static [&'static str],
@@ -24,14 +24,14 @@
 }
 
 /// For how long the cells remember keys, in ms.
-pub const MEMORY: f64 = 4000.0;
+pub const KEY_RETENTION_MS: f64 = 4000.0;
 
 impl DrillClass {
     /// In the words of the settings.
     pub fn effect(&self) -> String {
         match self.retry_safety {
             RetrySafety::Safe => "effect: SAFE".into(),
-            RetrySafety::Keyed => format!("effect: KEYED group: CELL memory_ms: {MEMORY}"),
+            RetrySafety::Keyed => format!("effect: KEYED group: CELL memory_ms: {KEY_RETENTION_MS}"),
             RetrySafety::Unsafe => "effect: UNSAFE".into(),
         }
     }
@@ -40,8 +40,8 @@
 pub const CLASSES: &[DrillClass] = &[
     DrillClass {
         name: "preview",
-        aim: 800.0,
-        give_up: 2500.0,
+        target_ms: 800.0,
+        give_up_ms: 2500.0,
         worth: 2.0,
         retry_safety: RetrySafety::Safe,
         queries: &["preview", "previews"],
@@ -49,8 +49,8 @@
     },
     DrillClass {
         name: "search",
-        aim: 1000.0,
-        give_up: 3000.0,
+        target_ms: 1000.0,
+        give_up_ms: 3000.0,
         worth: 1.0,
         retry_safety: RetrySafety::Safe,
         queries: &["search", "similar", "shelf"],
@@ -58,8 +58,8 @@
     },
     DrillClass {
         name: "playlist",
-        aim: 800.0,
-        give_up: 2000.0,
+        target_ms: 800.0,
+        give_up_ms: 2000.0,
         worth: 3.0,
         retry_safety: RetrySafety::Keyed,
         queries: &[],
@@ -67,8 +67,8 @@
     },
     DrillClass {
         name: "licence",
-        aim: 500.0,
-        give_up: 1200.0,
+        target_ms: 500.0,
+        give_up_ms: 1200.0,
         worth: 5.0,
         retry_safety: RetrySafety::Unsafe,
         queries: &[],
@@ -83,7 +83,7 @@
     pub burst: f64,
     pub ceiling_rate: f64,
     pub ceiling_burst: f64,
-    pub slack: f64,
+    pub ceiling_slack: f64,
     pub customers: usize,
 }
 
@@ -94,7 +94,7 @@
         burst: 24.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        slack: 0.0,
+        ceiling_slack: 0.0,
         customers: 10,
     },
     DrillPlan {
@@ -103,7 +103,7 @@
         burst: 80.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        slack: 0.0,
+        ceiling_slack: 0.0,
         customers: 5,
     },
     DrillPlan {
@@ -112,20 +112,20 @@
         burst: 100.0,
         ceiling_rate: 90.0,
         ceiling_burst: 180.0,
-        slack: 18.0,
+        ceiling_slack: 18.0,
         customers: 3,
     },
 ];
 
 /// The plans in the words of the verdict, with all figures so many times.
-pub fn plan_bounds(times: f64) -> BTreeMap<String, PlanBounds> {
-    let one = |p: &DrillPlan| {
-        let (rate, burst, ceiling_rate) = (p.rate * times, p.burst * times, p.ceiling_rate * times);
-        let (ceiling_burst, ceiling_slack) = (p.ceiling_burst * times, p.slack);
+pub fn plan_bounds(factor: f64) -> BTreeMap<String, PlanBounds> {
+    let bounds_of = |p: &DrillPlan| {
+        let (rate, burst, ceiling_rate) = (p.rate * factor, p.burst * factor, p.ceiling_rate * factor);
+        let (ceiling_burst, ceiling_slack) = (p.ceiling_burst * factor, p.ceiling_slack);
         let bounds = PlanBounds { rate, burst, ceiling_rate, ceiling_burst, ceiling_slack };
         (p.name.to_owned(), bounds)
     };
-    PLANS.iter().map(one).collect()
+    PLANS.iter().map(bounds_of).collect()
 }
 
 /// The customers: name, plan, key.
@@ -167,34 +167,34 @@
     }
 }
 
-struct Asked {
+struct WeightedOperation {
     operation: Operation,
     units: f64,
     weight: f64,
 }
 
 /// A flood that falls behind its schedule by more than this, in ms, does not catch up.
-const FLOOD_BEHIND: f64 = 20.0;
+const MAX_FLOOD_LAG_MS: f64 = 20.0;
 
 /// The clients as a source of shots.
 pub struct Clients {
     customers: Vec<(String, &'static DrillPlan, String)>,
-    operations: Vec<Asked>,
+    operations: Vec<WeightedOperation>,
     /// Which gateways want clients, as whoever routes clients to them hears.
     open: Arc<Mutex<Vec<bool>>>,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     behavior: Arc<Mutex<ClientBehavior>>,
     /// The next time of each customer, in micros so that it can be ordered.
-    next: BinaryHeap<Reverse<(u64, usize)>>,
-    again: BinaryHeap<Reverse<(u64, u64)>>,
-    repeats: BTreeMap<u64, (usize, usize, String)>,
-    count: u64,
+    due_requests: BinaryHeap<Reverse<(u64, usize)>>,
+    due_retries: BinaryHeap<Reverse<(u64, u64)>>,
+    retries: BTreeMap<u64, (usize, usize, String)>,
+    last_number: u64,
     /// What each name was: its customer, operation, first try and whether it is a repeat itself.
-    known: BTreeMap<String, (usize, usize, String, bool)>,
+    pending: BTreeMap<String, (usize, usize, String, bool)>,
     /// The share of its quota that a customer asks for on an ordinary day.
     load: f64,
     /// When a flood's next request is due, in ms.
-    flood_next: f64,
+    flood_due: f64,
 }
 
 impl Clients {
@@ -211,34 +211,34 @@
             "licence" => 0.2,
             _ => 0.0,
         };
-        let mut asked = Vec::new();
+        let mut weighted = Vec::new();
         for operation in operations() {
             let prepared =
                 Prepared::new(Arc::clone(&schema), &operation.query, None, None, Limits::default());
             let units = prepared.map_err(|e| anyhow::anyhow!("{}: {e:?}", operation.name))?.cost().units;
-            asked.push(Asked { weight: weight(operation.name), operation, units });
+            weighted.push(WeightedOperation { weight: weight(operation.name), operation, units });
         }
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let plan = |name: &str| PLANS.iter().find(|p| p.name == name);
         let customers: Vec<_> =
             customers().into_iter().filter_map(|(n, p, k)| Some((n, plan(p)?, k))).collect();
-        let first = |at| Reverse(((start * 1000.0 + random.random::<f64>() * 3e5) as u64, at));
-        let next = (0..customers.len()).map(first).collect();
-        let (again, repeats, known) = Default::default();
-        let count = 0;
+        let first = |at| Reverse(((start * 1000.0 + rng.random::<f64>() * 3e5) as u64, at));
+        let due_requests = (0..customers.len()).map(first).collect();
+        let (due_retries, retries, pending) = Default::default();
+        let last_number = 0;
         Ok(Self {
             customers,
-            operations: asked,
+            operations: weighted,
             open,
-            random,
+            rng,
             behavior,
-            next,
-            again,
-            repeats,
-            count,
-            known,
+            due_requests,
+            due_retries,
+            retries,
+            last_number,
+            pending,
             load,
-            flood_next: start,
+            flood_due: start,
         })
     }
 
@@ -247,13 +247,14 @@
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
-        -(1.0 - self.random.random::<f64>()).ln() * mean
+        -(1.0 - self.rng.random::<f64>()).ln() * mean
     }
 
-    fn pick(&mut self, behavior: &ClientBehavior) -> usize {
-        let named = |name: &str| self.operations.iter().position(|a| a.operation.name == name).unwrap_or(0);
-        let (similar, shelf) = (named("similar"), named("shelf"));
-        let chance: f64 = self.random.random();
+    fn pick_operation(&mut self, behavior: &ClientBehavior) -> usize {
+        let index_of =
+            |name: &str| self.operations.iter().position(|o| o.operation.name == name).unwrap_or(0);
+        let (similar, shelf) = (index_of("similar"), index_of("shelf"));
+        let chance: f64 = self.rng.random();
         if chance < behavior.mispriced_share {
             return similar;
         }
@@ -261,14 +262,14 @@
             return shelf;
         }
         if let Some(share) = behavior.licence_share {
-            return named(if self.random.random::<f64>() < share { "licence" } else { "preview" });
+            return index_of(if self.rng.random::<f64>() < share { "licence" } else { "preview" });
         }
-        let total: f64 = self.operations.iter().map(|a| a.weight).sum();
-        let mut left = self.random.random::<f64>() * total;
-        for (at, asked) in self.operations.iter().enumerate() {
-            left -= asked.weight;
-            if left < 0.0 {
-                return at;
+        let total: f64 = self.operations.iter().map(|o| o.weight).sum();
+        let mut remaining = self.rng.random::<f64>() * total;
+        for (index, weighted) in self.operations.iter().enumerate() {
+            remaining -= weighted.weight;
+            if remaining < 0.0 {
+                return index;
             }
         }
         0
@@ -276,59 +277,59 @@
 
     /// The busiest gateway of a customer gets three fifths of what it asks; one that wants no clients is passed
     /// over.
-    fn gateway(&mut self, customer: usize) -> usize {
+    fn pick_gateway(&mut self, customer: usize) -> usize {
         let open = self.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
-        let (count, chance) = (open.len(), self.random.random::<f64>());
+        let (count, chance) = (open.len(), self.rng.random::<f64>());
         let other = 1 + (chance * 1000.0) as usize % (count - 1).max(1);
         let first = if chance < 0.6 || count == 1 { customer % count } else { (customer + other) % count };
         (0..count).map(|n| (first + n) % count).find(|g| open[*g]).unwrap_or(first)
     }
 
-    fn shot(
-        &mut self, now: f64, customer: usize, operation: usize, first: Option<String>,
+    fn schedule_request(
+        &mut self, now: f64, customer: usize, operation: usize, retry_of: Option<String>,
         behavior: &ClientBehavior,
     ) -> Option<ScheduledRequest> {
-        self.count += 1;
-        let id = format!("q{}", self.count);
-        let gateway = self.gateway(customer);
-        let asked = &self.operations[operation];
-        let (units, class) = (asked.units, asked.operation.class);
+        self.last_number += 1;
+        let id = format!("q{}", self.last_number);
+        let gateway = self.pick_gateway(customer);
+        let weighted = &self.operations[operation];
+        let (units, class) = (weighted.units, weighted.operation.class);
         let class = CLASSES.iter().find(|c| c.name == class)?;
-        let body = json!({"query": asked.operation.query}).to_string();
+        let body = json!({"query": weighted.operation.query}).to_string();
         let (name, plan, key) = self.customers[customer].clone();
-        let patience = class.give_up * (0.5 + 0.5 * self.random.random::<f64>()) * behavior.timeout_factor;
-        let leave = if self.random.random::<f64>() < behavior.cancel_share {
-            Some(self.random.random::<f64>() * 60.0)
+        let timeout_ms = class.give_up_ms * (0.5 + 0.5 * self.rng.random::<f64>()) * behavior.timeout_factor;
+        let cancel_after_ms = if self.rng.random::<f64>() < behavior.cancel_share {
+            Some(self.rng.random::<f64>() * 60.0)
         } else {
             None
         };
-        let key_of = first.clone().unwrap_or_else(|| id.clone());
-        self.known.insert(id.clone(), (customer, operation, key_of.clone(), first.is_some()));
-        let ask = Event::RequestSent {
+        let first_id = retry_of.clone().unwrap_or_else(|| id.clone());
+        self.pending.insert(id.clone(), (customer, operation, first_id.clone(), retry_of.is_some()));
+        let sent_event = Event::RequestSent {
             id: id.clone(),
             gateway,
             customer: name,
             plan: plan.name.into(),
             class: class.name.into(),
             retry_safety: class.retry_safety,
-            key_retention_ms: MEMORY,
+            key_retention_ms: KEY_RETENTION_MS,
             units,
             worth: class.worth,
-            target_ms: class.aim,
-            timeout_ms: patience,
-            retry_of: first,
+            target_ms: class.target_ms,
+            timeout_ms,
+            retry_of,
         };
-        let idempotency = if class.retry_safety == RetrySafety::Keyed { Some(key_of) } else { None };
+        let idempotency_key = if class.retry_safety == RetrySafety::Keyed { Some(first_id) } else { None };
         Some(ScheduledRequest {
             id,
             due_at: now,
             gateway,
             body,
             key,
-            idempotency_key: idempotency,
-            timeout_ms: patience,
-            cancel_after_ms: leave,
-            sent_event: Some(ask),
+            idempotency_key,
+            timeout_ms,
+            cancel_after_ms,
+            sent_event: Some(sent_event),
         })
     }
 }
@@ -339,41 +340,41 @@
         if behavior.stopped {
             return None;
         }
-        let first = self.next.peek().map(|r| r.0.0);
-        let again = self.again.peek().map(|r| r.0.0);
-        let ordinary = first.into_iter().chain(again).min().map(|t| t as f64 / 1000.0);
-        ordinary.into_iter().chain(behavior.flood.map(|_| self.flood_next)).reduce(f64::min)
+        let first = self.due_requests.peek().map(|r| r.0.0);
+        let retry = self.due_retries.peek().map(|r| r.0.0);
+        let ordinary = first.into_iter().chain(retry).min().map(|t| t as f64 / 1000.0);
+        ordinary.into_iter().chain(behavior.flood.map(|_| self.flood_due)).reduce(f64::min)
     }
 
     fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest> {
-        let (behavior, mut shots) = (self.behavior(), Vec::new());
-        while self.again.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
-            let Some(Reverse((_, number))) = self.again.pop() else { break };
-            let Some((customer, operation, first)) = self.repeats.remove(&number) else { continue };
-            shots.extend(self.shot(now, customer, operation, Some(first), &behavior));
+        let (behavior, mut requests) = (self.behavior(), Vec::new());
+        while self.due_retries.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
+            let Some(Reverse((_, number))) = self.due_retries.pop() else { break };
+            let Some((customer, operation, first_id)) = self.retries.remove(&number) else { continue };
+            requests.extend(self.schedule_request(now, customer, operation, Some(first_id), &behavior));
         }
-        while self.next.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
-            let Some(Reverse((at, customer))) = self.next.pop() else { break };
-            let operation = self.pick(&behavior);
+        while self.due_requests.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
+            let Some(Reverse((at, customer))) = self.due_requests.pop() else { break };
+            let operation = self.pick_operation(&behavior);
             let rate = self.customers[customer].1.rate * self.load * behavior.rate_factor.max(1e-3);
             // In units: what costs more is asked for more seldom.
             let wait = self.exponential(self.operations[operation].units / rate * 1e6);
-            self.next.push(Reverse((at + wait.min(20e6) as u64, customer)));
-            shots.extend(self.shot(now, customer, operation, None, &behavior));
+            self.due_requests.push(Reverse((at + wait.min(20e6) as u64, customer)));
+            requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
         }
         // A flood comes on top of the customer's ordinary use.
-        self.flood_next = self.flood_next.max(now - FLOOD_BEHIND);
-        while let Some((customer, times)) = behavior.flood.filter(|_| self.flood_next <= now) {
-            let operation = self.pick(&behavior);
+        self.flood_due = self.flood_due.max(now - MAX_FLOOD_LAG_MS);
+        while let Some((customer, times)) = behavior.flood.filter(|_| self.flood_due <= now) {
+            let operation = self.pick_operation(&behavior);
             let rate = self.customers[customer].1.rate * times;
-            self.flood_next += self.exponential(self.operations[operation].units / rate * 1000.0);
-            shots.extend(self.shot(now, customer, operation, None, &behavior));
+            self.flood_due += self.exponential(self.operations[operation].units / rate * 1000.0);
+            requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
         }
-        shots
+        requests
     }
 
-    fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
-        let Some((customer, operation, first, repeat)) = self.known.remove(&shot.id) else { return };
+    fn request_ended(&mut self, now: f64, request: &ScheduledRequest, end: &RequestOutcome) {
+        let Some((customer, operation, first_id, retry)) = self.pending.remove(&request.id) else { return };
         let class = self.operations[operation].operation.class;
         let retry_safety =
             CLASSES.iter().find(|c| c.name == class).map_or(RetrySafety::Unsafe, |c| c.retry_safety);
@@ -389,12 +390,12 @@
             }
             _ => return,
         };
-        if repeat || self.random.random::<f64>() < 0.5 {
+        if retry || self.rng.random::<f64>() < 0.5 {
             return;
         }
-        self.count += 1;
-        let at = now + wait * (1.0 + 0.3 * self.random.random::<f64>());
-        self.again.push(Reverse(((at * 1000.0) as u64, self.count)));
-        self.repeats.insert(self.count, (customer, operation, first));
+        self.last_number += 1;
+        let at = now + wait * (1.0 + 0.3 * self.rng.random::<f64>());
+        self.due_retries.push(Reverse(((at * 1000.0) as u64, self.last_number)));
+        self.retries.insert(self.last_number, (customer, operation, first_id));
     }
 }
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -170,17 +170,18 @@
         }
         for class in CLASSES {
             let effect = class.effect();
-            let (name, aim, give_up, worth) = (class.name, class.aim, class.give_up, class.worth);
+            let (name, target_ms, give_up_ms, worth) =
+                (class.name, class.target_ms, class.give_up_ms, class.worth);
             write!(
                 text,
-                "classes {{ name: \"{name}\" aim_ms: {aim} give_up_ms: {give_up} worth: {worth} {effect}"
+                "classes {{ name: \"{name}\" aim_ms: {target_ms} give_up_ms: {give_up_ms} worth: {worth} {effect}"
             )?;
             class.queries.iter().try_for_each(|f| write!(text, " query_fields: \"{f}\""))?;
             class.mutations.iter().try_for_each(|f| write!(text, " mutation_fields: \"{f}\""))?;
             text.push_str(" }\n");
         }
         for plan in PLANS {
-            let (name, times, slack) = (plan.name, self.times, plan.slack);
+            let (name, times, slack) = (plan.name, self.times, plan.ceiling_slack);
             let (rate, burst) = (plan.rate * times, plan.burst * times);
             let (ceiling, most) = (plan.ceiling_rate * times, plan.ceiling_burst * times);
             writeln!(
--- a/crates/drill/src/lease_drill.rs
+++ b/crates/drill/src/lease_drill.rs
@@ -305,9 +305,10 @@
         }
         text.push_str("}\n");
         for class in CLASSES {
-            let (name, aim, give_up, effect) = (class.name, class.aim, class.give_up, class.effect());
+            let (name, target_ms, give_up_ms, effect) =
+                (class.name, class.target_ms, class.give_up_ms, class.effect());
             text.push_str(&format!(
-                "classes {{ name: \"{name}\" aim_ms: {aim} give_up_ms: {give_up} {effect}"
+                "classes {{ name: \"{name}\" aim_ms: {target_ms} give_up_ms: {give_up_ms} {effect}"
             ));
             class.queries.iter().for_each(|f| text.push_str(&format!(" query_fields: \"{f}\"")));
             class.mutations.iter().for_each(|f| text.push_str(&format!(" mutation_fields: \"{f}\"")));
