--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of a drill: customers on plans, a mix of operations, retries, and manners that the script changes.
+//! The clients of a drill: customers on plans that send a mix of operations and retry some of them. The script changes their
+//! behavior.
 
 use doorcourse_conformance::{Event, Kind, PlanBounds, RetrySafety};
 use doorcourse_emulators::{
@@ -12,7 +13,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::{Arc, Mutex};
 
-/// A class of the drill's settings.
+/// A class of requests in the settings of a drill.
 pub struct DrillClass {
     pub name: &'static str,
     pub target_ms: f64,
@@ -23,11 +24,11 @@
     pub mutations: &'static [&'static str],
 }
 
-/// For how long the cells remember keys, in ms.
+/// How long the nodes of a cell keep idempotency keys.
 pub const KEY_RETENTION_MS: f64 = 4000.0;
 
 impl DrillClass {
-    /// In the words of the settings.
+    /// Returns the class's effect as the settings state it.
     pub fn effect(&self) -> String {
         match self.retry_safety {
             RetrySafety::Safe => "effect: SAFE".into(),
@@ -76,7 +77,7 @@
     },
 ];
 
-/// A plan of the drill's settings, and how many customers it has.
+/// A plan in the settings of a drill and its number of customers.
 pub struct DrillPlan {
     pub name: &'static str,
     pub rate: f64,
@@ -117,7 +118,7 @@
     },
 ];
 
-/// The plans in the words of the verdict, with all figures so many times.
+/// Returns the plans for the check of the rules, with all limits except the slack multiplied by `factor`.
 pub fn plan_bounds(factor: f64) -> BTreeMap<String, PlanBounds> {
     let bounds_of = |p: &DrillPlan| {
         let (rate, burst, ceiling_rate) = (p.rate * factor, p.burst * factor, p.ceiling_rate * factor);
@@ -128,28 +129,28 @@
     PLANS.iter().map(bounds_of).collect()
 }
 
-/// The customers: name, plan, key.
+/// Returns name, plan and key of all customers.
 pub fn customers() -> Vec<(String, &'static str, String)> {
     let of = |p: &'static DrillPlan| (0..p.customers).map(move |n| (format!("{}-{n}", p.name), p.name));
     PLANS.iter().flat_map(of).map(|(name, plan)| (name.clone(), plan, format!("key-of-{name}"))).collect()
 }
 
-/// What the script changes.
+/// Behavior of the clients that the script changes.
 #[derive(Clone, Debug)]
 pub struct ClientBehavior {
-    /// One customer asks for this many times its quota.
+    /// Index of a customer and the multiple of its quota that it requests on top of its usual requests.
     pub flood: Option<(usize, f64)>,
-    /// This share of the clients leaves midway.
+    /// Share of requests that the client cancels early.
     pub cancel_share: f64,
-    /// A factor on all patience.
+    /// Factor on all client timeouts.
     pub timeout_factor: f64,
-    /// This share asks what truly costs five times its price; as many what costs a fifth.
+    /// Share of requests whose true cost is five times their price; the same share costs a fifth of its price.
     pub mispriced_share: f64,
-    /// A factor on what all ask for.
+    /// Factor on the request rate of all customers.
     pub rate_factor: f64,
-    /// The share of licence orders, where it is not the ordinary one.
+    /// Share of licence orders, if it differs from the usual mix.
     pub licence_share: Option<f64>,
-    /// The day is over: nothing new is asked.
+    /// Whether clients have stopped sending requests.
     pub stopped: bool,
 }
 
@@ -167,38 +168,42 @@
     }
 }
 
+/// An operation with its price in units and its weight in the mix.
 struct WeightedOperation {
     operation: Operation,
     units: f64,
     weight: f64,
 }
 
-/// A flood that falls behind its schedule by more than this, in ms, does not catch up.
+/// A flood that falls behind its schedule by more than this does not catch up.
 const MAX_FLOOD_LAG_MS: f64 = 20.0;
 
-/// The clients as a source of shots.
+/// The source of the clients' requests.
 pub struct Clients {
     customers: Vec<(String, &'static DrillPlan, String)>,
     operations: Vec<WeightedOperation>,
-    /// Which gateways want clients, as whoever routes clients to them hears.
+    /// Which gateways accept new clients.
     open: Arc<Mutex<Vec<bool>>>,
     rng: ChaCha8Rng,
     behavior: Arc<Mutex<ClientBehavior>>,
-    /// The next time of each customer, in micros so that it can be ordered.
+    /// Time in microseconds of the next request of each customer; integers, so that they can be ordered.
     due_requests: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Time in microseconds and number of each due retry.
     due_retries: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Customer, operation and id of the first request of each due retry, by its number.
     retries: BTreeMap<u64, (usize, usize, String)>,
+    /// Last number used for a request id or a retry.
     last_number: u64,
-    /// What each name was: its customer, operation, first try and whether it is a repeat itself.
+    /// Customer, operation, id of the first request and whether it is a retry, for each request without a result yet.
     pending: BTreeMap<String, (usize, usize, String, bool)>,
-    /// The share of its quota that a customer asks for on an ordinary day.
+    /// Share of its quota that a customer requests, before the factor on its rate.
     load: f64,
-    /// When a flood's next request is due, in ms.
+    /// Time of the next request of a flood, in ms.
     flood_due: f64,
 }
 
 impl Clients {
-    /// The customers of the drill, from a time on.
+    /// Creates the customers of the drill, which send requests from `start` on.
     pub fn new(
         seed: u64, open: Arc<Mutex<Vec<bool>>>, behavior: Arc<Mutex<ClientBehavior>>, start: f64, load: f64,
     ) -> anyhow::Result<Self> {
@@ -246,6 +251,7 @@
         self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
+    /// Returns an exponentially distributed random number.
     fn exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.rng.random::<f64>()).ln() * mean
     }
@@ -275,8 +281,8 @@
         0
     }
 
-    /// The busiest gateway of a customer gets three fifths of what it asks; one that wants no clients is passed
-    /// over.
+    /// Chooses a gateway: the main gateway of a customer gets three fifths of its requests. Gateways that do not accept
+    /// clients are skipped.
     fn pick_gateway(&mut self, customer: usize) -> usize {
         let open = self.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
         let (count, chance) = (open.len(), self.rng.random::<f64>());
@@ -357,12 +363,12 @@
             let Some(Reverse((at, customer))) = self.due_requests.pop() else { break };
             let operation = self.pick_operation(&behavior);
             let rate = self.customers[customer].1.rate * self.load * behavior.rate_factor.max(1e-3);
-            // In units: what costs more is asked for more seldom.
+            // The rate is in units, so more expensive operations are sent less often.
             let wait = self.exponential(self.operations[operation].units / rate * 1e6);
             self.due_requests.push(Reverse((at + wait.min(20e6) as u64, customer)));
             requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
         }
-        // A flood comes on top of the customer's ordinary use.
+        // A flood comes on top of the usual requests of the customer.
         self.flood_due = self.flood_due.max(now - MAX_FLOOD_LAG_MS);
         while let Some((customer, times)) = behavior.flood.filter(|_| self.flood_due <= now) {
             let operation = self.pick_operation(&behavior);
@@ -378,7 +384,7 @@
         let class = self.operations[operation].operation.class;
         let retry_safety =
             CLASSES.iter().find(|c| c.name == class).map_or(RetrySafety::Unsafe, |c| c.retry_safety);
-        // A client tries once more: anything safe, the rest only where it was told that this is harmless.
+        // A client retries at most once. After a failure it retries only safe requests; after a refusal, any request.
         let wait = match end {
             RequestOutcome::Response { kind: Kind::Refused, retry_after, .. } => retry_after.unwrap_or(500.0),
             RequestOutcome::Response { kind: Kind::Failed, .. }
