--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -183,7 +183,7 @@
     customers: Vec<(String, &'static DrillPlan, String)>,
     operations: Vec<WeightedOperation>,
     /// Which gateways accept new clients.
-    open: Arc<Mutex<Vec<bool>>>,
+    accepting: Arc<Mutex<Vec<bool>>>,
     rng: ChaCha8Rng,
     behavior: Arc<Mutex<ClientBehavior>>,
     /// Time in microseconds of the next request of each customer; integers, so that they can be ordered.
@@ -205,7 +205,8 @@
 impl Clients {
     /// Creates the customers of the drill, which send requests from `start` on.
     pub fn new(
-        seed: u64, open: Arc<Mutex<Vec<bool>>>, behavior: Arc<Mutex<ClientBehavior>>, start: f64, load: f64,
+        seed: u64, accepting: Arc<Mutex<Vec<bool>>>, behavior: Arc<Mutex<ClientBehavior>>, start: f64,
+        load: f64,
     ) -> anyhow::Result<Self> {
         let schema = Arc::new(Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("{e:?}"))?);
         let weight = |name: &str| match name {
@@ -234,7 +235,7 @@
         Ok(Self {
             customers,
             operations: weighted,
-            open,
+            accepting,
             rng,
             behavior,
             due_requests,
@@ -284,11 +285,11 @@
     /// Chooses a gateway: the main gateway of a customer gets three fifths of its requests. Gateways that do not accept
     /// clients are skipped.
     fn pick_gateway(&mut self, customer: usize) -> usize {
-        let open = self.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
-        let (count, chance) = (open.len(), self.rng.random::<f64>());
+        let accepting = self.accepting.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
+        let (count, chance) = (accepting.len(), self.rng.random::<f64>());
         let other = 1 + (chance * 1000.0) as usize % (count - 1).max(1);
         let first = if chance < 0.6 || count == 1 { customer % count } else { (customer + other) % count };
-        (0..count).map(|n| (first + n) % count).find(|g| open[*g]).unwrap_or(first)
+        (0..count).map(|n| (first + n) % count).find(|g| accepting[*g]).unwrap_or(first)
     }
 
     fn schedule_request(
--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, bail};
 use doorcourse_conformance::Event;
 use doorcourse_emulators::{
-    CATALOGUE, Command as Order, EmulatorServer, EmulatorServerSpec, ListedNode, NodeFault, NodeListFile,
-    NodeSpec, Recorder, Relay,
+    CATALOGUE, Command as EmulatorCommand, EmulatorServer, EmulatorServerSpec, ListedNode, NodeFault,
+    NodeListFile, NodeSpec, Recorder, Relay,
 };
 use doorcourse_event_loop::Clock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -31,12 +31,12 @@
     pub nodes: usize,
     pub seed: u64,
     /// How long a cold node takes to warm, in ms.
-    pub warm: f64,
+    pub warm_up_ms: f64,
     /// Between "not ready" and closed listeners, and what is out has, in ms.
-    pub notice: f64,
-    pub drain: f64,
+    pub notice_ms: f64,
+    pub drain_ms: f64,
     /// Whether gateways keep a state file.
-    pub state: bool,
+    pub keep_state: bool,
     /// An httpd configuration that the node list is imported from; empty for none.
     pub httpd: String,
     /// Whether suspect nodes are tried by one gateway for all, and whether the choice of nodes goes by its word.
@@ -48,17 +48,17 @@
 /// What a cold node starts with, and what fells it.
 pub const COLD_SHARE: f64 = 0.25;
 pub const FALL_MULTIPLE: f64 = 2.0;
-pub const FALL_TIME: f64 = 1000.0;
+pub const FALL_WINDOW_MS: f64 = 1000.0;
 /// How often gateways look at the list, and the grace of a drain behind that, in ms.
-pub const POLL: f64 = 100.0;
-pub const GRACE: f64 = 250.0;
-const MARGIN: f64 = 60.0;
+pub const LIST_POLL_MS: f64 = 100.0;
+pub const DRAIN_GRACE_MS: f64 = 250.0;
+const ANSWER_MARGIN_MS: f64 = 60.0;
 
 /// A gateway's process that was begun and has not told where it serves.
-struct Begun {
+struct StartingGateway {
     child: Child,
-    serves: mpsc::Receiver<SocketAddr>,
-    link: mpsc::Receiver<SocketAddr>,
+    serving_address: mpsc::Receiver<SocketAddr>,
+    link_address: mpsc::Receiver<SocketAddr>,
 }
 
 /// A running fleet.
@@ -66,15 +66,15 @@
     spec: FleetSpec,
     pub clock: Clock,
     pub recorder: Recorder,
-    pub world: EmulatorServer,
+    pub emulators: EmulatorServer,
     pub list: NodeListFile,
     /// Where each gateway listens; a restarted one has a new port.
     pub addresses: Arc<Mutex<Vec<SocketAddr>>>,
     /// Which gateways want clients.
-    pub open: Arc<Mutex<Vec<bool>>>,
+    pub accepting: Arc<Mutex<Vec<bool>>>,
     gateways: Vec<Option<Child>>,
     /// What all plans' figures are multiplied by.
-    times: f64,
+    plan_factor: f64,
     /// The gateways' datagrams to each other.
     relay: Option<Relay>,
 }
@@ -85,20 +85,20 @@
         std::fs::create_dir_all(&spec.folder).with_context(|| spec.folder.display().to_string())?;
         let clock = Clock::default();
         let recorder = Recorder::new(clock);
-        let node = |at: usize| NodeSpec {
-            name: format!("node-{at}"),
+        let node = |index: usize| NodeSpec {
+            name: format!("node-{index}"),
             // httpd's files know no cells.
-            cell: if spec.httpd.is_empty() { (at % 2) as u64 } else { 0 },
+            cell: if spec.httpd.is_empty() { (index % 2) as u64 } else { 0 },
             cores: 2,
             queue: 40,
             cold_share: COLD_SHARE,
-            warm_up_ms: spec.warm,
+            warm_up_ms: spec.warm_up_ms,
             fall_multiple: FALL_MULTIPLE,
-            fall_window_ms: FALL_TIME,
+            fall_window_ms: FALL_WINDOW_MS,
             key_retention_ms: 4000.0,
         };
         let nodes: Vec<NodeSpec> = (0..spec.nodes).map(node).collect();
-        let world = EmulatorServerSpec {
+        let emulators = EmulatorServerSpec {
             nodes: nodes.clone(),
             listen: None,
             counter: true,
@@ -108,8 +108,8 @@
             speed: 1.0,
             discard_records: false,
         };
-        let world = EmulatorServer::start(&world, clock, recorder.clone())?;
-        let listed = nodes.iter().zip(&world.node_addresses).map(|(node, address)| ListedNode {
+        let emulators = EmulatorServer::start(&emulators, clock, recorder.clone())?;
+        let listed = nodes.iter().zip(&emulators.node_addresses).map(|(node, address)| ListedNode {
             name: node.name.clone(),
             address: *address,
             cell: node.cell,
@@ -121,23 +121,33 @@
         if spec.httpd.is_empty() {
             list.write()?;
         } else {
-            import(&spec, &world.node_addresses, "")?;
+            run_import(&spec, &emulators.node_addresses, "")?;
         }
         std::fs::write(spec.folder.join("catalogue.graphql"), CATALOGUE)?;
-        let none = SocketAddr::from(([127, 0, 0, 1], 9));
-        let addresses = Arc::new(Mutex::new(vec![none; spec.gateways]));
+        let no_address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let addresses = Arc::new(Mutex::new(vec![no_address; spec.gateways]));
         let gateways = (0..spec.gateways).map(|_| None).collect();
-        let open = Arc::new(Mutex::new(vec![false; spec.gateways]));
+        let accepting = Arc::new(Mutex::new(vec![false; spec.gateways]));
         let relay = spec.suspects.map(|_| Relay::start(spec.gateways, spec.seed)).transpose()?;
         std::fs::write(spec.folder.join("secret"), "the secret of a drill's fleet\n")?;
-        let mut fleet =
-            Self { spec, relay, clock, recorder, world, list, addresses, open, gateways, times: 1.0 };
+        let mut fleet = Self {
+            spec,
+            relay,
+            clock,
+            recorder,
+            emulators,
+            list,
+            addresses,
+            accepting,
+            gateways,
+            plan_factor: 1.0,
+        };
         fleet.start_gateways(&(0..fleet.gateways.len()).collect::<Vec<_>>())?;
         Ok(fleet)
     }
 
     /// How a gateway reaches the others.
-    fn link(&self, number: usize) -> String {
+    fn link_settings(&self, number: usize) -> String {
         let Some(relay) = &self.relay else { return String::new() };
         let peers = (0..self.spec.gateways).filter(|to| *to != number);
         let peer = |to| format!("peers {{ number: {to} address: \"{}\" }} ", relay.address(number, to));
@@ -145,27 +155,27 @@
         format!("link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" {peers} }}")
     }
 
-    fn settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.world.counter_address.context("the fleet's counter has no address")?;
+    fn write_settings(&self, number: usize) -> anyhow::Result<PathBuf> {
+        let counter = self.emulators.counter_address.context("the fleet's counter has no address")?;
         let mut text = format!(
             "fleet {{ gateways: {} number: {number} {} }}\nlisten: \"127.0.0.1:0\"\n\
              counter {{ address: \"{counter}\" password: \"drill\" timeout_ms: 50 dead_after_ms: 400 longest_wait_ms: 400 }}\n\
-             node_list {{ file: \"nodes.txtpb\" poll_ms: {POLL} }}\n\
+             node_list {{ file: \"nodes.txtpb\" poll_ms: {LIST_POLL_MS} }}\n\
              graphql {{ schema_file: \"catalogue.graphql\" }}\n\
-             cold_nodes {{ share: {COLD_SHARE} warm_ms: {} fall_multiple: {FALL_MULTIPLE} fall_ms: {FALL_TIME} }}\n\
-             limits {{ answer_margin_ms: {MARGIN} }}\nlife {{ notice_ms: {} drain_ms: {} quiet_ms: 300 give_back_ms: 300 }}\n\
+             cold_nodes {{ share: {COLD_SHARE} warm_ms: {} fall_multiple: {FALL_MULTIPLE} fall_ms: {FALL_WINDOW_MS} }}\n\
+             limits {{ answer_margin_ms: {ANSWER_MARGIN_MS} }}\nlife {{ notice_ms: {} drain_ms: {} quiet_ms: 300 give_back_ms: 300 }}\n\
              admin {{ socket: \"gateway-{number}.sock\" }}\n\
              attempts {{ most: 3 longest_advice_ms: 2000 }}\n",
             self.spec.gateways,
-            self.link(number),
-            self.spec.warm,
-            self.spec.notice,
-            self.spec.drain
+            self.link_settings(number),
+            self.spec.warm_up_ms,
+            self.spec.notice_ms,
+            self.spec.drain_ms
         );
         if let Some(apply) = self.spec.suspects {
             writeln!(text, "leases {{ length_ms: 1500 suspects {{ apply: {apply} timeout_ms: 300 }} }}")?;
         }
-        if self.spec.state {
+        if self.spec.keep_state {
             writeln!(text, "state {{ file: \"gateway-{number}.state\" every_ms: 200 }}")?;
         }
         for class in CLASSES {
@@ -181,9 +191,9 @@
             text.push_str(" }\n");
         }
         for plan in PLANS {
-            let (name, times, slack) = (plan.name, self.times, plan.ceiling_slack);
-            let (rate, burst) = (plan.rate * times, plan.burst * times);
-            let (ceiling, most) = (plan.ceiling_rate * times, plan.ceiling_burst * times);
+            let (name, factor, slack) = (plan.name, self.plan_factor, plan.ceiling_slack);
+            let (rate, burst) = (plan.rate * factor, plan.burst * factor);
+            let (ceiling, most) = (plan.ceiling_rate * factor, plan.ceiling_burst * factor);
             writeln!(
                 text,
                 "plans {{ name: \"{name}\" rate: {rate} burst: {burst} ceiling_rate: {ceiling} \
@@ -200,154 +210,171 @@
     }
 
     /// Starts gateways, all at once, and waits until each tells where it serves.
-    pub fn start_gateways(&mut self, which: &[usize]) -> anyhow::Result<()> {
-        let begun = which.iter().map(|at| self.begin(*at, &[])).collect::<anyhow::Result<Vec<_>>>()?;
+    pub fn start_gateways(&mut self, gateways: &[usize]) -> anyhow::Result<()> {
+        let starting = gateways
+            .iter()
+            .map(|gateway| self.spawn_gateway(*gateway, &[]))
+            .collect::<anyhow::Result<Vec<_>>>()?;
         // All are waited for, so that one that does not come up leaves no other behind.
-        let came: Vec<anyhow::Result<Child>> =
-            which.iter().zip(begun).map(|(at, begun)| self.came(*at, begun)).collect();
-        for (at, child) in which.iter().zip(came) {
-            self.gateways[*at] = Some(child?);
-            self.recorder.record(Event::GatewayUp { gateway: *at });
-            self.want(*at, true);
+        let started: Vec<anyhow::Result<Child>> = gateways
+            .iter()
+            .zip(starting)
+            .map(|(gateway, starting)| self.wait_until_serving(*gateway, starting))
+            .collect();
+        for (gateway, child) in gateways.iter().zip(started) {
+            self.gateways[*gateway] = Some(child?);
+            self.recorder.record(Event::GatewayUp { gateway: *gateway });
+            self.set_accepting(*gateway, true);
         }
         Ok(())
     }
 
-    fn begin(&self, at: usize, more: &[&str]) -> anyhow::Result<Begun> {
-        let settings = self.settings(at)?;
+    fn spawn_gateway(&self, gateway: usize, extra_args: &[&str]) -> anyhow::Result<StartingGateway> {
+        let settings = self.write_settings(gateway)?;
         // No two share a seed, and a restarted one takes a fresh one.
-        let seed = self.spec.seed.wrapping_mul(1000) + at as u64 + self.clock.now() as u64 % 997 * 10;
+        let seed = self.spec.seed.wrapping_mul(1000) + gateway as u64 + self.clock.now() as u64 % 997 * 10;
         let mut child = Command::new(&self.spec.binary)
             .args(["serve", "--seed", &seed.to_string(), "--config"])
             .arg(&settings)
-            .args(more)
+            .args(extra_args)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .with_context(|| self.spec.binary.display().to_string())?;
-        let log = self.spec.folder.join(format!("gateway-{at}.log"));
+        let log = self.spec.folder.join(format!("gateway-{gateway}.log"));
         let lines = child.stderr.take().context("a gateway without a log")?;
-        let (told, serves) = mpsc::channel();
-        let (linked, link) = mpsc::channel();
-        std::thread::spawn(move || copy_log(&log, BufReader::new(lines), &told, &linked));
-        Ok(Begun { child, serves, link })
+        let (serving_sender, serving_address) = mpsc::channel();
+        let (link_sender, link_address) = mpsc::channel();
+        std::thread::spawn(move || copy_log(&log, BufReader::new(lines), &serving_sender, &link_sender));
+        Ok(StartingGateway { child, serving_address, link_address })
     }
 
-    fn came(&self, at: usize, begun: Begun) -> anyhow::Result<Child> {
-        let Begun { mut child, serves, link } = begun;
-        let Ok(address) = serves.recv_timeout(Duration::from_secs(20)) else {
+    fn wait_until_serving(&self, gateway: usize, starting: StartingGateway) -> anyhow::Result<Child> {
+        let StartingGateway { mut child, serving_address, link_address } = starting;
+        let Ok(address) = serving_address.recv_timeout(Duration::from_secs(20)) else {
             let _ = child.kill();
             let _ = child.wait();
-            bail!("gateway {at} did not come to serve; see its log in {}", self.spec.folder.display());
+            bail!("gateway {gateway} did not come to serve; see its log in {}", self.spec.folder.display());
         };
-        self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = address;
+        self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[gateway] = address;
         if let Some(relay) = &self.relay {
             relay.set_destination(
-                at,
-                link.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?,
+                gateway,
+                link_address.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?,
             );
         }
         Ok(child)
     }
 
-    fn spawn(&self, at: usize, more: &[&str]) -> anyhow::Result<Child> {
-        self.came(at, self.begin(at, more)?)
+    fn start_gateway(&self, gateway: usize, extra_args: &[&str]) -> anyhow::Result<Child> {
+        self.wait_until_serving(gateway, self.spawn_gateway(gateway, extra_args)?)
     }
 
-    fn want(&self, at: usize, wanted: bool) {
-        self.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = wanted;
+    fn set_accepting(&self, gateway: usize, accepting: bool) {
+        self.accepting.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[gateway] = accepting;
     }
 
-    fn signal(&self, at: usize, signal: Signal) -> anyhow::Result<()> {
-        let child = self.gateways[at].as_ref().with_context(|| format!("gateway {at} does not run"))?;
+    fn signal(&self, gateway: usize, signal: Signal) -> anyhow::Result<()> {
+        let child =
+            self.gateways[gateway].as_ref().with_context(|| format!("gateway {gateway} does not run"))?;
         Ok(kill_process(Pid::from_child(child), signal)?)
     }
 
     /// Tells a gateway to stop in order, once or twice, and waits until it ended.
-    pub fn stop_gateway(&mut self, at: usize, times: u32) -> anyhow::Result<()> {
+    pub fn stop_gateway(&mut self, gateway: usize, times: u32) -> anyhow::Result<()> {
         // Whoever routes clients hears "not ready" within the notice.
-        self.want(at, false);
-        self.signal(at, Signal::TERM)?;
-        std::thread::sleep(Duration::from_secs_f64(self.spec.notice / 1000.0));
-        self.recorder.record(Event::GatewayDown { gateway: at });
+        self.set_accepting(gateway, false);
+        self.signal(gateway, Signal::TERM)?;
+        std::thread::sleep(Duration::from_secs_f64(self.spec.notice_ms / 1000.0));
+        self.recorder.record(Event::GatewayDown { gateway });
         for _ in 1..times {
-            self.signal(at, Signal::TERM)?;
+            self.signal(gateway, Signal::TERM)?;
         }
-        self.ended(at)
+        self.wait_for_exit(gateway)
     }
 
-    fn ended(&mut self, at: usize) -> anyhow::Result<()> {
-        let mut child = self.gateways[at].take().with_context(|| format!("gateway {at} does not run"))?;
-        self.wait(at, &mut child)
+    fn wait_for_exit(&mut self, gateway: usize) -> anyhow::Result<()> {
+        let mut child =
+            self.gateways[gateway].take().with_context(|| format!("gateway {gateway} does not run"))?;
+        self.check_exit(gateway, &mut child)
     }
 
-    fn wait(&self, at: usize, child: &mut Child) -> anyhow::Result<()> {
+    fn check_exit(&self, gateway: usize, child: &mut Child) -> anyhow::Result<()> {
         let status = child.wait()?;
         if !status.success() {
-            bail!("gateway {at} ended with {status}; see its log in {}", self.spec.folder.display());
+            bail!("gateway {gateway} ended with {status}; see its log in {}", self.spec.folder.display());
         }
         Ok(())
     }
 
     /// A new process takes a gateway's sockets over; the old one drains and is waited for.
-    pub fn take_over(&mut self, at: usize) -> anyhow::Result<()> {
-        let new = self.spawn(at, &["--take-over"])?;
-        let mut old = self.gateways[at].replace(new).with_context(|| format!("gateway {at} does not run"))?;
-        self.wait(at, &mut old)
+    pub fn take_over_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
+        let new_process = self.start_gateway(gateway, &["--take-over"])?;
+        let mut old_process = self.gateways[gateway]
+            .replace(new_process)
+            .with_context(|| format!("gateway {gateway} does not run"))?;
+        self.check_exit(gateway, &mut old_process)
     }
 
     /// All gateways take settings with the plans' figures so many times.
-    pub fn reload(&mut self, times: f64) -> anyhow::Result<()> {
-        self.times = times;
-        for at in 0..self.gateways.len() {
-            self.settings(at)?;
-            let reply = self.call(at, "reload")?;
+    pub fn reload(&mut self, factor: f64) -> anyhow::Result<()> {
+        self.plan_factor = factor;
+        for gateway in 0..self.gateways.len() {
+            self.write_settings(gateway)?;
+            let reply = self.call_gateway(gateway, "reload")?;
             if let Some(why) = reply["error"]["message"].as_str() {
-                bail!("gateway {at} refused its new settings: {why}");
+                bail!("gateway {gateway} refused its new settings: {why}");
             }
         }
         Ok(())
     }
 
     /// All gateways are given settings with a fault, which they must refuse by place.
-    pub fn reload_bad(&mut self) -> anyhow::Result<()> {
-        for at in 0..self.gateways.len() {
-            let path = self.settings(at)?;
+    pub fn reload_invalid(&mut self) -> anyhow::Result<()> {
+        for gateway in 0..self.gateways.len() {
+            let path = self.write_settings(gateway)?;
             let good = std::fs::read_to_string(&path)?;
             std::fs::write(&path, good.replacen("burst: ", "burst: -", 1))?;
-            let reply = self.call(at, "reload")?;
+            let reply = self.call_gateway(gateway, "reload")?;
             std::fs::write(&path, good)?;
             let why = reply["error"]["message"].as_str().unwrap_or("");
             if !why.contains("burst") {
-                bail!("gateway {at} took settings with a fault: {reply}");
+                bail!("gateway {gateway} took settings with a fault: {reply}");
             }
         }
         Ok(())
     }
 
     /// Where a gateway's state file is first written, something is in its way; or no more.
-    pub fn spoil_state(&self, at: usize, spoil: bool) -> anyhow::Result<()> {
-        let beside = self.spec.folder.join(format!("gateway-{at}.state.new"));
-        if spoil {
+    pub fn block_state_file(&self, gateway: usize, blocked: bool) -> anyhow::Result<()> {
+        let temporary = self.spec.folder.join(format!("gateway-{gateway}.state.new"));
+        if blocked {
             // The gateway may be just writing there: its file is moved away in a moment.
-            let until = self.clock.now() + 5000.0;
-            while std::fs::create_dir(&beside).is_err() {
-                anyhow::ensure!(self.clock.now() < until, "{}: cannot be put in the way", beside.display());
+            let deadline = self.clock.now() + 5000.0;
+            while std::fs::create_dir(&temporary).is_err() {
+                anyhow::ensure!(
+                    self.clock.now() < deadline,
+                    "{}: cannot be put in the way",
+                    temporary.display()
+                );
                 std::thread::sleep(Duration::from_millis(1));
             }
-        } else if beside.is_dir() {
-            std::fs::remove_dir(&beside)?;
+        } else if temporary.is_dir() {
+            std::fs::remove_dir(&temporary)?;
         }
         Ok(())
     }
 
     /// What a gateway that does not run finds on its disk when it starts.
-    pub fn state_of(&self, at: usize, what: Option<&StateWhat>) -> anyhow::Result<()> {
-        anyhow::ensure!(self.gateways[at].is_none(), "gateway {at} runs: its state file is its own");
-        let path = |at: usize| self.spec.folder.join(format!("gateway-{at}.state"));
-        let file = path(at);
-        match what {
+    pub fn change_state_file(&self, gateway: usize, change: Option<&StateWhat>) -> anyhow::Result<()> {
+        anyhow::ensure!(
+            self.gateways[gateway].is_none(),
+            "gateway {gateway} runs: its state file is its own"
+        );
+        let path = |gateway: usize| self.spec.folder.join(format!("gateway-{gateway}.state"));
+        let file = path(gateway);
+        match change {
             Some(StateWhat::Removed(_)) => {
                 std::fs::remove_file(&file).with_context(|| file.display().to_string())?
             }
@@ -372,12 +399,12 @@
     }
 
     /// The node list is imported anew, with this behind the configuration.
-    pub fn import(&self, more: &str) -> anyhow::Result<()> {
-        import(&self.spec, &self.world.node_addresses, more)
+    pub fn import_node_list(&self, extra_lines: &str) -> anyhow::Result<()> {
+        run_import(&self.spec, &self.emulators.node_addresses, extra_lines)
     }
 
     /// The list's file holds nonsense, until it is written again.
-    pub fn spoil_list(&self) -> anyhow::Result<()> {
+    pub fn corrupt_node_list(&self) -> anyhow::Result<()> {
         Ok(std::fs::write(self.spec.folder.join("nodes.txtpb"), "nodes { name: ")?)
     }
 
@@ -389,14 +416,14 @@
 
     /// The process of a gateway.
     #[must_use]
-    pub fn process(&self, at: usize) -> Option<u32> {
-        self.gateways[at].as_ref().map(Child::id)
+    pub fn process_id(&self, gateway: usize) -> Option<u32> {
+        self.gateways[gateway].as_ref().map(Child::id)
     }
 
     /// One call on a gateway's admin socket.
-    pub fn call(&self, at: usize, method: &str) -> anyhow::Result<serde_json::Value> {
+    pub fn call_gateway(&self, gateway: usize, method: &str) -> anyhow::Result<serde_json::Value> {
         use std::io::Write as _;
-        let path = self.spec.folder.join(format!("gateway-{at}.sock"));
+        let path = self.spec.folder.join(format!("gateway-{gateway}.sock"));
         let mut stream = UnixStream::connect(&path).with_context(|| path.display().to_string())?;
         stream.set_read_timeout(Some(Duration::from_secs(10)))?;
         stream.write_all(format!("{{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"{method}\"}}\n").as_bytes())?;
@@ -406,9 +433,9 @@
     }
 
     /// Kills a gateway outright.
-    pub fn kill_gateway(&mut self, at: usize) -> anyhow::Result<()> {
-        self.recorder.record(Event::GatewayDown { gateway: at });
-        if let Some(mut child) = self.gateways[at].take() {
+    pub fn kill_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
+        self.recorder.record(Event::GatewayDown { gateway });
+        if let Some(mut child) = self.gateways[gateway].take() {
             child.kill()?;
             child.wait()?;
         }
@@ -416,8 +443,8 @@
     }
 
     /// Tells a node something.
-    pub fn node(&self, at: usize, fault: NodeFault) {
-        self.world.send(Order::Node(at, fault));
+    pub fn inject_node_fault(&self, node: usize, fault: NodeFault) {
+        self.emulators.send(EmulatorCommand::Node(node, fault));
     }
 }
 
@@ -431,24 +458,26 @@
 }
 
 /// Imports the node list as a person would, by the command.
-fn import(spec: &FleetSpec, nodes: &[SocketAddr], more: &str) -> anyhow::Result<()> {
+fn run_import(spec: &FleetSpec, nodes: &[SocketAddr], extra_lines: &str) -> anyhow::Result<()> {
     let file = spec.folder.join("httpd.conf");
-    std::fs::write(&file, format!("{}\n{more}\n", spec.httpd))?;
-    let defines = nodes.iter().enumerate().flat_map(|(at, n)| ["-D".to_owned(), format!("NODE{at}={n}")]);
-    let done = Command::new(&spec.binary)
+    std::fs::write(&file, format!("{}\n{extra_lines}\n", spec.httpd))?;
+    let address_args =
+        nodes.iter().enumerate().flat_map(|(index, n)| ["-D".to_owned(), format!("NODE{index}={n}")]);
+    let output = Command::new(&spec.binary)
         .args(["import", "apache", "--strict", "--out"])
         .arg(spec.folder.join("nodes.txtpb"))
-        .args(defines)
+        .args(address_args)
         .arg(&file)
         .output()
         .with_context(|| spec.binary.display().to_string())?;
-    anyhow::ensure!(done.status.success(), "import: {}", String::from_utf8_lossy(&done.stderr));
+    anyhow::ensure!(output.status.success(), "import: {}", String::from_utf8_lossy(&output.stderr));
     Ok(())
 }
 
 /// Copies a gateway's log to its file and tells the address in it.
 fn copy_log(
-    path: &Path, lines: impl BufRead, told: &mpsc::Sender<SocketAddr>, linked: &mpsc::Sender<SocketAddr>,
+    path: &Path, lines: impl BufRead, serving_sender: &mpsc::Sender<SocketAddr>,
+    link_sender: &mpsc::Sender<SocketAddr>,
 ) {
     use std::io::Write as _;
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
@@ -459,8 +488,8 @@
         let json: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
         let Some(address) = json["address"].as_str().and_then(|a| a.parse().ok()) else { continue };
         match json["message"].as_str() {
-            Some("serving") => drop(told.send(address)),
-            Some("link up") => drop(linked.send(address)),
+            Some("serving") => drop(serving_sender.send(address)),
+            Some("link up") => drop(link_sender.send(address)),
             _ => {}
         }
     }
--- a/crates/drill/src/local_fleet.rs
+++ b/crates/drill/src/local_fleet.rs
@@ -36,7 +36,7 @@
 
 const SOCKET: &str = "fleet.sock";
 /// How long a cold node takes to warm, in ms.
-const WARM: f64 = 10_000.0;
+const WARM_UP_MS: f64 = 10_000.0;
 
 /// Brings a fleet up and tends it until it is told to stop, or by SIGINT or SIGTERM.
 ///
@@ -60,10 +60,10 @@
         gateways: options.gateways,
         nodes: options.nodes,
         seed: options.seed,
-        warm: WARM,
-        notice: 200.0,
-        drain: 3000.0,
-        state: true,
+        warm_up_ms: WARM_UP_MS,
+        notice_ms: 200.0,
+        drain_ms: 3000.0,
+        keep_state: true,
         customers: customers(),
     })?;
     let (recorder, clock) = (fleet.recorder.clone(), fleet.clock);
@@ -73,8 +73,8 @@
     listener.set_nonblocking(true)?;
     let behavior =
         Arc::new(Mutex::new(ClientBehavior { stopped: options.load <= 0.0, ..ClientBehavior::default() }));
-    let (open, load) = (Arc::clone(&fleet.open), options.load.max(0.01));
-    let mut clients = Clients::new(options.seed, open, Arc::clone(&behavior), clock.now(), load)?;
+    let (accepting, load) = (Arc::clone(&fleet.accepting), options.load.max(0.01));
+    let mut clients = Clients::new(options.seed, accepting, Arc::clone(&behavior), clock.now(), load)?;
     let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
     let mut playing = ActiveDrill { fleet, behavior, nodes: options.nodes };
@@ -143,9 +143,10 @@
     let fleet = &playing.fleet;
     let addresses = fleet.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
     let gateway = |(at, address): (usize, &std::net::SocketAddr)| {
-        let state =
-            fleet.call(at, "status").map_or(json!("does not answer"), |v| v["result"]["state"].clone());
-        json!({"gateway": at, "address": address.to_string(), "process": fleet.process(at), "state": state})
+        let state = fleet
+            .call_gateway(at, "status")
+            .map_or(json!("does not answer"), |v| v["result"]["state"].clone());
+        json!({"gateway": at, "address": address.to_string(), "process": fleet.process_id(at), "state": state})
     };
     let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.listed, "drains": n.draining});
     json!({
--- a/crates/drill/src/runner.rs
+++ b/crates/drill/src/runner.rs
@@ -2,7 +2,7 @@
 //! sockets.
 
 use crate::clients::{ClientBehavior, Clients, customers, plan_bounds};
-use crate::fleet::{FALL_MULTIPLE, FALL_TIME, Fleet, FleetSpec, GRACE, POLL};
+use crate::fleet::{DRAIN_GRACE_MS, FALL_MULTIPLE, FALL_WINDOW_MS, Fleet, FleetSpec, LIST_POLL_MS};
 use crate::script::{Drill, Expect, NodeWhat, Share, Suspects, Until, Wait, What};
 use doorcourse_conformance::{
     Bounds, Event, Kind, Record, Recovery, Report, ResponseCounts, measure_recoveries, summarize,
@@ -78,11 +78,11 @@
     Event::Bounds(Bounds {
         plans: plan_bounds(times),
         response_slack_ms: SLACK,
-        drain_grace_ms: POLL + GRACE,
+        drain_grace_ms: LIST_POLL_MS + DRAIN_GRACE_MS,
         allowed_bursts: BURSTS,
         max_request_units: MOST_UNITS,
         fall_multiple: FALL_MULTIPLE,
-        fall_window_ms: FALL_TIME,
+        fall_window_ms: FALL_WINDOW_MS,
     })
 }
 
@@ -98,8 +98,8 @@
         let fleet = &mut self.fleet;
         let counter = |fault| Command::Counter(fault);
         match what {
-            What::KillNode(n) => fleet.node(*n as usize, NodeFault::Kill),
-            What::StartNode(n) => fleet.node(*n as usize, NodeFault::Start { cold: true }),
+            What::KillNode(n) => fleet.inject_node_fault(*n as usize, NodeFault::Kill),
+            What::StartNode(n) => fleet.inject_node_fault(*n as usize, NodeFault::Start { cold: true }),
             What::UnlistNode(n) => fleet.list.update_node(*n as usize, |node| node.listed = false)?,
             What::ListNode(n) => {
                 let now = fleet.clock.now();
@@ -111,7 +111,9 @@
             What::UndrainNode(n) => fleet.list.update_node(*n as usize, |node| node.draining = false)?,
             What::StallCell(cell) | What::ResumeCell(cell) => {
                 let fault = NodeFault::Stall(matches!(what, What::StallCell(_)));
-                (0..self.nodes).filter(|n| n % 2 == *cell as usize).for_each(|n| fleet.node(n, fault));
+                (0..self.nodes)
+                    .filter(|n| n % 2 == *cell as usize)
+                    .for_each(|n| fleet.inject_node_fault(n, fault));
             }
             What::NodeFault(fault) => {
                 let order = match &fault.what {
@@ -124,12 +126,12 @@
                     Some(NodeWhat::Oversize(bytes)) => NodeFault::Oversize(*bytes as usize),
                     None => anyhow::bail!("a node fault without a fault"),
                 };
-                fleet.node(fault.node as usize, order);
+                fleet.inject_node_fault(fault.node as usize, order);
             }
-            What::StateOf(state) => fleet.state_of(state.gateway as usize, state.what.as_ref())?,
-            What::CounterSilent(on) => fleet.world.send(counter(CounterFault::Silent(*on))),
-            What::CounterSlowMs(ms) => fleet.world.send(counter(CounterFault::Slow(*ms))),
-            What::CounterRestart(_) => fleet.world.send(counter(CounterFault::Restart)),
+            What::StateOf(state) => fleet.change_state_file(state.gateway as usize, state.what.as_ref())?,
+            What::CounterSilent(on) => fleet.emulators.send(counter(CounterFault::Silent(*on))),
+            What::CounterSlowMs(ms) => fleet.emulators.send(counter(CounterFault::Slow(*ms))),
+            What::CounterRestart(_) => fleet.emulators.send(counter(CounterFault::Restart)),
             What::KillGateway(g) => fleet.kill_gateway(*g as usize)?,
             What::StartGateway(g) => fleet.start_gateways(&[*g as usize])?,
             What::StartGateways(all) => {
@@ -137,13 +139,13 @@
             }
             What::StopGateway(g) => fleet.stop_gateway(*g as usize, 1)?,
             What::StopGatewayTwice(g) => fleet.stop_gateway(*g as usize, 2)?,
-            What::TakeOverGateway(g) => fleet.take_over(*g as usize)?,
+            What::TakeOverGateway(g) => fleet.take_over_gateway(*g as usize)?,
             What::ReloadPlans(times) => fleet.reload(*times)?,
-            What::ReloadBad(_) => fleet.reload_bad()?,
-            What::SpoilState(g) => fleet.spoil_state(*g as usize, true)?,
-            What::MendState(g) => fleet.spoil_state(*g as usize, false)?,
-            What::SpoilList(_) => fleet.spoil_list()?,
-            What::Import(more) => fleet.import(more)?,
+            What::ReloadBad(_) => fleet.reload_invalid()?,
+            What::SpoilState(g) => fleet.block_state_file(*g as usize, true)?,
+            What::MendState(g) => fleet.block_state_file(*g as usize, false)?,
+            What::SpoilList(_) => fleet.corrupt_node_list()?,
+            What::Import(more) => fleet.import_node_list(more)?,
             What::Mood(mood) => {
                 let behavior = ClientBehavior {
                     flood: mood.flood_customer.map(|c| (c as usize, mood.flood_times)),
@@ -202,10 +204,10 @@
         gateways: drill.gateways(),
         nodes: drill.nodes(),
         seed: options.seed,
-        warm: length * spec.warm.unwrap_or(0.15),
-        notice: spec.notice_ms.unwrap_or(100.0),
-        drain: spec.drain_ms.unwrap_or(2000.0),
-        state: !spec.without_state,
+        warm_up_ms: length * spec.warm.unwrap_or(0.15),
+        notice_ms: spec.notice_ms.unwrap_or(100.0),
+        drain_ms: spec.drain_ms.unwrap_or(2000.0),
+        keep_state: !spec.without_state,
         httpd: drill.httpd.clone(),
         suspects: match spec.suspects() {
             Suspects::NotTried => None,
@@ -226,7 +228,7 @@
     let behavior = Arc::new(Mutex::new(ClientBehavior::default()));
     let load = spec.load.unwrap_or(0.6);
     let mut clients =
-        Clients::new(options.seed, Arc::clone(&fleet.open), Arc::clone(&behavior), start, load)?;
+        Clients::new(options.seed, Arc::clone(&fleet.accepting), Arc::clone(&behavior), start, load)?;
     let mut crowd =
         ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
     let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
@@ -295,7 +297,7 @@
     loop {
         let there = match wait.until {
             Some(Until::GatewayServing(at)) => {
-                fleet.call(at as usize, "status").is_ok_and(|v| v["result"]["state"] == "serving")
+                fleet.call_gateway(at as usize, "status").is_ok_and(|v| v["result"]["state"] == "serving")
             }
             Some(Until::Served(more)) => served() >= before + more as usize,
             None => true,
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -29,7 +29,7 @@
     /// Draws the current state. Errors of the terminal are ignored, since they must not stop the drill.
     pub fn draw(&mut self, phase: &str, progress: f64, fleet: &Fleet) {
         let report = summarize(&fleet.recorder.records());
-        let accepting = fleet.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
+        let accepting = fleet.accepting.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
         let running = fleet.running();
         let (title, about) = (self.title.clone(), self.about.clone());
         let _ = self.terminal.draw(|frame| {
