--- a/crates/drill/src/fleet.rs
+++ b/crates/drill/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: gateway processes of this same binary, and the stand-ins around them.
+//! A small fleet: gateway processes of this same binary and the emulators around them.
 
 use crate::clients::{CLASSES, PLANS};
 use crate::script::StateWhat;
@@ -20,41 +20,47 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::Duration;
 
-/// How a fleet is made.
+/// Specification of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
     /// The gateway's binary.
     pub binary: PathBuf,
-    /// Where settings, the list and logs lie.
+    /// Folder for settings, the node list, state files and logs.
     pub folder: PathBuf,
     pub gateways: usize,
     pub nodes: usize,
     pub seed: u64,
-    /// How long a cold node takes to warm, in ms.
+    /// Time until a cold node is warm, in ms.
     pub warm_up_ms: f64,
-    /// Between "not ready" and closed listeners, and what is out has, in ms.
+    /// Time from "not ready" to the close of the listeners when a gateway stops.
     pub notice_ms: f64,
+    /// Time that open requests get when a gateway stops.
     pub drain_ms: f64,
-    /// Whether gateways keep a state file.
+    /// Whether gateways write a state file.
     pub keep_state: bool,
-    /// An httpd configuration that the node list is imported from; empty for none.
+    /// httpd configuration from which the node list is imported; empty if the list is written directly.
     pub httpd: String,
-    /// Whether suspect nodes are tried by one gateway for all, and whether the choice of nodes goes by its word.
+    /// `Some` if one gateway probes suspect nodes for all; the value says whether the gateways apply the results when they
+    /// choose nodes.
     pub suspects: Option<bool>,
-    /// The customers: name, plan, key.
+    /// Name, plan and key of each customer.
     pub customers: Vec<(String, &'static str, String)>,
 }
 
-/// What a cold node starts with, and what fells it.
+/// Share of its capacity that a cold node starts with.
 pub const COLD_SHARE: f64 = 0.25;
+/// A cold node crashes when it is sent more than this multiple of its current capacity within the window.
 pub const FALL_MULTIPLE: f64 = 2.0;
+/// Window for `FALL_MULTIPLE`.
 pub const FALL_WINDOW_MS: f64 = 1000.0;
-/// How often gateways look at the list, and the grace of a drain behind that, in ms.
+/// Interval at which gateways read the node list.
 pub const LIST_POLL_MS: f64 = 100.0;
+/// Grace period of a drain after a gateway has read the list.
 pub const DRAIN_GRACE_MS: f64 = 250.0;
+/// Setting `answer_margin_ms` of the gateways.
 const ANSWER_MARGIN_MS: f64 = 60.0;
 
-/// A gateway's process that was begun and has not told where it serves.
+/// A gateway process that was spawned but does not serve yet.
 struct StartingGateway {
     child: Child,
     serving_address: mpsc::Receiver<SocketAddr>,
@@ -68,26 +74,26 @@
     pub recorder: Recorder,
     pub emulators: EmulatorServer,
     pub list: NodeListFile,
-    /// Where each gateway listens; a restarted one has a new port.
+    /// Address of each gateway; a restarted gateway gets a new port.
     pub addresses: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Which gateways want clients.
+    /// Which gateways accept new clients.
     pub accepting: Arc<Mutex<Vec<bool>>>,
     gateways: Vec<Option<Child>>,
-    /// What all plans' figures are multiplied by.
+    /// Factor on the limits of all plans.
     plan_factor: f64,
-    /// The gateways' datagrams to each other.
+    /// Relay for the datagrams between gateways, if they have a link.
     relay: Option<Relay>,
 }
 
 impl Fleet {
-    /// Starts stand-ins and gateways, and waits until every gateway serves.
+    /// Starts the emulators and gateways and waits until every gateway serves.
     pub fn start(spec: FleetSpec) -> anyhow::Result<Self> {
         std::fs::create_dir_all(&spec.folder).with_context(|| spec.folder.display().to_string())?;
         let clock = Clock::default();
         let recorder = Recorder::new(clock);
         let node = |index: usize| NodeSpec {
             name: format!("node-{index}"),
-            // httpd's files know no cells.
+            // The configuration of httpd has no cells.
             cell: if spec.httpd.is_empty() { (index % 2) as u64 } else { 0 },
             cores: 2,
             queue: 40,
@@ -146,7 +152,7 @@
         Ok(fleet)
     }
 
-    /// How a gateway reaches the others.
+    /// Returns the settings by which a gateway reaches the others.
     fn link_settings(&self, number: usize) -> String {
         let Some(relay) = &self.relay else { return String::new() };
         let peers = (0..self.spec.gateways).filter(|to| *to != number);
@@ -155,8 +161,9 @@
         format!("link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" {peers} }}")
     }
 
+    /// Writes the settings of a gateway and returns their path.
     fn write_settings(&self, number: usize) -> anyhow::Result<PathBuf> {
-        let counter = self.emulators.counter_address.context("the fleet's counter has no address")?;
+        let counter = self.emulators.counter_address.context("the counter has no address")?;
         let mut text = format!(
             "fleet {{ gateways: {} number: {number} {} }}\nlisten: \"127.0.0.1:0\"\n\
              counter {{ address: \"{counter}\" password: \"drill\" timeout_ms: 50 dead_after_ms: 400 longest_wait_ms: 400 }}\n\
@@ -209,13 +216,13 @@
         Ok(path)
     }
 
-    /// Starts gateways, all at once, and waits until each tells where it serves.
+    /// Starts several gateways at once and waits until each of them serves.
     pub fn start_gateways(&mut self, gateways: &[usize]) -> anyhow::Result<()> {
         let starting = gateways
             .iter()
             .map(|gateway| self.spawn_gateway(*gateway, &[]))
             .collect::<anyhow::Result<Vec<_>>>()?;
-        // All are waited for, so that one that does not come up leaves no other behind.
+        // Waits for all of them even if one fails, so that no process is left behind.
         let started: Vec<anyhow::Result<Child>> = gateways
             .iter()
             .zip(starting)
@@ -231,7 +238,7 @@
 
     fn spawn_gateway(&self, gateway: usize, extra_args: &[&str]) -> anyhow::Result<StartingGateway> {
         let settings = self.write_settings(gateway)?;
-        // No two share a seed, and a restarted one takes a fresh one.
+        // Gateways get different seeds, and a restarted gateway gets a new one.
         let seed = self.spec.seed.wrapping_mul(1000) + gateway as u64 + self.clock.now() as u64 % 997 * 10;
         let mut child = Command::new(&self.spec.binary)
             .args(["serve", "--seed", &seed.to_string(), "--config"])
@@ -243,7 +250,7 @@
             .spawn()
             .with_context(|| self.spec.binary.display().to_string())?;
         let log = self.spec.folder.join(format!("gateway-{gateway}.log"));
-        let lines = child.stderr.take().context("a gateway without a log")?;
+        let lines = child.stderr.take().context("the standard error of a gateway is not available")?;
         let (serving_sender, serving_address) = mpsc::channel();
         let (link_sender, link_address) = mpsc::channel();
         std::thread::spawn(move || copy_log(&log, BufReader::new(lines), &serving_sender, &link_sender));
@@ -255,13 +262,15 @@
         let Ok(address) = serving_address.recv_timeout(Duration::from_secs(20)) else {
             let _ = child.kill();
             let _ = child.wait();
-            bail!("gateway {gateway} did not come to serve; see its log in {}", self.spec.folder.display());
+            bail!("gateway {gateway} did not start to serve; see its log in {}", self.spec.folder.display());
         };
         self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[gateway] = address;
         if let Some(relay) = &self.relay {
             relay.set_destination(
                 gateway,
-                link_address.recv_timeout(Duration::from_secs(20)).context("a gateway without a link")?,
+                link_address
+                    .recv_timeout(Duration::from_secs(20))
+                    .context("a gateway did not open its link")?,
             );
         }
         Ok(child)
@@ -277,13 +286,13 @@
 
     fn signal(&self, gateway: usize, signal: Signal) -> anyhow::Result<()> {
         let child =
-            self.gateways[gateway].as_ref().with_context(|| format!("gateway {gateway} does not run"))?;
+            self.gateways[gateway].as_ref().with_context(|| format!("gateway {gateway} is not running"))?;
         Ok(kill_process(Pid::from_child(child), signal)?)
     }
 
-    /// Tells a gateway to stop in order, once or twice, and waits until it ended.
+    /// Sends SIGTERM to a gateway once or twice, as `times` says, and waits until it has exited.
     pub fn stop_gateway(&mut self, gateway: usize, times: u32) -> anyhow::Result<()> {
-        // Whoever routes clients hears "not ready" within the notice.
+        // The load balancer in front of the gateways sees "not ready" within the notice.
         self.set_accepting(gateway, false);
         self.signal(gateway, Signal::TERM)?;
         std::thread::sleep(Duration::from_secs_f64(self.spec.notice_ms / 1000.0));
@@ -296,41 +305,42 @@
 
     fn wait_for_exit(&mut self, gateway: usize) -> anyhow::Result<()> {
         let mut child =
-            self.gateways[gateway].take().with_context(|| format!("gateway {gateway} does not run"))?;
+            self.gateways[gateway].take().with_context(|| format!("gateway {gateway} is not running"))?;
         self.check_exit(gateway, &mut child)
     }
 
+    /// Waits until a process has exited; fails if its status is not success.
     fn check_exit(&self, gateway: usize, child: &mut Child) -> anyhow::Result<()> {
         let status = child.wait()?;
         if !status.success() {
-            bail!("gateway {gateway} ended with {status}; see its log in {}", self.spec.folder.display());
+            bail!("gateway {gateway} exited with {status}; see its log in {}", self.spec.folder.display());
         }
         Ok(())
     }
 
-    /// A new process takes a gateway's sockets over; the old one drains and is waited for.
+    /// Starts a new process that takes over a gateway's sockets, and waits until the old one has drained and exited.
     pub fn take_over_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
         let new_process = self.start_gateway(gateway, &["--take-over"])?;
         let mut old_process = self.gateways[gateway]
             .replace(new_process)
-            .with_context(|| format!("gateway {gateway} does not run"))?;
+            .with_context(|| format!("gateway {gateway} is not running"))?;
         self.check_exit(gateway, &mut old_process)
     }
 
-    /// All gateways take settings with the plans' figures so many times.
+    /// Reloads all gateways with the limits of all plans multiplied by `factor`.
     pub fn reload(&mut self, factor: f64) -> anyhow::Result<()> {
         self.plan_factor = factor;
         for gateway in 0..self.gateways.len() {
             self.write_settings(gateway)?;
             let reply = self.call_gateway(gateway, "reload")?;
             if let Some(why) = reply["error"]["message"].as_str() {
-                bail!("gateway {gateway} refused its new settings: {why}");
+                bail!("gateway {gateway} rejected its new settings: {why}");
             }
         }
         Ok(())
     }
 
-    /// All gateways are given settings with a fault, which they must refuse by place.
+    /// Reloads all gateways with invalid settings. They must reject them and name the invalid field.
     pub fn reload_invalid(&mut self) -> anyhow::Result<()> {
         for gateway in 0..self.gateways.len() {
             let path = self.write_settings(gateway)?;
@@ -340,22 +350,22 @@
             std::fs::write(&path, good)?;
             let why = reply["error"]["message"].as_str().unwrap_or("");
             if !why.contains("burst") {
-                bail!("gateway {gateway} took settings with a fault: {reply}");
+                bail!("gateway {gateway} accepted invalid settings: {reply}");
             }
         }
         Ok(())
     }
 
-    /// Where a gateway's state file is first written, something is in its way; or no more.
+    /// Blocks or unblocks the writing of a gateway's state file by a directory at the path of its temporary file.
     pub fn block_state_file(&self, gateway: usize, blocked: bool) -> anyhow::Result<()> {
         let temporary = self.spec.folder.join(format!("gateway-{gateway}.state.new"));
         if blocked {
-            // The gateway may be just writing there: its file is moved away in a moment.
+            // The gateway may be writing its temporary file, which it soon renames; so the creation is retried.
             let deadline = self.clock.now() + 5000.0;
             while std::fs::create_dir(&temporary).is_err() {
                 anyhow::ensure!(
                     self.clock.now() < deadline,
-                    "{}: cannot be put in the way",
+                    "{}: the directory cannot be created",
                     temporary.display()
                 );
                 std::thread::sleep(Duration::from_millis(1));
@@ -366,11 +376,11 @@
         Ok(())
     }
 
-    /// What a gateway that does not run finds on its disk when it starts.
+    /// Removes, damages or replaces the state file of a gateway that does not run.
     pub fn change_state_file(&self, gateway: usize, change: Option<&StateWhat>) -> anyhow::Result<()> {
         anyhow::ensure!(
             self.gateways[gateway].is_none(),
-            "gateway {gateway} runs: its state file is its own"
+            "gateway {gateway} is running: its state file cannot be changed"
         );
         let path = |gateway: usize| self.spec.folder.join(format!("gateway-{gateway}.state"));
         let file = path(gateway);
@@ -384,7 +394,7 @@
             }
             Some(StateWhat::OldS(seconds)) => {
                 let text = std::fs::read_to_string(&file).with_context(|| file.display().to_string())?;
-                let (head, body) = text.split_once('\n').context("a state file without a head")?;
+                let (head, body) = text.split_once('\n').context("the state file has no header")?;
                 let mut head: serde_json::Value = serde_json::from_str(head)?;
                 head["written_ms"] = (self.clock.now() - seconds * 1000.0).into();
                 std::fs::write(&file, format!("{head}\n{body}"))?;
@@ -393,34 +403,34 @@
                 let other = path(*other as usize);
                 std::fs::copy(&other, &file).with_context(|| other.display().to_string())?;
             }
-            None => bail!("a state file to which nothing is done"),
+            None => bail!("state_of: no change given"),
         }
         Ok(())
     }
 
-    /// The node list is imported anew, with this behind the configuration.
+    /// Imports the node list again, with extra lines at the end of the configuration.
     pub fn import_node_list(&self, extra_lines: &str) -> anyhow::Result<()> {
         run_import(&self.spec, &self.emulators.node_addresses, extra_lines)
     }
 
-    /// The list's file holds nonsense, until it is written again.
+    /// Overwrites the node list with invalid text, until the next write of the list.
     pub fn corrupt_node_list(&self) -> anyhow::Result<()> {
         Ok(std::fs::write(self.spec.folder.join("nodes.txtpb"), "nodes { name: ")?)
     }
 
-    /// How many gateways there are, and which run.
+    /// Returns for each gateway whether it runs.
     #[must_use]
     pub fn running(&self) -> Vec<bool> {
         self.gateways.iter().map(Option::is_some).collect()
     }
 
-    /// The process of a gateway.
+    /// Returns the process id of a gateway, if it runs.
     #[must_use]
     pub fn process_id(&self, gateway: usize) -> Option<u32> {
         self.gateways[gateway].as_ref().map(Child::id)
     }
 
-    /// One call on a gateway's admin socket.
+    /// Calls a method on a gateway's admin socket.
     pub fn call_gateway(&self, gateway: usize, method: &str) -> anyhow::Result<serde_json::Value> {
         use std::io::Write as _;
         let path = self.spec.folder.join(format!("gateway-{gateway}.sock"));
@@ -432,7 +442,7 @@
         Ok(serde_json::from_str(&line)?)
     }
 
-    /// Kills a gateway outright.
+    /// Kills a gateway with SIGKILL.
     pub fn kill_gateway(&mut self, gateway: usize) -> anyhow::Result<()> {
         self.recorder.record(Event::GatewayDown { gateway });
         if let Some(mut child) = self.gateways[gateway].take() {
@@ -442,7 +452,7 @@
         Ok(())
     }
 
-    /// Tells a node something.
+    /// Injects a fault into an emulated node, or ends it.
     pub fn inject_node_fault(&self, node: usize, fault: NodeFault) {
         self.emulators.send(EmulatorCommand::Node(node, fault));
     }
@@ -457,7 +467,7 @@
     }
 }
 
-/// Imports the node list as a person would, by the command.
+/// Imports the node list by the command that an operator uses.
 fn run_import(spec: &FleetSpec, nodes: &[SocketAddr], extra_lines: &str) -> anyhow::Result<()> {
     let file = spec.folder.join("httpd.conf");
     std::fs::write(&file, format!("{}\n{extra_lines}\n", spec.httpd))?;
@@ -474,7 +484,7 @@
     Ok(())
 }
 
-/// Copies a gateway's log to its file and tells the address in it.
+/// Copies the log of a gateway to its file and sends the addresses in it.
 fn copy_log(
     path: &Path, lines: impl BufRead, serving_sender: &mpsc::Sender<SocketAddr>,
     link_sender: &mpsc::Sender<SocketAddr>,
