--- a/crates/drill/src/local_fleet.rs
+++ b/crates/drill/src/local_fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::{ClientBehavior, Clients, customers};
 use crate::fleet::{Fleet, FleetSpec};
-use crate::runner::{ActiveDrill, SLACK, bounds};
+use crate::runner::{ActiveDrill, RESPONSE_SLACK_MS, bounds};
 use crate::script::parse_act;
 use crate::text_report::format_report;
 use anyhow::Context;
@@ -75,45 +75,47 @@
         Arc::new(Mutex::new(ClientBehavior { stopped: options.load <= 0.0, ..ClientBehavior::default() }));
     let (accepting, load) = (Arc::clone(&fleet.accepting), options.load.max(0.01));
     let mut clients = Clients::new(options.seed, accepting, Arc::clone(&behavior), clock.now(), load)?;
-    let mut crowd = ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * SLACK)?;
-    let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = ActiveDrill { fleet, behavior, nodes: options.nodes };
-    println!("{:#}", status(&playing));
+    let mut emulator =
+        ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder), 2.0 * RESPONSE_SLACK_MS)?;
+    let client_thread =
+        std::thread::Builder::new().name("clients".into()).spawn(move || emulator.run(&mut clients))?;
+    let mut active = ActiveDrill { fleet, behavior, nodes: options.nodes };
+    println!("{:#}", status(&active));
     println!("up; `doorcourse fleet --folder {} stop` ends it", options.folder.display());
     while !stop.load(Ordering::SeqCst) {
         match listener.accept() {
             Ok((stream, _)) => {
-                let asked = serve(&mut playing, stream).unwrap_or(false);
-                stop.fetch_or(asked, Ordering::SeqCst);
+                let stop_requested = serve(&mut active, stream).unwrap_or(false);
+                stop.fetch_or(stop_requested, Ordering::SeqCst);
             }
             Err(_) => std::thread::sleep(Duration::from_millis(50)),
         }
     }
-    playing.change(|m| m.stopped = true);
-    let _ = crowd.join();
-    playing.fleet.recorder.save(&options.folder.join("traffic.jsonl"))?;
-    let report = summarize(&playing.fleet.recorder.records());
-    drop(playing);
+    active.change_behavior(|m| m.stopped = true);
+    let _ = client_thread.join();
+    active.fleet.recorder.save(&options.folder.join("traffic.jsonl"))?;
+    let report = summarize(&active.fleet.recorder.records());
+    drop(active);
     let _ = std::fs::remove_file(&path);
     print!("{}", format_report(&report));
     Ok(())
 }
 
 /// Answers one call; `true` when it asks for the end.
-fn serve(playing: &mut ActiveDrill, stream: UnixStream) -> anyhow::Result<bool> {
+fn serve(active: &mut ActiveDrill, stream: UnixStream) -> anyhow::Result<bool> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     let mut line = String::new();
     BufReader::new(&stream).read_line(&mut line)?;
     let call: Value = serde_json::from_str(&line).unwrap_or_default();
-    let answer = match call["method"].as_str().unwrap_or("") {
-        "status" => Ok(status(playing)),
-        "report" => Ok(json!(format_report(&summarize(&playing.fleet.recorder.records())))),
+    let result = match call["method"].as_str().unwrap_or("") {
+        "status" => Ok(status(active)),
+        "report" => Ok(json!(format_report(&summarize(&active.fleet.recorder.records())))),
         "stop" => Ok(json!("stopping")),
-        "do" => act(playing, call["params"]["act"].as_str().unwrap_or("")),
+        "do" => apply_act(active, call["params"]["act"].as_str().unwrap_or("")),
         other => Err(format!("there is no method `{other}`")),
     };
-    let reply = match answer {
+    let reply = match result {
         Ok(result) => json!({"jsonrpc": "2.0", "id": call["id"], "result": result}),
         Err(why) => json!({"jsonrpc": "2.0", "id": call["id"], "error": {"code": -32000, "message": why}}),
     };
@@ -121,32 +123,33 @@
     Ok(call["method"] == "stop")
 }
 
-fn act(playing: &mut ActiveDrill, text: &str) -> Result<Value, String> {
-    let told = |faults: Vec<doorcourse_config::Fault>| {
+fn apply_act(active: &mut ActiveDrill, text: &str) -> Result<Value, String> {
+    let join = |faults: Vec<doorcourse_config::Fault>| {
         faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
     };
-    let act = parse_act(text).map_err(told)?;
-    let what = act.what.ok_or("say what to do, as in a drill: `kill_node: 3`, `stop_gateway: 0`")?;
+    let act = parse_act(text).map_err(join)?;
+    let change = act.what.ok_or("say what to do, as in a drill: `kill_node: 3`, `stop_gateway: 0`")?;
     // The same checks as in a drill: a number of no node would end the kit.
-    let (gateways, nodes) = (playing.fleet.running().len(), playing.nodes);
+    let (gateways, nodes) = (active.fleet.running().len(), active.nodes);
     let script = format!(
         "name: 'x' length_s: 9 short_s: 9 fleet {{ gateways: {gateways} nodes: {nodes} }} steps {{ do {{ {text} }} }}"
     );
-    let plain =
+    let messages =
         |faults: Vec<doorcourse_config::Fault>| faults.iter().map(|f| f.message.clone()).collect::<Vec<_>>();
-    crate::script::parse_drill("act", &script).map_err(|f| format!("`{text}`: {}", plain(f).join("; ")))?;
-    playing.act(&what).map_err(|e| format!("{e:#}"))?;
+    crate::script::parse_drill("act", &script)
+        .map_err(|f| format!("`{text}`: {}", messages(f).join("; ")))?;
+    active.apply(&change).map_err(|e| format!("{e:#}"))?;
     Ok(json!("done"))
 }
 
-fn status(playing: &ActiveDrill) -> Value {
-    let fleet = &playing.fleet;
+fn status(active: &ActiveDrill) -> Value {
+    let fleet = &active.fleet;
     let addresses = fleet.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
-    let gateway = |(at, address): (usize, &std::net::SocketAddr)| {
+    let gateway = |(index, address): (usize, &std::net::SocketAddr)| {
         let state = fleet
-            .call_gateway(at, "status")
+            .call_gateway(index, "status")
             .map_or(json!("does not answer"), |v| v["result"]["state"].clone());
-        json!({"gateway": at, "address": address.to_string(), "process": fleet.process_id(at), "state": state})
+        json!({"gateway": index, "address": address.to_string(), "process": fleet.process_id(index), "state": state})
     };
     let node = |n: &doorcourse_emulators::ListedNode| json!({"node": n.name, "address": n.address.to_string(), "cell": n.cell, "listed": n.listed, "drains": n.draining});
     json!({
--- a/crates/drill/src/runner.rs
+++ b/crates/drill/src/runner.rs
@@ -51,7 +51,7 @@
     /// Each request's final answer, by its name: how it ended and with which code.
     #[must_use]
     pub fn outcomes_by_request(&self) -> BTreeMap<&str, String> {
-        fn one(record: &Record) -> Option<(&str, String)> {
+        fn outcome_of(record: &Record) -> Option<(&str, String)> {
             match &record.event {
                 Event::ResponseReceived { id, kind, code, .. } => {
                     Some((id.as_str(), format!("{kind:?} {code}").trim().to_lowercase()))
@@ -63,24 +63,24 @@
                 _ => None,
             }
         }
-        self.records.iter().filter_map(one).collect()
+        self.records.iter().filter_map(outcome_of).collect()
     }
 }
 
 /// By the bound of docs/design.md: one burst, and a second one after a counter that came back empty.
-const BURSTS: f64 = 2.0;
-const MOST_UNITS: f64 = 10.0;
+const ALLOWED_BURSTS: f64 = 2.0;
+const MAX_REQUEST_UNITS: f64 = 10.0;
 /// How much later than its time a client still notices an answer, in ms: what this machine's load may add.
-pub(crate) const SLACK: f64 = 150.0;
+pub(crate) const RESPONSE_SLACK_MS: f64 = 150.0;
 
 /// What a run is judged by, with the plans' figures so many times.
-pub(crate) fn bounds(times: f64) -> Event {
+pub(crate) fn bounds(plan_factor: f64) -> Event {
     Event::Bounds(Bounds {
-        plans: plan_bounds(times),
-        response_slack_ms: SLACK,
+        plans: plan_bounds(plan_factor),
+        response_slack_ms: RESPONSE_SLACK_MS,
         drain_grace_ms: LIST_POLL_MS + DRAIN_GRACE_MS,
-        allowed_bursts: BURSTS,
-        max_request_units: MOST_UNITS,
+        allowed_bursts: ALLOWED_BURSTS,
+        max_request_units: MAX_REQUEST_UNITS,
         fall_multiple: FALL_MULTIPLE,
         fall_window_ms: FALL_WINDOW_MS,
     })
@@ -94,7 +94,7 @@
 }
 
 impl ActiveDrill {
-    pub fn act(&mut self, what: &What) -> anyhow::Result<()> {
+    pub fn apply(&mut self, what: &What) -> anyhow::Result<()> {
         let fleet = &mut self.fleet;
         let counter = |fault| Command::Counter(fault);
         match what {
@@ -116,7 +116,7 @@
                     .for_each(|n| fleet.inject_node_fault(n, fault));
             }
             What::NodeFault(fault) => {
-                let order = match &fault.what {
+                let node_fault = match &fault.what {
                     Some(NodeWhat::Refuse(on)) => NodeFault::Refuse(*on),
                     Some(NodeWhat::Stall(on)) => NodeFault::Stall(*on),
                     Some(NodeWhat::Slow(times)) => NodeFault::Slow(*times),
@@ -126,7 +126,7 @@
                     Some(NodeWhat::Oversize(bytes)) => NodeFault::Oversize(*bytes as usize),
                     None => anyhow::bail!("a node fault without a fault"),
                 };
-                fleet.inject_node_fault(fault.node as usize, order);
+                fleet.inject_node_fault(fault.node as usize, node_fault);
             }
             What::StateOf(state) => fleet.change_state_file(state.gateway as usize, state.what.as_ref())?,
             What::CounterSilent(on) => fleet.emulators.send(counter(CounterFault::Silent(*on))),
@@ -156,13 +156,13 @@
                     licence_share: mood.licences,
                     stopped: false,
                 };
-                self.change(|m| *m = behavior);
+                self.change_behavior(|m| *m = behavior);
             }
         }
         Ok(())
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut ClientBehavior)) {
+    pub fn change_behavior(&self, change: impl FnOnce(&mut ClientBehavior)) {
         change(&mut self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
     }
 }
@@ -172,26 +172,26 @@
 /// # Errors
 /// When the fleet cannot be started or a step cannot be carried out; a broken rule is no error but in the report.
 pub fn run_drill(
-    drill: &Drill, options: &DrillOptions, seen: &mut dyn FnMut(&str, f64, &Fleet),
+    drill: &Drill, options: &DrillOptions, on_progress: &mut dyn FnMut(&str, f64, &Fleet),
 ) -> anyhow::Result<DrillOutcome> {
     if !drill.recovery {
-        return run_once(drill, options, seen);
+        return run_once(drill, options, on_progress);
     }
-    let mut quiet = drill.clone();
-    (quiet.steps, quiet.expects) = (Vec::new(), Vec::new());
+    let mut baseline = drill.clone();
+    (baseline.steps, baseline.expects) = (Vec::new(), Vec::new());
     let keep = options.keep.as_ref().map(|folder| folder.join("without-faults"));
-    let quiet = run_once(&quiet, &DrillOptions { keep, ..options.clone() }, seen)?;
+    let baseline = run_once(&baseline, &DrillOptions { keep, ..options.clone() }, on_progress)?;
     anyhow::ensure!(
-        quiet.passed(),
+        baseline.passed(),
         "the run without faults broke a rule already: there is nothing to compare with"
     );
-    let mut outcome = run_once(drill, options, seen)?;
-    outcome.recoveries = measure_recoveries(&outcome.records, &quiet.records);
+    let mut outcome = run_once(drill, options, on_progress)?;
+    outcome.recoveries = measure_recoveries(&outcome.records, &baseline.records);
     Ok(outcome)
 }
 
 fn run_once(
-    drill: &Drill, options: &DrillOptions, seen: &mut dyn FnMut(&str, f64, &Fleet),
+    drill: &Drill, options: &DrillOptions, on_progress: &mut dyn FnMut(&str, f64, &Fleet),
 ) -> anyhow::Result<DrillOutcome> {
     let length = if options.short { drill.short_s } else { drill.length_s } * 1000.0;
     let folder = options.keep.clone().unwrap_or_else(|| {
@@ -218,34 +218,41 @@
     })?;
     let recorder = fleet.recorder.clone();
     // Plans that were raised in service are judged by the largest that the script gives them.
-    let times = drill.steps.iter().flat_map(|s| &s.r#do).filter_map(|a| match a.what {
-        Some(What::ReloadPlans(times)) => Some(times),
+    let plan_factors = drill.steps.iter().flat_map(|s| &s.r#do).filter_map(|a| match a.what {
+        Some(What::ReloadPlans(factor)) => Some(factor),
         _ => None,
     });
-    recorder.record(bounds(times.fold(1.0, f64::max)));
+    recorder.record(bounds(plan_factors.fold(1.0, f64::max)));
     let clock = fleet.clock;
     let start = clock.now();
     let behavior = Arc::new(Mutex::new(ClientBehavior::default()));
     let load = spec.load.unwrap_or(0.6);
     let mut clients =
         Clients::new(options.seed, Arc::clone(&fleet.accepting), Arc::clone(&behavior), start, load)?;
-    let mut crowd =
-        ClientEmulator::new(clock, Arc::clone(&fleet.addresses), Some(recorder.clone()), 2.0 * SLACK)?;
-    let crowd = std::thread::Builder::new().name("clients".into()).spawn(move || crowd.run(&mut clients))?;
-    let mut playing = ActiveDrill { fleet, behavior, nodes: drill.nodes() };
-    let played = steps(drill, &mut playing, start, length, seen);
-    playing.change(|m| m.stopped = true);
-    let ended = crowd.join().map_err(|_| anyhow::anyhow!("the clients' thread broke down"))?;
+    let mut emulator = ClientEmulator::new(
+        clock,
+        Arc::clone(&fleet.addresses),
+        Some(recorder.clone()),
+        2.0 * RESPONSE_SLACK_MS,
+    )?;
+    let client_thread =
+        std::thread::Builder::new().name("clients".into()).spawn(move || emulator.run(&mut clients))?;
+    let mut active = ActiveDrill { fleet, behavior, nodes: drill.nodes() };
+    let steps_result = run_steps(drill, &mut active, start, length, on_progress);
+    active.change_behavior(|m| m.stopped = true);
+    let clients_result =
+        client_thread.join().map_err(|_| anyhow::anyhow!("the clients' thread broke down"))?;
     // What nodes write last may come behind the clients' last word.
     std::thread::sleep(Duration::from_millis(50));
-    played?;
-    ended?;
+    steps_result?;
+    clients_result?;
     let records = recorder.records();
-    drop(playing);
+    drop(active);
     let report = summarize(&records);
-    let sent = sent(&records);
-    let mut unmet_expectations: Vec<String> = drill.expects.iter().flat_map(|e| miss(e, &report)).collect();
-    unmet_expectations.extend(drill.expects.iter().flat_map(|e| miss_shares(e, &sent)));
+    let sent = requests_by_node(&records);
+    let mut unmet_expectations: Vec<String> =
+        drill.expects.iter().flat_map(|e| unmet_counts(e, &report)).collect();
+    unmet_expectations.extend(drill.expects.iter().flat_map(|e| unmet_shares(e, &sent)));
     let mut outcome =
         DrillOutcome { report, unmet_expectations, folder: None, records, recoveries: Vec::new() };
     if options.keep.is_some() || !outcome.passed() {
@@ -257,61 +264,64 @@
     Ok(outcome)
 }
 
-fn steps(
-    drill: &Drill, playing: &mut ActiveDrill, start: f64, length: f64,
-    seen: &mut dyn FnMut(&str, f64, &Fleet),
+fn run_steps(
+    drill: &Drill, active: &mut ActiveDrill, start: f64, length: f64,
+    on_progress: &mut dyn FnMut(&str, f64, &Fleet),
 ) -> anyhow::Result<()> {
-    let clock = playing.fleet.clock;
+    let clock = active.fleet.clock;
     let mut phase = String::from("start");
-    let mut until = |playing: &ActiveDrill, phase: &str, at: f64| {
+    let mut wait_until_time = |active: &ActiveDrill, phase: &str, at: f64| {
         while clock.now() < at {
             std::thread::sleep(clock.until(at.min(clock.now() + 250.0)));
-            seen(phase, (clock.now() - start) / length, &playing.fleet);
+            on_progress(phase, (clock.now() - start) / length, &active.fleet);
         }
     };
     for step in &drill.steps {
-        until(playing, &phase, start + step.at * length);
+        wait_until_time(active, &phase, start + step.at * length);
         if !step.phase.is_empty() {
             phase.clone_from(&step.phase);
-            playing.fleet.recorder.record(Event::Phase { name: phase.clone() });
+            active.fleet.recorder.record(Event::Phase { name: phase.clone() });
         }
         if !step.r#do.is_empty() {
-            playing.fleet.recorder.record(Event::Fault { what: phase.clone() });
+            active.fleet.recorder.record(Event::Fault { what: phase.clone() });
         }
-        step.r#do.iter().filter_map(|a| a.what.as_ref()).try_for_each(|what| playing.act(what))?;
+        step.r#do.iter().filter_map(|a| a.what.as_ref()).try_for_each(|what| active.apply(what))?;
         if let Some(wait) = &step.wait_until {
-            wait_until(wait, &playing.fleet)?;
+            wait_until(wait, &active.fleet)?;
         }
     }
-    until(playing, &phase, start + length);
+    wait_until_time(active, &phase, start + length);
     Ok(())
 }
 
 fn wait_until(wait: &Wait, fleet: &Fleet) -> anyhow::Result<()> {
     let served = || {
-        let all = fleet.recorder.records();
-        all.iter().filter(|r| matches!(r.event, Event::ResponseReceived { kind: Kind::Served, .. })).count()
+        let records = fleet.recorder.records();
+        records
+            .iter()
+            .filter(|r| matches!(r.event, Event::ResponseReceived { kind: Kind::Served, .. }))
+            .count()
     };
     let (before, limit) = (served(), wait.limit_s.unwrap_or(10.0));
-    let until = fleet.clock.now() + limit * 1000.0;
+    let deadline = fleet.clock.now() + limit * 1000.0;
     loop {
-        let there = match wait.until {
-            Some(Until::GatewayServing(at)) => {
-                fleet.call_gateway(at as usize, "status").is_ok_and(|v| v["result"]["state"] == "serving")
+        let reached = match wait.until {
+            Some(Until::GatewayServing(g)) => {
+                fleet.call_gateway(g as usize, "status").is_ok_and(|v| v["result"]["state"] == "serving")
             }
-            Some(Until::Served(more)) => served() >= before + more as usize,
+            Some(Until::Served(count)) => served() >= before + count as usize,
             None => true,
         };
-        if there {
+        if reached {
             return Ok(());
         }
-        anyhow::ensure!(fleet.clock.now() < until, "waited {limit} s in vain: {wait:?}");
+        anyhow::ensure!(fleet.clock.now() < deadline, "waited {limit} s in vain: {wait:?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 /// How many requests each node read, by phase.
-fn sent(records: &[Record]) -> BTreeMap<(String, String), u64> {
+fn requests_by_node(records: &[Record]) -> BTreeMap<(String, String), u64> {
     let mut phase = String::from("start");
     let mut sent: BTreeMap<(String, String), u64> = BTreeMap::new();
     for record in records {
@@ -325,55 +335,61 @@
 }
 
 /// What an expectation of shares misses.
-fn miss_shares(expect: &Expect, sent: &BTreeMap<(String, String), u64>) -> Vec<String> {
-    let here = || sent.iter().filter(|((phase, _), _)| expect.phase.is_empty() || *phase == expect.phase);
-    let all: u64 = here().map(|(_, n)| n).sum();
-    let one = |share: &Share| {
-        let of = |node: &str| share.nodes.iter().any(|n| node == format!("node-{n}"));
-        let got: u64 = here().filter(|((_, node), _)| of(node)).map(|(_, n)| n).sum();
-        let (part, low, high) =
-            (got as f64 / all.max(1) as f64, share.at_least.unwrap_or(0.0), share.at_most.unwrap_or(1.0));
+fn unmet_shares(expect: &Expect, sent: &BTreeMap<(String, String), u64>) -> Vec<String> {
+    let in_phase = || sent.iter().filter(|((phase, _), _)| expect.phase.is_empty() || *phase == expect.phase);
+    let total: u64 = in_phase().map(|(_, n)| n).sum();
+    let unmet = |share: &Share| {
+        let selected = |node: &str| share.nodes.iter().any(|n| node == format!("node-{n}"));
+        let matching: u64 = in_phase().filter(|((_, node), _)| selected(node)).map(|(_, n)| n).sum();
+        let (fraction, low, high) = (
+            matching as f64 / total.max(1) as f64,
+            share.at_least.unwrap_or(0.0),
+            share.at_most.unwrap_or(1.0),
+        );
         let (nodes, phase) = (&share.nodes, &expect.phase);
-        (all == 0 || !(low..=high).contains(&part)).then(|| {
-            format!("in `{phase}`: nodes {nodes:?} were sent {part:.3} of {all}, {low} to {high} expected")
+        (total == 0 || !(low..=high).contains(&fraction)).then(|| {
+            format!(
+                "in `{phase}`: nodes {nodes:?} were sent {fraction:.3} of {total}, {low} to {high} expected"
+            )
         })
     };
-    expect.shares.iter().filter_map(one).collect()
+    expect.shares.iter().filter_map(unmet).collect()
 }
 
 /// What an expectation misses.
-fn miss(expect: &Expect, report: &Report) -> Vec<String> {
-    let mut all = ResponseCounts::default();
-    for (_, a) in report.phases.iter().filter(|(name, _)| expect.phase.is_empty() || *name == expect.phase) {
-        all.requests += a.requests;
-        all.served += a.served;
-        all.failed += a.failed + a.truncated;
-        all.connection_lost += a.connection_lost;
+fn unmet_counts(expect: &Expect, report: &Report) -> Vec<String> {
+    let mut total = ResponseCounts::default();
+    for (_, counts) in
+        report.phases.iter().filter(|(name, _)| expect.phase.is_empty() || *name == expect.phase)
+    {
+        total.requests += counts.requests;
+        total.served += counts.served;
+        total.failed += counts.failed + counts.truncated;
+        total.connection_lost += counts.connection_lost;
     }
     let place = if expect.phase.is_empty() { "in all".to_owned() } else { format!("in `{}`", expect.phase) };
-    let share = |n: u64| n as f64 / all.requests.max(1) as f64;
-    let mut unmet_expectations = Vec::new();
-    if let Some(least) = expect.served_at_least.filter(|least| share(all.served) < *least) {
-        unmet_expectations
-            .push(format!("{place}: {:.3} served, at least {least} expected", share(all.served)));
+    let share = |n: u64| n as f64 / total.requests.max(1) as f64;
+    let mut unmet = Vec::new();
+    if let Some(least) = expect.served_at_least.filter(|least| share(total.served) < *least) {
+        unmet.push(format!("{place}: {:.3} served, at least {least} expected", share(total.served)));
     }
-    if let Some(most) = expect.failed_at_most.filter(|most| share(all.failed) > *most) {
-        unmet_expectations.push(format!("{place}: {:.3} failed, at most {most} expected", share(all.failed)));
+    if let Some(most) = expect.failed_at_most.filter(|most| share(total.failed) > *most) {
+        unmet.push(format!("{place}: {:.3} failed, at most {most} expected", share(total.failed)));
     }
-    if let Some(most) = expect.lost_at_most.filter(|most| all.connection_lost > u64::from(*most)) {
-        unmet_expectations.push(format!("{place}: {} lost, at most {most} expected", all.connection_lost));
+    if let Some(most) = expect.lost_at_most.filter(|most| total.connection_lost > u64::from(*most)) {
+        unmet.push(format!("{place}: {} lost, at most {most} expected", total.connection_lost));
     }
     if let Some(least) = expect.worth_at_least {
-        let (got, asked) = report.worth.get(&expect.plan).copied().unwrap_or_default();
-        if got < least * asked {
-            unmet_expectations.push(format!(
+        let (in_time, requested) = report.worth.get(&expect.plan).copied().unwrap_or_default();
+        if in_time < least * requested {
+            unmet.push(format!(
                 "{}: {:.3} of its worth in time, at least {least} expected",
                 expect.plan,
-                got / asked
+                in_time / requested
             ));
         }
     }
-    unmet_expectations
+    unmet
 }
 
 #[cfg(test)]
@@ -386,25 +402,17 @@
         for (phase, node, n) in [("a", "node-0", 30), ("a", "node-1", 70), ("b", "node-0", 100)] {
             sent.insert((phase.to_owned(), node.to_owned()), n);
         }
-        let unmet_expectations = |phase: &str, nodes: &[u32], low, high| {
+        let unmet = |phase: &str, nodes: &[u32], low, high| {
             let share = Share { nodes: nodes.to_vec(), at_least: Some(low), at_most: Some(high) };
-            miss_shares(&Expect { phase: phase.into(), shares: vec![share], ..Expect::default() }, &sent)
+            unmet_shares(&Expect { phase: phase.into(), shares: vec![share], ..Expect::default() }, &sent)
                 .len()
         };
         assert_eq!(
-            (
-                unmet_expectations("a", &[0], 0.25, 0.35),
-                unmet_expectations("a", &[0], 0.4, 0.5),
-                unmet_expectations("a", &[0, 1], 1.0, 1.0)
-            ),
+            (unmet("a", &[0], 0.25, 0.35), unmet("a", &[0], 0.4, 0.5), unmet("a", &[0, 1], 1.0, 1.0)),
             (0, 1, 0)
         );
         assert_eq!(
-            (
-                unmet_expectations("b", &[1], 0.0, 0.0),
-                unmet_expectations("none", &[0], 0.0, 1.0),
-                unmet_expectations("", &[0], 0.6, 0.7)
-            ),
+            (unmet("b", &[1], 0.0, 0.0), unmet("none", &[0], 0.0, 1.0), unmet("", &[0], 0.6, 0.7)),
             (0, 1, 0)
         );
     }
