--- a/crates/drill/src/runner.rs
+++ b/crates/drill/src/runner.rs
@@ -1,5 +1,5 @@
-//! Plays a drill: starts its fleet and clients, carries out its steps in their time, and judges what crossed the
-//! sockets.
+//! Runs a drill: starts its fleet and clients, carries out its steps at their times, and checks the rules from the recorded
+//! traffic.
 
 use crate::clients::{ClientBehavior, Clients, customers, plan_bounds};
 use crate::fleet::{DRAIN_GRACE_MS, FALL_MULTIPLE, FALL_WINDOW_MS, Fleet, FleetSpec, LIST_POLL_MS};
@@ -13,42 +13,42 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How a drill is run.
+/// Options of a drill run.
 #[derive(Clone, Debug)]
 pub struct DrillOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
-    /// The short form, for checks at every landing.
+    /// Whether to run the short form, which CI runs on each change.
     pub short: bool,
-    /// The seed of clients, nodes and gateways.
+    /// Seed of clients, nodes and gateways.
     pub seed: u64,
-    /// Where settings, logs and the traffic record are kept; else they are removed when all went well.
+    /// Folder in which settings, logs and the traffic record are kept. Without it they are removed if the drill passes.
     pub keep: Option<PathBuf>,
 }
 
-/// What came of a drill.
+/// Result of a drill run.
 #[derive(Debug)]
 pub struct DrillOutcome {
-    /// The verdict and the figures.
+    /// Result of the checks, and the counts.
     pub report: Report,
-    /// What the drill expected and did not see.
+    /// Descriptions of all expectations that were not met.
     pub unmet_expectations: Vec<String>,
-    /// Where the record and the logs are, if they were kept.
+    /// Folder with the traffic record and the logs, if they were kept.
     pub folder: Option<PathBuf>,
     /// The traffic record.
     pub records: Vec<Record>,
-    /// How the fleet came back from each fault, where the drill measures it.
+    /// Recovery from each fault, if the drill measures it.
     pub recoveries: Vec<Recovery>,
 }
 
 impl DrillOutcome {
-    /// Whether every rule was kept and every expectation met.
+    /// Returns whether every rule was kept and every expectation was met.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.report.rules_kept && self.unmet_expectations.is_empty()
     }
 
-    /// Each request's final answer, by its name: how it ended and with which code.
+    /// Returns how each request ended, by its id: the kind of the final response with its code, or another end.
     #[must_use]
     pub fn outcomes_by_request(&self) -> BTreeMap<&str, String> {
         fn outcome_of(record: &Record) -> Option<(&str, String)> {
@@ -67,13 +67,14 @@
     }
 }
 
-/// By the bound of docs/design.md: one burst, and a second one after a counter that came back empty.
+/// Bound of docs/design.md: one burst, and a second one after the counter was restarted without counts.
 const ALLOWED_BURSTS: f64 = 2.0;
+/// Highest number of units of one request.
 const MAX_REQUEST_UNITS: f64 = 10.0;
-/// How much later than its time a client still notices an answer, in ms: what this machine's load may add.
+/// How long after a client's timeout a response may still be recorded: the load of the machine may delay the client.
 pub(crate) const RESPONSE_SLACK_MS: f64 = 150.0;
 
-/// What a run is judged by, with the plans' figures so many times.
+/// Returns the bounds for the check of the rules, with the limits of all plans multiplied by `plan_factor`.
 pub(crate) fn bounds(plan_factor: f64) -> Event {
     Event::Bounds(Bounds {
         plans: plan_bounds(plan_factor),
@@ -86,7 +87,7 @@
     })
 }
 
-/// A fleet with clients, to which things are done.
+/// A running fleet with clients, on which acts are carried out.
 pub(crate) struct ActiveDrill {
     pub fleet: Fleet,
     pub behavior: Arc<Mutex<ClientBehavior>>,
@@ -94,6 +95,7 @@
 }
 
 impl ActiveDrill {
+    /// Carries out an act of the script.
     pub fn apply(&mut self, what: &What) -> anyhow::Result<()> {
         let fleet = &mut self.fleet;
         let counter = |fault| Command::Counter(fault);
@@ -124,7 +126,7 @@
                     Some(NodeWhat::Malformed(share)) => NodeFault::Malformed(*share),
                     Some(NodeWhat::Claim(times)) => NodeFault::MisreportCost(*times),
                     Some(NodeWhat::Oversize(bytes)) => NodeFault::Oversize(*bytes as usize),
-                    None => anyhow::bail!("a node fault without a fault"),
+                    None => anyhow::bail!("node_fault: no fault given"),
                 };
                 fleet.inject_node_fault(fault.node as usize, node_fault);
             }
@@ -162,15 +164,17 @@
         Ok(())
     }
 
+    /// Changes the behavior of the clients.
     pub fn change_behavior(&self, change: impl FnOnce(&mut ClientBehavior)) {
         change(&mut self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
     }
 }
 
-/// Plays a drill and judges it. `seen` is told of each phase as it begins, with all records so far.
+/// Runs a drill and checks the rules. `on_progress` is called regularly with the current phase, the elapsed part of the
+/// drill and the fleet.
 ///
 /// # Errors
-/// When the fleet cannot be started or a step cannot be carried out; a broken rule is no error but in the report.
+/// Fails when the fleet cannot be started or a step cannot be carried out. Violations are not errors; they are in the report.
 pub fn run_drill(
     drill: &Drill, options: &DrillOptions, on_progress: &mut dyn FnMut(&str, f64, &Fleet),
 ) -> anyhow::Result<DrillOutcome> {
@@ -183,7 +187,7 @@
     let baseline = run_once(&baseline, &DrillOptions { keep, ..options.clone() }, on_progress)?;
     anyhow::ensure!(
         baseline.passed(),
-        "the run without faults broke a rule already: there is nothing to compare with"
+        "the run without faults did not pass, so there is no baseline to compare with"
     );
     let mut outcome = run_once(drill, options, on_progress)?;
     outcome.recoveries = measure_recoveries(&outcome.records, &baseline.records);
@@ -217,7 +221,7 @@
         customers: customers(),
     })?;
     let recorder = fleet.recorder.clone();
-    // Plans that were raised in service are judged by the largest that the script gives them.
+    // Plans that are changed during the run are checked against the largest factor in the script.
     let plan_factors = drill.steps.iter().flat_map(|s| &s.r#do).filter_map(|a| match a.what {
         Some(What::ReloadPlans(factor)) => Some(factor),
         _ => None,
@@ -241,8 +245,8 @@
     let steps_result = run_steps(drill, &mut active, start, length, on_progress);
     active.change_behavior(|m| m.stopped = true);
     let clients_result =
-        client_thread.join().map_err(|_| anyhow::anyhow!("the clients' thread broke down"))?;
-    // What nodes write last may come behind the clients' last word.
+        client_thread.join().map_err(|_| anyhow::anyhow!("the thread of the clients panicked"))?;
+    // Nodes may record their last events after the clients have ended.
     std::thread::sleep(Duration::from_millis(50));
     steps_result?;
     clients_result?;
@@ -264,6 +268,7 @@
     Ok(outcome)
 }
 
+/// Carries out the steps of a drill at their times.
 fn run_steps(
     drill: &Drill, active: &mut ActiveDrill, start: f64, length: f64,
     on_progress: &mut dyn FnMut(&str, f64, &Fleet),
@@ -294,6 +299,7 @@
     Ok(())
 }
 
+/// Waits until a condition holds; fails after its time limit.
 fn wait_until(wait: &Wait, fleet: &Fleet) -> anyhow::Result<()> {
     let served = || {
         let records = fleet.recorder.records();
@@ -315,12 +321,12 @@
         if reached {
             return Ok(());
         }
-        anyhow::ensure!(fleet.clock.now() < deadline, "waited {limit} s in vain: {wait:?}");
+        anyhow::ensure!(fleet.clock.now() < deadline, "not reached within {limit} s: {wait:?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// How many requests each node read, by phase.
+/// Returns the number of requests that each node read, by phase and node.
 fn requests_by_node(records: &[Record]) -> BTreeMap<(String, String), u64> {
     let mut phase = String::from("start");
     let mut sent: BTreeMap<(String, String), u64> = BTreeMap::new();
@@ -334,7 +340,7 @@
     sent
 }
 
-/// What an expectation of shares misses.
+/// Returns descriptions of the shares of an expectation that were not met.
 fn unmet_shares(expect: &Expect, sent: &BTreeMap<(String, String), u64>) -> Vec<String> {
     let in_phase = || sent.iter().filter(|((phase, _), _)| expect.phase.is_empty() || *phase == expect.phase);
     let total: u64 = in_phase().map(|(_, n)| n).sum();
@@ -356,7 +362,7 @@
     expect.shares.iter().filter_map(unmet).collect()
 }
 
-/// What an expectation misses.
+/// Returns descriptions of the counts and worth of an expectation that were not met.
 fn unmet_counts(expect: &Expect, report: &Report) -> Vec<String> {
     let mut total = ResponseCounts::default();
     for (_, counts) in
