--- a/crates/drill/src/local_fleet.rs
+++ b/crates/drill/src/local_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet that stays up until it is told otherwise, for rehearsing by hand: one process holds the stand-ins and
-//! its gateways' processes, and listens on a socket in its folder (JSON-RPC 2.0, one object a line).
+//! A fleet for manual rehearsals that runs until it is stopped. One process runs the emulators and the gateway processes and
+//! listens on a socket in its folder (JSON-RPC 2.0, one object per line).
 
 use crate::clients::{ClientBehavior, Clients, customers};
 use crate::fleet::{Fleet, FleetSpec};
@@ -17,41 +17,46 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How a fleet is brought up.
+/// Options of a local fleet.
 #[derive(Clone, Debug)]
 pub struct LocalFleetOptions {
     /// The gateway's binary.
     pub binary: PathBuf,
-    /// Where everything lies.
+    /// Folder for settings, logs, the traffic record and the socket.
     pub folder: PathBuf,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many nodes, in two cells by turns.
+    /// Number of nodes, alternately in two cells.
     pub nodes: usize,
-    /// The share of its quota that each stand-in customer asks for; 0 for no clients.
+    /// Share of its quota that each emulated customer requests; 0 for no clients.
     pub load: f64,
-    /// The seed of all chance.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
+/// Name of the socket in the folder.
 const SOCKET: &str = "fleet.sock";
-/// How long a cold node takes to warm, in ms.
+/// Time until a cold node is warm.
 const WARM_UP_MS: f64 = 10_000.0;
 
-/// Brings a fleet up and tends it until it is told to stop, or by SIGINT or SIGTERM.
+/// Starts a fleet and serves calls until the method `stop`, SIGINT or SIGTERM ends it.
 ///
 /// # Errors
-/// When it cannot be started.
+/// Fails when the fleet cannot be started.
 pub fn run_local_fleet(options: &LocalFleetOptions) -> anyhow::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
     }
-    anyhow::ensure!((1..=16).contains(&options.gateways), "1 to 16 gateways are wanted");
-    anyhow::ensure!((2..=64).contains(&options.nodes), "2 to 64 nodes are wanted");
-    anyhow::ensure!((0.0..=4.0).contains(&options.load), "a load of 0 to 4 is wanted");
+    anyhow::ensure!((1..=16).contains(&options.gateways), "the number of gateways must be 1 to 16");
+    anyhow::ensure!((2..=64).contains(&options.nodes), "the number of nodes must be 2 to 64");
+    anyhow::ensure!((0.0..=4.0).contains(&options.load), "the load must be 0 to 4");
     let path = options.folder.join(SOCKET);
-    anyhow::ensure!(UnixStream::connect(&path).is_err(), "{}: a fleet is up there", options.folder.display());
+    anyhow::ensure!(
+        UnixStream::connect(&path).is_err(),
+        "{}: a fleet already runs in this folder",
+        options.folder.display()
+    );
     let fleet = Fleet::start(FleetSpec {
         httpd: String::new(),
         suspects: None,
@@ -81,7 +86,7 @@
         std::thread::Builder::new().name("clients".into()).spawn(move || emulator.run(&mut clients))?;
     let mut active = ActiveDrill { fleet, behavior, nodes: options.nodes };
     println!("{:#}", status(&active));
-    println!("up; `doorcourse fleet --folder {} stop` ends it", options.folder.display());
+    println!("the fleet is up; `doorcourse fleet stop --folder {}` ends it", options.folder.display());
     while !stop.load(Ordering::SeqCst) {
         match listener.accept() {
             Ok((stream, _)) => {
@@ -101,7 +106,7 @@
     Ok(())
 }
 
-/// Answers one call; `true` when it asks for the end.
+/// Answers one call; returns whether it was `stop`.
 fn serve(active: &mut ActiveDrill, stream: UnixStream) -> anyhow::Result<bool> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
@@ -123,13 +128,14 @@
     Ok(call["method"] == "stop")
 }
 
+/// Parses and checks an act and carries it out.
 fn apply_act(active: &mut ActiveDrill, text: &str) -> Result<Value, String> {
     let join = |faults: Vec<doorcourse_config::Fault>| {
         faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
     };
     let act = parse_act(text).map_err(join)?;
     let change = act.what.ok_or("say what to do, as in a drill: `kill_node: 3`, `stop_gateway: 0`")?;
-    // The same checks as in a drill: a number of no node would end the kit.
+    // Checks the act as in a drill: an unknown node number would end the process.
     let (gateways, nodes) = (active.fleet.running().len(), active.nodes);
     let script = format!(
         "name: 'x' length_s: 9 short_s: 9 fleet {{ gateways: {gateways} nodes: {nodes} }} steps {{ do {{ {text} }} }}"
@@ -142,6 +148,7 @@
     Ok(json!("done"))
 }
 
+/// Returns the state of gateways and nodes, and the customers with their keys.
 fn status(active: &ActiveDrill) -> Value {
     let fleet = &active.fleet;
     let addresses = fleet.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
@@ -159,14 +166,14 @@
     })
 }
 
-/// Asks the fleet that is up in a folder.
+/// Calls a method of the fleet that runs in a folder.
 ///
 /// # Errors
-/// When none is, or it refuses.
+/// Fails when no fleet runs there or the call returns an error.
 pub fn call_fleet(folder: &Path, method: &str, parameters: &Value) -> anyhow::Result<Value> {
     let path = folder.join(SOCKET);
-    let mut stream =
-        UnixStream::connect(&path).with_context(|| format!("{}: no fleet is up there", folder.display()))?;
+    let mut stream = UnixStream::connect(&path)
+        .with_context(|| format!("{}: no fleet runs in this folder", folder.display()))?;
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
     let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": parameters});
     stream.write_all(format!("{call}\n").as_bytes())?;
