--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -18,26 +18,26 @@
 use std::sync::{Arc, Mutex};
 
 /// A rate holds when so much of it is served, and the rest is quick.
-const HELD: f64 = 0.99;
-const QUICK: f64 = 50.0;
+const MIN_SERVED_SHARE: f64 = 0.99;
+const MAX_P99_MS: f64 = 50.0;
 /// Several nodes, so that the gateway's care with each does not bound the rate; one thread serves them all.
 const NODES: usize = 16;
-const IDLE: usize = 10_000;
+const IDLE_CONNECTIONS: usize = 10_000;
 const KEY: &str = "compare";
 
-struct Process {
+struct GatewayProcess {
     child: Child,
     address: SocketAddr,
     log: BufReader<std::process::ChildStderr>,
 }
 
-impl Process {
+impl GatewayProcess {
     fn start(binary: &Path, folder: &Path, nodes: &[SocketAddr]) -> anyhow::Result<Self> {
         std::fs::create_dir_all(folder)?;
         std::fs::write(folder.join("catalogue.graphql"), CATALOGUE)?;
         let digest: String = Sha256::digest(KEY).iter().map(|b| format!("{b:02x}")).collect();
-        let node = |(at, address): (usize, &SocketAddr)| {
-            format!("nodes {{ name: \"n{at}\" address: \"{address}\" }}\n")
+        let node = |(index, address): (usize, &SocketAddr)| {
+            format!("nodes {{ name: \"n{index}\" address: \"{address}\" }}\n")
         };
         let nodes: String = nodes.iter().enumerate().map(node).collect();
         let text = format!(
@@ -58,13 +58,13 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let mut log = BufReader::new(child.stderr.take().context("a gateway without a log")?);
-        let line = line_with(&mut log, "serving")?;
+        let line = wait_for_log_line(&mut log, "serving")?;
         let address = line["address"].as_str().context("no address")?.parse()?;
         Ok(Self { child, address, log })
     }
 
     /// Processor time so far, in seconds.
-    fn cpu(&self) -> anyhow::Result<f64> {
+    fn cpu_seconds(&self) -> anyhow::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields: Vec<&str> = stat.rsplit_once(')').context("no stat")?.1.split_whitespace().collect();
         let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
@@ -72,7 +72,7 @@
     }
 
     /// Resident memory, in KiB.
-    fn memory(&self) -> anyhow::Result<f64> {
+    fn resident_kib(&self) -> anyhow::Result<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).context("no VmRSS")?;
         Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
@@ -82,20 +82,20 @@
     fn stop(mut self) -> anyhow::Result<Value> {
         let pid = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(pid, rustix::process::Signal::TERM)?;
-        let last = line_with(&mut self.log, "stopped")?;
+        let last = wait_for_log_line(&mut self.log, "stopped")?;
         self.child.wait()?;
         Ok(last)
     }
 }
 
-impl Drop for Process {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn line_with(log: &mut impl BufRead, message: &str) -> anyhow::Result<Value> {
+fn wait_for_log_line(log: &mut impl BufRead, message: &str) -> anyhow::Result<Value> {
     for line in log.lines() {
         let json: Value = serde_json::from_str(&line?).unwrap_or_default();
         if json["message"] == message {
@@ -105,33 +105,39 @@
     bail!("the gateway ended without saying `{message}`")
 }
 
-struct Run {
-    served: Histogram<u64>,
-    held: bool,
+struct LoadResult {
+    latency_us: Histogram<u64>,
+    sustained: bool,
 }
 
-fn run(clock: Clock, to: SocketAddr, query: &str, rate: f64, seconds: f64) -> anyhow::Result<Run> {
+fn run_load(
+    clock: Clock, address: SocketAddr, query: &str, rate: f64, seconds: f64,
+) -> anyhow::Result<LoadResult> {
     let body = json!({ "query": query }).to_string();
     let mut load = FixedRateLoad::new(body, KEY.into(), rate, seconds, 2000.0, clock.now())?;
-    ClientEmulator::new(clock, Arc::new(Mutex::new(vec![to])), None, 100.0)?.run(&mut load)?;
+    ClientEmulator::new(clock, Arc::new(Mutex::new(vec![address])), None, 100.0)?.run(&mut load)?;
     let report = load.report();
-    let served = report.served_latency_us.clone();
-    let share = served.len() as f64 / (rate * seconds).ceil();
-    let held = share >= HELD && served.value_at_quantile(0.99) as f64 / 1000.0 <= QUICK;
-    Ok(Run { served, held })
+    let latency_us = report.served_latency_us.clone();
+    let share = latency_us.len() as f64 / (rate * seconds).ceil();
+    let sustained =
+        share >= MIN_SERVED_SHARE && latency_us.value_at_quantile(0.99) as f64 / 1000.0 <= MAX_P99_MS;
+    Ok(LoadResult { latency_us, sustained })
 }
 
 /// The highest rate of a ladder that holds.
-fn highest(clock: Clock, to: SocketAddr, query: &str) -> anyhow::Result<f64> {
-    let (mut good, mut rate) = (0.0, 400.0);
+fn highest_sustained_rate(clock: Clock, address: SocketAddr, query: &str) -> anyhow::Result<f64> {
+    let (mut sustained_rate, mut rate) = (0.0, 400.0);
     // Each step after a second at its rate: what is learnt of the nodes is not what is measured.
-    while run(clock, to, query, rate, 1.0).and_then(|_| run(clock, to, query, rate, 1.5))?.held {
-        (good, rate) = (rate, rate * 1.25);
+    while run_load(clock, address, query, rate, 1.0)
+        .and_then(|_| run_load(clock, address, query, rate, 1.5))?
+        .sustained
+    {
+        (sustained_rate, rate) = (rate, rate * 1.25);
         if rate > 200_000.0 {
             break;
         }
     }
-    Ok(good)
+    Ok(sustained_rate)
 }
 
 /// Measures, and tells as text and as JSON.
@@ -141,8 +147,8 @@
 pub fn compare(binary: &Path, seconds: f64, rounds: u32) -> anyhow::Result<(String, Value)> {
     let clock = Clock::default();
     let folder: PathBuf = std::env::temp_dir().join(format!("doorcourse-compare-{}", std::process::id()));
-    let node = |at: usize| NodeSpec {
-        name: format!("n{at}"),
+    let node = |index: usize| NodeSpec {
+        name: format!("n{index}"),
         cell: 0,
         cores: 512,
         queue: 100_000,
@@ -153,7 +159,7 @@
         key_retention_ms: 1000.0,
     };
     let (nodes, listen, password) = ((0..NODES).map(node).collect(), None, None);
-    let world = EmulatorServerSpec {
+    let emulators = EmulatorServerSpec {
         nodes,
         listen,
         counter: false,
@@ -163,64 +169,70 @@
         speed: 1e6,
         discard_records: true,
     };
-    let world = EmulatorServer::start(&world, clock, Recorder::disabled(clock))?;
-    let straight = world.node_addresses[0];
-    let (mut text, mut all) = (String::new(), Vec::new());
+    let emulators = EmulatorServer::start(&emulators, clock, Recorder::disabled(clock))?;
+    let direct_address = emulators.node_addresses[0];
+    let (mut text, mut results) = (String::new(), Vec::new());
     for name in ["preview", "forty"] {
         let operations = operations();
         let query =
             operations.iter().find(|o| o.name == name).map(|o| o.query.as_str()).context("an operation")?;
-        let node_most = highest(clock, straight, query)?;
-        let gateway = Process::start(binary, &folder, &world.node_addresses)?;
-        let most = highest(clock, gateway.address, query)?;
-        let rate = (most / 2.0).max(100.0);
-        let before = gateway.cpu()?;
+        let direct_max_rate = highest_sustained_rate(clock, direct_address, query)?;
+        let gateway = GatewayProcess::start(binary, &folder, &emulators.node_addresses)?;
+        let max_rate = highest_sustained_rate(clock, gateway.address, query)?;
+        let rate = (max_rate / 2.0).max(100.0);
+        let cpu_before = gateway.cpu_seconds()?;
         let fresh = || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3);
         let (mut direct, mut through) = (fresh()?, fresh()?);
         for _ in 0..rounds {
             // By turns, so that whatever else this machine does falls on both.
-            direct.add(&run(clock, straight, query, rate, seconds)?.served)?;
-            through.add(&run(clock, gateway.address, query, rate, seconds)?.served)?;
+            direct.add(&run_load(clock, direct_address, query, rate, seconds)?.latency_us)?;
+            through.add(&run_load(clock, gateway.address, query, rate, seconds)?.latency_us)?;
         }
-        let cpu = (gateway.cpu()? - before) / through.len().max(1) as f64;
-        let last = gateway.stop()?;
-        let requests = last["requests"].as_f64().unwrap_or(0.0).max(1.0);
-        let calls = |what: &str| last[what].as_f64().unwrap_or(0.0) / requests;
-        let kinds = ["reads", "writes", "waits", "changes", "connects"];
-        let total: f64 = kinds.iter().map(|k| calls(k)).sum();
-        let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
+        let cpu_per_request = (gateway.cpu_seconds()? - cpu_before) / through.len().max(1) as f64;
+        let stopped = gateway.stop()?;
+        let requests = stopped["requests"].as_f64().unwrap_or(0.0).max(1.0);
+        let per_request = |what: &str| stopped[what].as_f64().unwrap_or(0.0) / requests;
+        let call_kinds = ["reads", "writes", "waits", "changes", "connects"];
+        let system_calls: f64 = call_kinds.iter().map(|k| per_request(k)).sum();
+        let quantile_ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
         writeln!(
             text,
-            "{name}: highest rate held {most:.0}/s through the gateway, {node_most:.0}/s straight to the node"
+            "{name}: highest rate held {max_rate:.0}/s through the gateway, {direct_max_rate:.0}/s straight to the node"
+        )?;
+        writeln!(
+            text,
+            "  one core by processor time: {:.0}/s ({:.0} us a request)",
+            1.0 / cpu_per_request,
+            cpu_per_request * 1e6
         )?;
-        writeln!(text, "  one core by processor time: {:.0}/s ({:.0} us a request)", 1.0 / cpu, cpu * 1e6)?;
         writeln!(text, "  at {rate:.0}/s, {rounds} rounds by turns, latency in ms:")?;
-        let mut quantiles = Vec::new();
+        let mut latencies = Vec::new();
         for (label, q) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
-            let (a, b) = (at(&direct, q), at(&through, q));
+            let (a, b) = (quantile_ms(&direct, q), quantile_ms(&through, q));
             writeln!(text, "    {label:<6} straight {a:.3}, through {b:.3}, added {:.3}", b - a)?;
-            quantiles.push(json!({"q": q, "straight_ms": a, "through_ms": b}));
+            latencies.push(json!({"q": q, "straight_ms": a, "through_ms": b}));
         }
-        let by_kind: Vec<String> = kinds.iter().map(|k| format!("{k} {:.2}", calls(k))).collect();
-        writeln!(text, "  system calls a request: {total:.2} ({})", by_kind.join(", "))?;
-        all.push(
-            json!({"query": name, "held_per_s": most, "straight_held_per_s": node_most, "cpu_us": cpu * 1e6,
-            "rate": rate, "latency": quantiles, "system_calls": total}),
+        let by_kind: Vec<String> = call_kinds.iter().map(|k| format!("{k} {:.2}", per_request(k))).collect();
+        writeln!(text, "  system calls a request: {system_calls:.2} ({})", by_kind.join(", "))?;
+        results.push(
+            json!({"query": name, "held_per_s": max_rate, "straight_held_per_s": direct_max_rate, "cpu_us": cpu_per_request * 1e6,
+            "rate": rate, "latency": latencies, "system_calls": system_calls}),
         );
     }
-    let gateway = Process::start(binary, &folder, &world.node_addresses)?;
-    let before = gateway.memory()?;
+    let gateway = GatewayProcess::start(binary, &folder, &emulators.node_addresses)?;
+    let kib_before = gateway.resident_kib()?;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).maximum.unwrap_or(u64::MAX);
-    let most = IDLE.min(usize::try_from(limit.saturating_sub(200)).unwrap_or(IDLE));
+    let connections =
+        IDLE_CONNECTIONS.min(usize::try_from(limit.saturating_sub(200)).unwrap_or(IDLE_CONNECTIONS));
     let idle: Vec<TcpStream> =
-        (0..most).map(|_| TcpStream::connect(gateway.address)).collect::<Result<_, _>>()?;
+        (0..connections).map(|_| TcpStream::connect(gateway.address)).collect::<Result<_, _>>()?;
     // An answer to the last comer tells that all before it were accepted.
-    run(clock, gateway.address, &operations()[0].query, 10.0, 0.1)?;
-    let each = (gateway.memory()? - before) / idle.len() as f64;
-    writeln!(text, "{} idle connections: {:.2} KiB each, {before:.0} KiB before", idle.len(), each)?;
+    run_load(clock, gateway.address, &operations()[0].query, 10.0, 0.1)?;
+    let kib_each = (gateway.resident_kib()? - kib_before) / idle.len() as f64;
+    writeln!(text, "{} idle connections: {:.2} KiB each, {kib_before:.0} KiB before", idle.len(), kib_each)?;
     drop(idle);
     drop(gateway);
     std::fs::remove_dir_all(&folder)?;
-    let told = json!({"queries": all, "idle": {"connections": most, "kib_each": each, "kib_before": before}});
-    Ok((text, told))
+    let json = json!({"queries": results, "idle": {"connections": connections, "kib_each": kib_each, "kib_before": kib_before}});
+    Ok((text, json))
 }
