--- a/crates/drill/src/compare.rs
+++ b/crates/drill/src/compare.rs
@@ -1,5 +1,5 @@
-//! The gateway beside the way straight to the node, in one run: what a request costs in time, processor and
-//! system calls, and what idle connections cost in memory. Figures are of this machine; ratios travel better.
+//! Compares requests through the gateway with requests sent directly to a node, in one run: latency, processor time and
+//! system calls per request, and memory per idle connection. The figures depend on the machine; ratios less so.
 
 use anyhow::{Context, bail};
 use doorcourse_emulators::{
@@ -17,14 +17,17 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// A rate holds when so much of it is served, and the rest is quick.
+/// A rate is sustained when at least this share of the requests is served ...
 const MIN_SERVED_SHARE: f64 = 0.99;
+/// ... and the 99th percentile of the latency of served requests is at most this.
 const MAX_P99_MS: f64 = 50.0;
-/// Several nodes, so that the gateway's care with each does not bound the rate; one thread serves them all.
+/// Several nodes, so that the gateway's limits for a single node don't bound the rate. One thread serves all of them.
 const NODES: usize = 16;
+/// Number of idle connections for the measure of memory.
 const IDLE_CONNECTIONS: usize = 10_000;
 const KEY: &str = "compare";
 
+/// A gateway process; it is killed on drop.
 struct GatewayProcess {
     child: Child,
     address: SocketAddr,
@@ -57,28 +60,36 @@
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let mut log = BufReader::new(child.stderr.take().context("a gateway without a log")?);
+        let mut log = BufReader::new(
+            child.stderr.take().context("the standard error of the gateway is not available")?,
+        );
         let line = wait_for_log_line(&mut log, "serving")?;
-        let address = line["address"].as_str().context("no address")?.parse()?;
+        let address = line["address"].as_str().context("the log line has no address")?.parse()?;
         Ok(Self { child, address, log })
     }
 
-    /// Processor time so far, in seconds.
+    /// Returns the processor time used so far, in seconds.
     fn cpu_seconds(&self) -> anyhow::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        let fields: Vec<&str> = stat.rsplit_once(')').context("no stat")?.1.split_whitespace().collect();
+        let fields: Vec<&str> = stat
+            .rsplit_once(')')
+            .context("/proc/PID/stat has an unknown form")?
+            .1
+            .split_whitespace()
+            .collect();
         let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
         Ok(ticks / rustix::param::clock_ticks_per_second() as f64)
     }
 
-    /// Resident memory, in KiB.
+    /// Returns the resident memory in KiB.
     fn resident_kib(&self) -> anyhow::Result<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).context("no VmRSS")?;
+        let line =
+            status.lines().find_map(|l| l.strip_prefix("VmRSS:")).context("/proc/PID/status has no VmRSS")?;
         Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
     }
 
-    /// Stops it in order and reads its last word.
+    /// Stops the process with SIGTERM and returns its log line `stopped`.
     fn stop(mut self) -> anyhow::Result<Value> {
         let pid = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(pid, rustix::process::Signal::TERM)?;
@@ -95,6 +106,7 @@
     }
 }
 
+/// Reads the log up to the first line with a message and returns that line.
 fn wait_for_log_line(log: &mut impl BufRead, message: &str) -> anyhow::Result<Value> {
     for line in log.lines() {
         let json: Value = serde_json::from_str(&line?).unwrap_or_default();
@@ -102,9 +114,10 @@
             return Ok(json);
         }
     }
-    bail!("the gateway ended without saying `{message}`")
+    bail!("the gateway exited without the log line `{message}`")
 }
 
+/// Result of a load at a fixed rate.
 struct LoadResult {
     latency_us: Histogram<u64>,
     sustained: bool,
@@ -124,10 +137,10 @@
     Ok(LoadResult { latency_us, sustained })
 }
 
-/// The highest rate of a ladder that holds.
+/// Raises the rate in steps of 25% and returns the last one that was sustained.
 fn highest_sustained_rate(clock: Clock, address: SocketAddr, query: &str) -> anyhow::Result<f64> {
     let (mut sustained_rate, mut rate) = (0.0, 400.0);
-    // Each step after a second at its rate: what is learnt of the nodes is not what is measured.
+    // Each step runs for one second before it is measured, so that the gateway has adapted to the rate.
     while run_load(clock, address, query, rate, 1.0)
         .and_then(|_| run_load(clock, address, query, rate, 1.5))?
         .sustained
@@ -140,10 +153,10 @@
     Ok(sustained_rate)
 }
 
-/// Measures, and tells as text and as JSON.
+/// Runs the comparison and returns the results as text and as JSON.
 ///
 /// # Errors
-/// When the processes cannot be started or read.
+/// Fails when a process cannot be started or its figures cannot be read.
 pub fn compare(binary: &Path, seconds: f64, rounds: u32) -> anyhow::Result<(String, Value)> {
     let clock = Clock::default();
     let folder: PathBuf = std::env::temp_dir().join(format!("doorcourse-compare-{}", std::process::id()));
@@ -174,8 +187,11 @@
     let (mut text, mut results) = (String::new(), Vec::new());
     for name in ["preview", "forty"] {
         let operations = operations();
-        let query =
-            operations.iter().find(|o| o.name == name).map(|o| o.query.as_str()).context("an operation")?;
+        let query = operations
+            .iter()
+            .find(|o| o.name == name)
+            .map(|o| o.query.as_str())
+            .context("the operation does not exist")?;
         let direct_max_rate = highest_sustained_rate(clock, direct_address, query)?;
         let gateway = GatewayProcess::start(binary, &folder, &emulators.node_addresses)?;
         let max_rate = highest_sustained_rate(clock, gateway.address, query)?;
@@ -184,7 +200,7 @@
         let fresh = || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3);
         let (mut direct, mut through) = (fresh()?, fresh()?);
         for _ in 0..rounds {
-            // By turns, so that whatever else this machine does falls on both.
+            // Alternates, so that other load of the machine affects both alike.
             direct.add(&run_load(clock, direct_address, query, rate, seconds)?.latency_us)?;
             through.add(&run_load(clock, gateway.address, query, rate, seconds)?.latency_us)?;
         }
@@ -197,23 +213,23 @@
         let quantile_ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
         writeln!(
             text,
-            "{name}: highest rate held {max_rate:.0}/s through the gateway, {direct_max_rate:.0}/s straight to the node"
+            "{name}: highest sustained rate {max_rate:.0}/s through the gateway, {direct_max_rate:.0}/s directly to the node"
         )?;
         writeln!(
             text,
-            "  one core by processor time: {:.0}/s ({:.0} us a request)",
+            "  one core by processor time: {:.0}/s ({:.0} us per request)",
             1.0 / cpu_per_request,
             cpu_per_request * 1e6
         )?;
-        writeln!(text, "  at {rate:.0}/s, {rounds} rounds by turns, latency in ms:")?;
+        writeln!(text, "  at {rate:.0}/s, {rounds} alternating rounds, latency in ms:")?;
         let mut latencies = Vec::new();
         for (label, q) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
             let (a, b) = (quantile_ms(&direct, q), quantile_ms(&through, q));
-            writeln!(text, "    {label:<6} straight {a:.3}, through {b:.3}, added {:.3}", b - a)?;
+            writeln!(text, "    {label:<6} direct {a:.3}, through the gateway {b:.3}, added {:.3}", b - a)?;
             latencies.push(json!({"q": q, "straight_ms": a, "through_ms": b}));
         }
         let by_kind: Vec<String> = call_kinds.iter().map(|k| format!("{k} {:.2}", per_request(k))).collect();
-        writeln!(text, "  system calls a request: {system_calls:.2} ({})", by_kind.join(", "))?;
+        writeln!(text, "  system calls per request: {system_calls:.2} ({})", by_kind.join(", "))?;
         results.push(
             json!({"query": name, "held_per_s": max_rate, "straight_held_per_s": direct_max_rate, "cpu_us": cpu_per_request * 1e6,
             "rate": rate, "latency": latencies, "system_calls": system_calls}),
@@ -226,7 +242,7 @@
         IDLE_CONNECTIONS.min(usize::try_from(limit.saturating_sub(200)).unwrap_or(IDLE_CONNECTIONS));
     let idle: Vec<TcpStream> =
         (0..connections).map(|_| TcpStream::connect(gateway.address)).collect::<Result<_, _>>()?;
-    // An answer to the last comer tells that all before it were accepted.
+    // A response to a later connection shows that all connections before it were accepted.
     run_load(clock, gateway.address, &operations()[0].query, 10.0, 0.1)?;
     let kib_each = (gateway.resident_kib()? - kib_before) / idle.len() as f64;
     writeln!(text, "{} idle connections: {:.2} KiB each, {kib_before:.0} KiB before", idle.len(), kib_each)?;
