--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -70,17 +70,17 @@
 
 impl Timeline {
     fn from_records(records: &[Record]) -> Self {
-        let (mut asked, mut run) = (HashMap::new(), Self::default());
+        let (mut sent, mut run) = (HashMap::new(), Self::default());
         for record in records {
             match &record.event {
                 Event::RequestSent { id, gateway, plan, worth, target_ms, .. } => {
-                    asked.insert(id.as_str(), (record.t, *gateway, plan, *worth, *target_ms));
+                    sent.insert(id.as_str(), (record.t, *gateway, plan, *worth, *target_ms));
                     run.end = run.end.max(record.t);
                 }
                 Event::CounterCall => add(&mut run.counter_calls, record.t, 1.0),
                 Event::Connected { node } => add(run.nodes.entry(node.clone()).or_default(), record.t, 1.0),
                 Event::ResponseReceived { id, kind: Kind::Served, .. } => {
-                    let Some((sent_at, gateway, plan, worth, target_ms)) = asked.remove(id.as_str()) else {
+                    let Some((sent_at, gateway, plan, worth, target_ms)) = sent.remove(id.as_str()) else {
                         continue;
                     };
                     if record.t - sent_at <= target_ms {
@@ -224,8 +224,8 @@
     #[test]
     fn the_time_to_full_is_when_nothing_is_missing_any_more() {
         let baseline = run(|_, _| true, &[]);
-        let came_back = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &measure_recoveries(&came_back, &baseline)[0];
+        let recovered = run(|t, _| !(4000.0..7000.0).contains(&t), &[4000.0]);
+        let found = &measure_recoveries(&recovered, &baseline)[0];
         // With a threshold of 95%, 100 ms of the outage may lie in the window of two seconds.
         assert_eq!(found.full_service_ms, Some(2900.0), "{found:?}");
         assert_eq!((found.lowest_share, found.second_dips), (0.0, 0));
@@ -256,8 +256,8 @@
     #[test]
     fn one_gateway_s_trouble_is_told_at_that_one() {
         let baseline = run(|_, _| true, &[]);
-        let half = run(|t, g| g == 0 || !(4000.0..7000.0).contains(&t), &[4000.0]);
-        let found = &measure_recoveries(&half, &baseline)[0];
+        let one_down = run(|t, g| g == 0 || !(4000.0..7000.0).contains(&t), &[4000.0]);
+        let found = &measure_recoveries(&one_down, &baseline)[0];
         assert_eq!(found.gateways[&0], Some(0.0));
         assert_eq!(found.gateways[&1], Some(2900.0));
         assert!((0.45..0.55).contains(&found.lowest_share), "{found:?}");
@@ -266,12 +266,15 @@
     #[test]
     fn a_second_dip_and_a_fault_without_return_are_told() {
         let baseline = run(|_, _| true, &[]);
-        let trouble =
-            |t: f64| (4000.0..5000.0).contains(&t) || (9000.0..9500.0).contains(&t) || t >= 15_000.0;
-        let found = measure_recoveries(&run(|t, _| !trouble(t), &[4000.0, 15_000.0]), &baseline);
+        let outage = |t: f64| (4000.0..5000.0).contains(&t) || (9000.0..9500.0).contains(&t) || t >= 15_000.0;
+        let found = measure_recoveries(&run(|t, _| !outage(t), &[4000.0, 15_000.0]), &baseline);
         assert_eq!((found[0].second_dips, found[0].full_service_ms), (1, Some(900.0)));
         assert!(found[1].full_service_ms.is_none() && found[1].measured);
-        let close = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &baseline);
-        assert_eq!((close[0].measured, close[1].measured), (false, true), "too close to the next fault");
+        let close_faults = measure_recoveries(&run(|_, _| true, &[4000.0, 5000.0]), &baseline);
+        assert_eq!(
+            (close_faults[0].measured, close_faults[1].measured),
+            (false, true),
+            "too close to the next fault"
+        );
     }
 }
--- a/crates/conformance/tests/spoiled.rs
+++ b/crates/conformance/tests/spoiled.rs
@@ -182,16 +182,16 @@
 
 #[test]
 fn drains_kept() {
-    let told = at(400.0, Event::Listed { node: "a".into(), ready: false });
+    let draining = at(400.0, Event::Listed { node: "a".into(), ready: false });
     let late = vec![
-        told.clone(),
+        draining.clone(),
         request(500.0, "x", RetrySafety::Safe, 0.1),
         request_read(750.0, "x", "a", 9),
         response(760.0, "x", Kind::Served),
     ];
     assert_violation(Rule::DrainsKept, "after the grace", late);
     let mut back = valid_record();
-    back.extend([told, at(450.0, Event::Listed { node: "a".into(), ready: true })]);
+    back.extend([draining, at(450.0, Event::Listed { node: "a".into(), ready: true })]);
     back.extend([
         request(500.0, "x", RetrySafety::Safe, 0.1),
         request_read(750.0, "x", "a", 9),
--- a/crates/drill/src/view.rs
+++ b/crates/drill/src/view.rs
@@ -35,7 +35,7 @@
         let _ = self.terminal.draw(|frame| {
             let heights =
                 [Constraint::Length(3), Constraint::Length(3), Constraint::Min(8), Constraint::Length(8)];
-            let [head, gateways, answers, rules] = Layout::vertical(heights).areas(frame.area());
+            let [head, gateways, responses, rules] = Layout::vertical(heights).areas(frame.area());
             let gauge = Gauge::default().ratio(progress.clamp(0.0, 1.0)).label(phase.to_owned());
             frame.render_widget(gauge.block(Block::bordered().title(title)).gauge_style(Color::Cyan), head);
             let state = |gateway: usize| match (running[gateway], accepting[gateway]) {
@@ -66,7 +66,7 @@
             let widths = [Constraint::Min(30)].into_iter().chain([Constraint::Length(8); 7]);
             let rows = report.phases.iter().filter(|(_, counts)| counts.requests > 0).map(phase_row);
             let table = Table::new(rows, widths).header(Row::new(titles).style(Style::new().bold()));
-            frame.render_widget(table.block(Block::bordered().title(" answers ")), answers);
+            frame.render_widget(table.block(Block::bordered().title(" responses ")), responses);
             let rule_line = |(rule, violations): (
                 &doorcourse_conformance::Rule,
                 &Vec<doorcourse_conformance::Violation>,
