--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -1,74 +1,87 @@
-//! What happened, for people: answers by phase and kind, worth by plan, use by account.
+//! A summary of a run for people: responses by phase and kind, worth by plan, usage by account.
 
 use crate::record::{Event, Kind, Record, Rule};
-use crate::rules::{Breach, judge};
+use crate::rules::{Violation, check_rules};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Answers of one phase.
+/// Numbers of requests and responses in one phase.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answers {
+pub struct ResponseCounts {
     /// Requests sent.
-    pub asked: u64,
-    /// Data, whole.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Responses with complete data.
     pub served: u64,
-    /// Of these, after the aim.
+    /// Served responses that came after the target time.
     pub late: u64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
-    /// Broken off in the middle.
-    pub cut: u64,
-    /// Lost with a gateway.
-    pub lost: u64,
-    /// Left or given up by the client.
-    pub left: u64,
-    /// Latency of what was served, in ms: the median and the 99th percentile.
-    pub latency: (f64, f64),
+    /// Responses that ended in the middle.
+    #[serde(rename = "cut")]
+    pub truncated: u64,
+    /// Requests whose connection was lost before a response.
+    #[serde(rename = "lost")]
+    pub connection_lost: u64,
+    /// Requests that the client cancelled or that timed out.
+    #[serde(rename = "left")]
+    pub cancelled: u64,
+    /// Latency of served responses, in ms: median and 99th percentile.
+    #[serde(rename = "latency")]
+    pub latency_ms: (f64, f64),
 }
 
-/// One account's use.
+/// Usage of one account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
-    /// Its plan.
+pub struct AccountUsage {
+    /// Plan of the account.
     pub plan: String,
-    /// Units asked for.
-    pub asked: f64,
-    /// Units sent on, by their price.
-    pub sent: f64,
-    /// Units that the nodes' answers were worth.
+    /// Units of all requests, by their price.
+    #[serde(rename = "asked")]
+    pub requested_units: f64,
+    /// Units of the requests that gateways forwarded, by their price.
+    #[serde(rename = "sent")]
+    pub forwarded_units: f64,
+    /// Units that the nodes' responses were worth.
     pub true_units: f64,
-    /// What its quota grants over the run: its burst and its rate.
-    pub quota: f64,
+    /// Units that the quota allows over the run: the burst plus the rate times the duration.
+    #[serde(rename = "quota")]
+    pub quota_units: f64,
 }
 
-/// A whole run.
+/// Summary of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Whether every rule was kept.
-    pub kept: bool,
-    /// Breaches by rule; a rule without any was kept.
-    pub rules: BTreeMap<Rule, Vec<Breach>>,
-    /// Answers by phase, in their order.
-    pub phases: Vec<(String, Answers)>,
-    /// Worth answered in time and worth asked for, by plan.
+    #[serde(rename = "kept")]
+    pub rules_kept: bool,
+    /// Violations by rule; empty for each rule that was kept.
+    #[serde(rename = "rules")]
+    pub violations: BTreeMap<Rule, Vec<Violation>>,
+    /// Counts by phase, in the order of the phases.
+    pub phases: Vec<(String, ResponseCounts)>,
+    /// Worth answered in time and worth of all requests, by plan.
     pub worth: BTreeMap<String, (f64, f64)>,
-    /// Answers by code.
-    pub codes: BTreeMap<String, u64>,
-    /// Use by account.
-    pub accounts: BTreeMap<String, Account>,
-    /// Attempts at nodes, and how many were repeats.
+    /// Number of responses by error code.
+    #[serde(rename = "codes")]
+    pub responses_by_code: BTreeMap<String, u64>,
+    /// Usage by account.
+    pub accounts: BTreeMap<String, AccountUsage>,
+    /// Number of attempts at nodes, and how many of them were retries.
     pub attempts: (u64, u64),
-    /// Latency of all that was served, in ms: the median and the 99th percentile.
-    pub latency: (f64, f64),
-    /// From the first record to the last, in ms.
-    pub length: f64,
+    /// Latency of all served responses, in ms: median and 99th percentile.
+    #[serde(rename = "latency")]
+    pub latency_ms: (f64, f64),
+    /// Time from the first record to the last, in ms.
+    #[serde(rename = "length")]
+    pub duration_ms: f64,
 }
 
-/// Sums a run up and judges it.
+/// Summarizes a run and checks the rules.
 #[must_use]
-pub fn summary(records: &[Record]) -> Report {
+pub fn summarize(records: &[Record]) -> Report {
     let mut sorted: Vec<&Record> = records.iter().collect();
     sorted.sort_by(|a, b| a.t.total_cmp(&b.t));
     let mut report = Report::default();
@@ -80,18 +93,18 @@
         Rule::Ceilings,
         Rule::Quotas,
     ];
-    report.rules = all.iter().map(|r| (*r, Vec::new())).collect();
-    for breach in judge(records) {
-        report.rules.entry(breach.rule).or_default().push(breach);
+    report.violations = all.iter().map(|r| (*r, Vec::new())).collect();
+    for violation in check_rules(records) {
+        report.violations.entry(violation.rule).or_default().push(violation);
     }
-    report.kept = report.rules.values().all(Vec::is_empty);
-    report.length = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
-    report.phases.push(("start".into(), Answers::default()));
-    // Each request belongs to the phase that it was asked in.
-    // Phase, time, customer, plan, units, worth, aim.
-    type Asked<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
-    let mut asked: HashMap<&str, Asked> = HashMap::new();
-    let (mut got, mut attempt_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
+    report.rules_kept = report.violations.values().all(Vec::is_empty);
+    report.duration_ms = sorted.last().map_or(0.0, |r| r.t) - sorted.first().map_or(0.0, |r| r.t);
+    report.phases.push(("start".into(), ResponseCounts::default()));
+    // Phase, time, customer, plan, units, worth and target time of each request. A request counts in the phase in which it
+    // was sent.
+    type Sent<'a> = (usize, f64, &'a str, &'a str, f64, f64, f64);
+    let mut sent: HashMap<&str, Sent> = HashMap::new();
+    let (mut forwarded, mut request_of): (HashSet<&str>, HashMap<u64, &str>) = Default::default();
     let mut plans = BTreeMap::new();
     let mut latencies: Vec<Vec<f64>> = vec![Vec::new()];
     for record in sorted {
@@ -99,58 +112,61 @@
         match &record.event {
             Event::Bounds(bounds) => plans = bounds.plans.clone(),
             Event::Phase { name } => {
-                report.phases.push((name.clone(), Answers::default()));
+                report.phases.push((name.clone(), ResponseCounts::default()));
                 latencies.push(Vec::new());
             }
-            Event::Ask { id, customer, plan, units, worth, aim, .. } => {
-                report.phases[phase].1.asked += 1;
-                asked.insert(id, (phase, record.t, customer, plan, *units, *worth, *aim));
+            Event::RequestSent { id, customer, plan, units, worth, target_ms, .. } => {
+                report.phases[phase].1.requests += 1;
+                sent.insert(id, (phase, record.t, customer, plan, *units, *worth, *target_ms));
                 report.worth.entry(plan.clone()).or_default().1 += worth;
                 let account = report.accounts.entry(customer.clone()).or_default();
                 account.plan.clone_from(plan);
-                account.asked += units;
+                account.requested_units += units;
             }
-            Event::Answer { id, kind, code, .. } => {
-                let Some((phase, t, _, plan, _, worth, aim)) = asked.get(id.as_str()) else { continue };
-                let answers = &mut report.phases[*phase].1;
+            Event::ResponseReceived { id, kind, code, .. } => {
+                let Some((phase, t, _, plan, _, worth, target_ms)) = sent.get(id.as_str()) else { continue };
+                let counts = &mut report.phases[*phase].1;
                 match kind {
                     Kind::Served => {
-                        answers.served += 1;
+                        counts.served += 1;
                         latencies[*phase].push(record.t - t);
-                        if record.t > t + aim {
-                            answers.late += 1;
+                        if record.t > t + target_ms {
+                            counts.late += 1;
                         } else {
                             report.worth.entry((*plan).to_owned()).or_default().0 += worth;
                         }
                     }
-                    Kind::Refused => answers.refused += 1,
-                    Kind::Failed => answers.failed += 1,
+                    Kind::Refused => counts.refused += 1,
+                    Kind::Failed => counts.failed += 1,
                 }
                 if !code.is_empty() {
-                    *report.codes.entry(code.clone()).or_default() += 1;
+                    *report.responses_by_code.entry(code.clone()).or_default() += 1;
                 }
             }
-            Event::Cut { id } | Event::Lost { id } | Event::Left { id } | Event::GaveUp { id } => {
-                let Some((phase, ..)) = asked.get(id.as_str()) else { continue };
-                let answers = &mut report.phases[*phase].1;
+            Event::ResponseTruncated { id }
+            | Event::ConnectionLost { id }
+            | Event::Cancelled { id }
+            | Event::TimedOut { id } => {
+                let Some((phase, ..)) = sent.get(id.as_str()) else { continue };
+                let counts = &mut report.phases[*phase].1;
                 match record.event {
-                    Event::Cut { .. } => answers.cut += 1,
-                    Event::Lost { .. } => answers.lost += 1,
-                    _ => answers.left += 1,
+                    Event::ResponseTruncated { .. } => counts.truncated += 1,
+                    Event::ConnectionLost { .. } => counts.connection_lost += 1,
+                    _ => counts.cancelled += 1,
                 }
             }
-            Event::Got { id, attempt, .. } => {
-                attempt_of.insert(*attempt, id);
+            Event::RequestRead { id, attempt, .. } => {
+                request_of.insert(*attempt, id);
                 report.attempts.0 += 1;
-                let Some((_, _, customer, _, units, ..)) = asked.get(id.as_str()) else { continue };
-                if got.insert(id) {
-                    report.accounts.entry((*customer).to_owned()).or_default().sent += units;
+                let Some((_, _, customer, _, units, ..)) = sent.get(id.as_str()) else { continue };
+                if forwarded.insert(id) {
+                    report.accounts.entry((*customer).to_owned()).or_default().forwarded_units += units;
                 } else {
                     report.attempts.1 += 1;
                 }
             }
-            Event::Replied { attempt, units, .. } => {
-                let customer = attempt_of.get(attempt).and_then(|id| asked.get(id)).map(|a| a.2);
+            Event::ResponseSent { attempt, units, .. } => {
+                let customer = request_of.get(attempt).and_then(|id| sent.get(id)).map(|a| a.2);
                 if let Some(customer) = customer {
                     report.accounts.entry(customer.to_owned()).or_default().true_units += units;
                 }
@@ -159,19 +175,20 @@
         }
     }
     for (phase, found) in report.phases.iter_mut().zip(&mut latencies) {
-        phase.1.latency = quantiles(found);
+        phase.1.latency_ms = quantiles(found);
     }
-    report.latency = quantiles(&mut latencies.concat());
+    report.latency_ms = quantiles(&mut latencies.concat());
     for account in report.accounts.values_mut() {
         let plan = plans.get(&account.plan);
-        account.quota = plan.map_or(0.0, |p| p.burst + p.rate * report.length / 1000.0);
+        account.quota_units = plan.map_or(0.0, |p| p.burst + p.rate * report.duration_ms / 1000.0);
     }
     report
 }
 
-fn quantiles(found: &mut [f64]) -> (f64, f64) {
-    found.sort_by(f64::total_cmp);
+/// Sorts the values and returns their median and 99th percentile, or zeros if there are none.
+fn quantiles(times: &mut [f64]) -> (f64, f64) {
+    times.sort_by(f64::total_cmp);
     let at =
-        |q: f64| found.get(((found.len() as f64 * q) as usize).min(found.len().saturating_sub(1))).copied();
+        |q: f64| times.get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1))).copied();
     (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0))
 }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,21 +1,24 @@
-//! Drills: a small fleet of gateway processes with stand-ins on loopback, a script of troubles, and a verdict from
-//! the traffic that crossed the sockets.
+//! Drills: a small fleet of gateway processes with emulated clients, nodes and counter on loopback, a schedule of faults,
+//! and a check of the rules from the traffic on the sockets.
 
 mod clients;
 mod compare;
 mod fleet;
-mod holders;
-mod kit;
-mod play;
+mod lease_drill;
+mod local_fleet;
+mod runner;
 mod script;
-mod show;
+mod text_report;
 mod view;
 
 pub use compare::compare;
 pub use fleet::Fleet;
-pub use holders::{Cost, Held, HolderOptions, LEASE, cost_of_holders, play_holders, time_to_next_holder};
-pub use kit::{KitOptions, call, up};
-pub use play::{Options, Outcome, play};
-pub use script::{DRILLS, Drill, read};
-pub use show::{show, show_recoveries};
-pub use view::View;
+pub use lease_drill::{
+    LEASE_MS, LeaseCost, LeaseDrillOptions, LeaseDrillOutcome, measure_failover_times, measure_lease_cost,
+    run_lease_drill,
+};
+pub use local_fleet::{LocalFleetOptions, call_fleet, run_local_fleet};
+pub use runner::{DrillOptions, DrillOutcome, run_drill};
+pub use script::{DRILLS, Drill, parse_drill};
+pub use text_report::{format_recoveries, format_report};
+pub use view::TerminalView;
--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -228,9 +228,10 @@
 
     fn record_node_up(&self, index: usize, cold: bool) {
         let spec = &self.nodes[index].spec;
-        let (node, cell, share, warm) = (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
+        let (node, cell, cold_share, warm_up_ms) =
+            (spec.name.clone(), spec.cell, spec.cold_share, spec.warm_up_ms);
         let capacity = spec.cores as f64;
-        self.recorder.record(Event::NodeUp { node, cell, cold, share, warm, capacity });
+        self.recorder.record(Event::NodeUp { node, cell, cold, cold_share, warm_up_ms, capacity });
     }
 
     fn run(&mut self) {
@@ -369,7 +370,7 @@
     fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else { return };
         for attempt in connection.attempts {
-            self.recorder.record(Event::Closed { attempt });
+            self.recorder.record(Event::AttemptClosed { attempt });
         }
     }
 
@@ -434,9 +435,9 @@
         let probe = id.is_empty() && query == PROBE_QUERY;
         let work = if probe { 0.0 } else { work };
         self.recorder.record(if probe {
-            Event::Tried { node: name }
+            Event::ProbeRead { node: name }
         } else {
-            Event::Got { id: id.clone(), node: name, attempt, work }
+            Event::RequestRead { id: id.clone(), node: name, attempt, work_ms: work }
         });
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.attempts.push(attempt);
@@ -470,7 +471,7 @@
             let name = self.nodes[node].spec.name.clone();
             match action {
                 NodeAction::Started { job, dropped, duration_ms } => {
-                    self.recorder.record(Event::Ran { id: job.id, node: name, dropped });
+                    self.recorder.record(Event::RequestExecuted { id: job.id, node: name, dropped });
                     self.timers.schedule(self.clock.now() + duration_ms, TimerEvent::Finished(job.attempt));
                 }
                 NodeAction::Rejected { attempt } => {
@@ -480,7 +481,7 @@
                     }
                 }
                 NodeAction::Crashed => {
-                    self.recorder.record(Event::NodeFell { node: name });
+                    self.recorder.record(Event::NodeCrashed { node: name });
                     self.stop_node(node);
                 }
             }
@@ -528,7 +529,7 @@
     fn reply(&mut self, slot: usize, attempt: u64, status: u16, answer: &str, units: f64) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.attempts.retain(|a| *a != attempt);
-        self.recorder.record(Event::Replied { attempt, status, units });
+        self.recorder.record(Event::ResponseSent { attempt, status, units });
         let mut fields = vec![("content-type", JSON)];
         if !connection.keep_alive {
             fields.push(("connection", "close"));
