--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -114,9 +114,12 @@
 fn keys_of_each_customer(config: &Config) -> BTreeMap<String, String> {
     let mut by_name: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for (key, customer) in &config.customers {
-        let Customer { name, plan, first, spread } = &**customer;
-        let plan = &config.decisions.plans[*plan].name;
-        let text = format!("{plan} from {first} through {spread}, key {:02x}{:02x}..", key[0], key[1]);
+        let Customer { name, plan_index, first_gateway, gateway_count } = &**customer;
+        let plan = &config.decisions.plans[*plan_index].name;
+        let text = format!(
+            "{plan} from {first_gateway} through {gateway_count}, key {:02x}{:02x}..",
+            key[0], key[1]
+        );
         by_name.entry(name.to_string()).or_default().push(text);
     }
     let joined = |mut keys: Vec<String>| {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -491,24 +491,25 @@
     for (at, raw) in raw.customers.iter().enumerate() {
         let path = |field: &str| format!("customers[{at}].{field}");
         let name = check.name(&path("name"), &raw.name, &mut seen);
-        let plan = plans.iter().position(|p| *p.name == *raw.plan);
-        if plan.is_none() {
+        let plan_index = plans.iter().position(|p| *p.name == *raw.plan);
+        if plan_index.is_none() {
             let known: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
             check.fault(&path("plan"), format!("`{}` is no plan: there are {}", raw.plan, known.join(", ")));
         }
-        let first = raw.first_gateway.unwrap_or(0);
-        if first >= gateways {
+        let first_gateway = raw.first_gateway.unwrap_or(0);
+        if first_gateway >= gateways {
             check.fault(
                 &path("first_gateway"),
-                format!("{first} is not below the number of gateways, {gateways}"),
+                format!("{first_gateway} is not below the number of gateways, {gateways}"),
             );
         }
-        let spread = raw.gateways.unwrap_or(gateways);
-        check.whole(&path("gateways"), spread.into(), 1..=gateways.into());
+        let gateway_count = raw.gateways.unwrap_or(gateways);
+        check.whole(&path("gateways"), gateway_count.into(), 1..=gateways.into());
         if raw.key_sha256.is_empty() {
             check.fault(&path("key_sha256"), "at least one key is needed");
         }
-        let customer = Arc::new(Customer { name, plan: plan.unwrap_or(0), first, spread });
+        let customer =
+            Arc::new(Customer { name, plan_index: plan_index.unwrap_or(0), first_gateway, gateway_count });
         for (number, digits) in raw.key_sha256.iter().enumerate() {
             let path = path(&format!("key_sha256[{number}]"));
             match key_hash(digits) {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -104,12 +104,12 @@
 pub struct Customer {
     /// Its name.
     pub name: Name,
-    /// The number of its plan in the settings.
-    pub plan: usize,
-    /// The first gateway its requests come in through.
-    pub first: u32,
-    /// Through how many.
-    pub spread: u32,
+    /// The index of its plan in the settings.
+    pub plan_index: usize,
+    /// The number of the first gateway that its requests arrive at.
+    pub first_gateway: u32,
+    /// How many gateways its requests arrive at, counted from the first.
+    pub gateway_count: u32,
 }
 
 /// Bounds of the gateway; times in ms. `proto/settings.proto` says what each is.
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -84,7 +84,7 @@
 /// Rejects an operation that costs more than the customer's plan can ever hold. The response has no `Retry-After`,
 /// because waiting does not help.
 fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
-    let plan = &config.decisions.plans[head.customer.plan];
+    let plan = &config.decisions.plans[head.customer.plan_index];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
         let message = format!("the operation costs {units} units, the plan never holds more than {capacity}");
         error(head.media, 429, "COST_EXCEEDS_PLAN", &message)
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -271,13 +271,13 @@
     IncomingRequest {
         id,
         customer: customer.name.clone(),
-        plan: config.decisions.plans[customer.plan].name.clone(),
+        plan: config.decisions.plans[customer.plan_index].name.clone(),
         class: config.decisions.classes[request.class].name.clone(),
         units: request.units,
         client_retry: false,
         timeout: request.timeout,
-        first_gateway: customer.first,
-        gateway_count: customer.spread,
+        first_gateway: customer.first_gateway,
+        gateway_count: customer.gateway_count,
         sticky_route: request.sticky_route.clone(),
     }
 }
