--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -3,7 +3,7 @@
 use crate::fleet;
 use crate::locate::Places;
 use crate::raw::{self, class, node, routing};
-use crate::{Config, Counter, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFile};
+use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFile};
 use doorcourse::{
     BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
     Plan, RequestClass,
@@ -17,8 +17,8 @@
 
 const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin"));
 
-/// The quiet wait before the first new connection to the counter, in ms.
-const FIRST_WAIT: f64 = 50.0;
+/// The backoff before the first new connection to the counter.
+const INITIAL_BACKOFF_MS: f64 = 50.0;
 /// What a ceiling must leave above quota and burst for the decisions' bound (docs/design.md, "Bounds").
 const CEILING_ROOM: f64 = 1.6;
 
@@ -248,7 +248,7 @@
         classes,
         plans,
         has_counter: true,
-        counter_timeout: counter.as_ref().map_or(50.0, |c| c.timeout),
+        counter_timeout: counter.as_ref().map_or(50.0, |c| c.call_timeout),
         responses_report_units: true,
         max_request_units: most_units,
         max_attempts: check.whole("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
@@ -345,17 +345,17 @@
     })
 }
 
-fn counter(raw: &raw::Counter, check: &mut Check) -> Counter {
-    Counter {
+fn counter(raw: &raw::Counter, check: &mut Check) -> CounterConfig {
+    CounterConfig {
         address: check.address("counter.address", &raw.address),
         password: raw.password.clone(),
-        timeout: check.figure("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
-        dead_after: check.figure(
+        call_timeout: check.figure("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
+        unresponsive_timeout: check.figure(
             "counter.dead_after_ms",
             raw.dead_after_ms.unwrap_or(1000.0),
             10.0..=60_000.0,
         ),
-        longest_wait: check.figure(
+        max_backoff: check.figure(
             "counter.longest_wait_ms",
             raw.longest_wait_ms.unwrap_or(2000.0),
             10.0..=60_000.0,
@@ -624,10 +624,10 @@
     }
 }
 
-impl Counter {
-    /// The first wait before connecting again, in ms; it doubles up to `longest_wait`.
+impl CounterConfig {
+    /// The backoff before the first new connection, in ms. It doubles up to `max_backoff`.
     #[must_use]
-    pub fn first_wait(&self) -> f64 {
-        FIRST_WAIT.min(self.longest_wait)
+    pub fn initial_backoff(&self) -> f64 {
+        INITIAL_BACKOFF_MS.min(self.max_backoff)
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -37,19 +37,19 @@
     pub message: String,
 }
 
-/// The counter's address and manners.
+/// The connection to the shared counter; times in ms.
 #[derive(Clone, Debug)]
-pub struct Counter {
-    /// Where it is.
+pub struct CounterConfig {
+    /// The address of the counter's server.
     pub address: SocketAddr,
-    /// For AUTH.
+    /// The password for AUTH.
     pub password: Option<String>,
-    /// A call is given up after this, in ms.
-    pub timeout: f64,
-    /// A silent connection is replaced after this, in ms.
-    pub dead_after: f64,
-    /// The longest wait before connecting again, in ms.
-    pub longest_wait: f64,
+    /// A call without an answer fails after this.
+    pub call_timeout: f64,
+    /// A connection on which nothing is answered for this long is replaced.
+    pub unresponsive_timeout: f64,
+    /// The longest backoff before a new connection.
+    pub max_backoff: f64,
 }
 
 /// A node as the decisions know it, and its address.
@@ -172,7 +172,7 @@
     /// The endpoint's path.
     pub path: String,
     /// The shared counter.
-    pub counter: Option<Counter>,
+    pub counter: Option<CounterConfig>,
     /// The nodes of the settings themselves.
     pub nodes: Vec<Node>,
     /// A file of nodes beside the settings, and how often to look at it in ms.
--- a/crates/http-gateway/src/counter.rs
+++ b/crates/http-gateway/src/counter.rs
@@ -13,7 +13,7 @@
 
 use crate::io::Io;
 use doorcourse::{CounterOutcome, Event, Millis};
-use doorcourse_config::Counter as Settings;
+use doorcourse_config::CounterConfig as Settings;
 use doorcourse_counter::CounterCall;
 use doorcourse_event_loop::Ready;
 use in_process::InProcessCounter;
--- a/crates/http-gateway/src/counter/shared.rs
+++ b/crates/http-gateway/src/counter/shared.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use crate::io::Io;
 use doorcourse::{Event, Millis};
-use doorcourse_config::Counter as Settings;
+use doorcourse_config::CounterConfig as Settings;
 use doorcourse_counter::{CallOutcome, CounterCall, CounterLink, LinkAction, LinkSettings, RespCodec};
 use doorcourse_event_loop::{Flow, Ready};
 use std::net::SocketAddr;
@@ -138,10 +138,10 @@
 /// The settings of the link. It has no idle timeout, because the shared counter does not close idle connections.
 fn link_settings(settings: &Settings) -> LinkSettings {
     LinkSettings {
-        call_timeout: settings.timeout,
-        initial_backoff: settings.first_wait(),
-        max_backoff: settings.longest_wait,
-        unresponsive_timeout: settings.dead_after,
+        call_timeout: settings.call_timeout,
+        initial_backoff: settings.initial_backoff(),
+        max_backoff: settings.max_backoff,
+        unresponsive_timeout: settings.unresponsive_timeout,
         idle_timeout: f64::INFINITY,
     }
 }
