--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -25,7 +25,7 @@
 /// Fields that differ and cannot change in service.
 fn refused_fields(old: &Config, new: &Config) -> Vec<String> {
     let counter = |c: &Config| c.counter.as_ref().map(|c| (c.address, c.password.clone()));
-    let state_file = |c: &Config| c.state.as_ref().map(|s| s.file.clone());
+    let state_file = |c: &Config| c.state_file.as_ref().map(|s| s.file.clone());
     let own_link = |c: &Config| c.link.as_ref().map(|l| (l.listen, l.fleet.clone()));
     let lease = |c: &Config| c.leases.as_ref().map(|l| (l.lease_duration_ms, l.clock_drift_ppm));
     let fields = [
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -3,7 +3,7 @@
 use crate::fleet;
 use crate::locate::Places;
 use crate::raw::{self, class, node, routing};
-use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFile};
+use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFileConfig};
 use doorcourse::{
     BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
     Plan, RequestClass,
@@ -294,14 +294,14 @@
         a.socket.clone()
     });
     let health = raw.health.as_ref().map(|h| check.address("health.listen", &h.listen));
-    let state = raw.state.as_ref().map(|s| {
+    let state_file = raw.state.as_ref().map(|s| {
         if s.file.is_empty() {
             check.fault("state.file", "a file's name is needed");
         }
-        StateFile {
+        StateFileConfig {
             file: s.file.clone(),
-            every: check.figure("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
-            longest_age: check.figure(
+            save_interval: check.figure("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
+            max_age: check.figure(
                 "state.longest_age_ms",
                 s.longest_age_ms.unwrap_or(60_000.0),
                 1000.0..=8.64e7,
@@ -324,7 +324,7 @@
         leases,
         health,
         admin,
-        state,
+        state_file,
         life,
         decisions,
         listen,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -136,15 +136,15 @@
     pub unread_time: f64,
 }
 
-/// Where what was learnt is kept; times in ms.
+/// The file in which a gateway saves what it has learnt of the nodes; times in ms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StateFile {
-    /// The file.
+pub struct StateFileConfig {
+    /// The path of the file, relative to the settings file.
     pub file: String,
-    /// How often it is written.
-    pub every: f64,
-    /// One older than this is left aside.
-    pub longest_age: f64,
+    /// The interval between two saves.
+    pub save_interval: f64,
+    /// An older file is not used.
+    pub max_age: f64,
 }
 
 /// Times of the process's life, in ms.
@@ -201,8 +201,8 @@
     pub health: Option<SocketAddr>,
     /// The path of the admin socket.
     pub admin: Option<String>,
-    /// Where what was learnt is kept.
-    pub state: Option<StateFile>,
+    /// The file that keeps what the gateway has learnt of the nodes.
+    pub state_file: Option<StateFileConfig>,
     /// Times of the process's life.
     pub life: Life,
     /// How the gateways hear of each other.
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -117,7 +117,7 @@
             lifecycle: ProcessLifecycle::new(settings::lifecycle_settings(&config)),
             instance_name: format!("g{gateway_index}-{:x}", io.now() as u64),
             signals,
-            state: config.state.as_ref().map(|s| StatePersistence::new(s, directory, gateway_index)),
+            state: config.state_file.as_ref().map(|s| StatePersistence::new(s, directory, gateway_index)),
             exit_requested: false,
             last_poll_at: Millis::NEG_INFINITY,
             predecessor: sockets.predecessor,
--- a/crates/http-gateway/src/gateway/state_persistence.rs
+++ b/crates/http-gateway/src/gateway/state_persistence.rs
@@ -16,10 +16,12 @@
 
 impl StatePersistence {
     /// The state file that the settings name. Its path is relative to `directory`.
-    pub(super) fn new(settings: &doorcourse_config::StateFile, directory: &Path, gateway_index: u32) -> Self {
+    pub(super) fn new(
+        settings: &doorcourse_config::StateFileConfig, directory: &Path, gateway_index: u32,
+    ) -> Self {
         let path = directory.join(&settings.file);
-        let file = StateFile { path, max_age: settings.longest_age, gateway_index };
-        Self { file, save_interval: settings.every, last_save_failed: false }
+        let file = StateFile { path, max_age: settings.max_age, gateway_index };
+        Self { file, save_interval: settings.save_interval, last_save_failed: false }
     }
 
     /// Logs the result of a save if it differs from the result of the previous one.
