--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -142,12 +142,17 @@
     if raw.sticky.is_some() && sticky.cookie.is_empty() && sticky.parameter.is_empty() {
         check.fault("routing.sticky", "a cookie or a parameter is needed");
     }
-    let balance = match raw.balance() {
+    let load_balancing = match raw.balance() {
         routing::Balance::Outstanding => LoadBalancing::LeastInFlight,
         routing::Balance::Requests => LoadBalancing::WeightedRoundRobin,
         routing::Balance::Busyness => LoadBalancing::WeightedLeastInFlight,
     };
-    Routing { balance, strict: sticky.strict, cookie: sticky.cookie, parameter: sticky.parameter }
+    Routing {
+        load_balancing,
+        strict_affinity: sticky.strict,
+        session_cookie: sticky.cookie,
+        session_parameter: sticky.parameter,
+    }
 }
 
 fn place(raw: &raw::Node, at: usize, check: &mut Check) -> Placement {
@@ -271,8 +276,8 @@
         overload_window: check.figure("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
         cross_zone_price: price_cross_zone,
         routing: doorcourse::Routing {
-            load_balancing: routing.balance,
-            strict_affinity: routing.strict,
+            load_balancing: routing.load_balancing,
+            strict_affinity: routing.strict_affinity,
             assume_restart: cold.assume_restart.unwrap_or(true),
         },
         ..doorcourse::Settings::default()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -61,31 +61,31 @@
     pub address: SocketAddr,
 }
 
-/// How nodes are chosen, for the decisions, and where a request names its node, for the fronts.
+/// How nodes are chosen, and where a request carries the id of its sticky session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
-    /// For the decisions.
-    pub balance: doorcourse::LoadBalancing,
-    /// For the decisions.
-    pub strict: bool,
-    /// The cookie with a session's id; empty for none.
-    pub cookie: String,
-    /// The parameter with it; empty for none.
-    pub parameter: String,
+    /// How a node is chosen among those that may serve a request.
+    pub load_balancing: doorcourse::LoadBalancing,
+    /// Whether a request is refused while the node of its session is out of service.
+    pub strict_affinity: bool,
+    /// The name of the cookie with the session id; empty for none.
+    pub session_cookie: String,
+    /// The name of the URL parameter with the session id; empty for none.
+    pub session_parameter: String,
 }
 
 /// As a reload and `import diff` report it; recorded texts hold this form.
 impl std::fmt::Display for Routing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { balance, strict, cookie, parameter } = self;
-        let balance = match balance {
+        let Self { load_balancing, strict_affinity, session_cookie, session_parameter } = self;
+        let balance = match load_balancing {
             doorcourse::LoadBalancing::LeastInFlight => "Outstanding",
             doorcourse::LoadBalancing::WeightedRoundRobin => "Requests",
             doorcourse::LoadBalancing::WeightedLeastInFlight => "Busyness",
         };
         write!(
             f,
-            "Routing {{ balance: {balance}, strict: {strict}, cookie: {cookie:?}, parameter: {parameter:?} }}"
+            "Routing {{ balance: {balance}, strict: {strict_affinity}, cookie: {session_cookie:?}, parameter: {session_parameter:?} }}"
         )
     }
 }
@@ -215,7 +215,7 @@
     /// Takes over the routing of a node list file, which goes before that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
         (self.decisions.routing.load_balancing, self.decisions.routing.strict_affinity) =
-            (routing.balance, routing.strict);
+            (routing.load_balancing, routing.strict_affinity);
         self.routing = routing;
     }
 
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -118,9 +118,9 @@
     assert_eq!((&*place.sticky_route, &*place.failover_route, &*place.failover_group), ("r", "s", "g"));
     let routing = file.routing.unwrap();
     assert!(
-        routing.balance == doorcourse::LoadBalancing::WeightedLeastInFlight
-            && routing.strict
-            && routing.cookie == "SID"
+        routing.load_balancing == doorcourse::LoadBalancing::WeightedLeastInFlight
+            && routing.strict_affinity
+            && routing.session_cookie == "SID"
     );
     assert!(is_node_list("n", text) && !is_node_list("n", "listen: 'x'") && !is_node_list("n", ""));
     let bad = "nodes { name: 'a' address: '127.0.0.1:1' weight: 0 tier: 9999 route: 'a b' }
