--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -207,7 +207,7 @@
 }
 
 fn differ(old: &Path, new: &Path, format: Format) -> anyhow::Result<ExitCode> {
-    let read = |file: &Path| -> anyhow::Result<doorcourse_config::NodeFile> {
+    let read = |file: &Path| -> anyhow::Result<doorcourse_config::NodeList> {
         let shown = file.display().to_string();
         let text = std::fs::read_to_string(file).with_context(|| shown.clone())?;
         doorcourse_config::read_nodes(&shown, &text).map_err(|faults| {
@@ -216,9 +216,9 @@
         })
     };
     let (old, new) = (read(old)?, read(new)?);
-    let nodes = |file: &doorcourse_config::NodeFile| file.nodes.iter().map(node).collect::<Vec<_>>();
+    let nodes = |file: &doorcourse_config::NodeList| file.nodes.iter().map(node).collect::<Vec<_>>();
     let mut all = diff(&nodes(&old), &nodes(&new));
-    let shown = |file: &doorcourse_config::NodeFile| file.routing.as_ref().map(ToString::to_string);
+    let shown = |file: &doorcourse_config::NodeList| file.routing.as_ref().map(ToString::to_string);
     let (was, is) = (shown(&old), shown(&new));
     if was != is {
         all.push(Difference {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -3,7 +3,7 @@
 use crate::fleet;
 use crate::locate::Places;
 use crate::raw::{self, class, node, routing};
-use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFileConfig};
+use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeList, Routing, StateFileConfig};
 use doorcourse::{
     BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
     Plan, RequestClass,
@@ -117,12 +117,12 @@
 ///
 /// # Errors
 /// Every fault found, each with file, line and field.
-pub fn read_nodes(file: &str, text: &str) -> Result<NodeFile, Vec<Fault>> {
+pub fn read_nodes(file: &str, text: &str) -> Result<NodeList, Vec<Fault>> {
     let raw: raw::Nodes = parse("Nodes", file, text)?;
     let mut check = Check { file, places: Places::new(text), faults: Vec::new() };
     let nodes = nodes(&raw.nodes, &mut check);
     let routing = raw.routing.as_ref().map(|r| routing(r, &mut check));
-    if check.faults.is_empty() { Ok(NodeFile { nodes, routing }) } else { Err(check.faults) }
+    if check.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(check.faults) }
 }
 
 /// Whether a text is a node list file rather than settings: it parses as one.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -90,12 +90,12 @@
     }
 }
 
-/// A node list file.
+/// The content of a node list file.
 #[derive(Clone, Debug)]
-pub struct NodeFile {
-    /// Its nodes.
+pub struct NodeList {
+    /// All nodes.
     pub nodes: Vec<Node>,
-    /// Its routing, which goes before that of the settings.
+    /// The routing of the file. It takes precedence over the routing of the settings.
     pub routing: Option<Routing>,
 }
 
--- a/crates/http-gateway/src/endpoint_list.rs
+++ b/crates/http-gateway/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! An endpoint list in a file, which is read again when it has changed.
 
 use doorcourse::Millis;
-use doorcourse_config::{NodeFile, Routing, read_nodes};
+use doorcourse_config::{NodeList, Routing, read_nodes};
 use std::path::PathBuf;
 use std::time::SystemTime;
 
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// The reason why a changed file cannot be used. Each version of the file is reported once.
-    pub(crate) fn read_if_changed(&mut self) -> Option<Result<NodeFile, String>> {
+    pub(crate) fn read_if_changed(&mut self) -> Option<Result<NodeList, String>> {
         let version = match self.examine() {
             Ok(version) => version,
             Err(_) if self.last_version == Some(FileVersion::Unavailable) => return None,
