--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -5,21 +5,21 @@
 use crate::{Config, Customer};
 use std::collections::BTreeMap;
 
-/// The difference that a reload makes.
+/// The differences between the settings in service and new ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
-    /// Fields that cannot change in service, each with the reason.
+pub struct SettingsDiff {
+    /// Fields that differ but cannot change in service, each with the reason.
     pub refused: Vec<String>,
-    /// What changes, a line each.
-    pub lines: Vec<String>,
+    /// All differences, one line each.
+    pub changes: Vec<String>,
 }
 
 /// Compares the settings in service with new ones.
 #[must_use]
-pub fn compare(old: &Config, new: &Config) -> Change {
-    let mut lines = changed_values(old, new);
-    lines.extend(changed_items(old, new));
-    Change { refused: refused_fields(old, new), lines }
+pub fn compare(old: &Config, new: &Config) -> SettingsDiff {
+    let mut changes = changed_values(old, new);
+    changes.extend(changed_items(old, new));
+    SettingsDiff { refused: refused_fields(old, new), changes }
 }
 
 /// Fields that differ and cannot change in service.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,7 @@
 mod fleet;
 mod locate;
 
-pub use change::{Change, compare};
+pub use change::{SettingsDiff, compare};
 pub use check::{is_node_list, parse_text, read, read_nodes};
 pub use fleet::{LeaseConfig, LinkConfig, OUTLIER_PROBE_TASK, OutlierGossipConfig, TaskConfig};
 pub use locate::Places;
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -251,6 +251,6 @@
     let mut new = linked(&format!("{text}{rest}")).unwrap();
     new.node_list = Some(("nodes.txtpb".into(), 200.0));
     new.query_limits.depth = 5;
-    let lines = doorcourse_config::compare(&old, &new).lines.join("\n") + "\n";
+    let lines = doorcourse_config::compare(&old, &new).changes.join("\n") + "\n";
     assert_eq!(lines, include_str!("recorded/reload.txt"));
 }
--- a/crates/http-gateway/src/admin.rs
+++ b/crates/http-gateway/src/admin.rs
@@ -7,7 +7,7 @@
 
 use crate::io::{Io, Token};
 use anyhow::Context;
-use doorcourse_config::Change;
+use doorcourse_config::SettingsDiff;
 use doorcourse_event_loop::Interest;
 use protocol::{ErrorCode, error_reply, result_reply};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -64,7 +64,7 @@
 pub(crate) struct ReloadReply {
     pub waiter: ReloadWaiter,
     /// The differences between the settings, or the reason why they are not reloaded.
-    pub outcome: Result<Change, String>,
+    pub outcome: Result<SettingsDiff, String>,
 }
 
 /// The admin socket and its connections.
@@ -220,7 +220,7 @@
             return;
         }
         let reply = match &reload.outcome {
-            Ok(change) => result_reply(id, json!({"refused": change.refused, "changes": change.lines})),
+            Ok(diff) => result_reply(id, json!({"refused": diff.refused, "changes": diff.changes})),
             Err(message) => error_reply(id, ErrorCode::Refused, message),
         };
         self.write(*slot, &reply);
--- a/crates/http-gateway/src/gateway/settings.rs
+++ b/crates/http-gateway/src/gateway/settings.rs
@@ -9,7 +9,7 @@
 impl Gateway {
     /// Applies the settings that were read. A request in flight keeps the schema with which its cost was computed.
     pub(super) fn apply_settings(&mut self) {
-        let Some((mut config, change)) = self.reload.take_settings() else { return };
+        let Some((mut config, diff)) = self.reload.take_settings() else { return };
         let started_at = self.io.now();
         // The routing in the list file takes precedence over that in the settings.
         if let Some(routing) = self.endpoints.listed_routing() {
@@ -29,8 +29,8 @@
         }
         self.process_pending();
         let stopped_ms = self.io.now() - started_at;
-        tracing::info!(changes = change.lines.join("; "), stopped_ms, "settings reloaded");
-        self.reload.finish(Ok(change));
+        tracing::info!(changes = diff.changes.join("; "), stopped_ms, "settings reloaded");
+        self.reload.finish(Ok(diff));
     }
 }
 
--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -3,7 +3,7 @@
 
 use crate::admin::{ReloadReply, ReloadWaiter};
 use crate::io::{Io, Token};
-use doorcourse_config::{Change, Config, compare};
+use doorcourse_config::{Config, SettingsDiff, compare};
 use doorcourse_event_loop::Interest;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -14,7 +14,7 @@
 pub type ReadSettings = Arc<dyn Fn() -> Result<Config, String> + Send + Sync>;
 
 /// Settings that were read, and how they differ from those in force.
-type ReadResult = Result<(Config, Change), String>;
+type ReadResult = Result<(Config, SettingsDiff), String>;
 
 /// The byte that the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
 const READ_FINISHED: u8 = 0xff;
@@ -36,7 +36,7 @@
     /// Whether another reload was requested while the thread was running; it starts afterwards.
     requested_again: bool,
     /// Settings that were read and wait for the life cycle's decision.
-    pending_settings: Option<(Config, Change)>,
+    pending_settings: Option<(Config, SettingsDiff)>,
     /// The admin calls that wait for the present reload.
     waiters: Vec<ReloadWaiter>,
     /// The admin calls that wait for the reload that follows it.
@@ -104,8 +104,8 @@
         let pipe = Arc::clone(&self.sender);
         let thread = std::thread::Builder::new().name("settings".into()).spawn(move || {
             let result = read_settings().map(|config| {
-                let change = compare(&current, &config);
-                (config, change)
+                let diff = compare(&current, &config);
+                (config, diff)
             });
             let _ = result_sender.send(result);
             // Wakes the event loop, which then receives from the channel.
@@ -124,8 +124,8 @@
         self.reader = None;
         match result {
             Err(message) => self.finish(Err(message)),
-            Ok((_, change)) if self.is_dry_run() => self.finish(Ok(change)),
-            Ok((_, change)) if !change.refused.is_empty() => self.finish(Err(change.refused.join("; "))),
+            Ok((_, diff)) if self.is_dry_run() => self.finish(Ok(diff)),
+            Ok((_, diff)) if !diff.refused.is_empty() => self.finish(Err(diff.refused.join("; "))),
             Ok(read) => {
                 self.pending_settings = Some(read);
                 return true;
@@ -144,7 +144,7 @@
     }
 
     /// Takes the settings that were read, after the life cycle has decided to apply them.
-    pub(crate) fn take_settings(&mut self) -> Option<(Config, Change)> {
+    pub(crate) fn take_settings(&mut self) -> Option<(Config, SettingsDiff)> {
         self.pending_settings.take()
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Ends the present reload: all calls that wait for it get its outcome.
-    pub(crate) fn finish(&mut self, outcome: Result<Change, String>) {
+    pub(crate) fn finish(&mut self, outcome: Result<SettingsDiff, String>) {
         if let (Err(reason), false) = (&outcome, self.is_dry_run()) {
             tracing::error!(reason, "settings not reloaded, the old ones hold");
         }
