--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -80,7 +80,7 @@
         secrets_changed.then(|| "fleet.link.secret_file: the old secrets -> new ones".to_owned()),
         value("leases.voters", &|c| c.leases.as_ref().map_or(String::new(), |l| text::voters(&l.voters))),
         value("leases.tasks", &|c| c.leases.as_ref().map_or(String::new(), |l| text::tasks(&l.tasks))),
-        value("leases.suspects", &|c| text::suspects(c.leases.as_ref().and_then(|l| l.suspects))),
+        value("leases.suspects", &|c| text::suspects(c.leases.as_ref().and_then(|l| l.outlier_gossip))),
         value("node_list", &|c| format!("{:?}", c.node_list)),
         schema_changed.then(|| "schema: changed".to_owned()),
     ];
--- a/crates/config/src/change/text.rs
+++ b/crates/config/src/change/text.rs
@@ -35,10 +35,10 @@
         probe_interval_ms,
         probe_timeout_ms,
         max_outlier_fraction,
-        keep,
+        retention_ms,
         affects_decisions,
     } = config;
     format!(
-        "Some(FleetSuspects {{ every: {probe_interval_ms}, timeout: {probe_timeout_ms}, share: {max_outlier_fraction:?}, keep: {keep}, apply: {affects_decisions} }})"
+        "Some(FleetSuspects {{ every: {probe_interval_ms}, timeout: {probe_timeout_ms}, share: {max_outlier_fraction:?}, keep: {retention_ms}, apply: {affects_decisions} }})"
     )
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -84,7 +84,7 @@
     /// The tasks.
     pub tasks: Vec<TaskConfig>,
     /// The outlier gossip; `None` where suspected nodes are not probed for the fleet.
-    pub suspects: Option<OutlierGossipConfig>,
+    pub outlier_gossip: Option<OutlierGossipConfig>,
 }
 
 /// The outlier gossip.
@@ -96,8 +96,8 @@
     pub probe_timeout_ms: u64,
     /// The fraction of the nodes that may be outliers at the same time, from 0 to 1.
     pub max_outlier_fraction: f64,
-    /// How long a report and a verdict are valid, in ms.
-    pub keep: u64,
+    /// How long a report and a verdict are valid.
+    pub retention_ms: u64,
     /// Whether the decisions follow the verdicts; otherwise they are only logged.
     pub affects_decisions: bool,
 }
@@ -198,9 +198,9 @@
     let drift = raw.drift_ppm.unwrap_or(CLOCK_DRIFT_PPM_DEFAULT);
     let clock_drift_ppm = check.whole("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
     let voters = voters(raw, &gateways, check);
-    let suspects = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, check));
-    let tasks = tasks(&raw.tasks, suspects.is_some(), lease_duration_ms, check);
-    LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, suspects }
+    let outlier_gossip = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, check));
+    let tasks = tasks(&raw.tasks, outlier_gossip.is_some(), lease_duration_ms, check);
+    LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, outlier_gossip }
 }
 
 /// The voters of this version and the one before. All gateways vote where the settings name none.
@@ -250,7 +250,7 @@
         probe_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
         probe_timeout_ms: milliseconds(check, &path("timeout_ms"), raw.timeout_ms, &timeout),
         max_outlier_fraction: number(check, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
-        keep: milliseconds(check, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
+        retention_ms: milliseconds(check, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
         affects_decisions: raw.apply.unwrap_or(true),
     }
 }
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -114,7 +114,7 @@
         self.calls.configure(now, &config.tasks);
         let monitor = self.outliers.take();
         self.outliers =
-            config.suspects.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
+            config.outlier_gossip.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
     }
 
     /// Releases all leases, closes the connections, and releases the address for a process that takes over.
--- a/crates/http-gateway/src/fleet/settings.rs
+++ b/crates/http-gateway/src/fleet/settings.rs
@@ -12,7 +12,7 @@
 
 /// The tasks that this gateway is a candidate for: those of the settings, and the probes of suspected nodes.
 pub(super) fn task_ids(leases: &LeaseConfig) -> Vec<TaskId> {
-    let probes = leases.suspects.map(|_| task_of(OUTLIER_PROBE_TASK));
+    let probes = leases.outlier_gossip.map(|_| task_of(OUTLIER_PROBE_TASK));
     leases.tasks.iter().map(|task| task_of(&task.name)).chain(probes).collect()
 }
 
@@ -55,6 +55,6 @@
         gateway,
         probe_interval: config.probe_interval_ms,
         max_outlier_fraction: config.max_outlier_fraction,
-        retention: config.keep,
+        retention: config.retention_ms,
     }
 }
--- a/crates/http-gateway/src/gateway/outliers.rs
+++ b/crates/http-gateway/src/gateway/outliers.rs
@@ -29,8 +29,8 @@
         while let Some(verdict) = fleet.verdicts.pop_front() {
             let backend = self.decisions.backends().find(|backend| *backend.name == *verdict.node);
             let Some(status) = backend else { continue };
-            let gossip_config = self.config.leases.as_ref().and_then(|leases| leases.suspects);
-            let retention = gossip_config.map_or(0, |config| config.keep);
+            let gossip_config = self.config.leases.as_ref().and_then(|leases| leases.outlier_gossip);
+            let retention = gossip_config.map_or(0, |config| config.retention_ms);
             let effect = verdict_effect(&verdict, retention, status.consecutive_failures);
             statuses.push(BackendStatus {
                 consecutive_failures: effect.consecutive_failures,
