--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -42,7 +42,7 @@
     };
     let classes = config.decisions.classes.len();
     let plans = config.decisions.plans.len();
-    let keys = config.customers.len();
+    let keys = config.customers_by_key.len();
     say!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -113,7 +113,7 @@
 
 fn keys_of_each_customer(config: &Config) -> BTreeMap<String, String> {
     let mut by_name: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    for (key, customer) in &config.customers {
+    for (key, customer) in &config.customers_by_key {
         let Customer { name, plan_index, first_gateway, gateway_count } = &**customer;
         let plan = &config.decisions.plans[*plan_index].name;
         let text = format!(
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -237,7 +237,7 @@
     let schema = schema(&graphql, check, open);
     let (classes, give_up) = classes(&raw.classes, check);
     let plans = plans(&raw.plans, check);
-    let customers = customers(raw, gateways, &plans, check);
+    let customers_by_key = customers_by_key(raw, gateways, &plans, check);
     let mut of =
         |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, check)).unwrap_or_default();
     let (query_classes, mutation_classes) = (of(OperationKind::Query), of(OperationKind::Mutation));
@@ -341,7 +341,7 @@
         give_up,
         query_classes,
         mutation_classes,
-        customers,
+        customers_by_key,
         schema,
         query_limits,
         answer_depth,
@@ -489,7 +489,7 @@
     plans
 }
 
-fn customers(
+fn customers_by_key(
     raw: &raw::Settings, gateways: u32, plans: &[Plan], check: &mut Check,
 ) -> HashMap<[u8; 32], Arc<Customer>> {
     let (mut seen, mut keys) = (HashSet::new(), HashMap::new());
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -185,8 +185,8 @@
     pub query_classes: BTreeMap<String, usize>,
     /// See `query_classes`.
     pub mutation_classes: BTreeMap<String, usize>,
-    /// Customers by the SHA-256 of their keys.
-    pub customers: HashMap<[u8; 32], Arc<Customer>>,
+    /// The customers by the SHA-256 of their keys.
+    pub customers_by_key: HashMap<[u8; 32], Arc<Customer>>,
     /// The schema.
     pub schema: Arc<Schema>,
     /// Bounds on documents.
@@ -221,14 +221,14 @@
 
     /// The customer that a key belongs to.
     #[must_use]
-    pub fn customer(&self, key: &[u8]) -> Option<&Arc<Customer>> {
+    pub fn customer_of_key(&self, key: &[u8]) -> Option<&Arc<Customer>> {
         use sha2::Digest;
-        self.customers.get::<[u8; 32]>(&sha2::Sha256::digest(key).into())
+        self.customers_by_key.get::<[u8; 32]>(&sha2::Sha256::digest(key).into())
     }
 
-    /// The class of a root field.
+    /// The index of the class of a root field.
     #[must_use]
-    pub fn class_of(&self, kind: OperationKind, field: &str) -> Option<usize> {
+    pub fn class_of_root_field(&self, kind: OperationKind, field: &str) -> Option<usize> {
         match kind {
             OperationKind::Query => self.query_classes.get(field).copied(),
             OperationKind::Mutation => self.mutation_classes.get(field).copied(),
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -25,8 +25,8 @@
 fn good_settings_pass() {
     let config = check(GOOD).unwrap();
     assert_eq!((config.decisions.gateway_count, config.decisions.gateway_index), (2, 1));
-    assert_eq!(config.customer(b"key").map(|c| c.gateway_count), Some(2));
-    assert!(config.customer(b"other").is_none());
+    assert_eq!(config.customer_of_key(b"key").map(|c| c.gateway_count), Some(2));
+    assert!(config.customer_of_key(b"other").is_none());
     assert_eq!(config.query_classes["search"], 0);
     assert_eq!(config.limits.held_answer, 16_384);
 }
--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -69,7 +69,7 @@
     // The scheme is compared without regard to case (RFC 9110 section 11.1).
     let key =
         credentials.filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer")).map(|(_, key)| key.trim());
-    key.and_then(|key| config.customer(key.as_bytes())).ok_or_else(|| {
+    key.and_then(|key| config.customer_of_key(key.as_bytes())).ok_or_else(|| {
         let message = "a known key is needed in Authorization: Bearer";
         let mut response = with_close(error(MediaType::Json, 401, "UNAUTHENTICATED", message));
         response.fields.push(("www-authenticate", "Bearer".into()));
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -76,7 +76,7 @@
 /// The index of the operation's class: the strictest of its root fields.
 fn class_index(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
     let kind = operation.kind();
-    let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
+    let classes = operation.root_fields().iter().filter_map(|field| config.class_of_root_field(kind, field));
     operation_class(&config.decisions.classes, classes)
         .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
