--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -212,9 +212,9 @@
     }
     let listen =
         raw.listen.iter().enumerate().map(|(at, l)| check.address(&format!("listen[{at}]"), l)).collect();
-    let path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
-    if !path.starts_with('/') || path.contains(['?', ' ']) {
-        check.fault("path", format!("`{path}` must begin with / and hold no ? and no space"));
+    let endpoint_path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
+    if !endpoint_path.starts_with('/') || endpoint_path.contains(['?', ' ']) {
+        check.fault("path", format!("`{endpoint_path}` must begin with / and hold no ? and no space"));
     }
     let counter = raw.counter.as_ref().map(|c| counter(c, check));
     if counter.is_none() && gateways > 1 {
@@ -235,7 +235,7 @@
     });
     let graphql = raw.graphql.clone().unwrap_or_default();
     let schema = schema(&graphql, check, open);
-    let (classes, give_up) = classes(&raw.classes, check);
+    let (classes, client_timeouts) = classes(&raw.classes, check);
     let plans = plans(&raw.plans, check);
     let customers_by_key = customers_by_key(raw, gateways, &plans, check);
     let mut of =
@@ -289,16 +289,17 @@
     }
     let limits = limits(&raw.limits.unwrap_or_default(), check);
     let query_limits = query_limits(&graphql, check);
-    let answer_depth = graphql.answer_depth.unwrap_or(100);
-    let answer_depth = check.whole("graphql.answer_depth", answer_depth.into(), 2..=1000) as usize;
+    let max_response_depth = graphql.answer_depth.unwrap_or(100);
+    let max_response_depth =
+        check.whole("graphql.answer_depth", max_response_depth.into(), 2..=1000) as usize;
     let introspection = graphql.introspection.unwrap_or(false);
-    let admin = raw.admin.as_ref().map(|a| {
+    let admin_socket = raw.admin.as_ref().map(|a| {
         if a.socket.is_empty() {
             check.fault("admin.socket", "a path is needed");
         }
         a.socket.clone()
     });
-    let health = raw.health.as_ref().map(|h| check.address("health.listen", &h.listen));
+    let health_listen = raw.health.as_ref().map(|h| check.address("health.listen", &h.listen));
     let state_file = raw.state.as_ref().map(|s| {
         if s.file.is_empty() {
             check.fault("state.file", "a file's name is needed");
@@ -327,24 +328,24 @@
     Some(Config {
         link,
         leases,
-        health,
-        admin,
+        health_listen,
+        admin_socket,
         state_file,
         life,
         decisions,
         listen,
-        path,
+        endpoint_path,
         counter,
         nodes,
         node_list,
         routing,
-        give_up,
+        client_timeouts,
         query_classes,
         mutation_classes,
         customers_by_key,
         schema,
         query_limits,
-        answer_depth,
+        max_response_depth,
         introspection,
         limits,
     })
@@ -399,13 +400,13 @@
     if raw.is_empty() {
         check.fault("classes", "at least one class is needed");
     }
-    let (mut seen, mut give_up) = (HashSet::new(), Vec::new());
+    let (mut seen, mut client_timeouts) = (HashSet::new(), Vec::new());
     let mut classes = Vec::new();
     for (at, raw) in raw.iter().enumerate() {
         let path = |field: &str| format!("classes[{at}].{field}");
         let name = check.name(&path("name"), &raw.name, &mut seen);
         let aim = check.figure(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
-        give_up.push(check.figure(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
+        client_timeouts.push(check.figure(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
         let effect = match raw.effect() {
             class::Effect::Unstated => {
                 check.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
@@ -436,7 +437,7 @@
             late_response_value: late_worth,
         });
     }
-    (classes, give_up)
+    (classes, client_timeouts)
 }
 
 fn plans(raw: &[raw::Plan], check: &mut Check) -> Vec<Plan> {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -169,8 +169,8 @@
     pub decisions: doorcourse::Settings,
     /// Where clients are served.
     pub listen: Vec<SocketAddr>,
-    /// The endpoint's path.
-    pub path: String,
+    /// The path of the GraphQL endpoint.
+    pub endpoint_path: String,
     /// The shared counter.
     pub counter: Option<CounterConfig>,
     /// The nodes of the settings themselves.
@@ -179,8 +179,8 @@
     pub node_list: Option<(String, f64)>,
     /// How nodes are chosen and where a request names its node.
     pub routing: Routing,
-    /// How long a client of each class waits, in ms.
-    pub give_up: Vec<f64>,
+    /// How long a client of each class waits for its response if it states no deadline, in ms.
+    pub client_timeouts: Vec<f64>,
     /// The class of each root field, of queries and of mutations.
     pub query_classes: BTreeMap<String, usize>,
     /// See `query_classes`.
@@ -191,16 +191,16 @@
     pub schema: Arc<Schema>,
     /// Bounds on documents.
     pub query_limits: QueryLimits,
-    /// How deep an answer may nest.
-    pub answer_depth: usize,
+    /// How deep a response of a node may nest.
+    pub max_response_depth: usize,
     /// Whether introspection is answered.
     pub introspection: bool,
     /// Bounds of the gateway.
     pub limits: Limits,
-    /// Where who watches asks.
-    pub health: Option<SocketAddr>,
-    /// The path of the admin socket.
-    pub admin: Option<String>,
+    /// The address that serves health checks and metrics.
+    pub health_listen: Option<SocketAddr>,
+    /// The path of the admin socket, relative to the settings file.
+    pub admin_socket: Option<String>,
     /// The file that keeps what the gateway has learnt of the nodes.
     pub state_file: Option<StateFileConfig>,
     /// Times of the process's life.
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -70,7 +70,7 @@
         let incarnation = seed | 1;
         let mut fleet = Self {
             gateway,
-            endpoint_path: config.path.clone(),
+            endpoint_path: config.endpoint_path.clone(),
             link: PeerLink::new(now, link_config, gateway, incarnation)?,
             leases: None,
             calls: CallSchedules::default(),
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -63,7 +63,7 @@
         let bind_monitoring = |address| {
             listen(address).map_err(|e| anyhow::anyhow!("health.listen: cannot listen on {address}: {e}"))
         };
-        let monitoring = config.health.map(bind_monitoring).transpose()?;
+        let monitoring = config.health_listen.map(bind_monitoring).transpose()?;
         Ok(Self { clients, monitoring, predecessor: None })
     }
 
@@ -71,14 +71,14 @@
     fn take_over(config: &Config, admin_path: Option<&PathBuf>) -> anyhow::Result<Self> {
         let path = admin_path.context("to take over, the settings must have admin.socket")?;
         let (mut passed, predecessor) = crate::takeover::request_listeners(path)?;
-        let expected = config.listen.len() + usize::from(config.health.is_some());
+        let expected = config.listen.len() + usize::from(config.health_listen.is_some());
         anyhow::ensure!(
             passed.len() == expected,
             "the old process passed {} sockets, the settings have {expected} listeners",
             passed.len()
         );
         // The listener of health checks and metrics is the last one.
-        let monitoring = config.health.and_then(|_| passed.pop());
+        let monitoring = config.health_listen.and_then(|_| passed.pop());
         Ok(Self { clients: passed, monitoring, predecessor: Some(predecessor) })
     }
 }
@@ -92,7 +92,7 @@
         let GatewayOptions { config, directory, seed, read_settings, take_over } = options;
         let io = Io::new()?;
         let decisions = doorcourse::Gateway::new(config.decisions.clone(), seed.unwrap_or_else(random_seed))?;
-        let admin_path = config.admin.as_ref().map(|path| directory.join(path));
+        let admin_path = config.admin_socket.as_ref().map(|path| directory.join(path));
         let sockets = ListeningSockets::open(&config, admin_path.as_ref(), take_over)?;
         let clients = Clients::new(&io, &config, sockets.clients)?;
         let monitoring = sockets.monitoring.map(|listener| Monitoring::new(&io, listener)).transpose()?;
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -81,7 +81,7 @@
         if let Some(window) = write_window {
             self.io.timers.schedule(self.io.now() + window, Timer::RetryDeadline(id, attempt));
         }
-        let Some(request) = self.requests.backend_request(id, &self.config.path) else { return };
+        let Some(request) = self.requests.backend_request(id, &self.config.endpoint_path) else { return };
         match self.backends.send_request(&mut self.io, &self.config.limits, id, backend, &request) {
             Some(connection) => {
                 self.requests.set_connection(id, connection);
--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -21,7 +21,7 @@
     let routing = &config.routing;
     let (path, path_parameters) =
         if routing.session_parameter.is_empty() { (path, "") } else { split_path(path) };
-    if path != config.path {
+    if path != config.endpoint_path {
         return reject(404, "NOT_FOUND", "there is nothing here");
     }
     let is_get = is_get(head)?;
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -96,8 +96,13 @@
     config: &Config, head: &RequestHead, class: usize, elapsed: Millis,
 ) -> Result<Millis, Response> {
     let limits = &config.limits;
-    request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
-        .map(|timeout| timeout - elapsed)
-        .filter(|timeout| *timeout > 0.0)
-        .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
+    request_timeout(
+        config.client_timeouts[class],
+        head.deadline,
+        limits.longest_deadline,
+        limits.answer_margin,
+    )
+    .map(|timeout| timeout - elapsed)
+    .filter(|timeout| *timeout > 0.0)
+    .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
 }
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -65,7 +65,7 @@
             needs_idempotency_key: class.idempotency == Idempotency::WithKey,
             units: request.units,
             attempt: Attempt::default(),
-            response: BufferedResponse::new(request.prepared.scan(config.answer_depth)),
+            response: BufferedResponse::new(request.prepared.scan(config.max_response_depth)),
         };
         let body_bytes = in_flight.body.len() as u64;
         self.requests.insert(id, in_flight);
