--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -245,7 +245,7 @@
     let routing = raw.routing.as_ref().map(|r| routing(r, check)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
     let most_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
-    let decisions = doorcourse::Settings {
+    let decision_settings = doorcourse::Settings {
         gateway_count: gateways,
         gateway_index: number,
         zone: fleet.zone.clone().unwrap_or_default().into(),
@@ -283,7 +283,7 @@
         ..doorcourse::Settings::default()
     };
     if check.faults.is_empty()
-        && let Err(error) = doorcourse::Gateway::new(decisions.clone(), 1)
+        && let Err(error) = doorcourse::Gateway::new(decision_settings.clone(), 1)
     {
         check.fault("", error.to_string());
     }
@@ -332,7 +332,7 @@
         admin_socket,
         state_file,
         life,
-        decisions,
+        decision_settings,
         listen,
         endpoint_path,
         counter,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -165,8 +165,8 @@
 /// Settings that passed every check.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// For the decision library.
-    pub decisions: doorcourse::Settings,
+    /// The settings of the decision library.
+    pub decision_settings: doorcourse::Settings,
     /// Where clients are served.
     pub listen: Vec<SocketAddr>,
     /// The path of the GraphQL endpoint.
@@ -214,7 +214,7 @@
 impl Config {
     /// Takes over the routing of a node list file, which goes before that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
-        (self.decisions.routing.load_balancing, self.decisions.routing.strict_affinity) =
+        (self.decision_settings.routing.load_balancing, self.decision_settings.routing.strict_affinity) =
             (routing.load_balancing, routing.strict_affinity);
         self.routing = routing;
     }
