--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
 //! Reading and checking. Every fault is told, not the first alone; nothing is used unless there is none.
 
 use crate::fleet;
-use crate::locate::Places;
+use crate::locate::FieldPositions;
 use crate::raw::{self, class, node, routing};
 use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeList, Routing, StateFileConfig};
 use doorcourse::{
@@ -24,14 +24,14 @@
 
 pub(crate) struct Check<'a> {
     file: &'a str,
-    places: Places,
+    positions: FieldPositions,
     faults: Vec<Fault>,
 }
 
 impl Check<'_> {
     pub(crate) fn fault(&mut self, path: &str, message: impl Into<String>) {
         let field = if path.is_empty() { String::new() } else { format!("{path}: ") };
-        let (file, line) = (self.file.to_owned(), self.places.find(path));
+        let (file, line) = (self.file.to_owned(), self.positions.find(path));
         self.faults.push(Fault { file, line, field, message: message.into() });
     }
 
@@ -105,7 +105,7 @@
     file: &str, text: &str, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Result<Config, Vec<Fault>> {
     let raw: raw::Settings = parse("Settings", file, text)?;
-    let mut check = Check { file, places: Places::new(text), faults: Vec::new() };
+    let mut check = Check { file, positions: FieldPositions::new(text), faults: Vec::new() };
     let config = settings(&raw, &mut check, open);
     match config {
         Some(config) if check.faults.is_empty() => Ok(config),
@@ -119,7 +119,7 @@
 /// Every fault found, each with file, line and field.
 pub fn read_nodes(file: &str, text: &str) -> Result<NodeList, Vec<Fault>> {
     let raw: raw::Nodes = parse("Nodes", file, text)?;
-    let mut check = Check { file, places: Places::new(text), faults: Vec::new() };
+    let mut check = Check { file, positions: FieldPositions::new(text), faults: Vec::new() };
     let nodes = nodes(&raw.nodes, &mut check);
     let routing = raw.routing.as_ref().map(|r| routing(r, &mut check));
     if check.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(check.faults) }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,7 +14,7 @@
 pub use change::{SettingsDiff, compare};
 pub use check::{is_node_list, parse_text, read, read_nodes};
 pub use fleet::{LeaseConfig, LinkConfig, OUTLIER_PROBE_TASK, OutlierGossipConfig, TaskConfig};
-pub use locate::Places;
+pub use locate::FieldPositions;
 
 use doorcourse::{BackendEntry, Name};
 pub use doorcourse::{BackendRole, BackendState};
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,34 +1,34 @@
 //! Where each field of a text-format source stands, so that a fault found after parsing names its line. It runs
-//! only on sources that the library has parsed, and never fails: a field it cannot find has no place.
+//! only on sources that the library has parsed, and never fails: a field it cannot find has no position.
 
 use std::collections::HashMap;
 
-/// A place: line and column from 1.
-pub type Place = (usize, usize);
+/// A position: line and column from 1.
+pub type Position = (usize, usize);
 
-/// The places of all fields by path: `plans[1].rate`, `listen[0]`, `fleet.number`.
+/// The positions of all fields by path: `plans[1].rate`, `listen[0]`, `fleet.number`.
 #[derive(Debug, Default)]
-pub struct Places {
-    places: HashMap<String, Place>,
+pub struct FieldPositions {
+    positions: HashMap<String, Position>,
 }
 
-impl Places {
+impl FieldPositions {
     /// Reads a source.
     #[must_use]
     pub fn new(source: &str) -> Self {
-        let mut reader = Reader { rest: source.chars().collect(), at: 0, place: (1, 1) };
-        let mut places = Self::default();
-        reader.message("", &mut places.places);
-        places
+        let mut reader = Reader { source: source.chars().collect(), offset: 0, position: (1, 1) };
+        let mut positions = Self::default();
+        reader.message("", &mut positions.positions);
+        positions
     }
 
-    /// The place of a field, or of the nearest message around it.
+    /// The position of a field, or of the nearest message around it.
     #[must_use]
-    pub fn find(&self, path: &str) -> Option<Place> {
+    pub fn find(&self, path: &str) -> Option<Position> {
         let mut path = path;
         loop {
             // A single field is noted with an index as well.
-            let found = self.places.get(path).or_else(|| self.places.get(&format!("{path}[0]")));
+            let found = self.positions.get(path).or_else(|| self.positions.get(&format!("{path}[0]")));
             if found.is_some() {
                 return found.copied();
             }
@@ -38,20 +38,21 @@
 }
 
 struct Reader {
-    rest: Vec<char>,
-    at: usize,
-    place: Place,
+    source: Vec<char>,
+    offset: usize,
+    position: Position,
 }
 
 impl Reader {
     fn peek(&self) -> Option<char> {
-        self.rest.get(self.at).copied()
+        self.source.get(self.offset).copied()
     }
 
     fn next(&mut self) -> Option<char> {
         let c = self.peek()?;
-        self.at += 1;
-        self.place = if c == '\n' { (self.place.0 + 1, 1) } else { (self.place.0, self.place.1 + 1) };
+        self.offset += 1;
+        self.position =
+            if c == '\n' { (self.position.0 + 1, 1) } else { (self.position.0, self.position.1 + 1) };
         Some(c)
     }
 
@@ -73,11 +74,11 @@
         }
     }
 
-    fn message(&mut self, path: &str, places: &mut HashMap<String, Place>) {
+    fn message(&mut self, path: &str, positions: &mut HashMap<String, Position>) {
         let mut counts: HashMap<String, usize> = HashMap::new();
         loop {
             self.skip();
-            let place = self.place;
+            let position = self.position;
             let mut name = String::new();
             while let Some(c) = self.peek().filter(|c| c.is_alphanumeric() || *c == '_' || *c == '.') {
                 name.push(c);
@@ -99,7 +100,7 @@
             }
             loop {
                 self.skip();
-                let place = if list { self.place } else { place };
+                let position = if list { self.position } else { position };
                 if list && self.peek().is_none_or(|c| c == ']') {
                     self.next();
                     break;
@@ -108,13 +109,13 @@
                 let dot = if path.is_empty() { "" } else { "." };
                 let full = format!("{path}{dot}{name}[{count}]");
                 *count += 1;
-                places.insert(full.clone(), place);
+                positions.insert(full.clone(), position);
                 match self.peek() {
                     Some('{' | '<') => {
                         self.next();
                         // A message that is not repeated has its path without the index.
                         let inner = if full.ends_with("[0]") { full.trim_end_matches("[0]") } else { &full };
-                        self.message_at(&full, inner, places);
+                        self.message_at(&full, inner, positions);
                     }
                     _ => self.scalar(),
                 }
@@ -125,12 +126,12 @@
         }
     }
 
-    fn message_at(&mut self, full: &str, short: &str, places: &mut HashMap<String, Place>) {
+    fn message_at(&mut self, full: &str, short: &str, positions: &mut HashMap<String, Position>) {
         let mut inner = HashMap::new();
         self.message("", &mut inner);
-        for (path, place) in inner {
-            places.insert(format!("{full}.{path}"), place);
-            places.insert(format!("{short}.{path}"), place);
+        for (path, position) in inner {
+            positions.insert(format!("{full}.{path}"), position);
+            positions.insert(format!("{short}.{path}"), position);
         }
     }
 
@@ -166,13 +167,13 @@
     #[test]
     fn places_of_fields() {
         let source = "fleet { gateways: 3 number: 1 }\nlisten: [\"a\",\n  \"b}\"]\nplans {\n  name: 'x' 'y' # }\n  rate: 1\n}\nplans <\n rate: 2 >";
-        let places = Places::new(source);
-        assert_eq!(places.find("fleet.number"), Some((1, 21)));
-        assert_eq!(places.find("listen[1]"), Some((3, 3)));
-        assert_eq!(places.find("plans[0].rate"), Some((6, 3)));
-        assert_eq!(places.find("plans[1].rate"), Some((9, 2)));
+        let positions = FieldPositions::new(source);
+        assert_eq!(positions.find("fleet.number"), Some((1, 21)));
+        assert_eq!(positions.find("listen[1]"), Some((3, 3)));
+        assert_eq!(positions.find("plans[0].rate"), Some((6, 3)));
+        assert_eq!(positions.find("plans[1].rate"), Some((9, 2)));
         // What is missing is told at the message that lacks it.
-        assert_eq!(places.find("plans[1].burst"), Some((8, 1)));
-        assert_eq!(places.find("counter.address"), None);
+        assert_eq!(positions.find("plans[1].burst"), Some((8, 1)));
+        assert_eq!(positions.find("counter.address"), None);
     }
 }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -6,7 +6,7 @@
 }
 
 use crate::clients::{PLANS, customers};
-use doorcourse_config::{Fault, Places, parse_text};
+use doorcourse_config::{Fault, FieldPositions, parse_text};
 pub use raw::act::What;
 pub use raw::fleet::Suspects;
 pub use raw::node_fault::What as NodeWhat;
@@ -65,7 +65,7 @@
 /// Every fault, with file, line and field.
 pub fn read(file: &str, text: &str) -> Result<Drill, Vec<Fault>> {
     let drill: Drill = parse_text(DESCRIPTORS, "doorcourse.drill.Drill", file, text)?;
-    let places = Places::new(text);
+    let places = FieldPositions::new(text);
     let mut faults = Vec::new();
     let mut fault = |path: &str, message: String| {
         let (file, line, field) = (file.to_owned(), places.find(path), format!("{path}: "));
