--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -18,7 +18,7 @@
     pub fn new(source: &str) -> Self {
         let mut reader = Reader { source: source.chars().collect(), offset: 0, position: (1, 1) };
         let mut positions = Self::default();
-        reader.message("", &mut positions.positions);
+        reader.read_message("", &mut positions.positions);
         positions
     }
 
@@ -56,11 +56,11 @@
         Some(c)
     }
 
-    fn skip(&mut self) {
-        self.skip_over(",;");
+    fn skip_separators(&mut self) {
+        self.skip_blanks_and(",;");
     }
 
-    fn skip_over(&mut self, separators: &str) {
+    fn skip_blanks_and(&mut self, separators: &str) {
         while let Some(c) = self.peek() {
             match c {
                 '#' => {
@@ -74,10 +74,10 @@
         }
     }
 
-    fn message(&mut self, path: &str, positions: &mut HashMap<String, Position>) {
+    fn read_message(&mut self, path: &str, positions: &mut HashMap<String, Position>) {
         let mut counts: HashMap<String, usize> = HashMap::new();
         loop {
-            self.skip();
+            self.skip_separators();
             let position = self.position;
             let mut name = String::new();
             while let Some(c) = self.peek().filter(|c| c.is_alphanumeric() || *c == '_' || *c == '.') {
@@ -89,66 +89,72 @@
                 self.next();
                 return;
             }
-            self.skip();
+            self.skip_separators();
             if self.peek() == Some(':') {
                 self.next();
-                self.skip();
+                self.skip_separators();
             }
-            let list = self.peek() == Some('[');
-            if list {
+            let is_list = self.peek() == Some('[');
+            if is_list {
                 self.next();
             }
             loop {
-                self.skip();
-                let position = if list { self.position } else { position };
-                if list && self.peek().is_none_or(|c| c == ']') {
+                self.skip_separators();
+                let position = if is_list { self.position } else { position };
+                if is_list && self.peek().is_none_or(|c| c == ']') {
                     self.next();
                     break;
                 }
                 let count = counts.entry(name.clone()).or_default();
-                let dot = if path.is_empty() { "" } else { "." };
-                let full = format!("{path}{dot}{name}[{count}]");
+                let separator = if path.is_empty() { "" } else { "." };
+                let indexed_path = format!("{path}{separator}{name}[{count}]");
                 *count += 1;
-                positions.insert(full.clone(), position);
+                positions.insert(indexed_path.clone(), position);
                 match self.peek() {
                     Some('{' | '<') => {
                         self.next();
                         // A message that is not repeated has its path without the index.
-                        let inner = if full.ends_with("[0]") { full.trim_end_matches("[0]") } else { &full };
-                        self.message_at(&full, inner, positions);
+                        let short_path = if indexed_path.ends_with("[0]") {
+                            indexed_path.trim_end_matches("[0]")
+                        } else {
+                            &indexed_path
+                        };
+                        self.read_nested_message(&indexed_path, short_path, positions);
                     }
-                    _ => self.scalar(),
+                    _ => self.skip_scalar(),
                 }
-                if !list {
+                if !is_list {
                     break;
                 }
             }
         }
     }
 
-    fn message_at(&mut self, full: &str, short: &str, positions: &mut HashMap<String, Position>) {
+    fn read_nested_message(
+        &mut self, indexed_path: &str, short_path: &str, positions: &mut HashMap<String, Position>,
+    ) {
         let mut inner = HashMap::new();
-        self.message("", &mut inner);
+        self.read_message("", &mut inner);
         for (path, position) in inner {
-            positions.insert(format!("{full}.{path}"), position);
-            positions.insert(format!("{short}.{path}"), position);
+            positions.insert(format!("{indexed_path}.{path}"), position);
+            positions.insert(format!("{short_path}.{path}"), position);
         }
     }
 
-    fn scalar(&mut self) {
+    fn skip_scalar(&mut self) {
         while let Some(c) = self.peek() {
             match c {
                 '"' | '\'' => {
                     self.next();
-                    while let Some(d) = self.next() {
-                        if d == '\\' {
+                    while let Some(in_string) = self.next() {
+                        if in_string == '\\' {
                             self.next();
-                        } else if d == c {
+                        } else if in_string == c {
                             break;
                         }
                     }
                     // Strings side by side are one.
-                    self.skip_over("");
+                    self.skip_blanks_and("");
                     if !matches!(self.peek(), Some('"' | '\'')) {
                         return;
                     }
