--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,19 +1,20 @@
-//! Where each field of a text-format source stands, so that a fault found after parsing names its line. It runs
-//! only on sources that the library has parsed, and never fails: a field it cannot find has no position.
+//! Finds the line and column of each field in a text-format source, so that a fault that is found after parsing names
+//! its position. It only runs on sources that `prost-reflect` has parsed, and never fails: a field that it does not
+//! find has no position.
 
 use std::collections::HashMap;
 
-/// A position: line and column from 1.
+/// A line and a column, both counted from 1.
 pub type Position = (usize, usize);
 
-/// The positions of all fields by path: `plans[1].rate`, `listen[0]`, `fleet.number`.
+/// The position of each field by its path: `plans[1].rate`, `listen[0]`, `fleet.number`.
 #[derive(Debug, Default)]
 pub struct FieldPositions {
     positions: HashMap<String, Position>,
 }
 
 impl FieldPositions {
-    /// Reads a source.
+    /// Finds the positions of all fields in a source.
     #[must_use]
     pub fn new(source: &str) -> Self {
         let mut reader = Reader { source: source.chars().collect(), offset: 0, position: (1, 1) };
@@ -22,12 +23,12 @@
         positions
     }
 
-    /// The position of a field, or of the nearest message around it.
+    /// The position of a field; if the source lacks it, that of the nearest enclosing message.
     #[must_use]
     pub fn find(&self, path: &str) -> Option<Position> {
         let mut path = path;
         loop {
-            // A single field is noted with an index as well.
+            // A field that is not repeated is recorded with the index 0 as well.
             let found = self.positions.get(path).or_else(|| self.positions.get(&format!("{path}[0]")));
             if found.is_some() {
                 return found.copied();
@@ -85,7 +86,7 @@
                 self.next();
             }
             if name.is_empty() {
-                // The end of this message or of the source.
+                // This is the end of the message or of the source.
                 self.next();
                 return;
             }
@@ -113,7 +114,8 @@
                 match self.peek() {
                     Some('{' | '<') => {
                         self.next();
-                        // A message that is not repeated has its path without the index.
+                        // The fields of a message are also recorded without the index 0: the path of a message that is
+                        // not repeated has none.
                         let short_path = if indexed_path.ends_with("[0]") {
                             indexed_path.trim_end_matches("[0]")
                         } else {
@@ -153,7 +155,7 @@
                             break;
                         }
                     }
-                    // Strings side by side are one.
+                    // Adjacent strings are one value.
                     self.skip_blanks_and("");
                     if !matches!(self.peek(), Some('"' | '\'')) {
                         return;
@@ -178,7 +180,7 @@
         assert_eq!(positions.find("listen[1]"), Some((3, 3)));
         assert_eq!(positions.find("plans[0].rate"), Some((6, 3)));
         assert_eq!(positions.find("plans[1].rate"), Some((9, 2)));
-        // What is missing is told at the message that lacks it.
+        // A missing field has the position of the message that lacks it.
         assert_eq!(positions.find("plans[1].burst"), Some((8, 1)));
         assert_eq!(positions.find("counter.address"), None);
     }
