--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -22,20 +22,20 @@
 /// What a ceiling must leave above quota and burst for the decisions' bound (docs/design.md, "Bounds").
 const CEILING_ROOM: f64 = 1.6;
 
-pub(crate) struct Check<'a> {
+pub(crate) struct Checker<'a> {
     file: &'a str,
     positions: FieldPositions,
     faults: Vec<Fault>,
 }
 
-impl Check<'_> {
+impl Checker<'_> {
     pub(crate) fn fault(&mut self, path: &str, message: impl Into<String>) {
         let field = if path.is_empty() { String::new() } else { format!("{path}: ") };
         let (file, line) = (self.file.to_owned(), self.positions.find(path));
         self.faults.push(Fault { file, line, field, message: message.into() });
     }
 
-    pub(crate) fn figure(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
+    pub(crate) fn number(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
             self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
@@ -43,7 +43,7 @@
         value
     }
 
-    pub(crate) fn whole(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
+    pub(crate) fn integer(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
             self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
@@ -51,7 +51,7 @@
         value
     }
 
-    pub(crate) fn name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
+    pub(crate) fn unique_name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
         if name.is_empty() || name.chars().any(|c| c.is_whitespace() || c.is_control()) {
             self.fault(path, "a name without white space is needed");
         } else if !seen.insert(name.to_owned()) {
@@ -105,11 +105,11 @@
     file: &str, text: &str, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Result<Config, Vec<Fault>> {
     let raw: raw::Settings = parse("Settings", file, text)?;
-    let mut check = Check { file, positions: FieldPositions::new(text), faults: Vec::new() };
-    let config = settings(&raw, &mut check, open);
+    let mut checker = Checker { file, positions: FieldPositions::new(text), faults: Vec::new() };
+    let config = settings(&raw, &mut checker, open);
     match config {
-        Some(config) if check.faults.is_empty() => Ok(config),
-        _ => Err(check.faults),
+        Some(config) if checker.faults.is_empty() => Ok(config),
+        _ => Err(checker.faults),
     }
 }
 
@@ -119,10 +119,10 @@
 /// Every fault found, each with file, line and field.
 pub fn read_nodes(file: &str, text: &str) -> Result<NodeList, Vec<Fault>> {
     let raw: raw::Nodes = parse("Nodes", file, text)?;
-    let mut check = Check { file, positions: FieldPositions::new(text), faults: Vec::new() };
-    let nodes = nodes(&raw.nodes, &mut check);
-    let routing = raw.routing.as_ref().map(|r| routing(r, &mut check));
-    if check.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(check.faults) }
+    let mut checker = Checker { file, positions: FieldPositions::new(text), faults: Vec::new() };
+    let nodes = nodes(&raw.nodes, &mut checker);
+    let routing = raw.routing.as_ref().map(|r| routing(r, &mut checker));
+    if checker.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(checker.faults) }
 }
 
 /// Whether a text is a node list file rather than settings: it parses as one.
@@ -131,16 +131,16 @@
     parse::<raw::Nodes>("Nodes", file, text).is_ok_and(|n| !n.nodes.is_empty())
 }
 
-fn routing(raw: &raw::Routing, check: &mut Check) -> Routing {
+fn routing(raw: &raw::Routing, checker: &mut Checker) -> Routing {
     let sticky = raw.sticky.clone().unwrap_or_default();
     let token = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (field, name) in [("cookie", &sticky.cookie), ("parameter", &sticky.parameter)] {
         if !name.chars().all(token) {
-            check.fault(&format!("routing.sticky.{field}"), format!("`{name}` is no name of one"));
+            checker.fault(&format!("routing.sticky.{field}"), format!("`{name}` is no name of one"));
         }
     }
     if raw.sticky.is_some() && sticky.cookie.is_empty() && sticky.parameter.is_empty() {
-        check.fault("routing.sticky", "a cookie or a parameter is needed");
+        checker.fault("routing.sticky", "a cookie or a parameter is needed");
     }
     let load_balancing = match raw.balance() {
         routing::Balance::Outstanding => LoadBalancing::LeastInFlight,
@@ -155,11 +155,11 @@
     }
 }
 
-fn place(raw: &raw::Node, at: usize, check: &mut Check) -> Placement {
+fn place(raw: &raw::Node, at: usize, checker: &mut Checker) -> Placement {
     let path = |field: &str| format!("nodes[{at}].{field}");
     for (field, text) in [("route", &raw.route), ("redirect", &raw.redirect), ("group", &raw.group)] {
         if text.chars().any(|c| c.is_whitespace() || c.is_control()) {
-            check.fault(&path(field), "a name without white space is needed");
+            checker.fault(&path(field), "a name without white space is needed");
         }
     }
     let role = match raw.role() {
@@ -169,8 +169,8 @@
         node::Role::Bound => BackendRole::StickyOnly,
     };
     Placement {
-        weight: check.figure(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
-        priority_level: check.whole(&path("tier"), raw.tier.into(), 0..=1000) as u32,
+        weight: checker.number(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
+        priority_level: checker.integer(&path("tier"), raw.tier.into(), 0..=1000) as u32,
         role,
         sticky_route: raw.route.as_str().into(),
         failover_route: raw.redirect.as_str().into(),
@@ -178,18 +178,18 @@
     }
 }
 
-fn nodes(raw: &[raw::Node], check: &mut Check) -> Vec<Node> {
+fn nodes(raw: &[raw::Node], checker: &mut Checker) -> Vec<Node> {
     let mut seen = HashSet::new();
     let one = |(at, raw): (usize, &raw::Node)| {
         let path = |field: &str| format!("nodes[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let address = check.address(&path("address"), &raw.address);
-        let started = raw.started_ms.map(|s| check.figure(&path("started_ms"), s, 0.0..=1e15));
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let address = checker.address(&path("address"), &raw.address);
+        let started = raw.started_ms.map(|s| checker.number(&path("started_ms"), s, 0.0..=1e15));
         let state = match raw.state() {
             node::State::Ready => BackendState::Ready,
             node::State::Draining => BackendState::Draining,
         };
-        let (zone, cell, place) = (raw.zone.as_str().into(), raw.cell, place(raw, at, check));
+        let (zone, cell, place) = (raw.zone.as_str().into(), raw.cell, place(raw, at, checker));
         let entry = BackendEntry { name, zone, cell, state, started, placement: place };
         Node { entry, address }
     };
@@ -197,52 +197,55 @@
 }
 
 fn settings(
-    raw: &raw::Settings, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>,
+    raw: &raw::Settings, checker: &mut Checker, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Config> {
     let fleet = raw.fleet.clone().unwrap_or_default();
-    let gateways = check.whole("fleet.gateways", fleet.gateways.unwrap_or(1).into(), 1..=10_000) as u32;
+    let gateways = checker.integer("fleet.gateways", fleet.gateways.unwrap_or(1).into(), 1..=10_000) as u32;
     let number = fleet.number.unwrap_or(0);
     if number >= gateways {
-        check.fault("fleet.number", format!("{number} is not below the number of gateways, {gateways}"));
+        checker.fault("fleet.number", format!("{number} is not below the number of gateways, {gateways}"));
     }
     let price_cross_zone =
-        check.figure("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
+        checker.number("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
     if raw.listen.is_empty() {
-        check.fault("listen", "at least one address is needed");
+        checker.fault("listen", "at least one address is needed");
     }
     let listen =
-        raw.listen.iter().enumerate().map(|(at, l)| check.address(&format!("listen[{at}]"), l)).collect();
+        raw.listen.iter().enumerate().map(|(at, l)| checker.address(&format!("listen[{at}]"), l)).collect();
     let endpoint_path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
     if !endpoint_path.starts_with('/') || endpoint_path.contains(['?', ' ']) {
-        check.fault("path", format!("`{endpoint_path}` must begin with / and hold no ? and no space"));
+        checker.fault("path", format!("`{endpoint_path}` must begin with / and hold no ? and no space"));
     }
-    let counter = raw.counter.as_ref().map(|c| counter(c, check));
+    let counter = raw.counter.as_ref().map(|c| counter(c, checker));
     if counter.is_none() && gateways > 1 {
-        check.fault(
+        checker.fault(
             "fleet.gateways",
             format!("{gateways} gateways need a shared counter: set counter.address"),
         );
     }
     if raw.nodes.is_empty() == raw.node_list.is_none() {
-        check.fault("nodes", "either nodes or node_list is needed, not both");
+        checker.fault("nodes", "either nodes or node_list is needed, not both");
     }
-    let nodes = nodes(&raw.nodes, check);
+    let nodes = nodes(&raw.nodes, checker);
     let node_list = raw.node_list.as_ref().map(|list| {
         if list.file.is_empty() {
-            check.fault("node_list.file", "a file's name is needed");
+            checker.fault("node_list.file", "a file's name is needed");
         }
-        (list.file.clone(), check.figure("node_list.poll_ms", list.poll_ms.unwrap_or(200.0), 10.0..=60_000.0))
+        (
+            list.file.clone(),
+            checker.number("node_list.poll_ms", list.poll_ms.unwrap_or(200.0), 10.0..=60_000.0),
+        )
     });
     let graphql = raw.graphql.clone().unwrap_or_default();
-    let schema = schema(&graphql, check, open);
-    let (classes, client_timeouts) = classes(&raw.classes, check);
-    let plans = plans(&raw.plans, check);
-    let customers_by_key = customers_by_key(raw, gateways, &plans, check);
+    let schema = schema(&graphql, checker, open);
+    let (classes, client_timeouts) = classes(&raw.classes, checker);
+    let plans = plans(&raw.plans, checker);
+    let customers_by_key = customers_by_key(raw, gateways, &plans, checker);
     let mut of =
-        |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, check)).unwrap_or_default();
+        |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, checker)).unwrap_or_default();
     let (query_classes, mutation_classes) = (of(OperationKind::Query), of(OperationKind::Mutation));
     let cold = raw.cold_nodes.unwrap_or_default();
-    let routing = raw.routing.as_ref().map(|r| routing(r, check)).unwrap_or_default();
+    let routing = raw.routing.as_ref().map(|r| routing(r, checker)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
     let most_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
     let decision_settings = doorcourse::Settings {
@@ -256,24 +259,24 @@
         counter_timeout: counter.as_ref().map_or(50.0, |c| c.call_timeout),
         responses_report_units: true,
         max_request_units: most_units,
-        max_attempts: check.whole("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
-        max_retry_after: check.figure(
+        max_attempts: checker.integer("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
+        max_retry_after: checker.number(
             "attempts.longest_advice_ms",
             attempts.longest_advice_ms.unwrap_or(10_000.0),
             0.0..=3.6e6,
         ),
-        slow_start_share: check.figure("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
-        slow_start_duration: check.figure(
+        slow_start_share: checker.number("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
+        slow_start_duration: checker.number(
             "cold_nodes.warm_ms",
             cold.warm_ms.unwrap_or(20_000.0),
             0.0..=3.6e6,
         ),
-        overload_multiple: check.figure(
+        overload_multiple: checker.number(
             "cold_nodes.fall_multiple",
             cold.fall_multiple.unwrap_or(2.0),
             1.0..=100.0,
         ),
-        overload_window: check.figure("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
+        overload_window: checker.number("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
         cross_zone_price: price_cross_zone,
         routing: doorcourse::Routing {
             load_balancing: routing.load_balancing,
@@ -282,32 +285,32 @@
         },
         ..doorcourse::Settings::default()
     };
-    if check.faults.is_empty()
+    if checker.faults.is_empty()
         && let Err(error) = doorcourse::Gateway::new(decision_settings.clone(), 1)
     {
-        check.fault("", error.to_string());
+        checker.fault("", error.to_string());
     }
-    let limits = limits(&raw.limits.unwrap_or_default(), check);
-    let query_limits = query_limits(&graphql, check);
+    let limits = limits(&raw.limits.unwrap_or_default(), checker);
+    let query_limits = query_limits(&graphql, checker);
     let max_response_depth = graphql.answer_depth.unwrap_or(100);
     let max_response_depth =
-        check.whole("graphql.answer_depth", max_response_depth.into(), 2..=1000) as usize;
+        checker.integer("graphql.answer_depth", max_response_depth.into(), 2..=1000) as usize;
     let introspection = graphql.introspection.unwrap_or(false);
     let admin_socket = raw.admin.as_ref().map(|a| {
         if a.socket.is_empty() {
-            check.fault("admin.socket", "a path is needed");
+            checker.fault("admin.socket", "a path is needed");
         }
         a.socket.clone()
     });
-    let health_listen = raw.health.as_ref().map(|h| check.address("health.listen", &h.listen));
+    let health_listen = raw.health.as_ref().map(|h| checker.address("health.listen", &h.listen));
     let state_file = raw.state.as_ref().map(|s| {
         if s.file.is_empty() {
-            check.fault("state.file", "a file's name is needed");
+            checker.fault("state.file", "a file's name is needed");
         }
         StateFileConfig {
             file: s.file.clone(),
-            save_interval: check.figure("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
-            max_age: check.figure(
+            save_interval: checker.number("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
+            max_age: checker.number(
                 "state.longest_age_ms",
                 s.longest_age_ms.unwrap_or(60_000.0),
                 1000.0..=8.64e7,
@@ -316,14 +319,14 @@
     });
     let life = raw.life.unwrap_or_default();
     let life = Life {
-        notice: check.figure("life.notice_ms", life.notice_ms.unwrap_or(0.0), 0.0..=6e5),
-        drain: check.figure("life.drain_ms", life.drain_ms.unwrap_or(5000.0), 0.0..=6e5),
-        handover: check.figure("life.handover_ms", life.handover_ms.unwrap_or(10_000.0), 100.0..=6e5),
-        quiet: check.figure("life.quiet_ms", life.quiet_ms.unwrap_or(1000.0), 0.0..=6e5),
-        give_back: check.figure("life.give_back_ms", life.give_back_ms.unwrap_or(500.0), 0.0..=6e4),
+        notice: checker.number("life.notice_ms", life.notice_ms.unwrap_or(0.0), 0.0..=6e5),
+        drain: checker.number("life.drain_ms", life.drain_ms.unwrap_or(5000.0), 0.0..=6e5),
+        handover: checker.number("life.handover_ms", life.handover_ms.unwrap_or(10_000.0), 100.0..=6e5),
+        quiet: checker.number("life.quiet_ms", life.quiet_ms.unwrap_or(1000.0), 0.0..=6e5),
+        give_back: checker.number("life.give_back_ms", life.give_back_ms.unwrap_or(500.0), 0.0..=6e4),
     };
-    let link = fleet.link.as_ref().map(|l| fleet::link(l, gateways, number, check, open));
-    let leases = raw.leases.as_ref().map(|l| fleet::leases(l, link.as_ref(), number, check));
+    let link = fleet.link.as_ref().map(|l| fleet::link(l, gateways, number, checker, open));
+    let leases = raw.leases.as_ref().map(|l| fleet::leases(l, link.as_ref(), number, checker));
     let schema = schema?;
     Some(Config {
         link,
@@ -351,17 +354,17 @@
     })
 }
 
-fn counter(raw: &raw::Counter, check: &mut Check) -> CounterConfig {
+fn counter(raw: &raw::Counter, checker: &mut Checker) -> CounterConfig {
     CounterConfig {
-        address: check.address("counter.address", &raw.address),
+        address: checker.address("counter.address", &raw.address),
         password: raw.password.clone(),
-        call_timeout: check.figure("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
-        unresponsive_timeout: check.figure(
+        call_timeout: checker.number("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
+        unresponsive_timeout: checker.number(
             "counter.dead_after_ms",
             raw.dead_after_ms.unwrap_or(1000.0),
             10.0..=60_000.0,
         ),
-        max_backoff: check.figure(
+        max_backoff: checker.number(
             "counter.longest_wait_ms",
             raw.longest_wait_ms.unwrap_or(2000.0),
             10.0..=60_000.0,
@@ -370,16 +373,16 @@
 }
 
 fn schema(
-    raw: &raw::GraphQl, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>,
+    raw: &raw::GraphQl, checker: &mut Checker, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Arc<Schema>> {
     if raw.schema_file.is_empty() {
-        check.fault("graphql.schema_file", "the name of a file with the schema's SDL is needed");
+        checker.fault("graphql.schema_file", "the name of a file with the schema's SDL is needed");
         return None;
     }
     let text = match open(&raw.schema_file) {
         Ok(text) => text,
         Err(why) => {
-            check.fault("graphql.schema_file", format!("{}: {why}", raw.schema_file));
+            checker.fault("graphql.schema_file", format!("{}: {why}", raw.schema_file));
             return None;
         }
     };
@@ -389,27 +392,27 @@
             for error in errors {
                 let line = error.at.map(|p| (p.line as usize, p.column as usize));
                 let (file, field) = (raw.schema_file.clone(), String::new());
-                check.faults.push(Fault { file, line, field, message: error.message });
+                checker.faults.push(Fault { file, line, field, message: error.message });
             }
             None
         }
     }
 }
 
-fn classes(raw: &[raw::Class], check: &mut Check) -> (Vec<RequestClass>, Vec<f64>) {
+fn classes(raw: &[raw::Class], checker: &mut Checker) -> (Vec<RequestClass>, Vec<f64>) {
     if raw.is_empty() {
-        check.fault("classes", "at least one class is needed");
+        checker.fault("classes", "at least one class is needed");
     }
     let (mut seen, mut client_timeouts) = (HashSet::new(), Vec::new());
     let mut classes = Vec::new();
     for (at, raw) in raw.iter().enumerate() {
         let path = |field: &str| format!("classes[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let aim = check.figure(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
-        client_timeouts.push(check.figure(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let aim = checker.number(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
+        client_timeouts.push(checker.number(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
         let effect = match raw.effect() {
             class::Effect::Unstated => {
-                check.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
+                checker.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
                 Idempotency::NonIdempotent
             }
             class::Effect::Safe => Idempotency::Idempotent,
@@ -421,12 +424,12 @@
             class::Group::Zone => DeduplicationScope::Zone,
             class::Group::Cell => DeduplicationScope::Cell,
         };
-        let memory = check.figure(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
+        let memory = checker.number(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
         if effect == Idempotency::WithKey && memory == 0.0 {
-            check.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
+            checker.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
         }
-        let worth = check.figure(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
-        let late_worth = check.figure(&path("late_worth"), raw.late_worth, 0.0..=1.0);
+        let worth = checker.number(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
+        let late_worth = checker.number(&path("late_worth"), raw.late_worth, 0.0..=1.0);
         classes.push(RequestClass {
             name,
             latency_objective: aim,
@@ -440,38 +443,38 @@
     (classes, client_timeouts)
 }
 
-fn plans(raw: &[raw::Plan], check: &mut Check) -> Vec<Plan> {
+fn plans(raw: &[raw::Plan], checker: &mut Checker) -> Vec<Plan> {
     if raw.is_empty() {
-        check.fault("plans", "at least one plan is needed");
+        checker.fault("plans", "at least one plan is needed");
     }
     let mut seen = HashSet::new();
     let mut plans = Vec::new();
     for (at, raw) in raw.iter().enumerate() {
         let path = |field: &str| format!("plans[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let rate = check.figure(&path("rate"), raw.rate, 0.0..=1e9);
-        let burst = check.figure(&path("burst"), raw.burst, 0.0..=1e9);
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let rate = checker.number(&path("rate"), raw.rate, 0.0..=1e9);
+        let burst = checker.number(&path("burst"), raw.burst, 0.0..=1e9);
         if rate > 0.0 && burst <= 0.0 {
-            check.fault(&path("burst"), "a plan with a rate needs a burst above 0");
+            checker.fault(&path("burst"), "a plan with a rate needs a burst above 0");
         }
-        let ceiling_rate = check.figure(&path("ceiling_rate"), raw.ceiling_rate, 0.0..=1e9);
-        let ceiling_burst = check.figure(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
+        let ceiling_rate = checker.number(&path("ceiling_rate"), raw.ceiling_rate, 0.0..=1e9);
+        let ceiling_burst = checker.number(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
         if ceiling_rate > 0.0 {
             // Below these the decisions' bound does not hold: such a ceiling would be a promise broken.
             if ceiling_rate < rate * CEILING_ROOM {
-                check.fault(
+                checker.fault(
                     &path("ceiling_rate"),
                     format!("{ceiling_rate} is below {CEILING_ROOM} times the rate"),
                 );
             }
             if ceiling_burst < burst * CEILING_ROOM {
-                check.fault(
+                checker.fault(
                     &path("ceiling_burst"),
                     format!("{ceiling_burst} is below {CEILING_ROOM} times the burst"),
                 );
             }
             if rate <= 0.0 {
-                check.fault(&path("rate"), "a plan with a ceiling needs a rate");
+                checker.fault(&path("rate"), "a plan with a ceiling needs a rate");
             }
         }
         plans.push(Plan {
@@ -480,39 +483,40 @@
             burst,
             ceiling_rate,
             ceiling_burst,
-            max_in_flight: check.whole(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
-            ceiling_slack: check.figure(&path("ceiling_slack"), raw.ceiling_slack, 0.0..=1e9),
-            priority_factor: check.figure(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
-            over_quota_value: check.figure(&path("over_worth"), raw.over_worth, 0.0..=1.0),
-            over_quota_cost: check.figure(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
+            max_in_flight: checker.integer(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
+            ceiling_slack: checker.number(&path("ceiling_slack"), raw.ceiling_slack, 0.0..=1e9),
+            priority_factor: checker.number(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
+            over_quota_value: checker.number(&path("over_worth"), raw.over_worth, 0.0..=1.0),
+            over_quota_cost: checker.number(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
         });
     }
     plans
 }
 
 fn customers_by_key(
-    raw: &raw::Settings, gateways: u32, plans: &[Plan], check: &mut Check,
+    raw: &raw::Settings, gateways: u32, plans: &[Plan], checker: &mut Checker,
 ) -> HashMap<[u8; 32], Arc<Customer>> {
     let (mut seen, mut keys) = (HashSet::new(), HashMap::new());
     for (at, raw) in raw.customers.iter().enumerate() {
         let path = |field: &str| format!("customers[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
         let plan_index = plans.iter().position(|p| *p.name == *raw.plan);
         if plan_index.is_none() {
             let known: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
-            check.fault(&path("plan"), format!("`{}` is no plan: there are {}", raw.plan, known.join(", ")));
+            checker
+                .fault(&path("plan"), format!("`{}` is no plan: there are {}", raw.plan, known.join(", ")));
         }
         let first_gateway = raw.first_gateway.unwrap_or(0);
         if first_gateway >= gateways {
-            check.fault(
+            checker.fault(
                 &path("first_gateway"),
                 format!("{first_gateway} is not below the number of gateways, {gateways}"),
             );
         }
         let gateway_count = raw.gateways.unwrap_or(gateways);
-        check.whole(&path("gateways"), gateway_count.into(), 1..=gateways.into());
+        checker.integer(&path("gateways"), gateway_count.into(), 1..=gateways.into());
         if raw.key_sha256.is_empty() {
-            check.fault(&path("key_sha256"), "at least one key is needed");
+            checker.fault(&path("key_sha256"), "at least one key is needed");
         }
         let customer =
             Arc::new(Customer { name, plan_index: plan_index.unwrap_or(0), first_gateway, gateway_count });
@@ -521,11 +525,11 @@
             match key_hash(digits) {
                 Some(hash) => {
                     if keys.insert(hash, Arc::clone(&customer)).is_some() {
-                        check.fault(&path, "this key is given twice");
+                        checker.fault(&path, "this key is given twice");
                     }
                 }
                 None => {
-                    check.fault(&path, "64 hex digits of a SHA-256 are wanted: printf %s KEY | sha256sum")
+                    checker.fault(&path, "64 hex digits of a SHA-256 are wanted: printf %s KEY | sha256sum")
                 }
             }
         }
@@ -545,7 +549,7 @@
 }
 
 fn root_classes(
-    schema: &Schema, kind: OperationKind, raw: &[raw::Class], check: &mut Check,
+    schema: &Schema, kind: OperationKind, raw: &[raw::Class], checker: &mut Checker,
 ) -> BTreeMap<String, usize> {
     let what = if kind == OperationKind::Query { "query_fields" } else { "mutation_fields" };
     let known: HashSet<&str> = schema.root_fields(kind).collect();
@@ -555,16 +559,16 @@
         for (number, field) in fields.iter().enumerate() {
             let path = format!("classes[{at}].{what}[{number}]");
             if !known.contains(field.as_str()) {
-                check.fault(&path, format!("`{field}` is no such root field of the schema"));
+                checker.fault(&path, format!("`{field}` is no such root field of the schema"));
             } else if classes.insert(field.clone(), at).is_some() {
-                check.fault(&path, format!("`{field}` belongs to a class already"));
+                checker.fault(&path, format!("`{field}` belongs to a class already"));
             }
         }
     }
     let mut missing: Vec<&str> = known.into_iter().filter(|f| !classes.contains_key(*f)).collect();
     missing.sort_unstable();
     if !missing.is_empty() {
-        check.fault(
+        checker.fault(
             "classes",
             format!("no class has these root fields in its {what}: {}", missing.join(", ")),
         );
@@ -572,10 +576,10 @@
     classes
 }
 
-fn query_limits(raw: &raw::GraphQl, check: &mut Check) -> QueryLimits {
+fn query_limits(raw: &raw::GraphQl, checker: &mut Checker) -> QueryLimits {
     let d = QueryLimits::default();
     let mut whole = |name: &str, value: Option<u32>, default: u64, range| {
-        check.whole(&format!("graphql.{name}"), value.map_or(default, u64::from), range)
+        checker.integer(&format!("graphql.{name}"), value.map_or(default, u64::from), range)
     };
     QueryLimits {
         bytes: whole("document_bytes", raw.document_bytes, d.bytes as u64, 1..=16 << 20) as usize,
@@ -583,13 +587,13 @@
         depth: whole("depth", raw.depth, d.depth as u64, 1..=DEPTH_MOST as u64) as usize,
         aliases: whole("aliases", raw.aliases, d.aliases as u64, 0..=100_000) as usize,
         expansion: whole("expansion", raw.expansion, d.expansion, 1..=1_000_000),
-        list_size: check.figure("graphql.list_size", raw.list_size.unwrap_or(d.list_size), 0.0..=1e6),
+        list_size: checker.number("graphql.list_size", raw.list_size.unwrap_or(d.list_size), 0.0..=1e6),
     }
 }
 
-fn limits(raw: &raw::Limits, check: &mut Check) -> Limits {
+fn limits(raw: &raw::Limits, checker: &mut Checker) -> Limits {
     let mut whole = |name: &str, value: Option<u64>, default: u64, range| {
-        check.whole(&format!("limits.{name}"), value.unwrap_or(default), range)
+        checker.integer(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
     let small = |value: Option<u32>| value.map(u64::from);
     let connections = whole("connections", small(raw.connections), 10_000, 1..=1_000_000) as usize;
@@ -606,7 +610,7 @@
     let client_buffer =
         whole("client_buffer_bytes", small(raw.client_buffer_bytes), 65_536, 1024..=1_000_000_000);
     let mut time = |name: &str, value: Option<f64>, default: f64, range| {
-        check.figure(&format!("limits.{name}"), value.unwrap_or(default), range)
+        checker.number(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
     Limits {
         connections,
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Reads and checks the settings of the link between gateways, the leases and the outlier gossip.
 
-use crate::check::Check;
+use crate::check::Checker;
 use crate::raw;
 use doorcourse_lease::{TaskId, VoterConfiguration, task_of};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -119,15 +119,15 @@
 
 /// Checks `fleet.link`. `open` reads a file by its name.
 pub(crate) fn link(
-    raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>,
+    raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
     open: &dyn Fn(&str) -> Result<String, String>,
 ) -> LinkConfig {
     LinkConfig {
-        listen: check.address("fleet.link.listen", &raw.listen),
-        peers: peers(raw, gateways, number, check),
-        secrets: secrets(&raw.secret_file, check, open),
+        listen: checker.address("fleet.link.listen", &raw.listen),
+        peers: peers(raw, gateways, number, checker),
+        secrets: secrets(&raw.secret_file, checker, open),
         unreachable_after_ms: milliseconds(
-            check,
+            checker,
             "fleet.link.silence_ms",
             raw.silence_ms,
             &UNREACHABLE_AFTER_MS,
@@ -137,22 +137,24 @@
 }
 
 /// The addresses of the other gateways.
-fn peers(raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>) -> BTreeMap<u32, SocketAddr> {
+fn peers(
+    raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
+) -> BTreeMap<u32, SocketAddr> {
     let mut peers = BTreeMap::new();
     let mut seen_numbers = BTreeSet::new();
     let mut seen_addresses = HashMap::new();
     for (at, peer) in raw.peers.iter().enumerate() {
         let path = |field: &str| format!("fleet.link.peers[{at}].{field}");
-        let address = check.address(&path("address"), &peer.address);
+        let address = checker.address(&path("address"), &peer.address);
         if peer.number >= gateways {
             let text = format!("{} is not below the number of gateways, {gateways}", peer.number);
-            check.fault(&path("number"), text);
+            checker.fault(&path("number"), text);
         }
         if !seen_numbers.insert(peer.number) {
-            check.fault(&path("number"), format!("gateway {} is named twice", peer.number));
+            checker.fault(&path("number"), format!("gateway {} is named twice", peer.number));
         }
         if let Some(other) = seen_addresses.insert(address, peer.number) {
-            check.fault(&path("address"), format!("{address} is gateway {other}'s already"));
+            checker.fault(&path("address"), format!("{address} is gateway {other}'s already"));
         }
         if peer.number != number {
             peers.insert(peer.number, address);
@@ -162,16 +164,18 @@
 }
 
 /// The secrets of a file: its lines that are not empty.
-fn secrets(file: &str, check: &mut Check<'_>, open: &dyn Fn(&str) -> Result<String, String>) -> Vec<Vec<u8>> {
+fn secrets(
+    file: &str, checker: &mut Checker<'_>, open: &dyn Fn(&str) -> Result<String, String>,
+) -> Vec<Vec<u8>> {
     let path = "fleet.link.secret_file";
     if file.is_empty() {
-        check.fault(path, "a file's name is needed");
+        checker.fault(path, "a file's name is needed");
         return Vec::new();
     }
     let text = match open(file) {
         Ok(text) => text,
         Err(why) => {
-            check.fault(path, format!("{file}: {why}"));
+            checker.fault(path, format!("{file}: {why}"));
             return Vec::new();
         }
     };
@@ -180,66 +184,68 @@
     let too_short = secrets.iter().any(|secret| secret.len() < MIN_SECRET_BYTES);
     if !(1..=MAX_SECRETS).contains(&secrets.len()) || too_short {
         let text = format!("1 to {MAX_SECRETS} lines are needed, each of at least {MIN_SECRET_BYTES} bytes");
-        check.fault(path, text);
+        checker.fault(path, text);
     }
     secrets
 }
 
 /// Checks `leases`.
 pub(crate) fn leases(
-    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check<'_>,
+    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, checker: &mut Checker<'_>,
 ) -> LeaseConfig {
     let gateways: BTreeSet<u32> =
         link.iter().flat_map(|link| link.peers.keys().copied()).chain([number]).collect();
     if link.is_none() {
-        check.fault("leases", "the gateways must hear of each other: set fleet.link");
+        checker.fault("leases", "the gateways must hear of each other: set fleet.link");
     }
-    let lease_duration_ms = milliseconds(check, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
+    let lease_duration_ms = milliseconds(checker, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
     let drift = raw.drift_ppm.unwrap_or(CLOCK_DRIFT_PPM_DEFAULT);
-    let clock_drift_ppm = check.whole("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
-    let voters = voters(raw, &gateways, check);
-    let outlier_gossip = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, check));
-    let tasks = tasks(&raw.tasks, outlier_gossip.is_some(), lease_duration_ms, check);
+    let clock_drift_ppm = checker.integer("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
+    let voters = voters(raw, &gateways, checker);
+    let outlier_gossip = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, checker));
+    let tasks = tasks(&raw.tasks, outlier_gossip.is_some(), lease_duration_ms, checker);
     LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, outlier_gossip }
 }
 
 /// The voters of this version and the one before. All gateways vote where the settings name none.
-fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, check: &mut Check<'_>) -> VoterConfiguration {
-    let named = distinct_gateways("voters", &raw.voters, Some(gateways), check);
+fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, checker: &mut Checker<'_>) -> VoterConfiguration {
+    let named = distinct_gateways("voters", &raw.voters, Some(gateways), checker);
     // A gateway that voted before may be gone.
-    let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, check);
+    let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, checker);
     let voters = if named.is_empty() { gateways.clone() } else { named };
     let version = raw.voters_version;
     if (version == 0) != previous_voters.is_empty() {
-        check.fault(
+        checker.fault(
             "leases.voters_before",
             "who voted in the version before is needed above version 0, and only there",
         );
     } else if version > 0 && previous_voters.symmetric_difference(&voters).count() > 1 {
-        check.fault("leases.voters", "one voter may be added or removed in one version");
+        checker.fault("leases.voters", "one voter may be added or removed in one version");
     }
     VoterConfiguration { version, voters, previous_voters }
 }
 
 /// The gateways that a list names, each once, and each one of `known` where that is stated.
 fn distinct_gateways(
-    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, check: &mut Check<'_>,
+    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, checker: &mut Checker<'_>,
 ) -> BTreeSet<u32> {
     let mut gateways = BTreeSet::new();
     for (at, number) in numbers.iter().enumerate() {
         let path = format!("leases.{field}[{at}]");
         if known.is_some_and(|known| !known.contains(number)) {
-            check.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
+            checker.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
         }
         if !gateways.insert(*number) {
-            check.fault(&path, format!("gateway {number} is named twice"));
+            checker.fault(&path, format!("gateway {number} is named twice"));
         }
     }
     gateways
 }
 
 /// Checks `leases.suspects`. A probe must fit half a lease.
-fn outlier_gossip(raw: &raw::Suspects, lease_duration_ms: u64, check: &mut Check<'_>) -> OutlierGossipConfig {
+fn outlier_gossip(
+    raw: &raw::Suspects, lease_duration_ms: u64, checker: &mut Checker<'_>,
+) -> OutlierGossipConfig {
     let path = |field: &str| format!("leases.suspects.{field}");
     let half_lease = (lease_duration_ms / 2).max(10) as f64;
     let timeout = Setting {
@@ -247,10 +253,10 @@
         range: MIN_PROBE_TIMEOUT_MS..=half_lease.min(MAX_PROBE_TIMEOUT_MS),
     };
     OutlierGossipConfig {
-        probe_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
-        probe_timeout_ms: milliseconds(check, &path("timeout_ms"), raw.timeout_ms, &timeout),
-        max_outlier_fraction: number(check, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
-        retention_ms: milliseconds(check, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
+        probe_interval_ms: milliseconds(checker, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
+        probe_timeout_ms: milliseconds(checker, &path("timeout_ms"), raw.timeout_ms, &timeout),
+        max_outlier_fraction: number(checker, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
+        retention_ms: milliseconds(checker, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
         affects_decisions: raw.apply.unwrap_or(true),
     }
 }
@@ -264,7 +270,7 @@
 
 /// Checks `leases.tasks`.
 fn tasks(
-    raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, check: &mut Check<'_>,
+    raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, checker: &mut Checker<'_>,
 ) -> Vec<TaskConfig> {
     let mut taken = TakenNames::default();
     if with_probes {
@@ -272,44 +278,45 @@
         taken.by_id.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
     if raw.len() > MAX_TASKS {
-        check.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
+        checker.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
     }
     let tasks = raw.iter().enumerate();
-    tasks.map(|(at, raw)| task(at, raw, lease_duration_ms, &mut taken, check)).collect()
+    tasks.map(|(at, raw)| task(at, raw, lease_duration_ms, &mut taken, checker)).collect()
 }
 
 /// Checks one task. A call must fit half a lease.
 fn task(
-    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, check: &mut Check<'_>,
+    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, checker: &mut Checker<'_>,
 ) -> TaskConfig {
     let path = |field: &str| format!("leases.tasks[{at}].{field}");
-    let name = check.name(&path("name"), &raw.name, &mut taken.names).to_string();
+    let name = checker.unique_name(&path("name"), &raw.name, &mut taken.names).to_string();
     let other = taken.by_id.insert(task_of(&name), name.clone()).filter(|other| *other != name);
     if let Some(other) = other {
-        check.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
+        checker.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
     }
     let target = raw.path.clone().unwrap_or_else(|| "/".into());
     if !target.starts_with('/') || target.contains([' ', '\r', '\n']) {
-        check.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
+        checker.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
     }
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
     // The lower bound holds for what is set as well: a shorter duration is raised to it.
     let duration = raw.needs_ms.unwrap_or(half_lease / 2.0).max(MIN_CALL_DURATION_MS);
     TaskConfig {
         name,
-        address: check.address(&path("address"), &raw.address),
+        address: checker.address(&path("address"), &raw.address),
         path: target,
-        call_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
-        call_duration_ms: check.figure(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease) as u64,
+        call_interval_ms: milliseconds(checker, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
+        call_duration_ms: checker.number(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease)
+            as u64,
     }
 }
 
 /// A number of the settings, or its default; a fault where it is out of range.
-fn number(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
-    check.figure(path, value.unwrap_or(setting.default), setting.range.clone())
+fn number(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
+    checker.number(path, value.unwrap_or(setting.default), setting.range.clone())
 }
 
 /// The same in whole ms.
-fn milliseconds(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
-    number(check, path, value, setting) as u64
+fn milliseconds(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
+    number(checker, path, value, setting) as u64
 }
