--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -20,7 +20,7 @@
 /// The backoff before the first new connection to the counter.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
 /// What a ceiling must leave above quota and burst for the decisions' bound (docs/design.md, "Bounds").
-const CEILING_ROOM: f64 = 1.6;
+const MIN_CEILING_FACTOR: f64 = 1.6;
 
 pub(crate) struct Checker<'a> {
     file: &'a str,
@@ -133,9 +133,9 @@
 
 fn routing(raw: &raw::Routing, checker: &mut Checker) -> Routing {
     let sticky = raw.sticky.clone().unwrap_or_default();
-    let token = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
+    let is_name_char = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (field, name) in [("cookie", &sticky.cookie), ("parameter", &sticky.parameter)] {
-        if !name.chars().all(token) {
+        if !name.chars().all(is_name_char) {
             checker.fault(&format!("routing.sticky.{field}"), format!("`{name}` is no name of one"));
         }
     }
@@ -155,8 +155,8 @@
     }
 }
 
-fn place(raw: &raw::Node, at: usize, checker: &mut Checker) -> Placement {
-    let path = |field: &str| format!("nodes[{at}].{field}");
+fn placement(raw: &raw::Node, index: usize, checker: &mut Checker) -> Placement {
+    let path = |field: &str| format!("nodes[{index}].{field}");
     for (field, text) in [("route", &raw.route), ("redirect", &raw.redirect), ("group", &raw.group)] {
         if text.chars().any(|c| c.is_whitespace() || c.is_control()) {
             checker.fault(&path(field), "a name without white space is needed");
@@ -180,8 +180,8 @@
 
 fn nodes(raw: &[raw::Node], checker: &mut Checker) -> Vec<Node> {
     let mut seen = HashSet::new();
-    let one = |(at, raw): (usize, &raw::Node)| {
-        let path = |field: &str| format!("nodes[{at}].{field}");
+    let node = |(index, raw): (usize, &raw::Node)| {
+        let path = |field: &str| format!("nodes[{index}].{field}");
         let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
         let address = checker.address(&path("address"), &raw.address);
         let started = raw.started_ms.map(|s| checker.number(&path("started_ms"), s, 0.0..=1e15));
@@ -189,11 +189,11 @@
             node::State::Ready => BackendState::Ready,
             node::State::Draining => BackendState::Draining,
         };
-        let (zone, cell, place) = (raw.zone.as_str().into(), raw.cell, place(raw, at, checker));
-        let entry = BackendEntry { name, zone, cell, state, started, placement: place };
+        let (zone, cell, placement) = (raw.zone.as_str().into(), raw.cell, placement(raw, index, checker));
+        let entry = BackendEntry { name, zone, cell, state, started, placement };
         Node { entry, address }
     };
-    raw.iter().enumerate().map(one).collect()
+    raw.iter().enumerate().map(node).collect()
 }
 
 fn settings(
@@ -205,13 +205,17 @@
     if number >= gateways {
         checker.fault("fleet.number", format!("{number} is not below the number of gateways, {gateways}"));
     }
-    let price_cross_zone =
+    let cross_zone_price =
         checker.number("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
     if raw.listen.is_empty() {
         checker.fault("listen", "at least one address is needed");
     }
-    let listen =
-        raw.listen.iter().enumerate().map(|(at, l)| checker.address(&format!("listen[{at}]"), l)).collect();
+    let listen = raw
+        .listen
+        .iter()
+        .enumerate()
+        .map(|(index, address)| checker.address(&format!("listen[{index}]"), address))
+        .collect();
     let endpoint_path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
     if !endpoint_path.starts_with('/') || endpoint_path.contains(['?', ' ']) {
         checker.fault("path", format!("`{endpoint_path}` must begin with / and hold no ? and no space"));
@@ -241,13 +245,14 @@
     let (classes, client_timeouts) = classes(&raw.classes, checker);
     let plans = plans(&raw.plans, checker);
     let customers_by_key = customers_by_key(raw, gateways, &plans, checker);
-    let mut of =
+    let mut classes_of =
         |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, checker)).unwrap_or_default();
-    let (query_classes, mutation_classes) = (of(OperationKind::Query), of(OperationKind::Mutation));
-    let cold = raw.cold_nodes.unwrap_or_default();
+    let (query_classes, mutation_classes) =
+        (classes_of(OperationKind::Query), classes_of(OperationKind::Mutation));
+    let slow_start = raw.cold_nodes.unwrap_or_default();
     let routing = raw.routing.as_ref().map(|r| routing(r, checker)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
-    let most_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
+    let max_request_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
     let decision_settings = doorcourse::Settings {
         gateway_count: gateways,
         gateway_index: number,
@@ -258,30 +263,34 @@
         has_counter: true,
         counter_timeout: counter.as_ref().map_or(50.0, |c| c.call_timeout),
         responses_report_units: true,
-        max_request_units: most_units,
+        max_request_units,
         max_attempts: checker.integer("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
         max_retry_after: checker.number(
             "attempts.longest_advice_ms",
             attempts.longest_advice_ms.unwrap_or(10_000.0),
             0.0..=3.6e6,
         ),
-        slow_start_share: checker.number("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
+        slow_start_share: checker.number("cold_nodes.share", slow_start.share.unwrap_or(0.2), 0.0..=1.0),
         slow_start_duration: checker.number(
             "cold_nodes.warm_ms",
-            cold.warm_ms.unwrap_or(20_000.0),
+            slow_start.warm_ms.unwrap_or(20_000.0),
             0.0..=3.6e6,
         ),
         overload_multiple: checker.number(
             "cold_nodes.fall_multiple",
-            cold.fall_multiple.unwrap_or(2.0),
+            slow_start.fall_multiple.unwrap_or(2.0),
             1.0..=100.0,
         ),
-        overload_window: checker.number("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
-        cross_zone_price: price_cross_zone,
+        overload_window: checker.number(
+            "cold_nodes.fall_ms",
+            slow_start.fall_ms.unwrap_or(1000.0),
+            1.0..=6e5,
+        ),
+        cross_zone_price,
         routing: doorcourse::Routing {
             load_balancing: routing.load_balancing,
             strict_affinity: routing.strict_affinity,
-            assume_restart: cold.assume_restart.unwrap_or(true),
+            assume_restart: slow_start.assume_restart.unwrap_or(true),
         },
         ..doorcourse::Settings::default()
     };
@@ -296,11 +305,11 @@
     let max_response_depth =
         checker.integer("graphql.answer_depth", max_response_depth.into(), 2..=1000) as usize;
     let introspection = graphql.introspection.unwrap_or(false);
-    let admin_socket = raw.admin.as_ref().map(|a| {
-        if a.socket.is_empty() {
+    let admin_socket = raw.admin.as_ref().map(|admin| {
+        if admin.socket.is_empty() {
             checker.fault("admin.socket", "a path is needed");
         }
-        a.socket.clone()
+        admin.socket.clone()
     });
     let health_listen = raw.health.as_ref().map(|h| checker.address("health.listen", &h.listen));
     let state_file = raw.state.as_ref().map(|s| {
@@ -325,8 +334,8 @@
         quiet: checker.number("life.quiet_ms", life.quiet_ms.unwrap_or(1000.0), 0.0..=6e5),
         give_back: checker.number("life.give_back_ms", life.give_back_ms.unwrap_or(500.0), 0.0..=6e4),
     };
-    let link = fleet.link.as_ref().map(|l| fleet::link(l, gateways, number, checker, open));
-    let leases = raw.leases.as_ref().map(|l| fleet::leases(l, link.as_ref(), number, checker));
+    let link = fleet.link.as_ref().map(|link| fleet::link(link, gateways, number, checker, open));
+    let leases = raw.leases.as_ref().map(|leases| fleet::leases(leases, link.as_ref(), number, checker));
     let schema = schema?;
     Some(Config {
         link,
@@ -381,8 +390,8 @@
     }
     let text = match open(&raw.schema_file) {
         Ok(text) => text,
-        Err(why) => {
-            checker.fault("graphql.schema_file", format!("{}: {why}", raw.schema_file));
+        Err(error) => {
+            checker.fault("graphql.schema_file", format!("{}: {error}", raw.schema_file));
             return None;
         }
     };
@@ -405,12 +414,16 @@
     }
     let (mut seen, mut client_timeouts) = (HashSet::new(), Vec::new());
     let mut classes = Vec::new();
-    for (at, raw) in raw.iter().enumerate() {
-        let path = |field: &str| format!("classes[{at}].{field}");
+    for (index, raw) in raw.iter().enumerate() {
+        let path = |field: &str| format!("classes[{index}].{field}");
         let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
-        let aim = checker.number(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
-        client_timeouts.push(checker.number(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
-        let effect = match raw.effect() {
+        let latency_objective = checker.number(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
+        client_timeouts.push(checker.number(
+            &path("give_up_ms"),
+            raw.give_up_ms,
+            latency_objective.max(1.0)..=3.6e6,
+        ));
+        let idempotency = match raw.effect() {
             class::Effect::Unstated => {
                 checker.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
                 Idempotency::NonIdempotent
@@ -419,25 +432,25 @@
             class::Effect::Keyed => Idempotency::WithKey,
             class::Effect::Unsafe => Idempotency::NonIdempotent,
         };
-        let group = match raw.group() {
+        let deduplication_scope = match raw.group() {
             class::Group::All => DeduplicationScope::All,
             class::Group::Zone => DeduplicationScope::Zone,
             class::Group::Cell => DeduplicationScope::Cell,
         };
-        let memory = checker.number(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
-        if effect == Idempotency::WithKey && memory == 0.0 {
+        let deduplication_window = checker.number(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
+        if idempotency == Idempotency::WithKey && deduplication_window == 0.0 {
             checker.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
         }
-        let worth = checker.number(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
-        let late_worth = checker.number(&path("late_worth"), raw.late_worth, 0.0..=1.0);
+        let priority_weight = checker.number(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
+        let late_response_value = checker.number(&path("late_worth"), raw.late_worth, 0.0..=1.0);
         classes.push(RequestClass {
             name,
-            latency_objective: aim,
-            idempotency: effect,
-            deduplication_scope: group,
-            deduplication_window: memory,
-            priority_weight: worth,
-            late_response_value: late_worth,
+            latency_objective,
+            idempotency,
+            deduplication_scope,
+            deduplication_window,
+            priority_weight,
+            late_response_value,
         });
     }
     (classes, client_timeouts)
@@ -449,8 +462,8 @@
     }
     let mut seen = HashSet::new();
     let mut plans = Vec::new();
-    for (at, raw) in raw.iter().enumerate() {
-        let path = |field: &str| format!("plans[{at}].{field}");
+    for (index, raw) in raw.iter().enumerate() {
+        let path = |field: &str| format!("plans[{index}].{field}");
         let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
         let rate = checker.number(&path("rate"), raw.rate, 0.0..=1e9);
         let burst = checker.number(&path("burst"), raw.burst, 0.0..=1e9);
@@ -461,16 +474,16 @@
         let ceiling_burst = checker.number(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
         if ceiling_rate > 0.0 {
             // Below these the decisions' bound does not hold: such a ceiling would be a promise broken.
-            if ceiling_rate < rate * CEILING_ROOM {
+            if ceiling_rate < rate * MIN_CEILING_FACTOR {
                 checker.fault(
                     &path("ceiling_rate"),
-                    format!("{ceiling_rate} is below {CEILING_ROOM} times the rate"),
+                    format!("{ceiling_rate} is below {MIN_CEILING_FACTOR} times the rate"),
                 );
             }
-            if ceiling_burst < burst * CEILING_ROOM {
+            if ceiling_burst < burst * MIN_CEILING_FACTOR {
                 checker.fault(
                     &path("ceiling_burst"),
-                    format!("{ceiling_burst} is below {CEILING_ROOM} times the burst"),
+                    format!("{ceiling_burst} is below {MIN_CEILING_FACTOR} times the burst"),
                 );
             }
             if rate <= 0.0 {
@@ -497,14 +510,16 @@
     raw: &raw::Settings, gateways: u32, plans: &[Plan], checker: &mut Checker,
 ) -> HashMap<[u8; 32], Arc<Customer>> {
     let (mut seen, mut keys) = (HashSet::new(), HashMap::new());
-    for (at, raw) in raw.customers.iter().enumerate() {
-        let path = |field: &str| format!("customers[{at}].{field}");
+    for (index, raw) in raw.customers.iter().enumerate() {
+        let path = |field: &str| format!("customers[{index}].{field}");
         let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
         let plan_index = plans.iter().position(|p| *p.name == *raw.plan);
         if plan_index.is_none() {
-            let known: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
-            checker
-                .fault(&path("plan"), format!("`{}` is no plan: there are {}", raw.plan, known.join(", ")));
+            let plan_names: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
+            checker.fault(
+                &path("plan"),
+                format!("`{}` is no plan: there are {}", raw.plan, plan_names.join(", ")),
+            );
         }
         let first_gateway = raw.first_gateway.unwrap_or(0);
         if first_gateway >= gateways {
@@ -520,8 +535,8 @@
         }
         let customer =
             Arc::new(Customer { name, plan_index: plan_index.unwrap_or(0), first_gateway, gateway_count });
-        for (number, digits) in raw.key_sha256.iter().enumerate() {
-            let path = path(&format!("key_sha256[{number}]"));
+        for (key_index, digits) in raw.key_sha256.iter().enumerate() {
+            let path = path(&format!("key_sha256[{key_index}]"));
             match key_hash(digits) {
                 Some(hash) => {
                     if keys.insert(hash, Arc::clone(&customer)).is_some() {
@@ -542,8 +557,8 @@
         return None;
     }
     let mut hash = [0; 32];
-    for (byte, at) in hash.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&digits[at..at + 2], 16).ok()?;
+    for (byte, start) in hash.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&digits[start..start + 2], 16).ok()?;
     }
     Some(hash)
 }
@@ -551,65 +566,71 @@
 fn root_classes(
     schema: &Schema, kind: OperationKind, raw: &[raw::Class], checker: &mut Checker,
 ) -> BTreeMap<String, usize> {
-    let what = if kind == OperationKind::Query { "query_fields" } else { "mutation_fields" };
-    let known: HashSet<&str> = schema.root_fields(kind).collect();
+    let field_list = if kind == OperationKind::Query { "query_fields" } else { "mutation_fields" };
+    let root_fields: HashSet<&str> = schema.root_fields(kind).collect();
     let mut classes = BTreeMap::new();
-    for (at, class) in raw.iter().enumerate() {
+    for (index, class) in raw.iter().enumerate() {
         let fields = if kind == OperationKind::Query { &class.query_fields } else { &class.mutation_fields };
-        for (number, field) in fields.iter().enumerate() {
-            let path = format!("classes[{at}].{what}[{number}]");
-            if !known.contains(field.as_str()) {
+        for (field_index, field) in fields.iter().enumerate() {
+            let path = format!("classes[{index}].{field_list}[{field_index}]");
+            if !root_fields.contains(field.as_str()) {
                 checker.fault(&path, format!("`{field}` is no such root field of the schema"));
-            } else if classes.insert(field.clone(), at).is_some() {
+            } else if classes.insert(field.clone(), index).is_some() {
                 checker.fault(&path, format!("`{field}` belongs to a class already"));
             }
         }
     }
-    let mut missing: Vec<&str> = known.into_iter().filter(|f| !classes.contains_key(*f)).collect();
+    let mut missing: Vec<&str> = root_fields.into_iter().filter(|f| !classes.contains_key(*f)).collect();
     missing.sort_unstable();
     if !missing.is_empty() {
         checker.fault(
             "classes",
-            format!("no class has these root fields in its {what}: {}", missing.join(", ")),
+            format!("no class has these root fields in its {field_list}: {}", missing.join(", ")),
         );
     }
     classes
 }
 
 fn query_limits(raw: &raw::GraphQl, checker: &mut Checker) -> QueryLimits {
-    let d = QueryLimits::default();
-    let mut whole = |name: &str, value: Option<u32>, default: u64, range| {
+    let defaults = QueryLimits::default();
+    let mut integer = |name: &str, value: Option<u32>, default: u64, range| {
         checker.integer(&format!("graphql.{name}"), value.map_or(default, u64::from), range)
     };
     QueryLimits {
-        bytes: whole("document_bytes", raw.document_bytes, d.bytes as u64, 1..=16 << 20) as usize,
-        tokens: whole("tokens", raw.tokens, d.tokens as u64, 1..=1_000_000) as usize,
-        depth: whole("depth", raw.depth, d.depth as u64, 1..=DEPTH_MOST as u64) as usize,
-        aliases: whole("aliases", raw.aliases, d.aliases as u64, 0..=100_000) as usize,
-        expansion: whole("expansion", raw.expansion, d.expansion, 1..=1_000_000),
-        list_size: checker.number("graphql.list_size", raw.list_size.unwrap_or(d.list_size), 0.0..=1e6),
+        bytes: integer("document_bytes", raw.document_bytes, defaults.bytes as u64, 1..=16 << 20) as usize,
+        tokens: integer("tokens", raw.tokens, defaults.tokens as u64, 1..=1_000_000) as usize,
+        depth: integer("depth", raw.depth, defaults.depth as u64, 1..=DEPTH_MOST as u64) as usize,
+        aliases: integer("aliases", raw.aliases, defaults.aliases as u64, 0..=100_000) as usize,
+        expansion: integer("expansion", raw.expansion, defaults.expansion, 1..=1_000_000),
+        list_size: checker.number(
+            "graphql.list_size",
+            raw.list_size.unwrap_or(defaults.list_size),
+            0.0..=1e6,
+        ),
     }
 }
 
 fn limits(raw: &raw::Limits, checker: &mut Checker) -> Limits {
-    let mut whole = |name: &str, value: Option<u64>, default: u64, range| {
+    let mut integer = |name: &str, value: Option<u64>, default: u64, range| {
         checker.integer(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
-    let small = |value: Option<u32>| value.map(u64::from);
-    let connections = whole("connections", small(raw.connections), 10_000, 1..=1_000_000) as usize;
-    let requests = whole("requests", small(raw.requests), 4096, 1..=1_000_000) as usize;
-    let buffered = whole("buffered_bytes", raw.buffered_bytes, 256 << 20, 65_536..=1_000_000_000_000);
-    let quarter = (buffered / 4).max(65_536);
-    let customer_bytes = whole("customer_bytes", raw.customer_bytes, quarter, 65_536..=1_000_000_000_000);
-    let line = whole("line_bytes", small(raw.line_bytes), 8192, 64..=1 << 20) as usize;
-    let head = whole("head_bytes", small(raw.head_bytes), 32_768, 128..=1 << 20) as usize;
-    let fields = whole("fields", small(raw.fields), 64, 1..=10_000) as usize;
-    let body = whole("body_bytes", raw.body_bytes, 1 << 20, 1..=1_000_000_000);
-    let answer = whole("answer_bytes", raw.answer_bytes, 1 << 30, 1..=1_000_000_000_000);
-    let held_answer = whole("held_answer_bytes", small(raw.held_answer_bytes), 16_384, 0..=16 << 20) as usize;
+    let widen = |value: Option<u32>| value.map(u64::from);
+    let connections = integer("connections", widen(raw.connections), 10_000, 1..=1_000_000) as usize;
+    let requests = integer("requests", widen(raw.requests), 4096, 1..=1_000_000) as usize;
+    let buffered = integer("buffered_bytes", raw.buffered_bytes, 256 << 20, 65_536..=1_000_000_000_000);
+    let default_customer_bytes = (buffered / 4).max(65_536);
+    let customer_bytes =
+        integer("customer_bytes", raw.customer_bytes, default_customer_bytes, 65_536..=1_000_000_000_000);
+    let line = integer("line_bytes", widen(raw.line_bytes), 8192, 64..=1 << 20) as usize;
+    let head = integer("head_bytes", widen(raw.head_bytes), 32_768, 128..=1 << 20) as usize;
+    let fields = integer("fields", widen(raw.fields), 64, 1..=10_000) as usize;
+    let body = integer("body_bytes", raw.body_bytes, 1 << 20, 1..=1_000_000_000);
+    let answer = integer("answer_bytes", raw.answer_bytes, 1 << 30, 1..=1_000_000_000_000);
+    let held_answer =
+        integer("held_answer_bytes", widen(raw.held_answer_bytes), 16_384, 0..=16 << 20) as usize;
     let client_buffer =
-        whole("client_buffer_bytes", small(raw.client_buffer_bytes), 65_536, 1024..=1_000_000_000);
-    let mut time = |name: &str, value: Option<f64>, default: f64, range| {
+        integer("client_buffer_bytes", widen(raw.client_buffer_bytes), 65_536, 1024..=1_000_000_000);
+    let mut milliseconds = |name: &str, value: Option<f64>, default: f64, range| {
         checker.number(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
     Limits {
@@ -623,14 +644,14 @@
         answer,
         held_answer,
         client_buffer: client_buffer as usize,
-        head_time: time("head_ms", raw.head_ms, 10_000.0, 10.0..=6e5),
-        body_time: time("body_ms", raw.body_ms, 20_000.0, 10.0..=6e5),
-        idle_time: time("idle_ms", raw.idle_ms, 60_000.0, 10.0..=3.6e6),
-        node_idle_time: time("node_idle_ms", raw.node_idle_ms, 30_000.0, 10.0..=3.6e6),
-        longest_deadline: time("longest_deadline_ms", raw.longest_deadline_ms, 60_000.0, 1.0..=3.6e6),
+        head_time: milliseconds("head_ms", raw.head_ms, 10_000.0, 10.0..=6e5),
+        body_time: milliseconds("body_ms", raw.body_ms, 20_000.0, 10.0..=6e5),
+        idle_time: milliseconds("idle_ms", raw.idle_ms, 60_000.0, 10.0..=3.6e6),
+        node_idle_time: milliseconds("node_idle_ms", raw.node_idle_ms, 30_000.0, 10.0..=3.6e6),
+        longest_deadline: milliseconds("longest_deadline_ms", raw.longest_deadline_ms, 60_000.0, 1.0..=3.6e6),
         customer_bytes,
-        unread_time: time("unread_ms", raw.unread_ms, 10_000.0, 10.0..=6e5),
-        answer_margin: time("answer_margin_ms", raw.answer_margin_ms, 20.0, 0.0..=1000.0),
+        unread_time: milliseconds("unread_ms", raw.unread_ms, 10_000.0, 10.0..=6e5),
+        answer_margin: milliseconds("answer_margin_ms", raw.answer_margin_ms, 20.0, 0.0..=1000.0),
     }
 }
 
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -143,8 +143,8 @@
     let mut peers = BTreeMap::new();
     let mut seen_numbers = BTreeSet::new();
     let mut seen_addresses = HashMap::new();
-    for (at, peer) in raw.peers.iter().enumerate() {
-        let path = |field: &str| format!("fleet.link.peers[{at}].{field}");
+    for (index, peer) in raw.peers.iter().enumerate() {
+        let path = |field: &str| format!("fleet.link.peers[{index}].{field}");
         let address = checker.address(&path("address"), &peer.address);
         if peer.number >= gateways {
             let text = format!("{} is not below the number of gateways, {gateways}", peer.number);
@@ -174,8 +174,8 @@
     }
     let text = match open(file) {
         Ok(text) => text,
-        Err(why) => {
-            checker.fault(path, format!("{file}: {why}"));
+        Err(error) => {
+            checker.fault(path, format!("{file}: {error}"));
             return Vec::new();
         }
     };
@@ -230,8 +230,8 @@
     field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, checker: &mut Checker<'_>,
 ) -> BTreeSet<u32> {
     let mut gateways = BTreeSet::new();
-    for (at, number) in numbers.iter().enumerate() {
-        let path = format!("leases.{field}[{at}]");
+    for (index, number) in numbers.iter().enumerate() {
+        let path = format!("leases.{field}[{index}]");
         if known.is_some_and(|known| !known.contains(number)) {
             checker.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
         }
@@ -281,22 +281,22 @@
         checker.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
     }
     let tasks = raw.iter().enumerate();
-    tasks.map(|(at, raw)| task(at, raw, lease_duration_ms, &mut taken, checker)).collect()
+    tasks.map(|(index, raw)| task(index, raw, lease_duration_ms, &mut taken, checker)).collect()
 }
 
 /// Checks one task. A call must fit half a lease.
 fn task(
-    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, checker: &mut Checker<'_>,
+    index: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, checker: &mut Checker<'_>,
 ) -> TaskConfig {
-    let path = |field: &str| format!("leases.tasks[{at}].{field}");
+    let path = |field: &str| format!("leases.tasks[{index}].{field}");
     let name = checker.unique_name(&path("name"), &raw.name, &mut taken.names).to_string();
     let other = taken.by_id.insert(task_of(&name), name.clone()).filter(|other| *other != name);
     if let Some(other) = other {
         checker.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
     }
-    let target = raw.path.clone().unwrap_or_else(|| "/".into());
-    if !target.starts_with('/') || target.contains([' ', '\r', '\n']) {
-        checker.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
+    let request_path = raw.path.clone().unwrap_or_else(|| "/".into());
+    if !request_path.starts_with('/') || request_path.contains([' ', '\r', '\n']) {
+        checker.fault(&path("path"), format!("`{request_path}` must begin with / and hold no space"));
     }
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
     // The lower bound holds for what is set as well: a shorter duration is raised to it.
@@ -304,7 +304,7 @@
     TaskConfig {
         name,
         address: checker.address(&path("address"), &raw.address),
-        path: target,
+        path: request_path,
         call_interval_ms: milliseconds(checker, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
         call_duration_ms: checker.number(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease)
             as u64,
