--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -38,7 +38,7 @@
     pub(crate) fn number(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
-            self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
+            self.fault(path, format!("{value} is out of range: must be from {low} to {high}"));
         }
         value
     }
@@ -46,23 +46,26 @@
     pub(crate) fn integer(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
-            self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
+            self.fault(path, format!("{value} is out of range: must be from {low} to {high}"));
         }
         value
     }
 
     pub(crate) fn unique_name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
         if name.is_empty() || name.chars().any(|c| c.is_whitespace() || c.is_control()) {
-            self.fault(path, "a name without white space is needed");
+            self.fault(path, "a name without white space is required");
         } else if !seen.insert(name.to_owned()) {
-            self.fault(path, format!("`{name}` is taken already"));
+            self.fault(path, format!("`{name}` is already used"));
         }
         name.into()
     }
 
     pub(crate) fn address(&mut self, path: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
-            self.fault(path, format!("`{text}` is no address: \"1.2.3.4:80\" or \"[::1]:80\" is wanted"));
+            self.fault(
+                path,
+                format!("`{text}` is not an address: \"1.2.3.4:80\" or \"[::1]:80\" is expected"),
+            );
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
@@ -136,11 +139,14 @@
     let is_name_char = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (field, name) in [("cookie", &sticky.cookie), ("parameter", &sticky.parameter)] {
         if !name.chars().all(is_name_char) {
-            checker.fault(&format!("routing.sticky.{field}"), format!("`{name}` is no name of one"));
+            checker.fault(
+                &format!("routing.sticky.{field}"),
+                format!("`{name}` is not a valid cookie or parameter name"),
+            );
         }
     }
     if raw.sticky.is_some() && sticky.cookie.is_empty() && sticky.parameter.is_empty() {
-        checker.fault("routing.sticky", "a cookie or a parameter is needed");
+        checker.fault("routing.sticky", "a cookie or a parameter is required");
     }
     let load_balancing = match raw.balance() {
         routing::Balance::Outstanding => LoadBalancing::LeastInFlight,
@@ -159,7 +165,7 @@
     let path = |field: &str| format!("nodes[{index}].{field}");
     for (field, text) in [("route", &raw.route), ("redirect", &raw.redirect), ("group", &raw.group)] {
         if text.chars().any(|c| c.is_whitespace() || c.is_control()) {
-            checker.fault(&path(field), "a name without white space is needed");
+            checker.fault(&path(field), "a name without white space is required");
         }
     }
     let role = match raw.role() {
@@ -208,7 +214,7 @@
     let cross_zone_price =
         checker.number("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
     if raw.listen.is_empty() {
-        checker.fault("listen", "at least one address is needed");
+        checker.fault("listen", "at least one address is required");
     }
     let listen = raw
         .listen
@@ -218,7 +224,8 @@
         .collect();
     let endpoint_path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
     if !endpoint_path.starts_with('/') || endpoint_path.contains(['?', ' ']) {
-        checker.fault("path", format!("`{endpoint_path}` must begin with / and hold no ? and no space"));
+        checker
+            .fault("path", format!("`{endpoint_path}` must begin with / and contain neither ? nor a space"));
     }
     let counter = raw.counter.as_ref().map(|c| counter(c, checker));
     if counter.is_none() && gateways > 1 {
@@ -228,12 +235,12 @@
         );
     }
     if raw.nodes.is_empty() == raw.node_list.is_none() {
-        checker.fault("nodes", "either nodes or node_list is needed, not both");
+        checker.fault("nodes", "exactly one of nodes and node_list is required");
     }
     let nodes = nodes(&raw.nodes, checker);
     let node_list = raw.node_list.as_ref().map(|list| {
         if list.file.is_empty() {
-            checker.fault("node_list.file", "a file's name is needed");
+            checker.fault("node_list.file", "a file name is required");
         }
         (
             list.file.clone(),
@@ -307,14 +314,14 @@
     let introspection = graphql.introspection.unwrap_or(false);
     let admin_socket = raw.admin.as_ref().map(|admin| {
         if admin.socket.is_empty() {
-            checker.fault("admin.socket", "a path is needed");
+            checker.fault("admin.socket", "a path is required");
         }
         admin.socket.clone()
     });
     let health_listen = raw.health.as_ref().map(|h| checker.address("health.listen", &h.listen));
     let state_file = raw.state.as_ref().map(|s| {
         if s.file.is_empty() {
-            checker.fault("state.file", "a file's name is needed");
+            checker.fault("state.file", "a file name is required");
         }
         StateFileConfig {
             file: s.file.clone(),
@@ -385,7 +392,7 @@
     raw: &raw::GraphQl, checker: &mut Checker, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Arc<Schema>> {
     if raw.schema_file.is_empty() {
-        checker.fault("graphql.schema_file", "the name of a file with the schema's SDL is needed");
+        checker.fault("graphql.schema_file", "the name of the file with the schema's SDL is required");
         return None;
     }
     let text = match open(&raw.schema_file) {
@@ -410,7 +417,7 @@
 
 fn classes(raw: &[raw::Class], checker: &mut Checker) -> (Vec<RequestClass>, Vec<f64>) {
     if raw.is_empty() {
-        checker.fault("classes", "at least one class is needed");
+        checker.fault("classes", "at least one class is required");
     }
     let (mut seen, mut client_timeouts) = (HashSet::new(), Vec::new());
     let mut classes = Vec::new();
@@ -425,7 +432,7 @@
         ));
         let idempotency = match raw.effect() {
             class::Effect::Unstated => {
-                checker.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
+                checker.fault(&path("effect"), "one of SAFE, KEYED and UNSAFE is required");
                 Idempotency::NonIdempotent
             }
             class::Effect::Safe => Idempotency::Idempotent,
@@ -439,7 +446,7 @@
         };
         let deduplication_window = checker.number(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
         if idempotency == Idempotency::WithKey && deduplication_window == 0.0 {
-            checker.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
+            checker.fault(&path("memory_ms"), "a KEYED class needs a memory_ms above 0");
         }
         let priority_weight = checker.number(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
         let late_response_value = checker.number(&path("late_worth"), raw.late_worth, 0.0..=1.0);
@@ -458,7 +465,7 @@
 
 fn plans(raw: &[raw::Plan], checker: &mut Checker) -> Vec<Plan> {
     if raw.is_empty() {
-        checker.fault("plans", "at least one plan is needed");
+        checker.fault("plans", "at least one plan is required");
     }
     let mut seen = HashSet::new();
     let mut plans = Vec::new();
@@ -518,7 +525,7 @@
             let plan_names: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
             checker.fault(
                 &path("plan"),
-                format!("`{}` is no plan: there are {}", raw.plan, plan_names.join(", ")),
+                format!("`{}` is not a plan: the plans are {}", raw.plan, plan_names.join(", ")),
             );
         }
         let first_gateway = raw.first_gateway.unwrap_or(0);
@@ -531,7 +538,7 @@
         let gateway_count = raw.gateways.unwrap_or(gateways);
         checker.integer(&path("gateways"), gateway_count.into(), 1..=gateways.into());
         if raw.key_sha256.is_empty() {
-            checker.fault(&path("key_sha256"), "at least one key is needed");
+            checker.fault(&path("key_sha256"), "at least one key is required");
         }
         let customer =
             Arc::new(Customer { name, plan_index: plan_index.unwrap_or(0), first_gateway, gateway_count });
@@ -540,11 +547,11 @@
             match key_hash(digits) {
                 Some(hash) => {
                     if keys.insert(hash, Arc::clone(&customer)).is_some() {
-                        checker.fault(&path, "this key is given twice");
+                        checker.fault(&path, "this key is listed twice");
                     }
                 }
                 None => {
-                    checker.fault(&path, "64 hex digits of a SHA-256 are wanted: printf %s KEY | sha256sum")
+                    checker.fault(&path, "64 hex digits of a SHA-256 are expected: printf %s KEY | sha256sum")
                 }
             }
         }
@@ -574,9 +581,9 @@
         for (field_index, field) in fields.iter().enumerate() {
             let path = format!("classes[{index}].{field_list}[{field_index}]");
             if !root_fields.contains(field.as_str()) {
-                checker.fault(&path, format!("`{field}` is no such root field of the schema"));
+                checker.fault(&path, format!("the schema has no such root field: `{field}`"));
             } else if classes.insert(field.clone(), index).is_some() {
-                checker.fault(&path, format!("`{field}` belongs to a class already"));
+                checker.fault(&path, format!("`{field}` already belongs to a class"));
             }
         }
     }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -151,10 +151,10 @@
             checker.fault(&path("number"), text);
         }
         if !seen_numbers.insert(peer.number) {
-            checker.fault(&path("number"), format!("gateway {} is named twice", peer.number));
+            checker.fault(&path("number"), format!("gateway {} is listed twice", peer.number));
         }
         if let Some(other) = seen_addresses.insert(address, peer.number) {
-            checker.fault(&path("address"), format!("{address} is gateway {other}'s already"));
+            checker.fault(&path("address"), format!("{address} is already the address of gateway {other}"));
         }
         if peer.number != number {
             peers.insert(peer.number, address);
@@ -169,7 +169,7 @@
 ) -> Vec<Vec<u8>> {
     let path = "fleet.link.secret_file";
     if file.is_empty() {
-        checker.fault(path, "a file's name is needed");
+        checker.fault(path, "a file name is required");
         return Vec::new();
     }
     let text = match open(file) {
@@ -183,7 +183,8 @@
     let secrets: Vec<Vec<u8>> = lines.map(|line| line.as_bytes().to_vec()).collect();
     let too_short = secrets.iter().any(|secret| secret.len() < MIN_SECRET_BYTES);
     if !(1..=MAX_SECRETS).contains(&secrets.len()) || too_short {
-        let text = format!("1 to {MAX_SECRETS} lines are needed, each of at least {MIN_SECRET_BYTES} bytes");
+        let text =
+            format!("1 to {MAX_SECRETS} lines are required, each of at least {MIN_SECRET_BYTES} bytes");
         checker.fault(path, text);
     }
     secrets
@@ -196,7 +197,7 @@
     let gateways: BTreeSet<u32> =
         link.iter().flat_map(|link| link.peers.keys().copied()).chain([number]).collect();
     if link.is_none() {
-        checker.fault("leases", "the gateways must hear of each other: set fleet.link");
+        checker.fault("leases", "leases need a link between the gateways: set fleet.link");
     }
     let lease_duration_ms = milliseconds(checker, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
     let drift = raw.drift_ppm.unwrap_or(CLOCK_DRIFT_PPM_DEFAULT);
@@ -217,10 +218,10 @@
     if (version == 0) != previous_voters.is_empty() {
         checker.fault(
             "leases.voters_before",
-            "who voted in the version before is needed above version 0, and only there",
+            "the voters of the previous version are required above version 0, and only there",
         );
     } else if version > 0 && previous_voters.symmetric_difference(&voters).count() > 1 {
-        checker.fault("leases.voters", "one voter may be added or removed in one version");
+        checker.fault("leases.voters", "only one voter may be added or removed per version");
     }
     VoterConfiguration { version, voters, previous_voters }
 }
@@ -236,7 +237,7 @@
             checker.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
         }
         if !gateways.insert(*number) {
-            checker.fault(&path, format!("gateway {number} is named twice"));
+            checker.fault(&path, format!("gateway {number} is listed twice"));
         }
     }
     gateways
@@ -278,7 +279,7 @@
         taken.by_id.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
     if raw.len() > MAX_TASKS {
-        checker.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
+        checker.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS} are allowed", raw.len()));
     }
     let tasks = raw.iter().enumerate();
     tasks.map(|(index, raw)| task(index, raw, lease_duration_ms, &mut taken, checker)).collect()
@@ -292,11 +293,14 @@
     let name = checker.unique_name(&path("name"), &raw.name, &mut taken.names).to_string();
     let other = taken.by_id.insert(task_of(&name), name.clone()).filter(|other| *other != name);
     if let Some(other) = other {
-        checker.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
+        checker.fault(&path("name"), format!("`{name}` and `{other}` have the same task id: rename one"));
     }
     let request_path = raw.path.clone().unwrap_or_else(|| "/".into());
     if !request_path.starts_with('/') || request_path.contains([' ', '\r', '\n']) {
-        checker.fault(&path("path"), format!("`{request_path}` must begin with / and hold no space"));
+        checker.fault(
+            &path("path"),
+            format!("`{request_path}` must begin with / and contain no space or line break"),
+        );
     }
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
     // The lower bound holds for what is set as well: a shorter duration is raised to it.
