--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -32,21 +32,33 @@
         (
             "fleet.number",
             old.decision_settings.gateway_index == new.decision_settings.gateway_index,
-            "the counter and the other gateways know it",
+            "the counter and the other gateways identify this one by it",
+        ),
+        (
+            "fleet.zone",
+            old.decision_settings.zone == new.decision_settings.zone,
+            "a gateway stays in its zone",
         ),
-        ("fleet.zone", old.decision_settings.zone == new.decision_settings.zone, "a gateway does not move"),
         ("listen", old.listen == new.listen, "start a new process that takes over"),
         ("health.listen", old.health_listen == new.health_listen, "start a new process that takes over"),
-        ("admin.socket", old.admin_socket == new.admin_socket, "it is the way this reload came"),
+        ("admin.socket", old.admin_socket == new.admin_socket, "reloads are requested on it"),
         ("counter", counter(old) == counter(new), "two counters would each grant the quota"),
         ("state.file", state_file(old) == state_file(new), "start a new process that takes over"),
-        ("node_list", old.node_list.is_some() == new.node_list.is_some(), "nodes come from one place"),
-        ("fleet.link", own_link(old) == own_link(new), "start a new process: the peers know this one by it"),
-        ("leases", lease(old) == lease(new), "what was promised for one length cannot be kept for another"),
+        (
+            "node_list",
+            old.node_list.is_some() == new.node_list.is_some(),
+            "nodes come either from the settings or from a file",
+        ),
+        (
+            "fleet.link",
+            own_link(old) == own_link(new),
+            "start a new process: the peers identify this one by it",
+        ),
+        ("leases", lease(old) == lease(new), "leases granted for one length cannot be kept with another"),
         (
             "leases.voters",
             voters_may_follow(old, new),
-            "each change is one version on and of one voter (docs/leases.md)",
+            "each change raises the version by one and changes one voter (docs/leases.md)",
         ),
     ];
     let differs = fields.into_iter().filter(|(_, is_same, _)| !is_same);
