--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,4 +1,5 @@
-//! What differs between the settings in service and new ones: reported to people, and refused where it cannot change.
+//! Compares the settings in service with new ones. The differences are reported to the operator; a field that cannot
+//! change in service makes a reload fail.
 
 mod text;
 
@@ -22,7 +23,7 @@
     SettingsDiff { refused: refused_fields(old, new), changes }
 }
 
-/// Fields that differ and cannot change in service.
+/// Fields that differ but cannot change in service, each with the reason.
 fn refused_fields(old: &Config, new: &Config) -> Vec<String> {
     let counter = |c: &Config| c.counter.as_ref().map(|c| (c.address, c.password.clone()));
     let state_file = |c: &Config| c.state_file.as_ref().map(|s| s.file.clone());
@@ -57,7 +58,7 @@
         ("leases", lease(old) == lease(new), "leases granted for one length cannot be kept with another"),
         (
             "leases.voters",
-            voters_may_follow(old, new),
+            is_valid_voter_change(old, new),
             "each change raises the version by one and changes one voter (docs/leases.md)",
         ),
     ];
@@ -65,9 +66,9 @@
     differs.map(|(field, _, reason)| format!("{field}: cannot change in service: {reason}")).collect()
 }
 
-/// Whether the voters of the new settings are at most one proper step on from the old ones. A gateway that missed
-/// versions begins as after a start, so that later versions are no fault here.
-fn voters_may_follow(old: &Config, new: &Config) -> bool {
+/// Whether the new voter configuration is the old one or a valid successor of it. A configuration that is two or more
+/// versions ahead is accepted too: a gateway that missed versions takes it as after a start.
+fn is_valid_voter_change(old: &Config, new: &Config) -> bool {
     match (&old.leases, &new.leases) {
         (Some(old), Some(new)) if new.voters.version <= old.voters.version + 1 => {
             old.voters.check_successor(&new.voters).is_ok()
@@ -76,7 +77,7 @@
     }
 }
 
-/// Single values that differ, with the old and the new one.
+/// Single values that differ: the field with the old and the new value.
 fn changed_values(old: &Config, new: &Config) -> Vec<String> {
     let value = |field: &str, text: &dyn Fn(&Config) -> String| compare_value(field, text(old), text(new));
     let secrets = |c: &Config| c.link.as_ref().map(|l| l.secrets.clone());
@@ -103,10 +104,10 @@
     (old != new).then(|| format!("{field}: {old} -> {new}"))
 }
 
-/// The items of one kind by name, each with a text that differs where the item does.
+/// The items of one kind: for each name a text that changes when the item does.
 type ItemTexts = fn(&Config) -> BTreeMap<String, String>;
 
-/// Named items (plans, classes, root fields, nodes, customers) that are new, changed or gone.
+/// Named items (plans, classes, root fields, nodes, customers) that are new, changed or removed.
 fn changed_items(old: &Config, new: &Config) -> Vec<String> {
     let kinds: [(&str, ItemTexts); 5] = [
         ("plan", |c| {
@@ -147,7 +148,7 @@
     by_name.into_iter().map(|(name, keys)| (name, joined(keys))).collect()
 }
 
-/// One line for each item that is new, changed or gone; `old` and `new` hold a text for each name.
+/// One line for each item that is new, changed or removed. `old` and `new` have a text for each name.
 fn compare_items(kind: &str, old: &BTreeMap<String, String>, new: &BTreeMap<String, String>) -> Vec<String> {
     let mut lines = Vec::new();
     for (name, text) in new {
@@ -157,7 +158,7 @@
             Some(_) => {}
         }
     }
-    let gone = old.keys().filter(|name| !new.contains_key(*name));
-    lines.extend(gone.map(|name| format!("{kind} {name}: gone")));
+    let removed = old.keys().filter(|name| !new.contains_key(*name));
+    lines.extend(removed.map(|name| format!("{kind} {name}: gone")));
     lines
 }
