--- a/crates/config/src/change/text.rs
+++ b/crates/config/src/change/text.rs
@@ -1,21 +1,21 @@
-//! Settings as the lines of a reload show them. The words are part of the admin replies and stay as they are, whatever
-//! the code calls the fields.
+//! The texts of settings in the lines that a reload reports. They are part of the admin replies, so they do not change
+//! with the names in the code.
 
 use crate::{LinkConfig, OutlierGossipConfig, TaskConfig};
 use doorcourse_lease::VoterConfiguration;
 
-/// The peers by number and address, and the ms after which a silent one counts as unreachable.
+/// The peers by number and address, and the ms without a datagram after which a peer is unreachable.
 pub(super) fn peers(link: &LinkConfig) -> String {
     format!("{:?} {}", link.peers, link.unreachable_after_ms)
 }
 
-/// The voters of the configuration and of the one before.
+/// The voters of this configuration and of the previous one.
 pub(super) fn voters(configuration: &VoterConfiguration) -> String {
     let VoterConfiguration { version, voters, previous_voters } = configuration;
     format!("Voters {{ version: {version}, now: {voters:?}, before: {previous_voters:?} }}")
 }
 
-/// The tasks in order.
+/// The tasks in the order of the settings.
 pub(super) fn tasks(tasks: &[TaskConfig]) -> String {
     let texts: Vec<String> = tasks.iter().map(task).collect();
     format!("[{}]", texts.join(", "))
@@ -28,7 +28,7 @@
     )
 }
 
-/// How suspected nodes are probed for the fleet; `None` where they are not.
+/// How suspected nodes are probed for the fleet, or `None` if they are not.
 pub(super) fn suspects(config: Option<OutlierGossipConfig>) -> String {
     let Some(config) = config else { return "None".into() };
     let OutlierGossipConfig {
