--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,5 @@
-//! Reading and checking. Every fault is told, not the first alone; nothing is used unless there is none.
+//! Parses and checks the settings. All faults are reported, not only the first one, and settings with a fault are not
+//! used at all.
 
 use crate::fleet;
 use crate::locate::FieldPositions;
@@ -19,9 +20,11 @@
 
 /// The backoff before the first new connection to the counter.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
-/// What a ceiling must leave above quota and burst for the decisions' bound (docs/design.md, "Bounds").
+/// The least ratio of a ceiling to its quota, in rate and burst. The bound that the decisions keep needs this distance
+/// (docs/design.md, "Bounds").
 const MIN_CEILING_FACTOR: f64 = 1.6;
 
+/// Checks values and collects the faults of one source.
 pub(crate) struct Checker<'a> {
     file: &'a str,
     positions: FieldPositions,
@@ -29,12 +32,14 @@
 }
 
 impl Checker<'_> {
+    /// Records a fault of the field at `path`; an empty path stands for the whole file.
     pub(crate) fn fault(&mut self, path: &str, message: impl Into<String>) {
         let field = if path.is_empty() { String::new() } else { format!("{path}: ") };
         let (file, line) = (self.file.to_owned(), self.positions.find(path));
         self.faults.push(Fault { file, line, field, message: message.into() });
     }
 
+    /// Checks that a number is in range and returns it in any case.
     pub(crate) fn number(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
@@ -43,6 +48,7 @@
         value
     }
 
+    /// Checks that an integer is in range and returns it in any case.
     pub(crate) fn integer(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
@@ -51,6 +57,7 @@
         value
     }
 
+    /// Checks that a name is not empty, has no white space or control character, and is not in `seen`; adds it to `seen`.
     pub(crate) fn unique_name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
         if name.is_empty() || name.chars().any(|c| c.is_whitespace() || c.is_control()) {
             self.fault(path, "a name without white space is required");
@@ -60,6 +67,7 @@
         name.into()
     }
 
+    /// Parses an IP address with a port. A fault is recorded if it is none, and a placeholder is returned.
     pub(crate) fn address(&mut self, path: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
             self.fault(
@@ -75,10 +83,10 @@
     parse_text(DESCRIPTORS, &format!("doorcourse.settings.{name}"), file, text)
 }
 
-/// Parses a message of some schema from its text form; a fault names line and column.
+/// Parses a message from protobuf text format. `descriptors` is the encoded schema that defines it.
 ///
 /// # Errors
-/// The first fault.
+/// The first fault, with its line and column.
 pub fn parse_text<M: prost::Message + Default>(
     descriptors: &[u8], name: &str, file: &str, text: &str,
 ) -> Result<M, Vec<Fault>> {
@@ -100,10 +108,10 @@
     parsed.transcode_to().map_err(|e| fault(e.to_string(), None))
 }
 
-/// Reads settings. `open` gives the text of a file named in them, or says why it cannot.
+/// Parses and checks settings. `open` returns the text of a file that they name, or the reason why it cannot be read.
 ///
 /// # Errors
-/// Every fault found, each with file, line and field.
+/// All faults, each with file, line and field.
 pub fn read(
     file: &str, text: &str, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Result<Config, Vec<Fault>> {
@@ -116,10 +124,10 @@
     }
 }
 
-/// Reads a node list file.
+/// Parses and checks a node list file.
 ///
 /// # Errors
-/// Every fault found, each with file, line and field.
+/// All faults, each with file, line and field.
 pub fn read_nodes(file: &str, text: &str) -> Result<NodeList, Vec<Fault>> {
     let raw: raw::Nodes = parse("Nodes", file, text)?;
     let mut checker = Checker { file, positions: FieldPositions::new(text), faults: Vec::new() };
@@ -128,7 +136,7 @@
     if checker.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(checker.faults) }
 }
 
-/// Whether a text is a node list file rather than settings: it parses as one.
+/// Whether a text is a node list file and not a settings file: it parses as one and has a node.
 #[must_use]
 pub fn is_node_list(file: &str, text: &str) -> bool {
     parse::<raw::Nodes>("Nodes", file, text).is_ok_and(|n| !n.nodes.is_empty())
@@ -480,7 +488,7 @@
         let ceiling_rate = checker.number(&path("ceiling_rate"), raw.ceiling_rate, 0.0..=1e9);
         let ceiling_burst = checker.number(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
         if ceiling_rate > 0.0 {
-            // Below these the decisions' bound does not hold: such a ceiling would be a promise broken.
+            // Below these ratios the decisions cannot guarantee that the ceiling is kept, so such a plan is rejected.
             if ceiling_rate < rate * MIN_CEILING_FACTOR {
                 checker.fault(
                     &path("ceiling_rate"),
