--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the settings of the link between gateways, the leases and the outlier gossip.
+//! Checks the settings of the link between the gateways, of the leases and of the outlier gossip.
 
 use crate::check::Checker;
 use crate::raw;
@@ -8,38 +8,38 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The lease under which suspected nodes are probed.
+/// The name of the task of the holder that probes suspected nodes.
 pub const OUTLIER_PROBE_TASK: &str = "suspects";
 
-/// The shortest secret, in bytes.
+/// The least length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
-/// The most secrets of a file.
+/// The most secrets in one file.
 const MAX_SECRETS: usize = 8;
-/// The most tasks.
+/// The most tasks in the settings.
 const MAX_TASKS: usize = 1024;
-/// When a peer is unreachable, in ms.
+/// The time without a datagram after which a peer is unreachable, in ms.
 const UNREACHABLE_AFTER_MS: Setting = Setting { default: 3000.0, range: 100.0..=6e5 };
 /// The duration of a lease, in ms.
 const LEASE_DURATION_MS: Setting = Setting { default: 3000.0, range: 20.0..=6e5 };
-/// By how much the rates of clocks may differ, in parts per million.
+/// The largest difference in rate between the clocks of two gateways, in parts per million.
 const CLOCK_DRIFT_PPM_DEFAULT: u32 = 10_000;
 const CLOCK_DRIFT_PPM_RANGE: RangeInclusive<u64> = 0..=499_999;
-/// Between two probes of the whole fleet, in ms.
+/// The interval between two probes of the whole fleet, in ms.
 const PROBE_INTERVAL_MS: Setting = Setting { default: 200.0, range: 10.0..=6e4 };
-/// The shortest and the longest timeout of a probe, and the longest default, in ms.
+/// The range of the timeout of a probe, and the upper limit of its default, in ms.
 const MIN_PROBE_TIMEOUT_MS: f64 = 10.0;
 const MAX_PROBE_TIMEOUT_MS: f64 = 6e4;
 const MAX_DEFAULT_PROBE_TIMEOUT_MS: f64 = 500.0;
-/// The fraction of the nodes that may be outliers.
+/// The largest fraction of the nodes that may be outliers at the same time.
 const MAX_OUTLIER_FRACTION: Setting = Setting { default: 0.25, range: 0.0..=1.0 };
 /// How long a report and a verdict are valid, in ms.
 const RETENTION_MS: Setting = Setting { default: 2000.0, range: 100.0..=6e5 };
-/// From the end of a call to the start of the next, in ms.
+/// The interval from the end of a call to the start of the next, in ms.
 const CALL_INTERVAL_MS: Setting = Setting { default: 1000.0, range: 10.0..=8.64e7 };
 /// The shortest duration of a call, in ms.
 const MIN_CALL_DURATION_MS: f64 = 1.0;
 
-/// A number of the settings file: its default and its range.
+/// The default and the range of a number in the settings.
 struct Setting {
     default: f64,
     range: RangeInclusive<f64>,
@@ -52,11 +52,11 @@
     pub listen: SocketAddr,
     /// The other gateways and their addresses.
     pub peers: BTreeMap<u32, SocketAddr>,
-    /// The secrets: every one is accepted, the first one is used for sending.
+    /// The secrets. Datagrams signed with any of them are accepted; the first one signs what is sent.
     pub secrets: Vec<Vec<u8>>,
     /// The fleet's name.
     pub fleet: String,
-    /// A peer is unreachable when nothing was received from it for so many ms.
+    /// A peer from which no datagram has arrived for this long is unreachable.
     pub unreachable_after_ms: u64,
 }
 
@@ -72,33 +72,33 @@
     }
 }
 
-/// The leases, and what is done under them.
+/// The leases and the work that needs them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseConfig {
     /// The duration of a lease.
     pub lease_duration_ms: u64,
-    /// By how much the rates of clocks may differ, in parts per million.
+    /// The largest difference in rate between the clocks of two gateways, in parts per million.
     pub clock_drift_ppm: u64,
-    /// Who votes.
+    /// The gateways that vote.
     pub voters: VoterConfiguration,
-    /// The tasks.
+    /// The calls that one gateway at a time makes.
     pub tasks: Vec<TaskConfig>,
-    /// The outlier gossip; `None` where suspected nodes are not probed for the fleet.
+    /// The outlier gossip; `None` if suspected nodes are not probed for the fleet.
     pub outlier_gossip: Option<OutlierGossipConfig>,
 }
 
-/// The outlier gossip.
+/// The settings of the outlier gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierGossipConfig {
-    /// Between two probes of the whole fleet.
+    /// The interval between two probes of the whole fleet.
     pub probe_interval_ms: u64,
-    /// A node that does not answer a probe for this long has failed it.
+    /// A node that has not answered a probe after this time has failed it.
     pub probe_timeout_ms: u64,
-    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1.
+    /// The largest fraction of the nodes that may be outliers at the same time, from 0 to 1.
     pub max_outlier_fraction: f64,
     /// How long a report and a verdict are valid.
     pub retention_ms: u64,
-    /// Whether the decisions follow the verdicts; otherwise they are only logged.
+    /// Whether the decisions avoid outliers; otherwise the verdicts are only reported to the operator.
     pub affects_decisions: bool,
 }
 
@@ -111,13 +111,13 @@
     pub address: SocketAddr,
     /// The path that is called.
     pub path: String,
-    /// From the end of a call to the start of the next.
+    /// The interval from the end of a call to the start of the next.
     pub call_interval_ms: u64,
-    /// How long a call takes, with its effect at the receiver.
+    /// The longest time that a call and its effect at the receiver take.
     pub call_duration_ms: u64,
 }
 
-/// Checks `fleet.link`. `open` reads a file by its name.
+/// Checks `fleet.link`. `open` returns the text of a file that the settings name.
 pub(crate) fn link(
     raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
     open: &dyn Fn(&str) -> Result<String, String>,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The addresses of the other gateways.
+/// Checks `fleet.link.peers` and returns the addresses of the other gateways.
 fn peers(
     raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
 ) -> BTreeMap<u32, SocketAddr> {
@@ -163,7 +163,7 @@
     peers
 }
 
-/// The secrets of a file: its lines that are not empty.
+/// The secrets in a file: its lines without surrounding white space, except empty ones.
 fn secrets(
     file: &str, checker: &mut Checker<'_>, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Vec<Vec<u8>> {
@@ -208,10 +208,10 @@
     LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, outlier_gossip }
 }
 
-/// The voters of this version and the one before. All gateways vote where the settings name none.
+/// The voters of this version and of the previous one. All gateways vote if the settings name no voters.
 fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, checker: &mut Checker<'_>) -> VoterConfiguration {
     let named = distinct_gateways("voters", &raw.voters, Some(gateways), checker);
-    // A gateway that voted before may be gone.
+    // A previous voter may have left the fleet, so these need not be among the peers.
     let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, checker);
     let voters = if named.is_empty() { gateways.clone() } else { named };
     let version = raw.voters_version;
@@ -226,7 +226,7 @@
     VoterConfiguration { version, voters, previous_voters }
 }
 
-/// The gateways that a list names, each once, and each one of `known` where that is stated.
+/// The gateways in a list. Each may be listed once and, if `known` is given, must be one of these.
 fn distinct_gateways(
     field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, checker: &mut Checker<'_>,
 ) -> BTreeSet<u32> {
@@ -243,7 +243,7 @@
     gateways
 }
 
-/// Checks `leases.suspects`. A probe must fit half a lease.
+/// Checks `leases.suspects`. The timeout of a probe is at most half a lease.
 fn outlier_gossip(
     raw: &raw::Suspects, lease_duration_ms: u64, checker: &mut Checker<'_>,
 ) -> OutlierGossipConfig {
@@ -262,7 +262,7 @@
     }
 }
 
-/// The names and ids that are taken by tasks.
+/// The names and ids that tasks already have.
 #[derive(Default)]
 struct TakenNames {
     names: HashSet<String>,
@@ -285,7 +285,7 @@
     tasks.map(|(index, raw)| task(index, raw, lease_duration_ms, &mut taken, checker)).collect()
 }
 
-/// Checks one task. A call must fit half a lease.
+/// Checks one task. A call takes at most half a lease.
 fn task(
     index: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, checker: &mut Checker<'_>,
 ) -> TaskConfig {
@@ -303,7 +303,7 @@
         );
     }
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
-    // The lower bound holds for what is set as well: a shorter duration is raised to it.
+    // A duration in the settings that is below the minimum is raised to it and not rejected.
     let duration = raw.needs_ms.unwrap_or(half_lease / 2.0).max(MIN_CALL_DURATION_MS);
     TaskConfig {
         name,
@@ -315,12 +315,12 @@
     }
 }
 
-/// A number of the settings, or its default; a fault where it is out of range.
+/// A number in the settings, or its default. A fault is recorded if it is out of range.
 fn number(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
     checker.number(path, value.unwrap_or(setting.default), setting.range.clone())
 }
 
-/// The same in whole ms.
+/// Like [`number`], in whole ms.
 fn milliseconds(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
     number(checker, path, value, setting) as u64
 }
