--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings in protobuf text format (`proto/settings.proto`): read, checked as a whole, and turned into what the
-//! decision library and the gateway take. It opens no files: the caller hands in their texts.
+//! Parses settings in protobuf text format (`proto/settings.proto`), checks them as a whole, and converts them to the
+//! settings of the decision library and of the gateway. This crate opens no files: the caller passes in their texts.
 
 #[allow(missing_docs)]
 mod raw {
@@ -23,17 +23,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A fault of a settings file.
+/// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {field}{message}", line.map_or(String::new(), |(l, c)| format!(":{l}:{c}")))]
 pub struct Fault {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// Line and column, where known.
+    /// The line and column from 1, if known.
     pub line: Option<(usize, usize)>,
-    /// The field with a colon behind it, or nothing.
+    /// The path of the field followed by `: `, or empty if the fault is of no single field.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong, and what is allowed.
     pub message: String,
 }
 
@@ -52,12 +52,12 @@
     pub max_backoff: f64,
 }
 
-/// A node as the decisions know it, and its address.
+/// A node of the settings.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// For the decisions.
+    /// Its entry in the backend list of the decision library.
     pub entry: BackendEntry,
-    /// For the sockets.
+    /// The address to connect to.
     pub address: SocketAddr,
 }
 
@@ -74,7 +74,7 @@
     pub session_parameter: String,
 }
 
-/// As a reload and `import diff` report it; recorded texts hold this form.
+/// The form in which a reload and `import diff` report it. It keeps the names of the settings.
 impl std::fmt::Display for Routing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self { load_balancing, strict_affinity, session_cookie, session_parameter } = self;
@@ -99,7 +99,7 @@
     pub routing: Option<Routing>,
 }
 
-/// A customer, found by one of its keys.
+/// A customer.
 #[derive(Clone, Debug)]
 pub struct Customer {
     /// Its name.
@@ -112,7 +112,8 @@
     pub gateway_count: u32,
 }
 
-/// Bounds of the gateway; times in ms. `proto/settings.proto` says what each is.
+/// The limits of the gateway; times are in ms. `proto/settings.proto` describes each. A reload reports them in their
+/// `Debug` form, so the names of the fields are part of the admin replies.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct Limits {
@@ -147,55 +148,56 @@
     pub max_age: f64,
 }
 
-/// Times of the process's life, in ms.
+/// The times of a drain and of a takeover, in ms. A reload reports them in their `Debug` form, so the names of the
+/// fields are part of the admin replies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Life {
-    /// Between "not ready" and closed listeners.
+    /// The time between the report "not ready" and the closing of the listeners.
     pub notice: f64,
-    /// What is out has this long at a drain.
+    /// The time that requests in flight have to finish at a drain, from the closing of the listeners.
     pub drain: f64,
-    /// A process that takes over has this long to serve.
+    /// The time that a process that takes over has until it serves.
     pub handover: f64,
-    /// Connections on which nothing was heard for this long at a drain are closed.
+    /// At a drain, idle connections are closed once no client has sent a byte for this long.
     pub quiet: f64,
-    /// Blocks have this long to go back.
+    /// The time that quota leases have to be returned to the counter.
     pub give_back: f64,
 }
 
-/// Settings that passed every check.
+/// Settings that have passed all checks.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The settings of the decision library.
     pub decision_settings: doorcourse::Settings,
-    /// Where clients are served.
+    /// The addresses that clients connect to.
     pub listen: Vec<SocketAddr>,
     /// The path of the GraphQL endpoint.
     pub endpoint_path: String,
-    /// The shared counter.
+    /// The connection to the shared counter; `None` if the process counts alone.
     pub counter: Option<CounterConfig>,
-    /// The nodes of the settings themselves.
+    /// The nodes in the settings; empty if they are in a node list file.
     pub nodes: Vec<Node>,
-    /// A file of nodes beside the settings, and how often to look at it in ms.
+    /// The path of the node list file, and the interval in ms at which it is checked for a change.
     pub node_list: Option<(String, f64)>,
-    /// How nodes are chosen and where a request names its node.
+    /// How nodes are chosen, and where a request carries its session id.
     pub routing: Routing,
     /// How long a client of each class waits for its response if it states no deadline, in ms.
     pub client_timeouts: Vec<f64>,
-    /// The class of each root field, of queries and of mutations.
+    /// The index of the class of each root field of queries.
     pub query_classes: BTreeMap<String, usize>,
-    /// See `query_classes`.
+    /// The index of the class of each root field of mutations.
     pub mutation_classes: BTreeMap<String, usize>,
     /// The customers by the SHA-256 of their keys.
     pub customers_by_key: HashMap<[u8; 32], Arc<Customer>>,
-    /// The schema.
+    /// The GraphQL schema.
     pub schema: Arc<Schema>,
-    /// Bounds on documents.
+    /// The limits of a GraphQL document.
     pub query_limits: QueryLimits,
     /// How deep a response of a node may nest.
     pub max_response_depth: usize,
-    /// Whether introspection is answered.
+    /// Whether introspection queries are allowed.
     pub introspection: bool,
-    /// Bounds of the gateway.
+    /// The limits of the gateway.
     pub limits: Limits,
     /// The address that serves health checks and metrics.
     pub health_listen: Option<SocketAddr>,
@@ -203,16 +205,16 @@
     pub admin_socket: Option<String>,
     /// The file that keeps what the gateway has learnt of the nodes.
     pub state_file: Option<StateFileConfig>,
-    /// Times of the process's life.
+    /// The times of a drain and of a takeover.
     pub life: Life,
-    /// How the gateways hear of each other.
+    /// The link to the other gateways; `None` if there is none.
     pub link: Option<LinkConfig>,
-    /// What is done under a lease.
+    /// The leases and the work that needs them.
     pub leases: Option<LeaseConfig>,
 }
 
 impl Config {
-    /// Takes over the routing of a node list file, which goes before that of the settings.
+    /// Replaces the routing with that of a node list file, which takes precedence over that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
         (self.decision_settings.routing.load_balancing, self.decision_settings.routing.strict_affinity) =
             (routing.load_balancing, routing.strict_affinity);
