--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,10 +1,10 @@
-//! Good settings pass; each fault is told with file, line and field.
+//! Valid settings are accepted with their defaults, and each fault is reported with file, line and field.
 
 use doorcourse_config::{Config, Fault, is_node_list, read, read_nodes};
 
 const SDL: &str = "type Query { preview(id: ID!): String search: [String] } type Mutation { order: ID }";
 
-const GOOD: &str = r#"fleet { gateways: 2 number: 1 zone: "a" }
+const VALID: &str = r#"fleet { gateways: 2 number: 1 zone: "a" }
 listen: "127.0.0.1:0"
 counter { address: "127.0.0.1:6000" }
 nodes { name: "n1" address: "127.0.0.1:7001" cell: 3 }
@@ -15,7 +15,7 @@
 graphql { schema_file: "s.graphql" }
 "#;
 
-fn check(text: &str) -> Result<Config, Vec<Fault>> {
+fn read_settings(text: &str) -> Result<Config, Vec<Fault>> {
     read("f.txtpb", text, &|name| {
         if name == "s.graphql" { Ok(SDL.into()) } else { Err("no such file".into()) }
     })
@@ -23,7 +23,7 @@
 
 #[test]
 fn good_settings_pass() {
-    let config = check(GOOD).unwrap();
+    let config = read_settings(VALID).unwrap();
     assert_eq!((config.decision_settings.gateway_count, config.decision_settings.gateway_index), (2, 1));
     assert_eq!(config.customer_of_key(b"key").map(|c| c.gateway_count), Some(2));
     assert!(config.customer_of_key(b"other").is_none());
@@ -31,17 +31,19 @@
     assert_eq!(config.limits.held_answer, 16_384);
 }
 
-/// With one thing changed, the faults told hold this.
-fn told_of(good: &str, from: &str, to: &str, told: &str, check: fn(&str) -> Result<Config, Vec<Fault>>) {
-    assert!(good.contains(from), "{from}");
-    let faults = check(&good.replacen(from, to, 1)).expect_err(to);
+/// Replaces `from` by `to` in valid settings, and asserts that one of the reported faults contains `expected`.
+fn assert_fault(
+    valid: &str, from: &str, to: &str, expected: &str, read: fn(&str) -> Result<Config, Vec<Fault>>,
+) {
+    assert!(valid.contains(from), "{from}");
+    let faults = read(&valid.replacen(from, to, 1)).expect_err(to);
     let shown: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert!(shown.iter().any(|f| f.contains(told)), "{to}: {shown:?} lacks {told:?}");
+    assert!(shown.iter().any(|f| f.contains(expected)), "{to}: {shown:?} lacks {expected:?}");
 }
 
 #[test]
 fn each_fault_names_line_field_and_what_is_allowed() {
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("number: 1", "number: 2", "f.txtpb:1:21: fleet.number: 2 is not below the number of gateways, 2"),
         ("number: 1", "number: \"x\"", "f.txtpb:1:"),
         ("number: 1", "nummer: 1", "f.txtpb:1:"),
@@ -86,17 +88,17 @@
         ),
         ("graphql { ", "limits { head_ms: 1 } graphql { ", "limits.head_ms: 1 is out of range"),
     ] {
-        told_of(GOOD, from, to, told, check);
+        assert_fault(VALID, from, to, expected, read_settings);
     }
 }
 
 #[test]
 fn all_faults_are_told_at_once() {
-    let bad = GOOD
+    let bad = VALID
         .replace("number: 1", "number: 9")
         .replace("burst: 10", "burst: -1")
         .replace("\"basic\" key", "\"x\" key");
-    assert!(check(&bad).unwrap_err().len() >= 4);
+    assert!(read_settings(&bad).unwrap_err().len() >= 4);
 }
 
 #[test]
@@ -117,9 +119,15 @@
         "nodes { name: 'a' address: '127.0.0.1:1' weight: 2.5 tier: 3 role: SPARE route: 'r' redirect: 's'
         group: 'g' }\nrouting { balance: BUSYNESS sticky { cookie: 'SID' strict: true } }";
     let file = read_nodes("n", text).unwrap();
-    let place = &file.nodes[0].entry.placement;
-    assert_eq!((place.weight, place.priority_level, place.role), (2.5, 3, doorcourse::BackendRole::Spare));
-    assert_eq!((&*place.sticky_route, &*place.failover_route, &*place.failover_group), ("r", "s", "g"));
+    let placement = &file.nodes[0].entry.placement;
+    assert_eq!(
+        (placement.weight, placement.priority_level, placement.role),
+        (2.5, 3, doorcourse::BackendRole::Spare)
+    );
+    assert_eq!(
+        (&*placement.sticky_route, &*placement.failover_route, &*placement.failover_group),
+        ("r", "s", "g")
+    );
     let routing = file.routing.unwrap();
     assert!(
         routing.load_balancing == doorcourse::LoadBalancing::WeightedLeastInFlight
@@ -130,23 +138,23 @@
     let bad = "nodes { name: 'a' address: '127.0.0.1:1' weight: 0 tier: 9999 route: 'a b' }
 routing { sticky { cookie: 'a;b' } }";
     let faults: Vec<String> = read_nodes("n", bad).unwrap_err().iter().map(ToString::to_string).collect();
-    for (told, fault) in
+    for (expected, fault) in
         ["route: a name", "weight: 0 is out", "tier: 9999 is out", "cookie: `a;b`"].iter().zip(&faults)
     {
-        assert!(fault.contains(told), "{faults:?}");
+        assert!(fault.contains(expected), "{faults:?}");
     }
     assert!(
         read_nodes("n", "routing { sticky { strict: true } }").unwrap_err()[0].message.contains("cookie or")
     );
 }
 
-const LINKED: &str = r#"fleet { gateways: 3 number: 1 link { listen: "127.0.0.1:0" secret_file: "secret"
+const VALID_WITH_LEASES: &str = r#"fleet { gateways: 3 number: 1 link { listen: "127.0.0.1:0" secret_file: "secret"
   peers { number: 0 address: "127.0.0.1:9000" } peers { number: 1 address: "127.0.0.1:9001" } peers { number: 2 address: "127.0.0.1:9002" } } }
 leases { length_ms: 400 tasks { name: "bill" address: "127.0.0.1:9100" } }
 "#;
 
-fn linked(text: &str) -> Result<Config, Vec<Fault>> {
-    let rest = GOOD.replace("fleet { gateways: 2 number: 1 zone: \"a\" }\n", "");
+fn read_settings_with_leases(text: &str) -> Result<Config, Vec<Fault>> {
+    let rest = VALID.replace("fleet { gateways: 2 number: 1 zone: \"a\" }\n", "");
     read("f.txtpb", &format!("{text}{rest}"), &|name| match name {
         "s.graphql" => Ok(SDL.into()),
         "secret" => Ok("sixteen bytes or more\n\n".into()),
@@ -157,11 +165,11 @@
 
 #[test]
 fn a_link_and_leases_are_taken_with_their_defaults() {
-    let config = linked(LINKED).unwrap();
+    let config = read_settings_with_leases(VALID_WITH_LEASES).unwrap();
     let (link, leases) = (config.link.unwrap(), config.leases.unwrap());
-    assert_eq!(link.peers.keys().copied().collect::<Vec<_>>(), [0, 2], "this gateway is passed over");
+    assert_eq!(link.peers.keys().copied().collect::<Vec<_>>(), [0, 2], "this gateway is skipped");
     assert_eq!((link.unreachable_after_ms, &*link.fleet, link.secrets.len()), (3000, "doorcourse", 1));
-    assert!(!format!("{link:?}").contains("sixteen"), "no secret in any log");
+    assert!(!format!("{link:?}").contains("sixteen"), "the debug form contains a secret");
     assert_eq!(
         (leases.lease_duration_ms, leases.clock_drift_ppm, leases.voters.voters.len()),
         (400, 10_000, 3)
@@ -172,7 +180,7 @@
 
 #[test]
 fn faults_of_link_and_leases_name_their_place() {
-    for (from, to, told) in [
+    for (from, to, expected) in [
         (
             "number: 2 address",
             "number: 3 address",
@@ -217,29 +225,38 @@
         ),
         ("9100\"", "9100\" path: \"x\"", "leases.tasks[0].path: `x` must begin with /"),
     ] {
-        told_of(LINKED, from, to, told, linked);
+        assert_fault(VALID_WITH_LEASES, from, to, expected, read_settings_with_leases);
     }
 }
 
 #[test]
 fn voters_change_by_one_in_one_version_also_in_service() {
     let with = |voters: &str| {
-        linked(&LINKED.replacen("length_ms: 400", &format!("length_ms: 400 {voters}"), 1)).unwrap()
+        read_settings_with_leases(&VALID_WITH_LEASES.replacen(
+            "length_ms: 400",
+            &format!("length_ms: 400 {voters}"),
+            1,
+        ))
+        .unwrap()
     };
     let (all, next) = (with(""), with("voters_version: 1 voters: [0, 1] voters_before: [0, 1, 2]"));
     let refused = |old: &Config, new: &Config| doorcourse_config::compare(old, new).refused.join("; ");
     assert_eq!(refused(&all, &next), "");
-    assert!(refused(&next, &all).contains("leases.voters: cannot change in service"), "a version back");
-    assert!(refused(&all, &with("voters: [0, 1]")).contains("leases.voters"), "another list of one version");
+    assert!(refused(&next, &all).contains("leases.voters: cannot change in service"), "the previous version");
+    assert!(
+        refused(&all, &with("voters: [0, 1]")).contains("leases.voters"),
+        "other voters in the same version"
+    );
     let other = with("voters_version: 1 voters: [0, 2] voters_before: [0, 2]");
     assert!(refused(&next, &other).contains("leases.voters"));
 }
 
-/// What a reload reports is read by people and scripts: the same text whatever the code's names are.
+/// People and scripts read what a reload reports, so the text must not change with the names in the code, some of which
+/// are printed in their `Debug` form.
 #[test]
 fn lines_of_a_reload_are_as_recorded() {
-    let old = linked(LINKED).unwrap();
-    let text = LINKED
+    let old = read_settings_with_leases(VALID_WITH_LEASES).unwrap();
+    let text = VALID_WITH_LEASES
         .replacen(
             "length_ms: 400",
             "length_ms: 400 voters_version: 1 voters: [0, 1] voters_before: [0, 1, 2]",
@@ -252,7 +269,7 @@
 life { notice_ms: 7 quiet_ms: 9 }
 routing { balance: BUSYNESS sticky { cookie: 'SID' strict: true } }
 ";
-    let mut new = linked(&format!("{text}{rest}")).unwrap();
+    let mut new = read_settings_with_leases(&format!("{text}{rest}")).unwrap();
     new.node_list = Some(("nodes.txtpb".into(), 200.0));
     new.query_limits.depth = 5;
     let lines = doorcourse_config::compare(&old, &new).changes.join("\n") + "\n";
