--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the settings' schema without protoc: descriptors for the text format, types for the code.
+//! Compiles `settings.proto` without protoc, to descriptors for parsing the text format and to Rust types.
 
 use prost_build::Config;
 use std::{env, fs, path::PathBuf};
