--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -10,7 +10,7 @@
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
-    fn of(value: &'a Value, key: &str) -> Result<Self, String> {
+    fn nested(value: &'a Value, key: &str) -> Result<Self, String> {
         match value.get(key) {
             None => Ok(Self(&Value::Null)),
             Some(v) if v.is_object() => Ok(Self(v)),
@@ -19,11 +19,11 @@
     }
 
     fn typed<T>(
-        &self, key: &str, what: &str, zero: T, get: impl Fn(&'a Value) -> Option<T>,
+        &self, key: &str, expected: &str, zero: T, convert: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, String> {
         match self.0.get(key) {
             None | Some(Value::Null) => Ok(zero),
-            Some(v) => get(v).ok_or_else(|| format!("settings: {key} is not {what}")),
+            Some(v) => convert(v).ok_or_else(|| format!("settings: {key} is not {expected}")),
         }
     }
 
@@ -31,15 +31,15 @@
         self.typed(key, "a number", 0.0, Value::as_f64)
     }
 
-    fn count(&self, key: &str) -> Result<u32, String> {
+    fn integer(&self, key: &str) -> Result<u32, String> {
         self.typed(key, "a small whole number", 0, |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
     }
 
-    fn flag(&self, key: &str) -> Result<bool, String> {
+    fn boolean(&self, key: &str) -> Result<bool, String> {
         self.typed(key, "true or false", false, Value::as_bool)
     }
 
-    fn text(&self, key: &str) -> Result<&'a str, String> {
+    fn string(&self, key: &str) -> Result<&'a str, String> {
         self.typed(key, "a text", "", Value::as_str)
     }
 
@@ -95,11 +95,11 @@
         return Err("settings: not an object".into());
     }
     let top = Object(root);
-    let extra = Object::of(root, "extra")?;
-    let permissions = Object::of(root, "permissions")?;
-    let rules = Object::of(root, "rules")?;
-    let prices = Object::of(root, "prices")?;
-    let reports = match Object::of(root, "load-info")?.text("source")? {
+    let extra = Object::nested(root, "extra")?;
+    let permissions = Object::nested(root, "permissions")?;
+    let rules = Object::nested(root, "rules")?;
+    let prices = Object::nested(root, "prices")?;
+    let load_reports = match Object::nested(root, "load-info")?.string("source")? {
         "inline" => LoadReportSource::Responses,
         "on_probe" => LoadReportSource::HealthChecks,
         "off" | "" => LoadReportSource::None,
@@ -107,22 +107,22 @@
     };
     let classes = top.list("classes")?;
     let settings = Settings {
-        gateway_count: top.count("fleet-size")?,
-        gateway_index: top.count("my-number")?,
-        zone: Name::from(top.text("locality")?),
+        gateway_count: top.integer("fleet-size")?,
+        gateway_index: top.integer("my-number")?,
+        zone: Name::from(top.string("locality")?),
         tick: top.number("period-ms")?,
         classes: classes.iter().map(class).collect::<Result<_, _>>()?,
         plans: top.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
-        has_counter: extra.flag("has-counter")?,
+        has_counter: extra.boolean("has-counter")?,
         counter_timeout: extra.number("count-limit-ms")?,
-        responses_report_units: extra.flag("trued-up")?,
+        responses_report_units: extra.boolean("trued-up")?,
         max_request_units: extra.number("units-top")?,
-        load_reports: reports,
-        health_checks_allowed: permissions.flag("probes")?,
-        gossip_allowed: permissions.flag("peers")?,
-        cancellation_allowed: permissions.flag("may-cancel")?,
-        watch_on_request: top.text("discovery")? == "on_request",
-        max_attempts: permissions.count("most-tries")?,
+        load_reports,
+        health_checks_allowed: permissions.boolean("probes")?,
+        gossip_allowed: permissions.boolean("peers")?,
+        cancellation_allowed: permissions.boolean("may-cancel")?,
+        watch_on_request: top.string("discovery")? == "on_request",
+        max_attempts: permissions.integer("most-tries")?,
         max_retry_after: permissions.number("max-retry-after-ms")?,
         slow_start_share: rules.number("cold-from")?,
         slow_start_duration: rules.number("cold-ms")?,
@@ -134,9 +134,9 @@
     let host = HostSettings {
         connect_timeout: permissions.number("dial-timeout-ms")?,
         backend_idle_timeout: permissions.number("keepalive-ms")?,
-        requests_per_connection: permissions.count("max-streams")?,
-        hedging_allowed: permissions.flag("second-copies")?,
-        retry_after_allowed: permissions.flag("retry-after")?,
+        requests_per_connection: permissions.integer("max-streams")?,
+        hedging_allowed: permissions.boolean("second-copies")?,
+        retry_after_allowed: permissions.boolean("retry-after")?,
         drain_grace: rules.number("drain-grace-ms")?,
         response_slack: rules.number("answer-slack-ms")?,
         client_timeouts: classes
@@ -150,15 +150,15 @@
 fn class(value: &Value) -> Result<RequestClass, String> {
     let class = Object(value);
     Ok(RequestClass {
-        name: Name::from(class.text("name")?),
+        name: Name::from(class.string("name")?),
         latency_objective: class.number("goal-time-ms")?,
-        idempotency: match class.text("effect")? {
+        idempotency: match class.string("effect")? {
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::WithKey,
             "at_most_once" => Idempotency::NonIdempotent,
             other => return Err(format!("settings: unknown effect {other}")),
         },
-        deduplication_scope: match class.text("dedup-scope")? {
+        deduplication_scope: match class.string("dedup-scope")? {
             "all" | "" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
@@ -173,10 +173,10 @@
 fn plan(value: &Value) -> Result<Plan, String> {
     let plan = Object(value);
     Ok(Plan {
-        name: Name::from(plan.text("name")?),
+        name: Name::from(plan.string("name")?),
         rate: plan.number("refill")?,
         burst: plan.number("burst")?,
-        max_in_flight: plan.count("parallel")?,
+        max_in_flight: plan.integer("parallel")?,
         ceiling_rate: plan.number("cap-rate")?,
         ceiling_burst: plan.number("ceiling-burst")?,
         ceiling_slack: plan.number("ceiling-slack")?,
