--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,15 +1,16 @@
-//! Reads the settings object. A missing key reads as its zero value, an unknown key is skipped, a value of the wrong
-//! type is an error that names the field.
+//! Reads the settings object. A missing key has the zero value of its type, an unknown key is ignored, and a value of
+//! the wrong type is an error that names the key.
 
 use doorcourse::{
     DeduplicationScope, Idempotency, LoadReportSource, Millis, Name, Plan, RequestClass, Routing, Settings,
 };
 use serde_json::Value;
 
-/// One object of the settings.
+/// A JSON object in the settings. The readers of its values return the zero value for a missing key or `null`.
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
+    /// The nested object under `key`, or an empty one if the key is missing.
     fn nested(value: &'a Value, key: &str) -> Result<Self, String> {
         match value.get(key) {
             None => Ok(Self(&Value::Null)),
@@ -18,6 +19,7 @@
         }
     }
 
+    /// The value under `key` as `convert` returns it; `expected` names the type in the error.
     fn typed<T>(
         &self, key: &str, expected: &str, zero: T, convert: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, String> {
@@ -48,48 +50,48 @@
     }
 }
 
-/// The settings that only the host of the decisions needs.
+/// The settings that only the host of the decision library needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostSettings {
-    /// Timeout of a connect to a backend, in ms.
+    /// The timeout of a connect to a backend, in ms.
     pub connect_timeout: Millis,
-    /// Backends close a connection that was idle for this long, in ms; 0 for never.
+    /// How long a connection may be idle before its backend closes it, in ms; 0 if it never does.
     pub backend_idle_timeout: Millis,
-    /// Requests that one connection to a backend carries at once, at most.
+    /// The most requests in flight on one connection to a backend.
     pub requests_per_connection: u32,
     /// Whether a request may have two attempts in flight (hedged requests).
     pub hedging_allowed: bool,
-    /// Whether rejected clients may be told when to retry.
+    /// Whether the response to a rejected client may say when to retry.
     pub retry_after_allowed: bool,
-    /// How long requests may still be sent to a backend after the endpoint list says that it drains, in ms.
+    /// How long a backend may still be sent requests after the endpoint list has marked it as draining, in ms.
     pub drain_grace: Millis,
     /// How long after a client's deadline a final response still counts, in ms.
     pub response_slack: Millis,
-    /// The longest client timeout of each class, in ms, in the order of the decisions' classes.
+    /// The longest client timeout of each class, in ms, in the order of [`Settings::classes`].
     pub client_timeouts: Vec<Millis>,
 }
 
-/// The settings of a deployment, for the decisions and for their host.
+/// The settings of a deployment, for the decision library and for its host.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The settings of the decisions.
+    /// The settings of the decision library.
     pub settings: Settings,
-    /// The settings of their host.
+    /// The settings of its host.
     pub host: HostSettings,
 }
 
-/// Reads the settings object in a text; unknown keys are skipped.
+/// Parses the settings object from JSON; unknown keys are ignored.
 ///
 /// # Errors
-/// A line that names the field at fault.
+/// One line that names the key with the fault.
 pub fn parse(text: &str) -> Result<Deployment, String> {
     read(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
 }
 
-/// Reads the settings object; unknown keys are skipped.
+/// Reads the settings object; unknown keys are ignored.
 ///
 /// # Errors
-/// A line that names the field at fault.
+/// One line that names the key with the fault.
 pub fn read(root: &Value) -> Result<Deployment, String> {
     if !root.is_object() {
         return Err("settings: not an object".into());
