--- a/crates/deployment/src/load.rs
+++ b/crates/deployment/src/load.rs
@@ -1,11 +1,12 @@
-//! Load reports of backends, in the forms of both wires.
+//! Load reports of backends, in the forms of the simulator's and of the platform's wire.
 
 use doorcourse::LoadReport;
 
-/// Reads a report of pairs `name=value` or `name:value`, by the separator given.
+/// Parses a load report: pairs `name=value` or `name:value`, as `separator` says, joined by commas. Unknown names are
+/// ignored.
 ///
 /// # Errors
-/// When a pair has no separator or a value is not a finite number.
+/// If a pair has no separator or a value is not a finite number.
 pub fn report(text: &str, separator: char) -> Result<LoadReport, String> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
