--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,7 @@
-//! The deployment document: the settings object of an instance, sent by the simulator in its first message and by the
-//! platform as part of the configuration file. One reader for both maps the users' names to the code's terms.
+//! The deployment document: the settings object of an instance, which the simulator sends in its first message and the
+//! platform has in its configuration file. One reader for both maps the users' names to the terms of the code.
 //!
-//! What the decisions use becomes [`doorcourse::Settings`]; what only their host needs becomes [`HostSettings`].
+//! What the decision library uses becomes [`doorcourse::Settings`]; what only its host needs becomes [`HostSettings`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
