--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -40,8 +40,8 @@
         Ok(config) => config,
         Err(faults) => return Ok(report_faults(&faults)),
     };
-    let classes = config.decision_settings.classes.len();
-    let plans = config.decision_settings.plans.len();
+    let classes = config.decisions.classes.len();
+    let plans = config.decisions.plans.len();
     let keys = config.customers_by_key.len();
     say!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
     Ok(ExitCode::SUCCESS)
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -32,14 +32,10 @@
     let fields = [
         (
             "fleet.number",
-            old.decision_settings.gateway_index == new.decision_settings.gateway_index,
+            old.decisions.gateway_index == new.decisions.gateway_index,
             "the counter and the other gateways identify this one by it",
         ),
-        (
-            "fleet.zone",
-            old.decision_settings.zone == new.decision_settings.zone,
-            "a gateway stays in its zone",
-        ),
+        ("fleet.zone", old.decisions.zone == new.decisions.zone, "a gateway stays in its zone"),
         ("listen", old.listen == new.listen, "start a new process that takes over"),
         ("health.listen", old.health_listen == new.health_listen, "start a new process that takes over"),
         ("admin.socket", old.admin_socket == new.admin_socket, "reloads are requested on it"),
@@ -84,7 +80,7 @@
     let secrets_changed = secrets(old) != secrets(new);
     let schema_changed = format!("{:?}", old.schema) != format!("{:?}", new.schema);
     let lines = [
-        value("fleet.gateways", &|c| c.decision_settings.gateway_count.to_string()),
+        value("fleet.gateways", &|c| c.decisions.gateway_count.to_string()),
         value("limits", &|c| format!("{:?}", c.limits)),
         value("graphql limits", &|c| format!("{:?}", c.query_limits)),
         value("life", &|c| format!("{:?}", c.life)),
@@ -110,12 +106,8 @@
 /// Named items (plans, classes, root fields, nodes, customers) that are new, changed or removed.
 fn changed_items(old: &Config, new: &Config) -> Vec<String> {
     let kinds: [(&str, ItemTexts); 5] = [
-        ("plan", |c| {
-            c.decision_settings.plans.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()
-        }),
-        ("class", |c| {
-            c.decision_settings.classes.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()
-        }),
+        ("plan", |c| c.decisions.plans.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
+        ("class", |c| c.decisions.classes.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
         ("root field", class_of_each_root_field),
         ("node", |c| c.nodes.iter().map(|n| (n.entry.name.to_string(), format!("{n:?}"))).collect()),
         ("customer", keys_of_each_customer),
@@ -125,16 +117,14 @@
 
 fn class_of_each_root_field(config: &Config) -> BTreeMap<String, String> {
     let fields = config.query_classes.iter().chain(&config.mutation_classes);
-    fields
-        .map(|(field, class)| (field.clone(), config.decision_settings.classes[*class].name.to_string()))
-        .collect()
+    fields.map(|(field, class)| (field.clone(), config.decisions.classes[*class].name.to_string())).collect()
 }
 
 fn keys_of_each_customer(config: &Config) -> BTreeMap<String, String> {
     let mut by_name: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for (key, customer) in &config.customers_by_key {
         let Customer { name, plan_index, first_gateway, gateway_count } = &**customer;
-        let plan = &config.decision_settings.plans[*plan_index].name;
+        let plan = &config.decisions.plans[*plan_index].name;
         let text = format!(
             "{plan} from {first_gateway} through {gateway_count}, key {:02x}{:02x}..",
             key[0], key[1]
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -268,7 +268,7 @@
     let routing = raw.routing.as_ref().map(|r| routing(r, checker)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
     let max_request_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
-    let decision_settings = doorcourse::Settings {
+    let decisions = doorcourse::Settings {
         gateway_count: gateways,
         gateway_index: number,
         zone: fleet.zone.clone().unwrap_or_default().into(),
@@ -310,7 +310,7 @@
         ..doorcourse::Settings::default()
     };
     if checker.faults.is_empty()
-        && let Err(error) = doorcourse::Gateway::new(decision_settings.clone(), 1)
+        && let Err(error) = doorcourse::Gateway::new(decisions.clone(), 1)
     {
         checker.fault("", error.to_string());
     }
@@ -359,7 +359,7 @@
         admin_socket,
         state_file,
         life,
-        decision_settings,
+        decisions,
         listen,
         endpoint_path,
         counter,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The settings of the decision library.
-    pub decision_settings: doorcourse::Settings,
+    pub decisions: doorcourse::Settings,
     /// The addresses that clients connect to.
     pub listen: Vec<SocketAddr>,
     /// The path of the GraphQL endpoint.
@@ -216,7 +216,7 @@
 impl Config {
     /// Replaces the routing with that of a node list file, which takes precedence over that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
-        (self.decision_settings.routing.load_balancing, self.decision_settings.routing.strict_affinity) =
+        (self.decisions.routing.load_balancing, self.decisions.routing.strict_affinity) =
             (routing.load_balancing, routing.strict_affinity);
         self.routing = routing;
     }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -24,7 +24,7 @@
 #[test]
 fn good_settings_pass() {
     let config = read_settings(VALID).unwrap();
-    assert_eq!((config.decision_settings.gateway_count, config.decision_settings.gateway_index), (2, 1));
+    assert_eq!((config.decisions.gateway_count, config.decisions.gateway_index), (2, 1));
     assert_eq!(config.customer_of_key(b"key").map(|c| c.gateway_count), Some(2));
     assert!(config.customer_of_key(b"other").is_none());
     assert_eq!(config.query_classes["search"], 0);
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -66,7 +66,7 @@
     pub(crate) fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
         let Some(link_config) = config.link.clone() else { return Ok(None) };
         let now = boot_time_ms();
-        let gateway = config.decision_settings.gateway_index;
+        let gateway = config.decisions.gateway_index;
         let incarnation = seed | 1;
         let mut fleet = Self {
             gateway,
--- a/crates/http-gateway/src/gateway/construction.rs
+++ b/crates/http-gateway/src/gateway/construction.rs
@@ -91,8 +91,7 @@
     pub fn new(options: GatewayOptions<'_>) -> anyhow::Result<Self> {
         let GatewayOptions { config, directory, seed, read_settings, take_over } = options;
         let io = Io::new()?;
-        let decisions =
-            doorcourse::Gateway::new(config.decision_settings.clone(), seed.unwrap_or_else(random_seed))?;
+        let decisions = doorcourse::Gateway::new(config.decisions.clone(), seed.unwrap_or_else(random_seed))?;
         let admin_path = config.admin_socket.as_ref().map(|path| directory.join(path));
         let sockets = ListeningSockets::open(&config, admin_path.as_ref(), take_over)?;
         let clients = Clients::new(&io, &config, sockets.clients)?;
@@ -100,7 +99,7 @@
         let admin = admin_path.map(|path| Admin::bind(&io, &path, take_over)).transpose()?;
         let reload = SettingsReload::new(&io, read_settings)?;
         let signals = SignalPipe::new(&io)?;
-        let gateway_index = config.decision_settings.gateway_index;
+        let gateway_index = config.decisions.gateway_index;
         let mut gateway = Self {
             clients,
             backends: Backends::default(),
--- a/crates/http-gateway/src/gateway/endpoints.rs
+++ b/crates/http-gateway/src/gateway/endpoints.rs
@@ -84,7 +84,7 @@
         if let Some(routing) = file.routing.filter(|routing| *routing != self.config.routing) {
             let mut config = Config::clone(&self.config);
             config.set_routing(routing);
-            self.io.events.push_back(Event::SettingsChanged(Box::new(config.decision_settings.clone())));
+            self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
             self.config = Arc::new(config);
         }
         self.apply_endpoints(&file.nodes);
--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -66,7 +66,7 @@
     /// A request is rejected only if a retry is safe (`src/retry.rs`); otherwise it fails.
     fn finish_requests(&mut self) {
         self.clients.close_listeners();
-        let mut rounds = FinalRounds::new(self.config.decision_settings.max_attempts);
+        let mut rounds = FinalRounds::new(self.config.decisions.max_attempts);
         loop {
             match rounds.next(self.requests.open_ids()) {
                 FinalRound::ExpireAttempts(open) => {
--- a/crates/http-gateway/src/gateway/settings.rs
+++ b/crates/http-gateway/src/gateway/settings.rs
@@ -15,7 +15,7 @@
         if let Some(routing) = self.endpoints.listed_routing() {
             config.set_routing(routing);
         }
-        self.io.events.push_back(Event::SettingsChanged(Box::new(config.decision_settings.clone())));
+        self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
         self.lifecycle.update_settings(lifecycle_settings(&config));
         self.endpoints.update_settings(&config);
         self.clients.update_limits(&config);
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -77,14 +77,14 @@
 fn class_index(config: &Config, media: MediaType, operation: &Prepared) -> Result<usize, Response> {
     let kind = operation.kind();
     let classes = operation.root_fields().iter().filter_map(|field| config.class_of_root_field(kind, field));
-    operation_class(&config.decision_settings.classes, classes)
+    operation_class(&config.decisions.classes, classes)
         .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
 
 /// Rejects an operation that costs more than the customer's plan can ever hold. The response has no `Retry-After`,
 /// because waiting does not help.
 fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
-    let plan = &config.decision_settings.plans[head.customer.plan_index];
+    let plan = &config.decisions.plans[head.customer.plan_index];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
         let message = format!("the operation costs {units} units, the plan never holds more than {capacity}");
         error(head.media, 429, "COST_EXCEEDS_PLAN", &message)
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -51,7 +51,7 @@
         let external_id =
             client_id.map_or_else(|| format!("{instance_name}-{id}").into(), |(_, v)| v.as_str().into());
         let incoming = incoming_request(config, id, &request);
-        let class = &config.decision_settings.classes[request.class];
+        let class = &config.decisions.classes[request.class];
         let in_flight = InFlightRequest {
             client: Some(client),
             plan: incoming.plan.clone(),
@@ -271,8 +271,8 @@
     IncomingRequest {
         id,
         customer: customer.name.clone(),
-        plan: config.decision_settings.plans[customer.plan_index].name.clone(),
-        class: config.decision_settings.classes[request.class].name.clone(),
+        plan: config.decisions.plans[customer.plan_index].name.clone(),
+        class: config.decisions.classes[request.class].name.clone(),
         units: request.units,
         client_retry: false,
         timeout: request.timeout,
