--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -164,8 +164,8 @@
     Routing {
         load_balancing,
         strict_affinity: sticky.strict,
-        session_cookie: sticky.cookie,
-        session_parameter: sticky.parameter,
+        cookie: sticky.cookie,
+        parameter: sticky.parameter,
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -69,15 +69,15 @@
     /// Whether a request is refused rather than served by a node outside its session, failover route and failover group.
     pub strict_affinity: bool,
     /// The name of the cookie with the session id; empty for none.
-    pub session_cookie: String,
+    pub cookie: String,
     /// The name of the URL parameter with the session id; empty for none.
-    pub session_parameter: String,
+    pub parameter: String,
 }
 
 /// The form in which a reload and `import diff` report it. It keeps the names of the settings.
 impl std::fmt::Display for Routing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { load_balancing, strict_affinity, session_cookie, session_parameter } = self;
+        let Self { load_balancing, strict_affinity, cookie, parameter } = self;
         let balance = match load_balancing {
             doorcourse::LoadBalancing::LeastInFlight => "Outstanding",
             doorcourse::LoadBalancing::WeightedRoundRobin => "Requests",
@@ -85,7 +85,7 @@
         };
         write!(
             f,
-            "Routing {{ balance: {balance}, strict: {strict_affinity}, cookie: {session_cookie:?}, parameter: {session_parameter:?} }}"
+            "Routing {{ balance: {balance}, strict: {strict_affinity}, cookie: {cookie:?}, parameter: {parameter:?} }}"
         )
     }
 }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -132,7 +132,7 @@
     assert!(
         routing.load_balancing == doorcourse::LoadBalancing::WeightedLeastInFlight
             && routing.strict_affinity
-            && routing.session_cookie == "SID"
+            && routing.cookie == "SID"
     );
     assert!(is_node_list("n", text) && !is_node_list("n", "listen: 'x'") && !is_node_list("n", ""));
     let bad = "nodes { name: 'a' address: '127.0.0.1:1' weight: 0 tier: 9999 route: 'a b' }
--- a/crates/http-gateway/src/gateway/pending.rs
+++ b/crates/http-gateway/src/gateway/pending.rs
@@ -97,7 +97,7 @@
     /// Processes the events of a backend connection. The commands that result from an event are executed before the
     /// next event is read, because they may close the connection.
     pub(super) fn process_attempt_events(&mut self, slot: usize, generation: u32) {
-        let forward_cookies = !self.config.routing.session_cookie.is_empty();
+        let forward_cookies = !self.config.routing.cookie.is_empty();
         while let Some((id, event)) =
             self.backends.next_event(&mut self.io, &self.config.limits, slot, generation)
         {
--- a/crates/http-gateway/src/graphql_front/head.rs
+++ b/crates/http-gateway/src/graphql_front/head.rs
@@ -19,8 +19,7 @@
     let target = origin_form(&head.target);
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let routing = &config.routing;
-    let (path, path_parameters) =
-        if routing.session_parameter.is_empty() { (path, "") } else { split_path(path) };
+    let (path, path_parameters) = if routing.parameter.is_empty() { (path, "") } else { split_path(path) };
     if path != config.endpoint_path {
         return reject(404, "NOT_FOUND", "there is nothing here");
     }
@@ -103,7 +102,7 @@
 }
 
 fn forwarded_fields(routing: &Routing, head: &Head) -> Vec<(String, String)> {
-    let forward_cookies = !routing.session_cookie.is_empty();
+    let forward_cookies = !routing.cookie.is_empty();
     let is_forwarded = |name: &str| FORWARDED_FIELDS.contains(&name) || forward_cookies && name == "cookie";
     head.fields.iter().filter(|(name, _)| is_forwarded(name)).cloned().collect()
 }
@@ -112,17 +111,16 @@
 /// over a query parameter.
 fn session_route(routing: &Routing, head: &Head, path_parameters: &str, query: &str) -> Name {
     let cookies = head.fields.iter().filter(|(name, _)| name == "cookie").map(|(_, value)| value.as_str());
-    let session = cookie(&routing.session_cookie, cookies)
-        .or_else(|| parameter(&routing.session_parameter, path_parameters, ';'))
-        .or_else(|| parameter(&routing.session_parameter, query, '&'));
+    let session = cookie(&routing.cookie, cookies)
+        .or_else(|| parameter(&routing.parameter, path_parameters, ';'))
+        .or_else(|| parameter(&routing.parameter, query, '&'));
     session.map(sticky_route).unwrap_or_default().into()
 }
 
 /// The query string without the parameter that names the session.
 fn graphql_query(routing: &Routing, query: &str) -> String {
-    let is_graphql = |pair: &&str| {
-        routing.session_parameter.is_empty() || parameter(&routing.session_parameter, pair, '&').is_none()
-    };
+    let is_graphql =
+        |pair: &&str| routing.parameter.is_empty() || parameter(&routing.parameter, pair, '&').is_none();
     query.split('&').filter(is_graphql).collect::<Vec<_>>().join("&")
 }
 
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -173,7 +173,7 @@
             prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, carried.draining);
         }
         let routing = read.routing.expect("routing");
-        prop_assert_eq!((routing.session_cookie, routing.strict_affinity), (carried.routing.cookie, carried.routing.strict));
+        prop_assert_eq!((routing.cookie, routing.strict_affinity), (carried.routing.cookie, carried.routing.strict));
     }
 
     /// Bytes cut out, put in and doubled anywhere: a list or findings, never a panic, and what is printed is taken.
