--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -57,7 +57,7 @@
         value
     }
 
-    /// Checks that a name is not empty, has no white space or control character, and is not in `seen`; adds it to `seen`.
+    /// Checks that a name is not empty, has no white space or control character, and is not in `seen`; adds it there.
     pub(crate) fn unique_name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
         if name.is_empty() || name.chars().any(|c| c.is_whitespace() || c.is_control()) {
             self.fault(path, "a name without white space is required");
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -66,7 +66,7 @@
 pub struct Routing {
     /// How a node is chosen among those that may serve a request.
     pub load_balancing: doorcourse::LoadBalancing,
-    /// Whether a request is refused rather than served by a node outside its session, failover route and failover group.
+    /// Whether a request is refused rather than served by a node outside its route, failover route and group.
     pub strict_affinity: bool,
     /// The name of the cookie with the session id; empty for none.
     pub cookie: String,
