--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,9 +1,10 @@
-//! Reading and checking. Every fault is told, not the first alone; nothing is used unless there is none.
+//! Parses and checks the settings. All faults are reported, not only the first one, and settings with a fault are not
+//! used at all.
 
 use crate::fleet;
-use crate::locate::Places;
+use crate::locate::FieldPositions;
 use crate::raw::{self, class, node, routing};
-use crate::{Config, Counter, Customer, Fault, Life, Limits, Node, NodeFile, Routing, StateFile};
+use crate::{Config, CounterConfig, Customer, Fault, Life, Limits, Node, NodeList, Routing, StateFileConfig};
 use doorcourse::{
     BackendEntry, BackendRole, BackendState, DeduplicationScope, Idempotency, LoadBalancing, Name, Placement,
     Plan, RequestClass,
@@ -17,52 +18,62 @@
 
 const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin"));
 
-/// The quiet wait before the first new connection to the counter, in ms.
-const FIRST_WAIT: f64 = 50.0;
-/// What a ceiling must leave above quota and burst for the decisions' bound (docs/design.md, "Bounds").
-const CEILING_ROOM: f64 = 1.6;
+/// The backoff before the first new connection to the counter.
+const INITIAL_BACKOFF_MS: f64 = 50.0;
+/// The least ratio of a ceiling to its quota, in rate and burst. The bound that the decisions keep needs this distance
+/// (docs/design.md, "Bounds").
+const MIN_CEILING_FACTOR: f64 = 1.6;
 
-pub(crate) struct Check<'a> {
+/// Checks values and collects the faults of one source.
+pub(crate) struct Checker<'a> {
     file: &'a str,
-    places: Places,
+    positions: FieldPositions,
     faults: Vec<Fault>,
 }
 
-impl Check<'_> {
+impl Checker<'_> {
+    /// Records a fault of the field at `path`; an empty path stands for the whole file.
     pub(crate) fn fault(&mut self, path: &str, message: impl Into<String>) {
         let field = if path.is_empty() { String::new() } else { format!("{path}: ") };
-        let (file, line) = (self.file.to_owned(), self.places.find(path));
+        let (file, line) = (self.file.to_owned(), self.positions.find(path));
         self.faults.push(Fault { file, line, field, message: message.into() });
     }
 
-    pub(crate) fn figure(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
+    /// Checks that a number is in range and returns it in any case.
+    pub(crate) fn number(&mut self, path: &str, value: f64, range: RangeInclusive<f64>) -> f64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
-            self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
+            self.fault(path, format!("{value} is out of range: must be from {low} to {high}"));
         }
         value
     }
 
-    pub(crate) fn whole(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
+    /// Checks that an integer is in range and returns it in any case.
+    pub(crate) fn integer(&mut self, path: &str, value: u64, range: RangeInclusive<u64>) -> u64 {
         if !range.contains(&value) {
             let (low, high) = (range.start(), range.end());
-            self.fault(path, format!("{value} is out of range: allowed is {low} to {high}"));
+            self.fault(path, format!("{value} is out of range: must be from {low} to {high}"));
         }
         value
     }
 
-    pub(crate) fn name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
+    /// Checks that a name is not empty, has no white space or control character, and is not in `seen`; adds it there.
+    pub(crate) fn unique_name(&mut self, path: &str, name: &str, seen: &mut HashSet<String>) -> Name {
         if name.is_empty() || name.chars().any(|c| c.is_whitespace() || c.is_control()) {
-            self.fault(path, "a name without white space is needed");
+            self.fault(path, "a name without white space is required");
         } else if !seen.insert(name.to_owned()) {
-            self.fault(path, format!("`{name}` is taken already"));
+            self.fault(path, format!("`{name}` is already used"));
         }
         name.into()
     }
 
+    /// Parses an IP address with a port. A fault is recorded if it is none, and a placeholder is returned.
     pub(crate) fn address(&mut self, path: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
-            self.fault(path, format!("`{text}` is no address: \"1.2.3.4:80\" or \"[::1]:80\" is wanted"));
+            self.fault(
+                path,
+                format!("`{text}` is not an address: \"1.2.3.4:80\" or \"[::1]:80\" is expected"),
+            );
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
@@ -72,10 +83,10 @@
     parse_text(DESCRIPTORS, &format!("doorcourse.settings.{name}"), file, text)
 }
 
-/// Parses a message of some schema from its text form; a fault names line and column.
+/// Parses a message from protobuf text format. `descriptors` is the encoded schema that defines it.
 ///
 /// # Errors
-/// The first fault.
+/// The first fault, with its line and column.
 pub fn parse_text<M: prost::Message + Default>(
     descriptors: &[u8], name: &str, file: &str, text: &str,
 ) -> Result<M, Vec<Fault>> {
@@ -97,64 +108,72 @@
     parsed.transcode_to().map_err(|e| fault(e.to_string(), None))
 }
 
-/// Reads settings. `open` gives the text of a file named in them, or says why it cannot.
+/// Parses and checks settings. `open` returns the text of a file that they name, or the reason why it cannot be read.
 ///
 /// # Errors
-/// Every fault found, each with file, line and field.
+/// All faults, each with file, line and field.
 pub fn read(
     file: &str, text: &str, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Result<Config, Vec<Fault>> {
     let raw: raw::Settings = parse("Settings", file, text)?;
-    let mut check = Check { file, places: Places::new(text), faults: Vec::new() };
-    let config = settings(&raw, &mut check, open);
+    let mut checker = Checker { file, positions: FieldPositions::new(text), faults: Vec::new() };
+    let config = settings(&raw, &mut checker, open);
     match config {
-        Some(config) if check.faults.is_empty() => Ok(config),
-        _ => Err(check.faults),
+        Some(config) if checker.faults.is_empty() => Ok(config),
+        _ => Err(checker.faults),
     }
 }
 
-/// Reads a node list file.
+/// Parses and checks a node list file.
 ///
 /// # Errors
-/// Every fault found, each with file, line and field.
-pub fn read_nodes(file: &str, text: &str) -> Result<NodeFile, Vec<Fault>> {
+/// All faults, each with file, line and field.
+pub fn read_nodes(file: &str, text: &str) -> Result<NodeList, Vec<Fault>> {
     let raw: raw::Nodes = parse("Nodes", file, text)?;
-    let mut check = Check { file, places: Places::new(text), faults: Vec::new() };
-    let nodes = nodes(&raw.nodes, &mut check);
-    let routing = raw.routing.as_ref().map(|r| routing(r, &mut check));
-    if check.faults.is_empty() { Ok(NodeFile { nodes, routing }) } else { Err(check.faults) }
+    let mut checker = Checker { file, positions: FieldPositions::new(text), faults: Vec::new() };
+    let nodes = nodes(&raw.nodes, &mut checker);
+    let routing = raw.routing.as_ref().map(|r| routing(r, &mut checker));
+    if checker.faults.is_empty() { Ok(NodeList { nodes, routing }) } else { Err(checker.faults) }
 }
 
-/// Whether a text is a node list file rather than settings: it parses as one.
+/// Whether a text is a node list file and not a settings file: it parses as one and has a node.
 #[must_use]
 pub fn is_node_list(file: &str, text: &str) -> bool {
     parse::<raw::Nodes>("Nodes", file, text).is_ok_and(|n| !n.nodes.is_empty())
 }
 
-fn routing(raw: &raw::Routing, check: &mut Check) -> Routing {
+fn routing(raw: &raw::Routing, checker: &mut Checker) -> Routing {
     let sticky = raw.sticky.clone().unwrap_or_default();
-    let token = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
+    let is_name_char = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (field, name) in [("cookie", &sticky.cookie), ("parameter", &sticky.parameter)] {
-        if !name.chars().all(token) {
-            check.fault(&format!("routing.sticky.{field}"), format!("`{name}` is no name of one"));
+        if !name.chars().all(is_name_char) {
+            checker.fault(
+                &format!("routing.sticky.{field}"),
+                format!("`{name}` is not a valid cookie or parameter name"),
+            );
         }
     }
     if raw.sticky.is_some() && sticky.cookie.is_empty() && sticky.parameter.is_empty() {
-        check.fault("routing.sticky", "a cookie or a parameter is needed");
+        checker.fault("routing.sticky", "a cookie or a parameter is required");
     }
-    let balance = match raw.balance() {
+    let load_balancing = match raw.balance() {
         routing::Balance::Outstanding => LoadBalancing::LeastInFlight,
         routing::Balance::Requests => LoadBalancing::WeightedRoundRobin,
         routing::Balance::Busyness => LoadBalancing::WeightedLeastInFlight,
     };
-    Routing { balance, strict: sticky.strict, cookie: sticky.cookie, parameter: sticky.parameter }
+    Routing {
+        load_balancing,
+        strict_affinity: sticky.strict,
+        cookie: sticky.cookie,
+        parameter: sticky.parameter,
+    }
 }
 
-fn place(raw: &raw::Node, at: usize, check: &mut Check) -> Placement {
-    let path = |field: &str| format!("nodes[{at}].{field}");
+fn placement(raw: &raw::Node, index: usize, checker: &mut Checker) -> Placement {
+    let path = |field: &str| format!("nodes[{index}].{field}");
     for (field, text) in [("route", &raw.route), ("redirect", &raw.redirect), ("group", &raw.group)] {
         if text.chars().any(|c| c.is_whitespace() || c.is_control()) {
-            check.fault(&path(field), "a name without white space is needed");
+            checker.fault(&path(field), "a name without white space is required");
         }
     }
     let role = match raw.role() {
@@ -164,8 +183,8 @@
         node::Role::Bound => BackendRole::StickyOnly,
     };
     Placement {
-        weight: check.figure(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
-        priority_level: check.whole(&path("tier"), raw.tier.into(), 0..=1000) as u32,
+        weight: checker.number(&path("weight"), raw.weight.unwrap_or(1.0), 0.001..=1e5),
+        priority_level: checker.integer(&path("tier"), raw.tier.into(), 0..=1000) as u32,
         role,
         sticky_route: raw.route.as_str().into(),
         failover_route: raw.redirect.as_str().into(),
@@ -173,73 +192,82 @@
     }
 }
 
-fn nodes(raw: &[raw::Node], check: &mut Check) -> Vec<Node> {
+fn nodes(raw: &[raw::Node], checker: &mut Checker) -> Vec<Node> {
     let mut seen = HashSet::new();
-    let one = |(at, raw): (usize, &raw::Node)| {
-        let path = |field: &str| format!("nodes[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let address = check.address(&path("address"), &raw.address);
-        let started = raw.started_ms.map(|s| check.figure(&path("started_ms"), s, 0.0..=1e15));
+    let node = |(index, raw): (usize, &raw::Node)| {
+        let path = |field: &str| format!("nodes[{index}].{field}");
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let address = checker.address(&path("address"), &raw.address);
+        let started = raw.started_ms.map(|s| checker.number(&path("started_ms"), s, 0.0..=1e15));
         let state = match raw.state() {
             node::State::Ready => BackendState::Ready,
             node::State::Draining => BackendState::Draining,
         };
-        let (zone, cell, place) = (raw.zone.as_str().into(), raw.cell, place(raw, at, check));
-        let entry = BackendEntry { name, zone, cell, state, started, placement: place };
+        let (zone, cell, placement) = (raw.zone.as_str().into(), raw.cell, placement(raw, index, checker));
+        let entry = BackendEntry { name, zone, cell, state, started, placement };
         Node { entry, address }
     };
-    raw.iter().enumerate().map(one).collect()
+    raw.iter().enumerate().map(node).collect()
 }
 
 fn settings(
-    raw: &raw::Settings, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>,
+    raw: &raw::Settings, checker: &mut Checker, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Config> {
     let fleet = raw.fleet.clone().unwrap_or_default();
-    let gateways = check.whole("fleet.gateways", fleet.gateways.unwrap_or(1).into(), 1..=10_000) as u32;
+    let gateways = checker.integer("fleet.gateways", fleet.gateways.unwrap_or(1).into(), 1..=10_000) as u32;
     let number = fleet.number.unwrap_or(0);
     if number >= gateways {
-        check.fault("fleet.number", format!("{number} is not below the number of gateways, {gateways}"));
+        checker.fault("fleet.number", format!("{number} is not below the number of gateways, {gateways}"));
     }
-    let price_cross_zone =
-        check.figure("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
+    let cross_zone_price =
+        checker.number("fleet.price_cross_zone", fleet.price_cross_zone.unwrap_or(0.0), 0.0..=100.0);
     if raw.listen.is_empty() {
-        check.fault("listen", "at least one address is needed");
+        checker.fault("listen", "at least one address is required");
     }
-    let listen =
-        raw.listen.iter().enumerate().map(|(at, l)| check.address(&format!("listen[{at}]"), l)).collect();
-    let path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
-    if !path.starts_with('/') || path.contains(['?', ' ']) {
-        check.fault("path", format!("`{path}` must begin with / and hold no ? and no space"));
+    let listen = raw
+        .listen
+        .iter()
+        .enumerate()
+        .map(|(index, address)| checker.address(&format!("listen[{index}]"), address))
+        .collect();
+    let endpoint_path = raw.path.clone().unwrap_or_else(|| "/graphql".into());
+    if !endpoint_path.starts_with('/') || endpoint_path.contains(['?', ' ']) {
+        checker
+            .fault("path", format!("`{endpoint_path}` must begin with / and contain neither ? nor a space"));
     }
-    let counter = raw.counter.as_ref().map(|c| counter(c, check));
+    let counter = raw.counter.as_ref().map(|c| counter(c, checker));
     if counter.is_none() && gateways > 1 {
-        check.fault(
+        checker.fault(
             "fleet.gateways",
             format!("{gateways} gateways need a shared counter: set counter.address"),
         );
     }
     if raw.nodes.is_empty() == raw.node_list.is_none() {
-        check.fault("nodes", "either nodes or node_list is needed, not both");
+        checker.fault("nodes", "exactly one of nodes and node_list is required");
     }
-    let nodes = nodes(&raw.nodes, check);
+    let nodes = nodes(&raw.nodes, checker);
     let node_list = raw.node_list.as_ref().map(|list| {
         if list.file.is_empty() {
-            check.fault("node_list.file", "a file's name is needed");
+            checker.fault("node_list.file", "a file name is required");
         }
-        (list.file.clone(), check.figure("node_list.poll_ms", list.poll_ms.unwrap_or(200.0), 10.0..=60_000.0))
+        (
+            list.file.clone(),
+            checker.number("node_list.poll_ms", list.poll_ms.unwrap_or(200.0), 10.0..=60_000.0),
+        )
     });
     let graphql = raw.graphql.clone().unwrap_or_default();
-    let schema = schema(&graphql, check, open);
-    let (classes, give_up) = classes(&raw.classes, check);
-    let plans = plans(&raw.plans, check);
-    let customers = customers(raw, gateways, &plans, check);
-    let mut of =
-        |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, check)).unwrap_or_default();
-    let (query_classes, mutation_classes) = (of(OperationKind::Query), of(OperationKind::Mutation));
-    let cold = raw.cold_nodes.unwrap_or_default();
-    let routing = raw.routing.as_ref().map(|r| routing(r, check)).unwrap_or_default();
+    let schema = schema(&graphql, checker, open);
+    let (classes, client_timeouts) = classes(&raw.classes, checker);
+    let plans = plans(&raw.plans, checker);
+    let customers_by_key = customers_by_key(raw, gateways, &plans, checker);
+    let mut classes_of =
+        |kind| schema.as_ref().map(|s| root_classes(s, kind, &raw.classes, checker)).unwrap_or_default();
+    let (query_classes, mutation_classes) =
+        (classes_of(OperationKind::Query), classes_of(OperationKind::Mutation));
+    let slow_start = raw.cold_nodes.unwrap_or_default();
+    let routing = raw.routing.as_ref().map(|r| routing(r, checker)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
-    let most_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
+    let max_request_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
     let decisions = doorcourse::Settings {
         gateway_count: gateways,
         gateway_index: number,
@@ -248,60 +276,65 @@
         classes,
         plans,
         has_counter: true,
-        counter_timeout: counter.as_ref().map_or(50.0, |c| c.timeout),
+        counter_timeout: counter.as_ref().map_or(50.0, |c| c.call_timeout),
         responses_report_units: true,
-        max_request_units: most_units,
-        max_attempts: check.whole("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
-        max_retry_after: check.figure(
+        max_request_units,
+        max_attempts: checker.integer("attempts.most", attempts.most.unwrap_or(3).into(), 1..=100) as u32,
+        max_retry_after: checker.number(
             "attempts.longest_advice_ms",
             attempts.longest_advice_ms.unwrap_or(10_000.0),
             0.0..=3.6e6,
         ),
-        slow_start_share: check.figure("cold_nodes.share", cold.share.unwrap_or(0.2), 0.0..=1.0),
-        slow_start_duration: check.figure(
+        slow_start_share: checker.number("cold_nodes.share", slow_start.share.unwrap_or(0.2), 0.0..=1.0),
+        slow_start_duration: checker.number(
             "cold_nodes.warm_ms",
-            cold.warm_ms.unwrap_or(20_000.0),
+            slow_start.warm_ms.unwrap_or(20_000.0),
             0.0..=3.6e6,
         ),
-        overload_multiple: check.figure(
+        overload_multiple: checker.number(
             "cold_nodes.fall_multiple",
-            cold.fall_multiple.unwrap_or(2.0),
+            slow_start.fall_multiple.unwrap_or(2.0),
             1.0..=100.0,
         ),
-        overload_window: check.figure("cold_nodes.fall_ms", cold.fall_ms.unwrap_or(1000.0), 1.0..=6e5),
-        cross_zone_price: price_cross_zone,
+        overload_window: checker.number(
+            "cold_nodes.fall_ms",
+            slow_start.fall_ms.unwrap_or(1000.0),
+            1.0..=6e5,
+        ),
+        cross_zone_price,
         routing: doorcourse::Routing {
-            load_balancing: routing.balance,
-            strict_affinity: routing.strict,
-            assume_restart: cold.assume_restart.unwrap_or(true),
+            load_balancing: routing.load_balancing,
+            strict_affinity: routing.strict_affinity,
+            assume_restart: slow_start.assume_restart.unwrap_or(true),
         },
         ..doorcourse::Settings::default()
     };
-    if check.faults.is_empty()
+    if checker.faults.is_empty()
         && let Err(error) = doorcourse::Gateway::new(decisions.clone(), 1)
     {
-        check.fault("", error.to_string());
+        checker.fault("", error.to_string());
     }
-    let limits = limits(&raw.limits.unwrap_or_default(), check);
-    let query_limits = query_limits(&graphql, check);
-    let answer_depth = graphql.answer_depth.unwrap_or(100);
-    let answer_depth = check.whole("graphql.answer_depth", answer_depth.into(), 2..=1000) as usize;
+    let limits = limits(&raw.limits.unwrap_or_default(), checker);
+    let query_limits = query_limits(&graphql, checker);
+    let max_response_depth = graphql.answer_depth.unwrap_or(100);
+    let max_response_depth =
+        checker.integer("graphql.answer_depth", max_response_depth.into(), 2..=1000) as usize;
     let introspection = graphql.introspection.unwrap_or(false);
-    let admin = raw.admin.as_ref().map(|a| {
-        if a.socket.is_empty() {
-            check.fault("admin.socket", "a path is needed");
+    let admin_socket = raw.admin.as_ref().map(|admin| {
+        if admin.socket.is_empty() {
+            checker.fault("admin.socket", "a path is required");
         }
-        a.socket.clone()
+        admin.socket.clone()
     });
-    let health = raw.health.as_ref().map(|h| check.address("health.listen", &h.listen));
-    let state = raw.state.as_ref().map(|s| {
+    let health_listen = raw.health.as_ref().map(|h| checker.address("health.listen", &h.listen));
+    let state_file = raw.state.as_ref().map(|s| {
         if s.file.is_empty() {
-            check.fault("state.file", "a file's name is needed");
+            checker.fault("state.file", "a file name is required");
         }
-        StateFile {
+        StateFileConfig {
             file: s.file.clone(),
-            every: check.figure("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
-            longest_age: check.figure(
+            save_interval: checker.number("state.every_ms", s.every_ms.unwrap_or(1000.0), 100.0..=6e5),
+            max_age: checker.number(
                 "state.longest_age_ms",
                 s.longest_age_ms.unwrap_or(60_000.0),
                 1000.0..=8.64e7,
@@ -310,52 +343,52 @@
     });
     let life = raw.life.unwrap_or_default();
     let life = Life {
-        notice: check.figure("life.notice_ms", life.notice_ms.unwrap_or(0.0), 0.0..=6e5),
-        drain: check.figure("life.drain_ms", life.drain_ms.unwrap_or(5000.0), 0.0..=6e5),
-        handover: check.figure("life.handover_ms", life.handover_ms.unwrap_or(10_000.0), 100.0..=6e5),
-        quiet: check.figure("life.quiet_ms", life.quiet_ms.unwrap_or(1000.0), 0.0..=6e5),
-        give_back: check.figure("life.give_back_ms", life.give_back_ms.unwrap_or(500.0), 0.0..=6e4),
+        notice: checker.number("life.notice_ms", life.notice_ms.unwrap_or(0.0), 0.0..=6e5),
+        drain: checker.number("life.drain_ms", life.drain_ms.unwrap_or(5000.0), 0.0..=6e5),
+        handover: checker.number("life.handover_ms", life.handover_ms.unwrap_or(10_000.0), 100.0..=6e5),
+        quiet: checker.number("life.quiet_ms", life.quiet_ms.unwrap_or(1000.0), 0.0..=6e5),
+        give_back: checker.number("life.give_back_ms", life.give_back_ms.unwrap_or(500.0), 0.0..=6e4),
     };
-    let link = fleet.link.as_ref().map(|l| fleet::link(l, gateways, number, check, open));
-    let leases = raw.leases.as_ref().map(|l| fleet::leases(l, link.as_ref(), number, check));
+    let link = fleet.link.as_ref().map(|link| fleet::link(link, gateways, number, checker, open));
+    let leases = raw.leases.as_ref().map(|leases| fleet::leases(leases, link.as_ref(), number, checker));
     let schema = schema?;
     Some(Config {
         link,
         leases,
-        health,
-        admin,
-        state,
+        health_listen,
+        admin_socket,
+        state_file,
         life,
         decisions,
         listen,
-        path,
+        endpoint_path,
         counter,
         nodes,
         node_list,
         routing,
-        give_up,
+        client_timeouts,
         query_classes,
         mutation_classes,
-        customers,
+        customers_by_key,
         schema,
         query_limits,
-        answer_depth,
+        max_response_depth,
         introspection,
         limits,
     })
 }
 
-fn counter(raw: &raw::Counter, check: &mut Check) -> Counter {
-    Counter {
-        address: check.address("counter.address", &raw.address),
+fn counter(raw: &raw::Counter, checker: &mut Checker) -> CounterConfig {
+    CounterConfig {
+        address: checker.address("counter.address", &raw.address),
         password: raw.password.clone(),
-        timeout: check.figure("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
-        dead_after: check.figure(
+        call_timeout: checker.number("counter.timeout_ms", raw.timeout_ms.unwrap_or(50.0), 1.0..=10_000.0),
+        unresponsive_timeout: checker.number(
             "counter.dead_after_ms",
             raw.dead_after_ms.unwrap_or(1000.0),
             10.0..=60_000.0,
         ),
-        longest_wait: check.figure(
+        max_backoff: checker.number(
             "counter.longest_wait_ms",
             raw.longest_wait_ms.unwrap_or(2000.0),
             10.0..=60_000.0,
@@ -364,16 +397,16 @@
 }
 
 fn schema(
-    raw: &raw::GraphQl, check: &mut Check, open: &dyn Fn(&str) -> Result<String, String>,
+    raw: &raw::GraphQl, checker: &mut Checker, open: &dyn Fn(&str) -> Result<String, String>,
 ) -> Option<Arc<Schema>> {
     if raw.schema_file.is_empty() {
-        check.fault("graphql.schema_file", "the name of a file with the schema's SDL is needed");
+        checker.fault("graphql.schema_file", "the name of the file with the schema's SDL is required");
         return None;
     }
     let text = match open(&raw.schema_file) {
         Ok(text) => text,
-        Err(why) => {
-            check.fault("graphql.schema_file", format!("{}: {why}", raw.schema_file));
+        Err(error) => {
+            checker.fault("graphql.schema_file", format!("{}: {error}", raw.schema_file));
             return None;
         }
     };
@@ -383,89 +416,93 @@
             for error in errors {
                 let line = error.at.map(|p| (p.line as usize, p.column as usize));
                 let (file, field) = (raw.schema_file.clone(), String::new());
-                check.faults.push(Fault { file, line, field, message: error.message });
+                checker.faults.push(Fault { file, line, field, message: error.message });
             }
             None
         }
     }
 }
 
-fn classes(raw: &[raw::Class], check: &mut Check) -> (Vec<RequestClass>, Vec<f64>) {
+fn classes(raw: &[raw::Class], checker: &mut Checker) -> (Vec<RequestClass>, Vec<f64>) {
     if raw.is_empty() {
-        check.fault("classes", "at least one class is needed");
+        checker.fault("classes", "at least one class is required");
     }
-    let (mut seen, mut give_up) = (HashSet::new(), Vec::new());
+    let (mut seen, mut client_timeouts) = (HashSet::new(), Vec::new());
     let mut classes = Vec::new();
-    for (at, raw) in raw.iter().enumerate() {
-        let path = |field: &str| format!("classes[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let aim = check.figure(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
-        give_up.push(check.figure(&path("give_up_ms"), raw.give_up_ms, aim.max(1.0)..=3.6e6));
-        let effect = match raw.effect() {
+    for (index, raw) in raw.iter().enumerate() {
+        let path = |field: &str| format!("classes[{index}].{field}");
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let latency_objective = checker.number(&path("aim_ms"), raw.aim_ms, 1.0..=6e5);
+        client_timeouts.push(checker.number(
+            &path("give_up_ms"),
+            raw.give_up_ms,
+            latency_objective.max(1.0)..=3.6e6,
+        ));
+        let idempotency = match raw.effect() {
             class::Effect::Unstated => {
-                check.fault(&path("effect"), "SAFE, KEYED or UNSAFE must be stated");
+                checker.fault(&path("effect"), "one of SAFE, KEYED and UNSAFE is required");
                 Idempotency::NonIdempotent
             }
             class::Effect::Safe => Idempotency::Idempotent,
             class::Effect::Keyed => Idempotency::WithKey,
             class::Effect::Unsafe => Idempotency::NonIdempotent,
         };
-        let group = match raw.group() {
+        let deduplication_scope = match raw.group() {
             class::Group::All => DeduplicationScope::All,
             class::Group::Zone => DeduplicationScope::Zone,
             class::Group::Cell => DeduplicationScope::Cell,
         };
-        let memory = check.figure(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
-        if effect == Idempotency::WithKey && memory == 0.0 {
-            check.fault(&path("memory_ms"), "a KEYED class needs a memory above 0");
+        let deduplication_window = checker.number(&path("memory_ms"), raw.memory_ms, 0.0..=3.6e6);
+        if idempotency == Idempotency::WithKey && deduplication_window == 0.0 {
+            checker.fault(&path("memory_ms"), "a KEYED class needs a memory_ms above 0");
         }
-        let worth = check.figure(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
-        let late_worth = check.figure(&path("late_worth"), raw.late_worth, 0.0..=1.0);
+        let priority_weight = checker.number(&path("worth"), raw.worth.unwrap_or(1.0), 0.0..=1e6);
+        let late_response_value = checker.number(&path("late_worth"), raw.late_worth, 0.0..=1.0);
         classes.push(RequestClass {
             name,
-            latency_objective: aim,
-            idempotency: effect,
-            deduplication_scope: group,
-            deduplication_window: memory,
-            priority_weight: worth,
-            late_response_value: late_worth,
+            latency_objective,
+            idempotency,
+            deduplication_scope,
+            deduplication_window,
+            priority_weight,
+            late_response_value,
         });
     }
-    (classes, give_up)
+    (classes, client_timeouts)
 }
 
-fn plans(raw: &[raw::Plan], check: &mut Check) -> Vec<Plan> {
+fn plans(raw: &[raw::Plan], checker: &mut Checker) -> Vec<Plan> {
     if raw.is_empty() {
-        check.fault("plans", "at least one plan is needed");
+        checker.fault("plans", "at least one plan is required");
     }
     let mut seen = HashSet::new();
     let mut plans = Vec::new();
-    for (at, raw) in raw.iter().enumerate() {
-        let path = |field: &str| format!("plans[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let rate = check.figure(&path("rate"), raw.rate, 0.0..=1e9);
-        let burst = check.figure(&path("burst"), raw.burst, 0.0..=1e9);
+    for (index, raw) in raw.iter().enumerate() {
+        let path = |field: &str| format!("plans[{index}].{field}");
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let rate = checker.number(&path("rate"), raw.rate, 0.0..=1e9);
+        let burst = checker.number(&path("burst"), raw.burst, 0.0..=1e9);
         if rate > 0.0 && burst <= 0.0 {
-            check.fault(&path("burst"), "a plan with a rate needs a burst above 0");
+            checker.fault(&path("burst"), "a plan with a rate needs a burst above 0");
         }
-        let ceiling_rate = check.figure(&path("ceiling_rate"), raw.ceiling_rate, 0.0..=1e9);
-        let ceiling_burst = check.figure(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
+        let ceiling_rate = checker.number(&path("ceiling_rate"), raw.ceiling_rate, 0.0..=1e9);
+        let ceiling_burst = checker.number(&path("ceiling_burst"), raw.ceiling_burst, 0.0..=1e9);
         if ceiling_rate > 0.0 {
-            // Below these the decisions' bound does not hold: such a ceiling would be a promise broken.
-            if ceiling_rate < rate * CEILING_ROOM {
-                check.fault(
+            // Below these ratios the decisions cannot guarantee that the ceiling is kept, so such a plan is rejected.
+            if ceiling_rate < rate * MIN_CEILING_FACTOR {
+                checker.fault(
                     &path("ceiling_rate"),
-                    format!("{ceiling_rate} is below {CEILING_ROOM} times the rate"),
+                    format!("{ceiling_rate} is below {MIN_CEILING_FACTOR} times the rate"),
                 );
             }
-            if ceiling_burst < burst * CEILING_ROOM {
-                check.fault(
+            if ceiling_burst < burst * MIN_CEILING_FACTOR {
+                checker.fault(
                     &path("ceiling_burst"),
-                    format!("{ceiling_burst} is below {CEILING_ROOM} times the burst"),
+                    format!("{ceiling_burst} is below {MIN_CEILING_FACTOR} times the burst"),
                 );
             }
             if rate <= 0.0 {
-                check.fault(&path("rate"), "a plan with a ceiling needs a rate");
+                checker.fault(&path("rate"), "a plan with a ceiling needs a rate");
             }
         }
         plans.push(Plan {
@@ -474,51 +511,55 @@
             burst,
             ceiling_rate,
             ceiling_burst,
-            max_in_flight: check.whole(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
-            ceiling_slack: check.figure(&path("ceiling_slack"), raw.ceiling_slack, 0.0..=1e9),
-            priority_factor: check.figure(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
-            over_quota_value: check.figure(&path("over_worth"), raw.over_worth, 0.0..=1.0),
-            over_quota_cost: check.figure(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
+            max_in_flight: checker.integer(&path("open"), raw.open.into(), 0..=1_000_000) as u32,
+            ceiling_slack: checker.number(&path("ceiling_slack"), raw.ceiling_slack, 0.0..=1e9),
+            priority_factor: checker.number(&path("price"), raw.price.unwrap_or(1.0), 0.0..=1e6),
+            over_quota_value: checker.number(&path("over_worth"), raw.over_worth, 0.0..=1.0),
+            over_quota_cost: checker.number(&path("over_cost"), raw.over_cost.unwrap_or(1.0), 0.0..=100.0),
         });
     }
     plans
 }
 
-fn customers(
-    raw: &raw::Settings, gateways: u32, plans: &[Plan], check: &mut Check,
+fn customers_by_key(
+    raw: &raw::Settings, gateways: u32, plans: &[Plan], checker: &mut Checker,
 ) -> HashMap<[u8; 32], Arc<Customer>> {
     let (mut seen, mut keys) = (HashSet::new(), HashMap::new());
-    for (at, raw) in raw.customers.iter().enumerate() {
-        let path = |field: &str| format!("customers[{at}].{field}");
-        let name = check.name(&path("name"), &raw.name, &mut seen);
-        let plan = plans.iter().position(|p| *p.name == *raw.plan);
-        if plan.is_none() {
-            let known: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
-            check.fault(&path("plan"), format!("`{}` is no plan: there are {}", raw.plan, known.join(", ")));
+    for (index, raw) in raw.customers.iter().enumerate() {
+        let path = |field: &str| format!("customers[{index}].{field}");
+        let name = checker.unique_name(&path("name"), &raw.name, &mut seen);
+        let plan_index = plans.iter().position(|p| *p.name == *raw.plan);
+        if plan_index.is_none() {
+            let plan_names: Vec<&str> = plans.iter().map(|p| &*p.name).collect();
+            checker.fault(
+                &path("plan"),
+                format!("`{}` is not a plan: the plans are {}", raw.plan, plan_names.join(", ")),
+            );
         }
-        let first = raw.first_gateway.unwrap_or(0);
-        if first >= gateways {
-            check.fault(
+        let first_gateway = raw.first_gateway.unwrap_or(0);
+        if first_gateway >= gateways {
+            checker.fault(
                 &path("first_gateway"),
-                format!("{first} is not below the number of gateways, {gateways}"),
+                format!("{first_gateway} is not below the number of gateways, {gateways}"),
             );
         }
-        let spread = raw.gateways.unwrap_or(gateways);
-        check.whole(&path("gateways"), spread.into(), 1..=gateways.into());
+        let gateway_count = raw.gateways.unwrap_or(gateways);
+        checker.integer(&path("gateways"), gateway_count.into(), 1..=gateways.into());
         if raw.key_sha256.is_empty() {
-            check.fault(&path("key_sha256"), "at least one key is needed");
+            checker.fault(&path("key_sha256"), "at least one key is required");
         }
-        let customer = Arc::new(Customer { name, plan: plan.unwrap_or(0), first, spread });
-        for (number, digits) in raw.key_sha256.iter().enumerate() {
-            let path = path(&format!("key_sha256[{number}]"));
+        let customer =
+            Arc::new(Customer { name, plan_index: plan_index.unwrap_or(0), first_gateway, gateway_count });
+        for (key_index, digits) in raw.key_sha256.iter().enumerate() {
+            let path = path(&format!("key_sha256[{key_index}]"));
             match key_hash(digits) {
                 Some(hash) => {
                     if keys.insert(hash, Arc::clone(&customer)).is_some() {
-                        check.fault(&path, "this key is given twice");
+                        checker.fault(&path, "this key is listed twice");
                     }
                 }
                 None => {
-                    check.fault(&path, "64 hex digits of a SHA-256 are wanted: printf %s KEY | sha256sum")
+                    checker.fault(&path, "64 hex digits of a SHA-256 are expected: printf %s KEY | sha256sum")
                 }
             }
         }
@@ -531,75 +572,81 @@
         return None;
     }
     let mut hash = [0; 32];
-    for (byte, at) in hash.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&digits[at..at + 2], 16).ok()?;
+    for (byte, start) in hash.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&digits[start..start + 2], 16).ok()?;
     }
     Some(hash)
 }
 
 fn root_classes(
-    schema: &Schema, kind: OperationKind, raw: &[raw::Class], check: &mut Check,
+    schema: &Schema, kind: OperationKind, raw: &[raw::Class], checker: &mut Checker,
 ) -> BTreeMap<String, usize> {
-    let what = if kind == OperationKind::Query { "query_fields" } else { "mutation_fields" };
-    let known: HashSet<&str> = schema.root_fields(kind).collect();
+    let field_list = if kind == OperationKind::Query { "query_fields" } else { "mutation_fields" };
+    let root_fields: HashSet<&str> = schema.root_fields(kind).collect();
     let mut classes = BTreeMap::new();
-    for (at, class) in raw.iter().enumerate() {
+    for (index, class) in raw.iter().enumerate() {
         let fields = if kind == OperationKind::Query { &class.query_fields } else { &class.mutation_fields };
-        for (number, field) in fields.iter().enumerate() {
-            let path = format!("classes[{at}].{what}[{number}]");
-            if !known.contains(field.as_str()) {
-                check.fault(&path, format!("`{field}` is no such root field of the schema"));
-            } else if classes.insert(field.clone(), at).is_some() {
-                check.fault(&path, format!("`{field}` belongs to a class already"));
+        for (field_index, field) in fields.iter().enumerate() {
+            let path = format!("classes[{index}].{field_list}[{field_index}]");
+            if !root_fields.contains(field.as_str()) {
+                checker.fault(&path, format!("the schema has no such root field: `{field}`"));
+            } else if classes.insert(field.clone(), index).is_some() {
+                checker.fault(&path, format!("`{field}` already belongs to a class"));
             }
         }
     }
-    let mut missing: Vec<&str> = known.into_iter().filter(|f| !classes.contains_key(*f)).collect();
+    let mut missing: Vec<&str> = root_fields.into_iter().filter(|f| !classes.contains_key(*f)).collect();
     missing.sort_unstable();
     if !missing.is_empty() {
-        check.fault(
+        checker.fault(
             "classes",
-            format!("no class has these root fields in its {what}: {}", missing.join(", ")),
+            format!("no class has these root fields in its {field_list}: {}", missing.join(", ")),
         );
     }
     classes
 }
 
-fn query_limits(raw: &raw::GraphQl, check: &mut Check) -> QueryLimits {
-    let d = QueryLimits::default();
-    let mut whole = |name: &str, value: Option<u32>, default: u64, range| {
-        check.whole(&format!("graphql.{name}"), value.map_or(default, u64::from), range)
+fn query_limits(raw: &raw::GraphQl, checker: &mut Checker) -> QueryLimits {
+    let defaults = QueryLimits::default();
+    let mut integer = |name: &str, value: Option<u32>, default: u64, range| {
+        checker.integer(&format!("graphql.{name}"), value.map_or(default, u64::from), range)
     };
     QueryLimits {
-        bytes: whole("document_bytes", raw.document_bytes, d.bytes as u64, 1..=16 << 20) as usize,
-        tokens: whole("tokens", raw.tokens, d.tokens as u64, 1..=1_000_000) as usize,
-        depth: whole("depth", raw.depth, d.depth as u64, 1..=HARD_DEPTH_LIMIT as u64) as usize,
-        aliases: whole("aliases", raw.aliases, d.aliases as u64, 0..=100_000) as usize,
-        expansion: whole("expansion", raw.expansion, d.expansion, 1..=1_000_000),
-        list_size: check.figure("graphql.list_size", raw.list_size.unwrap_or(d.list_size), 0.0..=1e6),
+        bytes: integer("document_bytes", raw.document_bytes, defaults.bytes as u64, 1..=16 << 20) as usize,
+        tokens: integer("tokens", raw.tokens, defaults.tokens as u64, 1..=1_000_000) as usize,
+        depth: integer("depth", raw.depth, defaults.depth as u64, 1..=HARD_DEPTH_LIMIT as u64) as usize,
+        aliases: integer("aliases", raw.aliases, defaults.aliases as u64, 0..=100_000) as usize,
+        expansion: integer("expansion", raw.expansion, defaults.expansion, 1..=1_000_000),
+        list_size: checker.number(
+            "graphql.list_size",
+            raw.list_size.unwrap_or(defaults.list_size),
+            0.0..=1e6,
+        ),
     }
 }
 
-fn limits(raw: &raw::Limits, check: &mut Check) -> Limits {
-    let mut whole = |name: &str, value: Option<u64>, default: u64, range| {
-        check.whole(&format!("limits.{name}"), value.unwrap_or(default), range)
+fn limits(raw: &raw::Limits, checker: &mut Checker) -> Limits {
+    let mut integer = |name: &str, value: Option<u64>, default: u64, range| {
+        checker.integer(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
-    let small = |value: Option<u32>| value.map(u64::from);
-    let connections = whole("connections", small(raw.connections), 10_000, 1..=1_000_000) as usize;
-    let requests = whole("requests", small(raw.requests), 4096, 1..=1_000_000) as usize;
-    let buffered = whole("buffered_bytes", raw.buffered_bytes, 256 << 20, 65_536..=1_000_000_000_000);
-    let quarter = (buffered / 4).max(65_536);
-    let customer_bytes = whole("customer_bytes", raw.customer_bytes, quarter, 65_536..=1_000_000_000_000);
-    let line = whole("line_bytes", small(raw.line_bytes), 8192, 64..=1 << 20) as usize;
-    let head = whole("head_bytes", small(raw.head_bytes), 32_768, 128..=1 << 20) as usize;
-    let fields = whole("fields", small(raw.fields), 64, 1..=10_000) as usize;
-    let body = whole("body_bytes", raw.body_bytes, 1 << 20, 1..=1_000_000_000);
-    let answer = whole("answer_bytes", raw.answer_bytes, 1 << 30, 1..=1_000_000_000_000);
-    let held_answer = whole("held_answer_bytes", small(raw.held_answer_bytes), 16_384, 0..=16 << 20) as usize;
+    let widen = |value: Option<u32>| value.map(u64::from);
+    let connections = integer("connections", widen(raw.connections), 10_000, 1..=1_000_000) as usize;
+    let requests = integer("requests", widen(raw.requests), 4096, 1..=1_000_000) as usize;
+    let buffered = integer("buffered_bytes", raw.buffered_bytes, 256 << 20, 65_536..=1_000_000_000_000);
+    let default_customer_bytes = (buffered / 4).max(65_536);
+    let customer_bytes =
+        integer("customer_bytes", raw.customer_bytes, default_customer_bytes, 65_536..=1_000_000_000_000);
+    let line = integer("line_bytes", widen(raw.line_bytes), 8192, 64..=1 << 20) as usize;
+    let head = integer("head_bytes", widen(raw.head_bytes), 32_768, 128..=1 << 20) as usize;
+    let fields = integer("fields", widen(raw.fields), 64, 1..=10_000) as usize;
+    let body = integer("body_bytes", raw.body_bytes, 1 << 20, 1..=1_000_000_000);
+    let answer = integer("answer_bytes", raw.answer_bytes, 1 << 30, 1..=1_000_000_000_000);
+    let held_answer =
+        integer("held_answer_bytes", widen(raw.held_answer_bytes), 16_384, 0..=16 << 20) as usize;
     let client_buffer =
-        whole("client_buffer_bytes", small(raw.client_buffer_bytes), 65_536, 1024..=1_000_000_000);
-    let mut time = |name: &str, value: Option<f64>, default: f64, range| {
-        check.figure(&format!("limits.{name}"), value.unwrap_or(default), range)
+        integer("client_buffer_bytes", widen(raw.client_buffer_bytes), 65_536, 1024..=1_000_000_000);
+    let mut milliseconds = |name: &str, value: Option<f64>, default: f64, range| {
+        checker.number(&format!("limits.{name}"), value.unwrap_or(default), range)
     };
     Limits {
         connections,
@@ -612,21 +659,21 @@
         answer,
         held_answer,
         client_buffer: client_buffer as usize,
-        head_time: time("head_ms", raw.head_ms, 10_000.0, 10.0..=6e5),
-        body_time: time("body_ms", raw.body_ms, 20_000.0, 10.0..=6e5),
-        idle_time: time("idle_ms", raw.idle_ms, 60_000.0, 10.0..=3.6e6),
-        node_idle_time: time("node_idle_ms", raw.node_idle_ms, 30_000.0, 10.0..=3.6e6),
-        longest_deadline: time("longest_deadline_ms", raw.longest_deadline_ms, 60_000.0, 1.0..=3.6e6),
+        head_time: milliseconds("head_ms", raw.head_ms, 10_000.0, 10.0..=6e5),
+        body_time: milliseconds("body_ms", raw.body_ms, 20_000.0, 10.0..=6e5),
+        idle_time: milliseconds("idle_ms", raw.idle_ms, 60_000.0, 10.0..=3.6e6),
+        node_idle_time: milliseconds("node_idle_ms", raw.node_idle_ms, 30_000.0, 10.0..=3.6e6),
+        longest_deadline: milliseconds("longest_deadline_ms", raw.longest_deadline_ms, 60_000.0, 1.0..=3.6e6),
         customer_bytes,
-        unread_time: time("unread_ms", raw.unread_ms, 10_000.0, 10.0..=6e5),
-        answer_margin: time("answer_margin_ms", raw.answer_margin_ms, 20.0, 0.0..=1000.0),
+        unread_time: milliseconds("unread_ms", raw.unread_ms, 10_000.0, 10.0..=6e5),
+        answer_margin: milliseconds("answer_margin_ms", raw.answer_margin_ms, 20.0, 0.0..=1000.0),
     }
 }
 
-impl Counter {
-    /// The first wait before connecting again, in ms; it doubles up to `longest_wait`.
+impl CounterConfig {
+    /// The backoff before the first new connection, in ms. It doubles up to `max_backoff`.
     #[must_use]
-    pub fn first_wait(&self) -> f64 {
-        FIRST_WAIT.min(self.longest_wait)
+    pub fn initial_backoff(&self) -> f64 {
+        INITIAL_BACKOFF_MS.min(self.max_backoff)
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings in protobuf text format (`proto/settings.proto`): read, checked as a whole, and turned into what the
-//! decision library and the gateway take. It opens no files: the caller hands in their texts.
+//! Parses settings in protobuf text format (`proto/settings.proto`), checks them as a whole, and converts them to the
+//! settings of the decision library and of the gateway. This crate opens no files: the caller passes in their texts.
 
 #[allow(missing_docs)]
 mod raw {
@@ -11,10 +11,10 @@
 mod fleet;
 mod locate;
 
-pub use change::{Change, compare};
+pub use change::{SettingsDiff, compare};
 pub use check::{is_node_list, parse_text, read, read_nodes};
 pub use fleet::{LeaseConfig, LinkConfig, OUTLIER_PROBE_TASK, OutlierGossipConfig, TaskConfig};
-pub use locate::Places;
+pub use locate::FieldPositions;
 
 use doorcourse::{BackendEntry, Name};
 pub use doorcourse::{BackendRole, BackendState};
@@ -23,96 +23,97 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A fault of a settings file.
+/// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {field}{message}", line.map_or(String::new(), |(l, c)| format!(":{l}:{c}")))]
 pub struct Fault {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// Line and column, where known.
+    /// The line and column from 1, if known.
     pub line: Option<(usize, usize)>,
-    /// The field with a colon behind it, or nothing.
+    /// The path of the field followed by `: `, or empty if the fault is of no single field.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong, and what is allowed.
     pub message: String,
 }
 
-/// The counter's address and manners.
+/// The connection to the shared counter; times in ms.
 #[derive(Clone, Debug)]
-pub struct Counter {
-    /// Where it is.
+pub struct CounterConfig {
+    /// The address of the counter's server.
     pub address: SocketAddr,
-    /// For AUTH.
+    /// The password for AUTH.
     pub password: Option<String>,
-    /// A call is given up after this, in ms.
-    pub timeout: f64,
-    /// A silent connection is replaced after this, in ms.
-    pub dead_after: f64,
-    /// The longest wait before connecting again, in ms.
-    pub longest_wait: f64,
+    /// A call without an answer fails after this.
+    pub call_timeout: f64,
+    /// A connection on which nothing is answered for this long is replaced.
+    pub unresponsive_timeout: f64,
+    /// The longest backoff before a new connection.
+    pub max_backoff: f64,
 }
 
-/// A node as the decisions know it, and its address.
+/// A node of the settings.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// For the decisions.
+    /// Its entry in the backend list of the decision library.
     pub entry: BackendEntry,
-    /// For the sockets.
+    /// The address to connect to.
     pub address: SocketAddr,
 }
 
-/// How nodes are chosen, for the decisions, and where a request names its node, for the fronts.
+/// How nodes are chosen, and where a request carries the id of its sticky session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
-    /// For the decisions.
-    pub balance: doorcourse::LoadBalancing,
-    /// For the decisions.
-    pub strict: bool,
-    /// The cookie with a session's id; empty for none.
+    /// How a node is chosen among those that may serve a request.
+    pub load_balancing: doorcourse::LoadBalancing,
+    /// Whether a request is refused rather than served by a node outside its route, failover route and group.
+    pub strict_affinity: bool,
+    /// The name of the cookie with the session id; empty for none.
     pub cookie: String,
-    /// The parameter with it; empty for none.
+    /// The name of the URL parameter with the session id; empty for none.
     pub parameter: String,
 }
 
-/// As a reload and `import diff` report it; recorded texts hold this form.
+/// The form in which a reload and `import diff` report it. It keeps the names of the settings.
 impl std::fmt::Display for Routing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { balance, strict, cookie, parameter } = self;
-        let balance = match balance {
+        let Self { load_balancing, strict_affinity, cookie, parameter } = self;
+        let balance = match load_balancing {
             doorcourse::LoadBalancing::LeastInFlight => "Outstanding",
             doorcourse::LoadBalancing::WeightedRoundRobin => "Requests",
             doorcourse::LoadBalancing::WeightedLeastInFlight => "Busyness",
         };
         write!(
             f,
-            "Routing {{ balance: {balance}, strict: {strict}, cookie: {cookie:?}, parameter: {parameter:?} }}"
+            "Routing {{ balance: {balance}, strict: {strict_affinity}, cookie: {cookie:?}, parameter: {parameter:?} }}"
         )
     }
 }
 
-/// A node list file.
+/// The content of a node list file.
 #[derive(Clone, Debug)]
-pub struct NodeFile {
-    /// Its nodes.
+pub struct NodeList {
+    /// All nodes.
     pub nodes: Vec<Node>,
-    /// Its routing, which goes before that of the settings.
+    /// The routing of the file. It takes precedence over the routing of the settings.
     pub routing: Option<Routing>,
 }
 
-/// A customer, found by one of its keys.
+/// A customer.
 #[derive(Clone, Debug)]
 pub struct Customer {
     /// Its name.
     pub name: Name,
-    /// The number of its plan in the settings.
-    pub plan: usize,
-    /// The first gateway its requests come in through.
-    pub first: u32,
-    /// Through how many.
-    pub spread: u32,
+    /// The index of its plan in the settings.
+    pub plan_index: usize,
+    /// The number of the first gateway that its requests arrive at.
+    pub first_gateway: u32,
+    /// How many gateways its requests arrive at, counted from the first.
+    pub gateway_count: u32,
 }
 
-/// Bounds of the gateway; times in ms. `proto/settings.proto` says what each is.
+/// The limits of the gateway; times are in ms. `proto/settings.proto` describes each. A reload reports them in their
+/// `Debug` form, so the names of the fields are part of the admin replies.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct Limits {
@@ -136,99 +137,100 @@
     pub unread_time: f64,
 }
 
-/// Where what was learnt is kept; times in ms.
+/// The file in which a gateway saves what it has learnt of the nodes; times in ms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StateFile {
-    /// The file.
+pub struct StateFileConfig {
+    /// The path of the file, relative to the settings file.
     pub file: String,
-    /// How often it is written.
-    pub every: f64,
-    /// One older than this is left aside.
-    pub longest_age: f64,
+    /// The interval between two saves.
+    pub save_interval: f64,
+    /// An older file is not used.
+    pub max_age: f64,
 }
 
-/// Times of the process's life, in ms.
+/// The times of a drain and of a takeover, in ms. A reload reports them in their `Debug` form, so the names of the
+/// fields are part of the admin replies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Life {
-    /// Between "not ready" and closed listeners.
+    /// The time between the report "not ready" and the closing of the listeners.
     pub notice: f64,
-    /// What is out has this long at a drain.
+    /// The time that requests in flight have to finish at a drain, from the closing of the listeners.
     pub drain: f64,
-    /// A process that takes over has this long to serve.
+    /// The time that a process that takes over has until it serves.
     pub handover: f64,
-    /// Connections on which nothing was heard for this long at a drain are closed.
+    /// At a drain, idle connections are closed once no client has sent a byte for this long.
     pub quiet: f64,
-    /// Blocks have this long to go back.
+    /// The time that quota leases have to be returned to the counter.
     pub give_back: f64,
 }
 
-/// Settings that passed every check.
+/// Settings that have passed all checks.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// For the decision library.
+    /// The settings of the decision library.
     pub decisions: doorcourse::Settings,
-    /// Where clients are served.
+    /// The addresses that clients connect to.
     pub listen: Vec<SocketAddr>,
-    /// The endpoint's path.
-    pub path: String,
-    /// The shared counter.
-    pub counter: Option<Counter>,
-    /// The nodes of the settings themselves.
+    /// The path of the GraphQL endpoint.
+    pub endpoint_path: String,
+    /// The connection to the shared counter; `None` if the process counts alone.
+    pub counter: Option<CounterConfig>,
+    /// The nodes in the settings; empty if they are in a node list file.
     pub nodes: Vec<Node>,
-    /// A file of nodes beside the settings, and how often to look at it in ms.
+    /// The path of the node list file, and the interval in ms at which it is checked for a change.
     pub node_list: Option<(String, f64)>,
-    /// How nodes are chosen and where a request names its node.
+    /// How nodes are chosen, and where a request carries its session id.
     pub routing: Routing,
-    /// How long a client of each class waits, in ms.
-    pub give_up: Vec<f64>,
-    /// The class of each root field, of queries and of mutations.
+    /// How long a client of each class waits for its response if it states no deadline, in ms.
+    pub client_timeouts: Vec<f64>,
+    /// The index of the class of each root field of queries.
     pub query_classes: BTreeMap<String, usize>,
-    /// See `query_classes`.
+    /// The index of the class of each root field of mutations.
     pub mutation_classes: BTreeMap<String, usize>,
-    /// Customers by the SHA-256 of their keys.
-    pub customers: HashMap<[u8; 32], Arc<Customer>>,
-    /// The schema.
+    /// The customers by the SHA-256 of their keys.
+    pub customers_by_key: HashMap<[u8; 32], Arc<Customer>>,
+    /// The GraphQL schema.
     pub schema: Arc<Schema>,
-    /// Bounds on documents.
+    /// The limits of a GraphQL document.
     pub query_limits: QueryLimits,
-    /// How deep an answer may nest.
-    pub answer_depth: usize,
-    /// Whether introspection is answered.
+    /// How deep a response of a node may nest.
+    pub max_response_depth: usize,
+    /// Whether introspection queries are allowed.
     pub introspection: bool,
-    /// Bounds of the gateway.
+    /// The limits of the gateway.
     pub limits: Limits,
-    /// Where who watches asks.
-    pub health: Option<SocketAddr>,
-    /// The path of the admin socket.
-    pub admin: Option<String>,
-    /// Where what was learnt is kept.
-    pub state: Option<StateFile>,
-    /// Times of the process's life.
+    /// The address that serves health checks and metrics.
+    pub health_listen: Option<SocketAddr>,
+    /// The path of the admin socket, relative to the settings file.
+    pub admin_socket: Option<String>,
+    /// The file that keeps what the gateway has learnt of the nodes.
+    pub state_file: Option<StateFileConfig>,
+    /// The times of a drain and of a takeover.
     pub life: Life,
-    /// How the gateways hear of each other.
+    /// The link to the other gateways; `None` if there is none.
     pub link: Option<LinkConfig>,
-    /// What is done under a lease.
+    /// The leases and the work that needs them.
     pub leases: Option<LeaseConfig>,
 }
 
 impl Config {
-    /// Takes over the routing of a node list file, which goes before that of the settings.
+    /// Replaces the routing with that of a node list file, which takes precedence over that of the settings.
     pub fn set_routing(&mut self, routing: Routing) {
         (self.decisions.routing.load_balancing, self.decisions.routing.strict_affinity) =
-            (routing.balance, routing.strict);
+            (routing.load_balancing, routing.strict_affinity);
         self.routing = routing;
     }
 
     /// The customer that a key belongs to.
     #[must_use]
-    pub fn customer(&self, key: &[u8]) -> Option<&Arc<Customer>> {
+    pub fn customer_of_key(&self, key: &[u8]) -> Option<&Arc<Customer>> {
         use sha2::Digest;
-        self.customers.get::<[u8; 32]>(&sha2::Sha256::digest(key).into())
+        self.customers_by_key.get::<[u8; 32]>(&sha2::Sha256::digest(key).into())
     }
 
-    /// The class of a root field.
+    /// The index of the class of a root field.
     #[must_use]
-    pub fn class_of(&self, kind: OperationKind, field: &str) -> Option<usize> {
+    pub fn class_of_root_field(&self, kind: OperationKind, field: &str) -> Option<usize> {
         match kind {
             OperationKind::Query => self.query_classes.get(field).copied(),
             OperationKind::Mutation => self.mutation_classes.get(field).copied(),
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,34 +1,35 @@
-//! Where each field of a text-format source stands, so that a fault found after parsing names its line. It runs
-//! only on sources that the library has parsed, and never fails: a field it cannot find has no place.
+//! Finds the line and column of each field in a text-format source, so that a fault that is found after parsing names
+//! its position. It only runs on sources that `prost-reflect` has parsed, and never fails: a field that it does not
+//! find has no position.
 
 use std::collections::HashMap;
 
-/// A place: line and column from 1.
-pub type Place = (usize, usize);
+/// A line and a column, both counted from 1.
+pub type Position = (usize, usize);
 
-/// The places of all fields by path: `plans[1].rate`, `listen[0]`, `fleet.number`.
+/// The position of each field by its path: `plans[1].rate`, `listen[0]`, `fleet.number`.
 #[derive(Debug, Default)]
-pub struct Places {
-    places: HashMap<String, Place>,
+pub struct FieldPositions {
+    positions: HashMap<String, Position>,
 }
 
-impl Places {
-    /// Reads a source.
+impl FieldPositions {
+    /// Finds the positions of all fields in a source.
     #[must_use]
     pub fn new(source: &str) -> Self {
-        let mut reader = Reader { rest: source.chars().collect(), at: 0, place: (1, 1) };
-        let mut places = Self::default();
-        reader.message("", &mut places.places);
-        places
+        let mut reader = Reader { source: source.chars().collect(), offset: 0, position: (1, 1) };
+        let mut positions = Self::default();
+        reader.read_message("", &mut positions.positions);
+        positions
     }
 
-    /// The place of a field, or of the nearest message around it.
+    /// The position of a field; if the source lacks it, that of the nearest enclosing message.
     #[must_use]
-    pub fn find(&self, path: &str) -> Option<Place> {
+    pub fn find(&self, path: &str) -> Option<Position> {
         let mut path = path;
         loop {
-            // A single field is noted with an index as well.
-            let found = self.places.get(path).or_else(|| self.places.get(&format!("{path}[0]")));
+            // A field that is not repeated is recorded with the index 0 as well.
+            let found = self.positions.get(path).or_else(|| self.positions.get(&format!("{path}[0]")));
             if found.is_some() {
                 return found.copied();
             }
@@ -38,28 +39,29 @@
 }
 
 struct Reader {
-    rest: Vec<char>,
-    at: usize,
-    place: Place,
+    source: Vec<char>,
+    offset: usize,
+    position: Position,
 }
 
 impl Reader {
     fn peek(&self) -> Option<char> {
-        self.rest.get(self.at).copied()
+        self.source.get(self.offset).copied()
     }
 
     fn next(&mut self) -> Option<char> {
         let c = self.peek()?;
-        self.at += 1;
-        self.place = if c == '\n' { (self.place.0 + 1, 1) } else { (self.place.0, self.place.1 + 1) };
+        self.offset += 1;
+        self.position =
+            if c == '\n' { (self.position.0 + 1, 1) } else { (self.position.0, self.position.1 + 1) };
         Some(c)
     }
 
-    fn skip(&mut self) {
-        self.skip_over(",;");
+    fn skip_separators(&mut self) {
+        self.skip_blanks_and(",;");
     }
 
-    fn skip_over(&mut self, separators: &str) {
+    fn skip_blanks_and(&mut self, separators: &str) {
         while let Some(c) = self.peek() {
             match c {
                 '#' => {
@@ -73,81 +75,88 @@
         }
     }
 
-    fn message(&mut self, path: &str, places: &mut HashMap<String, Place>) {
+    fn read_message(&mut self, path: &str, positions: &mut HashMap<String, Position>) {
         let mut counts: HashMap<String, usize> = HashMap::new();
         loop {
-            self.skip();
-            let place = self.place;
+            self.skip_separators();
+            let position = self.position;
             let mut name = String::new();
             while let Some(c) = self.peek().filter(|c| c.is_alphanumeric() || *c == '_' || *c == '.') {
                 name.push(c);
                 self.next();
             }
             if name.is_empty() {
-                // The end of this message or of the source.
+                // This is the end of the message or of the source.
                 self.next();
                 return;
             }
-            self.skip();
+            self.skip_separators();
             if self.peek() == Some(':') {
                 self.next();
-                self.skip();
+                self.skip_separators();
             }
-            let list = self.peek() == Some('[');
-            if list {
+            let is_list = self.peek() == Some('[');
+            if is_list {
                 self.next();
             }
             loop {
-                self.skip();
-                let place = if list { self.place } else { place };
-                if list && self.peek().is_none_or(|c| c == ']') {
+                self.skip_separators();
+                let position = if is_list { self.position } else { position };
+                if is_list && self.peek().is_none_or(|c| c == ']') {
                     self.next();
                     break;
                 }
                 let count = counts.entry(name.clone()).or_default();
-                let dot = if path.is_empty() { "" } else { "." };
-                let full = format!("{path}{dot}{name}[{count}]");
+                let separator = if path.is_empty() { "" } else { "." };
+                let indexed_path = format!("{path}{separator}{name}[{count}]");
                 *count += 1;
-                places.insert(full.clone(), place);
+                positions.insert(indexed_path.clone(), position);
                 match self.peek() {
                     Some('{' | '<') => {
                         self.next();
-                        // A message that is not repeated has its path without the index.
-                        let inner = if full.ends_with("[0]") { full.trim_end_matches("[0]") } else { &full };
-                        self.message_at(&full, inner, places);
+                        // The fields of a message are also recorded without the index 0: the path of a message that is
+                        // not repeated has none.
+                        let short_path = if indexed_path.ends_with("[0]") {
+                            indexed_path.trim_end_matches("[0]")
+                        } else {
+                            &indexed_path
+                        };
+                        self.read_nested_message(&indexed_path, short_path, positions);
                     }
-                    _ => self.scalar(),
+                    _ => self.skip_scalar(),
                 }
-                if !list {
+                if !is_list {
                     break;
                 }
             }
         }
     }
 
-    fn message_at(&mut self, full: &str, short: &str, places: &mut HashMap<String, Place>) {
+    fn read_nested_message(
+        &mut self, indexed_path: &str, short_path: &str, positions: &mut HashMap<String, Position>,
+    ) {
         let mut inner = HashMap::new();
-        self.message("", &mut inner);
-        for (path, place) in inner {
-            places.insert(format!("{full}.{path}"), place);
-            places.insert(format!("{short}.{path}"), place);
+        self.read_message("", &mut inner);
+        for (path, position) in inner {
+            positions.insert(format!("{indexed_path}.{path}"), position);
+            positions.insert(format!("{short_path}.{path}"), position);
         }
     }
 
-    fn scalar(&mut self) {
+    fn skip_scalar(&mut self) {
         while let Some(c) = self.peek() {
             match c {
                 '"' | '\'' => {
                     self.next();
-                    while let Some(d) = self.next() {
-                        if d == '\\' {
+                    while let Some(in_string) = self.next() {
+                        if in_string == '\\' {
                             self.next();
-                        } else if d == c {
+                        } else if in_string == c {
                             break;
                         }
                     }
-                    // Strings side by side are one.
-                    self.skip_over("");
+                    // Adjacent strings are one value.
+                    self.skip_blanks_and("");
                     if !matches!(self.peek(), Some('"' | '\'')) {
                         return;
                     }
@@ -166,13 +175,13 @@
     #[test]
     fn places_of_fields() {
         let source = "fleet { gateways: 3 number: 1 }\nlisten: [\"a\",\n  \"b}\"]\nplans {\n  name: 'x' 'y' # }\n  rate: 1\n}\nplans <\n rate: 2 >";
-        let places = Places::new(source);
-        assert_eq!(places.find("fleet.number"), Some((1, 21)));
-        assert_eq!(places.find("listen[1]"), Some((3, 3)));
-        assert_eq!(places.find("plans[0].rate"), Some((6, 3)));
-        assert_eq!(places.find("plans[1].rate"), Some((9, 2)));
-        // What is missing is told at the message that lacks it.
-        assert_eq!(places.find("plans[1].burst"), Some((8, 1)));
-        assert_eq!(places.find("counter.address"), None);
+        let positions = FieldPositions::new(source);
+        assert_eq!(positions.find("fleet.number"), Some((1, 21)));
+        assert_eq!(positions.find("listen[1]"), Some((3, 3)));
+        assert_eq!(positions.find("plans[0].rate"), Some((6, 3)));
+        assert_eq!(positions.find("plans[1].rate"), Some((9, 2)));
+        // A missing field has the position of the message that lacks it.
+        assert_eq!(positions.find("plans[1].burst"), Some((8, 1)));
+        assert_eq!(positions.find("counter.address"), None);
     }
 }
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,16 +1,17 @@
-//! Reads the settings object. A missing key reads as its zero value, an unknown key is skipped, a value of the wrong
-//! type is an error that names the field.
+//! Reads the settings object. A missing key has the zero value of its type, an unknown key is ignored, and a value of
+//! the wrong type is an error that names the key.
 
 use doorcourse::{
     DeduplicationScope, Idempotency, LoadReportSource, Millis, Name, Plan, RequestClass, Routing, Settings,
 };
 use serde_json::Value;
 
-/// One object of the settings.
+/// A JSON object in the settings. The readers of its values return the zero value for a missing key or `null`.
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
-    fn of(value: &'a Value, key: &str) -> Result<Self, String> {
+    /// The nested object under `key`, or an empty one if the key is missing.
+    fn nested(value: &'a Value, key: &str) -> Result<Self, String> {
         match value.get(key) {
             None => Ok(Self(&Value::Null)),
             Some(v) if v.is_object() => Ok(Self(v)),
@@ -18,12 +19,13 @@
         }
     }
 
+    /// The value under `key` as `convert` returns it; `expected` names the type in the error.
     fn typed<T>(
-        &self, key: &str, what: &str, zero: T, get: impl Fn(&'a Value) -> Option<T>,
+        &self, key: &str, expected: &str, zero: T, convert: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, String> {
         match self.0.get(key) {
             None | Some(Value::Null) => Ok(zero),
-            Some(v) => get(v).ok_or_else(|| format!("settings: {key} is not {what}")),
+            Some(v) => convert(v).ok_or_else(|| format!("settings: {key} is not {expected}")),
         }
     }
 
@@ -31,15 +33,15 @@
         self.typed(key, "a number", 0.0, Value::as_f64)
     }
 
-    fn count(&self, key: &str) -> Result<u32, String> {
+    fn integer(&self, key: &str) -> Result<u32, String> {
         self.typed(key, "a small whole number", 0, |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
     }
 
-    fn flag(&self, key: &str) -> Result<bool, String> {
+    fn boolean(&self, key: &str) -> Result<bool, String> {
         self.typed(key, "true or false", false, Value::as_bool)
     }
 
-    fn text(&self, key: &str) -> Result<&'a str, String> {
+    fn string(&self, key: &str) -> Result<&'a str, String> {
         self.typed(key, "a text", "", Value::as_str)
     }
 
@@ -48,58 +50,58 @@
     }
 }
 
-/// The settings that only the host of the decisions needs.
+/// The settings that only the host of the decision library needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostSettings {
-    /// Timeout of a connect to a backend, in ms.
+    /// The timeout of a connect to a backend, in ms.
     pub connect_timeout: Millis,
-    /// Backends close a connection that was idle for this long, in ms; 0 for never.
+    /// How long a connection may be idle before its backend closes it, in ms; 0 if it never does.
     pub backend_idle_timeout: Millis,
-    /// Requests that one connection to a backend carries at once, at most.
+    /// The most requests in flight on one connection to a backend.
     pub requests_per_connection: u32,
     /// Whether a request may have two attempts in flight (hedged requests).
     pub hedging_allowed: bool,
-    /// Whether rejected clients may be told when to retry.
+    /// Whether the response to a rejected client may say when to retry.
     pub retry_after_allowed: bool,
-    /// How long requests may still be sent to a backend after the endpoint list says that it drains, in ms.
+    /// How long a backend may still be sent requests after the endpoint list has marked it as draining, in ms.
     pub drain_grace: Millis,
     /// How long after a client's deadline a final response still counts, in ms.
     pub response_slack: Millis,
-    /// The longest client timeout of each class, in ms, in the order of the decisions' classes.
+    /// The longest client timeout of each class, in ms, in the order of [`Settings::classes`].
     pub client_timeouts: Vec<Millis>,
 }
 
-/// The settings of a deployment, for the decisions and for their host.
+/// The settings of a deployment, for the decision library and for its host.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The settings of the decisions.
+    /// The settings of the decision library.
     pub settings: Settings,
-    /// The settings of their host.
+    /// The settings of its host.
     pub host: HostSettings,
 }
 
-/// Reads the settings object in a text; unknown keys are skipped.
+/// Parses the settings object from JSON; unknown keys are ignored.
 ///
 /// # Errors
-/// A line that names the field at fault.
+/// One line that names the key with the fault.
 pub fn parse(text: &str) -> Result<Deployment, String> {
     read(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
 }
 
-/// Reads the settings object; unknown keys are skipped.
+/// Reads the settings object; unknown keys are ignored.
 ///
 /// # Errors
-/// A line that names the field at fault.
+/// One line that names the key with the fault.
 pub fn read(root: &Value) -> Result<Deployment, String> {
     if !root.is_object() {
         return Err("settings: not an object".into());
     }
     let top = Object(root);
-    let extra = Object::of(root, "extra")?;
-    let permissions = Object::of(root, "permissions")?;
-    let rules = Object::of(root, "rules")?;
-    let prices = Object::of(root, "prices")?;
-    let reports = match Object::of(root, "load-info")?.text("source")? {
+    let extra = Object::nested(root, "extra")?;
+    let permissions = Object::nested(root, "permissions")?;
+    let rules = Object::nested(root, "rules")?;
+    let prices = Object::nested(root, "prices")?;
+    let load_reports = match Object::nested(root, "load-info")?.string("source")? {
         "inline" => LoadReportSource::Responses,
         "on_probe" => LoadReportSource::HealthChecks,
         "off" | "" => LoadReportSource::None,
@@ -107,22 +109,22 @@
     };
     let classes = top.list("classes")?;
     let settings = Settings {
-        gateway_count: top.count("fleet-size")?,
-        gateway_index: top.count("my-number")?,
-        zone: Name::from(top.text("locality")?),
+        gateway_count: top.integer("fleet-size")?,
+        gateway_index: top.integer("my-number")?,
+        zone: Name::from(top.string("locality")?),
         tick: top.number("period-ms")?,
         classes: classes.iter().map(class).collect::<Result<_, _>>()?,
         plans: top.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
-        has_counter: extra.flag("has-counter")?,
+        has_counter: extra.boolean("has-counter")?,
         counter_timeout: extra.number("count-limit-ms")?,
-        responses_report_units: extra.flag("trued-up")?,
+        responses_report_units: extra.boolean("trued-up")?,
         max_request_units: extra.number("units-top")?,
-        load_reports: reports,
-        health_checks_allowed: permissions.flag("probes")?,
-        gossip_allowed: permissions.flag("peers")?,
-        cancellation_allowed: permissions.flag("may-cancel")?,
-        watch_on_request: top.text("discovery")? == "on_request",
-        max_attempts: permissions.count("most-tries")?,
+        load_reports,
+        health_checks_allowed: permissions.boolean("probes")?,
+        gossip_allowed: permissions.boolean("peers")?,
+        cancellation_allowed: permissions.boolean("may-cancel")?,
+        watch_on_request: top.string("discovery")? == "on_request",
+        max_attempts: permissions.integer("most-tries")?,
         max_retry_after: permissions.number("max-retry-after-ms")?,
         slow_start_share: rules.number("cold-from")?,
         slow_start_duration: rules.number("cold-ms")?,
@@ -134,9 +136,9 @@
     let host = HostSettings {
         connect_timeout: permissions.number("dial-timeout-ms")?,
         backend_idle_timeout: permissions.number("keepalive-ms")?,
-        requests_per_connection: permissions.count("max-streams")?,
-        hedging_allowed: permissions.flag("second-copies")?,
-        retry_after_allowed: permissions.flag("retry-after")?,
+        requests_per_connection: permissions.integer("max-streams")?,
+        hedging_allowed: permissions.boolean("second-copies")?,
+        retry_after_allowed: permissions.boolean("retry-after")?,
         drain_grace: rules.number("drain-grace-ms")?,
         response_slack: rules.number("answer-slack-ms")?,
         client_timeouts: classes
@@ -150,15 +152,15 @@
 fn class(value: &Value) -> Result<RequestClass, String> {
     let class = Object(value);
     Ok(RequestClass {
-        name: Name::from(class.text("name")?),
+        name: Name::from(class.string("name")?),
         latency_objective: class.number("goal-time-ms")?,
-        idempotency: match class.text("effect")? {
+        idempotency: match class.string("effect")? {
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::WithKey,
             "at_most_once" => Idempotency::NonIdempotent,
             other => return Err(format!("settings: unknown effect {other}")),
         },
-        deduplication_scope: match class.text("dedup-scope")? {
+        deduplication_scope: match class.string("dedup-scope")? {
             "all" | "" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
@@ -173,10 +175,10 @@
 fn plan(value: &Value) -> Result<Plan, String> {
     let plan = Object(value);
     Ok(Plan {
-        name: Name::from(plan.text("name")?),
+        name: Name::from(plan.string("name")?),
         rate: plan.number("refill")?,
         burst: plan.number("burst")?,
-        max_in_flight: plan.count("parallel")?,
+        max_in_flight: plan.integer("parallel")?,
         ceiling_rate: plan.number("cap-rate")?,
         ceiling_burst: plan.number("ceiling-burst")?,
         ceiling_slack: plan.number("ceiling-slack")?,
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -70,7 +70,7 @@
         let incarnation = seed | 1;
         let mut fleet = Self {
             gateway,
-            endpoint_path: config.path.clone(),
+            endpoint_path: config.endpoint_path.clone(),
             link: PeerLink::new(now, link_config, gateway, incarnation)?,
             leases: None,
             calls: CallSchedules::default(),
@@ -114,7 +114,7 @@
         self.calls.configure(now, &config.tasks);
         let monitor = self.outliers.take();
         self.outliers =
-            config.suspects.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
+            config.outlier_gossip.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
     }
 
     /// Releases all leases, closes the connections, and releases the address for a process that takes over.
--- a/crates/http-gateway/src/graphql_front/operation.rs
+++ b/crates/http-gateway/src/graphql_front/operation.rs
@@ -78,7 +78,7 @@
 /// The index of the operation's class: the strictest of its root fields.
 fn class_index(config: &Config, media: MediaType, operation: &PreparedOperation) -> Result<usize, Response> {
     let kind = operation.kind();
-    let classes = operation.root_fields().iter().filter_map(|field| config.class_of(kind, field));
+    let classes = operation.root_fields().iter().filter_map(|field| config.class_of_root_field(kind, field));
     operation_class(&config.decisions.classes, classes)
         .ok_or_else(|| error(media, 400, "NO_CLASS", "the operation belongs to no class"))
 }
@@ -86,7 +86,7 @@
 /// Rejects an operation that costs more than the customer's plan can ever hold. The response has no `Retry-After`,
 /// because waiting does not help.
 fn check_cost(config: &Config, head: &RequestHead, units: f64) -> Result<(), Response> {
-    let plan = &config.decisions.plans[head.customer.plan];
+    let plan = &config.decisions.plans[head.customer.plan_index];
     check_plan_capacity(plan, units).map_err(|ExceedsPlanCapacity { capacity }| {
         let message = format!("the operation costs {units} units, the plan never holds more than {capacity}");
         error(head.media, 429, "COST_EXCEEDS_PLAN", &message)
@@ -98,8 +98,13 @@
     config: &Config, head: &RequestHead, class: usize, elapsed: Millis,
 ) -> Result<Millis, Response> {
     let limits = &config.limits;
-    request_timeout(config.give_up[class], head.deadline, limits.longest_deadline, limits.answer_margin)
-        .map(|timeout| timeout - elapsed)
-        .filter(|timeout| *timeout > 0.0)
-        .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
+    request_timeout(
+        config.client_timeouts[class],
+        head.deadline,
+        limits.longest_deadline,
+        limits.answer_margin,
+    )
+    .map(|timeout| timeout - elapsed)
+    .filter(|timeout| *timeout > 0.0)
+    .ok_or_else(|| error(head.media, 504, "DEADLINE_PASSED", "no time is left for an answer"))
 }
