--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::{Args, Subcommand, ValueEnum};
 use doorcourse_import::{
-    CODES, Difference, FileError, Files, Finding, Limits, Node, Request, Role, Severity, Source, TABLE,
-    Wanted, apache, diff,
+    CODES, ConvertOptions, Difference, FileError, Files, Finding, ImportRequest, Limits, Node, PARAMETERS,
+    Role, Severity, Source, apache, diff,
 };
 use std::io::Write;
 use std::net::IpAddr;
@@ -135,14 +135,20 @@
 pub fn run(command: Import) -> anyhow::Result<ExitCode> {
     match command {
         Import::Apache { files, define, httpd_version, common } => {
-            let options =
+            let apache_options =
                 apache::Options { defines: define, version: httpd_version, limits: Limits::default() };
-            let request = Request { apache: names(&files), options, ..Request::default() };
+            let request =
+                ImportRequest { apache_files: names(&files), apache_options, ..ImportRequest::default() };
             carry(request, &common)
         }
-        Import::ModJk { files, map, common } => {
-            carry(Request { workers: names(&files), maps: names(&map), ..Request::default() }, &common)
-        }
+        Import::ModJk { files, map, common } => carry(
+            ImportRequest {
+                worker_files: names(&files),
+                uri_map_files: names(&map),
+                ..ImportRequest::default()
+            },
+            &common,
+        ),
         Import::Diff { old, new, format } => differ(&old, &new, format),
         Import::Table => {
             say_on!("{}", table());
@@ -157,19 +163,19 @@
     }
 }
 
-fn carry(mut request: Request, common: &Common) -> anyhow::Result<ExitCode> {
+fn carry(mut request: ImportRequest, common: &Common) -> anyhow::Result<ExitCode> {
     let host = |text: &String| -> anyhow::Result<(String, IpAddr)> {
         let (name, address) = text.split_once('=').context("--host: NAME=ADDRESS is wanted")?;
         let address = address.parse().with_context(|| format!("--host: {address} is no address"))?;
         Ok((name.to_ascii_lowercase(), address))
     };
     let hosts = common.host.iter().map(host).collect::<Result<_, _>>()?;
-    request.wanted = Wanted { balancer: common.balancer.clone(), hosts };
+    request.convert_options = ConvertOptions { balancer: common.balancer.clone(), hosts };
     let disk = Disk { root: common.root.clone() };
     let (carried, findings) = doorcourse_import::import(&disk, &request);
     match common.format {
-        Format::Text => eprint!("{}", findings.text(&disk)),
-        Format::Json => eprintln!("{}", findings.json()),
+        Format::Text => eprint!("{}", findings.to_text(&disk)),
+        Format::Json => eprintln!("{}", findings.to_json()),
     }
     let count = |wanted| findings.all().iter().filter(|f: &&Finding| f.severity == wanted).count();
     let (about, left) = (count(Severity::Approximated), count(Severity::LeftOut));
@@ -178,7 +184,7 @@
         eprintln!("doorcourse: {left} left out: no list, as --strict wants it");
         return Ok(ExitCode::FAILURE);
     }
-    let text = carried.print();
+    let text = carried.to_text();
     match &common.out {
         None => say_on!("{text}"),
         Some(file) => write_whole(file, &text).with_context(|| file.display().to_string())?,
@@ -242,18 +248,18 @@
         address: node.address.to_string(),
         resolved: true,
         weight: place.weight,
-        tier: place.priority_level,
+        priority_level: place.priority_level,
         role: match place.role {
             doorcourse_config::BackendRole::Active => Role::Active,
             doorcourse_config::BackendRole::Standby => Role::Standby,
             doorcourse_config::BackendRole::Spare => Role::Spare,
-            doorcourse_config::BackendRole::StickyOnly => Role::Bound,
+            doorcourse_config::BackendRole::StickyOnly => Role::StickyOnly,
         },
         draining: node.entry.state != doorcourse_config::BackendState::Ready,
         route: place.sticky_route.to_string(),
         redirect: place.failover_route.to_string(),
         group: place.failover_group.to_string(),
-        place: doorcourse_import::Place::default(),
+        location: doorcourse_import::SourceLocation::default(),
     }
 }
 
@@ -261,13 +267,13 @@
     let mut text = String::from(
         "| from | of | name | fate | how, or what to do instead |\n| --- | --- | --- | --- | --- |\n",
     );
-    for row in TABLE {
+    for row in PARAMETERS {
         let source = if row.source == Source::Apache { "httpd" } else { "mod_jk" };
         let scope = format!("{:?}", row.scope).to_lowercase();
-        let fate = match row.fate {
-            doorcourse_import::Fate::Carried => "carried over",
-            doorcourse_import::Fate::Approximated => "approximated",
-            doorcourse_import::Fate::LeftOut => "left out",
+        let fate = match row.conversion {
+            doorcourse_import::Conversion::Carried => "carried over",
+            doorcourse_import::Conversion::Approximated => "approximated",
+            doorcourse_import::Conversion::LeftOut => "left out",
         };
         text.push_str(&format!("| {source} | {scope} | `{}` | {fate} | {} |\n", row.name, row.note));
     }
--- a/crates/import/src/finding.rs
+++ b/crates/import/src/finding.rs
@@ -1,6 +1,6 @@
-//! What an import has to say.
+//! Findings of an import, with stable codes.
 
-use crate::files::{Files, Place};
+use crate::files::{Files, SourceLocation};
 use serde::Serialize;
 use std::collections::HashSet;
 
@@ -8,18 +8,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// Nothing is lost; good to know.
+    /// Nothing is lost; for information.
     Note,
-    /// Carried over with a difference in some trouble.
+    /// Carried over with a difference in some situations.
     Approximated,
     /// Not carried over.
     LeftOut,
-    /// The file cannot be used as it is; there is no node list.
+    /// The file cannot be used as it is; no node list is produced.
     Error,
 }
 
 impl Severity {
-    /// The word for people.
+    /// The severity as printed for people.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -31,20 +31,21 @@
     }
 }
 
-/// One thing to say, with a stable code.
+/// Something an import reports, with a stable code.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The code; `CODES` has them all.
+    /// The code; `CODES` lists all of them.
     pub code: &'static str,
     /// How much it matters.
     pub severity: Severity,
-    /// Where.
-    pub place: Place,
-    /// A sentence: what, and what to do instead.
+    /// The file and line that it refers to.
+    #[serde(rename = "place")]
+    pub location: SourceLocation,
+    /// A sentence that says what was found and what to do instead.
     pub message: String,
 }
 
-/// Every code, its severity and what it means.
+/// Every code with its severity and meaning.
 pub const CODES: &[(&str, Severity, &str)] = &[
     ("A001", Severity::Error, "a file that cannot be read"),
     ("A002", Severity::Error, "a section that is not closed, or closed by another name"),
@@ -90,68 +91,68 @@
     ("J008", Severity::Approximated, "a balancer within a balancer: its members are taken in"),
 ];
 
-/// What a code means.
+/// The meaning of a code.
 #[must_use]
 pub fn explain(code: &str) -> Option<&'static str> {
     CODES.iter().find(|(c, _, _)| *c == code).map(|(_, _, text)| *text)
 }
 
-/// Findings in the order they were made, each said once.
+/// Findings in the order in which they were added, without duplicates.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     all: Vec<Finding>,
-    seen: HashSet<(&'static str, Place, String)>,
+    seen: HashSet<(&'static str, SourceLocation, String)>,
 }
 
-/// More findings than these are counted and not kept: nobody reads on, and a hostile file has millions.
-const KEPT: usize = 10_000;
+/// Further findings are dropped: nobody reads that many, and a hostile file can cause millions.
+const MAX_FINDINGS: usize = 10_000;
 
 impl Findings {
-    /// Adds one; its severity is the code's.
-    pub fn add(&mut self, code: &'static str, place: &Place, message: impl Into<String>) {
+    /// Adds a finding with the severity of its code.
+    pub fn add(&mut self, code: &'static str, location: &SourceLocation, message: impl Into<String>) {
         let severity = CODES.iter().find(|(c, _, _)| *c == code).map_or(Severity::Error, |(_, s, _)| *s);
         let message = message.into();
-        if self.all.len() < KEPT && self.seen.insert((code, place.clone(), message.clone())) {
-            self.all.push(Finding { code, severity, place: place.clone(), message });
+        if self.all.len() < MAX_FINDINGS && self.seen.insert((code, location.clone(), message.clone())) {
+            self.all.push(Finding { code, severity, location: location.clone(), message });
         }
     }
 
-    /// All of them.
+    /// All findings in order.
     #[must_use]
     pub fn all(&self) -> &[Finding] {
         &self.all
     }
 
-    /// Whether there is one as bad as this.
+    /// Whether there is a finding of at least this severity.
     #[must_use]
-    pub fn any(&self, severity: Severity) -> bool {
+    pub fn any_at_least(&self, severity: Severity) -> bool {
         self.all.iter().any(|f| f.severity >= severity)
     }
 
-    /// For people: each with its line shown.
+    /// Formats the findings for people, each with the line that it refers to.
     #[must_use]
-    pub fn text(&self, files: &dyn Files) -> String {
+    pub fn to_text(&self, files: &dyn Files) -> String {
         let mut sources = std::collections::HashMap::new();
         let mut text = String::new();
         for finding in &self.all {
-            let (place, severity) = (&finding.place, finding.severity.name());
-            text.push_str(&format!("{place}: {severity} [{}]: {}\n", finding.code, finding.message));
-            let lines: &Vec<String> = sources.entry(place.file.clone()).or_insert_with(|| {
-                let bytes = files.read(&place.file).unwrap_or_default();
+            let (location, severity) = (&finding.location, finding.severity.name());
+            text.push_str(&format!("{location}: {severity} [{}]: {}\n", finding.code, finding.message));
+            let lines: &Vec<String> = sources.entry(location.file.clone()).or_insert_with(|| {
+                let bytes = files.read(&location.file).unwrap_or_default();
                 String::from_utf8_lossy(&bytes).lines().map(str::to_owned).collect()
             });
-            let line = (place.line as usize).checked_sub(1).and_then(|at| lines.get(at));
+            let line = (location.line as usize).checked_sub(1).and_then(|at| lines.get(at));
             if let Some(line) = line.filter(|l| !l.trim().is_empty()) {
-                let short: String = line.trim().chars().filter(|c| !c.is_control()).take(110).collect();
-                text.push_str(&format!("    {short}\n"));
+                let excerpt: String = line.trim().chars().filter(|c| !c.is_control()).take(110).collect();
+                text.push_str(&format!("    {excerpt}\n"));
             }
         }
         text
     }
 
-    /// For programs: one JSON array.
+    /// Formats the findings as a JSON array.
     #[must_use]
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(&self.all).unwrap_or_default()
     }
 }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,14 +1,14 @@
-//! Reads Apache httpd balancer configuration and mod_jk worker files, and turns them into a node list.
+//! Reads Apache httpd balancer configuration and mod_jk worker files and converts them to a node list.
 //!
-//! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`carry`] -> [`Carried`] -> [`print`](Carried::print).
-//! Whatever a file says is carried over, approximated or left out, and each of the latter two leaves a [`Finding`]
-//! with a stable code and a place. It does no I/O: the caller lends it a [`Files`].
+//! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`convert`] -> [`NodeList`] -> [`to_text`](NodeList::to_text).
+//! Each setting is carried over, approximated or left out; the latter two add a [`Finding`] with a stable code and
+//! a source location. The crate does no I/O: the caller provides access to files through [`Files`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod apache;
-mod carry;
+mod convert;
 mod diff;
 mod files;
 mod finding;
@@ -16,59 +16,70 @@
 mod model;
 mod table;
 
-pub use carry::{Carried, Node, Role, Routing, Wanted, carry};
+pub use convert::{ConvertOptions, Node, NodeList, Role, Routing, convert};
 pub use diff::{Difference, diff};
-pub use files::{FileError, Files, InMemory, Place, join, matches};
+pub use files::{FileError, Files, InMemory, SourceLocation, fnmatch, resolve_path};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
-pub use model::{Balancer, Kind, Member, Model, Mount, Value};
-pub use table::{Fate, Parameter, Scope, Source, TABLE, parameter};
+pub use model::{Balancer, Member, Model, Mount, Protocol, Value};
+pub use table::{Conversion, PARAMETERS, Parameter, Scope, Source, find_parameter};
 
-/// Bounds on what is read, so that no file can take all memory or all time.
+/// Limits on what is read, which bound the memory and time that a file can take.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of one file. 64 MiB.
+    /// Bytes of one file. Default: 64 MiB.
     pub file_bytes: usize,
-    /// Bytes of all files together, each counted as often as it is read. 256 MiB.
+    /// Bytes of all files together, counted at each read, and of the text that macros and variables expand to.
+    /// Default: 256 MiB.
     pub all_bytes: usize,
-    /// Directives read in all, with macros and includes spread. 2,000,000.
+    /// Directives in all, after expansion of macros and includes. Default: 2,000,000.
     pub directives: usize,
-    /// Bytes of one line after continuation and after its variables are put in. 1 MiB.
+    /// Bytes of one line after joining continuation lines and expanding variables. Default: 1 MiB.
     pub line_bytes: usize,
-    /// How deep includes and macros may nest. 128, as httpd has it.
+    /// Nesting depth of includes and macros. Default: 128, as in httpd.
     pub depth: usize,
-    /// How deep sections may nest. 200.
+    /// Nesting depth of sections. Default: 200.
     pub sections: usize,
 }
 
-/// What an import is told.
+/// The arguments of an import.
 #[derive(Clone, Debug, Default)]
-pub struct Request {
-    /// The files of httpd's configuration, in order.
-    pub apache: Vec<String>,
-    /// The workers.properties files, in order; instead of httpd's.
-    pub workers: Vec<String>,
-    /// The uriworkermap.properties files beside them.
-    pub maps: Vec<String>,
-    /// What httpd's files alone do not tell.
-    pub options: apache::Options,
-    /// Which balancer, and addresses.
-    pub wanted: Wanted,
+pub struct ImportRequest {
+    /// httpd's configuration files, in reading order.
+    pub apache_files: Vec<String>,
+    /// workers.properties files, in reading order. If there are any, httpd's files are not read.
+    pub worker_files: Vec<String>,
+    /// uriworkermap.properties files, read together with workers.properties.
+    pub uri_map_files: Vec<String>,
+    /// Settings that httpd's files do not contain.
+    pub apache_options: apache::Options,
+    /// The balancer to convert, and addresses of host names.
+    pub convert_options: ConvertOptions,
 }
 
-/// Reads what is asked for and turns it into a node list; `None` after an error, which is among the findings.
+/// Reads the given files and converts them to a node list; `None` after an error, which is among the findings.
 #[must_use]
-pub fn import(files: &dyn Files, request: &Request) -> (Option<Carried>, Findings) {
+pub fn import(files: &dyn Files, request: &ImportRequest) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
-    let model = if request.workers.is_empty() {
-        let read = apache::import(files, &request.apache, &request.options, &mut findings);
-        carry::others(&read, request.apache.first().map_or("", String::as_str), &mut findings);
-        read.model
+    let model = if request.worker_files.is_empty() {
+        let config = apache::import(files, &request.apache_files, &request.apache_options, &mut findings);
+        convert::report_other_directives(
+            &config,
+            request.apache_files.first().map_or("", String::as_str),
+            &mut findings,
+        );
+        config.model
     } else {
-        jk::import(files, &request.workers, &request.maps, request.options.limits, &mut findings)
+        jk::import(
+            files,
+            &request.worker_files,
+            &request.uri_map_files,
+            request.apache_options.limits,
+            &mut findings,
+        )
     };
-    let main = request.workers.first().or(request.apache.first()).map_or("", String::as_str);
-    let carried = carry(&model, main, &request.wanted, &mut findings);
-    (carried, findings)
+    let main = request.worker_files.first().or(request.apache_files.first()).map_or("", String::as_str);
+    let node_list = convert(&model, main, &request.convert_options, &mut findings);
+    (node_list, findings)
 }
 
 impl Default for Limits {
