--- a/crates/conformance/src/acts.rs
+++ b/crates/conformance/src/acts.rs
@@ -1,62 +1,63 @@
-//! The rules of fleet-wide tasks, from what witnesses saw of each act alone, on one clock.
+//! Checks the rules of fleet-wide tasks from the acts that the task endpoints recorded, all on one clock.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One act as its receiver saw it. Times in ms on the witness's clock.
+/// An act of a lease holder as the task endpoint recorded it. Times are in ms on the clock of the endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Act {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Which gateway acted.
+    /// Number of the gateway that acted.
     pub gateway: u32,
-    /// Under which token.
+    /// Fencing token of the call.
     pub token: u64,
-    /// When it came, and when its effect was over.
+    /// Time at which the endpoint accepted or rejected the call.
     pub begin: f64,
-    /// See `begin`.
+    /// Time at which the effect ended.
     pub end: f64,
-    /// By when it was to be over, by its sender's word.
+    /// Time by which the act had to end, as the sender stated it.
     pub deadline: f64,
-    /// Whether its effect took place.
+    /// Whether the effect took place.
     pub accepted: bool,
 }
 
-/// Every way in which acts broke the rules: of one task, acts under different tokens never overlap in time, tokens never
-/// go back, and no act lasts beyond its deadline (`deadlines`: for a receiver that goes by them).
+/// Checks the acts of each task and returns a description of each violation: acts under different tokens must not overlap,
+/// tokens must not decrease, and, if `deadlines` is set, no act may last beyond its deadline.
 #[must_use]
-pub fn acts(acts: &[Act], deadlines: bool) -> Vec<String> {
+pub fn check_acts(acts: &[Act], deadlines: bool) -> Vec<String> {
     let mut tasks = BTreeMap::<&str, Vec<&Act>>::new();
     for act in acts.iter().filter(|a| a.accepted) {
         tasks.entry(&act.task).or_default().push(act);
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (task, mut acts) in tasks {
         acts.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-        let (mut last, mut until) = (None::<&Act>, None::<&Act>);
+        let (mut previous, mut longest) = (None::<&Act>, None::<&Act>);
         for act in acts {
-            if let Some(before) = last.filter(|b| b.token > act.token) {
-                broken.push(format!(
+            if let Some(earlier) = previous.filter(|p| p.token > act.token) {
+                violations.push(format!(
                     "{task}: token {} of gateway {} at {:.1} ms behind token {} of gateway {}",
-                    act.token, act.gateway, act.begin, before.token, before.gateway
+                    act.token, act.gateway, act.begin, earlier.token, earlier.gateway
                 ));
             }
-            // The one that lasted longest so far: of another token, it must be over.
-            if let Some(other) = until.filter(|u| u.token != act.token && u.end > act.begin) {
-                broken.push(format!(
+            // The act with the latest end so far must have ended, unless it has the same token.
+            if let Some(other) = longest.filter(|u| u.token != act.token && u.end > act.begin) {
+                violations.push(format!(
                     "{task}: gateway {} acts from {:.1} ms while gateway {} acts until {:.1} ms",
                     act.gateway, act.begin, other.gateway, other.end
                 ));
             }
             if deadlines && act.end > act.deadline {
                 let (late, gateway) = (act.end - act.deadline, act.gateway);
-                broken.push(format!("{task}: gateway {gateway} acts until {late:.1} ms behind its deadline"));
+                violations
+                    .push(format!("{task}: gateway {gateway} acts until {late:.1} ms behind its deadline"));
             }
-            last = Some(act);
-            until = until.filter(|u| u.end >= act.end).or(Some(act));
+            previous = Some(act);
+            longest = longest.filter(|u| u.end >= act.end).or(Some(act));
         }
     }
-    broken
+    violations
 }
 
 #[cfg(test)]
@@ -70,14 +71,14 @@
     #[test]
     fn each_rule_is_caught_alone_and_good_acts_pass() {
         let good = [act(0, 1, 0.0, 9.0), act(0, 1, 10.0, 19.0), act(1, 2, 19.0, 30.0)];
-        assert!(acts(&good, true).is_empty());
+        assert!(check_acts(&good, true).is_empty());
         let overlap = [act(0, 1, 0.0, 20.0), act(0, 1, 5.0, 6.0), act(1, 2, 19.0, 30.0)];
-        assert!(acts(&overlap, true).iter().any(|b| b.contains("while gateway 0 acts until 20.0")));
+        assert!(check_acts(&overlap, true).iter().any(|b| b.contains("while gateway 0 acts until 20.0")));
         let back = [act(1, 2, 0.0, 9.0), act(0, 1, 10.0, 19.0)];
-        assert!(acts(&back, true).iter().any(|b| b.contains("token 1 of gateway 0")));
+        assert!(check_acts(&back, true).iter().any(|b| b.contains("token 1 of gateway 0")));
         let late = [Act { deadline: 5.0, ..act(0, 1, 6.0, 7.0) }];
-        assert_eq!((acts(&late, true).len(), acts(&late, false).len()), (1, 0));
+        assert_eq!((check_acts(&late, true).len(), check_acts(&late, false).len()), (1, 0));
         let refused = [act(1, 2, 0.0, 9.0), Act { accepted: false, ..act(0, 1, 3.0, 4.0) }];
-        assert!(acts(&refused, true).is_empty(), "what was refused had no effect");
+        assert!(check_acts(&refused, true).is_empty(), "what was refused had no effect");
     }
 }
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -1,5 +1,5 @@
-//! The five rules, checked from traffic records alone. It knows nothing of the gateway's insides: what crossed
-//! the sockets, as the stand-ins on both sides wrote it down, must be enough.
+//! Checks the five rules from traffic records alone. The checks don't use any internals of the gateway, only what the
+//! emulated clients and nodes recorded on both sides of it.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -10,8 +10,8 @@
 mod report;
 mod rules;
 
-pub use acts::{Act, acts};
-pub use record::{Anew, Bounds, Event, Kind, PlanBounds, Record, Rule, read};
-pub use recovery::{Recovery, recoveries};
-pub use report::{Answers, Report, summary};
-pub use rules::{Breach, judge};
+pub use acts::{Act, check_acts};
+pub use record::{Bounds, Event, Kind, PlanBounds, Record, RetrySafety, Rule, parse_records};
+pub use recovery::{Recovery, measure_recoveries};
+pub use report::{Report, ResponseCounts, summarize};
+pub use rules::{Violation, check_rules};
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -1,6 +1,7 @@
-//! The clients of a drill: customers on plans, a mix of operations, retries, and manners that the script changes.
+//! The clients of a drill: customers on plans that send a mix of operations and retry some of them. The script changes their
+//! behavior.
 
-use doorcourse_conformance::{Anew, Event, Kind, PlanBounds};
+use doorcourse_conformance::{Event, Kind, PlanBounds, RetrySafety};
 use doorcourse_emulators::{
     CATALOGUE, Operation, RequestOutcome, RequestSource, ScheduledRequest, operations,
 };
@@ -12,27 +13,27 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::{Arc, Mutex};
 
-/// A class of the drill's settings.
+/// A class of requests in the settings of a drill.
 pub struct DrillClass {
     pub name: &'static str,
-    pub aim: f64,
-    pub give_up: f64,
+    pub target_ms: f64,
+    pub give_up_ms: f64,
     pub worth: f64,
-    pub anew: Anew,
+    pub retry_safety: RetrySafety,
     pub queries: &'static [&'static str],
     pub mutations: &'static [&'static str],
 }
 
-/// For how long the cells remember keys, in ms.
-pub const MEMORY: f64 = 4000.0;
+/// How long the nodes of a cell keep idempotency keys.
+pub const KEY_RETENTION_MS: f64 = 4000.0;
 
 impl DrillClass {
-    /// In the words of the settings.
+    /// Returns the class's effect as the settings state it.
     pub fn effect(&self) -> String {
-        match self.anew {
-            Anew::Safe => "effect: SAFE".into(),
-            Anew::Keyed => format!("effect: KEYED group: CELL memory_ms: {MEMORY}"),
-            Anew::Unsafe => "effect: UNSAFE".into(),
+        match self.retry_safety {
+            RetrySafety::Safe => "effect: SAFE".into(),
+            RetrySafety::Keyed => format!("effect: KEYED group: CELL memory_ms: {KEY_RETENTION_MS}"),
+            RetrySafety::Unsafe => "effect: UNSAFE".into(),
         }
     }
 }
@@ -40,50 +41,50 @@
 pub const CLASSES: &[DrillClass] = &[
     DrillClass {
         name: "preview",
-        aim: 800.0,
-        give_up: 2500.0,
+        target_ms: 800.0,
+        give_up_ms: 2500.0,
         worth: 2.0,
-        anew: Anew::Safe,
+        retry_safety: RetrySafety::Safe,
         queries: &["preview", "previews"],
         mutations: &[],
     },
     DrillClass {
         name: "search",
-        aim: 1000.0,
-        give_up: 3000.0,
+        target_ms: 1000.0,
+        give_up_ms: 3000.0,
         worth: 1.0,
-        anew: Anew::Safe,
+        retry_safety: RetrySafety::Safe,
         queries: &["search", "similar", "shelf"],
         mutations: &[],
     },
     DrillClass {
         name: "playlist",
-        aim: 800.0,
-        give_up: 2000.0,
+        target_ms: 800.0,
+        give_up_ms: 2000.0,
         worth: 3.0,
-        anew: Anew::Keyed,
+        retry_safety: RetrySafety::Keyed,
         queries: &[],
         mutations: &["savePlaylist"],
     },
     DrillClass {
         name: "licence",
-        aim: 500.0,
-        give_up: 1200.0,
+        target_ms: 500.0,
+        give_up_ms: 1200.0,
         worth: 5.0,
-        anew: Anew::Unsafe,
+        retry_safety: RetrySafety::Unsafe,
         queries: &[],
         mutations: &["orderLicence"],
     },
 ];
 
-/// A plan of the drill's settings, and how many customers it has.
+/// A plan in the settings of a drill and its number of customers.
 pub struct DrillPlan {
     pub name: &'static str,
     pub rate: f64,
     pub burst: f64,
     pub ceiling_rate: f64,
     pub ceiling_burst: f64,
-    pub slack: f64,
+    pub ceiling_slack: f64,
     pub customers: usize,
 }
 
@@ -94,7 +95,7 @@
         burst: 24.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        slack: 0.0,
+        ceiling_slack: 0.0,
         customers: 10,
     },
     DrillPlan {
@@ -103,7 +104,7 @@
         burst: 80.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        slack: 0.0,
+        ceiling_slack: 0.0,
         customers: 5,
     },
     DrillPlan {
@@ -112,95 +113,100 @@
         burst: 100.0,
         ceiling_rate: 90.0,
         ceiling_burst: 180.0,
-        slack: 18.0,
+        ceiling_slack: 18.0,
         customers: 3,
     },
 ];
 
-/// The plans in the words of the verdict, with all figures so many times.
-pub fn plan_bounds(times: f64) -> BTreeMap<String, PlanBounds> {
-    let one = |p: &DrillPlan| {
-        let (rate, burst, ceiling_rate) = (p.rate * times, p.burst * times, p.ceiling_rate * times);
-        let (ceiling_burst, ceiling_slack) = (p.ceiling_burst * times, p.slack);
+/// Returns the plans for the check of the rules, with all limits except the slack multiplied by `factor`.
+pub fn plan_bounds(factor: f64) -> BTreeMap<String, PlanBounds> {
+    let bounds_of = |p: &DrillPlan| {
+        let (rate, burst, ceiling_rate) = (p.rate * factor, p.burst * factor, p.ceiling_rate * factor);
+        let (ceiling_burst, ceiling_slack) = (p.ceiling_burst * factor, p.ceiling_slack);
         let bounds = PlanBounds { rate, burst, ceiling_rate, ceiling_burst, ceiling_slack };
         (p.name.to_owned(), bounds)
     };
-    PLANS.iter().map(one).collect()
+    PLANS.iter().map(bounds_of).collect()
 }
 
-/// The customers: name, plan, key.
+/// Returns name, plan and key of all customers.
 pub fn customers() -> Vec<(String, &'static str, String)> {
     let of = |p: &'static DrillPlan| (0..p.customers).map(move |n| (format!("{}-{n}", p.name), p.name));
     PLANS.iter().flat_map(of).map(|(name, plan)| (name.clone(), plan, format!("key-of-{name}"))).collect()
 }
 
-/// What the script changes.
+/// Behavior of the clients that the script changes.
 #[derive(Clone, Debug)]
-pub struct Manner {
-    /// One customer asks for this many times its quota.
+pub struct ClientBehavior {
+    /// Index of a customer and the multiple of its quota that it requests on top of its usual requests.
     pub flood: Option<(usize, f64)>,
-    /// This share of the clients leaves midway.
-    pub leaving: f64,
-    /// A factor on all patience.
-    pub patience: f64,
-    /// This share asks what truly costs five times its price; as many what costs a fifth.
-    pub odd_costs: f64,
-    /// A factor on what all ask for.
-    pub rate: f64,
-    /// The share of licence orders, where it is not the ordinary one.
-    pub licences: Option<f64>,
-    /// The day is over: nothing new is asked.
-    pub over: bool,
+    /// Share of requests that the client cancels early.
+    pub cancel_share: f64,
+    /// Factor on all client timeouts.
+    pub timeout_factor: f64,
+    /// Share of requests whose true cost is five times their price; the same share costs a fifth of its price.
+    pub mispriced_share: f64,
+    /// Factor on the request rate of all customers.
+    pub rate_factor: f64,
+    /// Share of licence orders, if it differs from the usual mix.
+    pub licence_share: Option<f64>,
+    /// Whether clients have stopped sending requests.
+    pub stopped: bool,
 }
 
-impl Default for Manner {
+impl Default for ClientBehavior {
     fn default() -> Self {
         Self {
             flood: None,
-            leaving: 0.0,
-            patience: 1.0,
-            odd_costs: 0.04,
-            rate: 1.0,
-            licences: None,
-            over: false,
+            cancel_share: 0.0,
+            timeout_factor: 1.0,
+            mispriced_share: 0.04,
+            rate_factor: 1.0,
+            licence_share: None,
+            stopped: false,
         }
     }
 }
 
-struct Asked {
+/// An operation with its price in units and its weight in the mix.
+struct WeightedOperation {
     operation: Operation,
     units: f64,
     weight: f64,
 }
 
-/// A flood that falls behind its schedule by more than this, in ms, does not catch up.
-const FLOOD_BEHIND: f64 = 20.0;
+/// A flood that falls behind its schedule by more than this does not catch up.
+const MAX_FLOOD_LAG_MS: f64 = 20.0;
 
-/// The clients as a source of shots.
+/// The source of the clients' requests.
 pub struct Clients {
     customers: Vec<(String, &'static DrillPlan, String)>,
-    operations: Vec<Asked>,
-    /// Which gateways want clients, as whoever routes clients to them hears.
-    open: Arc<Mutex<Vec<bool>>>,
-    random: ChaCha8Rng,
-    manner: Arc<Mutex<Manner>>,
-    /// The next time of each customer, in micros so that it can be ordered.
-    next: BinaryHeap<Reverse<(u64, usize)>>,
-    again: BinaryHeap<Reverse<(u64, u64)>>,
-    repeats: BTreeMap<u64, (usize, usize, String)>,
-    count: u64,
-    /// What each name was: its customer, operation, first try and whether it is a repeat itself.
-    known: BTreeMap<String, (usize, usize, String, bool)>,
-    /// The share of its quota that a customer asks for on an ordinary day.
+    operations: Vec<WeightedOperation>,
+    /// Which gateways accept new clients.
+    accepting: Arc<Mutex<Vec<bool>>>,
+    rng: ChaCha8Rng,
+    behavior: Arc<Mutex<ClientBehavior>>,
+    /// Time in microseconds of the next request of each customer; integers, so that they can be ordered.
+    due_requests: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Time in microseconds and number of each due retry.
+    due_retries: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Customer, operation and id of the first request of each due retry, by its number.
+    retries: BTreeMap<u64, (usize, usize, String)>,
+    /// Last number used for a request id or a retry.
+    last_number: u64,
+    /// Customer, operation, id of the first request and whether it is a retry, for each request without a result yet.
+    pending: BTreeMap<String, (usize, usize, String, bool)>,
+    /// Share of its quota that a customer requests, before the factor on its rate.
     load: f64,
-    /// When a flood's next request is due, in ms.
-    flood_next: f64,
+    /// Time of the next request of a flood, in ms.
+    flood_due: f64,
 }
 
 impl Clients {
-    /// The customers of the drill, from a time on.
+    /// Creates the customers of the drill, which send requests from `start` on.
     pub fn new(
-        seed: u64, open: Arc<Mutex<Vec<bool>>>, manner: Arc<Mutex<Manner>>, start: f64, load: f64,
+        seed: u64, accepting: Arc<Mutex<Vec<bool>>>, behavior: Arc<Mutex<ClientBehavior>>, start: f64,
+        load: f64,
     ) -> anyhow::Result<Self> {
         let schema = Arc::new(Schema::parse(CATALOGUE).map_err(|e| anyhow::anyhow!("{e:?}"))?);
         let weight = |name: &str| match name {
@@ -211,188 +217,192 @@
             "licence" => 0.2,
             _ => 0.0,
         };
-        let mut asked = Vec::new();
+        let mut weighted = Vec::new();
         for operation in operations() {
             let prepared =
                 PreparedOperation::new(Arc::clone(&schema), &operation.query, None, None, Limits::default());
             let units = prepared.map_err(|e| anyhow::anyhow!("{}: {e:?}", operation.name))?.cost().units;
-            asked.push(Asked { weight: weight(operation.name), operation, units });
+            weighted.push(WeightedOperation { weight: weight(operation.name), operation, units });
         }
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let plan = |name: &str| PLANS.iter().find(|p| p.name == name);
         let customers: Vec<_> =
             customers().into_iter().filter_map(|(n, p, k)| Some((n, plan(p)?, k))).collect();
-        let first = |at| Reverse(((start * 1000.0 + random.random::<f64>() * 3e5) as u64, at));
-        let next = (0..customers.len()).map(first).collect();
-        let (again, repeats, known) = Default::default();
-        let count = 0;
+        let first = |at| Reverse(((start * 1000.0 + rng.random::<f64>() * 3e5) as u64, at));
+        let due_requests = (0..customers.len()).map(first).collect();
+        let (due_retries, retries, pending) = Default::default();
+        let last_number = 0;
         Ok(Self {
             customers,
-            operations: asked,
-            open,
-            random,
-            manner,
-            next,
-            again,
-            repeats,
-            count,
-            known,
+            operations: weighted,
+            accepting,
+            rng,
+            behavior,
+            due_requests,
+            due_retries,
+            retries,
+            last_number,
+            pending,
             load,
-            flood_next: start,
+            flood_due: start,
         })
     }
 
-    fn manner(&self) -> Manner {
-        self.manner.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
+    fn behavior(&self) -> ClientBehavior {
+        self.behavior.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
+    /// Returns an exponentially distributed random number.
     fn exponential(&mut self, mean: f64) -> f64 {
-        -(1.0 - self.random.random::<f64>()).ln() * mean
+        -(1.0 - self.rng.random::<f64>()).ln() * mean
     }
 
-    fn pick(&mut self, manner: &Manner) -> usize {
-        let named = |name: &str| self.operations.iter().position(|a| a.operation.name == name).unwrap_or(0);
-        let (similar, shelf) = (named("similar"), named("shelf"));
-        let chance: f64 = self.random.random();
-        if chance < manner.odd_costs {
+    fn pick_operation(&mut self, behavior: &ClientBehavior) -> usize {
+        let index_of =
+            |name: &str| self.operations.iter().position(|o| o.operation.name == name).unwrap_or(0);
+        let (similar, shelf) = (index_of("similar"), index_of("shelf"));
+        let chance: f64 = self.rng.random();
+        if chance < behavior.mispriced_share {
             return similar;
         }
-        if chance < 2.0 * manner.odd_costs {
+        if chance < 2.0 * behavior.mispriced_share {
             return shelf;
         }
-        if let Some(share) = manner.licences {
-            return named(if self.random.random::<f64>() < share { "licence" } else { "preview" });
+        if let Some(share) = behavior.licence_share {
+            return index_of(if self.rng.random::<f64>() < share { "licence" } else { "preview" });
         }
-        let total: f64 = self.operations.iter().map(|a| a.weight).sum();
-        let mut left = self.random.random::<f64>() * total;
-        for (at, asked) in self.operations.iter().enumerate() {
-            left -= asked.weight;
-            if left < 0.0 {
-                return at;
+        let total: f64 = self.operations.iter().map(|o| o.weight).sum();
+        let mut remaining = self.rng.random::<f64>() * total;
+        for (index, weighted) in self.operations.iter().enumerate() {
+            remaining -= weighted.weight;
+            if remaining < 0.0 {
+                return index;
             }
         }
         0
     }
 
-    /// The busiest gateway of a customer gets three fifths of what it asks; one that wants no clients is passed
-    /// over.
-    fn gateway(&mut self, customer: usize) -> usize {
-        let open = self.open.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
-        let (count, chance) = (open.len(), self.random.random::<f64>());
+    /// Chooses a gateway: the main gateway of a customer gets three fifths of its requests. Gateways that do not accept
+    /// clients are skipped.
+    fn pick_gateway(&mut self, customer: usize) -> usize {
+        let accepting = self.accepting.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
+        let (count, chance) = (accepting.len(), self.rng.random::<f64>());
         let other = 1 + (chance * 1000.0) as usize % (count - 1).max(1);
         let first = if chance < 0.6 || count == 1 { customer % count } else { (customer + other) % count };
-        (0..count).map(|n| (first + n) % count).find(|g| open[*g]).unwrap_or(first)
+        (0..count).map(|n| (first + n) % count).find(|g| accepting[*g]).unwrap_or(first)
     }
 
-    fn shot(
-        &mut self, now: f64, customer: usize, operation: usize, first: Option<String>, manner: &Manner,
+    fn schedule_request(
+        &mut self, now: f64, customer: usize, operation: usize, retry_of: Option<String>,
+        behavior: &ClientBehavior,
     ) -> Option<ScheduledRequest> {
-        self.count += 1;
-        let id = format!("q{}", self.count);
-        let gateway = self.gateway(customer);
-        let asked = &self.operations[operation];
-        let (units, class) = (asked.units, asked.operation.class);
+        self.last_number += 1;
+        let id = format!("q{}", self.last_number);
+        let gateway = self.pick_gateway(customer);
+        let weighted = &self.operations[operation];
+        let (units, class) = (weighted.units, weighted.operation.class);
         let class = CLASSES.iter().find(|c| c.name == class)?;
-        let body = json!({"query": asked.operation.query}).to_string();
+        let body = json!({"query": weighted.operation.query}).to_string();
         let (name, plan, key) = self.customers[customer].clone();
-        let patience = class.give_up * (0.5 + 0.5 * self.random.random::<f64>()) * manner.patience;
-        let leave = if self.random.random::<f64>() < manner.leaving {
-            Some(self.random.random::<f64>() * 60.0)
+        let timeout_ms = class.give_up_ms * (0.5 + 0.5 * self.rng.random::<f64>()) * behavior.timeout_factor;
+        let cancel_after_ms = if self.rng.random::<f64>() < behavior.cancel_share {
+            Some(self.rng.random::<f64>() * 60.0)
         } else {
             None
         };
-        let key_of = first.clone().unwrap_or_else(|| id.clone());
-        self.known.insert(id.clone(), (customer, operation, key_of.clone(), first.is_some()));
-        let ask = Event::Ask {
+        let first_id = retry_of.clone().unwrap_or_else(|| id.clone());
+        self.pending.insert(id.clone(), (customer, operation, first_id.clone(), retry_of.is_some()));
+        let sent_event = Event::RequestSent {
             id: id.clone(),
             gateway,
             customer: name,
             plan: plan.name.into(),
             class: class.name.into(),
-            anew: class.anew,
-            memory: MEMORY,
+            retry_safety: class.retry_safety,
+            key_retention_ms: KEY_RETENTION_MS,
             units,
             worth: class.worth,
-            aim: class.aim,
-            patience,
-            first,
+            target_ms: class.target_ms,
+            timeout_ms,
+            retry_of,
         };
-        let idempotency = if class.anew == Anew::Keyed { Some(key_of) } else { None };
+        let idempotency_key = if class.retry_safety == RetrySafety::Keyed { Some(first_id) } else { None };
         Some(ScheduledRequest {
             id,
             due_at: now,
             gateway,
             body,
             key,
-            idempotency_key: idempotency,
-            timeout_ms: patience,
-            cancel_after_ms: leave,
-            sent_event: Some(ask),
+            idempotency_key,
+            timeout_ms,
+            cancel_after_ms,
+            sent_event: Some(sent_event),
         })
     }
 }
 
 impl RequestSource for Clients {
     fn next_due(&mut self) -> Option<f64> {
-        let manner = self.manner();
-        if manner.over {
+        let behavior = self.behavior();
+        if behavior.stopped {
             return None;
         }
-        let first = self.next.peek().map(|r| r.0.0);
-        let again = self.again.peek().map(|r| r.0.0);
-        let ordinary = first.into_iter().chain(again).min().map(|t| t as f64 / 1000.0);
-        ordinary.into_iter().chain(manner.flood.map(|_| self.flood_next)).reduce(f64::min)
+        let first = self.due_requests.peek().map(|r| r.0.0);
+        let retry = self.due_retries.peek().map(|r| r.0.0);
+        let ordinary = first.into_iter().chain(retry).min().map(|t| t as f64 / 1000.0);
+        ordinary.into_iter().chain(behavior.flood.map(|_| self.flood_due)).reduce(f64::min)
     }
 
     fn take_due(&mut self, now: f64) -> Vec<ScheduledRequest> {
-        let (manner, mut shots) = (self.manner(), Vec::new());
-        while self.again.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
-            let Some(Reverse((_, number))) = self.again.pop() else { break };
-            let Some((customer, operation, first)) = self.repeats.remove(&number) else { continue };
-            shots.extend(self.shot(now, customer, operation, Some(first), &manner));
+        let (behavior, mut requests) = (self.behavior(), Vec::new());
+        while self.due_retries.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
+            let Some(Reverse((_, number))) = self.due_retries.pop() else { break };
+            let Some((customer, operation, first_id)) = self.retries.remove(&number) else { continue };
+            requests.extend(self.schedule_request(now, customer, operation, Some(first_id), &behavior));
         }
-        while self.next.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
-            let Some(Reverse((at, customer))) = self.next.pop() else { break };
-            let operation = self.pick(&manner);
-            let rate = self.customers[customer].1.rate * self.load * manner.rate.max(1e-3);
-            // In units: what costs more is asked for more seldom.
+        while self.due_requests.peek().is_some_and(|r| r.0.0 as f64 / 1000.0 <= now) {
+            let Some(Reverse((at, customer))) = self.due_requests.pop() else { break };
+            let operation = self.pick_operation(&behavior);
+            let rate = self.customers[customer].1.rate * self.load * behavior.rate_factor.max(1e-3);
+            // The rate is in units, so more expensive operations are sent less often.
             let wait = self.exponential(self.operations[operation].units / rate * 1e6);
-            self.next.push(Reverse((at + wait.min(20e6) as u64, customer)));
-            shots.extend(self.shot(now, customer, operation, None, &manner));
+            self.due_requests.push(Reverse((at + wait.min(20e6) as u64, customer)));
+            requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
         }
-        // A flood comes on top of the customer's ordinary use.
-        self.flood_next = self.flood_next.max(now - FLOOD_BEHIND);
-        while let Some((customer, times)) = manner.flood.filter(|_| self.flood_next <= now) {
-            let operation = self.pick(&manner);
+        // A flood comes on top of the usual requests of the customer.
+        self.flood_due = self.flood_due.max(now - MAX_FLOOD_LAG_MS);
+        while let Some((customer, times)) = behavior.flood.filter(|_| self.flood_due <= now) {
+            let operation = self.pick_operation(&behavior);
             let rate = self.customers[customer].1.rate * times;
-            self.flood_next += self.exponential(self.operations[operation].units / rate * 1000.0);
-            shots.extend(self.shot(now, customer, operation, None, &manner));
+            self.flood_due += self.exponential(self.operations[operation].units / rate * 1000.0);
+            requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
         }
-        shots
+        requests
     }
 
-    fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
-        let Some((customer, operation, first, repeat)) = self.known.remove(&shot.id) else { return };
+    fn request_ended(&mut self, now: f64, request: &ScheduledRequest, end: &RequestOutcome) {
+        let Some((customer, operation, first_id, retry)) = self.pending.remove(&request.id) else { return };
         let class = self.operations[operation].operation.class;
-        let anew = CLASSES.iter().find(|c| c.name == class).map_or(Anew::Unsafe, |c| c.anew);
-        // A client tries once more: anything safe, the rest only where it was told that this is harmless.
+        let retry_safety =
+            CLASSES.iter().find(|c| c.name == class).map_or(RetrySafety::Unsafe, |c| c.retry_safety);
+        // A client retries at most once. After a failure it retries only safe requests; after a refusal, any request.
         let wait = match end {
             RequestOutcome::Response { kind: Kind::Refused, retry_after, .. } => retry_after.unwrap_or(500.0),
             RequestOutcome::Response { kind: Kind::Failed, .. }
             | RequestOutcome::Truncated
             | RequestOutcome::ConnectionLost
-                if anew == Anew::Safe =>
+                if retry_safety == RetrySafety::Safe =>
             {
                 200.0
             }
             _ => return,
         };
-        if repeat || self.random.random::<f64>() < 0.5 {
+        if retry || self.rng.random::<f64>() < 0.5 {
             return;
         }
-        self.count += 1;
-        let at = now + wait * (1.0 + 0.3 * self.random.random::<f64>());
-        self.again.push(Reverse(((at * 1000.0) as u64, self.count)));
-        self.repeats.insert(self.count, (customer, operation, first));
+        self.last_number += 1;
+        let at = now + wait * (1.0 + 0.3 * self.rng.random::<f64>());
+        self.due_retries.push(Reverse(((at * 1000.0) as u64, self.last_number)));
+        self.retries.insert(self.last_number, (customer, operation, first_id));
     }
 }
