--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,61 +1,74 @@
-//! What differs between the settings in service and new ones: reported to people, and refused where it cannot change.
+//! Compares the settings in service with new ones. The differences are reported to the operator; a field that cannot
+//! change in service makes a reload fail.
 
 mod text;
 
 use crate::{Config, Customer};
 use std::collections::BTreeMap;
 
-/// The difference that a reload makes.
+/// The differences between the settings in service and new ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
-    /// Fields that cannot change in service, each with the reason.
+pub struct SettingsDiff {
+    /// Fields that differ but cannot change in service, each with the reason.
     pub refused: Vec<String>,
-    /// What changes, a line each.
-    pub lines: Vec<String>,
+    /// All differences, one line each.
+    pub changes: Vec<String>,
 }
 
 /// Compares the settings in service with new ones.
 #[must_use]
-pub fn compare(old: &Config, new: &Config) -> Change {
-    let mut lines = changed_values(old, new);
-    lines.extend(changed_items(old, new));
-    Change { refused: refused_fields(old, new), lines }
+pub fn compare(old: &Config, new: &Config) -> SettingsDiff {
+    let mut changes = changed_values(old, new);
+    changes.extend(changed_items(old, new));
+    SettingsDiff { refused: refused_fields(old, new), changes }
 }
 
-/// Fields that differ and cannot change in service.
+/// Fields that differ but cannot change in service, each with the reason.
 fn refused_fields(old: &Config, new: &Config) -> Vec<String> {
     let counter = |c: &Config| c.counter.as_ref().map(|c| (c.address, c.password.clone()));
-    let state_file = |c: &Config| c.state.as_ref().map(|s| s.file.clone());
+    let state_file = |c: &Config| c.state_file.as_ref().map(|s| s.file.clone());
     let own_link = |c: &Config| c.link.as_ref().map(|l| (l.listen, l.fleet.clone()));
     let lease = |c: &Config| c.leases.as_ref().map(|l| (l.lease_duration_ms, l.clock_drift_ppm));
     let fields = [
         (
             "fleet.number",
-            old.decisions.gateway_index == new.decisions.gateway_index,
-            "the counter and the other gateways know it",
+            old.decision_settings.gateway_index == new.decision_settings.gateway_index,
+            "the counter and the other gateways identify this one by it",
+        ),
+        (
+            "fleet.zone",
+            old.decision_settings.zone == new.decision_settings.zone,
+            "a gateway stays in its zone",
         ),
-        ("fleet.zone", old.decisions.zone == new.decisions.zone, "a gateway does not move"),
         ("listen", old.listen == new.listen, "start a new process that takes over"),
-        ("health.listen", old.health == new.health, "start a new process that takes over"),
-        ("admin.socket", old.admin == new.admin, "it is the way this reload came"),
+        ("health.listen", old.health_listen == new.health_listen, "start a new process that takes over"),
+        ("admin.socket", old.admin_socket == new.admin_socket, "reloads are requested on it"),
         ("counter", counter(old) == counter(new), "two counters would each grant the quota"),
         ("state.file", state_file(old) == state_file(new), "start a new process that takes over"),
-        ("node_list", old.node_list.is_some() == new.node_list.is_some(), "nodes come from one place"),
-        ("fleet.link", own_link(old) == own_link(new), "start a new process: the peers know this one by it"),
-        ("leases", lease(old) == lease(new), "what was promised for one length cannot be kept for another"),
+        (
+            "node_list",
+            old.node_list.is_some() == new.node_list.is_some(),
+            "nodes come either from the settings or from a file",
+        ),
+        (
+            "fleet.link",
+            own_link(old) == own_link(new),
+            "start a new process: the peers identify this one by it",
+        ),
+        ("leases", lease(old) == lease(new), "leases granted for one length cannot be kept with another"),
         (
             "leases.voters",
-            voters_may_follow(old, new),
-            "each change is one version on and of one voter (docs/leases.md)",
+            is_valid_voter_change(old, new),
+            "each change raises the version by one and changes one voter (docs/leases.md)",
         ),
     ];
     let differs = fields.into_iter().filter(|(_, is_same, _)| !is_same);
     differs.map(|(field, _, reason)| format!("{field}: cannot change in service: {reason}")).collect()
 }
 
-/// Whether the voters of the new settings are at most one proper step on from the old ones. A gateway that missed
-/// versions begins as after a start, so that later versions are no fault here.
-fn voters_may_follow(old: &Config, new: &Config) -> bool {
+/// Whether the new voter configuration is the old one or a valid successor of it. A configuration that is two or more
+/// versions ahead is accepted too: a gateway that missed versions takes it as after a start.
+fn is_valid_voter_change(old: &Config, new: &Config) -> bool {
     match (&old.leases, &new.leases) {
         (Some(old), Some(new)) if new.voters.version <= old.voters.version + 1 => {
             old.voters.check_successor(&new.voters).is_ok()
@@ -64,14 +77,14 @@
     }
 }
 
-/// Single values that differ, with the old and the new one.
+/// Single values that differ: the field with the old and the new value.
 fn changed_values(old: &Config, new: &Config) -> Vec<String> {
     let value = |field: &str, text: &dyn Fn(&Config) -> String| compare_value(field, text(old), text(new));
     let secrets = |c: &Config| c.link.as_ref().map(|l| l.secrets.clone());
     let secrets_changed = secrets(old) != secrets(new);
     let schema_changed = format!("{:?}", old.schema) != format!("{:?}", new.schema);
     let lines = [
-        value("fleet.gateways", &|c| c.decisions.gateway_count.to_string()),
+        value("fleet.gateways", &|c| c.decision_settings.gateway_count.to_string()),
         value("limits", &|c| format!("{:?}", c.limits)),
         value("graphql limits", &|c| format!("{:?}", c.query_limits)),
         value("life", &|c| format!("{:?}", c.life)),
@@ -80,7 +93,7 @@
         secrets_changed.then(|| "fleet.link.secret_file: the old secrets -> new ones".to_owned()),
         value("leases.voters", &|c| c.leases.as_ref().map_or(String::new(), |l| text::voters(&l.voters))),
         value("leases.tasks", &|c| c.leases.as_ref().map_or(String::new(), |l| text::tasks(&l.tasks))),
-        value("leases.suspects", &|c| text::suspects(c.leases.as_ref().and_then(|l| l.suspects))),
+        value("leases.suspects", &|c| text::suspects(c.leases.as_ref().and_then(|l| l.outlier_gossip))),
         value("node_list", &|c| format!("{:?}", c.node_list)),
         schema_changed.then(|| "schema: changed".to_owned()),
     ];
@@ -91,14 +104,18 @@
     (old != new).then(|| format!("{field}: {old} -> {new}"))
 }
 
-/// The items of one kind by name, each with a text that differs where the item does.
+/// The items of one kind: for each name a text that changes when the item does.
 type ItemTexts = fn(&Config) -> BTreeMap<String, String>;
 
-/// Named items (plans, classes, root fields, nodes, customers) that are new, changed or gone.
+/// Named items (plans, classes, root fields, nodes, customers) that are new, changed or removed.
 fn changed_items(old: &Config, new: &Config) -> Vec<String> {
     let kinds: [(&str, ItemTexts); 5] = [
-        ("plan", |c| c.decisions.plans.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
-        ("class", |c| c.decisions.classes.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()),
+        ("plan", |c| {
+            c.decision_settings.plans.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()
+        }),
+        ("class", |c| {
+            c.decision_settings.classes.iter().map(|p| (p.name.to_string(), format!("{p:?}"))).collect()
+        }),
         ("root field", class_of_each_root_field),
         ("node", |c| c.nodes.iter().map(|n| (n.entry.name.to_string(), format!("{n:?}"))).collect()),
         ("customer", keys_of_each_customer),
@@ -108,15 +125,20 @@
 
 fn class_of_each_root_field(config: &Config) -> BTreeMap<String, String> {
     let fields = config.query_classes.iter().chain(&config.mutation_classes);
-    fields.map(|(field, class)| (field.clone(), config.decisions.classes[*class].name.to_string())).collect()
+    fields
+        .map(|(field, class)| (field.clone(), config.decision_settings.classes[*class].name.to_string()))
+        .collect()
 }
 
 fn keys_of_each_customer(config: &Config) -> BTreeMap<String, String> {
     let mut by_name: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    for (key, customer) in &config.customers {
-        let Customer { name, plan, first, spread } = &**customer;
-        let plan = &config.decisions.plans[*plan].name;
-        let text = format!("{plan} from {first} through {spread}, key {:02x}{:02x}..", key[0], key[1]);
+    for (key, customer) in &config.customers_by_key {
+        let Customer { name, plan_index, first_gateway, gateway_count } = &**customer;
+        let plan = &config.decision_settings.plans[*plan_index].name;
+        let text = format!(
+            "{plan} from {first_gateway} through {gateway_count}, key {:02x}{:02x}..",
+            key[0], key[1]
+        );
         by_name.entry(name.to_string()).or_default().push(text);
     }
     let joined = |mut keys: Vec<String>| {
@@ -126,7 +148,7 @@
     by_name.into_iter().map(|(name, keys)| (name, joined(keys))).collect()
 }
 
-/// One line for each item that is new, changed or gone; `old` and `new` hold a text for each name.
+/// One line for each item that is new, changed or removed. `old` and `new` have a text for each name.
 fn compare_items(kind: &str, old: &BTreeMap<String, String>, new: &BTreeMap<String, String>) -> Vec<String> {
     let mut lines = Vec::new();
     for (name, text) in new {
@@ -136,7 +158,7 @@
             Some(_) => {}
         }
     }
-    let gone = old.keys().filter(|name| !new.contains_key(*name));
-    lines.extend(gone.map(|name| format!("{kind} {name}: gone")));
+    let removed = old.keys().filter(|name| !new.contains_key(*name));
+    lines.extend(removed.map(|name| format!("{kind} {name}: gone")));
     lines
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Reads and checks the settings of the link between gateways, the leases and the outlier gossip.
+//! Checks the settings of the link between the gateways, of the leases and of the outlier gossip.
 
-use crate::check::Check;
+use crate::check::Checker;
 use crate::raw;
 use doorcourse_lease::{TaskId, VoterConfiguration, task_of};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -8,38 +8,38 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The lease under which suspected nodes are probed.
+/// The name of the task of the holder that probes suspected nodes.
 pub const OUTLIER_PROBE_TASK: &str = "suspects";
 
-/// The shortest secret, in bytes.
+/// The least length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
-/// The most secrets of a file.
+/// The most secrets in one file.
 const MAX_SECRETS: usize = 8;
-/// The most tasks.
+/// The most tasks in the settings.
 const MAX_TASKS: usize = 1024;
-/// When a peer is unreachable, in ms.
+/// The time without a datagram after which a peer is unreachable, in ms.
 const UNREACHABLE_AFTER_MS: Setting = Setting { default: 3000.0, range: 100.0..=6e5 };
 /// The duration of a lease, in ms.
 const LEASE_DURATION_MS: Setting = Setting { default: 3000.0, range: 20.0..=6e5 };
-/// By how much the rates of clocks may differ, in parts per million.
+/// The largest difference in rate between the clocks of two gateways, in parts per million.
 const CLOCK_DRIFT_PPM_DEFAULT: u32 = 10_000;
 const CLOCK_DRIFT_PPM_RANGE: RangeInclusive<u64> = 0..=499_999;
-/// Between two probes of the whole fleet, in ms.
+/// The interval between two probes of the whole fleet, in ms.
 const PROBE_INTERVAL_MS: Setting = Setting { default: 200.0, range: 10.0..=6e4 };
-/// The shortest and the longest timeout of a probe, and the longest default, in ms.
+/// The range of the timeout of a probe, and the upper limit of its default, in ms.
 const MIN_PROBE_TIMEOUT_MS: f64 = 10.0;
 const MAX_PROBE_TIMEOUT_MS: f64 = 6e4;
 const MAX_DEFAULT_PROBE_TIMEOUT_MS: f64 = 500.0;
-/// The fraction of the nodes that may be outliers.
+/// The largest fraction of the nodes that may be outliers at the same time.
 const MAX_OUTLIER_FRACTION: Setting = Setting { default: 0.25, range: 0.0..=1.0 };
 /// How long a report and a verdict are valid, in ms.
 const RETENTION_MS: Setting = Setting { default: 2000.0, range: 100.0..=6e5 };
-/// From the end of a call to the start of the next, in ms.
+/// The interval from the end of a call to the start of the next, in ms.
 const CALL_INTERVAL_MS: Setting = Setting { default: 1000.0, range: 10.0..=8.64e7 };
 /// The shortest duration of a call, in ms.
 const MIN_CALL_DURATION_MS: f64 = 1.0;
 
-/// A number of the settings file: its default and its range.
+/// The default and the range of a number in the settings.
 struct Setting {
     default: f64,
     range: RangeInclusive<f64>,
@@ -52,11 +52,11 @@
     pub listen: SocketAddr,
     /// The other gateways and their addresses.
     pub peers: BTreeMap<u32, SocketAddr>,
-    /// The secrets: every one is accepted, the first one is used for sending.
+    /// The secrets. Datagrams signed with any of them are accepted; the first one signs what is sent.
     pub secrets: Vec<Vec<u8>>,
     /// The fleet's name.
     pub fleet: String,
-    /// A peer is unreachable when nothing was received from it for so many ms.
+    /// A peer from which no datagram has arrived for this long is unreachable.
     pub unreachable_after_ms: u64,
 }
 
@@ -72,33 +72,33 @@
     }
 }
 
-/// The leases, and what is done under them.
+/// The leases and the work that needs them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseConfig {
     /// The duration of a lease.
     pub lease_duration_ms: u64,
-    /// By how much the rates of clocks may differ, in parts per million.
+    /// The largest difference in rate between the clocks of two gateways, in parts per million.
     pub clock_drift_ppm: u64,
-    /// Who votes.
+    /// The gateways that vote.
     pub voters: VoterConfiguration,
-    /// The tasks.
+    /// The calls that one gateway at a time makes.
     pub tasks: Vec<TaskConfig>,
-    /// The outlier gossip; `None` where suspected nodes are not probed for the fleet.
-    pub suspects: Option<OutlierGossipConfig>,
+    /// The outlier gossip; `None` if suspected nodes are not probed for the fleet.
+    pub outlier_gossip: Option<OutlierGossipConfig>,
 }
 
-/// The outlier gossip.
+/// The settings of the outlier gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierGossipConfig {
-    /// Between two probes of the whole fleet.
+    /// The interval between two probes of the whole fleet.
     pub probe_interval_ms: u64,
-    /// A node that does not answer a probe for this long has failed it.
+    /// A node that has not answered a probe after this time has failed it.
     pub probe_timeout_ms: u64,
-    /// The fraction of the nodes that may be outliers at the same time, from 0 to 1.
+    /// The largest fraction of the nodes that may be outliers at the same time, from 0 to 1.
     pub max_outlier_fraction: f64,
-    /// How long a report and a verdict are valid, in ms.
-    pub keep: u64,
-    /// Whether the decisions follow the verdicts; otherwise they are only logged.
+    /// How long a report and a verdict are valid.
+    pub retention_ms: u64,
+    /// Whether the decisions avoid outliers; otherwise the verdicts are only reported to the operator.
     pub affects_decisions: bool,
 }
 
@@ -111,23 +111,23 @@
     pub address: SocketAddr,
     /// The path that is called.
     pub path: String,
-    /// From the end of a call to the start of the next.
+    /// The interval from the end of a call to the start of the next.
     pub call_interval_ms: u64,
-    /// How long a call takes, with its effect at the receiver.
+    /// The longest time that a call and its effect at the receiver take.
     pub call_duration_ms: u64,
 }
 
-/// Checks `fleet.link`. `open` reads a file by its name.
+/// Checks `fleet.link`. `open` returns the text of a file that the settings name.
 pub(crate) fn link(
-    raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>,
+    raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
     open: &dyn Fn(&str) -> Result<String, String>,
 ) -> LinkConfig {
     LinkConfig {
-        listen: check.address("fleet.link.listen", &raw.listen),
-        peers: peers(raw, gateways, number, check),
-        secrets: secrets(&raw.secret_file, check, open),
+        listen: checker.address("fleet.link.listen", &raw.listen),
+        peers: peers(raw, gateways, number, checker),
+        secrets: secrets(&raw.secret_file, checker, open),
         unreachable_after_ms: milliseconds(
-            check,
+            checker,
             "fleet.link.silence_ms",
             raw.silence_ms,
             &UNREACHABLE_AFTER_MS,
@@ -136,23 +136,25 @@
     }
 }
 
-/// The addresses of the other gateways.
-fn peers(raw: &raw::Link, gateways: u32, number: u32, check: &mut Check<'_>) -> BTreeMap<u32, SocketAddr> {
+/// Checks `fleet.link.peers` and returns the addresses of the other gateways.
+fn peers(
+    raw: &raw::Link, gateways: u32, number: u32, checker: &mut Checker<'_>,
+) -> BTreeMap<u32, SocketAddr> {
     let mut peers = BTreeMap::new();
     let mut seen_numbers = BTreeSet::new();
     let mut seen_addresses = HashMap::new();
-    for (at, peer) in raw.peers.iter().enumerate() {
-        let path = |field: &str| format!("fleet.link.peers[{at}].{field}");
-        let address = check.address(&path("address"), &peer.address);
+    for (index, peer) in raw.peers.iter().enumerate() {
+        let path = |field: &str| format!("fleet.link.peers[{index}].{field}");
+        let address = checker.address(&path("address"), &peer.address);
         if peer.number >= gateways {
             let text = format!("{} is not below the number of gateways, {gateways}", peer.number);
-            check.fault(&path("number"), text);
+            checker.fault(&path("number"), text);
         }
         if !seen_numbers.insert(peer.number) {
-            check.fault(&path("number"), format!("gateway {} is named twice", peer.number));
+            checker.fault(&path("number"), format!("gateway {} is listed twice", peer.number));
         }
         if let Some(other) = seen_addresses.insert(address, peer.number) {
-            check.fault(&path("address"), format!("{address} is gateway {other}'s already"));
+            checker.fault(&path("address"), format!("{address} is already the address of gateway {other}"));
         }
         if peer.number != number {
             peers.insert(peer.number, address);
@@ -161,17 +163,19 @@
     peers
 }
 
-/// The secrets of a file: its lines that are not empty.
-fn secrets(file: &str, check: &mut Check<'_>, open: &dyn Fn(&str) -> Result<String, String>) -> Vec<Vec<u8>> {
+/// The secrets in a file: its lines without surrounding white space, except empty ones.
+fn secrets(
+    file: &str, checker: &mut Checker<'_>, open: &dyn Fn(&str) -> Result<String, String>,
+) -> Vec<Vec<u8>> {
     let path = "fleet.link.secret_file";
     if file.is_empty() {
-        check.fault(path, "a file's name is needed");
+        checker.fault(path, "a file name is required");
         return Vec::new();
     }
     let text = match open(file) {
         Ok(text) => text,
-        Err(why) => {
-            check.fault(path, format!("{file}: {why}"));
+        Err(error) => {
+            checker.fault(path, format!("{file}: {error}"));
             return Vec::new();
         }
     };
@@ -179,67 +183,70 @@
     let secrets: Vec<Vec<u8>> = lines.map(|line| line.as_bytes().to_vec()).collect();
     let too_short = secrets.iter().any(|secret| secret.len() < MIN_SECRET_BYTES);
     if !(1..=MAX_SECRETS).contains(&secrets.len()) || too_short {
-        let text = format!("1 to {MAX_SECRETS} lines are needed, each of at least {MIN_SECRET_BYTES} bytes");
-        check.fault(path, text);
+        let text =
+            format!("1 to {MAX_SECRETS} lines are required, each of at least {MIN_SECRET_BYTES} bytes");
+        checker.fault(path, text);
     }
     secrets
 }
 
 /// Checks `leases`.
 pub(crate) fn leases(
-    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, check: &mut Check<'_>,
+    raw: &raw::Leases, link: Option<&LinkConfig>, number: u32, checker: &mut Checker<'_>,
 ) -> LeaseConfig {
     let gateways: BTreeSet<u32> =
         link.iter().flat_map(|link| link.peers.keys().copied()).chain([number]).collect();
     if link.is_none() {
-        check.fault("leases", "the gateways must hear of each other: set fleet.link");
+        checker.fault("leases", "leases need a link between the gateways: set fleet.link");
     }
-    let lease_duration_ms = milliseconds(check, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
+    let lease_duration_ms = milliseconds(checker, "leases.length_ms", raw.length_ms, &LEASE_DURATION_MS);
     let drift = raw.drift_ppm.unwrap_or(CLOCK_DRIFT_PPM_DEFAULT);
-    let clock_drift_ppm = check.whole("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
-    let voters = voters(raw, &gateways, check);
-    let suspects = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, check));
-    let tasks = tasks(&raw.tasks, suspects.is_some(), lease_duration_ms, check);
-    LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, suspects }
+    let clock_drift_ppm = checker.integer("leases.drift_ppm", drift.into(), CLOCK_DRIFT_PPM_RANGE);
+    let voters = voters(raw, &gateways, checker);
+    let outlier_gossip = raw.suspects.as_ref().map(|raw| outlier_gossip(raw, lease_duration_ms, checker));
+    let tasks = tasks(&raw.tasks, outlier_gossip.is_some(), lease_duration_ms, checker);
+    LeaseConfig { lease_duration_ms, clock_drift_ppm, voters, tasks, outlier_gossip }
 }
 
-/// The voters of this version and the one before. All gateways vote where the settings name none.
-fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, check: &mut Check<'_>) -> VoterConfiguration {
-    let named = distinct_gateways("voters", &raw.voters, Some(gateways), check);
-    // A gateway that voted before may be gone.
-    let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, check);
+/// The voters of this version and of the previous one. All gateways vote if the settings name no voters.
+fn voters(raw: &raw::Leases, gateways: &BTreeSet<u32>, checker: &mut Checker<'_>) -> VoterConfiguration {
+    let named = distinct_gateways("voters", &raw.voters, Some(gateways), checker);
+    // A previous voter may have left the fleet, so these need not be among the peers.
+    let previous_voters = distinct_gateways("voters_before", &raw.voters_before, None, checker);
     let voters = if named.is_empty() { gateways.clone() } else { named };
     let version = raw.voters_version;
     if (version == 0) != previous_voters.is_empty() {
-        check.fault(
+        checker.fault(
             "leases.voters_before",
-            "who voted in the version before is needed above version 0, and only there",
+            "the voters of the previous version are required above version 0, and only there",
         );
     } else if version > 0 && previous_voters.symmetric_difference(&voters).count() > 1 {
-        check.fault("leases.voters", "one voter may be added or removed in one version");
+        checker.fault("leases.voters", "only one voter may be added or removed per version");
     }
     VoterConfiguration { version, voters, previous_voters }
 }
 
-/// The gateways that a list names, each once, and each one of `known` where that is stated.
+/// The gateways in a list. Each may be listed once and, if `known` is given, must be one of these.
 fn distinct_gateways(
-    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, check: &mut Check<'_>,
+    field: &str, numbers: &[u32], known: Option<&BTreeSet<u32>>, checker: &mut Checker<'_>,
 ) -> BTreeSet<u32> {
     let mut gateways = BTreeSet::new();
-    for (at, number) in numbers.iter().enumerate() {
-        let path = format!("leases.{field}[{at}]");
+    for (index, number) in numbers.iter().enumerate() {
+        let path = format!("leases.{field}[{index}]");
         if known.is_some_and(|known| !known.contains(number)) {
-            check.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
+            checker.fault(&path, format!("gateway {number} is not among fleet.link.peers"));
         }
         if !gateways.insert(*number) {
-            check.fault(&path, format!("gateway {number} is named twice"));
+            checker.fault(&path, format!("gateway {number} is listed twice"));
         }
     }
     gateways
 }
 
-/// Checks `leases.suspects`. A probe must fit half a lease.
-fn outlier_gossip(raw: &raw::Suspects, lease_duration_ms: u64, check: &mut Check<'_>) -> OutlierGossipConfig {
+/// Checks `leases.suspects`. The timeout of a probe is at most half a lease.
+fn outlier_gossip(
+    raw: &raw::Suspects, lease_duration_ms: u64, checker: &mut Checker<'_>,
+) -> OutlierGossipConfig {
     let path = |field: &str| format!("leases.suspects.{field}");
     let half_lease = (lease_duration_ms / 2).max(10) as f64;
     let timeout = Setting {
@@ -247,15 +254,15 @@
         range: MIN_PROBE_TIMEOUT_MS..=half_lease.min(MAX_PROBE_TIMEOUT_MS),
     };
     OutlierGossipConfig {
-        probe_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
-        probe_timeout_ms: milliseconds(check, &path("timeout_ms"), raw.timeout_ms, &timeout),
-        max_outlier_fraction: number(check, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
-        keep: milliseconds(check, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
+        probe_interval_ms: milliseconds(checker, &path("every_ms"), raw.every_ms, &PROBE_INTERVAL_MS),
+        probe_timeout_ms: milliseconds(checker, &path("timeout_ms"), raw.timeout_ms, &timeout),
+        max_outlier_fraction: number(checker, &path("share"), raw.share, &MAX_OUTLIER_FRACTION),
+        retention_ms: milliseconds(checker, &path("keep_ms"), raw.keep_ms, &RETENTION_MS),
         affects_decisions: raw.apply.unwrap_or(true),
     }
 }
 
-/// The names and ids that are taken by tasks.
+/// The names and ids that tasks already have.
 #[derive(Default)]
 struct TakenNames {
     names: HashSet<String>,
@@ -264,7 +271,7 @@
 
 /// Checks `leases.tasks`.
 fn tasks(
-    raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, check: &mut Check<'_>,
+    raw: &[raw::Task], with_probes: bool, lease_duration_ms: u64, checker: &mut Checker<'_>,
 ) -> Vec<TaskConfig> {
     let mut taken = TakenNames::default();
     if with_probes {
@@ -272,44 +279,48 @@
         taken.by_id.insert(task_of(OUTLIER_PROBE_TASK), OUTLIER_PROBE_TASK.to_owned());
     }
     if raw.len() > MAX_TASKS {
-        check.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS}", raw.len()));
+        checker.fault("leases.tasks", format!("{} tasks: at most {MAX_TASKS} are allowed", raw.len()));
     }
     let tasks = raw.iter().enumerate();
-    tasks.map(|(at, raw)| task(at, raw, lease_duration_ms, &mut taken, check)).collect()
+    tasks.map(|(index, raw)| task(index, raw, lease_duration_ms, &mut taken, checker)).collect()
 }
 
-/// Checks one task. A call must fit half a lease.
+/// Checks one task. A call takes at most half a lease.
 fn task(
-    at: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, check: &mut Check<'_>,
+    index: usize, raw: &raw::Task, lease_duration_ms: u64, taken: &mut TakenNames, checker: &mut Checker<'_>,
 ) -> TaskConfig {
-    let path = |field: &str| format!("leases.tasks[{at}].{field}");
-    let name = check.name(&path("name"), &raw.name, &mut taken.names).to_string();
+    let path = |field: &str| format!("leases.tasks[{index}].{field}");
+    let name = checker.unique_name(&path("name"), &raw.name, &mut taken.names).to_string();
     let other = taken.by_id.insert(task_of(&name), name.clone()).filter(|other| *other != name);
     if let Some(other) = other {
-        check.fault(&path("name"), format!("`{name}` and `{other}` have the same number: rename one"));
+        checker.fault(&path("name"), format!("`{name}` and `{other}` have the same task id: rename one"));
     }
-    let target = raw.path.clone().unwrap_or_else(|| "/".into());
-    if !target.starts_with('/') || target.contains([' ', '\r', '\n']) {
-        check.fault(&path("path"), format!("`{target}` must begin with / and hold no space"));
+    let request_path = raw.path.clone().unwrap_or_else(|| "/".into());
+    if !request_path.starts_with('/') || request_path.contains([' ', '\r', '\n']) {
+        checker.fault(
+            &path("path"),
+            format!("`{request_path}` must begin with / and contain no space or line break"),
+        );
     }
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
-    // The lower bound holds for what is set as well: a shorter duration is raised to it.
+    // A duration in the settings that is below the minimum is raised to it and not rejected.
     let duration = raw.needs_ms.unwrap_or(half_lease / 2.0).max(MIN_CALL_DURATION_MS);
     TaskConfig {
         name,
-        address: check.address(&path("address"), &raw.address),
-        path: target,
-        call_interval_ms: milliseconds(check, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
-        call_duration_ms: check.figure(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease) as u64,
+        address: checker.address(&path("address"), &raw.address),
+        path: request_path,
+        call_interval_ms: milliseconds(checker, &path("every_ms"), raw.every_ms, &CALL_INTERVAL_MS),
+        call_duration_ms: checker.number(&path("needs_ms"), duration, MIN_CALL_DURATION_MS..=half_lease)
+            as u64,
     }
 }
 
-/// A number of the settings, or its default; a fault where it is out of range.
-fn number(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
-    check.figure(path, value.unwrap_or(setting.default), setting.range.clone())
+/// A number in the settings, or its default. A fault is recorded if it is out of range.
+fn number(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> f64 {
+    checker.number(path, value.unwrap_or(setting.default), setting.range.clone())
 }
 
-/// The same in whole ms.
-fn milliseconds(check: &mut Check<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
-    number(check, path, value, setting) as u64
+/// Like [`number`], in whole ms.
+fn milliseconds(checker: &mut Checker<'_>, path: &str, value: Option<f64>, setting: &Setting) -> u64 {
+    number(checker, path, value, setting) as u64
 }
--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -66,11 +66,11 @@
     pub(crate) fn new(io: &Io, config: &Config, seed: u64, takes_over: bool) -> anyhow::Result<Option<Self>> {
         let Some(link_config) = config.link.clone() else { return Ok(None) };
         let now = boot_time_ms();
-        let gateway = config.decisions.gateway_index;
+        let gateway = config.decision_settings.gateway_index;
         let incarnation = seed | 1;
         let mut fleet = Self {
             gateway,
-            endpoint_path: config.path.clone(),
+            endpoint_path: config.endpoint_path.clone(),
             link: PeerLink::new(now, link_config, gateway, incarnation)?,
             leases: None,
             calls: CallSchedules::default(),
@@ -114,7 +114,7 @@
         self.calls.configure(now, &config.tasks);
         let monitor = self.outliers.take();
         self.outliers =
-            config.suspects.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
+            config.outlier_gossip.map(|config| OutlierMonitor::configured(monitor, self.gateway, config));
     }
 
     /// Releases all leases, closes the connections, and releases the address for a process that takes over.
--- a/crates/http-gateway/src/gateway/settings.rs
+++ b/crates/http-gateway/src/gateway/settings.rs
@@ -9,13 +9,13 @@
 impl Gateway {
     /// Applies the settings that were read. A request in flight keeps the schema with which its cost was computed.
     pub(super) fn apply_settings(&mut self) {
-        let Some((mut config, change)) = self.reload.take_settings() else { return };
+        let Some((mut config, diff)) = self.reload.take_settings() else { return };
         let started_at = self.io.now();
         // The routing in the list file takes precedence over that in the settings.
         if let Some(routing) = self.endpoints.listed_routing() {
             config.set_routing(routing);
         }
-        self.io.events.push_back(Event::SettingsChanged(Box::new(config.decisions.clone())));
+        self.io.events.push_back(Event::SettingsChanged(Box::new(config.decision_settings.clone())));
         self.lifecycle.update_settings(lifecycle_settings(&config));
         self.endpoints.update_settings(&config);
         self.clients.update_limits(&config);
@@ -29,8 +29,8 @@
         }
         self.process_pending();
         let stopped_ms = self.io.now() - started_at;
-        tracing::info!(changes = change.lines.join("; "), stopped_ms, "settings reloaded");
-        self.reload.finish(Ok(change));
+        tracing::info!(changes = diff.changes.join("; "), stopped_ms, "settings reloaded");
+        self.reload.finish(Ok(diff));
     }
 }
 
--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -51,7 +51,7 @@
         let external_id =
             client_id.map_or_else(|| format!("{instance_name}-{id}").into(), |(_, v)| v.as_str().into());
         let incoming = incoming_request(config, id, &request);
-        let class = &config.decisions.classes[request.class];
+        let class = &config.decision_settings.classes[request.class];
         let in_flight = InFlightRequest {
             client: Some(client),
             plan: incoming.plan.clone(),
@@ -65,7 +65,9 @@
             needs_idempotency_key: class.idempotency == Idempotency::WithKey,
             units: request.units,
             attempt: Attempt::default(),
-            response: BufferedResponse::new(request.prepared.into_response_scanner(config.answer_depth)),
+            response: BufferedResponse::new(
+                request.prepared.into_response_scanner(config.max_response_depth),
+            ),
         };
         let body_bytes = in_flight.body.len() as u64;
         self.requests.insert(id, in_flight);
@@ -271,13 +273,13 @@
     IncomingRequest {
         id,
         customer: customer.name.clone(),
-        plan: config.decisions.plans[customer.plan].name.clone(),
-        class: config.decisions.classes[request.class].name.clone(),
+        plan: config.decision_settings.plans[customer.plan_index].name.clone(),
+        class: config.decision_settings.classes[request.class].name.clone(),
         units: request.units,
         client_retry: false,
         timeout: request.timeout,
-        first_gateway: customer.first,
-        gateway_count: customer.spread,
+        first_gateway: customer.first_gateway,
+        gateway_count: customer.gateway_count,
         sticky_route: request.sticky_route.clone(),
     }
 }
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -180,7 +180,7 @@
             prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, written.draining);
         }
         let routing = read.routing.expect("routing");
-        prop_assert_eq!((routing.cookie, routing.strict), (node_list.routing.cookie, node_list.routing.strict));
+        prop_assert_eq!((routing.session_cookie, routing.strict_affinity), (node_list.routing.cookie, node_list.routing.strict));
     }
 
     /// Bytes cut out, put in and doubled anywhere: a list or findings, never a panic, and what is printed is taken.
