--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -104,6 +104,6 @@
         eprintln!("{message}");
         return Ok(ExitCode::FAILURE);
     }
-    say!("{:#}", reply["result"]);
+    print_line!("{:#}", reply["result"]);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -60,9 +60,9 @@
     let Some(name) = &drill.name else {
         for (name, text) in DRILLS {
             let about = parse_drill(name, text).map_or(String::new(), |d| d.about);
-            say!("{name:<20} {about}");
+            print_line!("{name:<20} {about}");
         }
-        say!("{HOLDERS:<20} {HOLDERS_ABOUT}");
+        print_line!("{HOLDERS:<20} {HOLDERS_ABOUT}");
         return Ok(ExitCode::SUCCESS);
     };
     if name == HOLDERS {
@@ -94,18 +94,18 @@
             outcome?
         }
     };
-    say_on!("{}", format_report(&outcome.report));
-    say_on!("{}", format_recoveries(&outcome.recoveries));
-    outcome.unmet_expectations.iter().for_each(|m| say!("expected otherwise: {m}"));
+    print_text!("{}", format_report(&outcome.report));
+    print_text!("{}", format_recoveries(&outcome.recoveries));
+    outcome.unmet_expectations.iter().for_each(|m| print_line!("expected otherwise: {m}"));
     if let Some(file) = &drill.json {
         let told = json!({"drill": script.name, "seed": drill.seed, "good": outcome.passed(),
             "missed": outcome.unmet_expectations, "report": outcome.report, "recoveries": outcome.recoveries, "answers": outcome.outcomes_by_request()});
         write(file, &serde_json::to_vec_pretty(&told)?)?;
     }
     if let Some(folder) = &outcome.folder {
-        say!("record and logs: {}", folder.display());
+        print_line!("record and logs: {}", folder.display());
     }
-    say!(
+    print_line!(
         "{}",
         match (outcome.report.rules_kept, outcome.unmet_expectations.is_empty()) {
             (true, true) => "every rule was kept",
@@ -118,7 +118,7 @@
 
 /// Tells what leases cost a fleet that is well.
 fn cost(binary: &Path, folder: &Path, seed: u64) -> anyhow::Result<ExitCode> {
-    say!("gateways  tasks   held  datagrams/s  kB/s  processor   (one gateway, lease 3 s)");
+    print_line!("gateways  tasks   held  datagrams/s  kB/s  processor   (one gateway, lease 3 s)");
     for gateways in [5, 9] {
         for tasks in [2, 100, 1000] {
             let folder = folder.join(format!("{gateways}-{tasks}"));
@@ -133,7 +133,7 @@
                 lease_ms: 3000.0,
             };
             let cost = measure_lease_cost(&options, 6.0)?;
-            say!(
+            print_line!(
                 "{gateways:>8}  {tasks:>5}  {:>5}  {:>11.1}  {:>4.1}  {:>8.2}%",
                 cost.held_tasks,
                 cost.datagrams_per_s,
@@ -155,7 +155,7 @@
         };
         let spans = measure_failover_times(&options, 30)?;
         let of = |share: f64| spans[((spans.len() - 1) as f64 * share).round() as usize];
-        say!(
+        print_line!(
             "{gateways} gateways, lease {LEASE_MS:.0} ms, holder killed 30 times: the next one acts after p50 {:.0} ms, p99 {:.0} ms",
             of(0.5),
             of(0.99)
@@ -202,9 +202,9 @@
     for (seed, held) in told {
         let held = held.with_context(|| format!("seed {seed}"))?;
         if drill.seeds <= 1 {
-            held.log.iter().for_each(|line| say!("{line}"));
+            held.log.iter().for_each(|line| print_line!("{line}"));
         }
-        say!(
+        print_line!(
             "seed {seed}: {} acts took place, {} refused, {} holders, {:.0} datagrams and {:.1} kB a second",
             held.accepted.iter().sum::<usize>(),
             held.rejected.iter().sum::<usize>(),
@@ -212,7 +212,7 @@
             held.datagrams_per_s,
             held.bytes_per_s / 1000.0
         );
-        held.violations.iter().for_each(|line| say!("seed {seed}: BROKEN {line}"));
+        held.violations.iter().for_each(|line| print_line!("seed {seed}: BROKEN {line}"));
         broken += usize::from(!held.violations.is_empty());
         acts += held.accepted.iter().sum::<usize>();
         holders += held.holders.iter().sum::<usize>();
@@ -220,7 +220,7 @@
     }
     gaps.sort_by(f64::total_cmp);
     let share = |part: f64| gaps.get((gaps.len() as f64 * part) as usize).copied().unwrap_or_default();
-    say!(
+    print_line!(
         "{} seeds, {acts} acts by {holders} holders; from one holder's last act to the next one's first: p50 {:.0} ms, p99 {:.0} ms",
         seeds.len(),
         share(0.5),
@@ -229,9 +229,9 @@
     if own && broken == 0 {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
-        say!("record and logs: {}", folder.display());
+        print_line!("record and logs: {}", folder.display());
     }
-    say!(
+    print_line!(
         "{}",
         if broken == 0 {
             "every rule was kept".into()
@@ -263,7 +263,7 @@
 pub fn run_compare(wanted: &Compare) -> anyhow::Result<ExitCode> {
     let binary = std::env::current_exe().context("this program's own file")?;
     let (text, told) = compare(&binary, wanted.seconds, wanted.rounds)?;
-    say_on!("{text}");
+    print_text!("{text}");
     if let Some(file) = &wanted.json {
         write(file, &serde_json::to_vec_pretty(&told)?)?;
     }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -82,8 +82,8 @@
         Fleet::Stop { folder } => (folder, "stop", json!({})),
     };
     match call_fleet(folder, method, &parameters)? {
-        Value::String(text) => say!("{text}"),
-        other => say!("{other:#}"),
+        Value::String(text) => print_line!("{text}"),
+        other => print_line!("{other:#}"),
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -151,12 +151,12 @@
         ),
         Import::Diff { old, new, format } => differ(&old, &new, format),
         Import::Table => {
-            say_on!("{}", table());
+            print_text!("{}", table());
             Ok(ExitCode::SUCCESS)
         }
         Import::Codes => {
             for (code, severity, text) in CODES {
-                say!("{code}  {:<12}  {text}", severity.name());
+                print_line!("{code}  {:<12}  {text}", severity.name());
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -186,7 +186,7 @@
     }
     let text = carried.to_text();
     match &common.out {
-        None => say_on!("{text}"),
+        None => print_text!("{text}"),
         Some(file) => write_whole(file, &text).with_context(|| file.display().to_string())?,
     }
     if common.format == Format::Text {
@@ -235,8 +235,8 @@
         });
     }
     match format {
-        Format::Text => all.iter().for_each(|d| say!("{d}")),
-        Format::Json => say!("{}", serde_json::to_string_pretty(&all)?),
+        Format::Text => all.iter().for_each(|d| print_line!("{d}")),
+        Format::Json => print_line!("{}", serde_json::to_string_pretty(&all)?),
     }
     Ok(if all.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -56,10 +56,10 @@
     if load.json {
         let told = json!({"served": served, "refused": refused, "failed": failed, "lost": lost, "gave_up": gave_up,
             "per_second": served as f64 / seconds, "p50_ms": at(0.5), "p99_ms": at(0.99), "p999_ms": at(0.999)});
-        say!("{told}");
+        print_line!("{told}");
     } else {
-        say!("served {served}, refused {refused}, failed {failed}, lost {lost}, given up {gave_up}");
-        say!(
+        print_line!("served {served}, refused {refused}, failed {failed}, lost {lost}, given up {gave_up}");
+        print_line!(
             "{:.1} served a second; p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
             served as f64 / seconds,
             at(0.5),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,15 +1,15 @@
 //! The doorcourse command: arguments, exit codes and the log's set-up; nothing else.
 
-/// Prints a line; a reader that has seen enough is no reason to break down.
-macro_rules! say {
+/// Prints a line to standard output; ignores write errors, since a reader such as `head` may close the pipe early.
+macro_rules! print_line {
     ($($part:tt)*) => {{
         use std::io::Write;
         drop(writeln!(std::io::stdout(), $($part)*));
     }};
 }
 
-/// The same without the line's end.
-macro_rules! say_on {
+/// Prints text without a line break, as `print_line!` does.
+macro_rules! print_text {
     ($($part:tt)*) => {{
         use std::io::Write;
         drop(write!(std::io::stdout(), $($part)*));
--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -70,10 +70,10 @@
                     OperationKind::Subscription => "subscription",
                 };
                 for (k, name) in document.operations() {
-                    say!("{} {}", kind(k), name.unwrap_or("(no name)"));
+                    print_line!("{} {}", kind(k), name.unwrap_or("(no name)"));
                 }
-                document.fragment_names().for_each(|f| say!("fragment {f}"));
-                say!(
+                document.fragment_names().for_each(|f| print_line!("fragment {f}"));
+                print_line!(
                     "{} tokens, {} definitions of a type system",
                     document.token_count,
                     document.type_system_definition_count()
@@ -90,7 +90,7 @@
             Ok(match document.and_then(|d| validate(&schema, &d, &limits)) {
                 Err(errors) => told(&file, &errors),
                 Ok(()) => {
-                    say!("{}: valid", file.display());
+                    print_line!("{}: valid", file.display());
                     ExitCode::SUCCESS
                 }
             })
@@ -116,7 +116,12 @@
                 Err(errors) => told(&file, &errors),
                 Ok(prepared) => {
                     let cost = prepared.cost();
-                    say!("{} units: {} of fields, {} of types", cost.units, cost.field_cost, cost.type_cost);
+                    print_line!(
+                        "{} units: {} of fields, {} of types",
+                        cost.units,
+                        cost.field_cost,
+                        cost.type_cost
+                    );
                     ExitCode::SUCCESS
                 }
             })
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -43,7 +43,7 @@
     let classes = config.decision_settings.classes.len();
     let plans = config.decision_settings.plans.len();
     let keys = config.customers_by_key.len();
-    say!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
+    print_line!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
     Ok(ExitCode::SUCCESS)
 }
 
@@ -51,7 +51,7 @@
     match doorcourse_config::read_nodes(shown, text) {
         Err(faults) => report_faults(&faults),
         Ok(list) => {
-            say!("{shown}: good: a list of {} nodes", list.nodes.len());
+            print_line!("{shown}: good: a list of {} nodes", list.nodes.len());
             ExitCode::SUCCESS
         }
     }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -33,7 +33,7 @@
     let clock = Clock::default();
     let (seed, spread, password) = (1, 0.0, None);
     match standin {
-        Standin::Schema => say_on!("{CATALOGUE}"),
+        Standin::Schema => print_text!("{CATALOGUE}"),
         Standin::Counter => {
             let spec = EmulatorServerSpec {
                 nodes: Vec::new(),
@@ -46,7 +46,7 @@
                 speed: 1.0,
             };
             let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
-            say!("counter on {}", world.counter_address.map_or(String::new(), |a| a.to_string()));
+            print_line!("counter on {}", world.counter_address.map_or(String::new(), |a| a.to_string()));
             world.wait();
         }
         Standin::Node { listen, cores, queue, speed } => {
@@ -73,7 +73,7 @@
                 speed,
             };
             let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
-            say!("node on {}", world.node_addresses[0]);
+            print_line!("node on {}", world.node_addresses[0]);
             world.wait();
         }
     }
