--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use clap::Args;
-use doorcourse_emulators::{ClientEmulator, FixedRateLoad as Rate};
+use doorcourse_emulators::{ClientEmulator, FixedRateLoad};
 use doorcourse_event_loop::Clock;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -45,26 +45,27 @@
     let clock = Clock::default();
     let body = json!({"query": query}).to_string();
     let start = clock.now();
-    let mut rate = Rate::new(body, load.key.clone(), load.rate, load.seconds, load.patience, start)?;
-    let mut crowd = ClientEmulator::new(clock, Arc::new(Mutex::new(vec![load.to])), None, 100.0)?;
-    crowd.run(&mut rate)?;
-    let report = rate.report();
+    let mut generator =
+        FixedRateLoad::new(body, load.key.clone(), load.rate, load.seconds, load.patience, start)?;
+    let mut client = ClientEmulator::new(clock, Arc::new(Mutex::new(vec![load.to])), None, 100.0)?;
+    client.run(&mut generator)?;
+    let report = generator.report();
     let served = report.served_latency_us.len();
     let seconds = ((report.last_ended_ms - start) / 1000.0).max(load.seconds);
-    let at = |q: f64| report.served_latency_us.value_at_quantile(q) as f64 / 1000.0;
+    let latency_ms = |q: f64| report.served_latency_us.value_at_quantile(q) as f64 / 1000.0;
     let [refused, failed, lost, gave_up] = report.unserved;
     if load.json {
-        let told = json!({"served": served, "refused": refused, "failed": failed, "lost": lost, "gave_up": gave_up,
-            "per_second": served as f64 / seconds, "p50_ms": at(0.5), "p99_ms": at(0.99), "p999_ms": at(0.999)});
-        print_line!("{told}");
+        let summary = json!({"served": served, "refused": refused, "failed": failed, "lost": lost, "gave_up": gave_up,
+            "per_second": served as f64 / seconds, "p50_ms": latency_ms(0.5), "p99_ms": latency_ms(0.99), "p999_ms": latency_ms(0.999)});
+        print_line!("{summary}");
     } else {
         print_line!("served {served}, refused {refused}, failed {failed}, lost {lost}, given up {gave_up}");
         print_line!(
             "{:.1} served a second; p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
             served as f64 / seconds,
-            at(0.5),
-            at(0.99),
-            at(0.999)
+            latency_ms(0.5),
+            latency_ms(0.99),
+            latency_ms(0.999)
         );
     }
     Ok(if served > 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
