--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -260,12 +260,12 @@
     json: Option<PathBuf>,
 }
 
-pub fn run_compare(wanted: &Compare) -> anyhow::Result<ExitCode> {
+pub fn run_compare(options: &Compare) -> anyhow::Result<ExitCode> {
     let binary = std::env::current_exe().context("this program's own file")?;
-    let (text, told) = compare(&binary, wanted.seconds, wanted.rounds)?;
+    let (text, figures) = compare(&binary, options.seconds, options.rounds)?;
     print_text!("{text}");
-    if let Some(file) = &wanted.json {
-        write(file, &serde_json::to_vec_pretty(&told)?)?;
+    if let Some(file) = &options.json {
+        write(file, &serde_json::to_vec_pretty(&figures)?)?;
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -105,7 +105,7 @@
     } else {
         log.json().flatten_event(true).init();
     }
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Serve { config, seed, take_over } => serve::serve(&config, seed, take_over),
         Command::Platform(platform) => platform::run(&platform),
         Command::Check { file } => serve::check(&file),
@@ -114,11 +114,11 @@
         Command::Ctl(ctl) => ctl::run(&ctl),
         Command::Drill(drill) => drill::run(&drill),
         Command::Fleet(fleet) => fleet::run(&fleet),
-        Command::Compare(wanted) => drill::run_compare(&wanted),
+        Command::Compare(compare) => drill::run_compare(&compare),
         Command::Load(load) => load::run(&load),
         Command::Standin(standin) => standin::run(&standin),
     };
-    match done {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("doorcourse: {error:#}");
