--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -49,11 +49,11 @@
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn told(file: &Path, errors: &[Error]) -> ExitCode {
-    let shown = file.display();
+fn print_errors(file: &Path, errors: &[Error]) -> ExitCode {
+    let path = file.display();
     errors.iter().for_each(|e| match e.at {
-        Some(at) => eprintln!("{shown}:{}:{}: {}", at.line, at.column, e.message),
-        None => eprintln!("{shown}: {}", e.message),
+        Some(location) => eprintln!("{path}:{}:{}: {}", location.line, location.column, e.message),
+        None => eprintln!("{path}: {}", e.message),
     });
     ExitCode::FAILURE
 }
@@ -62,15 +62,15 @@
     let limits = Limits::default();
     match command {
         Query::Parse { file } => Ok(match parse(&read(&file)?, &limits) {
-            Err(error) => told(&file, &[error]),
+            Err(error) => print_errors(&file, &[error]),
             Ok(document) => {
-                let kind = |k| match k {
+                let kind_name = |kind| match kind {
                     OperationKind::Query => "query",
                     OperationKind::Mutation => "mutation",
                     OperationKind::Subscription => "subscription",
                 };
-                for (k, name) in document.operations() {
-                    print_line!("{} {}", kind(k), name.unwrap_or("(no name)"));
+                for (kind, name) in document.operations() {
+                    print_line!("{} {}", kind_name(kind), name.unwrap_or("(no name)"));
                 }
                 document.fragment_names().for_each(|f| print_line!("fragment {f}"));
                 print_line!(
@@ -84,11 +84,11 @@
         Query::Validate { schema, file } => {
             let schema = match Schema::parse(&read(&schema.schema)?) {
                 Ok(schema) => schema,
-                Err(errors) => return Ok(told(&schema.schema, &errors)),
+                Err(errors) => return Ok(print_errors(&schema.schema, &errors)),
             };
             let document = parse(&read(&file)?, &limits).map_err(|e| vec![e]);
             Ok(match document.and_then(|d| validate(&schema, &d, &limits)) {
-                Err(errors) => told(&file, &errors),
+                Err(errors) => print_errors(&file, &errors),
                 Ok(()) => {
                     print_line!("{}: valid", file.display());
                     ExitCode::SUCCESS
@@ -102,7 +102,7 @@
                 .context("--variables: a JSON object")?;
             let schema = match Schema::parse(&read(&schema.schema)?) {
                 Ok(schema) => schema,
-                Err(errors) => return Ok(told(&schema.schema, &errors)),
+                Err(errors) => return Ok(print_errors(&schema.schema, &errors)),
             };
             let source = read(&file)?;
             let prepared = PreparedOperation::new(
@@ -113,7 +113,7 @@
                 limits,
             );
             Ok(match prepared {
-                Err(errors) => told(&file, &errors),
+                Err(errors) => print_errors(&file, &errors),
                 Ok(prepared) => {
                     let cost = prepared.cost();
                     print_line!(
