--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -91,15 +91,15 @@
 /// When the gateway cannot be reached or does not reply in time.
 pub fn run(ctl: &Ctl) -> anyhow::Result<ExitCode> {
     let (method, params) = ctl.call.method_and_params();
-    let shown = ctl.socket.display();
+    let path = ctl.socket.display();
     let mut stream =
-        UnixStream::connect(&ctl.socket).with_context(|| format!("{shown}: no gateway answers"))?;
+        UnixStream::connect(&ctl.socket).with_context(|| format!("{path}: no gateway answers"))?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
-    let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params});
-    stream.write_all(format!("{call}\n").as_bytes())?;
+    let request = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params});
+    stream.write_all(format!("{request}\n").as_bytes())?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).with_context(|| format!("{shown}: no answer"))?;
-    let reply: Value = serde_json::from_str(&line).with_context(|| format!("{shown}: no JSON"))?;
+    BufReader::new(stream).read_line(&mut line).with_context(|| format!("{path}: no answer"))?;
+    let reply: Value = serde_json::from_str(&line).with_context(|| format!("{path}: no JSON"))?;
     if let Some(message) = reply["error"]["message"].as_str() {
         eprintln!("{message}");
         return Ok(ExitCode::FAILURE);
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -32,9 +32,9 @@
 /// When the file cannot be read.
 pub fn check(file: &Path) -> anyhow::Result<ExitCode> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
-    let shown = file.display().to_string();
-    if doorcourse_config::is_node_list(&shown, &text) {
-        return Ok(check_endpoint_list(&shown, &text));
+    let path = file.display().to_string();
+    if doorcourse_config::is_node_list(&path, &text) {
+        return Ok(check_endpoint_list(&path, &text));
     }
     let config = match read_settings(file)? {
         Ok(config) => config,
@@ -43,15 +43,15 @@
     let classes = config.decision_settings.classes.len();
     let plans = config.decision_settings.plans.len();
     let keys = config.customers_by_key.len();
-    print_line!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
+    print_line!("{path}: good: {classes} classes, {plans} plans, {keys} keys");
     Ok(ExitCode::SUCCESS)
 }
 
-fn check_endpoint_list(shown: &str, text: &str) -> ExitCode {
-    match doorcourse_config::read_nodes(shown, text) {
+fn check_endpoint_list(path: &str, text: &str) -> ExitCode {
+    match doorcourse_config::read_nodes(path, text) {
         Err(faults) => report_faults(&faults),
         Ok(list) => {
-            print_line!("{shown}: good: a list of {} nodes", list.nodes.len());
+            print_line!("{path}: good: a list of {} nodes", list.nodes.len());
             ExitCode::SUCCESS
         }
     }
