--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -31,7 +31,7 @@
 
 pub fn run(standin: &Standin) -> anyhow::Result<ExitCode> {
     let clock = Clock::default();
-    let (seed, spread, password) = (1, 0.0, None);
+    let (seed, service_time_spread, password) = (1, 0.0, None);
     match standin {
         Standin::Schema => print_text!("{CATALOGUE}"),
         Standin::Counter => {
@@ -41,13 +41,13 @@
                 counter: true,
                 password,
                 seed,
-                service_time_spread: spread,
+                service_time_spread,
                 discard_records: true,
                 speed: 1.0,
             };
-            let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
-            print_line!("counter on {}", world.counter_address.map_or(String::new(), |a| a.to_string()));
-            world.wait();
+            let server = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
+            print_line!("counter on {}", server.counter_address.map_or(String::new(), |a| a.to_string()));
+            server.wait();
         }
         Standin::Node { listen, cores, queue, speed } => {
             let node = NodeSpec {
@@ -68,13 +68,13 @@
                 counter: false,
                 password,
                 seed,
-                service_time_spread: spread,
+                service_time_spread,
                 discard_records: true,
                 speed,
             };
-            let world = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
-            print_line!("node on {}", world.node_addresses[0]);
-            world.wait();
+            let server = EmulatorServer::start(&spec, clock, Recorder::new(clock))?;
+            print_line!("node on {}", server.node_addresses[0]);
+            server.wait();
         }
     }
     Ok(ExitCode::SUCCESS)
