--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -139,9 +139,9 @@
                 apache::Options { defines: define, version: httpd_version, limits: Limits::default() };
             let request =
                 ImportRequest { apache_files: names(&files), apache_options, ..ImportRequest::default() };
-            carry(request, &common)
+            run_import(request, &common)
         }
-        Import::ModJk { files, map, common } => carry(
+        Import::ModJk { files, map, common } => run_import(
             ImportRequest {
                 worker_files: names(&files),
                 uri_map_files: names(&map),
@@ -163,7 +163,7 @@
     }
 }
 
-fn carry(mut request: ImportRequest, common: &Common) -> anyhow::Result<ExitCode> {
+fn run_import(mut request: ImportRequest, common: &Common) -> anyhow::Result<ExitCode> {
     let host = |text: &String| -> anyhow::Result<(String, IpAddr)> {
         let (name, address) = text.split_once('=').context("--host: NAME=ADDRESS is wanted")?;
         let address = address.parse().with_context(|| format!("--host: {address} is no address"))?;
@@ -172,25 +172,25 @@
     let hosts = common.host.iter().map(host).collect::<Result<_, _>>()?;
     request.convert_options = ConvertOptions { balancer: common.balancer.clone(), hosts };
     let disk = Disk { root: common.root.clone() };
-    let (carried, findings) = doorcourse_import::import(&disk, &request);
+    let (node_list, findings) = doorcourse_import::import(&disk, &request);
     match common.format {
         Format::Text => eprint!("{}", findings.to_text(&disk)),
         Format::Json => eprintln!("{}", findings.to_json()),
     }
     let count = |wanted| findings.all().iter().filter(|f: &&Finding| f.severity == wanted).count();
     let (about, left) = (count(Severity::Approximated), count(Severity::LeftOut));
-    let Some(carried) = carried else { return Ok(ExitCode::FAILURE) };
+    let Some(node_list) = node_list else { return Ok(ExitCode::FAILURE) };
     if common.strict && left > 0 {
         eprintln!("doorcourse: {left} left out: no list, as --strict wants it");
         return Ok(ExitCode::FAILURE);
     }
-    let text = carried.to_text();
+    let text = node_list.to_text();
     match &common.out {
         None => print_text!("{text}"),
         Some(file) => write_whole(file, &text).with_context(|| file.display().to_string())?,
     }
     if common.format == Format::Text {
-        let (nodes, name) = (carried.nodes.len(), &carried.balancer);
+        let (nodes, name) = (node_list.nodes.len(), &node_list.balancer);
         eprintln!(
             "balancer {name}: {nodes} nodes; {about} findings of what is approximated, {left} of what is left out"
         );
