--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -177,11 +177,11 @@
         Format::Text => eprint!("{}", findings.to_text(&disk)),
         Format::Json => eprintln!("{}", findings.to_json()),
     }
-    let count = |wanted| findings.all().iter().filter(|f: &&Finding| f.severity == wanted).count();
-    let (about, left) = (count(Severity::Approximated), count(Severity::LeftOut));
+    let count = |severity| findings.all().iter().filter(|f: &&Finding| f.severity == severity).count();
+    let (approximated, left_out) = (count(Severity::Approximated), count(Severity::LeftOut));
     let Some(node_list) = node_list else { return Ok(ExitCode::FAILURE) };
-    if common.strict && left > 0 {
-        eprintln!("doorcourse: {left} left out: no list, as --strict wants it");
+    if common.strict && left_out > 0 {
+        eprintln!("doorcourse: {left_out} left out: no list, as --strict wants it");
         return Ok(ExitCode::FAILURE);
     }
     let text = node_list.to_text();
@@ -192,7 +192,7 @@
     if common.format == Format::Text {
         let (nodes, name) = (node_list.nodes.len(), &node_list.balancer);
         eprintln!(
-            "balancer {name}: {nodes} nodes; {about} findings of what is approximated, {left} of what is left out"
+            "balancer {name}: {nodes} nodes; {approximated} findings of what is approximated, {left_out} of what is left out"
         );
     }
     Ok(ExitCode::SUCCESS)
