--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -94,12 +94,12 @@
 }
 
 /// Files on disk; absolute paths below a root where one is given.
-struct Disk {
+struct DiskFiles {
     root: Option<PathBuf>,
 }
 
-impl Disk {
-    fn place(&self, path: &str) -> PathBuf {
+impl DiskFiles {
+    fn resolve(&self, path: &str) -> PathBuf {
         match (&self.root, path.strip_prefix('/')) {
             (Some(root), Some(rest)) if !Path::new(path).starts_with(root) => root.join(rest),
             _ if path.is_empty() => PathBuf::from("."),
@@ -108,27 +108,28 @@
     }
 }
 
-impl Files for Disk {
+impl Files for DiskFiles {
     fn read(&self, path: &str) -> Result<Vec<u8>, FileError> {
-        let place = self.place(path);
+        let resolved = self.resolve(path);
         // A pipe or a device would never end.
-        match std::fs::metadata(&place) {
-            Ok(known) if known.is_file() => {}
+        match std::fs::metadata(&resolved) {
+            Ok(metadata) if metadata.is_file() => {}
             Ok(_) => return Err(FileError::Unreadable("it is no regular file".into())),
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Err(FileError::Missing),
             Err(error) => return Err(FileError::Unreadable(error.to_string())),
         }
-        std::fs::read(place).map_err(|e| FileError::Unreadable(e.to_string()))
+        std::fs::read(resolved).map_err(|e| FileError::Unreadable(e.to_string()))
     }
 
     fn list(&self, folder: &str) -> Option<Vec<(String, bool)>> {
-        let entries = std::fs::read_dir(self.place(folder)).ok()?;
-        let one = |e: std::fs::DirEntry| (e.file_name().to_string_lossy().into_owned(), e.path().is_dir());
-        Some(entries.filter_map(Result::ok).map(one).collect())
+        let entries = std::fs::read_dir(self.resolve(folder)).ok()?;
+        let name_and_kind =
+            |e: std::fs::DirEntry| (e.file_name().to_string_lossy().into_owned(), e.path().is_dir());
+        Some(entries.filter_map(Result::ok).map(name_and_kind).collect())
     }
 }
 
-fn names(files: &[PathBuf]) -> Vec<String> {
+fn path_texts(files: &[PathBuf]) -> Vec<String> {
     files.iter().map(|f| f.to_string_lossy().into_owned()).collect()
 }
 
@@ -137,14 +138,17 @@
         Import::Apache { files, define, httpd_version, common } => {
             let apache_options =
                 apache::Options { defines: define, version: httpd_version, limits: Limits::default() };
-            let request =
-                ImportRequest { apache_files: names(&files), apache_options, ..ImportRequest::default() };
+            let request = ImportRequest {
+                apache_files: path_texts(&files),
+                apache_options,
+                ..ImportRequest::default()
+            };
             run_import(request, &common)
         }
         Import::ModJk { files, map, common } => run_import(
             ImportRequest {
-                worker_files: names(&files),
-                uri_map_files: names(&map),
+                worker_files: path_texts(&files),
+                uri_map_files: path_texts(&map),
                 ..ImportRequest::default()
             },
             &common,
@@ -171,10 +175,10 @@
     };
     let hosts = common.host.iter().map(host).collect::<Result<_, _>>()?;
     request.convert_options = ConvertOptions { balancer: common.balancer.clone(), hosts };
-    let disk = Disk { root: common.root.clone() };
-    let (node_list, findings) = doorcourse_import::import(&disk, &request);
+    let disk_files = DiskFiles { root: common.root.clone() };
+    let (node_list, findings) = doorcourse_import::import(&disk_files, &request);
     match common.format {
-        Format::Text => eprint!("{}", findings.to_text(&disk)),
+        Format::Text => eprint!("{}", findings.to_text(&disk_files)),
         Format::Json => eprintln!("{}", findings.to_json()),
     }
     let count = |severity| findings.all().iter().filter(|f: &&Finding| f.severity == severity).count();
