--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -191,7 +191,7 @@
     let text = node_list.to_text();
     match &common.out {
         None => print_text!("{text}"),
-        Some(file) => write_whole(file, &text).with_context(|| file.display().to_string())?,
+        Some(file) => write_atomically(file, &text).with_context(|| file.display().to_string())?,
     }
     if common.format == Format::Text {
         let (nodes, name) = (node_list.nodes.len(), &node_list.balancer);
@@ -203,17 +203,17 @@
 }
 
 /// A running gateway may read the file at any time: it finds the old one or the new one, never a part.
-fn write_whole(file: &Path, text: &str) -> std::io::Result<()> {
+fn write_atomically(file: &Path, text: &str) -> std::io::Result<()> {
     let mut name = file.file_name().unwrap_or_default().to_os_string();
     name.push(format!(".{}.new", std::process::id()));
-    let beside = file.with_file_name(name);
-    let written = std::fs::File::create(&beside)
+    let temporary = file.with_file_name(name);
+    let result = std::fs::File::create(&temporary)
         .and_then(|mut f| f.write_all(text.as_bytes()).and_then(|()| f.sync_all()))
-        .and_then(|()| std::fs::rename(&beside, file));
-    if written.is_err() {
-        let _ = std::fs::remove_file(&beside);
+        .and_then(|()| std::fs::rename(&temporary, file));
+    if result.is_err() {
+        let _ = std::fs::remove_file(&temporary);
     }
-    written
+    result
 }
 
 fn differ(old: &Path, new: &Path, format: Format) -> anyhow::Result<ExitCode> {
