--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -153,7 +153,7 @@
             },
             &common,
         ),
-        Import::Diff { old, new, format } => differ(&old, &new, format),
+        Import::Diff { old, new, format } => run_diff(&old, &new, format),
         Import::Table => {
             print_text!("{}", table());
             Ok(ExitCode::SUCCESS)
@@ -216,53 +216,54 @@
     result
 }
 
-fn differ(old: &Path, new: &Path, format: Format) -> anyhow::Result<ExitCode> {
+fn run_diff(old: &Path, new: &Path, format: Format) -> anyhow::Result<ExitCode> {
     let read = |file: &Path| -> anyhow::Result<doorcourse_config::NodeList> {
-        let shown = file.display().to_string();
-        let text = std::fs::read_to_string(file).with_context(|| shown.clone())?;
-        doorcourse_config::read_nodes(&shown, &text).map_err(|faults| {
+        let path = file.display().to_string();
+        let text = std::fs::read_to_string(file).with_context(|| path.clone())?;
+        doorcourse_config::read_nodes(&path, &text).map_err(|faults| {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
             anyhow::anyhow!("{}", faults.join("\n"))
         })
     };
     let (old, new) = (read(old)?, read(new)?);
-    let nodes = |file: &doorcourse_config::NodeList| file.nodes.iter().map(node).collect::<Vec<_>>();
-    let mut all = diff(&nodes(&old), &nodes(&new));
-    let shown = |file: &doorcourse_config::NodeList| file.routing.as_ref().map(ToString::to_string);
-    let (was, is) = (shown(&old), shown(&new));
-    if was != is {
-        all.push(Difference {
+    let nodes =
+        |file: &doorcourse_config::NodeList| file.nodes.iter().map(to_import_node).collect::<Vec<_>>();
+    let mut differences = diff(&nodes(&old), &nodes(&new));
+    let routing_text = |file: &doorcourse_config::NodeList| file.routing.as_ref().map(ToString::to_string);
+    let (old_routing, new_routing) = (routing_text(&old), routing_text(&new));
+    if old_routing != new_routing {
+        differences.push(Difference {
             node: String::new(),
             field: "routing",
-            old: was.or_else(|| Some(String::new())),
-            new: is.or_else(|| Some(String::new())),
+            old: old_routing.or_else(|| Some(String::new())),
+            new: new_routing.or_else(|| Some(String::new())),
         });
     }
     match format {
-        Format::Text => all.iter().for_each(|d| print_line!("{d}")),
-        Format::Json => print_line!("{}", serde_json::to_string_pretty(&all)?),
+        Format::Text => differences.iter().for_each(|d| print_line!("{d}")),
+        Format::Json => print_line!("{}", serde_json::to_string_pretty(&differences)?),
     }
-    Ok(if all.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if differences.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn node(node: &doorcourse_config::Node) -> Node {
-    let place = &node.entry.placement;
+fn to_import_node(node: &doorcourse_config::Node) -> Node {
+    let placement = &node.entry.placement;
     Node {
         name: node.entry.name.to_string(),
         address: node.address.to_string(),
         resolved: true,
-        weight: place.weight,
-        priority_level: place.priority_level,
-        role: match place.role {
+        weight: placement.weight,
+        priority_level: placement.priority_level,
+        role: match placement.role {
             doorcourse_config::BackendRole::Active => Role::Active,
             doorcourse_config::BackendRole::Standby => Role::Standby,
             doorcourse_config::BackendRole::Spare => Role::Spare,
             doorcourse_config::BackendRole::StickyOnly => Role::StickyOnly,
         },
         draining: node.entry.state != doorcourse_config::BackendState::Ready,
-        route: place.sticky_route.to_string(),
-        redirect: place.failover_route.to_string(),
-        group: place.failover_group.to_string(),
+        route: placement.sticky_route.to_string(),
+        redirect: placement.failover_route.to_string(),
+        group: placement.failover_group.to_string(),
         location: doorcourse_import::SourceLocation::default(),
     }
 }
@@ -274,12 +275,12 @@
     for row in PARAMETERS {
         let source = if row.source == Source::Apache { "httpd" } else { "mod_jk" };
         let scope = format!("{:?}", row.scope).to_lowercase();
-        let fate = match row.conversion {
+        let outcome = match row.conversion {
             doorcourse_import::Conversion::Carried => "carried over",
             doorcourse_import::Conversion::Approximated => "approximated",
             doorcourse_import::Conversion::LeftOut => "left out",
         };
-        text.push_str(&format!("| {source} | {scope} | `{}` | {fate} | {} |\n", row.name, row.note));
+        text.push_str(&format!("| {source} | {scope} | `{}` | {outcome} | {} |\n", row.name, row.note));
     }
     text
 }
