--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -53,8 +53,8 @@
     cost: bool,
 }
 
-const HOLDERS: &str = "lease-holder-lost";
-const HOLDERS_ABOUT: &str = "tasks of one holder at a time while holders die, stall and are cut off";
+const LEASE_DRILL: &str = "lease-holder-lost";
+const LEASE_DRILL_ABOUT: &str = "tasks of one holder at a time while holders die, stall and are cut off";
 
 pub fn run(drill: &Drill) -> anyhow::Result<ExitCode> {
     let Some(name) = &drill.name else {
@@ -62,11 +62,11 @@
             let about = parse_drill(name, text).map_or(String::new(), |d| d.about);
             print_line!("{name:<20} {about}");
         }
-        print_line!("{HOLDERS:<20} {HOLDERS_ABOUT}");
+        print_line!("{LEASE_DRILL:<20} {LEASE_DRILL_ABOUT}");
         return Ok(ExitCode::SUCCESS);
     };
-    if name == HOLDERS {
-        return holders(drill);
+    if name == LEASE_DRILL {
+        return run_lease_drill_seeds(drill);
     }
     let known = DRILLS.iter().find(|(n, _)| n == name).map(|(_, text)| (*text).to_owned());
     let text = match known {
@@ -117,7 +117,7 @@
 }
 
 /// Tells what leases cost a fleet that is well.
-fn cost(binary: &Path, folder: &Path, seed: u64) -> anyhow::Result<ExitCode> {
+fn print_lease_cost(binary: &Path, folder: &Path, seed: u64) -> anyhow::Result<ExitCode> {
     print_line!("gateways  tasks   held  datagrams/s  kB/s  processor   (one gateway, lease 3 s)");
     for gateways in [5, 9] {
         for tasks in [2, 100, 1000] {
@@ -165,21 +165,21 @@
 }
 
 /// Plays the drill of the leases, seed by seed, and tells what was broken in any.
-fn holders(drill: &Drill) -> anyhow::Result<ExitCode> {
+fn run_lease_drill_seeds(drill: &Drill) -> anyhow::Result<ExitCode> {
     let binary = std::env::current_exe().context("this program's own file")?;
     let (own, folder) = match &drill.keep {
         Some(folder) => (false, folder.clone()),
         None => (true, std::env::temp_dir().join(format!("doorcourse-leases-{}", std::process::id()))),
     };
     if drill.cost {
-        return cost(&binary, &folder, drill.seed);
+        return print_lease_cost(&binary, &folder, drill.seed);
     }
     let faults = if drill.short { 6 } else { 16 };
     let seeds: Vec<u64> = (drill.seed..drill.seed + drill.seeds.max(1)).collect();
     let next = std::sync::atomic::AtomicUsize::new(0);
     let threads = std::thread::available_parallelism().map_or(1, |n| (n.get() / 2).max(1)).min(seeds.len());
     let told = std::sync::Mutex::new(Vec::new());
-    let play_on = || {
+    let run_seeds = || {
         while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
             let folder = folder.join(format!("{seed}"));
             let (binary, gateways, seed) = (binary.clone(), drill.gateways, *seed);
@@ -195,7 +195,7 @@
             told.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, held));
         }
     };
-    std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(play_on))));
+    std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(run_seeds))));
     let mut told = told.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     told.sort_by_key(|(seed, _)| *seed);
     let (mut broken, mut acts, mut holders, mut gaps) = (0, 0, 0, Vec::new());
