--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -68,8 +68,8 @@
     if name == LEASE_DRILL {
         return run_lease_drill_seeds(drill);
     }
-    let known = DRILLS.iter().find(|(n, _)| n == name).map(|(_, text)| (*text).to_owned());
-    let text = match known {
+    let built_in = DRILLS.iter().find(|(n, _)| n == name).map(|(_, text)| (*text).to_owned());
+    let text = match built_in {
         Some(text) => text,
         None => std::fs::read_to_string(name)
             .with_context(|| format!("{name}: no drill of this name, and no file"))?,
@@ -83,8 +83,8 @@
     };
     let binary = std::env::current_exe().context("this program's own file")?;
     let options = DrillOptions { binary, short: drill.short, seed: drill.seed, keep: drill.keep.clone() };
-    let shown = (drill.view || !drill.plain) && std::io::stdout().is_terminal();
-    let outcome = match shown {
+    let show_view = (drill.view || !drill.plain) && std::io::stdout().is_terminal();
+    let outcome = match show_view {
         false => run_drill(&script, &options, &mut |_, _, _| {})?,
         true => {
             let mut view = TerminalView::start(&script.name, &script.about)?;
@@ -98,9 +98,9 @@
     print_text!("{}", format_recoveries(&outcome.recoveries));
     outcome.unmet_expectations.iter().for_each(|m| print_line!("expected otherwise: {m}"));
     if let Some(file) = &drill.json {
-        let told = json!({"drill": script.name, "seed": drill.seed, "good": outcome.passed(),
+        let report = json!({"drill": script.name, "seed": drill.seed, "good": outcome.passed(),
             "missed": outcome.unmet_expectations, "report": outcome.report, "recoveries": outcome.recoveries, "answers": outcome.outcomes_by_request()});
-        write(file, &serde_json::to_vec_pretty(&told)?)?;
+        write(file, &serde_json::to_vec_pretty(&report)?)?;
     }
     if let Some(folder) = &outcome.folder {
         print_line!("record and logs: {}", folder.display());
@@ -153,12 +153,13 @@
             additional_tasks: 0,
             lease_ms: LEASE_MS,
         };
-        let spans = measure_failover_times(&options, 30)?;
-        let of = |share: f64| spans[((spans.len() - 1) as f64 * share).round() as usize];
+        let failover_times_ms = measure_failover_times(&options, 30)?;
+        let quantile =
+            |share: f64| failover_times_ms[((failover_times_ms.len() - 1) as f64 * share).round() as usize];
         print_line!(
             "{gateways} gateways, lease {LEASE_MS:.0} ms, holder killed 30 times: the next one acts after p50 {:.0} ms, p99 {:.0} ms",
-            of(0.5),
-            of(0.99)
+            quantile(0.5),
+            quantile(0.99)
         );
     }
     Ok(ExitCode::SUCCESS)
@@ -167,7 +168,7 @@
 /// Plays the drill of the leases, seed by seed, and tells what was broken in any.
 fn run_lease_drill_seeds(drill: &Drill) -> anyhow::Result<ExitCode> {
     let binary = std::env::current_exe().context("this program's own file")?;
-    let (own, folder) = match &drill.keep {
+    let (is_temporary, folder) = match &drill.keep {
         Some(folder) => (false, folder.clone()),
         None => (true, std::env::temp_dir().join(format!("doorcourse-leases-{}", std::process::id()))),
     };
@@ -178,12 +179,12 @@
     let seeds: Vec<u64> = (drill.seed..drill.seed + drill.seeds.max(1)).collect();
     let next = std::sync::atomic::AtomicUsize::new(0);
     let threads = std::thread::available_parallelism().map_or(1, |n| (n.get() / 2).max(1)).min(seeds.len());
-    let told = std::sync::Mutex::new(Vec::new());
+    let outcomes = std::sync::Mutex::new(Vec::new());
     let run_seeds = || {
         while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
             let folder = folder.join(format!("{seed}"));
             let (binary, gateways, seed) = (binary.clone(), drill.gateways, *seed);
-            let held = run_lease_drill(&LeaseDrillOptions {
+            let outcome = run_lease_drill(&LeaseDrillOptions {
                 binary,
                 folder,
                 gateways,
@@ -192,54 +193,55 @@
                 additional_tasks: 0,
                 lease_ms: LEASE_MS,
             });
-            told.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, held));
+            outcomes.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, outcome));
         }
     };
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(run_seeds))));
-    let mut told = told.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    told.sort_by_key(|(seed, _)| *seed);
-    let (mut broken, mut acts, mut holders, mut gaps) = (0, 0, 0, Vec::new());
-    for (seed, held) in told {
-        let held = held.with_context(|| format!("seed {seed}"))?;
+    let mut outcomes = outcomes.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    outcomes.sort_by_key(|(seed, _)| *seed);
+    let (mut failed_seeds, mut acts, mut holders, mut gaps_ms) = (0, 0, 0, Vec::new());
+    for (seed, outcome) in outcomes {
+        let outcome = outcome.with_context(|| format!("seed {seed}"))?;
         if drill.seeds <= 1 {
-            held.log.iter().for_each(|line| print_line!("{line}"));
+            outcome.log.iter().for_each(|line| print_line!("{line}"));
         }
         print_line!(
             "seed {seed}: {} acts took place, {} refused, {} holders, {:.0} datagrams and {:.1} kB a second",
-            held.accepted.iter().sum::<usize>(),
-            held.rejected.iter().sum::<usize>(),
-            held.holders.iter().sum::<usize>(),
-            held.datagrams_per_s,
-            held.bytes_per_s / 1000.0
+            outcome.accepted.iter().sum::<usize>(),
+            outcome.rejected.iter().sum::<usize>(),
+            outcome.holders.iter().sum::<usize>(),
+            outcome.datagrams_per_s,
+            outcome.bytes_per_s / 1000.0
         );
-        held.violations.iter().for_each(|line| print_line!("seed {seed}: BROKEN {line}"));
-        broken += usize::from(!held.violations.is_empty());
-        acts += held.accepted.iter().sum::<usize>();
-        holders += held.holders.iter().sum::<usize>();
-        gaps.extend(held.gaps_ms);
+        outcome.violations.iter().for_each(|line| print_line!("seed {seed}: BROKEN {line}"));
+        failed_seeds += usize::from(!outcome.violations.is_empty());
+        acts += outcome.accepted.iter().sum::<usize>();
+        holders += outcome.holders.iter().sum::<usize>();
+        gaps_ms.extend(outcome.gaps_ms);
     }
-    gaps.sort_by(f64::total_cmp);
-    let share = |part: f64| gaps.get((gaps.len() as f64 * part) as usize).copied().unwrap_or_default();
+    gaps_ms.sort_by(f64::total_cmp);
+    let quantile =
+        |share: f64| gaps_ms.get((gaps_ms.len() as f64 * share) as usize).copied().unwrap_or_default();
     print_line!(
         "{} seeds, {acts} acts by {holders} holders; from one holder's last act to the next one's first: p50 {:.0} ms, p99 {:.0} ms",
         seeds.len(),
-        share(0.5),
-        share(0.99)
+        quantile(0.5),
+        quantile(0.99)
     );
-    if own && broken == 0 {
+    if is_temporary && failed_seeds == 0 {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         print_line!("record and logs: {}", folder.display());
     }
     print_line!(
         "{}",
-        if broken == 0 {
+        if failed_seeds == 0 {
             "every rule was kept".into()
         } else {
-            format!("a rule was broken in {broken} seeds")
+            format!("a rule was broken in {failed_seeds} seeds")
         }
     );
-    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if failed_seeds == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn write(file: &Path, bytes: &[u8]) -> anyhow::Result<()> {
