--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,4 +1,4 @@
-//! `drill` and `compare`: rehearsals and measurements with a small fleet on loopback.
+//! `drill` and `compare`: fault drills and measurements with a small fleet on loopback.
 
 use anyhow::Context;
 use clap::Args;
@@ -11,50 +11,51 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Rehearse trouble with a small fleet on loopback: gateways of this program, stand-in nodes, a counter, clients.
-/// Without a name the drills are listed.
+/// Inject faults into a small fleet on loopback: gateways of this program, stand-in nodes, a counter and clients.
+/// Without a name, list the drills.
 #[derive(Args, Debug)]
 #[command(after_help = "Examples:
   doorcourse drill
   doorcourse drill bad-day --short --seed 3 --json report.json
   doorcourse drill my-own.txtpb --keep folder
 
-Exit code 1 when a rule was broken or an expectation missed, 2 when the drill is faulty or cannot be played.")]
+Exit code 1 when a rule was broken or an expectation was not met, 2 when the drill is invalid or cannot be run.")]
 pub struct Drill {
-    /// A drill that comes along, or a file in protobuf text format.
+    /// A built-in drill, or a file in protobuf text format.
     name: Option<String>,
-    /// The drill's short form.
+    /// Run the short form of the drill.
     #[arg(long)]
     short: bool,
-    /// Show the drill while it runs, where there is a terminal.
+    /// Show progress while the drill runs, if standard output is a terminal.
     #[arg(long)]
     view: bool,
-    /// Never show it while it runs, and print the report alone.
+    /// Show no progress, and print only the report.
     #[arg(long, conflicts_with = "view")]
     plain: bool,
-    /// The seed of clients, nodes and gateways.
+    /// The random seed of clients, nodes and gateways.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the report with each request's final answer as JSON to this file.
+    /// Write the report, with each request's final response, as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
     /// Keep settings, logs and the traffic record in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// `lease-holder-lost`: play so many seeds, counted on from `--seed`, as many at once as there are processors by two.
+    /// `lease-holder-lost`: run this many seeds, counting up from `--seed`, with half as many at once as there are processors.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// `lease-holder-lost`: how many gateways, 3 to 9.
+    /// `lease-holder-lost`: the number of gateways, 3 to 9.
     #[arg(long, default_value_t = 5)]
     gateways: usize,
-    /// `lease-holder-lost`: measure what leases of 3 s cost 5 and 9 gateways with 2, 100 and 1,000 tasks, and how soon a killed
-    /// holder is followed.
+    /// `lease-holder-lost`: measure what leases of 3 s cost 5 and 9 gateways with 2, 100 and 1,000 tasks, and how soon another
+    /// gateway acts after the holder was killed.
     #[arg(long)]
     cost: bool,
 }
 
 const LEASE_DRILL: &str = "lease-holder-lost";
-const LEASE_DRILL_ABOUT: &str = "tasks of one holder at a time while holders die, stall and are cut off";
+const LEASE_DRILL_ABOUT: &str =
+    "each task has one holder at a time while holders are killed, stopped and partitioned";
 
 pub fn run(drill: &Drill) -> anyhow::Result<ExitCode> {
     let Some(name) = &drill.name else {
@@ -72,7 +73,7 @@
     let text = match built_in {
         Some(text) => text,
         None => std::fs::read_to_string(name)
-            .with_context(|| format!("{name}: no drill of this name, and no file"))?,
+            .with_context(|| format!("{name}: neither a built-in drill nor a readable file"))?,
     };
     let script = match parse_drill(name, &text) {
         Ok(script) => script,
@@ -81,7 +82,7 @@
             return Ok(ExitCode::from(2));
         }
     };
-    let binary = std::env::current_exe().context("this program's own file")?;
+    let binary = std::env::current_exe().context("cannot find the path of this program")?;
     let options = DrillOptions { binary, short: drill.short, seed: drill.seed, keep: drill.keep.clone() };
     let show_view = (drill.view || !drill.plain) && std::io::stdout().is_terminal();
     let outcome = match show_view {
@@ -96,27 +97,27 @@
     };
     print_text!("{}", format_report(&outcome.report));
     print_text!("{}", format_recoveries(&outcome.recoveries));
-    outcome.unmet_expectations.iter().for_each(|m| print_line!("expected otherwise: {m}"));
+    outcome.unmet_expectations.iter().for_each(|m| print_line!("expectation not met: {m}"));
     if let Some(file) = &drill.json {
         let report = json!({"drill": script.name, "seed": drill.seed, "good": outcome.passed(),
             "missed": outcome.unmet_expectations, "report": outcome.report, "recoveries": outcome.recoveries, "answers": outcome.outcomes_by_request()});
         write(file, &serde_json::to_vec_pretty(&report)?)?;
     }
     if let Some(folder) = &outcome.folder {
-        print_line!("record and logs: {}", folder.display());
+        print_line!("traffic record and logs: {}", folder.display());
     }
     print_line!(
         "{}",
         match (outcome.report.rules_kept, outcome.unmet_expectations.is_empty()) {
             (true, true) => "every rule was kept",
-            (true, false) => "every rule was kept, but the drill expected otherwise",
+            (true, false) => "every rule was kept, but an expectation of the drill was not met",
             (false, _) => "a rule was broken",
         }
     );
     Ok(if outcome.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Tells what leases cost a fleet that is well.
+/// Prints what leases cost a fleet without faults, and how soon another gateway acts after the holder was killed.
 fn print_lease_cost(binary: &Path, folder: &Path, seed: u64) -> anyhow::Result<ExitCode> {
     print_line!("gateways  tasks   held  datagrams/s  kB/s  processor   (one gateway, lease 3 s)");
     for gateways in [5, 9] {
@@ -157,7 +158,7 @@
         let quantile =
             |share: f64| failover_times_ms[((failover_times_ms.len() - 1) as f64 * share).round() as usize];
         print_line!(
-            "{gateways} gateways, lease {LEASE_MS:.0} ms, holder killed 30 times: the next one acts after p50 {:.0} ms, p99 {:.0} ms",
+            "{gateways} gateways, lease {LEASE_MS:.0} ms, holder killed 30 times: the next holder acts after p50 {:.0} ms, p99 {:.0} ms",
             quantile(0.5),
             quantile(0.99)
         );
@@ -165,9 +166,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Plays the drill of the leases, seed by seed, and tells what was broken in any.
+/// Runs the lease drill for each seed, several in parallel, and prints the violations of each.
 fn run_lease_drill_seeds(drill: &Drill) -> anyhow::Result<ExitCode> {
-    let binary = std::env::current_exe().context("this program's own file")?;
+    let binary = std::env::current_exe().context("cannot find the path of this program")?;
     let (is_temporary, folder) = match &drill.keep {
         Some(folder) => (false, folder.clone()),
         None => (true, std::env::temp_dir().join(format!("doorcourse-leases-{}", std::process::id()))),
@@ -206,7 +207,7 @@
             outcome.log.iter().for_each(|line| print_line!("{line}"));
         }
         print_line!(
-            "seed {seed}: {} acts took place, {} refused, {} holders, {:.0} datagrams and {:.1} kB a second",
+            "seed {seed}: {} acts accepted, {} rejected, {} holders, {:.0} datagrams and {:.1} kB a second",
             outcome.accepted.iter().sum::<usize>(),
             outcome.rejected.iter().sum::<usize>(),
             outcome.holders.iter().sum::<usize>(),
@@ -223,7 +224,7 @@
     let quantile =
         |share: f64| gaps_ms.get((gaps_ms.len() as f64 * share) as usize).copied().unwrap_or_default();
     print_line!(
-        "{} seeds, {acts} acts by {holders} holders; from one holder's last act to the next one's first: p50 {:.0} ms, p99 {:.0} ms",
+        "{} seeds, {acts} acts by {holders} holders; from one holder's last act to the next holder's first: p50 {:.0} ms, p99 {:.0} ms",
         seeds.len(),
         quantile(0.5),
         quantile(0.99)
@@ -231,7 +232,7 @@
     if is_temporary && failed_seeds == 0 {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
-        print_line!("record and logs: {}", folder.display());
+        print_line!("records and logs: {}", folder.display());
     }
     print_line!(
         "{}",
@@ -248,22 +249,22 @@
     std::fs::write(file, bytes).with_context(|| file.display().to_string())
 }
 
-/// Measure the gateway beside the way straight to a node: rates, latency added, processor, system calls, memory.
+/// Compare the gateway with direct access to a node: rates, added latency, processor time, system calls, memory.
 #[derive(Args, Debug)]
 pub struct Compare {
-    /// How long each round takes, in seconds.
+    /// The duration of each round, in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Rounds by turns.
+    /// The number of rounds, alternating between the gateway and direct access.
     #[arg(long, default_value_t = 3)]
     rounds: u32,
-    /// Write the figures as JSON to this file.
+    /// Write the measurements as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 pub fn run_compare(options: &Compare) -> anyhow::Result<ExitCode> {
-    let binary = std::env::current_exe().context("this program's own file")?;
+    let binary = std::env::current_exe().context("cannot find the path of this program")?;
     let (text, figures) = compare(&binary, options.seconds, options.rounds)?;
     print_text!("{text}");
     if let Some(file) = &options.json {
