--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The doorcourse command: arguments, exit codes and the log's set-up; nothing else.
+//! The doorcourse command: argument parsing, logging setup and exit codes. Each subcommand has a module.
 
 /// Prints a line to standard output; ignores write errors, since a reader such as `head` may close the pipe early.
 macro_rules! print_line {
@@ -31,11 +31,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// An API gateway that keeps quotas and priorities over a fleet of instances.
+/// An API gateway that enforces quotas and priorities across a fleet of instances.
 #[derive(Parser, Debug)]
 #[command(version, propagate_version = true, after_help = EXAMPLES)]
 struct Arguments {
-    /// What the log holds: error, warn, info, debug or trace, also by part, as in `warn,doorcourse=debug`.
+    /// The log level: error, warn, info, debug or trace; per module as in `warn,doorcourse=debug`.
     #[arg(long, global = true, default_value = "info", env = "DOORCOURSE_LOG")]
     log: String,
     #[command(subcommand)]
@@ -43,49 +43,49 @@
 }
 
 const EXAMPLES: &str = "Examples:
-  doorcourse check settings.txtpb            every fault of the settings, with file, line and field
-  doorcourse serve --config settings.txtpb   the gateway, until SIGTERM or SIGINT
-  doorcourse drill bad-day --short           a scripted bad day on loopback, judged by its traffic
+  doorcourse check settings.txtpb            every error in the settings, with file, line and field
+  doorcourse serve --config settings.txtpb   run the gateway until SIGTERM or SIGINT
+  doorcourse drill bad-day --short           a scripted fault drill on loopback, checked by its traffic record
   doorcourse import apache httpd.conf --balancer app --out nodes.txtpb
   doorcourse query cost --schema catalogue.graphql query.graphql
 
-Exit codes: 0 good, 1 refused or failed, 2 wrong use or unreadable files.";
+Exit codes: 0 success, 1 refused or failed, 2 usage error or unreadable file.";
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Run the gateway until it is told to stop.
+    /// Run the gateway until it is stopped by a signal or a drain.
     Serve {
-        /// The settings, in protobuf text format.
+        /// The settings file, in protobuf text format.
         #[arg(long)]
         config: PathBuf,
-        /// The seed of the decisions; by default one by chance. No two gateways may share a seed.
+        /// The seed of random decisions; a random one by default. No two gateways may share a seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// Take the listening sockets over from the process that serves at the settings' admin socket.
+        /// Take over the listening sockets from the running process, reached by the admin socket in the settings.
         #[arg(long)]
         take_over: bool,
     },
     Platform(platform::Platform),
-    /// Check settings or a node list and tell every fault; 1 if there is any.
+    /// Check settings or a node list and report every error; exit code 1 if there is any.
     Check {
-        /// Settings or a node list, in protobuf text format.
+        /// A settings file or a node list, in protobuf text format.
         file: PathBuf,
     },
-    /// Parse, validate and price GraphQL documents.
+    /// Parse GraphQL documents, validate them and compute their cost.
     #[command(subcommand)]
     Query(query::Query),
-    /// Turn Apache balancer and mod_jk files into a node list.
+    /// Convert Apache balancer and mod_jk configuration into a node list.
     #[command(subcommand)]
     Import(import::Import),
     Ctl(ctl::Ctl),
     Drill(drill::Drill),
     Compare(drill::Compare),
-    /// Start and tend a small fleet with stand-ins on this machine.
+    /// Run and control a small fleet with stand-ins on this machine.
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// Send a fixed rate of requests, whatever comes back, and tell the latencies.
+    /// Send requests at a fixed rate, whatever the responses, and report the latencies.
     Load(load::Load),
-    /// Run a stand-in for what surrounds a gateway, on loopback.
+    /// Run a stand-in node or counter on loopback.
     #[command(subcommand)]
     Standin(standin::Standin),
 }
