--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: a stand-in node or counter by itself, for a tour and for trials.
+//! `standin`: runs a single emulated node or counter, for the tour and for manual tests.
 
 use clap::Subcommand;
 use doorcourse_emulators::{CATALOGUE, EmulatorServer, EmulatorServerSpec, NodeSpec, Recorder};
@@ -8,22 +8,22 @@
 
 #[derive(Subcommand, Debug)]
 pub enum Standin {
-    /// A node that serves the music catalogue, until it is ended; prints its address.
+    /// Run a node that serves the music catalogue until it is killed; prints its address.
     Node {
-        /// Where it listens; port 0 takes a free one.
+        /// The address to listen on; port 0 selects a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// How many requests it works on at once.
+        /// The number of requests processed at once.
         #[arg(long, default_value_t = 2)]
         cores: usize,
-        /// How many may wait.
+        /// The number of requests that may wait.
         #[arg(long, default_value_t = 64)]
         queue: usize,
-        /// Times by which its work is quicker than the catalogue's.
+        /// The factor by which processing is faster than the catalogue's service times.
         #[arg(long, default_value_t = 1.0)]
         speed: f64,
     },
-    /// A counter that speaks RESP, until it is ended; prints its address.
+    /// Run a counter that speaks RESP until it is killed; prints its address.
     Counter,
     /// Print the catalogue's schema.
     Schema,
