--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -9,28 +9,28 @@
 
 #[derive(Subcommand, Debug)]
 pub enum Query {
-    /// Parse a document and tell what it holds; 1 with the place of the first fault.
+    /// Parse a document and list its contents; exit code 1 and the location of the first error if it is invalid.
     Parse {
-        /// A file with operations, fragments or a type system.
+        /// A file with operations, fragments or type system definitions.
         file: PathBuf,
     },
-    /// Validate a document against a schema; 1 with the place of every fault.
+    /// Validate a document against a schema; exit code 1 and the location of every error if it is invalid.
     Validate {
         #[command(flatten)]
         schema: SchemaFile,
         /// A file with operations and fragments.
         file: PathBuf,
     },
-    /// Price an operation by the schema's @cost and @listSize; 1 with the place of every fault.
+    /// Compute an operation's cost by the schema's @cost and @listSize; exit code 1 and the location of every error.
     #[command(after_help = "Example:
   doorcourse query cost --schema catalogue.graphql --variables '{\"n\": 40}' query.graphql")]
     Cost {
         #[command(flatten)]
         schema: SchemaFile,
-        /// The variables, a JSON object.
+        /// The variables, as a JSON object.
         #[arg(long)]
         variables: Option<String>,
-        /// The operation, where the document has several.
+        /// The name of the operation, if the document has several.
         #[arg(long)]
         operation: Option<String>,
         /// A file with operations and fragments.
@@ -40,7 +40,7 @@
 
 #[derive(Args, Debug)]
 pub struct SchemaFile {
-    /// The schema's SDL.
+    /// A file with the schema, in SDL.
     #[arg(long)]
     schema: PathBuf,
 }
@@ -70,11 +70,11 @@
                     OperationKind::Subscription => "subscription",
                 };
                 for (kind, name) in document.operations() {
-                    print_line!("{} {}", kind_name(kind), name.unwrap_or("(no name)"));
+                    print_line!("{} {}", kind_name(kind), name.unwrap_or("(anonymous)"));
                 }
                 document.fragment_names().for_each(|f| print_line!("fragment {f}"));
                 print_line!(
-                    "{} tokens, {} definitions of a type system",
+                    "{} tokens, {} type system definitions",
                     document.token_count,
                     document.type_system_definition_count()
                 );
@@ -99,7 +99,7 @@
             let variables: Option<Map<String, Value>> = variables
                 .map(|v| serde_json::from_str(&v))
                 .transpose()
-                .context("--variables: a JSON object")?;
+                .context("--variables: expected a JSON object")?;
             let schema = match Schema::parse(&read(&schema.schema)?) {
                 Ok(schema) => schema,
                 Err(errors) => return Ok(print_errors(&schema.schema, &errors)),
@@ -117,7 +117,7 @@
                 Ok(prepared) => {
                     let cost = prepared.cost();
                     print_line!(
-                        "{} units: {} of fields, {} of types",
+                        "{} units: {} for fields, {} for types",
                         cost.units,
                         cost.field_cost,
                         cost.type_cost
