--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `ctl`: calls a running gateway over its admin socket (JSON-RPC 2.0, one object a line).
+//! `ctl`: calls a running gateway over its admin socket (JSON-RPC 2.0, one object per line).
 
 use anyhow::Context;
 use clap::{Args, Subcommand};
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Ask a running gateway, or tell it something, over its admin socket.
+/// Query or control a running gateway over its admin socket.
 #[derive(Args, Debug)]
 #[command(after_help = "Examples:
   doorcourse ctl --socket admin.sock status
@@ -18,7 +18,7 @@
 
 Exit code 1 when the gateway refuses, 2 when it cannot be reached.")]
 pub struct Ctl {
-    /// The admin socket, as in the settings' admin.socket.
+    /// The path of the admin socket: admin.socket in the settings.
     #[arg(long)]
     socket: PathBuf,
     #[command(subcommand)]
@@ -27,38 +27,38 @@
 
 #[derive(Subcommand, Debug)]
 enum Call {
-    /// Where the gateway stands, and what is open.
+    /// Show the gateway's state, and its open connections and requests.
     Status,
-    /// Each node as this gateway knows it.
+    /// Show each node as this gateway sees it.
     Nodes,
-    /// What is held of each customer: block, store, what is owed.
+    /// Show each customer's quota lease, available units (`store`) and unreported units (`owed`).
     Customers,
-    /// Send nothing new to a node, whatever the list says.
+    /// Send no new requests to a node, whatever state the node list gives it.
     DrainNode {
         /// The node's name.
         name: String,
     },
-    /// Go by the list again.
+    /// Use the state that the node list gives the node again.
     UndrainNode {
         /// The node's name.
         name: String,
     },
-    /// The other gateways as this one hears them: when, round trip, loss, clock difference, drops by cause.
+    /// Show the peers as this gateway sees them: last heard, round trip, loss, clock difference, drops by cause.
     Peers,
-    /// Each task: who holds it, under which token, for how long yet, and who refused this gateway last.
+    /// Show each task: its holder, fencing token and remaining time, and which voter refused this gateway last.
     Leases,
-    /// Give a task that this gateway holds to another gateway.
+    /// Hand over a task that this gateway holds to another gateway.
     HandOver {
         /// The task's name.
         task: String,
-        /// The gateway's number.
+        /// The number of the gateway that receives the task.
         to: u32,
     },
-    /// Drain the gateway: it answers what is out, gives blocks back and ends.
+    /// Drain the gateway: it completes its open requests, releases its quota leases and exits.
     Drain,
-    /// Read the settings again and take them if they are good.
+    /// Read the settings again and apply them if they are valid.
     Reload {
-        /// Only tell the difference that it would make.
+        /// Only print the changes that the reload would make.
         #[arg(long)]
         dry_run: bool,
     },
@@ -68,7 +68,7 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Call {
-    /// The call's method and parameters on the admin socket.
+    /// Returns the admin method and its parameters.
     fn method_and_params(&self) -> (&'static str, Value) {
         match self {
             Self::Status => ("status", json!({})),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Sends one call and prints its result.
+/// Sends one request and prints its result.
 ///
 /// # Errors
 /// When the gateway cannot be reached or does not reply in time.
@@ -93,13 +93,14 @@
     let (method, params) = ctl.call.method_and_params();
     let path = ctl.socket.display();
     let mut stream =
-        UnixStream::connect(&ctl.socket).with_context(|| format!("{path}: no gateway answers"))?;
+        UnixStream::connect(&ctl.socket).with_context(|| format!("{path}: cannot connect to a gateway"))?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
     let request = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params});
     stream.write_all(format!("{request}\n").as_bytes())?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).with_context(|| format!("{path}: no answer"))?;
-    let reply: Value = serde_json::from_str(&line).with_context(|| format!("{path}: no JSON"))?;
+    BufReader::new(stream).read_line(&mut line).with_context(|| format!("{path}: no reply"))?;
+    let reply: Value =
+        serde_json::from_str(&line).with_context(|| format!("{path}: the reply is not JSON"))?;
     if let Some(message) = reply["error"]["message"].as_str() {
         eprintln!("{message}");
         return Ok(ExitCode::FAILURE);
