--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `load`: an open loop of a fixed rate.
+//! `load`: an open-loop load generator with a fixed request rate.
 
 use anyhow::Context;
 use clap::Args;
@@ -10,32 +10,32 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
 
-/// Sends one query over and over at a fixed rate. Latencies count from the time at which each request was due.
+/// Sends one query repeatedly at a fixed rate. Latencies are measured from the time at which each request was due.
 #[derive(Args, Debug)]
 #[command(after_help = "Example:
   doorcourse load --to 127.0.0.1:8080 --key KEY --rate 500 --seconds 10 --query query.graphql
 
 Exit code 1 when nothing was served.")]
 pub struct Load {
-    /// The address of a gateway, or of a node.
+    /// The address of a gateway or a node.
     #[arg(long)]
     to: SocketAddr,
-    /// The key for Authorization: Bearer.
+    /// The key to send as `Authorization: Bearer`.
     #[arg(long, default_value = "")]
     key: String,
-    /// Requests a second, 0 to 1000000.
+    /// Requests per second, 0 to 1000000.
     #[arg(long)]
     rate: f64,
-    /// For how long, in seconds.
+    /// The duration, in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
     /// A file with the GraphQL document.
     #[arg(long)]
     query: PathBuf,
-    /// How long a client waits, in ms.
+    /// How long a client waits for a response, in ms.
     #[arg(long, default_value_t = 2000.0)]
     patience: f64,
-    /// Print one JSON object.
+    /// Print the summary as one JSON object.
     #[arg(long)]
     json: bool,
 }
@@ -61,7 +61,7 @@
     } else {
         print_line!("served {served}, refused {refused}, failed {failed}, lost {lost}, given up {gave_up}");
         print_line!(
-            "{:.1} served a second; p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
+            "{:.1} served per second; p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
             served as f64 / seconds,
             latency_ms(0.5),
             latency_ms(0.99),
