--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -12,7 +12,8 @@
     file.parent().unwrap_or(Path::new(""))
 }
 
-/// Reads settings and the files that they name. The outer error is an unreadable file, the inner one lists the faults.
+/// Reads settings and the files that they name. The outer error is an unreadable file, the inner one lists the faults
+/// of the settings.
 fn read_settings(file: &Path) -> anyhow::Result<Result<Config, Vec<Fault>>> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let read_named =
@@ -20,16 +21,16 @@
     Ok(doorcourse_config::read(&file.display().to_string(), &text, &read_named))
 }
 
-/// Prints each fault on standard error.
+/// Prints each fault on standard error and returns the exit code for a failure.
 fn report_faults(faults: &[Fault]) -> ExitCode {
     faults.iter().for_each(|fault| eprintln!("{fault}"));
     ExitCode::FAILURE
 }
 
-/// Checks settings or an endpoint list.
+/// Checks settings or an endpoint list: prints a summary, or each fault.
 ///
 /// # Errors
-/// When the file cannot be read.
+/// Fails when the file cannot be read.
 pub fn check(file: &Path) -> anyhow::Result<ExitCode> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let path = file.display().to_string();
@@ -57,10 +58,10 @@
     }
 }
 
-/// Runs a gateway until a drain ends. `seed`: of the decisions; `None` takes a random one.
+/// Runs a gateway until its drain ends. `seed` is that of random decisions; `None` selects a random one.
 ///
 /// # Errors
-/// When the settings cannot be read, or the gateway cannot start or serve.
+/// Fails when the settings cannot be read, or the gateway cannot start or serve.
 pub fn serve(file: &Path, seed: Option<u64>, take_over: bool) -> anyhow::Result<ExitCode> {
     let config = match read_settings(file)? {
         Ok(config) => config,
@@ -78,7 +79,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads the settings file again for a reload; all faults are one message.
+/// Returns a function that reads the settings file again for a reload and joins all faults into one message.
 fn settings_reader(file: &Path) -> ReadSettings {
     let file = file.to_owned();
     Arc::new(move || match read_settings(&file) {
