--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -6,13 +6,13 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Run as a gateway of the platform: RESP in and out, until SIGTERM. SIGHUP reads the file again.
+/// Run as a gateway of the platform, with RESP on both sides, until SIGTERM. SIGHUP reloads the file.
 #[derive(Args, Debug)]
 pub struct Platform {
-    /// The platform's file: name, addresses, limits, the known backends and the settings, as JSON.
+    /// The platform's configuration file, in JSON: name, addresses, limits, known backends and settings.
     #[arg(long, env = "RELAY_CONFIG")]
     config: PathBuf,
-    /// Where clients connect, instead of the file's address.
+    /// The address that clients connect to; overrides the one in the file.
     #[arg(long, env = "RELAY_LISTEN")]
     listen: Option<SocketAddr>,
 }
