--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: a small fleet for rehearsing by hand.
+//! `fleet`: runs a small local fleet in which faults can be injected by hand.
 
 use anyhow::Context;
 use clap::Subcommand;
@@ -15,45 +15,45 @@
   doorcourse fleet do --folder fleet 'mood { flood_customer: 3 flood_times: 8 }'
   doorcourse fleet stop --folder fleet")]
 pub enum Fleet {
-    /// Start gateways, stand-in nodes, a counter and clients, and tend them until told to stop.
+    /// Start gateways, stand-in nodes, a counter and clients, and run them until `fleet stop`.
     Up {
-        /// Where settings, logs and sockets lie.
+        /// The folder for settings, logs and sockets.
         #[arg(long)]
         folder: PathBuf,
-        /// How many gateways, 1 to 16.
+        /// The number of gateways, 1 to 16.
         #[arg(long, default_value_t = 3)]
         gateways: usize,
-        /// How many nodes, 2 to 64, in two cells by turns.
+        /// The number of nodes, 2 to 64, alternating between two cells.
         #[arg(long, default_value_t = 10)]
         nodes: usize,
-        /// The share of its quota that each stand-in customer asks for, 0 to 4; 0 for no clients.
+        /// The share of its quota that each stand-in customer requests, 0 to 4; 0 for no clients.
         #[arg(long, default_value_t = 0.6)]
         load: f64,
-        /// The seed of all chance.
+        /// The seed of all random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Gateways, nodes and customers, with addresses and keys.
+    /// Show gateways, nodes and customers, with addresses and keys.
     Status {
         /// The fleet's folder.
         #[arg(long)]
         folder: PathBuf,
     },
-    /// Answers, accounts and each rule's verdict so far.
+    /// Print the report so far: responses, accounts and whether each rule was kept.
     Report {
         /// The fleet's folder.
         #[arg(long)]
         folder: PathBuf,
     },
-    /// Do what a drill's step can do: `kill_node: 3`, `take_over_gateway: 0`, `counter_silent: true` ...
+    /// Run one action of a drill step: `kill_node: 3`, `take_over_gateway: 0`, `counter_silent: true` ...
     Do {
         /// The fleet's folder.
         #[arg(long)]
         folder: PathBuf,
-        /// One act in the drills' text format.
+        /// One action, in the text format of the drills.
         act: String,
     },
-    /// End it and print its report.
+    /// Stop the fleet and print its report.
     Stop {
         /// The fleet's folder.
         #[arg(long)]
@@ -62,9 +62,9 @@
 }
 
 pub fn run(fleet: &Fleet) -> anyhow::Result<ExitCode> {
-    let (folder, method, parameters) = match fleet {
+    let (folder, method, params) = match fleet {
         Fleet::Up { folder, gateways, nodes, load, seed } => {
-            let binary = std::env::current_exe().context("this program's own file")?;
+            let binary = std::env::current_exe().context("cannot find the path of this program")?;
             let (folder, gateways, nodes) = (folder.clone(), *gateways, *nodes);
             run_local_fleet(&LocalFleetOptions {
                 binary,
@@ -81,7 +81,7 @@
         Fleet::Do { folder, act } => (folder, "do", json!({"act": act})),
         Fleet::Stop { folder } => (folder, "stop", json!({})),
     };
-    match call_fleet(folder, method, &parameters)? {
+    match call_fleet(folder, method, &params)? {
         Value::String(text) => print_line!("{text}"),
         other => print_line!("{other:#}"),
     }
