--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -13,71 +13,71 @@
 
 #[derive(Subcommand, Debug)]
 pub enum Import {
-    /// Read httpd's configuration, with the mod_jk files that it names.
+    /// Convert an httpd configuration, with the mod_jk files that it names.
     #[command(after_help = "Examples:
   doorcourse import apache /etc/httpd/conf/httpd.conf
   doorcourse import apache --root copy -D SITE=east copy/etc/httpd/httpd.conf --balancer app --out nodes.txtpb
 
-Exit codes: 0 a list was made; 1 none could be made, or --strict and something is left out; 2 wrong use.")]
+Exit codes: 0 a node list was made; 1 none could be made, or something was left out with --strict; 2 usage error.")]
     Apache {
-        /// The main file, and others to be read behind it as if it included them.
+        /// The main file, and further files that are read after it as if it included them.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// A name defined as by httpd's own -D; with =VALUE as by Define.
+        /// Define a name as httpd's -D does, or with =VALUE as a Define directive does.
         #[arg(short = 'D', value_name = "NAME[=VALUE]")]
         define: Vec<String>,
-        /// httpd's version, to decide IfVersion.
+        /// The httpd version by which IfVersion sections are evaluated.
         #[arg(long)]
         httpd_version: Option<String>,
         #[command(flatten)]
         common: Common,
     },
-    /// Read workers.properties files, later ones over earlier ones.
+    /// Convert workers.properties files; later files override earlier ones.
     #[command(after_help = "Example:
   doorcourse import mod-jk workers.properties --map uriworkermap.properties --balancer router --out nodes.txtpb
 
-Exit codes: 0 a list was made; 1 none could be made, or --strict and something is left out; 2 wrong use.")]
+Exit codes: 0 a node list was made; 1 none could be made, or something was left out with --strict; 2 usage error.")]
     ModJk {
-        /// workers.properties files.
+        /// The workers.properties files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// uriworkermap.properties files.
+        /// A uriworkermap.properties file; may be repeated.
         #[arg(long)]
         map: Vec<PathBuf>,
         #[command(flatten)]
         common: Common,
     },
-    /// Tell what a new node list would change in a running one; 1 if anything does.
+    /// Show what a new node list would change compared with the one in service; exit code 1 if anything differs.
     Diff {
-        /// The list in service.
+        /// The node list in service.
         old: PathBuf,
-        /// The new one.
+        /// The new node list.
         new: PathBuf,
-        /// How differences are told.
+        /// The output format of the differences.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Print the table of every directive and parameter and what becomes of it, as Markdown.
+    /// Print a Markdown table of every directive and parameter and how it is converted.
     Table,
-    /// Print every code of a finding and what it means.
+    /// Print every finding code with its severity and meaning.
     Codes,
 }
 
 #[derive(Args, Debug)]
 pub struct Common {
-    /// The folder that stands for "/" of the machine that the files come from.
+    /// The folder that holds the root file system ("/") of the machine that the files come from.
     #[arg(long, value_name = "FOLDER")]
     root: Option<PathBuf>,
-    /// The balancer, where there are several.
+    /// The balancer to convert, if there are several.
     #[arg(long, value_name = "NAME")]
     balancer: Option<String>,
-    /// The address of a host name.
+    /// The IP address to use for a host name.
     #[arg(long, value_name = "NAME=ADDRESS")]
     host: Vec<String>,
-    /// Where the list goes, whole or not at all; standard output otherwise.
+    /// The file for the node list, replaced atomically; standard output by default.
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
-    /// How findings are told, on standard error.
+    /// The output format of the findings, on standard error.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
     /// Fail when anything is left out.
@@ -87,13 +87,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// A line each, with the file's line below.
+    /// One line each; a finding is followed by the line of the file.
     Text,
     /// A JSON array.
     Json,
 }
 
-/// Files on disk; absolute paths below a root where one is given.
+/// Files on disk; absolute paths are resolved below the root, if one is given.
 struct DiskFiles {
     root: Option<PathBuf>,
 }
@@ -111,10 +111,10 @@
 impl Files for DiskFiles {
     fn read(&self, path: &str) -> Result<Vec<u8>, FileError> {
         let resolved = self.resolve(path);
-        // A pipe or a device would never end.
+        // Reading a pipe or a device might never end.
         match std::fs::metadata(&resolved) {
             Ok(metadata) if metadata.is_file() => {}
-            Ok(_) => return Err(FileError::Unreadable("it is no regular file".into())),
+            Ok(_) => return Err(FileError::Unreadable("not a regular file".into())),
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Err(FileError::Missing),
             Err(error) => return Err(FileError::Unreadable(error.to_string())),
         }
@@ -169,8 +169,8 @@
 
 fn run_import(mut request: ImportRequest, common: &Common) -> anyhow::Result<ExitCode> {
     let host = |text: &String| -> anyhow::Result<(String, IpAddr)> {
-        let (name, address) = text.split_once('=').context("--host: NAME=ADDRESS is wanted")?;
-        let address = address.parse().with_context(|| format!("--host: {address} is no address"))?;
+        let (name, address) = text.split_once('=').context("--host: expected NAME=ADDRESS")?;
+        let address = address.parse().with_context(|| format!("--host: {address} is not an IP address"))?;
         Ok((name.to_ascii_lowercase(), address))
     };
     let hosts = common.host.iter().map(host).collect::<Result<_, _>>()?;
@@ -185,7 +185,7 @@
     let (approximated, left_out) = (count(Severity::Approximated), count(Severity::LeftOut));
     let Some(node_list) = node_list else { return Ok(ExitCode::FAILURE) };
     if common.strict && left_out > 0 {
-        eprintln!("doorcourse: {left_out} left out: no list, as --strict wants it");
+        eprintln!("doorcourse: {left_out} left out: no node list was written, because of --strict");
         return Ok(ExitCode::FAILURE);
     }
     let text = node_list.to_text();
@@ -195,14 +195,13 @@
     }
     if common.format == Format::Text {
         let (nodes, name) = (node_list.nodes.len(), &node_list.balancer);
-        eprintln!(
-            "balancer {name}: {nodes} nodes; {approximated} findings of what is approximated, {left_out} of what is left out"
-        );
+        eprintln!("balancer {name}: {nodes} nodes; {approximated} approximated, {left_out} left out");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// A running gateway may read the file at any time: it finds the old one or the new one, never a part.
+/// Writes a temporary file and renames it: a running gateway may read the file at any time, and finds the old or the
+/// new content, never a part.
 fn write_atomically(file: &Path, text: &str) -> std::io::Result<()> {
     let mut name = file.file_name().unwrap_or_default().to_os_string();
     name.push(format!(".{}.new", std::process::id()));
