--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -10,15 +10,15 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const BINARY: &str = env!("CARGO_BIN_EXE_doorcourse");
 const GATEWAYS: usize = 3;
 
-/// Three gateways whose datagrams pass a relay, and a witness that their one task calls.
+/// Three gateways whose datagrams pass a relay, and a task endpoint that their one task calls.
 struct Fleet {
     folder: PathBuf,
     relay: Relay,
-    witness: TaskEndpoint,
+    task_endpoint: TaskEndpoint,
     gateways: Vec<Child>,
     logs: Vec<mpsc::Receiver<Value>>,
 }
@@ -32,10 +32,10 @@
         std::fs::copy(tour.join("catalogue.graphql"), folder.join("catalogue.graphql")).expect("a schema");
         std::fs::write(folder.join("secret"), "the first secret of a fleet\n").expect("a secret");
         let relay = Relay::start(GATEWAYS, 1).expect("a relay");
-        let witness = TaskEndpoint::start(false, 20.0, 1).expect("a witness");
-        let mut fleet = Self { folder, relay, witness, gateways: Vec::new(), logs: Vec::new() };
+        let task_endpoint = TaskEndpoint::start(false, 20.0, 1).expect("a task endpoint");
+        let mut fleet = Self { folder, relay, task_endpoint, gateways: Vec::new(), logs: Vec::new() };
         for at in 0..GATEWAYS {
-            fleet.settings(at);
+            fleet.write_settings(at);
             let (child, log) = fleet.serve(at, &[]);
             fleet.gateways.push(child);
             fleet.logs.push(log);
@@ -43,38 +43,44 @@
         fleet
     }
 
-    fn settings(&self, number: usize) {
+    fn write_settings(&self, number: usize) {
         let tour = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tour/settings.txtpb");
         let text = std::fs::read_to_string(tour).expect("settings").replace("127.0.0.1:8080", "127.0.0.1:0");
         let peer =
             |to: usize| format!("peers {{ number: {to} address: \"{}\" }} ", self.relay.address(number, to));
         let peers: String = (0..GATEWAYS).filter(|to| *to != number).map(peer).collect();
-        let own = format!(
+        let gateway_settings = format!(
             "fleet {{ gateways: {GATEWAYS} number: {number} link {{ listen: \"127.0.0.1:0\" secret_file: \"secret\" \
              silence_ms: 2000 {peers} }} }}\ncounter {{ address: \"127.0.0.1:9\" }}\n\
              admin {{ socket: \"g{number}.sock\" }}\nleases {{ length_ms: 600 tasks {{ name: \"bill\" \
              address: \"{}\" every_ms: 20 needs_ms: 150 }} }}\n",
-            self.witness.address()
+            self.task_endpoint.address()
         );
-        std::fs::write(self.folder.join(format!("g{number}.txtpb")), text + &own).expect("settings");
+        std::fs::write(self.folder.join(format!("g{number}.txtpb")), text + &gateway_settings)
+            .expect("settings");
     }
 
     /// Starts a process and waits until its link is up.
-    fn serve(&self, at: usize, more: &[&str]) -> (Child, mpsc::Receiver<Value>) {
+    fn serve(&self, at: usize, extra_arguments: &[&str]) -> (Child, mpsc::Receiver<Value>) {
         let mut command = Command::new(BINARY);
-        command.args(["serve", "--config"]).arg(self.folder.join(format!("g{at}.txtpb"))).args(more);
+        command
+            .args(["serve", "--config"])
+            .arg(self.folder.join(format!("g{at}.txtpb")))
+            .args(extra_arguments);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the binary starts");
         let lines = BufReader::new(child.stderr.take().expect("piped"));
-        let (told, log) = mpsc::channel();
+        let (sender, log) = mpsc::channel();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                let _ = told.send(serde_json::from_str(&line).unwrap_or_default());
+                let _ = sender.send(serde_json::from_str(&line).unwrap_or_default());
             }
         });
-        let up = wait(&log, "link up");
-        self.relay
-            .set_destination(at, up["address"].as_str().and_then(|a| a.parse().ok()).expect("an address"));
+        let link_up = wait_for_log(&log, "link up");
+        self.relay.set_destination(
+            at,
+            link_up["address"].as_str().and_then(|a| a.parse().ok()).expect("an address"),
+        );
         (child, log)
     }
 
@@ -82,30 +88,31 @@
     fn ctl(&self, at: usize, arguments: &[&str]) -> (bool, Value) {
         let mut command = Command::new(BINARY);
         command.args(["ctl", "--socket"]).arg(self.folder.join(format!("g{at}.sock"))).args(arguments);
-        let done = command.output().expect("ctl runs");
-        let text = String::from_utf8_lossy(if done.status.success() { &done.stdout } else { &done.stderr })
-            .into_owned();
-        (done.status.success(), serde_json::from_str(&text).unwrap_or(Value::String(text)))
+        let output = command.output().expect("ctl runs");
+        let text =
+            String::from_utf8_lossy(if output.status.success() { &output.stdout } else { &output.stderr })
+                .into_owned();
+        (output.status.success(), serde_json::from_str(&text).unwrap_or(Value::String(text)))
     }
 
-    /// Waits until a gateway other than those named has acted, and tells who.
-    fn acted(&self, but: &[usize]) -> usize {
-        let (begin, before) = (Instant::now(), self.witness.acts().len());
+    /// Waits until a gateway other than these has acted, and returns its number.
+    fn wait_for_act(&self, except: &[usize]) -> usize {
+        let (started_at, before) = (Instant::now(), self.task_endpoint.acts().len());
         loop {
-            let acts = self.witness.acts();
+            let acts = self.task_endpoint.acts();
             let new =
-                acts[before..].iter().rev().find(|a| a.accepted && !but.contains(&(a.gateway as usize)));
+                acts[before..].iter().rev().find(|a| a.accepted && !except.contains(&(a.gateway as usize)));
             if let Some(act) = new {
                 return act.gateway as usize;
             }
-            assert!(begin.elapsed() < LIMIT, "nobody but {but:?} acts");
+            assert!(started_at.elapsed() < WAIT_LIMIT, "no gateway other than {except:?} acts");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn judge(&self) {
-        let broken = check_acts(&self.witness.acts(), true);
-        assert!(broken.is_empty(), "{broken:#?}");
+    fn assert_no_violations(&self) {
+        let violations = check_acts(&self.task_endpoint.acts(), true);
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
@@ -119,9 +126,9 @@
     }
 }
 
-fn wait(log: &mpsc::Receiver<Value>, text: &str) -> Value {
+fn wait_for_log(log: &mpsc::Receiver<Value>, text: &str) -> Value {
     let mut seen = Vec::new();
-    while let Ok(line) = log.recv_timeout(LIMIT) {
+    while let Ok(line) = log.recv_timeout(WAIT_LIMIT) {
         if line["message"] == text {
             return line;
         }
@@ -133,66 +140,66 @@
 #[test]
 fn a_task_goes_by_hand_and_at_a_drain_and_people_see_it() {
     let mut fleet = Fleet::start("hand");
-    let holder = fleet.acted(&[]);
-    let (_, told) = fleet.ctl(holder, &["leases"]);
-    let task = &told["tasks"][0];
+    let holder = fleet.wait_for_act(&[]);
+    let (_, reply) = fleet.ctl(holder, &["leases"]);
+    let task = &reply["tasks"][0];
     assert_eq!(
-        (&task["task"], &task["here"], &told["votes"]),
+        (&task["task"], &task["here"], &reply["votes"]),
         (&"bill".into(), &"held".into(), &true.into()),
-        "{told}"
+        "{reply}"
     );
-    assert_eq!(task["granted_to"], holder, "{told}");
-    let (_, told) = fleet.ctl(holder, &["peers"]);
-    let heard = told["peers"]
+    assert_eq!(task["granted_to"], holder, "{reply}");
+    let (_, reply) = fleet.ctl(holder, &["peers"]);
+    let all_heard = reply["peers"]
         .as_array()
         .expect("peers")
         .iter()
         .all(|p| p["heard_ms_ago"].is_u64() && p["silent"] == false);
-    assert!(heard, "{told}");
+    assert!(all_heard, "{reply}");
     // Only its holder can give it away, and only to a gateway that there is.
     let to = (holder + 1) % GATEWAYS;
-    let (good, why) = fleet.ctl(to, &["hand-over", "bill", "0"]);
-    assert!(!good && why.to_string().contains("not held by this gateway"), "{why}");
+    let (succeeded, error) = fleet.ctl(to, &["hand-over", "bill", "0"]);
+    assert!(!succeeded && error.to_string().contains("not held by this gateway"), "{error}");
     assert!(
         !fleet.ctl(holder, &["hand-over", "bill", "9"]).0 && !fleet.ctl(holder, &["hand-over", "tax", "1"]).0
     );
     assert!(fleet.ctl(holder, &["hand-over", "bill", &to.to_string()]).0);
-    assert_eq!(fleet.acted(&[holder]), to);
+    assert_eq!(fleet.wait_for_act(&[holder]), to);
     // At a drain it is given back, not waited out.
     let log = fleet.logs.remove(to);
-    kill_process(Pid::from_child(&fleet.gateways[to]), Signal::TERM).expect("told");
-    let lost = wait(&log, "lease lost");
-    assert_eq!(lost["given_back"], true);
-    fleet.acted(&[to]);
+    kill_process(Pid::from_child(&fleet.gateways[to]), Signal::TERM).expect("signalled");
+    let lease_lost = wait_for_log(&log, "lease lost");
+    assert_eq!(lease_lost["given_back"], true);
+    fleet.wait_for_act(&[to]);
     assert!(fleet.gateways[to].wait().expect("it ends").success());
-    fleet.judge();
+    fleet.assert_no_violations();
 }
 
 #[test]
 fn who_takes_over_votes_again_once_the_old_process_lets_go() {
     let mut fleet = Fleet::start("over");
-    fleet.acted(&[]);
+    fleet.wait_for_act(&[]);
     let (new, log) = fleet.serve(0, &["--take-over"]);
     let mut old = std::mem::replace(&mut fleet.gateways[0], new);
     assert!(old.wait().expect("it ends").success());
     // It is silent for the longest lease and votes then.
-    let begin = Instant::now();
+    let started_at = Instant::now();
     while fleet.ctl(0, &["leases"]).1["votes"] != true {
-        assert!(begin.elapsed() < LIMIT, "it never votes");
+        assert!(started_at.elapsed() < WAIT_LIMIT, "it never votes");
         std::thread::sleep(Duration::from_millis(20));
     }
     drop(log);
     // With another one gone, a majority needs its vote.
-    let gone = fleet.acted(&[0]);
-    let _ = fleet.gateways[gone].kill();
-    fleet.acted(&[gone]);
-    fleet.judge();
+    let killed = fleet.wait_for_act(&[0]);
+    let _ = fleet.gateways[killed].kill();
+    fleet.wait_for_act(&[killed]);
+    fleet.assert_no_violations();
 }
 
 #[test]
 fn secrets_change_one_gateway_behind_the_other_and_none_is_cut_off() {
     let fleet = Fleet::start("secret");
-    fleet.acted(&[]);
+    fleet.wait_for_act(&[]);
     let (first, second) = ("the first secret of a fleet\n", "the second secret of a fleet\n");
     for text in [format!("{first}{second}"), format!("{second}{first}"), second.to_owned()] {
         std::fs::write(fleet.folder.join("secret"), text).expect("a secret");
@@ -200,19 +207,19 @@
             assert!(fleet.ctl(at, &["reload"]).0);
         }
     }
-    fleet.acted(&[]);
+    fleet.wait_for_act(&[]);
     for at in 0..GATEWAYS {
-        let (_, told) = fleet.ctl(at, &["peers"]);
-        assert_eq!(told["dropped"]["forged"], 0, "{told}");
+        let (_, reply) = fleet.ctl(at, &["peers"]);
+        assert_eq!(reply["dropped"]["forged"], 0, "{reply}");
     }
     // One that never heard of the change is told apart, and counted.
     std::fs::write(fleet.folder.join("secret"), "a secret of nobody else\n").expect("a secret");
     assert!(fleet.ctl(0, &["reload"]).0);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     while fleet.ctl(1, &["peers"]).1["dropped"]["forged"] == 0 {
-        assert!(begin.elapsed() < LIMIT, "nothing forged is seen");
+        assert!(started_at.elapsed() < WAIT_LIMIT, "nothing forged is seen");
         std::thread::sleep(Duration::from_millis(20));
     }
-    fleet.acted(&[0]);
-    fleet.judge();
+    fleet.wait_for_act(&[0]);
+    fleet.assert_no_violations();
 }
