--- a/crates/cli/tests/leases.rs
+++ b/crates/cli/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Tasks of one holder at a time, with processes of the program: by hand, at a drain, at a takeover, with secrets changed.
+//! Leases with real processes: a task has one holder at a time through handovers, drains, takeovers and changes of secrets.
 
 use doorcourse_conformance::check_acts;
 use doorcourse_emulators::{Relay, TaskEndpoint};
@@ -84,7 +84,7 @@
         (child, log)
     }
 
-    /// `ctl` at a gateway: whether it went well, and what it printed.
+    /// Runs `ctl` at a gateway; returns whether it succeeded, and its output as JSON or text.
     fn ctl(&self, at: usize, arguments: &[&str]) -> (bool, Value) {
         let mut command = Command::new(BINARY);
         command.args(["ctl", "--socket"]).arg(self.folder.join(format!("g{at}.sock"))).args(arguments);
@@ -156,7 +156,7 @@
         .iter()
         .all(|p| p["heard_ms_ago"].is_u64() && p["silent"] == false);
     assert!(all_heard, "{reply}");
-    // Only its holder can give it away, and only to a gateway that there is.
+    // Only the holder can hand over its task, and only to a gateway of the fleet.
     let to = (holder + 1) % GATEWAYS;
     let (succeeded, error) = fleet.ctl(to, &["hand-over", "bill", "0"]);
     assert!(!succeeded && error.to_string().contains("not held by this gateway"), "{error}");
@@ -165,7 +165,7 @@
     );
     assert!(fleet.ctl(holder, &["hand-over", "bill", &to.to_string()]).0);
     assert_eq!(fleet.wait_for_act(&[holder]), to);
-    // At a drain it is given back, not waited out.
+    // A drain releases the lease: the others need not wait until it expires.
     let log = fleet.logs.remove(to);
     kill_process(Pid::from_child(&fleet.gateways[to]), Signal::TERM).expect("signalled");
     let lease_lost = wait_for_log(&log, "lease lost");
@@ -182,14 +182,14 @@
     let (new, log) = fleet.serve(0, &["--take-over"]);
     let mut old = std::mem::replace(&mut fleet.gateways[0], new);
     assert!(old.wait().expect("it ends").success());
-    // It is silent for the longest lease and votes then.
+    // The new process does not vote until the longest lease has passed.
     let started_at = Instant::now();
     while fleet.ctl(0, &["leases"]).1["votes"] != true {
         assert!(started_at.elapsed() < WAIT_LIMIT, "it never votes");
         std::thread::sleep(Duration::from_millis(20));
     }
     drop(log);
-    // With another one gone, a majority needs its vote.
+    // With another gateway killed, a majority needs the vote of the new process.
     let killed = fleet.wait_for_act(&[0]);
     let _ = fleet.gateways[killed].kill();
     fleet.wait_for_act(&[killed]);
@@ -212,7 +212,7 @@
         let (_, reply) = fleet.ctl(at, &["peers"]);
         assert_eq!(reply["dropped"]["forged"], 0, "{reply}");
     }
-    // One that never heard of the change is told apart, and counted.
+    // Datagrams under a secret that the others do not have are dropped and counted.
     std::fs::write(fleet.folder.join("secret"), "a secret of nobody else\n").expect("a secret");
     assert!(fleet.ctl(0, &["reload"]).0);
     let started_at = Instant::now();
