--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -20,10 +20,10 @@
 
 impl Process {
     fn spawn(arguments: &[&str]) -> Self {
-        Self::of(BINARY, arguments)
+        Self::spawn_program(BINARY, arguments)
     }
 
-    fn of(program: &str, arguments: &[&str]) -> Self {
+    fn spawn_program(program: &str, arguments: &[&str]) -> Self {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the binary starts");
@@ -42,7 +42,7 @@
         Self { child, lines }
     }
 
-    /// Waits for a log line that holds this text.
+    /// Waits for a log line that contains this text.
     fn wait(&self, text: &str) -> serde_json::Value {
         let mut seen = Vec::new();
         while let Ok(line) = self.lines.recv_timeout(TEST_TIMEOUT) {
@@ -54,7 +54,7 @@
         panic!("no line with {text:?} in {seen:#?}");
     }
 
-    fn end(&mut self, signal: rustix::process::Signal) -> std::process::ExitStatus {
+    fn terminate(&mut self, signal: rustix::process::Signal) -> std::process::ExitStatus {
         let pid = rustix::process::Pid::from_child(&self.child);
         let _ = rustix::process::kill_process(pid, signal);
         self.child.wait().expect("it ends")
@@ -68,14 +68,14 @@
     }
 }
 
-/// A directory with the settings of one gateway, and a stand-in backend that runs.
+/// A directory with the settings of one gateway, and a running stand-in backend.
 struct Installation {
     directory: PathBuf,
     _node: Process,
 }
 
 impl Installation {
-    fn new(name: &str, more: &str) -> Self {
+    fn new(name: &str, extra_settings: &str) -> Self {
         let directory = std::env::temp_dir().join(format!("doorcourse-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
         std::fs::create_dir_all(&directory).expect("a directory");
@@ -88,9 +88,11 @@
         let text = std::fs::read_to_string(tour.join("settings.txtpb")).expect("settings");
         let text = text.replace("127.0.0.1:8080", "127.0.0.1:0").replace("127.0.0.1:8081", &address);
         let digest: String = Sha256::digest("k").iter().map(|b| format!("{b:02x}")).collect();
-        let own = "admin { socket: \"admin.sock\" }\nstate { file: \"state\" every_ms: 100 }\nplans { name: \"free\" }\n";
-        let own = format!("{own}customers {{ name: \"k\" plan: \"free\" key_sha256: \"{digest}\" }}\n{more}");
-        std::fs::write(directory.join("settings.txtpb"), text + &own).expect("settings");
+        let gateway_settings = "admin { socket: \"admin.sock\" }\nstate { file: \"state\" every_ms: 100 }\nplans { name: \"free\" }\n";
+        let gateway_settings = format!(
+            "{gateway_settings}customers {{ name: \"k\" plan: \"free\" key_sha256: \"{digest}\" }}\n{extra_settings}"
+        );
+        std::fs::write(directory.join("settings.txtpb"), text + &gateway_settings).expect("settings");
         Self { directory, _node: node }
     }
 
@@ -98,9 +100,9 @@
         self.directory.join(name).display().to_string()
     }
 
-    fn serve(&self, more: &[&str]) -> Process {
+    fn serve(&self, extra_arguments: &[&str]) -> Process {
         let settings = self.file("settings.txtpb");
-        Process::spawn(&[&["serve", "--config", &settings], more].concat())
+        Process::spawn(&[&["serve", "--config", &settings], extra_arguments].concat())
     }
 
     fn ctl(&self, arguments: &[&str]) -> Output {
@@ -163,7 +165,7 @@
     }
 }
 
-fn served(to: SocketAddr) -> bool {
+fn is_served(to: SocketAddr) -> bool {
     let mut stream = connect(to);
     stream.write_all(&request()).expect("written");
     read_response(&mut stream).starts_with("HTTP/1.1 200")
@@ -175,23 +177,23 @@
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     let raised = rustix::process::Rlimit { current: limit.maximum, maximum: limit.maximum };
     rustix::process::setrlimit(rustix::process::Resource::Nofile, raised).expect("descriptors");
-    let open = limit.maximum.map_or(1000, |m| m.saturating_sub(100).min(1000));
+    let idle_count = limit.maximum.map_or(1000, |m| m.saturating_sub(100).min(1000));
     let installation = Installation::new("takeover", "");
     let mut old = installation.serve(&[]);
     let to = address(&old.wait("\"serving\""));
-    assert!(served(to));
-    let idle: Vec<TcpStream> = (0..open).map(|_| connect(to)).collect();
+    assert!(is_served(to));
+    let idle: Vec<TcpStream> = (0..idle_count).map(|_| connect(to)).collect();
     let mut partial = connect(to);
     let request = request();
     partial.write_all(&request[..60]).expect("a partial request");
     // The response to a later client shows that the old process has received the first part.
-    assert!(served(to));
+    assert!(is_served(to));
     let new = installation.serve(&["--take-over"]);
     assert_eq!(address(&new.wait("\"serving\"")), to, "the same socket");
     old.wait("\"draining\"");
     // New clients are served by the new process from now on.
     for _ in 0..20 {
-        assert!(served(to));
+        assert!(is_served(to));
     }
     partial.write_all(&request[60..]).expect("the rest");
     let last = read_response(&mut partial);
@@ -213,28 +215,28 @@
     let old = installation.serve(&[]);
     let to = address(&old.wait("\"serving\""));
     old.wait("\"state\":\"serving\"");
-    // A new process that dies during the takeover.
-    let mut dying = installation.admin();
-    assert!(call(&mut dying, "takeover").contains("\"listeners\":1"));
+    // The connection of a new process closes during the takeover.
+    let mut disconnecting = installation.admin();
+    assert!(call(&mut disconnecting, "takeover").contains("\"listeners\":1"));
     let mut second = installation.admin();
     assert!(call(&mut second, "takeover").contains("another process is taking over"));
     assert!(call(&mut second, "reload").contains("another process is taking over"));
-    drop(dying);
+    drop(disconnecting);
     old.wait("\"state\":\"serving\"");
-    assert!(served(to));
-    // One that does not become ready in time.
+    assert!(is_served(to));
+    // A new process does not become ready in time.
     let mut slow = installation.admin();
     assert!(call(&mut slow, "takeover").contains("\"listeners\":1"));
     old.wait("\"state\":\"serving\"");
-    assert!(served(to));
-    // One with invalid settings does not ask for the sockets.
+    assert!(is_served(to));
+    // A new process with invalid settings does not request the sockets.
     let settings = std::fs::read_to_string(installation.file("settings.txtpb")).expect("settings");
     std::fs::write(installation.file("settings.txtpb"), format!("{settings}plans {{ name: \"basic\" }}\n"))
         .expect("written");
     let mut bad = installation.serve(&["--take-over"]);
     assert_eq!(bad.child.wait().expect("it ends").code(), Some(1));
-    assert!(served(to));
-    // One that does not take over leaves the admin socket to the running gateway.
+    assert!(is_served(to));
+    // A process that does not take over leaves the admin socket to the running gateway.
     std::fs::write(installation.file("settings.txtpb"), settings).expect("written");
     let mut second_gateway = installation.serve(&[]);
     assert_eq!(second_gateway.child.wait().expect("it ends").code(), Some(2));
@@ -246,11 +248,11 @@
     let installation = Installation::new("ctl", "");
     let mut gateway = installation.serve(&[]);
     let to = address(&gateway.wait("\"serving\""));
-    assert!(served(to));
+    assert!(is_served(to));
     let text = |arguments: &[&str]| {
-        let done = installation.ctl(arguments);
-        let all = [done.stdout, done.stderr].concat();
-        (done.status.code(), String::from_utf8_lossy(&all).into_owned())
+        let output = installation.ctl(arguments);
+        let all = [output.stdout, output.stderr].concat();
+        (output.status.code(), String::from_utf8_lossy(&all).into_owned())
     };
     assert!(text(&["customers"]).1.contains("\"k\""));
     assert!(text(&["nodes"]).1.contains("\"node-1\""));
@@ -267,12 +269,12 @@
     std::fs::write(&path, settings.replace("admin.sock", "other.sock")).expect("written");
     let (code, output) = text(&["reload"]);
     assert!(code == Some(1) && output.contains("admin.socket: cannot change in service"), "{output}");
-    assert!(served(to), "the old settings stay in force");
+    assert!(is_served(to), "the old settings stay in force");
     assert_eq!(text(&["drain-node", "unknown"]).0, Some(1));
     assert!(text(&["drain-node", "node-1"]).1.contains("node-1"));
-    assert!(!served(to), "the only node is drained");
+    assert!(!is_served(to), "the only node is drained");
     assert_eq!(text(&["undrain-node", "node-1"]).0, Some(0));
-    assert!(served(to));
+    assert!(is_served(to));
     assert_eq!(text(&["drain"]).0, Some(0));
     gateway.wait("\"stopped\"");
     assert!(gateway.child.wait().expect("it ends").success());
@@ -285,19 +287,19 @@
     let dead = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = dead.local_addr().expect("an address");
     drop(dead);
-    let more =
+    let extra_settings =
         format!("nodes {{ name: \"dead\" address: \"{at}\" cell: 2 }}\ncold_nodes {{ warm_ms: 3600000 }}\n");
-    let installation = Installation::new("state", &more);
+    let installation = Installation::new("state", &extra_settings);
     let mut first = installation.serve(&[]);
     let to = address(&first.wait("\"serving\""));
     let ejected = |installation: &Installation| {
-        let done = installation.ctl(&["nodes"]);
-        let nodes: serde_json::Value = serde_json::from_slice(&done.stdout).unwrap_or_default();
+        let output = installation.ctl(&["nodes"]);
+        let nodes: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         let dead = nodes.as_array().and_then(|n| n.iter().find(|n| n["name"] == "dead").cloned());
         dead.and_then(|d| d["ejected_for_ms"].as_f64()).unwrap_or(0.0)
     };
     for _ in 0..200 {
-        assert!(served(to));
+        assert!(is_served(to));
         if ejected(&installation) > 0.0 {
             break;
         }
@@ -308,17 +310,17 @@
     while !text(&installation).contains("\"failures\":1") && !text(&installation).contains("\"failures\":2") {
         std::thread::yield_now();
     }
-    first.end(rustix::process::Signal::KILL);
+    first.terminate(rustix::process::Signal::KILL);
     let mut second = installation.serve(&[]);
     second.wait("state file taken");
     second.wait("\"serving\"");
     assert!(ejected(&installation) > 0.0, "the backend is still ejected");
-    second.end(rustix::process::Signal::KILL);
+    second.terminate(rustix::process::Signal::KILL);
     std::fs::write(installation.file("state"), &text(&installation).as_bytes()[..40]).expect("truncated");
     let mut third = installation.serve(&[]);
     third.wait("state file left aside");
     third.wait("\"serving\"");
-    assert!(third.end(rustix::process::Signal::TERM).success());
+    assert!(third.terminate(rustix::process::Signal::TERM).success());
 }
 
 /// More connections than one accept loop takes wait in the accept queue, their requests written, when a drain closes the
@@ -331,7 +333,7 @@
         Installation::new("accept-queue", &format!("life {{ notice_ms: {} }}\n", NOTICE.as_millis()));
     let mut old = installation.serve(&[]);
     let to = address(&old.wait("serving"));
-    assert!(served(to));
+    assert!(is_served(to));
     let signal = |signal| kill_process(Pid::from_child(&old.child), signal).expect("it runs");
     signal(Signal::TERM);
     old.wait("draining");
@@ -354,8 +356,10 @@
 fn settings_are_reloaded_while_idle_clients_use_all_descriptors() {
     let installation = Installation::new("descriptors", "");
     let settings = installation.file("settings.txtpb");
-    let gateway =
-        Process::of("sh", &["-c", "ulimit -n 64 && exec \"$0\" serve --config \"$1\"", BINARY, &settings]);
+    let gateway = Process::spawn_program(
+        "sh",
+        &["-c", "ulimit -n 64 && exec \"$0\" serve --config \"$1\"", BINARY, &settings],
+    );
     let to = address(&gateway.wait("\"serving\""));
     let mut idle: Vec<TcpStream> = (0..100).map(|_| connect(to)).collect();
     let rejection = read_response(idle.last_mut().expect("a hundred"));
