--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -5,20 +5,20 @@
 //! The limits are tenths of a second, and a busy machine is not that punctual: the tests allow more, and what each
 //! disabled rule does takes longer still.
 
+mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
-mod running;
 #[path = "rare/verdict.rs"]
 mod verdict;
 
 use doorcourse_connection_limits::DescriptorBudget;
+use gateway_process::{Gateway, command, config, set_max_timeout, spawn_clients, start};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rig::{
     Backend, Client, Counter, Discovery, Reply, Shared, WAIT_LIMIT, endpoint, is_rejected, is_served,
     settings, value,
 };
-use running::{Gateway, command, config, set_max_timeout, spawn_clients, start};
 use rustix::net::sockopt::set_socket_linger;
 use rustix::process::Signal;
 use serde_json::{Value as Json, json};
--- a/crates/cli/tests/rolling.rs
+++ b/crates/cli/tests/rolling.rs
@@ -2,14 +2,14 @@
 //! backend that hangs. The verdict uses the records of clients and backends: each accepted request has a complete
 //! response, and every process exits before it may be killed. `DOORCOURSE_SEEDS=20` runs 20 seeds instead of one.
 
+mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
-mod running;
 
+use gateway_process::{Gateway, config, spawn_clients, start};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rig::{Backend, Client, Counter, Discovery, Reply, Shared, WAIT_LIMIT, endpoint, settings, value};
-use running::{Gateway, config, spawn_clients, start};
 use rustix::process::Signal;
 use serde_json::json;
 use std::collections::{BTreeMap, HashSet};
