--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -1,9 +1,9 @@
-//! Rare events in a fleet of eight gateways as processes: discovery goes down and returns with a drain and a backend that
+//! Rare events in a fleet of eight gateway processes: discovery goes down and returns with a drain and a backend that
 //! has moved, gateways are killed and stopped, one backend hangs, the others freeze for a while, and clients disconnect in
-//! all ways. The verdict uses the records of clients and backends. `DOORCOURSE_SEEDS=20` runs 20 seeds instead of one.
+//! all ways. The records of clients and backends are checked. `DOORCOURSE_SEEDS=20` runs 20 seeds instead of one.
 //!
-//! The limits are tenths of a second, and a busy machine is not that punctual: the tests allow more, and what each
-//! disabled rule does takes longer still.
+//! The limits are tenths of a second, which a busy machine cannot keep: the tests allow more, but less than the delay
+//! that each disabled rule causes.
 
 mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
@@ -31,13 +31,13 @@
 
 const GATEWAYS: usize = 8;
 const CLIENTS: usize = 24;
-/// The longest timeout of the settings, in ms: attempts for a disconnected client could go on as long.
+/// The longest timeout in the settings, in ms: attempts for a disconnected client could continue for as long.
 const MAX_TIMEOUT_MS: u32 = 8000;
-/// More commands than are read at once: those behind stay unread.
+/// More commands than a gateway reads at once: the rest stay unread.
 const UNREAD_COMMANDS: usize = 200;
-/// How long requests may be sent to a draining backend, by the settings.
+/// How long requests may be sent to a draining backend, as set in the settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// What a busy machine may add to any limit.
+/// The delay that a busy machine may add to any limit.
 const SLACK: Duration = Duration::from_millis(1000);
 /// How long one gateway is stopped.
 const STOP_DURATION: Duration = Duration::from_millis(1200);
@@ -60,7 +60,7 @@
     Some((client, ids))
 }
 
-/// Ends a client's own side: it counts as disconnected, and its connection stays open here.
+/// Shuts down a client's sending side: the client counts as disconnected, and its connection stays open here.
 fn half_close(
     gateway: SocketAddr, client: Client, ids: Vec<String>, requests: &mut Vec<RequestRecord>,
     half_closed: &mut Vec<Client>,
@@ -77,7 +77,7 @@
     half_closed.push(client);
 }
 
-/// Sends requests and disconnects: by a close, by ending its side or by a reset; with and without unread commands.
+/// Sends requests and disconnects: by a close, a half-close or a reset; with and without unread commands.
 fn send_and_disconnect(
     random: &mut ChaCha8Rng, gateway: SocketAddr, requests: &mut Vec<RequestRecord>,
     half_closed: &mut Vec<Client>,
@@ -142,7 +142,7 @@
     let (hanging_backend, hanging_arrivals) = backend(|_| Reply::Withheld);
     let mut responding = Vec::new();
     let frozen = Shared::new(false);
-    // The last is the second one's address from discovery's return on.
+    // The second backend moves to the address of the last one when discovery returns.
     for index in 0..5_u64 {
         let frozen = frozen.clone();
         responding.push(backend(move |command| {
@@ -200,7 +200,7 @@
         fleet[index] = start_without_discovery(&format!("rare-{seed}-{index}-again"), &file);
         addresses.update(|p| p[index] = Some(fleet[index].address));
     }
-    // An instant before the return each gateway has a request out that will not be answered.
+    // Just before discovery returns, each gateway has a request to it in flight that will not be answered.
     std::thread::sleep(Duration::from_millis(random.random_range(700..1100)));
     fleet[stopped].signal(Signal::STOP);
     discovery.resume_with(endpoint_list(true));
@@ -209,7 +209,7 @@
     fleet[stopped].signal(Signal::CONT);
     let resumed_at = Instant::now();
     frozen.update(|f| *f = false);
-    // As long as attempts for disconnected clients could go on, beside the load.
+    // Attempts for disconnected clients could continue this long under the load.
     std::thread::sleep(Duration::from_millis(3500));
     finished.store(true, Ordering::SeqCst);
     requests.extend(clients.into_iter().flat_map(|c| c.join().unwrap()));
@@ -261,7 +261,7 @@
     let discovery = Discovery::start(vec![endpoint("b0", good.address, "active")]);
     let counter = Counter::start();
     let mut file = config(&discovery, &counter);
-    // Enough descriptors for all of them: a table that is full of requests is another test.
+    // Enough descriptors for all of them: another test covers a table that is full of requests.
     file["limits"]["sockets"] = json!(1024);
     let stopped = (0..5).find_map(|_| stopped_during_shutdown(&file));
     let (mut gateway, mut clients) =
@@ -274,8 +274,8 @@
     assert!(gateway.child.wait().unwrap().success());
 }
 
-/// A response in the same iteration in which the idle timeout of its connection is checked: the process was stopped until
-/// both were due.
+/// A response is due in the same iteration in which the idle timeout of its connection is checked: the process was stopped
+/// until both were due.
 #[test]
 fn response_due_with_the_idle_timeout_of_its_connection_is_written() {
     let (silent, _) = backend(|_| Reply::Withheld);
