--- a/crates/cli/tests/rare/verdict.rs
+++ b/crates/cli/tests/rare/verdict.rs
@@ -1,4 +1,4 @@
-//! The records of a run of the fleet, and the verdict on them.
+//! The records of a run of the fleet, and the checks on them.
 
 use crate::rig::{Backend, Shared};
 use crate::{CLIENTS, DRAIN_GRACE, SLACK};
@@ -28,7 +28,7 @@
 
 pub type Arrivals = Arc<Shared<Vec<(String, Instant)>>>;
 
-/// The records of one run, and when its events took place.
+/// The records of one run, and the times of its events.
 pub struct RunRecords<'a> {
     pub seed: u64,
     pub requests: &'a [RequestRecord],
@@ -38,13 +38,13 @@
     pub resumed_at: Instant,
     /// The arrivals at the backend that hangs.
     pub hanging_arrivals: &'a Arrivals,
-    /// The other backends: the first drains when discovery returns, the second moves to the address of the last.
+    /// The other backends: when discovery returns, the first drains and the second moves to the address of the last.
     pub responding: &'a [(Backend, Arrivals)],
     pub discovery_returned_at: Instant,
 }
 
 impl RunRecords<'_> {
-    /// Requests without a response, late attempts and attempts at a backend that must not receive them.
+    /// Returns requests without a response, late attempts, and attempts at a backend that must not receive them.
     pub fn violations(&self) -> Vec<String> {
         let seed = self.seed;
         let mut violations = Vec::new();
