--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -21,8 +21,8 @@
     for class in ["lookup", "save", "order"] {
         assert!(is_served(&client.request(class, 1000), "good"), "{class}");
     }
-    let other = Counter::start();
-    config["counter"] = json!(other.address.to_string());
+    let new_counter = Counter::start();
+    config["counter"] = json!(new_counter.address.to_string());
     std::fs::write(&gateway.file, config.to_string()).unwrap();
     gateway.signal(Signal::HUP);
     gateway.wait_for_log("configuration reloaded");
@@ -55,11 +55,11 @@
     gateway.signal(Signal::KILL);
     assert!(!gateway.child.wait().unwrap().success());
     assert_eq!(client.read_response(), None);
-    // The quota lease of the first stays in its counter until the window ends: the second has a counter of its own.
-    let fresh = Counter::start();
-    config["counter"] = json!(fresh.address.to_string());
-    let again = start("again", &config);
-    let mut client = Client::open(again.address);
+    // The first process's quota lease stays in its counter until the window ends, so the second gets a counter of its own.
+    let new_counter = Counter::start();
+    config["counter"] = json!(new_counter.address.to_string());
+    let restarted = start("again", &config);
+    let mut client = Client::open(restarted.address);
     let answer = client.request("lookup", 1000);
     assert!(is_served(&answer, "good"), "{answer:?}");
     assert!(is_failed(&client.request("order", 200)));
@@ -69,8 +69,8 @@
 fn unusable_file_is_reported_in_one_line_that_names_file_and_field() {
     let discovery = Discovery::start(Vec::new());
     let counter = Counter::start();
-    let good = config(&discovery, &counter);
-    let mut faults = Vec::new();
+    let valid = config(&discovery, &counter);
+    let mut cases = Vec::new();
     for (field, bad) in [
         ("listen", json!("here")),
         ("discovery", Json::Null),
@@ -79,11 +79,11 @@
         ("settings", json!([])),
         ("known", json!({"seq": 1})),
     ] {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         config[field] = bad;
-        faults.push((field, config));
+        cases.push((field, config));
     }
-    for (field, config) in faults {
+    for (field, config) in cases {
         let file = std::env::temp_dir().join(format!("doorcourse-smoke-{}-{field}.json", std::process::id()));
         std::fs::write(&file, config.to_string()).unwrap();
         let output = command(&file).output().unwrap();
@@ -96,7 +96,7 @@
 }
 
 /// More connections than one iteration accepts are in the accept queue, their requests written, when draining begins: the
-/// process was stopped meanwhile, as one is that shares its core.
+/// process was stopped meanwhile, as happens to one that shares its core.
 #[test]
 fn accept_queue_is_accepted_before_the_listener_closes() {
     let backend = Backend::start(|_| Reply::Bytes(value("good")));
@@ -113,9 +113,9 @@
     clients.iter_mut().for_each(|client| drop(client.send_request("lookup", 2400)));
     std::thread::sleep(std::time::Duration::from_millis(800));
     gateway.signal(Signal::CONT);
-    for (at, client) in clients.iter_mut().enumerate() {
+    for (index, client) in clients.iter_mut().enumerate() {
         let answer =
-            client.read_response().unwrap_or_else(|| panic!("client {at} was closed without a response"));
+            client.read_response().unwrap_or_else(|| panic!("client {index} was closed without a response"));
         assert!(is_served(&answer, "good") || rig::is_rejected(&answer), "{answer:?}");
         assert_eq!(client.read_response(), None, "its connection closes behind its response");
     }
@@ -123,8 +123,8 @@
     assert!(gateway.child.wait().unwrap().success());
 }
 
-/// SIGTERM at any moment of a start, small steps apart, while discovery does not respond: a process that listens exits
-/// with 0.
+/// SIGTERM arrives at different moments of a start, 2 ms apart, while discovery does not respond: a process that listens
+/// exits with code 0.
 #[test]
 fn signal_during_the_start_leads_to_a_graceful_exit_once_it_listens() {
     let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -146,11 +146,11 @@
         }
     }
     std::fs::remove_file(&file).unwrap();
-    assert!(listened > 0, "no process came as far as listening");
+    assert!(listened > 0, "no process reached the point of listening");
 }
 
-/// The largest supported fleet: 1,024 gateways in the settings and 1,024 backends in the file and in the list, indented,
-/// on a machine of 32 MB.
+/// The largest supported fleet fits in 32 MB: 1,024 gateways in the settings, and 1,024 backends in the file and in the
+/// endpoint list. The file that is reloaded is indented.
 #[test]
 fn a_thousand_gateways_and_backends_fit_in_a_small_machine() {
     let backend = Backend::start(|_| Reply::Bytes(value("good")));
@@ -170,7 +170,7 @@
             let answer = client.request("lookup", 2000);
             assert!(is_served(&answer, "good") || rig::is_rejected(&answer), "{answer:?}");
         }
-        // Its file is indented too, and read again each time.
+        // The indented file is read again in each round.
         gateway.signal(Signal::HUP);
         let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).unwrap();
         let peak =
@@ -203,11 +203,11 @@
             })
         })
         .collect();
-    let seen: Vec<(String, bool)> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    let answered = seen.iter().filter(|(_, answered)| *answered).count();
+    let requests: Vec<(String, bool)> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    let answered = requests.iter().filter(|(_, answered)| *answered).count();
     assert!(answered >= 20, "{answered} answered");
     let forwarded = backend.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>());
-    for (id, answered) in &seen {
+    for (id, answered) in &requests {
         assert!(*answered || !forwarded.contains(id), "{id} was forwarded and has no response");
     }
 }
@@ -216,9 +216,12 @@
 /// once: the client comes first, so that no attempt is started for it and no pooled connection spent on it.
 #[test]
 fn disconnected_client_is_processed_before_due_timers() {
-    let late = LateBackend::start(|_| Reply::Bytes(value("late")));
-    let good = Backend::start(|_| Reply::Bytes(value("good")));
-    let hosts = vec![endpoint("b0", late.address(), "active"), endpoint("b1", good.address, "active")];
+    let late_backend = LateBackend::start(|_| Reply::Bytes(value("late")));
+    let good_backend = Backend::start(|_| Reply::Bytes(value("good")));
+    let hosts = vec![
+        endpoint("b0", late_backend.address(), "active"),
+        endpoint("b1", good_backend.address, "active"),
+    ];
     let discovery = Discovery::start(hosts);
     let counter = Counter::start();
     let mut config = config(&discovery, &counter);
@@ -229,19 +232,20 @@
     let gateway = start("gone", &config);
     let mut client = Client::open(gateway.address);
     // Read together, each goes to the backend with the fewest in flight: one to each.
-    let both = [client.encode_request("lookup", 15_000), client.encode_request("lookup", 15_000)].concat();
-    std::io::Write::write_all(&mut client.stream, &both).unwrap();
-    good.commands.wait("the attempt that could be sent", |c| c.len() == 1);
+    let both_requests =
+        [client.encode_request("lookup", 15_000), client.encode_request("lookup", 15_000)].concat();
+    std::io::Write::write_all(&mut client.stream, &both_requests).unwrap();
+    good_backend.commands.wait("the attempt that could be sent", |c| c.len() == 1);
     gateway.signal(Signal::STOP);
     drop(client);
     // Longer than the connect timeout.
     std::thread::sleep(std::time::Duration::from_millis(2200));
     gateway.signal(Signal::CONT);
-    let mut other = Client::open(gateway.address);
-    let id = other.send_request("order", 1000);
-    assert!(is_served(&other.read_response().unwrap(), "good"));
-    let seen = good
+    let mut other_client = Client::open(gateway.address);
+    let id = other_client.send_request("order", 1000);
+    assert!(is_served(&other_client.read_response().unwrap(), "good"));
+    let forwarded = good_backend
         .commands
         .update(|c| c[1..].iter().map(|c| (c.arguments[2].clone(), c.connection)).collect::<Vec<_>>());
-    assert_eq!(seen, [(id, 1)]);
+    assert_eq!(forwarded, [(id, 1)]);
 }
