--- a/crates/cli/tests/gateway_process/mod.rs
+++ b/crates/cli/tests/gateway_process/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the built binary as a process between the scripted peers of the rig.
+//! Runs the built binary as a gateway process between scripted peers.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use crate::rig::{Counter, Discovery, WAIT_LIMIT, settings};
 use rand::SeedableRng;
@@ -13,6 +13,7 @@
 use std::sync::{Arc, mpsc};
 use std::thread::JoinHandle;
 
+/// A running gateway process; it is killed when dropped.
 pub struct Gateway {
     pub child: Child,
     log: mpsc::Receiver<String>,
@@ -21,7 +22,7 @@
 }
 
 impl Gateway {
-    /// Starts a process and waits until it listens; its file is removed with it.
+    /// Starts a process and waits until it listens. The file is removed when the gateway is dropped.
     pub fn spawn(mut command: Command, file: PathBuf) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -32,7 +33,7 @@
         gateway
     }
 
-    /// Waits for the log line with this message; panics where the process ends without it.
+    /// Waits for the log line with this message; panics if there is none in time or the process exits without it.
     pub fn wait_for_log(&mut self, message: &str) -> Json {
         let lines = std::iter::from_fn(|| self.log.recv_timeout(WAIT_LIMIT).ok());
         let mut lines = lines.map(|l| serde_json::from_str::<Json>(&l).expect("the log is JSON"));
@@ -52,6 +53,7 @@
     }
 }
 
+/// A valid configuration file with no known backends.
 pub fn config(discovery: &Discovery, counter: &Counter) -> Json {
     json!({
         "name": "n0", "listen": "127.0.0.1:1", "discovery": discovery.address.to_string(),
@@ -61,6 +63,7 @@
     })
 }
 
+/// The command that runs the gateway with this file, as the platform starts it.
 pub fn command(file: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorcourse"));
     command.arg("platform").env("RELAY_NAME", "n0").env("RELAY_CONFIG", file);
@@ -68,6 +71,7 @@
     command
 }
 
+/// Starts a gateway with this configuration and waits until it is connected to discovery.
 pub fn start(name: &str, config: &Json) -> Gateway {
     let file = std::env::temp_dir().join(format!("doorcourse-smoke-{}-{name}.json", std::process::id()));
     std::fs::write(&file, config.to_string()).unwrap();
