--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -323,7 +323,7 @@
     assert!(third.terminate(rustix::process::Signal::TERM).success());
 }
 
-/// More connections than one accept loop takes wait in the accept queue, their requests written, when a drain closes the
+/// More connections than one accept loop accepts are in the accept queue, their requests written, when a drain closes the
 /// listener: the process was stopped meanwhile. The notice is long, so that it cannot end before the process is stopped.
 #[test]
 fn connections_in_the_accept_queue_are_accepted_before_a_drain_closes_the_listener() {
@@ -350,7 +350,7 @@
     assert!(old.child.wait().expect("it ends").success());
 }
 
-/// Idle clients use all descriptors that the system allows: a further client is told that the gateway is full, and the
+/// Idle clients use all descriptors that the system allows: a further client receives a 503 with GATEWAY_FULL, and the
 /// settings can still be reloaded, twice.
 #[test]
 fn settings_are_reloaded_while_idle_clients_use_all_descriptors() {
