--- a/crates/cli/tests/rare/verdict.rs
+++ b/crates/cli/tests/rare/verdict.rs
@@ -55,9 +55,7 @@
             match request.outcome {
                 Outcome::Answered => answered += 1,
                 Outcome::Lost if self.killed_gateways.contains(&request.gateway) => lost += 1,
-                Outcome::Lost => {
-                    violations.push(format!("seed {seed}: request {} has no response", request.id))
-                }
+                Outcome::Lost => violations.push(format!("seed {seed}: no response to {}", request.id)),
                 Outcome::Disconnected(at) => drop(disconnected.insert(&request.id, at)),
             }
         }
