--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -26,7 +26,7 @@
     /// Run the short form of the drill.
     #[arg(long)]
     short: bool,
-    /// Show progress while the drill runs, if standard output is a terminal.
+    /// Show progress while the drill runs, if standard output is a terminal; this is the default.
     #[arg(long)]
     view: bool,
     /// Show no progress, and print only the report.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -61,7 +61,7 @@
         /// The seed of random decisions; a random one by default. No two gateways may share a seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// Take over the listening sockets from the running process, reached by the admin socket in the settings.
+        /// Take over the listening sockets from the running process, through the admin socket in the settings.
         #[arg(long)]
         take_over: bool,
     },
