--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,12 +1,12 @@
 //! Gateway processes that are short of descriptors, and processes that start while none of their peers responds.
 
-mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
+mod running_gateway;
 
 use doorcourse_resp::Value;
-use gateway_process::{Gateway, command, config, start};
 use rig::{Backend, Client, Counter, Discovery, Reply, WAIT_LIMIT, endpoint, is_rejected, is_served, value};
+use running_gateway::{Gateway, command, config, start};
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
 use serde_json::{Value as Json, json};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,11 +1,11 @@
 //! The built binary as the platform starts it: `RELAY_*` set, in the foreground, between scripted peers on loopback.
 
-mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
+mod running_gateway;
 
-use gateway_process::{command, config, start};
 use rig::{Backend, Client, Counter, Discovery, LateBackend, Reply, endpoint, is_failed, is_served, value};
+use running_gateway::{command, config, start};
 use rustix::process::Signal;
 use serde_json::{Value as Json, json};
 
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -5,20 +5,20 @@
 //! The limits are tenths of a second, which a busy machine cannot keep: the tests allow more, but less than the delay
 //! that each disabled rule causes.
 
-mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
+mod running_gateway;
 #[path = "rare/verdict.rs"]
 mod verdict;
 
 use doorcourse_connection_limits::DescriptorBudget;
-use gateway_process::{Gateway, command, config, set_max_timeout, spawn_clients, start};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rig::{
     Backend, Client, Counter, Discovery, Reply, Shared, WAIT_LIMIT, endpoint, is_rejected, is_served,
     settings, value,
 };
+use running_gateway::{Gateway, command, config, set_max_timeout, spawn_clients, start};
 use rustix::net::sockopt::set_socket_linger;
 use rustix::process::Signal;
 use serde_json::{Value as Json, json};
--- a/crates/cli/tests/rolling.rs
+++ b/crates/cli/tests/rolling.rs
@@ -2,14 +2,14 @@
 //! backend that hangs. The records of clients and backends must show that each accepted request has a complete response,
 //! and every process must exit before it may be killed. `DOORCOURSE_SEEDS=20` runs 20 seeds instead of one.
 
-mod gateway_process;
 #[path = "../../resp-gateway/tests/rig/mod.rs"]
 mod rig;
+mod running_gateway;
 
-use gateway_process::{Gateway, config, spawn_clients, start};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rig::{Backend, Client, Counter, Discovery, Reply, Shared, WAIT_LIMIT, endpoint, settings, value};
+use running_gateway::{Gateway, config, spawn_clients, start};
 use rustix::process::Signal;
 use serde_json::json;
 use std::collections::{BTreeMap, HashSet};
