--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -55,7 +55,7 @@
 
 const LEASE_DRILL: &str = "lease-holder-lost";
 const LEASE_DRILL_ABOUT: &str =
-    "each task has one holder at a time while holders are killed, stopped and partitioned";
+    "Each task has one holder at a time while holders are killed, stopped and partitioned.";
 
 pub fn run(drill: &Drill) -> anyhow::Result<ExitCode> {
     let Some(name) = &drill.name else {
