--- a/crates/cli/src/query.rs
+++ b/crates/cli/src/query.rs
@@ -9,28 +9,28 @@
 
 #[derive(Subcommand, Debug)]
 pub enum Query {
-    /// Parse a document and tell what it holds; 1 with the place of the first fault.
+    /// Parse a document and list its contents; exit code 1 and the location of the first error if it is invalid.
     Parse {
-        /// A file with operations, fragments or a type system.
+        /// A file with operations, fragments or type system definitions.
         file: PathBuf,
     },
-    /// Validate a document against a schema; 1 with the place of every fault.
+    /// Validate a document against a schema; exit code 1 and the location of every error if it is invalid.
     Validate {
         #[command(flatten)]
         schema: SchemaFile,
         /// A file with operations and fragments.
         file: PathBuf,
     },
-    /// Price an operation by the schema's @cost and @listSize; 1 with the place of every fault.
+    /// Compute an operation's cost by the schema's @cost and @listSize; exit code 1 and the location of every error.
     #[command(after_help = "Example:
   doorcourse query cost --schema catalogue.graphql --variables '{\"n\": 40}' query.graphql")]
     Cost {
         #[command(flatten)]
         schema: SchemaFile,
-        /// The variables, a JSON object.
+        /// The variables, as a JSON object.
         #[arg(long)]
         variables: Option<String>,
-        /// The operation, where the document has several.
+        /// The name of the operation, if the document has several.
         #[arg(long)]
         operation: Option<String>,
         /// A file with operations and fragments.
@@ -40,7 +40,7 @@
 
 #[derive(Args, Debug)]
 pub struct SchemaFile {
-    /// The schema's SDL.
+    /// A file with the schema, in SDL.
     #[arg(long)]
     schema: PathBuf,
 }
@@ -49,11 +49,11 @@
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn told(file: &Path, errors: &[Error]) -> ExitCode {
-    let shown = file.display();
+fn print_errors(file: &Path, errors: &[Error]) -> ExitCode {
+    let path = file.display();
     errors.iter().for_each(|e| match e.at {
-        Some(at) => eprintln!("{shown}:{}:{}: {}", at.line, at.column, e.message),
-        None => eprintln!("{shown}: {}", e.message),
+        Some(location) => eprintln!("{path}:{}:{}: {}", location.line, location.column, e.message),
+        None => eprintln!("{path}: {}", e.message),
     });
     ExitCode::FAILURE
 }
@@ -62,19 +62,19 @@
     let limits = Limits::default();
     match command {
         Query::Parse { file } => Ok(match parse(&read(&file)?, &limits) {
-            Err(error) => told(&file, &[error]),
+            Err(error) => print_errors(&file, &[error]),
             Ok(document) => {
-                let kind = |k| match k {
+                let kind_name = |kind| match kind {
                     OperationKind::Query => "query",
                     OperationKind::Mutation => "mutation",
                     OperationKind::Subscription => "subscription",
                 };
-                for (k, name) in document.operations() {
-                    say!("{} {}", kind(k), name.unwrap_or("(no name)"));
+                for (kind, name) in document.operations() {
+                    print_line!("{} {}", kind_name(kind), name.unwrap_or("(anonymous)"));
                 }
-                document.fragment_names().for_each(|f| say!("fragment {f}"));
-                say!(
-                    "{} tokens, {} definitions of a type system",
+                document.fragment_names().for_each(|f| print_line!("fragment {f}"));
+                print_line!(
+                    "{} tokens, {} type system definitions",
                     document.token_count,
                     document.type_system_definition_count()
                 );
@@ -84,13 +84,13 @@
         Query::Validate { schema, file } => {
             let schema = match Schema::parse(&read(&schema.schema)?) {
                 Ok(schema) => schema,
-                Err(errors) => return Ok(told(&schema.schema, &errors)),
+                Err(errors) => return Ok(print_errors(&schema.schema, &errors)),
             };
             let document = parse(&read(&file)?, &limits).map_err(|e| vec![e]);
             Ok(match document.and_then(|d| validate(&schema, &d, &limits)) {
-                Err(errors) => told(&file, &errors),
+                Err(errors) => print_errors(&file, &errors),
                 Ok(()) => {
-                    say!("{}: valid", file.display());
+                    print_line!("{}: valid", file.display());
                     ExitCode::SUCCESS
                 }
             })
@@ -99,10 +99,10 @@
             let variables: Option<Map<String, Value>> = variables
                 .map(|v| serde_json::from_str(&v))
                 .transpose()
-                .context("--variables: a JSON object")?;
+                .context("--variables: expected a JSON object")?;
             let schema = match Schema::parse(&read(&schema.schema)?) {
                 Ok(schema) => schema,
-                Err(errors) => return Ok(told(&schema.schema, &errors)),
+                Err(errors) => return Ok(print_errors(&schema.schema, &errors)),
             };
             let source = read(&file)?;
             let prepared = PreparedOperation::new(
@@ -113,10 +113,15 @@
                 limits,
             );
             Ok(match prepared {
-                Err(errors) => told(&file, &errors),
+                Err(errors) => print_errors(&file, &errors),
                 Ok(prepared) => {
                     let cost = prepared.cost();
-                    say!("{} units: {} of fields, {} of types", cost.units, cost.field_cost, cost.type_cost);
+                    print_line!(
+                        "{} units: {} for fields, {} for types",
+                        cost.units,
+                        cost.field_cost,
+                        cost.type_cost
+                    );
                     ExitCode::SUCCESS
                 }
             })
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -12,7 +12,8 @@
     file.parent().unwrap_or(Path::new(""))
 }
 
-/// Reads settings and the files that they name. The outer error is an unreadable file, the inner one lists the faults.
+/// Reads settings and the files that they name. The outer error is an unreadable file, the inner one lists the faults
+/// of the settings.
 fn read_settings(file: &Path) -> anyhow::Result<Result<Config, Vec<Fault>>> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let read_named =
@@ -20,21 +21,21 @@
     Ok(doorcourse_config::read(&file.display().to_string(), &text, &read_named))
 }
 
-/// Prints each fault on standard error.
+/// Prints each fault on standard error and returns the exit code for a failure.
 fn report_faults(faults: &[Fault]) -> ExitCode {
     faults.iter().for_each(|fault| eprintln!("{fault}"));
     ExitCode::FAILURE
 }
 
-/// Checks settings or an endpoint list.
+/// Checks settings or an endpoint list: prints a summary, or each fault.
 ///
 /// # Errors
-/// When the file cannot be read.
+/// Fails when the file cannot be read.
 pub fn check(file: &Path) -> anyhow::Result<ExitCode> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
-    let shown = file.display().to_string();
-    if doorcourse_config::is_node_list(&shown, &text) {
-        return Ok(check_endpoint_list(&shown, &text));
+    let path = file.display().to_string();
+    if doorcourse_config::is_node_list(&path, &text) {
+        return Ok(check_endpoint_list(&path, &text));
     }
     let config = match read_settings(file)? {
         Ok(config) => config,
@@ -43,24 +44,24 @@
     let classes = config.decisions.classes.len();
     let plans = config.decisions.plans.len();
     let keys = config.customers_by_key.len();
-    say!("{shown}: good: {classes} classes, {plans} plans, {keys} keys");
+    print_line!("{path}: good: {classes} classes, {plans} plans, {keys} keys");
     Ok(ExitCode::SUCCESS)
 }
 
-fn check_endpoint_list(shown: &str, text: &str) -> ExitCode {
-    match doorcourse_config::read_nodes(shown, text) {
+fn check_endpoint_list(path: &str, text: &str) -> ExitCode {
+    match doorcourse_config::read_nodes(path, text) {
         Err(faults) => report_faults(&faults),
         Ok(list) => {
-            say!("{shown}: good: a list of {} nodes", list.nodes.len());
+            print_line!("{path}: good: a list of {} nodes", list.nodes.len());
             ExitCode::SUCCESS
         }
     }
 }
 
-/// Runs a gateway until a drain ends. `seed`: of the decisions; `None` takes a random one.
+/// Runs a gateway until its drain ends. `seed` is that of random decisions; `None` selects a random one.
 ///
 /// # Errors
-/// When the settings cannot be read, or the gateway cannot start or serve.
+/// Fails when the settings cannot be read, or the gateway cannot start or serve.
 pub fn serve(file: &Path, seed: Option<u64>, take_over: bool) -> anyhow::Result<ExitCode> {
     let config = match read_settings(file)? {
         Ok(config) => config,
@@ -78,7 +79,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads the settings file again for a reload; all faults are one message.
+/// Returns a function that reads the settings file again for a reload and joins all faults into one message.
 fn settings_reader(file: &Path) -> ReadSettings {
     let file = file.to_owned();
     Arc::new(move || match read_settings(&file) {
