--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::{Args, Subcommand, ValueEnum};
 use doorcourse_import::{
-    CODES, Difference, FileError, Files, Finding, Limits, Node, Request, Role, Severity, Source, TABLE,
-    Wanted, apache, diff,
+    CODES, ConvertOptions, Difference, FileError, Files, Finding, Limits, Node, Request, Role, Severity,
+    Source, TABLE, apache, diff,
 };
 use std::io::Write;
 use std::net::IpAddr;
@@ -164,7 +164,7 @@
         Ok((name.to_ascii_lowercase(), address))
     };
     let hosts = common.host.iter().map(host).collect::<Result<_, _>>()?;
-    request.wanted = Wanted { balancer: common.balancer.clone(), hosts };
+    request.convert_options = ConvertOptions { balancer: common.balancer.clone(), hosts };
     let disk = Disk { root: common.root.clone() };
     let (carried, findings) = doorcourse_import::import(&disk, &request);
     match common.format {
@@ -178,7 +178,7 @@
         eprintln!("doorcourse: {left} left out: no list, as --strict wants it");
         return Ok(ExitCode::FAILURE);
     }
-    let text = carried.print();
+    let text = carried.to_text();
     match &common.out {
         None => say_on!("{text}"),
         Some(file) => write_whole(file, &text).with_context(|| file.display().to_string())?,
--- a/crates/import/fuzz/fuzz_targets/apache.rs
+++ b/crates/import/fuzz/fuzz_targets/apache.rs
@@ -12,13 +12,13 @@
     // Small bounds, so that a run is quick and the bounds are met.
     request.options.limits = Limits { directives: 5000, line_bytes: 4096, all_bytes: 1 << 20, ..Limits::default() };
     request.options.version = Some("2.4.58".into());
-    taken(import(&files, &request).0);
+    check_settings_accept(import(&files, &request).0);
 });
 
 /// What is printed must be what the settings take.
-fn taken(carried: Option<doorcourse_import::Carried>) {
-    let Some(carried) = carried.filter(|c| c.nodes.iter().any(|n| n.resolved)) else { return };
-    let list = carried.print();
+fn check_settings_accept(node_list: Option<doorcourse_import::NodeList>) {
+    let Some(node_list) = node_list.filter(|c| c.nodes.iter().any(|n| n.resolved)) else { return };
+    let list = node_list.to_text();
     let read = doorcourse_config::read_nodes("list", &list);
     assert!(read.is_ok(), "{list}\n{:?}", read.err());
 }
--- a/crates/import/fuzz/fuzz_targets/mod_jk.rs
+++ b/crates/import/fuzz/fuzz_targets/mod_jk.rs
@@ -10,8 +10,8 @@
     let files = InMemory([("w".to_owned(), workers.to_vec()), ("u".to_owned(), map.to_vec())].into());
     let mut request = Request { workers: vec!["w".into()], maps: vec!["u".into()], ..Request::default() };
     request.options.limits = Limits { line_bytes: 4096, all_bytes: 1 << 20, ..Limits::default() };
-    let Some(carried) = import(&files, &request).0.filter(|c| c.nodes.iter().any(|n| n.resolved)) else { return };
-    let list = carried.print();
+    let Some(node_list) = import(&files, &request).0.filter(|c| c.nodes.iter().any(|n| n.resolved)) else { return };
+    let list = node_list.to_text();
     let read = doorcourse_config::read_nodes("list", &list);
     assert!(read.is_ok(), "{list}\n{:?}", read.err());
 });
--- a/crates/import/src/carry.rs
+++ b/crates/import/src/convert.rs
@@ -12,7 +12,7 @@
 
 /// What is wanted of the files.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
+pub struct ConvertOptions {
     /// The balancer; needed where there are several.
     pub balancer: Option<String>,
     /// Addresses of host names.
@@ -88,7 +88,7 @@
 
 /// A node list, to be printed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Carried {
+pub struct NodeList {
     /// The balancer that it was.
     pub balancer: String,
     /// Where that is defined.
@@ -102,33 +102,35 @@
 }
 
 /// Turns the balancer that is wanted, of the files that begin with `main`, into a node list; `None` after an error, which is told.
-pub fn carry(model: &Model, main: &str, wanted: &Wanted, findings: &mut Findings) -> Option<Carried> {
-    let balancer = choose(model, main, wanted, findings)?;
-    let mut carried = Carried {
+pub fn convert(
+    model: &Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
+) -> Option<NodeList> {
+    let balancer = choose(model, main, options, findings)?;
+    let mut node_list = NodeList {
         balancer: balancer.name.clone(),
         place: balancer.place.clone(),
         nodes: Vec::new(),
         routing: routing(balancer, findings),
         hints: Vec::new(),
     };
-    let sticky = !carried.routing.cookie.is_empty() || !carried.routing.parameter.is_empty();
+    let sticky = !node_list.routing.cookie.is_empty() || !node_list.routing.parameter.is_empty();
     for member in &balancer.members {
-        tell_fates(balancer.source, Scope::Member, &member.parameters, findings);
-        carried.nodes.extend(node(balancer, member, sticky, wanted, findings));
+        report_unconverted(balancer.source, Scope::Member, &member.parameters, findings);
+        node_list.nodes.extend(node(balancer, member, sticky, options, findings));
     }
-    tell_fates(balancer.source, Scope::Balancer, &balancer.parameters, findings);
-    twice(&mut carried.nodes, findings);
-    names(&mut carried.nodes);
-    redirects(balancer, &mut carried.nodes, findings);
-    carried.hints = hints(balancer, findings);
-    mounts(model, balancer, &mut carried.hints, findings);
+    report_unconverted(balancer.source, Scope::Balancer, &balancer.parameters, findings);
+    twice(&mut node_list.nodes, findings);
+    names(&mut node_list.nodes);
+    redirects(balancer, &mut node_list.nodes, findings);
+    node_list.hints = hints(balancer, findings);
+    mounts(model, balancer, &mut node_list.hints, findings);
     let key = |n: &Node| (n.tier, n.role, n.name.clone());
-    carried.nodes.sort_by_cached_key(key);
-    Some(carried)
+    node_list.nodes.sort_by_cached_key(key);
+    Some(node_list)
 }
 
 fn choose<'a>(
-    model: &'a Model, main: &str, wanted: &Wanted, findings: &mut Findings,
+    model: &'a Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<&'a Balancer> {
     // Errors of the readers come first: what they left is not the whole of it.
     if findings.any(crate::Severity::Error) {
@@ -140,7 +142,7 @@
         names.join(", ")
     };
     let filled: Vec<&Balancer> = model.balancers.iter().filter(|b| !b.members.is_empty()).collect();
-    let chosen = match (&wanted.balancer, &filled[..]) {
+    let chosen = match (&options.balancer, &filled[..]) {
         (Some(name), _) => {
             let name = name.to_ascii_lowercase();
             let name = name.strip_prefix("balancer://").unwrap_or(&name);
@@ -206,7 +208,9 @@
     "method",
 ];
 
-fn tell_fates(source: Source, scope: Scope, parameters: &BTreeMap<String, Value>, findings: &mut Findings) {
+fn report_unconverted(
+    source: Source, scope: Scope, parameters: &BTreeMap<String, Value>, findings: &mut Findings,
+) {
     for (name, value) in parameters {
         let Some(row) = parameter(source, scope, name) else { continue };
         let text = || format!("{name}={}: {}", short(&value.text), row.note);
@@ -347,7 +351,7 @@
 }
 
 fn node(
-    balancer: &Balancer, member: &Member, sticky: bool, wanted: &Wanted, findings: &mut Findings,
+    balancer: &Balancer, member: &Member, sticky: bool, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<Node> {
     let (place, of) = (&member.place, |name: &str| member.parameters.get(name));
     let shown = &member.name;
@@ -402,7 +406,7 @@
         findings.add("C012", &value.place, "route without sticky sessions: nothing is bound by it");
     }
     let (host, port) = (member.host.as_str(), member.port);
-    let known = host.parse::<IpAddr>().ok().or_else(|| wanted.hosts.get(host).copied()).or_else(|| {
+    let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
         // The one name whose address is the same everywhere (RFC 6761 section 6.3).
         (host == "localhost").then_some(IpAddr::from([127, 0, 0, 1]))
     });
@@ -633,10 +637,10 @@
     done
 }
 
-impl Carried {
+impl NodeList {
     /// The node list in protobuf text format: the same model gives the same bytes.
     #[must_use]
-    pub fn print(&self) -> String {
+    pub fn to_text(&self) -> String {
         let comment = |text: &str| text.chars().filter(|c| !c.is_control()).collect::<String>();
         let mut text = format!(
             "# Node list of balancer {}, from {}.\n",
--- a/crates/import/src/diff.rs
+++ b/crates/import/src/diff.rs
@@ -1,6 +1,6 @@
 //! What a new list would change in a running one.
 
-use crate::carry::Node;
+use crate::convert::Node;
 use std::collections::BTreeMap;
 
 /// One difference.
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads Apache httpd balancer configuration and mod_jk worker files, and turns them into a node list.
 //!
-//! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`carry`] -> [`Carried`] -> [`print`](Carried::print).
+//! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`convert`] -> [`NodeList`] -> [`to_text`](NodeList::to_text).
 //! Whatever a file says is carried over, approximated or left out, and each of the latter two leaves a [`Finding`]
 //! with a stable code and a place. It does no I/O: the caller lends it a [`Files`].
 
@@ -8,7 +8,7 @@
 #![warn(missing_docs)]
 
 pub mod apache;
-mod carry;
+mod convert;
 mod diff;
 mod files;
 mod finding;
@@ -16,7 +16,7 @@
 mod model;
 mod table;
 
-pub use carry::{Carried, Node, Role, Routing, Wanted, carry};
+pub use convert::{ConvertOptions, Node, NodeList, Role, Routing, convert};
 pub use diff::{Difference, diff};
 pub use files::{FileError, Files, InMemory, Place, join, matches};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
@@ -52,23 +52,23 @@
     /// What httpd's files alone do not tell.
     pub options: apache::Options,
     /// Which balancer, and addresses.
-    pub wanted: Wanted,
+    pub convert_options: ConvertOptions,
 }
 
 /// Reads what is asked for and turns it into a node list; `None` after an error, which is among the findings.
 #[must_use]
-pub fn import(files: &dyn Files, request: &Request) -> (Option<Carried>, Findings) {
+pub fn import(files: &dyn Files, request: &Request) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
     let model = if request.workers.is_empty() {
         let read = apache::import(files, &request.apache, &request.options, &mut findings);
-        carry::others(&read, request.apache.first().map_or("", String::as_str), &mut findings);
+        convert::others(&read, request.apache.first().map_or("", String::as_str), &mut findings);
         read.model
     } else {
         jk::import(files, &request.workers, &request.maps, request.options.limits, &mut findings)
     };
     let main = request.workers.first().or(request.apache.first()).map_or("", String::as_str);
-    let carried = carry(&model, main, &request.wanted, &mut findings);
-    (carried, findings)
+    let node_list = convert(&model, main, &request.convert_options, &mut findings);
+    (node_list, findings)
 }
 
 impl Default for Limits {
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -1,15 +1,15 @@
 //! Files that are large, hostile or no configuration at all: bounded time and memory, one clear error, no panic.
 
-use doorcourse_import::{Carried, Findings, InMemory, Request, import};
+use doorcourse_import::{Findings, InMemory, NodeList, Request, import};
 use proptest::prelude::*;
 use std::fmt::Write;
 
-fn apache(text: &[u8]) -> (Option<Carried>, Findings) {
+fn apache(text: &[u8]) -> (Option<NodeList>, Findings) {
     let files = InMemory([("httpd.conf".to_owned(), text.to_vec())].into());
     import(&files, &Request { apache: vec!["httpd.conf".into()], ..Request::default() })
 }
 
-fn mod_jk(text: &[u8], map: &[u8]) -> (Option<Carried>, Findings) {
+fn mod_jk(text: &[u8], map: &[u8]) -> (Option<NodeList>, Findings) {
     let files = InMemory([("w".to_owned(), text.to_vec()), ("u".to_owned(), map.to_vec())].into());
     import(&files, &Request { workers: vec!["w".into()], maps: vec!["u".into()], ..Request::default() })
 }
@@ -32,8 +32,8 @@
         );
     }
     text.push_str("ProxySet stickysession=SID\n</Proxy>\n");
-    let (carried, findings) = apache(text.as_bytes());
-    assert_eq!(carried.expect("a list").nodes.len(), 50_000);
+    let (node_list, findings) = apache(text.as_bytes());
+    assert_eq!(node_list.expect("a list").nodes.len(), 50_000);
     assert!(findings.all().is_empty());
 
     let mut text = String::from("worker.list=lb\nworker.lb.type=lb\n");
@@ -45,8 +45,8 @@
             n % 250 + 1
         );
     }
-    let (carried, _) = mod_jk(text.as_bytes(), b"");
-    assert_eq!(carried.expect("a list").nodes.len(), 25_000);
+    let (node_list, _) = mod_jk(text.as_bytes(), b"");
+    assert_eq!(node_list.expect("a list").nodes.len(), 25_000);
 }
 
 /// Each of these would take hours or all memory if it were followed to its end; the bounds of `Limits` are counts, so
@@ -93,8 +93,8 @@
         ("one long line", "x".repeat(3 << 20), "A005"),
         ("a line that goes on", "x\\\n".repeat(2 << 20), "A005"),
     ] {
-        let (carried, findings) = apache(text.as_bytes());
-        assert!(carried.is_none(), "{what}");
+        let (node_list, findings) = apache(text.as_bytes());
+        assert!(node_list.is_none(), "{what}");
         assert_eq!(errors(&findings), [code], "{what}");
     }
 }
@@ -106,8 +106,8 @@
         let _ = writeln!(nested, "worker.l{n}.type=lb\nworker.l{n}.balance_workers=l{0},l{0}", n + 1);
     }
     nested.push_str("worker.l40.host=10.0.0.1\n");
-    let (carried, _) = mod_jk(nested.as_bytes(), b"");
-    assert!(carried.is_none(), "several balancers, and none is named");
+    let (node_list, _) = mod_jk(nested.as_bytes(), b"");
+    assert!(node_list.is_none(), "several balancers, and none is named");
     let macros: String = (1..80).map(|n| format!("m{n}=$(m{0})$(m{0})\n", n - 1)).collect();
     let (_, findings) = mod_jk(format!("m0=abcdefgh\n{macros}").as_bytes(), b"");
     assert_eq!(errors(&findings), ["A005"]);
@@ -115,8 +115,8 @@
     let (_, findings) = mod_jk(chain.as_bytes(), b"");
     assert_eq!(errors(&findings), ["J002"], "longer than any honest chain");
     let rules = "/a|/*=w\n".repeat(50_000);
-    let (carried, _) = mod_jk(b"worker.list=w\nworker.w.host=10.0.0.1\n", rules.as_bytes());
-    assert!(carried.is_some());
+    let (node_list, _) = mod_jk(b"worker.list=w\nworker.w.host=10.0.0.1\n", rules.as_bytes());
+    assert!(node_list.is_some());
 }
 
 /// A member that can be printed and read again.
@@ -161,19 +161,19 @@
 
     #[test]
     fn printed_and_read_again_is_the_same(text in file()) {
-        let carried = apache(text.as_bytes()).0.expect("a list");
-        let read = doorcourse_config::read_nodes("list", &carried.print()).expect("a list that is taken");
-        prop_assert_eq!(read.nodes.len(), carried.nodes.len());
-        for (read, carried) in read.nodes.iter().zip(&carried.nodes) {
+        let node_list = apache(text.as_bytes()).0.expect("a list");
+        let read = doorcourse_config::read_nodes("list", &node_list.to_text()).expect("a list that is taken");
+        prop_assert_eq!(read.nodes.len(), node_list.nodes.len());
+        for (read, written) in read.nodes.iter().zip(&node_list.nodes) {
             let place = &read.entry.placement;
-            prop_assert_eq!(&*read.entry.name, carried.name.as_str());
-            prop_assert_eq!(read.address.to_string(), carried.address.clone());
-            prop_assert_eq!((place.weight, place.priority_level, &*place.sticky_route), (carried.weight, carried.tier, &*carried.route));
-            prop_assert_eq!(role_name(place.role), carried.role.name());
-            prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, carried.draining);
+            prop_assert_eq!(&*read.entry.name, written.name.as_str());
+            prop_assert_eq!(read.address.to_string(), written.address.clone());
+            prop_assert_eq!((place.weight, place.priority_level, &*place.sticky_route), (written.weight, written.tier, &*written.route));
+            prop_assert_eq!(role_name(place.role), written.role.name());
+            prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, written.draining);
         }
         let routing = read.routing.expect("routing");
-        prop_assert_eq!((routing.cookie, routing.strict), (carried.routing.cookie, carried.routing.strict));
+        prop_assert_eq!((routing.cookie, routing.strict), (node_list.routing.cookie, node_list.routing.strict));
     }
 
     /// Bytes cut out, put in and doubled anywhere: a list or findings, never a panic, and what is printed is taken.
@@ -192,18 +192,18 @@
                 _ => { let end = (at + usize::from(byte)).min(bytes.len()); bytes.drain(at..end); }
             }
         }
-        let (carried, _) = apache(&bytes);
-        if let Some(carried) = carried.filter(|c| c.nodes.iter().any(|n| n.resolved)) {
-            let list = carried.print();
+        let (node_list, _) = apache(&bytes);
+        if let Some(node_list) = node_list.filter(|c| c.nodes.iter().any(|n| n.resolved)) {
+            let list = node_list.to_text();
             prop_assert!(doorcourse_config::read_nodes("list", &list).is_ok(), "{}", list);
         }
     }
 
     #[test]
     fn any_properties_never_panic(text in "(worker\\.[a-c]\\.(type|host|port|balance_workers|reference|lbfactor|activation|domain|route)=(lb|a|b,c|[0-9.]{0,6}|\\$\\(x\\)|[^\n]{0,8})\n){0,30}", map in "[/*!|=;a-z\n]{0,60}") {
-        let (carried, _) = mod_jk(format!("worker.list=a\n{text}").as_bytes(), map.as_bytes());
-        if let Some(carried) = carried.filter(|c| c.nodes.iter().any(|n| n.resolved)) {
-            let list = carried.print();
+        let (node_list, _) = mod_jk(format!("worker.list=a\n{text}").as_bytes(), map.as_bytes());
+        if let Some(node_list) = node_list.filter(|c| c.nodes.iter().any(|n| n.resolved)) {
+            let list = node_list.to_text();
             prop_assert!(doorcourse_config::read_nodes("list", &list).is_ok(), "{}", list);
         }
     }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -78,14 +78,14 @@
             "apache" => request.apache.push(value),
             "mod-jk" => request.workers.push(value),
             "map" => request.maps.push(value),
-            "balancer" => request.wanted.balancer = Some(value),
+            "balancer" => request.convert_options.balancer = Some(value),
             "define" => request.options.defines.push(value),
             "version" => request.options.version = Some(value),
             "sections" => request.options.limits.sections = value.parse().unwrap(),
             "directives" => request.options.limits.directives = value.parse().unwrap(),
             "host" => {
                 let (name, address) = value.split_once('=').unwrap();
-                request.wanted.hosts.insert(name.to_owned(), address.parse().unwrap());
+                request.convert_options.hosts.insert(name.to_owned(), address.parse().unwrap());
             }
             other => panic!("no argument: {other}"),
         }
@@ -94,9 +94,9 @@
 
 /// What comes out: the list, and each finding as "code place".
 fn run(sample: &Sample) -> (String, Vec<String>) {
-    let (carried, findings) = import(&sample.files, &sample.request);
+    let (node_list, findings) = import(&sample.files, &sample.request);
     let told = findings.all().iter().map(|f| format!("{} {}", f.code, f.place)).collect();
-    (carried.map(|c| c.print().trim_end().to_owned()).unwrap_or_default(), told)
+    (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), told)
 }
 
 /// All that differs from what is expected, in either direction.
