--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -253,7 +253,7 @@
         route: place.sticky_route.to_string(),
         redirect: place.failover_route.to_string(),
         group: place.failover_group.to_string(),
-        place: doorcourse_import::Place::default(),
+        location: doorcourse_import::SourceLocation::default(),
     }
 }
 
--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -1,7 +1,7 @@
 //! What the directives of mod_proxy and mod_jk say of balancers.
 
 use super::read::{Directive, Options, Section, Sink, read};
-use crate::files::{Files, Place};
+use crate::files::{Files, SourceLocation};
 use crate::finding::Findings;
 use crate::jk;
 use crate::model::{Kind, Member, Model, Mount, Value};
@@ -62,7 +62,7 @@
 }
 
 /// A member's URL in parts; `None` where it is no URL.
-fn member(url: &str, place: &Place) -> Option<Member> {
+fn member(url: &str, location: &SourceLocation) -> Option<Member> {
     let (scheme, rest) = url.split_once("://").or_else(|| url.strip_prefix("unix:").map(|r| ("unix", r)))?;
     let scheme = scheme.to_ascii_lowercase();
     let (kind, default) = match scheme.as_str() {
@@ -89,43 +89,56 @@
     }
     let (parameters, flags) = (BTreeMap::new(), Vec::new());
     let (host, path) = (host.to_ascii_lowercase(), path.to_owned());
-    Some(Member { name: url.to_owned(), kind, host, port, path, parameters, flags, place: place.clone() })
+    Some(Member {
+        name: url.to_owned(),
+        kind,
+        host,
+        port,
+        path,
+        parameters,
+        flags,
+        location: location.clone(),
+    })
 }
 
 impl Proxy {
-    fn balancer(&mut self, name: &str, place: &Place) -> usize {
+    fn balancer(&mut self, name: &str, location: &SourceLocation) -> usize {
         let next = self.model.balancers.len();
         let model = &mut self.model;
         *self.balancers.entry(name.to_owned()).or_insert_with(|| {
             let (name, members, parameters) = (name.to_owned(), Vec::new(), BTreeMap::new());
-            let (place, source) = (place.clone(), Source::Apache);
-            model.balancers.push(crate::Balancer { name, members, parameters, place, source });
+            let (location, source) = (location.clone(), Source::Apache);
+            model.balancers.push(crate::Balancer { name, members, parameters, location, source });
             next
         })
     }
 
     /// `key=value` words of a member or balancer. Of the words without `=` ProxyPass knows some by themselves.
     fn parameters(
-        &mut self, balancer: usize, at: Option<usize>, words: &[String], place: &Place,
+        &mut self, balancer: usize, at: Option<usize>, words: &[String], location: &SourceLocation,
         findings: &mut Findings,
     ) {
         for word in words {
             let Some((key, text)) = word.split_once('=') else {
                 if !["nocanon", "interpolate", "noquery"].contains(&word.to_ascii_lowercase().as_str()) {
-                    findings.add("B001", place, format!("`{word}` is no key=value"));
+                    findings.add("B001", location, format!("`{word}` is no key=value"));
                 }
                 continue;
             };
             let key = key.to_ascii_lowercase();
             let set = &mut self.model.balancers[balancer];
             let known = |scope| parameter(Source::Apache, scope, &key);
-            let value = Value { text: text.to_owned(), place: place.clone() };
+            let value = Value { text: text.to_owned(), location: location.clone() };
             match at {
                 Some(at) => {
                     if known(Scope::Member).is_none() {
-                        findings.add("B002", place, format!("{key}: no parameter of a member by this name"));
+                        findings.add(
+                            "B002",
+                            location,
+                            format!("{key}: no parameter of a member by this name"),
+                        );
                     } else if key == "status" {
-                        flags(&mut set.members[at].flags, text, place, findings);
+                        flags(&mut set.members[at].flags, text, location, findings);
                     } else {
                         set.members[at].parameters.insert(key, value);
                     }
@@ -136,21 +149,21 @@
                 // Parameters of members that stand on a balancer go for all of its members.
                 None if known(Scope::Member).is_some() => {
                     let row = known(Scope::Member).map_or("", |r| r.note);
-                    findings.add("B003", place, format!("{key} on a balancer: {row}"));
+                    findings.add("B003", location, format!("{key} on a balancer: {row}"));
                 }
                 None => {
-                    findings.add("B002", place, format!("{key}: no parameter of a balancer by this name"))
+                    findings.add("B002", location, format!("{key}: no parameter of a balancer by this name"))
                 }
             }
         }
     }
 
     fn member(
-        &mut self, balancer: usize, url: &str, words: &[String], place: &Place, defines: bool,
+        &mut self, balancer: usize, url: &str, words: &[String], location: &SourceLocation, defines: bool,
         findings: &mut Findings,
     ) {
-        let Some(new) = member(url, place) else {
-            return findings.add("C006", place, format!("`{url}` is no URL of a member: left out"));
+        let Some(new) = member(url, location) else {
+            return findings.add("C006", location, format!("`{url}` is no URL of a member: left out"));
         };
         let set = &mut self.model.balancers[balancer];
         let url_key = url.trim_end_matches('/').to_ascii_lowercase();
@@ -160,47 +173,50 @@
             self.urls.entry(url_key).or_default().push(balancer);
             set.members.push(new);
         } else if defines {
-            let first = &set.members[at].place;
+            let first = &set.members[at].location;
             findings.add(
                 "B006",
-                place,
+                location,
                 format!("{url} was defined at {first}: what is said here goes before that"),
             );
         }
-        self.parameters(balancer, Some(at), words, place, findings);
+        self.parameters(balancer, Some(at), words, location, findings);
     }
 
     /// What a path is sent to.
     fn pass(
-        &mut self, path: &str, url: &str, words: &[String], within: String, place: &Place,
+        &mut self, path: &str, url: &str, words: &[String], within: String, location: &SourceLocation,
         findings: &mut Findings,
     ) {
-        let (path, place) = (path.to_owned(), place.clone());
+        let (path, location) = (path.to_owned(), location.clone());
         if url == "!" {
-            return self.model.mounts.push(Mount { path, target: None, within, place });
+            return self.model.mounts.push(Mount { path, target: None, within, location });
         }
         let target = match balancer_url(url) {
             Some((name, _)) => {
-                let at = self.balancer(&name, &place);
-                self.parameters(at, None, words, &place, findings);
+                let at = self.balancer(&name, &location);
+                self.parameters(at, None, words, &location, findings);
                 name
             }
             // A worker of its own: no balancer, so nothing to spread.
             None => url.to_owned(),
         };
-        self.model.mounts.push(Mount { path, target: Some(target), within, place });
+        self.model.mounts.push(Mount { path, target: Some(target), within, location });
     }
 }
 
 /// Status flags: `D`, `+H-D`, `DS`; a sign goes for the letters behind it, as httpd has it for each.
-fn flags(all: &mut Vec<(char, bool, Place)>, text: &str, place: &Place, findings: &mut Findings) {
+fn flags(
+    all: &mut Vec<(char, bool, SourceLocation)>, text: &str, location: &SourceLocation,
+    findings: &mut Findings,
+) {
     let mut set = true;
     for c in text.chars() {
         match c.to_ascii_uppercase() {
             '+' => set = true,
             '-' => set = false,
-            c @ ('D' | 'S' | 'I' | 'H' | 'R' | 'E' | 'N' | 'C') => all.push((c, set, place.clone())),
-            c => findings.add("B007", place, format!("status {c}: no flag by this letter")),
+            c @ ('D' | 'S' | 'I' | 'H' | 'R' | 'E' | 'N' | 'C') => all.push((c, set, location.clone())),
+            c => findings.add("B007", location, format!("status {c}: no flag by this letter")),
         }
     }
 }
@@ -215,18 +231,18 @@
 }
 
 /// The path of the innermost location, for directives that leave theirs out.
-fn location(sections: &[Section]) -> Option<String> {
+fn innermost_location_path(sections: &[Section]) -> Option<String> {
     let last = sections.iter().rev().find(|s| s.name.starts_with("location"))?;
     last.words.iter().rfind(|w| *w != "~").cloned()
 }
 
 impl Sink for Proxy {
     fn directive(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings) {
-        let Directive { name, words, place } = directive;
+        let Directive { name, words, location } = directive;
         let inside = sections.iter().rev().find(|s| s.name == "proxy").and_then(|s| s.words.first());
         let inside = inside.and_then(|url| balancer_url(url)).map(|(name, _)| name);
         let needs = |findings: &mut Findings, what: &str| {
-            findings.add("B001", place, format!("{name} needs {what}"));
+            findings.add("B001", location, format!("{name} needs {what}"));
         };
         match name.as_str() {
             "balancermember" => {
@@ -237,20 +253,20 @@
                     (None, None) => return needs(findings, "a balancer: outside <Proxy> it comes first"),
                 };
                 let Some((url, rest)) = words.split_first() else { return needs(findings, "a URL") };
-                let set = self.balancer(&set, place);
-                self.member(set, url, rest, place, true, findings);
+                let set = self.balancer(&set, location);
+                self.member(set, url, rest, location, true, findings);
             }
             "proxyset" => {
                 let url = words.first().filter(|w| w.contains("://") && !w.contains('=')).cloned();
                 let rest = if url.is_some() { &words[1..] } else { &words[..] };
                 match (url.as_deref().map(|u| (u, balancer_url(u))), &inside) {
                     (Some((_, Some((name, _)))), _) => {
-                        let set = self.balancer(&name, place);
-                        self.parameters(set, None, rest, place, findings);
+                        let set = self.balancer(&name, location);
+                        self.parameters(set, None, rest, location, findings);
                     }
                     (None, Some(name)) => {
-                        let set = self.balancer(name, place);
-                        self.parameters(set, None, rest, place, findings);
+                        let set = self.balancer(name, location);
+                        self.parameters(set, None, rest, location, findings);
                     }
                     (Some((url, None)), _) => {
                         let key = url.trim_end_matches('/').to_ascii_lowercase();
@@ -258,26 +274,26 @@
                         if of.is_empty() {
                             findings.add(
                                 "B005",
-                                place,
+                                location,
                                 format!("ProxySet of {url}, which is no member of a balancer"),
                             );
                         }
                         for set in of {
-                            self.member(set, url, rest, place, false, findings);
+                            self.member(set, url, rest, location, false, findings);
                         }
                     }
-                    (None, None) => findings.add("B005", place, "ProxySet outside of a balancer"),
+                    (None, None) => findings.add("B005", location, "ProxySet outside of a balancer"),
                 }
             }
             "proxypass" | "proxypassmatch" => {
                 let has_path = words.len() > 1 && (words[1] == "!" || words[1].contains("://"));
-                let (path, words) = match (has_path, location(sections)) {
+                let (path, words) = match (has_path, innermost_location_path(sections)) {
                     (true, _) => (words[0].clone(), &words[1..]),
                     (false, Some(path)) => (path, &words[..]),
                     (false, None) => return needs(findings, "a path and a URL"),
                 };
                 let Some((url, rest)) = words.split_first() else { return needs(findings, "a URL") };
-                self.pass(&path, url, rest, within(sections), place, findings);
+                self.pass(&path, url, rest, within(sections), location, findings);
             }
             "header" | "requestheader" if words.iter().any(|w| w.contains("BALANCER_")) => {
                 let cookie = words.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
@@ -286,19 +302,19 @@
                 } else {
                     "uses what the balancer chose: the gateway sets no such field"
                 };
-                findings.add("B005", place, format!("{name} {what}"));
+                findings.add("B005", location, format!("{name} {what}"));
             }
             "rewriterule" if words.iter().any(|w| w.to_ascii_lowercase().contains("balancer://")) => {
                 findings.add(
                     "B005",
-                    place,
+                    location,
                     "RewriteRule to a balancer: what depends on each request is not carried over",
                 );
             }
             "jkworkersfile" | "jkmountfile" | "jkworkerproperty" => {
                 let Some(text) = words.first() else { return needs(findings, "an argument") };
                 // A property may hold spaces that are not quoted.
-                let value = Value { text: words.join(" "), place: place.clone() };
+                let value = Value { text: words.join(" "), location: location.clone() };
                 match name.as_str() {
                     "jkworkersfile" => self.jk.workers.push(Value { text: text.clone(), ..value }),
                     "jkmountfile" => self.jk.maps.push(Value { text: text.clone(), ..value }),
@@ -306,13 +322,13 @@
                 }
             }
             "jkmount" | "jkunmount" => {
-                let (path, target) = match (&words[..], location(sections)) {
+                let (path, target) = match (&words[..], innermost_location_path(sections)) {
                     ([path, target], _) => (path.clone(), target.clone()),
                     ([target], Some(path)) => (path, target.clone()),
                     _ => return needs(findings, "a path and a worker"),
                 };
                 let target = (name == "jkmount").then_some(target);
-                let mount = Mount { path, target, within: within(sections), place: place.clone() };
+                let mount = Mount { path, target, within: within(sections), location: location.clone() };
                 self.jk.mounts.push(mount);
             }
             _ => {
@@ -320,14 +336,14 @@
                     .or_else(|| parameter(Source::ModJk, Scope::Directive, name));
                 match row {
                     Some(row) if row.fate == Fate::Approximated => {
-                        findings.add("B004", place, format!("{name}: {}", row.note));
+                        findings.add("B004", location, format!("{name}: {}", row.note));
                     }
-                    Some(row) => findings.add("B005", place, format!("{name}: {}", row.note)),
+                    Some(row) => findings.add("B005", location, format!("{name}: {}", row.note)),
                     None if name.starts_with("proxy")
                         || name.starts_with("balancer")
                         || name.starts_with("jk") =>
                     {
-                        findings.add("B005", place, format!("{name}: not known here"));
+                        findings.add("B005", location, format!("{name}: not known here"));
                     }
                     None => self.others += 1,
                 }
--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -3,7 +3,7 @@
 
 use super::words::{Line, lines, text_of, words};
 use crate::Limits;
-use crate::files::{FileError, Files, Place, join, matches};
+use crate::files::{FileError, Files, SourceLocation, join, matches};
 use crate::finding::Findings;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     /// Its arguments.
     pub words: Vec<String>,
     /// Where.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// A section around a directive.
@@ -27,7 +27,7 @@
     /// Its arguments.
     pub words: Vec<String>,
     /// Where it begins.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// What is done with each directive.
@@ -98,20 +98,20 @@
         if reader.root.is_none() {
             reader.root = Some(folder);
         }
-        let place = Place { file: file.as_str().into(), line: 0 };
-        if reader.file(file, &place).is_err() {
+        let location = SourceLocation { file: file.as_str().into(), line: 0 };
+        if reader.file(file, &location).is_err() {
             return;
         }
     }
 }
 
 impl Reader<'_> {
-    fn stop(&mut self, code: &'static str, place: &Place, message: impl Into<String>) -> Go {
-        self.findings.add(code, place, message);
+    fn stop(&mut self, code: &'static str, location: &SourceLocation, message: impl Into<String>) -> Go {
+        self.findings.add(code, location, message);
         Err(Stop)
     }
 
-    fn file(&mut self, path: &str, from: &Place) -> Go {
+    fn file(&mut self, path: &str, from: &SourceLocation) -> Go {
         let limits = self.options.limits;
         if self.open.iter().any(|o| o == path) {
             let circle = self.open.join(" -> ");
@@ -132,15 +132,15 @@
             Err(FileError::Unreadable(why)) => return self.stop("A001", from, format!("{path}: {why}")),
         };
         self.bytes += bytes.len();
-        let place = Place { file: path.into(), line: 0 };
+        let location = SourceLocation { file: path.into(), line: 0 };
         if bytes.len() > limits.file_bytes || self.bytes > limits.all_bytes {
-            return self.stop("A005", &place, format!("{path}: more bytes than are read"));
+            return self.stop("A005", &location, format!("{path}: more bytes than are read"));
         }
         let (text, odd) = text_of(&bytes);
         if let Some(line) = odd {
             self.findings.add(
                 "A103",
-                &Place { line, ..place.clone() },
+                &SourceLocation { line, ..location.clone() },
                 "bytes that are no UTF-8: taken as Latin-1",
             );
         }
@@ -150,13 +150,13 @@
                 let most = limits.line_bytes;
                 return self.stop(
                     "A005",
-                    &Place { line, ..place },
+                    &SourceLocation { line, ..location },
                     format!("a line of more than {most} bytes"),
                 );
             }
         };
         self.open.push(path.to_owned());
-        let done = self.body(&place.file, &body);
+        let done = self.body(&location.file, &body);
         self.open.pop();
         done
     }
@@ -168,13 +168,13 @@
         while at < body.len() {
             let line = &body[at];
             at += 1;
-            let place = Place { file: file.clone(), line: line.number };
+            let location = SourceLocation { file: file.clone(), line: line.number };
             self.directives += 1;
             if self.directives > self.options.limits.directives {
                 let most = self.options.limits.directives;
                 return self.stop(
                     "A005",
-                    &place,
+                    &location,
                     format!("more than {most} directives, includes and macros spread"),
                 );
             }
@@ -185,13 +185,13 @@
                         self.sections.pop();
                     }
                     Some(last) if self.sections.len() > outside => {
-                        let text = format!("</{name}> closes <{}> of {}", last.name, last.place);
-                        return self.stop("A002", &place, text);
+                        let text = format!("</{name}> closes <{}> of {}", last.name, last.location);
+                        return self.stop("A002", &location, text);
                     }
                     _ => {
                         return self.stop(
                             "A002",
-                            &place,
+                            &location,
                             format!("</{name}> closes nothing that began here"),
                         );
                     }
@@ -199,27 +199,27 @@
                 continue;
             }
             if line.text.starts_with('<') {
-                at = self.section(file, body, at, &place)?;
+                at = self.section(file, body, at, &location)?;
                 continue;
             }
             let (name, rest) = line.text.split_once(char::is_whitespace).unwrap_or((&line.text, ""));
-            let rest = self.variables(rest, &place)?;
-            let words = self.words(&rest, &place);
-            self.directive(Directive { name: name.to_ascii_lowercase(), words, place })?;
+            let rest = self.variables(rest, &location)?;
+            let words = self.words(&rest, &location);
+            self.directive(Directive { name: name.to_ascii_lowercase(), words, location })?;
         }
         if self.sections.len() > outside {
             let last = self.sections[self.sections.len() - 1].clone();
-            return self.stop("A002", &last.place, format!("<{}> is not closed", last.name));
+            return self.stop("A002", &last.location, format!("<{}> is not closed", last.name));
         }
         Ok(())
     }
 
-    fn words(&mut self, text: &str, place: &Place) -> Vec<String> {
+    fn words(&mut self, text: &str, location: &SourceLocation) -> Vec<String> {
         let (words, open) = words(text);
         if open {
             self.findings.add(
                 "A003",
-                place,
+                location,
                 "quotes that do not end: taken up to the end of the line, as httpd does",
             );
         }
@@ -227,37 +227,41 @@
     }
 
     /// A section's first line; gives where to read on.
-    fn section(&mut self, file: &Arc<str>, body: &[Line], at: usize, place: &Place) -> Result<usize, Stop> {
+    fn section(
+        &mut self, file: &Arc<str>, body: &[Line], at: usize, location: &SourceLocation,
+    ) -> Result<usize, Stop> {
         let text = &body[at - 1].text;
         let Some(inner) = text[1..].rfind('>').map(|end| &text[1..=end]) else {
-            self.stop("A002", place, "a section without >")?;
+            self.stop("A002", location, "a section without >")?;
             return Ok(at);
         };
         let (name, rest) = inner.split_once(char::is_whitespace).unwrap_or((inner, ""));
         let name = name.to_ascii_lowercase();
         if name == "macro" {
-            return self.define_macro(file, body, at, rest, place);
+            return self.define_macro(file, body, at, rest, location);
         }
-        let rest = self.variables(rest, place)?;
-        let words = self.words(&rest, place);
-        let read = match self.condition(&name, &words, place) {
+        let rest = self.variables(rest, location)?;
+        let words = self.words(&rest, location);
+        let read = match self.condition(&name, &words, location) {
             Some(read) => read,
             None if self.sections.len() >= self.options.limits.sections => {
                 let most = self.options.limits.sections;
-                self.stop("A005", place, format!("more than {most} sections within each other"))?;
+                self.stop("A005", location, format!("more than {most} sections within each other"))?;
                 return Ok(at);
             }
             None => true,
         };
         if read {
-            self.sections.push(Section { name, words, place: place.clone() });
+            self.sections.push(Section { name, words, location: location.clone() });
             return Ok(at);
         }
-        self.skip(body, at, &name, place)
+        self.skip(body, at, &name, location)
     }
 
     /// Past the end of a section that is not read.
-    fn skip(&mut self, body: &[Line], mut at: usize, name: &str, place: &Place) -> Result<usize, Stop> {
+    fn skip(
+        &mut self, body: &[Line], mut at: usize, name: &str, location: &SourceLocation,
+    ) -> Result<usize, Stop> {
         let mut depth = 1;
         while at < body.len() {
             let lower = body[at].text.to_ascii_lowercase();
@@ -274,23 +278,23 @@
                 return Ok(at);
             }
         }
-        self.stop("A002", place, format!("<{name}> is not closed"))?;
+        self.stop("A002", location, format!("<{name}> is not closed"))?;
         Ok(at)
     }
 
     /// Whether a conditional section is read; `None` for a section that is no condition.
-    fn condition(&mut self, name: &str, words: &[String], place: &Place) -> Option<bool> {
+    fn condition(&mut self, name: &str, words: &[String], location: &SourceLocation) -> Option<bool> {
         let first = words.first().map_or("", String::as_str);
         let (not, bare) = first.strip_prefix('!').map_or((false, first), |b| (true, b));
         let undecided = |reader: &mut Self, what: &str| {
-            reader.findings.add("A101", place, format!("<{name}> {what}: what is inside is not read"));
+            reader.findings.add("A101", location, format!("<{name}> {what}: what is inside is not read"));
             false
         };
         Some(match name {
             "ifdefine" => self.defined.contains_key(bare) != not,
             "ifmodule" => {
                 let text = format!("{bare} is taken as loaded");
-                self.findings.add("A105", place, text);
+                self.findings.add("A105", location, text);
                 !not
             }
             "ifversion" => match (&self.options.version, words) {
@@ -319,7 +323,7 @@
     }
 
     /// Puts `${NAME}` in where it is defined.
-    fn variables(&mut self, text: &str, place: &Place) -> Result<String, Stop> {
+    fn variables(&mut self, text: &str, location: &SourceLocation) -> Result<String, Stop> {
         let mut done = String::with_capacity(text.len());
         let mut rest = text;
         while let Some(at) = rest.find("${") {
@@ -333,38 +337,38 @@
                     if !name.contains([':', ' ']) {
                         self.findings.add(
                             "A102",
-                            place,
+                            location,
                             format!("${{{name}}} is not defined (-D {name}=VALUE does)"),
                         );
                     }
                 }
             }
             rest = &rest[end + 1..];
-            self.length(done.len() + rest.len(), place)?;
+            self.length(done.len() + rest.len(), location)?;
         }
         if !done.is_empty() {
             // What variables make counts as read: lines that double themselves end here.
             self.bytes += done.len();
             if self.bytes > self.options.limits.all_bytes {
-                self.stop("A005", place, "variables make more bytes than are read")?;
+                self.stop("A005", location, "variables make more bytes than are read")?;
             }
         }
         done.push_str(rest);
-        self.length(done.len(), place)?;
+        self.length(done.len(), location)?;
         Ok(done)
     }
 
-    fn length(&mut self, bytes: usize, place: &Place) -> Go {
+    fn length(&mut self, bytes: usize, location: &SourceLocation) -> Go {
         let most = self.options.limits.line_bytes;
         if bytes <= most {
             Ok(())
         } else {
-            self.stop("A005", place, format!("a line of more than {most} bytes"))
+            self.stop("A005", location, format!("a line of more than {most} bytes"))
         }
     }
 
     fn directive(&mut self, directive: Directive) -> Go {
-        let Directive { name, words, place } = &directive;
+        let Directive { name, words, location } = &directive;
         let first = words.first().cloned().unwrap_or_default();
         match (name.as_str(), words.len()) {
             ("define", 1 | 2) => {
@@ -375,11 +379,11 @@
             }
             ("serverroot", 1) => self.root = Some(self.path(&first)),
             ("include" | "includeoptional", 1) => {
-                return self.include(&first, name == "includeoptional", place);
+                return self.include(&first, name == "includeoptional", location);
             }
-            ("use", 1..) => return self.use_macro(&first, &words[1..], place),
+            ("use", 1..) => return self.use_macro(&first, &words[1..], location),
             ("define" | "undefine" | "serverroot" | "include" | "includeoptional" | "use", _) => {
-                return self.stop("A008", place, format!("{name} cannot have {} arguments", words.len()));
+                return self.stop("A008", location, format!("{name} cannot have {} arguments", words.len()));
             }
             ("undefmacro", 1) => {
                 self.macros.remove(&first.to_ascii_lowercase());
@@ -392,14 +396,14 @@
     // ---- Includes ----
 
     /// A file, a folder (all that is in it, by name), or a pattern in any part of the path (matches by name).
-    fn include(&mut self, pattern: &str, optional: bool, place: &Place) -> Go {
+    fn include(&mut self, pattern: &str, optional: bool, location: &SourceLocation) -> Go {
         let path = self.path(pattern);
         if !path.contains(['*', '?', '[']) {
             if let Some(names) = self.files.list(&path) {
-                return self.folder(&path, names, place);
+                return self.folder(&path, names, location);
             }
             let missing = self.files.read(&path) == Err(FileError::Missing);
-            return if optional && missing { Ok(()) } else { self.file(&path, place) };
+            return if optional && missing { Ok(()) } else { self.file(&path, location) };
         }
         let parts: Vec<&str> = path.split('/').filter(|p| !p.is_empty()).collect();
         let mut found = vec![if path.starts_with('/') { "/".to_owned() } else { String::new() }];
@@ -423,28 +427,28 @@
             self.files.list(path).is_some() || self.files.read(path) != Err(FileError::Missing)
         });
         if found.is_empty() && !optional {
-            return self.stop("A006", place, format!("{pattern} matches nothing"));
+            return self.stop("A006", location, format!("{pattern} matches nothing"));
         }
         for path in found {
             match self.files.list(&path) {
-                Some(names) => self.folder(&path, names, place)?,
-                None => self.file(&path, place)?,
+                Some(names) => self.folder(&path, names, location)?,
+                None => self.file(&path, location)?,
             }
         }
         Ok(())
     }
 
-    fn folder(&mut self, path: &str, mut names: Vec<(String, bool)>, place: &Place) -> Go {
+    fn folder(&mut self, path: &str, mut names: Vec<(String, bool)>, location: &SourceLocation) -> Go {
         if self.open.len() >= self.options.limits.depth {
-            return self.stop("A004", place, format!("{path}: folders nest too deep"));
+            return self.stop("A004", location, format!("{path}: folders nest too deep"));
         }
         names.sort();
         self.open.push(path.to_owned());
         for (name, is_folder) in names {
             let inner = join_part(path, &name);
             let done = match is_folder.then(|| self.files.list(&inner)).flatten() {
-                Some(names) => self.folder(&inner, names, place),
-                None => self.file(&inner, place),
+                Some(names) => self.folder(&inner, names, location),
+                None => self.file(&inner, location),
             };
             done?;
         }
@@ -455,44 +459,52 @@
     // ---- Macros ----
 
     fn define_macro(
-        &mut self, file: &Arc<str>, body: &[Line], at: usize, rest: &str, place: &Place,
+        &mut self, file: &Arc<str>, body: &[Line], at: usize, rest: &str, location: &SourceLocation,
     ) -> Result<usize, Stop> {
-        let mut words = self.words(rest, place).into_iter();
+        let mut words = self.words(rest, location).into_iter();
         let Some(name) = words.next().map(|n| n.to_ascii_lowercase()) else {
-            self.stop("A008", place, "a macro without a name")?;
+            self.stop("A008", location, "a macro without a name")?;
             return Ok(at);
         };
         let parameters: Vec<String> = words.collect();
         if parameters.iter().any(String::is_empty)
             || parameters.iter().collect::<HashSet<_>>().len() < parameters.len()
         {
-            self.stop("A008", place, "a macro with an empty or repeated parameter")?;
+            self.stop("A008", location, "a macro with an empty or repeated parameter")?;
         }
-        let end = self.skip(body, at, "macro", place)?;
+        let end = self.skip(body, at, "macro", location)?;
         let body = Arc::new(body[at..end - 1].to_vec());
         if self.macros.insert(name.clone(), Macro { parameters, body, file: file.clone() }).is_some() {
-            self.findings.add("A104", place, format!("macro {name} is defined again: the last one counts"));
+            self.findings.add(
+                "A104",
+                location,
+                format!("macro {name} is defined again: the last one counts"),
+            );
         }
         Ok(end)
     }
 
-    fn use_macro(&mut self, name: &str, given: &[String], place: &Place) -> Go {
+    fn use_macro(&mut self, name: &str, given: &[String], location: &SourceLocation) -> Go {
         let key = name.to_ascii_lowercase();
         let mark = format!("macro {key}");
         if self.open.contains(&mark) {
-            return self.stop("A004", place, format!("macro {key} uses itself"));
+            return self.stop("A004", location, format!("macro {key} uses itself"));
         }
         if self.open.len() >= self.options.limits.depth {
             let most = self.options.limits.depth;
-            return self.stop("A004", place, format!("more than {most} files and macros within each other"));
+            return self.stop(
+                "A004",
+                location,
+                format!("more than {most} files and macros within each other"),
+            );
         }
         let Some(found) = self.macros.get(&key) else {
-            return self.stop("A007", place, format!("there is no macro {key}"));
+            return self.stop("A007", location, format!("there is no macro {key}"));
         };
         let (wanted, file, lines) = (found.parameters.len(), found.file.clone(), Arc::clone(&found.body));
         if wanted != given.len() {
             let text = format!("macro {key} takes {wanted} arguments, {} are given", given.len());
-            return self.stop("A007", place, text);
+            return self.stop("A007", location, text);
         }
         let parameters = found.parameters.clone();
         let mut pairs: Vec<(&str, &str)> =
@@ -501,12 +513,12 @@
         let mut body = Vec::with_capacity(lines.len());
         for line in lines.iter() {
             let text = put_in(&line.text, &pairs);
-            let place = Place { file: file.clone(), line: line.number };
-            self.length(text.len(), &place)?;
+            let location = SourceLocation { file: file.clone(), line: line.number };
+            self.length(text.len(), &location)?;
             // What is spread counts before it is read: a macro of a million lines is not built for nothing.
             self.bytes += text.len();
             if self.bytes > self.options.limits.all_bytes {
-                return self.stop("A005", &place, "macros spread to more bytes than are read");
+                return self.stop("A005", &location, "macros spread to more bytes than are read");
             }
             body.push(Line { text, number: line.number });
         }
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -2,7 +2,7 @@
 //! passes through `TABLE`: none is dropped without a word.
 
 use crate::apache;
-use crate::files::Place;
+use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Kind, Member, Model, Mount, Value};
 use crate::table::{Fate, Scope, Source, parameter};
@@ -70,7 +70,7 @@
     /// Its group.
     pub group: String,
     /// Where it came from.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// How nodes are chosen.
@@ -92,7 +92,7 @@
     /// The balancer that it was.
     pub balancer: String,
     /// Where that is defined.
-    pub place: Place,
+    pub location: SourceLocation,
     /// Its nodes by tier, role and name.
     pub nodes: Vec<Node>,
     /// How they are chosen.
@@ -108,7 +108,7 @@
     let balancer = choose(model, main, options, findings)?;
     let mut node_list = NodeList {
         balancer: balancer.name.clone(),
-        place: balancer.place.clone(),
+        location: balancer.location.clone(),
         nodes: Vec::new(),
         routing: routing(balancer, findings),
         hints: Vec::new(),
@@ -136,7 +136,7 @@
     if findings.any(crate::Severity::Error) {
         return None;
     }
-    let whole = Place { file: main.into(), line: 0 };
+    let whole = SourceLocation { file: main.into(), line: 0 };
     let known = || {
         let names: Vec<&str> = model.balancers.iter().map(|b| b.name.as_str()).take(20).collect();
         names.join(", ")
@@ -153,29 +153,29 @@
             found?
         }
         (None, []) => {
-            let place = model.balancers.first().map_or(&whole, |b| &b.place);
-            findings.add("C002", place, "there is no balancer with members in these files");
+            let location = model.balancers.first().map_or(&whole, |b| &b.location);
+            findings.add("C002", location, "there is no balancer with members in these files");
             return None;
         }
         (None, [one]) => one,
         (None, [first, ..]) => {
             let text = format!("there are several balancers, name one by --balancer: {}", known());
-            findings.add("C001", &first.place, text);
+            findings.add("C001", &first.location, text);
             return None;
         }
     };
     for other in model.balancers.iter().filter(|b| b.name != chosen.name) {
         match other.members.len() {
-            0 => findings.add("B008", &other.place, format!("balancer {} has no members", other.name)),
+            0 => findings.add("B008", &other.location, format!("balancer {} has no members", other.name)),
             n => findings.add(
                 "C008",
-                &other.place,
+                &other.location,
                 format!("balancer {} with {n} members was not asked for", other.name),
             ),
         }
     }
     if chosen.members.is_empty() {
-        findings.add("C002", &chosen.place, format!("balancer {} has no members", chosen.name));
+        findings.add("C002", &chosen.location, format!("balancer {} has no members", chosen.name));
         return None;
     }
     Some(chosen)
@@ -218,8 +218,8 @@
             _ if READ.contains(&name.as_str())
                 || ["type", "retries", "lb_retries"].contains(&name.as_str()) => {}
             Fate::Carried => {}
-            Fate::Approximated => findings.add("B004", &value.place, text()),
-            Fate::LeftOut => findings.add("B003", &value.place, text()),
+            Fate::Approximated => findings.add("B004", &value.location, text()),
+            Fate::LeftOut => findings.add("B003", &value.location, text()),
         }
     }
 }
@@ -238,7 +238,7 @@
         _ => {
             let (low, high) = (range.start(), range.end());
             let text = format!("{name}={}: a number from {low} to {high} is wanted", short(&value.text));
-            findings.add("B001", &value.place, text);
+            findings.add("B001", &value.location, text);
             None
         }
     }
@@ -251,7 +251,7 @@
     if text.contains(|c: char| c.is_whitespace() || c.is_control()) {
         findings.add(
             "B001",
-            &value.place,
+            &value.location,
             format!("{name}=`{}`: a name without white space is wanted", short(text)),
         );
         return None;
@@ -266,7 +266,11 @@
         "on" | "true" | "t" | "yes" | "y" | "1" => Some(true),
         "off" | "false" | "f" | "no" | "n" | "0" => Some(false),
         _ => {
-            findings.add("B001", &value.place, format!("{name}={}: on or off is wanted", short(&value.text)));
+            findings.add(
+                "B001",
+                &value.location,
+                format!("{name}={}: on or off is wanted", short(&value.text)),
+            );
             None
         }
     }
@@ -274,7 +278,7 @@
 
 fn routing(balancer: &Balancer, findings: &mut Findings) -> Routing {
     let of = |name: &str| balancer.parameters.get(name);
-    let mut about = |value: &Value, text: &str| findings.add("B004", &value.place, text);
+    let mut about = |value: &Value, text: &str| findings.add("B004", &value.location, text);
     let (method, known) = match balancer.source {
         Source::Apache => (of("lbmethod"), ["byrequests", "bybusyness", "bytraffic", "heartbeat"]),
         Source::ModJk => (of("method"), ["r", "b", "t", "s"]),
@@ -313,7 +317,7 @@
                 _ => {
                     let text =
                         format!("`{}` is no method: requests are spread by weight", short(&value.text));
-                    findings.add("B001", &value.place, text);
+                    findings.add("B001", &value.location, text);
                     "REQUESTS"
                 }
             }
@@ -343,7 +347,7 @@
         if !name.chars().all(token) {
             let text =
                 format!("`{}` is no name of a {what}: sessions do not keep to nodes by it", short(name));
-            findings.add("C012", &balancer.place, text);
+            findings.add("C012", &balancer.location, text);
             name.clear();
         }
     }
@@ -353,24 +357,24 @@
 fn node(
     balancer: &Balancer, member: &Member, sticky: bool, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<Node> {
-    let (place, of) = (&member.place, |name: &str| member.parameters.get(name));
+    let (location, of) = (&member.location, |name: &str| member.parameters.get(name));
     let shown = &member.name;
     match &member.kind {
         Kind::Http => {}
         Kind::Https => findings.add(
             "C004",
-            place,
+            location,
             format!("{shown}: nodes are spoken to without TLS; give its HTTP port"),
         ),
         Kind::Ajp => findings.add(
             "C003",
-            place,
+            location,
             format!("{shown}: AJP is not spoken; give the port of its HTTP connector"),
         ),
         Kind::Other(scheme) => {
             findings.add(
                 "C006",
-                place,
+                location,
                 format!("{shown}: {} is no TCP address with HTTP: left out", short(scheme)),
             );
             return None;
@@ -381,7 +385,7 @@
             "{shown}: the path {} is not kept; all nodes serve the gateway's own",
             short(&member.path)
         );
-        findings.add("C007", place, text);
+        findings.add("C007", location, text);
     }
     let jk = balancer.source == Source::ModJk;
     let weight = match jk {
@@ -399,11 +403,11 @@
     let route =
         text("route").or_else(|| text("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
     if jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        findings.add("C006", place, format!("`{}` is no name of a node: left out", short(shown)));
+        findings.add("C006", location, format!("`{}` is no name of a node: left out", short(shown)));
         return None;
     }
     if !sticky && let Some(value) = of("route") {
-        findings.add("C012", &value.place, "route without sticky sessions: nothing is bound by it");
+        findings.add("C012", &value.location, "route without sticky sessions: nothing is bound by it");
     }
     let (host, port) = (member.host.as_str(), member.port);
     let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
@@ -414,7 +418,7 @@
         Some(ip) => std::net::SocketAddr::new(ip, port).to_string(),
         None => {
             let text = format!("{shown}: the address of {} is needed: --host {0}=ADDRESS", short(host));
-            findings.add("C005", place, text);
+            findings.add("C005", location, text);
             format!("{host}:{port}")
         }
     };
@@ -429,20 +433,20 @@
         route,
         redirect,
         group,
-        place: place.clone(),
+        location: location.clone(),
     })
 }
 
 /// httpd's flags, the last word of each.
 fn status(member: &Member, findings: &mut Findings) -> (Role, bool) {
-    let mut set: BTreeMap<char, (bool, &Place)> = BTreeMap::new();
-    for (flag, on, place) in &member.flags {
-        set.insert(*flag, (*on, place));
+    let mut set: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
+    for (flag, on, location) in &member.flags {
+        set.insert(*flag, (*on, location));
     }
     let on = |flag: char| set.get(&flag).is_some_and(|(on, _)| *on);
     let mut tell = |flag: char, code, text: &str| {
-        if let Some((true, place)) = set.get(&flag) {
-            findings.add(code, place, format!("status {flag}: {text}"));
+        if let Some((true, location)) = set.get(&flag) {
+            findings.add(code, location, format!("status {flag}: {text}"));
         }
     };
     tell('I', "B003", "errors are never ignored: a node that fails is left alone for a while");
@@ -458,8 +462,8 @@
         None => on('R'),
     };
     if on('H') && spare {
-        let place = set.get(&'H').map_or(&member.place, |(_, p)| p);
-        findings.add("C010", place, "both hot standby and hot spare: taken as hot standby");
+        let location = set.get(&'H').map_or(&member.location, |(_, p)| p);
+        findings.add("C010", location, "both hot standby and hot spare: taken as hot standby");
     }
     let role = match () {
         () if on('N') => Role::Bound,
@@ -468,8 +472,8 @@
         () => Role::Active,
     };
     if on('N') && (on('H') || spare) {
-        let place = set.get(&'N').map_or(&member.place, |(_, p)| p);
-        findings.add("C010", place, "draining, and standby or spare: it takes only its own sessions");
+        let location = set.get(&'N').map_or(&member.location, |(_, p)| p);
+        findings.add("C010", location, "draining, and standby or spare: it takes only its own sessions");
     }
     (role, on('S') || on('D'))
 }
@@ -486,7 +490,7 @@
         Some((value, _)) => {
             findings.add(
                 "B001",
-                &value.place,
+                &value.location,
                 format!("activation={}: A, D or S is wanted", short(&value.text)),
             );
             None
@@ -494,7 +498,7 @@
     };
     let old = |name: &str, findings: &mut Findings| {
         let value = of(name)?;
-        findings.add("J006", &value.place, format!("{name} is activation now"));
+        findings.add("J006", &value.location, format!("{name} is activation now"));
         flag(name, Some(value), findings)
     };
     let (stopped, disabled) =
@@ -538,7 +542,7 @@
                 node.name,
                 short(&node.redirect)
             );
-            findings.add("C009", &node.place, text);
+            findings.add("C009", &node.location, text);
             node.redirect.clear();
         }
     }
@@ -546,15 +550,15 @@
 
 /// One address given twice would be a node that is counted twice.
 fn twice(nodes: &mut Vec<Node>, findings: &mut Findings) {
-    let mut seen: HashMap<String, Place> = HashMap::new();
+    let mut seen: HashMap<String, SourceLocation> = HashMap::new();
     nodes.retain(|node| match seen.get(&node.address) {
         None => {
-            seen.insert(node.address.clone(), node.place.clone());
+            seen.insert(node.address.clone(), node.location.clone());
             true
         }
         Some(first) => {
             let text = format!("{} is the address of the node of {first} already: left out", node.address);
-            findings.add("C011", &node.place, text);
+            findings.add("C011", &node.location, text);
             false
         }
     });
@@ -575,7 +579,7 @@
         hints.push(format!("attempts {{ most: {most} }}"));
         findings.add(
             "B004",
-            &value.place,
+            &value.location,
             format!("{name}={}: set attempts {{ most: {most} }} in the settings", short(&value.text)),
         );
     }
@@ -606,7 +610,7 @@
             Some(target) if known.contains(&target.to_ascii_lowercase()) => continue,
             Some(target) => format!("{} goes to {}: no balancer, left out", path(mount), short(target)),
         };
-        findings.add("C007", &mount.place, text);
+        findings.add("C007", &mount.location, text);
     }
     if let [mount] = &ours[..]
         && mount.path.starts_with('/')
@@ -645,7 +649,7 @@
         let mut text = format!(
             "# Node list of balancer {}, from {}.\n",
             comment(&self.balancer),
-            comment(&self.place.to_string())
+            comment(&self.location.to_string())
         );
         if !self.hints.is_empty() {
             text.push_str("# For the settings:\n");
@@ -666,7 +670,7 @@
         }
         text.push_str("}\n");
         for node in &self.nodes {
-            let _ = write!(text, "\n# {}\n", comment(&node.place.to_string()));
+            let _ = write!(text, "\n# {}\n", comment(&node.location.to_string()));
             let mark = if node.resolved { "" } else { "# " };
             if !node.resolved {
                 text.push_str("# Its address is not known: set it and take the marks away.\n");
@@ -695,7 +699,11 @@
 /// Notes how many directives there were of other modules.
 pub(crate) fn others(read: &apache::Read, file: &str, findings: &mut Findings) {
     if read.others > 0 {
-        let place = Place { file: file.into(), line: 0 };
-        findings.add("B009", &place, format!("{} directives of other modules: not looked at", read.others));
+        let location = SourceLocation { file: file.into(), line: 0 };
+        findings.add(
+            "B009",
+            &location,
+            format!("{} directives of other modules: not looked at", read.others),
+        );
     }
 }
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -5,7 +5,7 @@
 
 /// A line of a file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file, as it was named or found.
     #[serde(serialize_with = "as_text")]
     pub file: Arc<str>,
@@ -17,7 +17,7 @@
     to.serialize_str(file)
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         if self.line == 0 { write!(f, "{}", self.file) } else { write!(f, "{}:{}", self.file, self.line) }
     }
--- a/crates/import/src/finding.rs
+++ b/crates/import/src/finding.rs
@@ -1,6 +1,6 @@
 //! What an import has to say.
 
-use crate::files::{Files, Place};
+use crate::files::{Files, SourceLocation};
 use serde::Serialize;
 use std::collections::HashSet;
 
@@ -39,7 +39,8 @@
     /// How much it matters.
     pub severity: Severity,
     /// Where.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: SourceLocation,
     /// A sentence: what, and what to do instead.
     pub message: String,
 }
@@ -100,7 +101,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     all: Vec<Finding>,
-    seen: HashSet<(&'static str, Place, String)>,
+    seen: HashSet<(&'static str, SourceLocation, String)>,
 }
 
 /// More findings than these are counted and not kept: nobody reads on, and a hostile file has millions.
@@ -108,11 +109,11 @@
 
 impl Findings {
     /// Adds one; its severity is the code's.
-    pub fn add(&mut self, code: &'static str, place: &Place, message: impl Into<String>) {
+    pub fn add(&mut self, code: &'static str, location: &SourceLocation, message: impl Into<String>) {
         let severity = CODES.iter().find(|(c, _, _)| *c == code).map_or(Severity::Error, |(_, s, _)| *s);
         let message = message.into();
-        if self.all.len() < KEPT && self.seen.insert((code, place.clone(), message.clone())) {
-            self.all.push(Finding { code, severity, place: place.clone(), message });
+        if self.all.len() < KEPT && self.seen.insert((code, location.clone(), message.clone())) {
+            self.all.push(Finding { code, severity, location: location.clone(), message });
         }
     }
 
@@ -134,13 +135,13 @@
         let mut sources = std::collections::HashMap::new();
         let mut text = String::new();
         for finding in &self.all {
-            let (place, severity) = (&finding.place, finding.severity.name());
-            text.push_str(&format!("{place}: {severity} [{}]: {}\n", finding.code, finding.message));
-            let lines: &Vec<String> = sources.entry(place.file.clone()).or_insert_with(|| {
-                let bytes = files.read(&place.file).unwrap_or_default();
+            let (location, severity) = (&finding.location, finding.severity.name());
+            text.push_str(&format!("{location}: {severity} [{}]: {}\n", finding.code, finding.message));
+            let lines: &Vec<String> = sources.entry(location.file.clone()).or_insert_with(|| {
+                let bytes = files.read(&location.file).unwrap_or_default();
                 String::from_utf8_lossy(&bytes).lines().map(str::to_owned).collect()
             });
-            let line = (place.line as usize).checked_sub(1).and_then(|at| lines.get(at));
+            let line = (location.line as usize).checked_sub(1).and_then(|at| lines.get(at));
             if let Some(line) = line.filter(|l| !l.trim().is_empty()) {
                 let short: String = line.trim().chars().filter(|c| !c.is_control()).take(110).collect();
                 text.push_str(&format!("    {short}\n"));
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::Limits;
 use crate::apache::Jk;
-use crate::files::{FileError, Files, Place};
+use crate::files::{FileError, Files, SourceLocation};
 use crate::finding::Findings;
 use crate::model::{Model, Mount};
 
@@ -20,14 +20,14 @@
     let mut model = Model::default();
     let mut properties = Properties::new(limits);
     for path in workers {
-        let place = Place { file: path.as_str().into(), line: 0 };
-        if !read_into(files, path, &place, &mut properties, findings) {
+        let location = SourceLocation { file: path.as_str().into(), line: 0 };
+        if !read_into(files, path, &location, &mut properties, findings) {
             return model;
         }
     }
     for path in maps {
-        let place = Place { file: path.as_str().into(), line: 0 };
-        if !map_into(files, path, &place, limits, &mut model, findings) {
+        let location = SourceLocation { file: path.as_str().into(), line: 0 };
+        if !map_into(files, path, &location, limits, &mut model, findings) {
             return model;
         }
     }
@@ -41,17 +41,17 @@
 ) {
     let mut properties = Properties::new(limits);
     for file in &jk.workers {
-        if !read_into(files, &file.text, &file.place, &mut properties, findings) {
+        if !read_into(files, &file.text, &file.location, &mut properties, findings) {
             return;
         }
     }
     for property in &jk.properties {
-        if !properties.line(&property.text, &property.place, findings) {
+        if !properties.line(&property.text, &property.location, findings) {
             return;
         }
     }
     for file in &jk.maps {
-        if !map_into(files, &file.text, &file.place, limits, model, findings) {
+        if !map_into(files, &file.text, &file.location, limits, model, findings) {
             return;
         }
     }
@@ -60,18 +60,22 @@
 }
 
 fn bytes(
-    files: &dyn Files, path: &str, from: &Place, limits: Limits, findings: &mut Findings,
+    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, findings: &mut Findings,
 ) -> Option<String> {
-    let place = Place { file: path.into(), line: 0 };
+    let location = SourceLocation { file: path.into(), line: 0 };
     let why = match files.read(path) {
         Ok(bytes) if bytes.len() > limits.file_bytes => {
-            findings.add("A005", &place, format!("{path}: more bytes than are read"));
+            findings.add("A005", &location, format!("{path}: more bytes than are read"));
             return None;
         }
         Ok(bytes) => {
             let (text, odd) = crate::apache::text_of(&bytes);
             if let Some(line) = odd {
-                findings.add("A103", &Place { line, ..place }, "bytes that are no UTF-8: taken as Latin-1");
+                findings.add(
+                    "A103",
+                    &SourceLocation { line, ..location },
+                    "bytes that are no UTF-8: taken as Latin-1",
+                );
             }
             return Some(text);
         }
@@ -83,14 +87,16 @@
 }
 
 fn read_into(
-    files: &dyn Files, path: &str, from: &Place, properties: &mut Properties, findings: &mut Findings,
+    files: &dyn Files, path: &str, from: &SourceLocation, properties: &mut Properties,
+    findings: &mut Findings,
 ) -> bool {
     let Some(text) = bytes(files, path, from, properties.limits, findings) else { return false };
     properties.read(path, &text, findings)
 }
 
 fn map_into(
-    files: &dyn Files, path: &str, from: &Place, limits: Limits, model: &mut Model, findings: &mut Findings,
+    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, model: &mut Model,
+    findings: &mut Findings,
 ) -> bool {
     let Some(text) = bytes(files, path, from, limits, findings) else { return false };
     let Some(rules) = rules(path, &text, limits, findings) else { return false };
@@ -98,7 +104,7 @@
         path: rule.path,
         target: (!rule.excluded).then_some(rule.worker),
         within: String::new(),
-        place: rule.place,
+        location: rule.location,
     };
     model.mounts.extend(rules.into_iter().map(mount));
     true
--- a/crates/import/src/jk/properties.rs
+++ b/crates/import/src/jk/properties.rs
@@ -3,7 +3,7 @@
 
 use crate::Limits;
 use crate::apache::lines;
-use crate::files::Place;
+use crate::files::SourceLocation;
 use crate::finding::Findings;
 use std::collections::HashMap;
 
@@ -16,9 +16,9 @@
     /// Its value, macros put in.
     pub text: String,
     /// Where it was said last.
-    pub place: Place,
+    pub location: SourceLocation,
     /// Where it was said first.
-    pub first: Place,
+    pub first: SourceLocation,
 }
 
 /// All properties, in the order in which they were named first.
@@ -50,41 +50,42 @@
 
     /// Reads a file's text; `false` after an error, which is told.
     pub fn read(&mut self, path: &str, text: &str, findings: &mut Findings) -> bool {
-        let place = |line| Place { file: path.into(), line };
+        let location = |line| SourceLocation { file: path.into(), line };
         let all = match lines(text, self.limits.line_bytes) {
             Ok(all) => all,
             Err(line) => {
                 findings.add(
                     "A005",
-                    &place(line),
+                    &location(line),
                     format!("a line of more than {} bytes", self.limits.line_bytes),
                 );
                 return false;
             }
         };
         let file: std::sync::Arc<str> = path.into();
-        all.iter().all(|l| self.line(&l.text, &Place { file: file.clone(), line: l.number }, findings))
+        all.iter()
+            .all(|l| self.line(&l.text, &SourceLocation { file: file.clone(), line: l.number }, findings))
     }
 
     /// Takes one line; `false` after an error, which is told.
-    pub fn line(&mut self, line: &str, place: &Place, findings: &mut Findings) -> bool {
+    pub fn line(&mut self, line: &str, location: &SourceLocation, findings: &mut Findings) -> bool {
         // A comment may stand behind a value too.
         let line = line.split('#').next().unwrap_or("").trim();
         let Some((name, value)) = line.split_once('=') else {
             if !line.is_empty() {
-                findings.add("J005", place, format!("`{}` is no name=value", short(line)));
+                findings.add("J005", location, format!("`{}` is no name=value", short(line)));
             }
             return true;
         };
-        let (name, value) = (name.trim().to_owned(), self.put_in(value.trim(), place, findings));
+        let (name, value) = (name.trim().to_owned(), self.put_in(value.trim(), location, findings));
         self.bytes += name.len() + value.len();
         if self.bytes > self.limits.all_bytes || value.len() > self.limits.line_bytes {
-            findings.add("A005", place, "macros make more of these lines than is read");
+            findings.add("A005", location, "macros make more of these lines than is read");
             return false;
         }
         let next = self.all.len();
         let at = *self.at.entry(name.clone()).or_insert(next);
-        let new = Property { text: value, place: place.clone(), first: place.clone() };
+        let new = Property { text: value, location: location.clone(), first: location.clone() };
         if at == next {
             self.all.push((name, new));
             return true;
@@ -94,19 +95,20 @@
         if LISTS.contains(&attribute) {
             known.text.push(',');
             known.text.push_str(&new.text);
-            known.place = new.place;
+            known.location = new.location;
         } else {
             if known.text != new.text {
-                let text = format!("{name} was said at {}: what is said here goes before that", known.place);
-                findings.add("B006", place, text);
+                let text =
+                    format!("{name} was said at {}: what is said here goes before that", known.location);
+                findings.add("B006", location, text);
             }
-            (known.text, known.place) = (new.text, new.place);
+            (known.text, known.location) = (new.text, new.location);
         }
-        known_length(&self.all[at].1, self.limits, place, findings)
+        known_length(&self.all[at].1, self.limits, location, findings)
     }
 
     /// `$(name)` stands for the property of that name as it is by now.
-    fn put_in(&self, value: &str, place: &Place, findings: &mut Findings) -> String {
+    fn put_in(&self, value: &str, location: &SourceLocation, findings: &mut Findings) -> String {
         let mut done = String::new();
         let mut rest = value;
         while let Some(at) = rest.find("$(") {
@@ -116,7 +118,7 @@
             match self.get(name) {
                 Some(property) => done.push_str(&property.text),
                 None => {
-                    findings.add("J007", place, format!("$({name}) is not defined: it stands for nothing"))
+                    findings.add("J007", location, format!("$({name}) is not defined: it stands for nothing"))
                 }
             }
             rest = &rest[end + 1..];
@@ -129,9 +131,11 @@
     }
 }
 
-fn known_length(property: &Property, limits: Limits, place: &Place, findings: &mut Findings) -> bool {
+fn known_length(
+    property: &Property, limits: Limits, location: &SourceLocation, findings: &mut Findings,
+) -> bool {
     if property.text.len() > limits.line_bytes {
-        findings.add("A005", place, format!("a list of more than {} bytes", limits.line_bytes));
+        findings.add("A005", location, format!("a list of more than {} bytes", limits.line_bytes));
         return false;
     }
     true
@@ -152,7 +156,7 @@
         assert!(properties.read("w", text, &mut findings));
         let of = |name| properties.get(name).map(|p| p.text.as_str());
         assert_eq!((of("worker.list"), of("a.host"), of("x")), (Some("a,b"), Some("10.0.0.2"), Some("y")));
-        let codes: Vec<(&str, u32)> = findings.all().iter().map(|f| (f.code, f.place.line)).collect();
+        let codes: Vec<(&str, u32)> = findings.all().iter().map(|f| (f.code, f.location.line)).collect();
         assert_eq!(codes, [("B006", 5), ("J007", 6), ("J005", 7)]);
     }
 
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -4,7 +4,7 @@
 use super::properties::short;
 use crate::Limits;
 use crate::apache::lines;
-use crate::files::Place;
+use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::table::{Fate, Scope, Source, parameter};
 
@@ -18,7 +18,7 @@
     /// Whether the path is not sent to it.
     pub excluded: bool,
     /// Where.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// The rules of a file; `None` after an error, which is told.
@@ -27,16 +27,16 @@
     let all = match lines(text, limits.line_bytes) {
         Ok(all) => all,
         Err(line) => {
-            let place = Place { file, line };
-            findings.add("A005", &place, format!("a line of more than {} bytes", limits.line_bytes));
+            let location = SourceLocation { file, line };
+            findings.add("A005", &location, format!("a line of more than {} bytes", limits.line_bytes));
             return None;
         }
     };
     let mut rules = Vec::new();
     for line in all {
-        let place = Place { file: file.clone(), line: line.number };
+        let location = SourceLocation { file: file.clone(), line: line.number };
         let Some((left, right)) = line.text.split_once('=') else {
-            findings.add("J005", &place, format!("`{}` is no path=worker", short(&line.text)));
+            findings.add("J005", &location, format!("`{}` is no path=worker", short(&line.text)));
             continue;
         };
         let mut right = right.split(';').map(str::trim);
@@ -45,10 +45,10 @@
             let name = extension.split('=').next().unwrap_or("").trim().to_ascii_lowercase();
             match parameter(Source::ModJk, Scope::Rule, &name) {
                 Some(row) if row.fate == Fate::LeftOut => {
-                    findings.add("B003", &place, format!("{name}: {}", row.note))
+                    findings.add("B003", &location, format!("{name}: {}", row.note))
                 }
-                Some(row) => findings.add("B004", &place, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &place, format!("{}: no extension of a rule", short(&name))),
+                Some(row) => findings.add("B004", &location, format!("{name}: {}", row.note)),
+                None => findings.add("B002", &location, format!("{}: no extension of a rule", short(&name))),
             }
         }
         let left = left.trim();
@@ -57,10 +57,10 @@
         let (off, left) = left.strip_prefix('-').map_or((false, left), |l| (true, l.trim()));
         if left.is_empty() || worker.is_empty() || !left.starts_with(['/', '*', '.']) || off {
             let text = if off { "is switched off" } else { "is no rule: /path=worker is wanted" };
-            findings.add("J005", &place, format!("`{}` {text}", short(&line.text)));
+            findings.add("J005", &location, format!("`{}` {text}", short(&line.text)));
             continue;
         }
-        let rule = |path: String| Rule { path, worker: worker.clone(), excluded, place: place.clone() };
+        let rule = |path: String| Rule { path, worker: worker.clone(), excluded, location: location.clone() };
         match left.split_once('|') {
             Some((path, below)) => {
                 rules.push(rule(path.to_owned()));
@@ -86,7 +86,7 @@
         let wanted = [("/a", false), ("/b", false), ("/b/*", false), ("/c", false), ("/c/*", false)];
         assert_eq!(shown[..5], wanted);
         assert_eq!(shown[5..], [("/a/*.gif", true), ("/x", false), ("*.jsp", false)]);
-        let codes: Vec<(&str, u32)> = findings.all().iter().map(|f| (f.code, f.place.line)).collect();
+        let codes: Vec<(&str, u32)> = findings.all().iter().map(|f| (f.code, f.location.line)).collect();
         assert_eq!(codes, [("J005", 5), ("J005", 6), ("B003", 7), ("B002", 7)]);
     }
 }
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -1,7 +1,7 @@
 //! From properties to workers: references followed, balancers filled.
 
 use super::properties::{Properties, Property, short};
-use crate::files::Place;
+use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Kind, Member, Model, Value};
 use crate::table::{Scope, Source, parameter};
@@ -18,7 +18,7 @@
     /// In the order in which they were named first.
     order: Vec<&'a str>,
     /// Where that was.
-    begins: HashMap<&'a str, &'a Place>,
+    begins: HashMap<&'a str, &'a SourceLocation>,
 }
 
 /// Names in a list: commas and white space part them.
@@ -34,7 +34,7 @@
             if name.contains('.') {
                 findings.add(
                     "J005",
-                    &property.place,
+                    &property.location,
                     format!("{}: neither a worker's property nor a macro", short(name)),
                 );
             }
@@ -51,8 +51,8 @@
             }
             None if rest == "list" => {}
             None => match parameter(Source::ModJk, Scope::Directive, name) {
-                Some(row) => findings.add("B005", &property.place, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &property.place, format!("{}: not known here", short(name))),
+                Some(row) => findings.add("B005", &property.location, format!("{name}: {}", row.note)),
+                None => findings.add("B002", &property.location, format!("{}: not known here", short(name))),
             },
         }
     }
@@ -63,7 +63,7 @@
             if !workers.own.contains_key(name) && name != "status" {
                 findings.add(
                     "J001",
-                    &listed.place,
+                    &listed.location,
                     format!("worker.list names {name}, of which nothing is said"),
                 );
             }
@@ -82,7 +82,7 @@
     let mut within: HashSet<&str> = HashSet::new();
     for name in &workers.order {
         let whole = &attributes[name];
-        let place = workers.begins[name].clone();
+        let location = workers.begins[name].clone();
         match kind(name).to_ascii_lowercase().as_str() {
             "lb" => {
                 let mut members = Vec::new();
@@ -101,43 +101,46 @@
                 for (attribute, property) in whole {
                     if parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
                         let text = format!("{}: no parameter of a balancer", short(attribute));
-                        findings.add("B002", &property.place, text);
+                        findings.add("B002", &property.location, text);
                     } else if *attribute != "type" && *attribute != "reference" {
-                        let value = Value { text: property.text.clone(), place: property.place.clone() };
+                        let value =
+                            Value { text: property.text.clone(), location: property.location.clone() };
                         parameters.insert((*attribute).to_owned(), value);
                     }
                 }
                 if lists == 0 {
-                    findings.add("B008", &place, format!("balancer {name} has no members"));
+                    findings.add("B008", &location, format!("balancer {name} has no members"));
                 }
                 if listed.is_some() && !reached.contains(name) {
-                    findings.add("J004", &place, format!("worker.list does not name {name}"));
+                    findings.add("J004", &location, format!("worker.list does not name {name}"));
                 }
                 let members = members
                     .iter()
                     .filter_map(|m| member(m, &attributes[m], workers.begins[m].clone(), findings))
                     .collect();
                 let (name, source) = ((*name).to_owned(), Source::ModJk);
-                model.balancers.push(Balancer { name, members, parameters, place, source });
+                model.balancers.push(Balancer { name, members, parameters, location, source });
             }
             "ajp13" | "ajp14" | "ajp12" => {}
             "status" => {
                 let text = format!("status worker {name}: `doorcourse ctl` shows and drains nodes");
-                findings.add("J003", &place, text);
-            }
-            other => {
-                findings.add("J003", &place, format!("worker {name} is of type {}: left out", short(other)))
+                findings.add("J003", &location, text);
             }
+            other => findings.add(
+                "J003",
+                &location,
+                format!("worker {name} is of type {}: left out", short(other)),
+            ),
         }
     }
     // A worker that requests reach by itself is a balancer of one.
     let alone = workers.order.iter().filter(|n| reached.contains(**n) && kind(n).starts_with("ajp"));
     for name in alone.filter(|n| !within.contains(**n)) {
         let whole = &attributes[name];
-        let place = workers.begins[name].clone();
-        let members = member(name, whole, place.clone(), findings).into_iter().collect();
+        let location = workers.begins[name].clone();
+        let members = member(name, whole, location.clone(), findings).into_iter().collect();
         let (name, source, parameters) = ((*name).to_owned(), Source::ModJk, BTreeMap::new());
-        model.balancers.push(Balancer { name, members, parameters, place, source });
+        model.balancers.push(Balancer { name, members, parameters, location, source });
     }
 }
 
@@ -151,12 +154,16 @@
             let target = reference.text.strip_prefix("worker.").unwrap_or(&reference.text);
             if seen.contains(&target) || seen.len() > CHAIN {
                 let chain = seen.join(" -> ");
-                findings.add("J002", &reference.place, format!("references go round: {chain} -> {target}"));
+                findings.add(
+                    "J002",
+                    &reference.location,
+                    format!("references go round: {chain} -> {target}"),
+                );
                 return None;
             }
             let Some(of) = self.own.get(target) else {
                 let text = format!("reference to {}, of which nothing is said", short(target));
-                findings.add("J001", &reference.place, text);
+                findings.add("J001", &reference.location, text);
                 return None;
             };
             seen.push(target);
@@ -179,25 +186,25 @@
         let mut had: HashSet<&str> = members.iter().copied().collect();
         open.push(name.to_owned());
         for list in &lists {
-            if whole.get("balanced_workers").is_some_and(|l| l.place == list.place) {
-                findings.add("J006", &list.place, "balanced_workers is balance_workers now");
+            if whole.get("balanced_workers").is_some_and(|l| l.location == list.location) {
+                findings.add("J006", &list.location, "balanced_workers is balance_workers now");
             }
             for member in names(&list.text) {
                 let Some((known, of)) = attributes.get_key_value(member) else {
                     let text = format!("balancer {name} names {}, of which nothing is said", short(member));
-                    findings.add("J001", &list.place, text);
+                    findings.add("J001", &list.location, text);
                     return None;
                 };
                 if of.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
                     if open.iter().any(|o| o == member) || open.len() > CHAIN {
                         let text = format!("balancers go round: {} -> {member}", open.join(" -> "));
-                        findings.add("J002", &list.place, text);
+                        findings.add("J002", &list.location, text);
                         return None;
                     }
                     let text = format!(
                         "{member} is a balancer itself: its members are taken in with their own parameters"
                     );
-                    findings.add("J008", &list.place, text);
+                    findings.add("J008", &list.location, text);
                     // Each once: balancers that hold each other twice would double at each step.
                     if done.insert(known) {
                         self.members(member, attributes, open, done, members, findings)?;
@@ -206,7 +213,7 @@
                 } else if had.insert(known) {
                     members.push(known);
                 } else {
-                    findings.add("B006", &list.place, format!("balancer {name} names {member} twice"));
+                    findings.add("B006", &list.location, format!("balancer {name} names {member} twice"));
                 }
             }
         }
@@ -215,11 +222,13 @@
     }
 }
 
-fn member(name: &str, whole: &Attributes, place: Place, findings: &mut Findings) -> Option<Member> {
+fn member(
+    name: &str, whole: &Attributes, location: SourceLocation, findings: &mut Findings,
+) -> Option<Member> {
     let of = |attribute: &str| whole.get(attribute).map(|p| p.text.as_str());
     let kind = of("type").unwrap_or("ajp13").to_ascii_lowercase();
     if !kind.starts_with("ajp") {
-        findings.add("J003", &place, format!("member {name} is of type {}: left out", short(&kind)));
+        findings.add("J003", &location, format!("member {name} is of type {}: left out", short(&kind)));
         return None;
     }
     let host = of("host").unwrap_or("localhost").to_ascii_lowercase();
@@ -228,7 +237,7 @@
         None => usual,
         Some(Ok(port)) if port > 0 => port,
         Some(_) => {
-            let at = &whole["port"].place;
+            let at = &whole["port"].location;
             findings.add(
                 "C006",
                 at,
@@ -241,16 +250,16 @@
     for (attribute, property) in whole {
         match parameter(Source::ModJk, Scope::Member, attribute) {
             Some(_) => {
-                let value = Value { text: property.text.clone(), place: property.place.clone() };
+                let value = Value { text: property.text.clone(), location: property.location.clone() };
                 parameters.insert((*attribute).to_owned(), value);
             }
             None => {
                 let text = format!("{}: no parameter of a worker", short(attribute));
-                findings.add("B002", &property.place, text);
+                findings.add("B002", &property.location, text);
             }
         }
     }
     let (flags, path, kind) = (Vec::new(), String::new(), Kind::Ajp);
     let host = host.trim_start_matches('[').trim_end_matches(']').to_owned();
-    Some(Member { name: name.to_owned(), kind, host, port, path, parameters, flags, place })
+    Some(Member { name: name.to_owned(), kind, host, port, path, parameters, flags, location })
 }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use convert::{ConvertOptions, Node, NodeList, Role, Routing, convert};
 pub use diff::{Difference, diff};
-pub use files::{FileError, Files, InMemory, Place, join, matches};
+pub use files::{FileError, Files, InMemory, SourceLocation, join, matches};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
 pub use model::{Balancer, Kind, Member, Model, Mount, Value};
 pub use table::{Fate, Parameter, Scope, Source, TABLE, parameter};
--- a/crates/import/src/model.rs
+++ b/crates/import/src/model.rs
@@ -1,6 +1,6 @@
 //! What both kinds of file come down to.
 
-use crate::files::Place;
+use crate::files::SourceLocation;
 use std::collections::BTreeMap;
 
 /// A value as written, and where.
@@ -9,7 +9,7 @@
     /// As written, quotes and escapes taken off.
     pub text: String,
     /// Where.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// The protocol of a member.
@@ -41,9 +41,9 @@
     /// Parameters by their name, the last word of each; names as in `TABLE`.
     pub parameters: BTreeMap<String, Value>,
     /// Status flags in the order they were said: each letter, and whether it is set.
-    pub flags: Vec<(char, bool, Place)>,
+    pub flags: Vec<(char, bool, SourceLocation)>,
     /// Where it was defined first.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// A set of members.
@@ -56,7 +56,7 @@
     /// Parameters of the balancer itself.
     pub parameters: BTreeMap<String, Value>,
     /// Where it was named first.
-    pub place: Place,
+    pub location: SourceLocation,
     /// Which of the two it comes from.
     pub source: crate::table::Source,
 }
@@ -71,7 +71,7 @@
     /// The virtual host or location around it, or nothing.
     pub within: String,
     /// Where.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// All that the files say of balancers.
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -95,7 +95,7 @@
 /// What comes out: the list, and each finding as "code place".
 fn run(sample: &Sample) -> (String, Vec<String>) {
     let (node_list, findings) = import(&sample.files, &sample.request);
-    let told = findings.all().iter().map(|f| format!("{} {}", f.code, f.place)).collect();
+    let told = findings.all().iter().map(|f| format!("{} {}", f.code, f.location)).collect();
     (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), told)
 }
 
