--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -4,7 +4,7 @@
 use crate::files::{Files, SourceLocation};
 use crate::finding::Findings;
 use crate::jk;
-use crate::model::{Kind, Member, Model, Mount, Value};
+use crate::model::{Member, Model, Mount, Protocol, Value};
 use crate::table::{Fate, Scope, Source, parameter};
 use std::collections::{BTreeMap, HashMap};
 
@@ -65,12 +65,12 @@
 fn member(url: &str, location: &SourceLocation) -> Option<Member> {
     let (scheme, rest) = url.split_once("://").or_else(|| url.strip_prefix("unix:").map(|r| ("unix", r)))?;
     let scheme = scheme.to_ascii_lowercase();
-    let (kind, default) = match scheme.as_str() {
-        _ if scheme.starts_with("unix:") => (Kind::Other("unix".into()), 0),
-        "http" | "h2c" | "ws" => (Kind::Http, 80),
-        "https" | "h2" | "wss" => (Kind::Https, 443),
-        "ajp" => (Kind::Ajp, 8009),
-        other => (Kind::Other(other.into()), 0),
+    let (protocol, default) = match scheme.as_str() {
+        _ if scheme.starts_with("unix:") => (Protocol::Other("unix".into()), 0),
+        "http" | "h2c" | "ws" => (Protocol::Http, 80),
+        "https" | "h2" | "wss" => (Protocol::Https, 443),
+        "ajp" => (Protocol::Ajp, 8009),
+        other => (Protocol::Other(other.into()), 0),
     };
     let (address, path) = rest.find('/').map_or((rest, ""), |at| (&rest[..at], &rest[at..]));
     let address = address.rsplit_once('@').map_or(address, |(_, a)| a);
@@ -84,14 +84,14 @@
         None => default,
         Some(port) => port.parse().ok().filter(|p| *p > 0)?,
     };
-    if host.is_empty() && !matches!(kind, Kind::Other(_)) {
+    if host.is_empty() && !matches!(protocol, Protocol::Other(_)) {
         return None;
     }
     let (parameters, flags) = (BTreeMap::new(), Vec::new());
     let (host, path) = (host.to_ascii_lowercase(), path.to_owned());
     Some(Member {
         name: url.to_owned(),
-        kind,
+        protocol,
         host,
         port,
         path,
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -4,7 +4,7 @@
 use crate::apache;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
-use crate::model::{Balancer, Kind, Member, Model, Mount, Value};
+use crate::model::{Balancer, Member, Model, Mount, Protocol, Value};
 use crate::table::{Fate, Scope, Source, parameter};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
@@ -359,19 +359,19 @@
 ) -> Option<Node> {
     let (location, of) = (&member.location, |name: &str| member.parameters.get(name));
     let shown = &member.name;
-    match &member.kind {
-        Kind::Http => {}
-        Kind::Https => findings.add(
+    match &member.protocol {
+        Protocol::Http => {}
+        Protocol::Https => findings.add(
             "C004",
             location,
             format!("{shown}: nodes are spoken to without TLS; give its HTTP port"),
         ),
-        Kind::Ajp => findings.add(
+        Protocol::Ajp => findings.add(
             "C003",
             location,
             format!("{shown}: AJP is not spoken; give the port of its HTTP connector"),
         ),
-        Kind::Other(scheme) => {
+        Protocol::Other(scheme) => {
             findings.add(
                 "C006",
                 location,
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -3,7 +3,7 @@
 use super::properties::{Properties, Property, short};
 use crate::files::SourceLocation;
 use crate::finding::Findings;
-use crate::model::{Balancer, Kind, Member, Model, Value};
+use crate::model::{Balancer, Member, Model, Protocol, Value};
 use crate::table::{Scope, Source, parameter};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -77,13 +77,13 @@
             None => return,
         }
     }
-    let kind =
+    let worker_type =
         |name: &str| attributes.get(name).and_then(|a| a.get("type")).map_or("ajp13", |p| p.text.as_str());
     let mut within: HashSet<&str> = HashSet::new();
     for name in &workers.order {
         let whole = &attributes[name];
         let location = workers.begins[name].clone();
-        match kind(name).to_ascii_lowercase().as_str() {
+        match worker_type(name).to_ascii_lowercase().as_str() {
             "lb" => {
                 let mut members = Vec::new();
                 let Some(lists) = workers.members(
@@ -134,7 +134,7 @@
         }
     }
     // A worker that requests reach by itself is a balancer of one.
-    let alone = workers.order.iter().filter(|n| reached.contains(**n) && kind(n).starts_with("ajp"));
+    let alone = workers.order.iter().filter(|n| reached.contains(**n) && worker_type(n).starts_with("ajp"));
     for name in alone.filter(|n| !within.contains(**n)) {
         let whole = &attributes[name];
         let location = workers.begins[name].clone();
@@ -226,13 +226,17 @@
     name: &str, whole: &Attributes, location: SourceLocation, findings: &mut Findings,
 ) -> Option<Member> {
     let of = |attribute: &str| whole.get(attribute).map(|p| p.text.as_str());
-    let kind = of("type").unwrap_or("ajp13").to_ascii_lowercase();
-    if !kind.starts_with("ajp") {
-        findings.add("J003", &location, format!("member {name} is of type {}: left out", short(&kind)));
+    let worker_type = of("type").unwrap_or("ajp13").to_ascii_lowercase();
+    if !worker_type.starts_with("ajp") {
+        findings.add(
+            "J003",
+            &location,
+            format!("member {name} is of type {}: left out", short(&worker_type)),
+        );
         return None;
     }
     let host = of("host").unwrap_or("localhost").to_ascii_lowercase();
-    let usual = if kind == "ajp14" { 8011 } else { 8009 };
+    let usual = if worker_type == "ajp14" { 8011 } else { 8009 };
     let port = match of("port").map(str::parse::<u16>) {
         None => usual,
         Some(Ok(port)) if port > 0 => port,
@@ -259,7 +263,7 @@
             }
         }
     }
-    let (flags, path, kind) = (Vec::new(), String::new(), Kind::Ajp);
+    let (flags, path, protocol) = (Vec::new(), String::new(), Protocol::Ajp);
     let host = host.trim_start_matches('[').trim_end_matches(']').to_owned();
-    Some(Member { name: name.to_owned(), kind, host, port, path, parameters, flags, location })
+    Some(Member { name: name.to_owned(), protocol, host, port, path, parameters, flags, location })
 }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -20,7 +20,7 @@
 pub use diff::{Difference, diff};
 pub use files::{FileError, Files, InMemory, SourceLocation, join, matches};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
-pub use model::{Balancer, Kind, Member, Model, Mount, Value};
+pub use model::{Balancer, Member, Model, Mount, Protocol, Value};
 pub use table::{Fate, Parameter, Scope, Source, TABLE, parameter};
 
 /// Bounds on what is read, so that no file can take all memory or all time.
--- a/crates/import/src/model.rs
+++ b/crates/import/src/model.rs
@@ -14,7 +14,7 @@
 
 /// The protocol of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Protocol {
     /// HTTP.
     Http,
     /// HTTP over TLS.
@@ -31,7 +31,7 @@
     /// Its name: mod_jk's worker, or the URL of a BalancerMember.
     pub name: String,
     /// Its protocol.
-    pub kind: Kind,
+    pub protocol: Protocol,
     /// Host name or address, without brackets; empty for what is no TCP address.
     pub host: String,
     /// TCP port.
