--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::{Args, Subcommand, ValueEnum};
 use doorcourse_import::{
-    CODES, ConvertOptions, Difference, FileError, Files, Finding, Limits, Node, Request, Role, Severity,
-    Source, TABLE, apache, diff,
+    CODES, ConvertOptions, Difference, FileError, Files, Finding, Limits, Node, PARAMETERS, Request, Role,
+    Severity, Source, apache, diff,
 };
 use std::io::Write;
 use std::net::IpAddr;
@@ -261,7 +261,7 @@
     let mut text = String::from(
         "| from | of | name | fate | how, or what to do instead |\n| --- | --- | --- | --- | --- |\n",
     );
-    for row in TABLE {
+    for row in PARAMETERS {
         let source = if row.source == Source::Apache { "httpd" } else { "mod_jk" };
         let scope = format!("{:?}", row.scope).to_lowercase();
         let fate = match row.fate {
--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -5,7 +5,7 @@
 use crate::finding::Findings;
 use crate::jk;
 use crate::model::{Member, Model, Mount, Protocol, Value};
-use crate::table::{Fate, Scope, Source, parameter};
+use crate::table::{Fate, Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap};
 
 /// What an Apache configuration says of mod_jk: files to read, and properties and mounts of its own.
@@ -127,7 +127,7 @@
             };
             let key = key.to_ascii_lowercase();
             let set = &mut self.model.balancers[balancer];
-            let known = |scope| parameter(Source::Apache, scope, &key);
+            let known = |scope| find_parameter(Source::Apache, scope, &key);
             let value = Value { text: text.to_owned(), location: location.clone() };
             match at {
                 Some(at) => {
@@ -148,8 +148,8 @@
                 }
                 // Parameters of members that stand on a balancer go for all of its members.
                 None if known(Scope::Member).is_some() => {
-                    let row = known(Scope::Member).map_or("", |r| r.note);
-                    findings.add("B003", location, format!("{key} on a balancer: {row}"));
+                    let note = known(Scope::Member).map_or("", |r| r.note);
+                    findings.add("B003", location, format!("{key} on a balancer: {note}"));
                 }
                 None => {
                     findings.add("B002", location, format!("{key}: no parameter of a balancer by this name"))
@@ -332,8 +332,8 @@
                 self.jk.mounts.push(mount);
             }
             _ => {
-                let row = parameter(Source::Apache, Scope::Directive, name)
-                    .or_else(|| parameter(Source::ModJk, Scope::Directive, name));
+                let row = find_parameter(Source::Apache, Scope::Directive, name)
+                    .or_else(|| find_parameter(Source::ModJk, Scope::Directive, name));
                 match row {
                     Some(row) if row.fate == Fate::Approximated => {
                         findings.add("B004", location, format!("{name}: {}", row.note));
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -1,11 +1,11 @@
 //! From the model to a node list, and what has to be said on the way. Every parameter of the balancer that is taken
-//! passes through `TABLE`: none is dropped without a word.
+//! passes through `PARAMETERS`: none is dropped without a word.
 
 use crate::apache;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Member, Model, Mount, Protocol, Value};
-use crate::table::{Fate, Scope, Source, parameter};
+use crate::table::{Fate, Scope, Source, find_parameter};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -212,7 +212,7 @@
     source: Source, scope: Scope, parameters: &BTreeMap<String, Value>, findings: &mut Findings,
 ) {
     for (name, value) in parameters {
-        let Some(row) = parameter(source, scope, name) else { continue };
+        let Some(row) = find_parameter(source, scope, name) else { continue };
         let text = || format!("{name}={}: {}", short(&value.text), row.note);
         match row.fate {
             _ if READ.contains(&name.as_str())
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -6,7 +6,7 @@
 use crate::apache::lines;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
-use crate::table::{Fate, Scope, Source, parameter};
+use crate::table::{Fate, Scope, Source, find_parameter};
 
 /// One rule.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +43,7 @@
         let worker = right.next().unwrap_or("").to_owned();
         for extension in right.filter(|e| !e.is_empty()) {
             let name = extension.split('=').next().unwrap_or("").trim().to_ascii_lowercase();
-            match parameter(Source::ModJk, Scope::Rule, &name) {
+            match find_parameter(Source::ModJk, Scope::Rule, &name) {
                 Some(row) if row.fate == Fate::LeftOut => {
                     findings.add("B003", &location, format!("{name}: {}", row.note))
                 }
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -4,7 +4,7 @@
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Member, Model, Protocol, Value};
-use crate::table::{Scope, Source, parameter};
+use crate::table::{Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Longer chains of references, and balancers within balancers, are taken for circles.
@@ -50,7 +50,7 @@
                 own.insert(attribute, property);
             }
             None if rest == "list" => {}
-            None => match parameter(Source::ModJk, Scope::Directive, name) {
+            None => match find_parameter(Source::ModJk, Scope::Directive, name) {
                 Some(row) => findings.add("B005", &property.location, format!("{name}: {}", row.note)),
                 None => findings.add("B002", &property.location, format!("{}: not known here", short(name))),
             },
@@ -99,7 +99,7 @@
                 within.extend(&members);
                 let mut parameters = BTreeMap::new();
                 for (attribute, property) in whole {
-                    if parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
+                    if find_parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
                         let text = format!("{}: no parameter of a balancer", short(attribute));
                         findings.add("B002", &property.location, text);
                     } else if *attribute != "type" && *attribute != "reference" {
@@ -252,7 +252,7 @@
     };
     let mut parameters = BTreeMap::new();
     for (attribute, property) in whole {
-        match parameter(Source::ModJk, Scope::Member, attribute) {
+        match find_parameter(Source::ModJk, Scope::Member, attribute) {
             Some(_) => {
                 let value = Value { text: property.text.clone(), location: property.location.clone() };
                 parameters.insert((*attribute).to_owned(), value);
--- a/crates/import/src/model.rs
+++ b/crates/import/src/model.rs
@@ -38,7 +38,7 @@
     pub port: u16,
     /// The path behind the address, where there is one.
     pub path: String,
-    /// Parameters by their name, the last word of each; names as in `TABLE`.
+    /// Parameters by their name, the last word of each; names as in `PARAMETERS`.
     pub parameters: BTreeMap<String, Value>,
     /// Status flags in the order they were said: each letter, and whether it is set.
     pub flags: Vec<(char, bool, SourceLocation)>,
--- a/crates/import/src/table.rs
+++ b/crates/import/src/table.rs
@@ -58,19 +58,19 @@
 use Scope::{Balancer, Directive, Member, Rule};
 use Source::{Apache, ModJk};
 
-const EJECT: &str = "a node that fails is left alone by what it does, and tried again by itself";
-const POOL: &str =
+const FAILURE_HANDLING: &str = "a node that fails is left alone by what it does, and tried again by itself";
+const CONNECTION_POOL: &str =
     "connections to nodes are kept as they are needed: limits.node_idle_ms in the settings bounds idle ones";
-const TIME: &str = "how long a request may take is its class's: classes.give_up_ms in the settings";
-const PROBE: &str = "nodes are not probed: outcomes of requests tell";
+const TIMEOUT: &str = "how long a request may take is its class's: classes.give_up_ms in the settings";
+const HEALTH_CHECK: &str = "nodes are not probed: outcomes of requests tell";
 const AJP: &str = "concerns AJP, which is not spoken";
-const HEADERS: &str = "the gateway passes on the fields that its front knows";
-const LOGS: &str = "logs are set by --log";
-const MANAGER: &str = "`doorcourse ctl` shows and drains nodes";
-const PROXY: &str = "concerns proxying beside balancers";
+const HEADER_FIELDS: &str = "the gateway passes on the fields that its front knows";
+const LOGGING: &str = "logs are set by --log";
+const ADMIN_INTERFACE: &str = "`doorcourse ctl` shows and drains nodes";
+const OTHER_PROXYING: &str = "concerns proxying beside balancers";
 
 /// Every parameter and directive that is known.
-pub const TABLE: &[Parameter] = &[
+pub const PARAMETERS: &[Parameter] = &[
     // ---- mod_proxy: members ----
     row(Apache, Member, "loadfactor", Carried, "weight"),
     row(Apache, Member, "lbset", Carried, "tier"),
@@ -84,10 +84,10 @@
         "D and S: state DRAINING; N: role BOUND; H: role STANDBY; R: role SPARE; I, E, C: see B003, B004",
     ),
     row(Apache, Member, "spare", Carried, "role SPARE, as status=+R"),
-    row(Apache, Member, "retry", Approximated, EJECT),
-    row(Apache, Member, "timeout", LeftOut, TIME),
-    row(Apache, Member, "connectiontimeout", LeftOut, TIME),
-    row(Apache, Member, "ping", LeftOut, PROBE),
+    row(Apache, Member, "retry", Approximated, FAILURE_HANDLING),
+    row(Apache, Member, "timeout", LeftOut, TIMEOUT),
+    row(Apache, Member, "connectiontimeout", LeftOut, TIMEOUT),
+    row(Apache, Member, "ping", LeftOut, HEALTH_CHECK),
     row(
         Apache,
         Member,
@@ -95,10 +95,10 @@
         Approximated,
         "what is out at a node is bounded by how late its answers are, and by `open` of each plan",
     ),
-    row(Apache, Member, "min", LeftOut, POOL),
-    row(Apache, Member, "smax", LeftOut, POOL),
+    row(Apache, Member, "min", LeftOut, CONNECTION_POOL),
+    row(Apache, Member, "smax", LeftOut, CONNECTION_POOL),
     row(Apache, Member, "acquire", LeftOut, "a request waits for a node a share of its class's aim"),
-    row(Apache, Member, "ttl", Approximated, POOL),
+    row(Apache, Member, "ttl", Approximated, CONNECTION_POOL),
     row(Apache, Member, "keepalive", LeftOut, "connections are kept open; TCP's own probes are not set"),
     row(Apache, Member, "disablereuse", LeftOut, "connections are used again"),
     row(Apache, Member, "enablereuse", Carried, "connections are used again"),
@@ -120,18 +120,18 @@
     row(Apache, Member, "iobuffersize", LeftOut, "limits.client_buffer_bytes in the settings"),
     row(Apache, Member, "receivebuffersize", LeftOut, "the system's sizes are used"),
     row(Apache, Member, "responsefieldsize", LeftOut, "limits.head_bytes in the settings"),
-    row(Apache, Member, "failontimeout", Approximated, EJECT),
-    row(Apache, Member, "failonstatus", Approximated, EJECT),
+    row(Apache, Member, "failontimeout", Approximated, FAILURE_HANDLING),
+    row(Apache, Member, "failonstatus", Approximated, FAILURE_HANDLING),
     row(Apache, Member, "secret", LeftOut, AJP),
     row(Apache, Member, "upgrade", LeftOut, "connections are not upgraded"),
     row(Apache, Member, "mapping", LeftOut, AJP),
-    row(Apache, Member, "hcmethod", LeftOut, PROBE),
-    row(Apache, Member, "hcinterval", LeftOut, PROBE),
-    row(Apache, Member, "hcpasses", LeftOut, PROBE),
-    row(Apache, Member, "hcfails", LeftOut, PROBE),
-    row(Apache, Member, "hcuri", LeftOut, PROBE),
-    row(Apache, Member, "hcexpr", LeftOut, PROBE),
-    row(Apache, Member, "hctemplate", LeftOut, PROBE),
+    row(Apache, Member, "hcmethod", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hcinterval", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hcpasses", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hcfails", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hcuri", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hcexpr", LeftOut, HEALTH_CHECK),
+    row(Apache, Member, "hctemplate", LeftOut, HEALTH_CHECK),
     // ---- mod_proxy: balancers ----
     row(
         Apache,
@@ -151,8 +151,8 @@
     row(Apache, Balancer, "scolonpathdelim", Carried, "parameters behind ; in the path are always looked at"),
     row(Apache, Balancer, "maxattempts", Approximated, "attempts.most in the settings: one more than this"),
     row(Apache, Balancer, "timeout", LeftOut, "a request waits for a node a share of its class's aim"),
-    row(Apache, Balancer, "failonstatus", Approximated, EJECT),
-    row(Apache, Balancer, "failontimeout", Approximated, EJECT),
+    row(Apache, Balancer, "failonstatus", Approximated, FAILURE_HANDLING),
+    row(Apache, Balancer, "failontimeout", Approximated, FAILURE_HANDLING),
     row(
         Apache,
         Balancer,
@@ -161,7 +161,7 @@
         "a node that failed is tried again by itself, also when all have failed",
     ),
     row(Apache, Balancer, "growth", LeftOut, "a list may grow as it likes"),
-    row(Apache, Balancer, "nonce", LeftOut, MANAGER),
+    row(Apache, Balancer, "nonce", LeftOut, ADMIN_INTERFACE),
     row(Apache, Balancer, "secret", LeftOut, AJP),
     row(Apache, Balancer, "stickysessionsep", Approximated, "the route stands behind the first dot"),
     row(Apache, Balancer, "lbset", LeftOut, "concerns members"),
@@ -179,16 +179,16 @@
         "a node drained by hand is drained until the process ends",
     ),
     row(Apache, Directive, "balancerinherit", LeftOut, "a list is as its file says"),
-    row(Apache, Directive, "proxyhcexpr", LeftOut, PROBE),
-    row(Apache, Directive, "proxyhctemplate", LeftOut, PROBE),
-    row(Apache, Directive, "proxyhctpsize", LeftOut, PROBE),
-    row(Apache, Directive, "proxytimeout", LeftOut, TIME),
-    row(Apache, Directive, "proxypassreverse", LeftOut, HEADERS),
-    row(Apache, Directive, "proxypassreversecookiedomain", LeftOut, HEADERS),
-    row(Apache, Directive, "proxypassreversecookiepath", LeftOut, HEADERS),
-    row(Apache, Directive, "proxypreservehost", LeftOut, HEADERS),
-    row(Apache, Directive, "proxyaddheaders", LeftOut, HEADERS),
-    row(Apache, Directive, "proxyvia", LeftOut, HEADERS),
+    row(Apache, Directive, "proxyhcexpr", LeftOut, HEALTH_CHECK),
+    row(Apache, Directive, "proxyhctemplate", LeftOut, HEALTH_CHECK),
+    row(Apache, Directive, "proxyhctpsize", LeftOut, HEALTH_CHECK),
+    row(Apache, Directive, "proxytimeout", LeftOut, TIMEOUT),
+    row(Apache, Directive, "proxypassreverse", LeftOut, HEADER_FIELDS),
+    row(Apache, Directive, "proxypassreversecookiedomain", LeftOut, HEADER_FIELDS),
+    row(Apache, Directive, "proxypassreversecookiepath", LeftOut, HEADER_FIELDS),
+    row(Apache, Directive, "proxypreservehost", LeftOut, HEADER_FIELDS),
+    row(Apache, Directive, "proxyaddheaders", LeftOut, HEADER_FIELDS),
+    row(Apache, Directive, "proxyvia", LeftOut, HEADER_FIELDS),
     row(Apache, Directive, "proxypassinherit", LeftOut, "the gateway serves one endpoint"),
     row(
         Apache,
@@ -205,19 +205,19 @@
         "answers are the nodes' own, or the gateway's with its stable codes",
     ),
     row(Apache, Directive, "proxybadheader", LeftOut, "an answer that is no HTTP counts as an error"),
-    row(Apache, Directive, "proxystatus", LeftOut, MANAGER),
+    row(Apache, Directive, "proxystatus", LeftOut, ADMIN_INTERFACE),
     row(Apache, Directive, "proxyiobuffersize", LeftOut, "limits.client_buffer_bytes in the settings"),
     row(Apache, Directive, "proxyreceivebuffersize", LeftOut, "the system's sizes are used"),
     row(Apache, Directive, "proxysourceaddress", LeftOut, "the system's choice is used"),
-    row(Apache, Directive, "proxymaxforwards", LeftOut, PROXY),
-    row(Apache, Directive, "proxyblock", LeftOut, PROXY),
-    row(Apache, Directive, "proxydomain", LeftOut, PROXY),
-    row(Apache, Directive, "proxyremote", LeftOut, PROXY),
-    row(Apache, Directive, "proxyremotematch", LeftOut, PROXY),
-    row(Apache, Directive, "proxyrequests", LeftOut, PROXY),
+    row(Apache, Directive, "proxymaxforwards", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "proxyblock", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "proxydomain", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "proxyremote", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "proxyremotematch", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "proxyrequests", LeftOut, OTHER_PROXYING),
     row(Apache, Directive, "proxywebsocketfallbacktoproxyhttp", LeftOut, "connections are not upgraded"),
-    row(Apache, Directive, "noproxy", LeftOut, PROXY),
-    row(Apache, Directive, "allowconnect", LeftOut, PROXY),
+    row(Apache, Directive, "noproxy", LeftOut, OTHER_PROXYING),
+    row(Apache, Directive, "allowconnect", LeftOut, OTHER_PROXYING),
     // ---- mod_jk in httpd ----
     row(ModJk, Directive, "jkworkersfile", Carried, "read as workers.properties"),
     row(ModJk, Directive, "jkworkerproperty", Carried, "one line of workers.properties"),
@@ -239,13 +239,13 @@
     ),
     row(ModJk, Directive, "jkmountcopy", LeftOut, "the gateway serves one endpoint"),
     row(ModJk, Directive, "jkautoalias", LeftOut, "files are not served"),
-    row(ModJk, Directive, "jkoptions", LeftOut, HEADERS),
+    row(ModJk, Directive, "jkoptions", LeftOut, HEADER_FIELDS),
     row(ModJk, Directive, "jkenvvar", LeftOut, AJP),
     row(ModJk, Directive, "jkstripsession", LeftOut, "session parameters are taken off the path"),
-    row(ModJk, Directive, "jklogfile", LeftOut, LOGS),
-    row(ModJk, Directive, "jkloglevel", LeftOut, LOGS),
-    row(ModJk, Directive, "jklogstampformat", LeftOut, LOGS),
-    row(ModJk, Directive, "jkrequestlogformat", LeftOut, LOGS),
+    row(ModJk, Directive, "jklogfile", LeftOut, LOGGING),
+    row(ModJk, Directive, "jkloglevel", LeftOut, LOGGING),
+    row(ModJk, Directive, "jklogstampformat", LeftOut, LOGGING),
+    row(ModJk, Directive, "jkrequestlogformat", LeftOut, LOGGING),
     row(
         ModJk,
         Directive,
@@ -254,7 +254,7 @@
         "a gateway keeps what it knows itself; `state.file` in the settings keeps it over a kill",
     ),
     row(ModJk, Directive, "jkshmsize", LeftOut, "a gateway keeps what it knows itself"),
-    row(ModJk, Directive, "jkwatchdoginterval", LeftOut, PROBE),
+    row(ModJk, Directive, "jkwatchdoginterval", LeftOut, HEALTH_CHECK),
     row(ModJk, Directive, "jkextractssl", LeftOut, "TLS is not spoken to clients yet"),
     row(ModJk, Directive, "jkhttpsindicator", LeftOut, "TLS is not spoken to clients yet"),
     row(ModJk, Directive, "jkcertsindicator", LeftOut, "TLS is not spoken to clients yet"),
@@ -263,17 +263,17 @@
     row(ModJk, Directive, "jksessionindicator", LeftOut, "TLS is not spoken to clients yet"),
     row(ModJk, Directive, "jkkeysizeindicator", LeftOut, "TLS is not spoken to clients yet"),
     row(ModJk, Directive, "jksslprotocolindicator", LeftOut, "TLS is not spoken to clients yet"),
-    row(ModJk, Directive, "jkremoteaddrindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkremotehostindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkremoteportindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkremoteuserindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkauthtypeindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jklocaladdrindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jklocalnameindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jklocalportindicator", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkignorecloptheader", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkallowcl", LeftOut, HEADERS),
-    row(ModJk, Directive, "jkignorecl", LeftOut, HEADERS),
+    row(ModJk, Directive, "jkremoteaddrindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkremotehostindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkremoteportindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkremoteuserindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkauthtypeindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jklocaladdrindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jklocalnameindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jklocalportindicator", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkignorecloptheader", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkallowcl", LeftOut, HEADER_FIELDS),
+    row(ModJk, Directive, "jkignorecl", LeftOut, HEADER_FIELDS),
     // ---- mod_jk: workers ----
     row(
         ModJk,
@@ -306,14 +306,14 @@
     row(ModJk, Member, "secret", LeftOut, AJP),
     row(ModJk, Member, "secretkey", LeftOut, AJP),
     row(ModJk, Member, "login_service", LeftOut, AJP),
-    row(ModJk, Member, "socket_timeout", LeftOut, TIME),
-    row(ModJk, Member, "socket_connect_timeout", LeftOut, TIME),
-    row(ModJk, Member, "connect_timeout", LeftOut, TIME),
-    row(ModJk, Member, "prepost_timeout", LeftOut, TIME),
-    row(ModJk, Member, "reply_timeout", LeftOut, TIME),
-    row(ModJk, Member, "ping_mode", LeftOut, PROBE),
-    row(ModJk, Member, "ping_timeout", LeftOut, PROBE),
-    row(ModJk, Member, "connection_ping_interval", LeftOut, PROBE),
+    row(ModJk, Member, "socket_timeout", LeftOut, TIMEOUT),
+    row(ModJk, Member, "socket_connect_timeout", LeftOut, TIMEOUT),
+    row(ModJk, Member, "connect_timeout", LeftOut, TIMEOUT),
+    row(ModJk, Member, "prepost_timeout", LeftOut, TIMEOUT),
+    row(ModJk, Member, "reply_timeout", LeftOut, TIMEOUT),
+    row(ModJk, Member, "ping_mode", LeftOut, HEALTH_CHECK),
+    row(ModJk, Member, "ping_timeout", LeftOut, HEALTH_CHECK),
+    row(ModJk, Member, "connection_ping_interval", LeftOut, HEALTH_CHECK),
     row(
         ModJk,
         Member,
@@ -322,9 +322,9 @@
         "connections are kept open; TCP's own probes are not set",
     ),
     row(ModJk, Member, "socket_buffer", LeftOut, "the system's sizes are used"),
-    row(ModJk, Member, "connection_pool_size", LeftOut, POOL),
-    row(ModJk, Member, "connection_pool_minsize", LeftOut, POOL),
-    row(ModJk, Member, "connection_pool_timeout", Approximated, POOL),
+    row(ModJk, Member, "connection_pool_size", LeftOut, CONNECTION_POOL),
+    row(ModJk, Member, "connection_pool_minsize", LeftOut, CONNECTION_POOL),
+    row(ModJk, Member, "connection_pool_timeout", Approximated, CONNECTION_POOL),
     row(
         ModJk,
         Member,
@@ -332,9 +332,9 @@
         LeftOut,
         "a request waits for a node a share of its class's aim",
     ),
-    row(ModJk, Member, "cachesize", LeftOut, POOL),
-    row(ModJk, Member, "cache_timeout", Approximated, POOL),
-    row(ModJk, Member, "recycle_timeout", Approximated, POOL),
+    row(ModJk, Member, "cachesize", LeftOut, CONNECTION_POOL),
+    row(ModJk, Member, "cache_timeout", Approximated, CONNECTION_POOL),
+    row(ModJk, Member, "recycle_timeout", Approximated, CONNECTION_POOL),
     row(ModJk, Member, "retries", Approximated, "attempts.most in the settings"),
     row(ModJk, Member, "retry_interval", LeftOut, "another attempt goes to another node at once"),
     row(
@@ -344,8 +344,8 @@
         Approximated,
         "the effect of each class rules what is tried again: classes.effect in the settings",
     ),
-    row(ModJk, Member, "fail_on_status", Approximated, EJECT),
-    row(ModJk, Member, "max_reply_timeouts", Approximated, EJECT),
+    row(ModJk, Member, "fail_on_status", Approximated, FAILURE_HANDLING),
+    row(ModJk, Member, "max_reply_timeouts", Approximated, FAILURE_HANDLING),
     row(
         ModJk,
         Member,
@@ -375,15 +375,15 @@
     row(ModJk, Balancer, "lock", LeftOut, "a gateway counts alone, exactly"),
     row(ModJk, Balancer, "retries", Approximated, "attempts.most in the settings"),
     row(ModJk, Balancer, "retry_interval", LeftOut, "another attempt goes to another node at once"),
-    row(ModJk, Balancer, "recover_time", Approximated, EJECT),
-    row(ModJk, Balancer, "error_escalation_time", Approximated, EJECT),
-    row(ModJk, Balancer, "max_reply_timeouts", Approximated, EJECT),
+    row(ModJk, Balancer, "recover_time", Approximated, FAILURE_HANDLING),
+    row(ModJk, Balancer, "error_escalation_time", Approximated, FAILURE_HANDLING),
+    row(ModJk, Balancer, "max_reply_timeouts", Approximated, FAILURE_HANDLING),
     row(ModJk, Balancer, "lb_retries", Approximated, "attempts.most in the settings"),
     row(ModJk, Balancer, "mount", Approximated, "the gateway serves one endpoint: see C007"),
     // ---- mod_jk: properties that belong to no worker, and rules ----
     row(ModJk, Directive, "worker.list", Carried, "which balancers are reached from outside"),
     row(ModJk, Directive, "worker.maintain", LeftOut, "what is known of nodes is kept up as requests come"),
-    row(ModJk, Rule, "reply_timeout", LeftOut, TIME),
+    row(ModJk, Rule, "reply_timeout", LeftOut, TIMEOUT),
     row(ModJk, Rule, "sticky_ignore", LeftOut, "sticky sessions are the same for all requests"),
     row(ModJk, Rule, "stateless", LeftOut, "sticky sessions are the same for all requests"),
     row(ModJk, Rule, "active", LeftOut, "the state of a node is the same for all requests"),
@@ -405,6 +405,6 @@
 
 /// The row of a parameter.
 #[must_use]
-pub fn parameter(source: Source, scope: Scope, name: &str) -> Option<&'static Parameter> {
-    TABLE.iter().find(|p| p.source == source && p.scope == scope && p.name == name)
+pub fn find_parameter(source: Source, scope: Scope, name: &str) -> Option<&'static Parameter> {
+    PARAMETERS.iter().find(|p| p.source == source && p.scope == scope && p.name == name)
 }
