--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -264,10 +264,10 @@
     for row in PARAMETERS {
         let source = if row.source == Source::Apache { "httpd" } else { "mod_jk" };
         let scope = format!("{:?}", row.scope).to_lowercase();
-        let fate = match row.fate {
-            doorcourse_import::Fate::Carried => "carried over",
-            doorcourse_import::Fate::Approximated => "approximated",
-            doorcourse_import::Fate::LeftOut => "left out",
+        let fate = match row.conversion {
+            doorcourse_import::Conversion::Carried => "carried over",
+            doorcourse_import::Conversion::Approximated => "approximated",
+            doorcourse_import::Conversion::LeftOut => "left out",
         };
         text.push_str(&format!("| {source} | {scope} | `{}` | {fate} | {} |\n", row.name, row.note));
     }
--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -5,7 +5,7 @@
 use crate::finding::Findings;
 use crate::jk;
 use crate::model::{Member, Model, Mount, Protocol, Value};
-use crate::table::{Fate, Scope, Source, find_parameter};
+use crate::table::{Conversion, Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap};
 
 /// What an Apache configuration says of mod_jk: files to read, and properties and mounts of its own.
@@ -335,7 +335,7 @@
                 let row = find_parameter(Source::Apache, Scope::Directive, name)
                     .or_else(|| find_parameter(Source::ModJk, Scope::Directive, name));
                 match row {
-                    Some(row) if row.fate == Fate::Approximated => {
+                    Some(row) if row.conversion == Conversion::Approximated => {
                         findings.add("B004", location, format!("{name}: {}", row.note));
                     }
                     Some(row) => findings.add("B005", location, format!("{name}: {}", row.note)),
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -5,7 +5,7 @@
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Member, Model, Mount, Protocol, Value};
-use crate::table::{Fate, Scope, Source, find_parameter};
+use crate::table::{Conversion, Scope, Source, find_parameter};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -214,12 +214,12 @@
     for (name, value) in parameters {
         let Some(row) = find_parameter(source, scope, name) else { continue };
         let text = || format!("{name}={}: {}", short(&value.text), row.note);
-        match row.fate {
+        match row.conversion {
             _ if READ.contains(&name.as_str())
                 || ["type", "retries", "lb_retries"].contains(&name.as_str()) => {}
-            Fate::Carried => {}
-            Fate::Approximated => findings.add("B004", &value.location, text()),
-            Fate::LeftOut => findings.add("B003", &value.location, text()),
+            Conversion::Carried => {}
+            Conversion::Approximated => findings.add("B004", &value.location, text()),
+            Conversion::LeftOut => findings.add("B003", &value.location, text()),
         }
     }
 }
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -6,7 +6,7 @@
 use crate::apache::lines;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
-use crate::table::{Fate, Scope, Source, find_parameter};
+use crate::table::{Conversion, Scope, Source, find_parameter};
 
 /// One rule.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
         for extension in right.filter(|e| !e.is_empty()) {
             let name = extension.split('=').next().unwrap_or("").trim().to_ascii_lowercase();
             match find_parameter(Source::ModJk, Scope::Rule, &name) {
-                Some(row) if row.fate == Fate::LeftOut => {
+                Some(row) if row.conversion == Conversion::LeftOut => {
                     findings.add("B003", &location, format!("{name}: {}", row.note))
                 }
                 Some(row) => findings.add("B004", &location, format!("{name}: {}", row.note)),
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -21,7 +21,7 @@
 pub use files::{FileError, Files, InMemory, SourceLocation, join, matches};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
 pub use model::{Balancer, Member, Model, Mount, Protocol, Value};
-pub use table::{Fate, PARAMETERS, Parameter, Scope, Source, find_parameter};
+pub use table::{Conversion, PARAMETERS, Parameter, Scope, Source, find_parameter};
 
 /// Bounds on what is read, so that no file can take all memory or all time.
 #[derive(Clone, Copy, Debug)]
--- a/crates/import/src/table.rs
+++ b/crates/import/src/table.rs
@@ -26,7 +26,7 @@
 
 /// What becomes of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Fate {
+pub enum Conversion {
     /// It is carried over with the same meaning.
     Carried,
     /// It is carried over with a difference.
@@ -45,16 +45,19 @@
     /// Its name in lower case.
     pub name: &'static str,
     /// What becomes of it.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub conversion: Conversion,
     /// How, or why not and what to do instead.
     pub note: &'static str,
 }
 
-const fn row(source: Source, scope: Scope, name: &'static str, fate: Fate, note: &'static str) -> Parameter {
-    Parameter { source, scope, name, fate, note }
+const fn row(
+    source: Source, scope: Scope, name: &'static str, conversion: Conversion, note: &'static str,
+) -> Parameter {
+    Parameter { source, scope, name, conversion, note }
 }
 
-use Fate::{Approximated, Carried, LeftOut};
+use Conversion::{Approximated, Carried, LeftOut};
 use Scope::{Balancer, Directive, Member, Rule};
 use Source::{Apache, ModJk};
 
