--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -30,7 +30,7 @@
     /// Used when its tier has nothing else.
     Standby,
     /// Takes only its own sessions.
-    Bound,
+    StickyOnly,
 }
 
 impl Role {
@@ -41,7 +41,7 @@
             Self::Active => "ACTIVE",
             Self::Spare => "SPARE",
             Self::Standby => "STANDBY",
-            Self::Bound => "BOUND",
+            Self::StickyOnly => "BOUND",
         }
     }
 }
@@ -58,7 +58,7 @@
     /// Its part of its tier.
     pub weight: f64,
     /// Its tier.
-    pub tier: u32,
+    pub priority_level: u32,
     /// What it is there for.
     pub role: Role,
     /// Whether it is sent nothing.
@@ -124,7 +124,7 @@
     redirects(balancer, &mut node_list.nodes, findings);
     node_list.hints = hints(balancer, findings);
     mounts(model, balancer, &mut node_list.hints, findings);
-    let key = |n: &Node| (n.tier, n.role, n.name.clone());
+    let key = |n: &Node| (n.priority_level, n.role, n.name.clone());
     node_list.nodes.sort_by_cached_key(key);
     Some(node_list)
 }
@@ -392,7 +392,7 @@
         true => figure("lbfactor", of("lbfactor"), 1.0..=1e5, findings),
         false => figure("loadfactor", of("loadfactor"), 1.0..=100.0, findings),
     };
-    let tier = match jk {
+    let priority_level = match jk {
         true => figure("distance", of("distance"), 0.0..=1000.0, findings),
         false => figure("lbset", of("lbset"), 0.0..=99.0, findings),
     };
@@ -427,7 +427,7 @@
         address,
         resolved: known.is_some(),
         weight: weight.unwrap_or(1.0),
-        tier: tier.unwrap_or(0.0) as u32,
+        priority_level: priority_level.unwrap_or(0.0) as u32,
         role,
         draining,
         route,
@@ -466,7 +466,7 @@
         findings.add("C010", location, "both hot standby and hot spare: taken as hot standby");
     }
     let role = match () {
-        () if on('N') => Role::Bound,
+        () if on('N') => Role::StickyOnly,
         () if on('H') => Role::Standby,
         () if spare => Role::Spare,
         () => Role::Active,
@@ -505,10 +505,10 @@
         (old("stopped", findings) == Some(true), old("disabled", findings) == Some(true));
     match state {
         Some('s') => (Role::Active, true),
-        Some('d') => (Role::Bound, false),
+        Some('d') => (Role::StickyOnly, false),
         Some(_) => (Role::Active, false),
         None if stopped => (Role::Active, true),
-        None if disabled => (Role::Bound, false),
+        None if disabled => (Role::StickyOnly, false),
         None => (Role::Active, false),
     }
 }
@@ -684,7 +684,7 @@
                 }
             };
             field(node.weight != 1.0, "weight", node.weight.to_string());
-            field(node.tier != 0, "tier", node.tier.to_string());
+            field(node.priority_level != 0, "tier", node.priority_level.to_string());
             field(node.role != Role::Active, "role", node.role.name().into());
             field(node.draining, "state", "DRAINING".into());
             field(!node.route.is_empty(), "route", quoted(&node.route));
--- a/crates/import/src/diff.rs
+++ b/crates/import/src/diff.rs
@@ -64,7 +64,7 @@
     [
         ("address", node.address.clone()),
         ("weight", node.weight.to_string()),
-        ("tier", node.tier.to_string()),
+        ("tier", node.priority_level.to_string()),
         ("role", node.role.name().into()),
         ("state", state.into()),
         ("route", node.route.clone()),
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -168,7 +168,7 @@
             let place = &read.entry.placement;
             prop_assert_eq!(&*read.entry.name, written.name.as_str());
             prop_assert_eq!(read.address.to_string(), written.address.clone());
-            prop_assert_eq!((place.weight, place.priority_level, &*place.sticky_route), (written.weight, written.tier, &*written.route));
+            prop_assert_eq!((place.weight, place.priority_level, &*place.sticky_route), (written.weight, written.priority_level, &*written.route));
             prop_assert_eq!(role_name(place.role), written.role.name());
             prop_assert_eq!(read.entry.state == doorcourse_config::BackendState::Draining, written.draining);
         }
