--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -3,8 +3,8 @@
 use anyhow::Context;
 use clap::{Args, Subcommand, ValueEnum};
 use doorcourse_import::{
-    CODES, ConvertOptions, Difference, FileError, Files, Finding, Limits, Node, PARAMETERS, Request, Role,
-    Severity, Source, apache, diff,
+    CODES, ConvertOptions, Difference, FileError, Files, Finding, ImportRequest, Limits, Node, PARAMETERS,
+    Role, Severity, Source, apache, diff,
 };
 use std::io::Write;
 use std::net::IpAddr;
@@ -135,14 +135,20 @@
 pub fn run(command: Import) -> anyhow::Result<ExitCode> {
     match command {
         Import::Apache { files, define, httpd_version, common } => {
-            let options =
+            let apache_options =
                 apache::Options { defines: define, version: httpd_version, limits: Limits::default() };
-            let request = Request { apache: names(&files), options, ..Request::default() };
+            let request =
+                ImportRequest { apache_files: names(&files), apache_options, ..ImportRequest::default() };
             carry(request, &common)
         }
-        Import::ModJk { files, map, common } => {
-            carry(Request { workers: names(&files), maps: names(&map), ..Request::default() }, &common)
-        }
+        Import::ModJk { files, map, common } => carry(
+            ImportRequest {
+                worker_files: names(&files),
+                uri_map_files: names(&map),
+                ..ImportRequest::default()
+            },
+            &common,
+        ),
         Import::Diff { old, new, format } => differ(&old, &new, format),
         Import::Table => {
             say_on!("{}", table());
@@ -157,7 +163,7 @@
     }
 }
 
-fn carry(mut request: Request, common: &Common) -> anyhow::Result<ExitCode> {
+fn carry(mut request: ImportRequest, common: &Common) -> anyhow::Result<ExitCode> {
     let host = |text: &String| -> anyhow::Result<(String, IpAddr)> {
         let (name, address) = text.split_once('=').context("--host: NAME=ADDRESS is wanted")?;
         let address = address.parse().with_context(|| format!("--host: {address} is no address"))?;
--- a/crates/import/benches/import.rs
+++ b/crates/import/benches/import.rs
@@ -1,7 +1,7 @@
 //! How long an import of 50,000 lines takes, of both kinds, beside one of 5,000: it must grow with the lines alone.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use doorcourse_import::{InMemory, Request, import};
+use doorcourse_import::{ImportRequest, InMemory, import};
 use std::fmt::Write;
 use std::hint::black_box;
 
@@ -32,12 +32,12 @@
     group.sample_size(10);
     for lines in [5_000, 50_000] {
         let files = InMemory([("f".to_owned(), httpd(lines).into_bytes())].into());
-        let request = Request { apache: vec!["f".into()], ..Request::default() };
+        let request = ImportRequest { apache_files: vec!["f".into()], ..ImportRequest::default() };
         group.bench_function(format!("httpd, {lines} lines"), |b| {
             b.iter(|| black_box(import(&files, &request)))
         });
         let files = InMemory([("f".to_owned(), workers(lines).into_bytes())].into());
-        let request = Request { workers: vec!["f".into()], ..Request::default() };
+        let request = ImportRequest { worker_files: vec!["f".into()], ..ImportRequest::default() };
         group.bench_function(format!("mod_jk, {lines} lines"), |b| {
             b.iter(|| black_box(import(&files, &request)))
         });
--- a/crates/import/fuzz/fuzz_targets/apache.rs
+++ b/crates/import/fuzz/fuzz_targets/apache.rs
@@ -1,17 +1,17 @@
 //! Any bytes as httpd's main file, the part behind a form feed as a file that it may include.
 #![no_main]
 
-use doorcourse_import::{InMemory, Limits, Request, import};
+use doorcourse_import::{InMemory, Limits, ImportRequest, import};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
     let mut parts = data.splitn(2, |b| *b == 0x0c);
     let (main, other) = (parts.next().unwrap_or(b""), parts.next().unwrap_or(b""));
     let files = InMemory([("main".to_owned(), main.to_vec()), ("other".to_owned(), other.to_vec())].into());
-    let mut request = Request { apache: vec!["main".into()], ..Request::default() };
+    let mut request = ImportRequest { apache_files: vec!["main".into()], ..ImportRequest::default() };
     // Small bounds, so that a run is quick and the bounds are met.
-    request.options.limits = Limits { directives: 5000, line_bytes: 4096, all_bytes: 1 << 20, ..Limits::default() };
-    request.options.version = Some("2.4.58".into());
+    request.apache_options.limits = Limits { directives: 5000, line_bytes: 4096, all_bytes: 1 << 20, ..Limits::default() };
+    request.apache_options.version = Some("2.4.58".into());
     check_settings_accept(import(&files, &request).0);
 });
 
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -42,31 +42,37 @@
 
 /// What an import is told.
 #[derive(Clone, Debug, Default)]
-pub struct Request {
+pub struct ImportRequest {
     /// The files of httpd's configuration, in order.
-    pub apache: Vec<String>,
+    pub apache_files: Vec<String>,
     /// The workers.properties files, in order; instead of httpd's.
-    pub workers: Vec<String>,
+    pub worker_files: Vec<String>,
     /// The uriworkermap.properties files beside them.
-    pub maps: Vec<String>,
+    pub uri_map_files: Vec<String>,
     /// What httpd's files alone do not tell.
-    pub options: apache::Options,
+    pub apache_options: apache::Options,
     /// Which balancer, and addresses.
     pub convert_options: ConvertOptions,
 }
 
 /// Reads what is asked for and turns it into a node list; `None` after an error, which is among the findings.
 #[must_use]
-pub fn import(files: &dyn Files, request: &Request) -> (Option<NodeList>, Findings) {
+pub fn import(files: &dyn Files, request: &ImportRequest) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
-    let model = if request.workers.is_empty() {
-        let read = apache::import(files, &request.apache, &request.options, &mut findings);
-        convert::others(&read, request.apache.first().map_or("", String::as_str), &mut findings);
+    let model = if request.worker_files.is_empty() {
+        let read = apache::import(files, &request.apache_files, &request.apache_options, &mut findings);
+        convert::others(&read, request.apache_files.first().map_or("", String::as_str), &mut findings);
         read.model
     } else {
-        jk::import(files, &request.workers, &request.maps, request.options.limits, &mut findings)
+        jk::import(
+            files,
+            &request.worker_files,
+            &request.uri_map_files,
+            request.apache_options.limits,
+            &mut findings,
+        )
     };
-    let main = request.workers.first().or(request.apache.first()).map_or("", String::as_str);
+    let main = request.worker_files.first().or(request.apache_files.first()).map_or("", String::as_str);
     let node_list = convert(&model, main, &request.convert_options, &mut findings);
     (node_list, findings)
 }
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -1,17 +1,24 @@
 //! Files that are large, hostile or no configuration at all: bounded time and memory, one clear error, no panic.
 
-use doorcourse_import::{Findings, InMemory, NodeList, Request, import};
+use doorcourse_import::{Findings, ImportRequest, InMemory, NodeList, import};
 use proptest::prelude::*;
 use std::fmt::Write;
 
 fn apache(text: &[u8]) -> (Option<NodeList>, Findings) {
     let files = InMemory([("httpd.conf".to_owned(), text.to_vec())].into());
-    import(&files, &Request { apache: vec!["httpd.conf".into()], ..Request::default() })
+    import(&files, &ImportRequest { apache_files: vec!["httpd.conf".into()], ..ImportRequest::default() })
 }
 
 fn mod_jk(text: &[u8], map: &[u8]) -> (Option<NodeList>, Findings) {
     let files = InMemory([("w".to_owned(), text.to_vec()), ("u".to_owned(), map.to_vec())].into());
-    import(&files, &Request { workers: vec!["w".into()], maps: vec!["u".into()], ..Request::default() })
+    import(
+        &files,
+        &ImportRequest {
+            worker_files: vec!["w".into()],
+            uri_map_files: vec!["u".into()],
+            ..ImportRequest::default()
+        },
+    )
 }
 
 fn errors(findings: &Findings) -> Vec<&'static str> {
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -1,7 +1,7 @@
 //! Sample files, each with the list and the findings that are expected of it. `BLESS=1 cargo test` writes what comes
 //! out into the samples: read the difference before it is committed.
 
-use doorcourse_import::{InMemory, Request, import};
+use doorcourse_import::{ImportRequest, InMemory, import};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 #[derive(Clone, Default)]
 struct Sample {
     about: String,
-    request: Request,
+    request: ImportRequest,
     files: InMemory,
     /// What stands before the expectations, as written.
     head: String,
@@ -70,19 +70,19 @@
     sample
 }
 
-fn arguments(body: &str, request: &mut Request) {
+fn arguments(body: &str, request: &mut ImportRequest) {
     for line in body.lines().filter(|l| !l.is_empty()) {
         let (name, value) = line.split_once(' ').unwrap();
         let value = value.to_owned();
         match name {
-            "apache" => request.apache.push(value),
-            "mod-jk" => request.workers.push(value),
-            "map" => request.maps.push(value),
+            "apache" => request.apache_files.push(value),
+            "mod-jk" => request.worker_files.push(value),
+            "map" => request.uri_map_files.push(value),
             "balancer" => request.convert_options.balancer = Some(value),
-            "define" => request.options.defines.push(value),
-            "version" => request.options.version = Some(value),
-            "sections" => request.options.limits.sections = value.parse().unwrap(),
-            "directives" => request.options.limits.directives = value.parse().unwrap(),
+            "define" => request.apache_options.defines.push(value),
+            "version" => request.apache_options.version = Some(value),
+            "sections" => request.apache_options.limits.sections = value.parse().unwrap(),
+            "directives" => request.apache_options.limits.directives = value.parse().unwrap(),
             "host" => {
                 let (name, address) = value.split_once('=').unwrap();
                 request.convert_options.hosts.insert(name.to_owned(), address.parse().unwrap());
