--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -3,7 +3,7 @@
 
 use super::words::{Line, lines, text_of, words};
 use crate::Limits;
-use crate::files::{FileError, Files, SourceLocation, join, matches};
+use crate::files::{FileError, Files, SourceLocation, fnmatch, resolve_path};
 use crate::finding::Findings;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -94,9 +94,9 @@
         directives: 0,
     };
     for file in main {
-        let folder = file.rsplit_once('/').map_or("", |(f, _)| f).to_owned();
+        let directory = file.rsplit_once('/').map_or("", |(f, _)| f).to_owned();
         if reader.root.is_none() {
-            reader.root = Some(folder);
+            reader.root = Some(directory);
         }
         let location = SourceLocation { file: file.as_str().into(), line: 0 };
         if reader.file(file, &location).is_err() {
@@ -319,7 +319,7 @@
     }
 
     fn path(&self, path: &str) -> String {
-        join(self.root.as_deref().unwrap_or(""), path)
+        resolve_path(self.root.as_deref().unwrap_or(""), path)
     }
 
     /// Puts `${NAME}` in where it is defined.
@@ -400,7 +400,7 @@
         let path = self.path(pattern);
         if !path.contains(['*', '?', '[']) {
             if let Some(names) = self.files.list(&path) {
-                return self.folder(&path, names, location);
+                return self.directory(&path, names, location);
             }
             let missing = self.files.read(&path) == Err(FileError::Missing);
             return if optional && missing { Ok(()) } else { self.file(&path, location) };
@@ -409,17 +409,17 @@
         let mut found = vec![if path.starts_with('/') { "/".to_owned() } else { String::new() }];
         for (at, part) in parts.iter().enumerate() {
             let (last, mut next) = (at + 1 == parts.len(), Vec::new());
-            for folder in &found {
+            for directory in &found {
                 if !part.contains(['*', '?', '[']) {
-                    next.push(join_part(folder, part));
+                    next.push(append_component(directory, part));
                     continue;
                 }
-                let mut names = self.files.list(folder).unwrap_or_default();
+                let mut names = self.files.list(directory).unwrap_or_default();
                 names.sort();
                 let fits =
-                    |name: &str| (!name.starts_with('.') || part.starts_with('.')) && matches(part, name);
+                    |name: &str| (!name.starts_with('.') || part.starts_with('.')) && fnmatch(part, name);
                 let fitting = names.into_iter().filter(|(name, is)| (last || *is) && fits(name));
-                next.extend(fitting.map(|(name, _)| join_part(folder, &name)));
+                next.extend(fitting.map(|(name, _)| append_component(directory, &name)));
             }
             found = next;
         }
@@ -431,23 +431,23 @@
         }
         for path in found {
             match self.files.list(&path) {
-                Some(names) => self.folder(&path, names, location)?,
+                Some(names) => self.directory(&path, names, location)?,
                 None => self.file(&path, location)?,
             }
         }
         Ok(())
     }
 
-    fn folder(&mut self, path: &str, mut names: Vec<(String, bool)>, location: &SourceLocation) -> Go {
+    fn directory(&mut self, path: &str, mut names: Vec<(String, bool)>, location: &SourceLocation) -> Go {
         if self.open.len() >= self.options.limits.depth {
             return self.stop("A004", location, format!("{path}: folders nest too deep"));
         }
         names.sort();
         self.open.push(path.to_owned());
-        for (name, is_folder) in names {
-            let inner = join_part(path, &name);
-            let done = match is_folder.then(|| self.files.list(&inner)).flatten() {
-                Some(names) => self.folder(&inner, names, location),
+        for (name, is_directory) in names {
+            let inner = append_component(path, &name);
+            let done = match is_directory.then(|| self.files.list(&inner)).flatten() {
+                Some(names) => self.directory(&inner, names, location),
                 None => self.file(&inner, location),
             };
             done?;
@@ -529,11 +529,11 @@
     }
 }
 
-fn join_part(folder: &str, name: &str) -> String {
-    if folder.is_empty() || folder.ends_with('/') {
-        format!("{folder}{name}")
+fn append_component(directory: &str, name: &str) -> String {
+    if directory.is_empty() || directory.ends_with('/') {
+        format!("{directory}{name}")
     } else {
-        format!("{folder}/{name}")
+        format!("{directory}/{name}")
     }
 }
 
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -40,7 +40,7 @@
     /// When there is none or it cannot be read.
     fn read(&self, path: &str) -> Result<Vec<u8>, FileError>;
     /// The names in a folder, in any order, each with whether it is a folder; `None` where there is no such folder.
-    fn list(&self, folder: &str) -> Option<Vec<(String, bool)>>;
+    fn list(&self, directory: &str) -> Option<Vec<(String, bool)>>;
 }
 
 /// Files held in memory.
@@ -52,14 +52,17 @@
         self.0.get(path).cloned().ok_or(FileError::Missing)
     }
 
-    fn list(&self, folder: &str) -> Option<Vec<(String, bool)>> {
-        let prefix =
-            if folder.is_empty() { String::new() } else { format!("{}/", folder.trim_end_matches('/')) };
+    fn list(&self, directory: &str) -> Option<Vec<(String, bool)>> {
+        let prefix = if directory.is_empty() {
+            String::new()
+        } else {
+            format!("{}/", directory.trim_end_matches('/'))
+        };
         let mut names = BTreeMap::new();
         for path in self.0.keys() {
             let Some(rest) = path.strip_prefix(&prefix) else { continue };
-            let (name, folder) = rest.split_once('/').map_or((rest, false), |(n, _)| (n, true));
-            names.insert(name.to_owned(), folder);
+            let (name, directory) = rest.split_once('/').map_or((rest, false), |(n, _)| (n, true));
+            names.insert(name.to_owned(), directory);
         }
         if names.is_empty() { None } else { Some(names.into_iter().collect()) }
     }
@@ -67,30 +70,30 @@
 
 /// A path beside another: absolute ones as they are.
 #[must_use]
-pub fn join(folder: &str, path: &str) -> String {
-    if path.starts_with('/') || folder.is_empty() || folder == "." {
+pub fn resolve_path(directory: &str, path: &str) -> String {
+    if path.starts_with('/') || directory.is_empty() || directory == "." {
         return path.to_owned();
     }
-    format!("{}/{path}", folder.trim_end_matches('/'))
+    format!("{}/{path}", directory.trim_end_matches('/'))
 }
 
 /// Whether a name matches a pattern with `*`, `?`, `[a-z]`, `[!a]` and `\`, as fnmatch(3) has it. Linear in the name
 /// for each `*`, so that hostile patterns cost no more than name times pattern.
 #[must_use]
-pub fn matches(pattern: &str, name: &str) -> bool {
+pub fn fnmatch(pattern: &str, name: &str) -> bool {
     let (pattern, name): (Vec<char>, Vec<char>) = (pattern.chars().collect(), name.chars().collect());
-    let (mut p, mut n, mut back) = (0, 0, None);
+    let (mut p, mut n, mut backtrack) = (0, 0, None);
     while n < name.len() {
         if pattern.get(p) == Some(&'*') {
-            back = Some((p, n));
+            backtrack = Some((p, n));
             p += 1;
             continue;
         }
-        match one(&pattern[p..], name[n]) {
-            Some(used) => (p, n) = (p + used, n + 1),
-            None => match back {
+        match match_one(&pattern[p..], name[n]) {
+            Some(matched) => (p, n) = (p + matched, n + 1),
+            None => match backtrack {
                 Some((star, from)) => {
-                    back = Some((star, from + 1));
+                    backtrack = Some((star, from + 1));
                     (p, n) = (star + 1, from + 1);
                 }
                 None => return false,
@@ -101,14 +104,14 @@
 }
 
 /// How many characters of the pattern match this one of the name.
-fn one(pattern: &[char], c: char) -> Option<usize> {
+fn match_one(pattern: &[char], c: char) -> Option<usize> {
     match pattern.first()? {
         '?' => Some(1),
         '\\' if pattern.len() > 1 => (pattern[1] == c).then_some(2),
         '[' => {
             let end = pattern.iter().skip(2).position(|p| *p == ']').map(|at| at + 2);
             let Some(end) = end else { return (c == '[').then_some(1) };
-            let (not, set) = match pattern[1] {
+            let (negated, set) = match pattern[1] {
                 '!' | '^' => (true, &pattern[2..end]),
                 _ => (false, &pattern[1..end]),
             };
@@ -122,7 +125,7 @@
                     at += 1;
                 }
             }
-            (found != not).then_some(end + 1)
+            (found != negated).then_some(end + 1)
         }
         p => (*p == c).then_some(1),
     }
@@ -146,9 +149,9 @@
             ("*", "", true),
             ("?", "", false),
         ] {
-            assert_eq!(matches(pattern, name), is, "{pattern} {name}");
+            assert_eq!(fnmatch(pattern, name), is, "{pattern} {name}");
         }
-        assert!(!matches(&"*a".repeat(40), &"b".repeat(4000)), "no exponential time");
+        assert!(!fnmatch(&"*a".repeat(40), &"b".repeat(4000)), "no exponential time");
     }
 
     #[test]
@@ -158,7 +161,7 @@
         assert_eq!(files.list("x/"), Some(vec![("a".into(), false), ("y".into(), true)]));
         assert_eq!(files.list("z"), None);
         assert_eq!(
-            (join("x", "/a"), join("x/", "a"), join("", "a")),
+            (resolve_path("x", "/a"), resolve_path("x/", "a"), resolve_path("", "a")),
             ("/a".into(), "x/a".into(), "a".into())
         );
     }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use convert::{ConvertOptions, Node, NodeList, Role, Routing, convert};
 pub use diff::{Difference, diff};
-pub use files::{FileError, Files, InMemory, SourceLocation, join, matches};
+pub use files::{FileError, Files, InMemory, SourceLocation, fnmatch, resolve_path};
 pub use finding::{CODES, Finding, Findings, Severity, explain};
 pub use model::{Balancer, Member, Model, Mount, Protocol, Value};
 pub use table::{Conversion, PARAMETERS, Parameter, Scope, Source, find_parameter};
