--- a/crates/import/src/apache/words.rs
+++ b/crates/import/src/apache/lexer.rs
@@ -3,7 +3,7 @@
 
 /// A logical line: continued lines joined, white space around it taken off.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Line {
+pub struct LogicalLine {
     /// Its text; neither empty nor a comment.
     pub text: String,
     /// The first line that it stands on, from 1.
@@ -13,7 +13,7 @@
 /// The text of a file's bytes, without a byte-order mark; bytes that are no UTF-8 make it all Latin-1, and the
 /// line of the first of them is told.
 #[must_use]
-pub fn text_of(bytes: &[u8]) -> (String, Option<u32>) {
+pub fn decode_text(bytes: &[u8]) -> (String, Option<u32>) {
     let bytes = bytes.strip_prefix(b"\xef\xbb\xbf").unwrap_or(bytes);
     match std::str::from_utf8(bytes) {
         Ok(text) => (text.to_owned(), None),
@@ -29,38 +29,38 @@
 ///
 /// # Errors
 /// See above.
-pub fn lines(text: &str, most: usize) -> Result<Vec<Line>, u32> {
-    let (mut all, mut held, mut first) = (Vec::new(), String::new(), 0);
-    let mut push = |held: &mut String, number: u32| {
-        let trimmed = held.trim();
+pub fn logical_lines(text: &str, max_bytes: usize) -> Result<Vec<LogicalLine>, u32> {
+    let (mut result, mut pending, mut first) = (Vec::new(), String::new(), 0);
+    let mut push = |pending: &mut String, number: u32| {
+        let trimmed = pending.trim();
         if !trimmed.is_empty() && !trimmed.starts_with('#') {
-            all.push(Line { text: trimmed.to_owned(), number });
+            result.push(LogicalLine { text: trimmed.to_owned(), number });
         }
-        held.clear();
+        pending.clear();
     };
     for (number, line) in (1..).zip(text.split('\n')) {
         let line = line.strip_suffix('\r').unwrap_or(line);
         if first == 0 {
             first = number;
         }
-        let (line, goes_on) = line.strip_suffix('\\').map_or((line, false), |l| (l, true));
-        if held.len() + line.len() > most {
+        let (line, continued) = line.strip_suffix('\\').map_or((line, false), |l| (l, true));
+        if pending.len() + line.len() > max_bytes {
             return Err(number);
         }
-        held.push_str(line);
-        if !goes_on {
-            push(&mut held, first);
+        pending.push_str(line);
+        if !continued {
+            push(&mut pending, first);
             first = 0;
         }
     }
-    push(&mut held, first);
-    Ok(all)
+    push(&mut pending, first);
+    Ok(result)
 }
 
 /// The words of an argument string, and whether quotes were left open (the last word then goes to the end).
 #[must_use]
-pub fn words(text: &str) -> (Vec<String>, bool) {
-    let (mut all, mut open) = (Vec::new(), false);
+pub fn split_arguments(text: &str) -> (Vec<String>, bool) {
+    let (mut result, mut unterminated) = (Vec::new(), false);
     let mut rest = text.trim_start().chars().peekable();
     while let Some(&first) = rest.peek() {
         let quote = if first == '"' || first == '\'' { rest.next() } else { None };
@@ -84,13 +84,13 @@
                 (c, _) => word.push(c),
             }
         }
-        open |= quote.is_some() && !ended;
-        all.push(word);
+        unterminated |= quote.is_some() && !ended;
+        result.push(word);
         while rest.peek().is_some_and(|c| c.is_whitespace()) {
             rest.next();
         }
     }
-    (all, open)
+    (result, unterminated)
 }
 
 #[cfg(test)]
@@ -99,25 +99,25 @@
 
     #[test]
     fn odd_quoting() {
-        let of = |text| words(text).0;
+        let of = |text| split_arguments(text).0;
         assert_eq!(of(r#"a "b c" 'd "e"' f"#), ["a", "b c", "d \"e\"", "f"]);
         assert_eq!(of(r#""a\"b" 'it\'s' c\d e\\f "g\h""#), ["a\"b", "it's", "c\\d", "e\\f", "g\\h"]);
         assert_eq!(of(r#"key="x y""#), ["key=\"x", "y\""], "quotes count at the start of a word alone");
         assert_eq!(of(r#""a"b"#), ["a", "b"]);
-        assert_eq!(words(r#"a "b c"#), (vec!["a".to_owned(), "b c".into()], true));
+        assert_eq!(split_arguments(r#"a "b c"#), (vec!["a".to_owned(), "b c".into()], true));
         assert_eq!(of(r#""" a"#), ["", "a"]);
         assert_eq!(of(""), [""; 0]);
     }
 
     #[test]
     fn continuation_comments_and_odd_bytes() {
-        let of = |text| lines(text, 1000).unwrap();
-        let line = |text: &str, number| Line { text: text.into(), number };
+        let of = |text| logical_lines(text, 1000).unwrap();
+        let line = |text: &str, number| LogicalLine { text: text.into(), number };
         assert_eq!(of("a \\\r\n b\r\nc"), [line("a  b", 1), line("c", 3)]);
         assert_eq!(of("# a \\\nb\nc\\"), [line("c", 3)], "a comment goes on too");
         assert_eq!(of("a\\ \nb"), [line("a\\", 1), line("b", 2)], "white space behind it joins nothing");
-        assert_eq!(lines("ab\\\ncd\\\nef", 5), Err(3));
-        assert_eq!(text_of(b"\xef\xbb\xbfa"), ("a".into(), None));
-        assert_eq!(text_of(b"a\nb\xe4"), ("a\nb\u{e4}".into(), Some(2)));
+        assert_eq!(logical_lines("ab\\\ncd\\\nef", 5), Err(3));
+        assert_eq!(decode_text(b"\xef\xbb\xbfa"), ("a".into(), None));
+        assert_eq!(decode_text(b"a\nb\xe4"), ("a\nb\u{e4}".into(), Some(2)));
     }
 }
--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -1,7 +1,7 @@
 //! Directives in the order in which httpd carries them out: includes followed, macros and variables put in,
 //! conditions decided as far as they can be from files alone.
 
-use super::words::{Line, lines, text_of, words};
+use super::lexer::{LogicalLine, decode_text, logical_lines, split_arguments};
 use crate::Limits;
 use crate::files::{FileError, Files, SourceLocation, fnmatch, resolve_path};
 use crate::finding::Findings;
@@ -49,7 +49,7 @@
 
 struct Macro {
     parameters: Vec<String>,
-    body: Arc<Vec<Line>>,
+    body: Arc<Vec<LogicalLine>>,
     file: Arc<str>,
 }
 
@@ -136,7 +136,7 @@
         if bytes.len() > limits.file_bytes || self.bytes > limits.all_bytes {
             return self.stop("A005", &location, format!("{path}: more bytes than are read"));
         }
-        let (text, odd) = text_of(&bytes);
+        let (text, odd) = decode_text(&bytes);
         if let Some(line) = odd {
             self.findings.add(
                 "A103",
@@ -144,7 +144,7 @@
                 "bytes that are no UTF-8: taken as Latin-1",
             );
         }
-        let body = match lines(&text, limits.line_bytes) {
+        let body = match logical_lines(&text, limits.line_bytes) {
             Ok(body) => body,
             Err(line) => {
                 let most = limits.line_bytes;
@@ -162,7 +162,7 @@
     }
 
     /// The lines of a file or macro. Sections must close where they opened.
-    fn body(&mut self, file: &Arc<str>, body: &[Line]) -> Go {
+    fn body(&mut self, file: &Arc<str>, body: &[LogicalLine]) -> Go {
         let outside = self.sections.len();
         let mut at = 0;
         while at < body.len() {
@@ -215,7 +215,7 @@
     }
 
     fn words(&mut self, text: &str, location: &SourceLocation) -> Vec<String> {
-        let (words, open) = words(text);
+        let (words, open) = split_arguments(text);
         if open {
             self.findings.add(
                 "A003",
@@ -228,7 +228,7 @@
 
     /// A section's first line; gives where to read on.
     fn section(
-        &mut self, file: &Arc<str>, body: &[Line], at: usize, location: &SourceLocation,
+        &mut self, file: &Arc<str>, body: &[LogicalLine], at: usize, location: &SourceLocation,
     ) -> Result<usize, Stop> {
         let text = &body[at - 1].text;
         let Some(inner) = text[1..].rfind('>').map(|end| &text[1..=end]) else {
@@ -260,7 +260,7 @@
 
     /// Past the end of a section that is not read.
     fn skip(
-        &mut self, body: &[Line], mut at: usize, name: &str, location: &SourceLocation,
+        &mut self, body: &[LogicalLine], mut at: usize, name: &str, location: &SourceLocation,
     ) -> Result<usize, Stop> {
         let mut depth = 1;
         while at < body.len() {
@@ -459,7 +459,7 @@
     // ---- Macros ----
 
     fn define_macro(
-        &mut self, file: &Arc<str>, body: &[Line], at: usize, rest: &str, location: &SourceLocation,
+        &mut self, file: &Arc<str>, body: &[LogicalLine], at: usize, rest: &str, location: &SourceLocation,
     ) -> Result<usize, Stop> {
         let mut words = self.words(rest, location).into_iter();
         let Some(name) = words.next().map(|n| n.to_ascii_lowercase()) else {
@@ -520,7 +520,7 @@
             if self.bytes > self.options.limits.all_bytes {
                 return self.stop("A005", &location, "macros spread to more bytes than are read");
             }
-            body.push(Line { text, number: line.number });
+            body.push(LogicalLine { text, number: line.number });
         }
         self.open.push(mark);
         let done = self.body(&file, &body);
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -69,7 +69,7 @@
             return None;
         }
         Ok(bytes) => {
-            let (text, odd) = crate::apache::text_of(&bytes);
+            let (text, odd) = crate::apache::decode_text(&bytes);
             if let Some(line) = odd {
                 findings.add(
                     "A103",
--- a/crates/import/src/jk/properties.rs
+++ b/crates/import/src/jk/properties.rs
@@ -2,7 +2,7 @@
 //! word counts but for lists, whose words are gathered.
 
 use crate::Limits;
-use crate::apache::lines;
+use crate::apache::logical_lines;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
     /// Reads a file's text; `false` after an error, which is told.
     pub fn read(&mut self, path: &str, text: &str, findings: &mut Findings) -> bool {
         let location = |line| SourceLocation { file: path.into(), line };
-        let all = match lines(text, self.limits.line_bytes) {
+        let all = match logical_lines(text, self.limits.line_bytes) {
             Ok(all) => all,
             Err(line) => {
                 findings.add(
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -3,7 +3,7 @@
 
 use super::properties::short;
 use crate::Limits;
-use crate::apache::lines;
+use crate::apache::logical_lines;
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::table::{Conversion, Scope, Source, find_parameter};
@@ -24,7 +24,7 @@
 /// The rules of a file; `None` after an error, which is told.
 pub fn rules(path: &str, text: &str, limits: Limits, findings: &mut Findings) -> Option<Vec<Rule>> {
     let file: std::sync::Arc<str> = path.into();
-    let all = match lines(text, limits.line_bytes) {
+    let all = match logical_lines(text, limits.line_bytes) {
         Ok(all) => all,
         Err(line) => {
             let location = SourceLocation { file, line };
