--- a/crates/import/src/apache/mod.rs
+++ b/crates/import/src/apache/mod.rs
@@ -6,4 +6,4 @@
 
 pub use lexer::{LogicalLine, decode_text, logical_lines, split_arguments};
 pub use proxy::{Jk, Read, import};
-pub use read::{Directive, Options, Section, Sink, read};
+pub use read::{Directive, DirectiveHandler, Options, Section, read};
--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -1,6 +1,6 @@
 //! What the directives of mod_proxy and mod_jk say of balancers.
 
-use super::read::{Directive, Options, Section, Sink, read};
+use super::read::{Directive, DirectiveHandler, Options, Section, read};
 use crate::files::{Files, SourceLocation};
 use crate::finding::Findings;
 use crate::jk;
@@ -32,14 +32,14 @@
 
 /// Reads Apache files, with the mod_jk files that they name.
 pub fn import(files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings) -> Read {
-    let mut sink = Proxy::default();
-    read(files, main, options, findings, &mut sink);
-    let mut model = sink.model;
-    let jk = sink.jk;
+    let mut collector = Proxy::default();
+    read(files, main, options, findings, &mut collector);
+    let mut model = collector.model;
+    let jk = collector.jk;
     if !jk.workers.is_empty() || !jk.properties.is_empty() || !jk.mounts.is_empty() {
         jk::from_apache(files, &jk, options.limits, &mut model, findings);
     }
-    Read { model, others: sink.others }
+    Read { model, others: collector.others }
 }
 
 #[derive(Default)]
@@ -223,7 +223,7 @@
 
 fn within(sections: &[Section]) -> String {
     let one = |s: &Section| {
-        let words: String = s.words.join(" ").chars().take(60).collect();
+        let words: String = s.arguments.join(" ").chars().take(60).collect();
         format!("<{} {words}>", s.name)
     };
     let counts = |s: &&Section| s.name.starts_with("virtualhost") || s.name.starts_with("location");
@@ -233,32 +233,32 @@
 /// The path of the innermost location, for directives that leave theirs out.
 fn innermost_location_path(sections: &[Section]) -> Option<String> {
     let last = sections.iter().rev().find(|s| s.name.starts_with("location"))?;
-    last.words.iter().rfind(|w| *w != "~").cloned()
+    last.arguments.iter().rfind(|w| *w != "~").cloned()
 }
 
-impl Sink for Proxy {
-    fn directive(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings) {
-        let Directive { name, words, location } = directive;
-        let inside = sections.iter().rev().find(|s| s.name == "proxy").and_then(|s| s.words.first());
+impl DirectiveHandler for Proxy {
+    fn handle(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings) {
+        let Directive { name, arguments, location } = directive;
+        let inside = sections.iter().rev().find(|s| s.name == "proxy").and_then(|s| s.arguments.first());
         let inside = inside.and_then(|url| balancer_url(url)).map(|(name, _)| name);
         let needs = |findings: &mut Findings, what: &str| {
             findings.add("B001", location, format!("{name} needs {what}"));
         };
         match name.as_str() {
             "balancermember" => {
-                let outside = words.first().and_then(|w| balancer_url(w)).map(|(n, _)| n);
-                let (set, words) = match (outside, &inside) {
-                    (Some(set), _) => (set, &words[1..]),
-                    (None, Some(set)) => (set.clone(), &words[..]),
+                let outside = arguments.first().and_then(|w| balancer_url(w)).map(|(n, _)| n);
+                let (set, arguments) = match (outside, &inside) {
+                    (Some(set), _) => (set, &arguments[1..]),
+                    (None, Some(set)) => (set.clone(), &arguments[..]),
                     (None, None) => return needs(findings, "a balancer: outside <Proxy> it comes first"),
                 };
-                let Some((url, rest)) = words.split_first() else { return needs(findings, "a URL") };
+                let Some((url, rest)) = arguments.split_first() else { return needs(findings, "a URL") };
                 let set = self.balancer(&set, location);
                 self.member(set, url, rest, location, true, findings);
             }
             "proxyset" => {
-                let url = words.first().filter(|w| w.contains("://") && !w.contains('=')).cloned();
-                let rest = if url.is_some() { &words[1..] } else { &words[..] };
+                let url = arguments.first().filter(|w| w.contains("://") && !w.contains('=')).cloned();
+                let rest = if url.is_some() { &arguments[1..] } else { &arguments[..] };
                 match (url.as_deref().map(|u| (u, balancer_url(u))), &inside) {
                     (Some((_, Some((name, _)))), _) => {
                         let set = self.balancer(&name, location);
@@ -286,17 +286,17 @@
                 }
             }
             "proxypass" | "proxypassmatch" => {
-                let has_path = words.len() > 1 && (words[1] == "!" || words[1].contains("://"));
-                let (path, words) = match (has_path, innermost_location_path(sections)) {
-                    (true, _) => (words[0].clone(), &words[1..]),
-                    (false, Some(path)) => (path, &words[..]),
+                let has_path = arguments.len() > 1 && (arguments[1] == "!" || arguments[1].contains("://"));
+                let (path, arguments) = match (has_path, innermost_location_path(sections)) {
+                    (true, _) => (arguments[0].clone(), &arguments[1..]),
+                    (false, Some(path)) => (path, &arguments[..]),
                     (false, None) => return needs(findings, "a path and a URL"),
                 };
-                let Some((url, rest)) = words.split_first() else { return needs(findings, "a URL") };
+                let Some((url, rest)) = arguments.split_first() else { return needs(findings, "a URL") };
                 self.pass(&path, url, rest, within(sections), location, findings);
             }
-            "header" | "requestheader" if words.iter().any(|w| w.contains("BALANCER_")) => {
-                let cookie = words.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
+            "header" | "requestheader" if arguments.iter().any(|w| w.contains("BALANCER_")) => {
+                let cookie = arguments.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
                 let what = if cookie {
                     "sets the session's cookie from the route: the gateway sets none, the nodes must"
                 } else {
@@ -304,7 +304,7 @@
                 };
                 findings.add("B005", location, format!("{name} {what}"));
             }
-            "rewriterule" if words.iter().any(|w| w.to_ascii_lowercase().contains("balancer://")) => {
+            "rewriterule" if arguments.iter().any(|w| w.to_ascii_lowercase().contains("balancer://")) => {
                 findings.add(
                     "B005",
                     location,
@@ -312,9 +312,9 @@
                 );
             }
             "jkworkersfile" | "jkmountfile" | "jkworkerproperty" => {
-                let Some(text) = words.first() else { return needs(findings, "an argument") };
+                let Some(text) = arguments.first() else { return needs(findings, "an argument") };
                 // A property may hold spaces that are not quoted.
-                let value = Value { text: words.join(" "), location: location.clone() };
+                let value = Value { text: arguments.join(" "), location: location.clone() };
                 match name.as_str() {
                     "jkworkersfile" => self.jk.workers.push(Value { text: text.clone(), ..value }),
                     "jkmountfile" => self.jk.maps.push(Value { text: text.clone(), ..value }),
@@ -322,7 +322,7 @@
                 }
             }
             "jkmount" | "jkunmount" => {
-                let (path, target) = match (&words[..], innermost_location_path(sections)) {
+                let (path, target) = match (&arguments[..], innermost_location_path(sections)) {
                     ([path, target], _) => (path.clone(), target.clone()),
                     ([target], Some(path)) => (path, target.clone()),
                     _ => return needs(findings, "a path and a worker"),
