--- a/crates/import/src/apache/mod.rs
+++ b/crates/import/src/apache/mod.rs
@@ -5,5 +5,5 @@
 mod read;
 
 pub use lexer::{LogicalLine, decode_text, logical_lines, split_arguments};
-pub use proxy::{Jk, Read, import};
+pub use proxy::{HttpdConfig, JkDirectives, import};
 pub use read::{Directive, DirectiveHandler, Options, Section, read};
--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -10,11 +10,11 @@
 
 /// What an Apache configuration says of mod_jk: files to read, and properties and mounts of its own.
 #[derive(Clone, Debug, Default)]
-pub struct Jk {
+pub struct JkDirectives {
     /// JkWorkersFile.
-    pub workers: Vec<Value>,
+    pub worker_files: Vec<Value>,
     /// JkMountFile.
-    pub maps: Vec<Value>,
+    pub uri_map_files: Vec<Value>,
     /// JkWorkerProperty.
     pub properties: Vec<Value>,
     /// JkMount and JkUnMount.
@@ -23,49 +23,49 @@
 
 /// What was read of a configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Read {
+pub struct HttpdConfig {
     /// The balancers of both kinds.
     pub model: Model,
     /// How many directives of other modules there were.
-    pub others: usize,
+    pub other_directives: usize,
 }
 
 /// Reads Apache files, with the mod_jk files that they name.
-pub fn import(files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings) -> Read {
-    let mut collector = Proxy::default();
+pub fn import(files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings) -> HttpdConfig {
+    let mut collector = BalancerCollector::default();
     read(files, main, options, findings, &mut collector);
     let mut model = collector.model;
     let jk = collector.jk;
-    if !jk.workers.is_empty() || !jk.properties.is_empty() || !jk.mounts.is_empty() {
+    if !jk.worker_files.is_empty() || !jk.properties.is_empty() || !jk.mounts.is_empty() {
         jk::from_apache(files, &jk, options.limits, &mut model, findings);
     }
-    Read { model, others: collector.others }
+    HttpdConfig { model, other_directives: collector.other_directives }
 }
 
 #[derive(Default)]
-struct Proxy {
+struct BalancerCollector {
     model: Model,
-    jk: Jk,
-    others: usize,
+    jk: JkDirectives,
+    other_directives: usize,
     /// Places in the model by name: files of many lines must not take quadratic time.
-    balancers: HashMap<String, usize>,
-    members: HashMap<(usize, String), usize>,
+    balancer_indices: HashMap<String, usize>,
+    member_indices: HashMap<(usize, String), usize>,
     /// The balancers that a member's URL is in.
-    urls: HashMap<String, Vec<usize>>,
+    balancers_by_url: HashMap<String, Vec<usize>>,
 }
 
 /// `balancer://name/path` in parts.
-fn balancer_url(url: &str) -> Option<(String, &str)> {
+fn parse_balancer_url(url: &str) -> Option<(String, &str)> {
     let rest = url.get(..11).filter(|s| s.eq_ignore_ascii_case("balancer://")).map(|_| &url[11..])?;
     let (name, path) = rest.split_once('/').map_or((rest, ""), |(n, p)| (n, p));
     Some((name.to_ascii_lowercase(), path))
 }
 
 /// A member's URL in parts; `None` where it is no URL.
-fn member(url: &str, location: &SourceLocation) -> Option<Member> {
+fn parse_member_url(url: &str, location: &SourceLocation) -> Option<Member> {
     let (scheme, rest) = url.split_once("://").or_else(|| url.strip_prefix("unix:").map(|r| ("unix", r)))?;
     let scheme = scheme.to_ascii_lowercase();
-    let (protocol, default) = match scheme.as_str() {
+    let (protocol, default_port) = match scheme.as_str() {
         _ if scheme.starts_with("unix:") => (Protocol::Other("unix".into()), 0),
         "http" | "h2c" | "ws" => (Protocol::Http, 80),
         "https" | "h2" | "wss" => (Protocol::Https, 443),
@@ -81,7 +81,7 @@
         address.rsplit_once(':').map_or((address, None), |(h, p)| (h, Some(p)))
     };
     let port = match port {
-        None => default,
+        None => default_port,
         Some(port) => port.parse().ok().filter(|p| *p > 0)?,
     };
     if host.is_empty() && !matches!(protocol, Protocol::Other(_)) {
@@ -101,32 +101,32 @@
     })
 }
 
-impl Proxy {
-    fn balancer(&mut self, name: &str, location: &SourceLocation) -> usize {
-        let next = self.model.balancers.len();
+impl BalancerCollector {
+    fn balancer_index(&mut self, name: &str, location: &SourceLocation) -> usize {
+        let new_index = self.model.balancers.len();
         let model = &mut self.model;
-        *self.balancers.entry(name.to_owned()).or_insert_with(|| {
+        *self.balancer_indices.entry(name.to_owned()).or_insert_with(|| {
             let (name, members, parameters) = (name.to_owned(), Vec::new(), BTreeMap::new());
             let (location, source) = (location.clone(), Source::Apache);
             model.balancers.push(crate::Balancer { name, members, parameters, location, source });
-            next
+            new_index
         })
     }
 
     /// `key=value` words of a member or balancer. Of the words without `=` ProxyPass knows some by themselves.
-    fn parameters(
-        &mut self, balancer: usize, at: Option<usize>, words: &[String], location: &SourceLocation,
+    fn set_parameters(
+        &mut self, balancer: usize, at: Option<usize>, arguments: &[String], location: &SourceLocation,
         findings: &mut Findings,
     ) {
-        for word in words {
-            let Some((key, text)) = word.split_once('=') else {
-                if !["nocanon", "interpolate", "noquery"].contains(&word.to_ascii_lowercase().as_str()) {
-                    findings.add("B001", location, format!("`{word}` is no key=value"));
+        for argument in arguments {
+            let Some((key, text)) = argument.split_once('=') else {
+                if !["nocanon", "interpolate", "noquery"].contains(&argument.to_ascii_lowercase().as_str()) {
+                    findings.add("B001", location, format!("`{argument}` is no key=value"));
                 }
                 continue;
             };
             let key = key.to_ascii_lowercase();
-            let set = &mut self.model.balancers[balancer];
+            let target = &mut self.model.balancers[balancer];
             let known = |scope| find_parameter(Source::Apache, scope, &key);
             let value = Value { text: text.to_owned(), location: location.clone() };
             match at {
@@ -138,13 +138,13 @@
                             format!("{key}: no parameter of a member by this name"),
                         );
                     } else if key == "status" {
-                        flags(&mut set.members[at].flags, text, location, findings);
+                        parse_status_flags(&mut target.members[at].flags, text, location, findings);
                     } else {
-                        set.members[at].parameters.insert(key, value);
+                        target.members[at].parameters.insert(key, value);
                     }
                 }
                 None if known(Scope::Balancer).is_some() => {
-                    set.parameters.insert(key, value);
+                    target.parameters.insert(key, value);
                 }
                 // Parameters of members that stand on a balancer go for all of its members.
                 None if known(Scope::Member).is_some() => {
@@ -158,56 +158,56 @@
         }
     }
 
-    fn member(
-        &mut self, balancer: usize, url: &str, words: &[String], location: &SourceLocation, defines: bool,
-        findings: &mut Findings,
+    fn add_member(
+        &mut self, balancer: usize, url: &str, arguments: &[String], location: &SourceLocation,
+        is_definition: bool, findings: &mut Findings,
     ) {
-        let Some(new) = member(url, location) else {
+        let Some(member) = parse_member_url(url, location) else {
             return findings.add("C006", location, format!("`{url}` is no URL of a member: left out"));
         };
-        let set = &mut self.model.balancers[balancer];
+        let target = &mut self.model.balancers[balancer];
         let url_key = url.trim_end_matches('/').to_ascii_lowercase();
-        let next = set.members.len();
-        let at = *self.members.entry((balancer, url_key.clone())).or_insert(next);
-        if at == next {
-            self.urls.entry(url_key).or_default().push(balancer);
-            set.members.push(new);
-        } else if defines {
-            let first = &set.members[at].location;
+        let new_index = target.members.len();
+        let at = *self.member_indices.entry((balancer, url_key.clone())).or_insert(new_index);
+        if at == new_index {
+            self.balancers_by_url.entry(url_key).or_default().push(balancer);
+            target.members.push(member);
+        } else if is_definition {
+            let first = &target.members[at].location;
             findings.add(
                 "B006",
                 location,
                 format!("{url} was defined at {first}: what is said here goes before that"),
             );
         }
-        self.parameters(balancer, Some(at), words, location, findings);
+        self.set_parameters(balancer, Some(at), arguments, location, findings);
     }
 
     /// What a path is sent to.
-    fn pass(
-        &mut self, path: &str, url: &str, words: &[String], within: String, location: &SourceLocation,
+    fn add_mount(
+        &mut self, path: &str, url: &str, arguments: &[String], context: String, location: &SourceLocation,
         findings: &mut Findings,
     ) {
         let (path, location) = (path.to_owned(), location.clone());
         if url == "!" {
-            return self.model.mounts.push(Mount { path, target: None, within, location });
+            return self.model.mounts.push(Mount { path, target: None, context, location });
         }
-        let target = match balancer_url(url) {
+        let target = match parse_balancer_url(url) {
             Some((name, _)) => {
-                let at = self.balancer(&name, &location);
-                self.parameters(at, None, words, &location, findings);
+                let at = self.balancer_index(&name, &location);
+                self.set_parameters(at, None, arguments, &location, findings);
                 name
             }
             // A worker of its own: no balancer, so nothing to spread.
             None => url.to_owned(),
         };
-        self.model.mounts.push(Mount { path, target: Some(target), within, location });
+        self.model.mounts.push(Mount { path, target: Some(target), context, location });
     }
 }
 
 /// Status flags: `D`, `+H-D`, `DS`; a sign goes for the letters behind it, as httpd has it for each.
-fn flags(
-    all: &mut Vec<(char, bool, SourceLocation)>, text: &str, location: &SourceLocation,
+fn parse_status_flags(
+    flags: &mut Vec<(char, bool, SourceLocation)>, text: &str, location: &SourceLocation,
     findings: &mut Findings,
 ) {
     let mut set = true;
@@ -215,19 +215,19 @@
         match c.to_ascii_uppercase() {
             '+' => set = true,
             '-' => set = false,
-            c @ ('D' | 'S' | 'I' | 'H' | 'R' | 'E' | 'N' | 'C') => all.push((c, set, location.clone())),
+            c @ ('D' | 'S' | 'I' | 'H' | 'R' | 'E' | 'N' | 'C') => flags.push((c, set, location.clone())),
             c => findings.add("B007", location, format!("status {c}: no flag by this letter")),
         }
     }
 }
 
-fn within(sections: &[Section]) -> String {
+fn context(sections: &[Section]) -> String {
     let one = |s: &Section| {
-        let words: String = s.arguments.join(" ").chars().take(60).collect();
-        format!("<{} {words}>", s.name)
+        let arguments: String = s.arguments.join(" ").chars().take(60).collect();
+        format!("<{} {arguments}>", s.name)
     };
-    let counts = |s: &&Section| s.name.starts_with("virtualhost") || s.name.starts_with("location");
-    sections.iter().filter(counts).map(one).collect::<Vec<_>>().join(" ")
+    let is_context = |s: &&Section| s.name.starts_with("virtualhost") || s.name.starts_with("location");
+    sections.iter().filter(is_context).map(one).collect::<Vec<_>>().join(" ")
 }
 
 /// The path of the innermost location, for directives that leave theirs out.
@@ -236,68 +236,70 @@
     last.arguments.iter().rfind(|w| *w != "~").cloned()
 }
 
-impl DirectiveHandler for Proxy {
+impl DirectiveHandler for BalancerCollector {
     fn handle(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings) {
         let Directive { name, arguments, location } = directive;
-        let inside = sections.iter().rev().find(|s| s.name == "proxy").and_then(|s| s.arguments.first());
-        let inside = inside.and_then(|url| balancer_url(url)).map(|(name, _)| name);
-        let needs = |findings: &mut Findings, what: &str| {
+        let enclosing_balancer =
+            sections.iter().rev().find(|s| s.name == "proxy").and_then(|s| s.arguments.first());
+        let enclosing_balancer =
+            enclosing_balancer.and_then(|url| parse_balancer_url(url)).map(|(name, _)| name);
+        let missing = |findings: &mut Findings, what: &str| {
             findings.add("B001", location, format!("{name} needs {what}"));
         };
         match name.as_str() {
             "balancermember" => {
-                let outside = arguments.first().and_then(|w| balancer_url(w)).map(|(n, _)| n);
-                let (set, arguments) = match (outside, &inside) {
-                    (Some(set), _) => (set, &arguments[1..]),
-                    (None, Some(set)) => (set.clone(), &arguments[..]),
-                    (None, None) => return needs(findings, "a balancer: outside <Proxy> it comes first"),
+                let named_balancer = arguments.first().and_then(|w| parse_balancer_url(w)).map(|(n, _)| n);
+                let (balancer, arguments) = match (named_balancer, &enclosing_balancer) {
+                    (Some(balancer), _) => (balancer, &arguments[1..]),
+                    (None, Some(balancer)) => (balancer.clone(), &arguments[..]),
+                    (None, None) => return missing(findings, "a balancer: outside <Proxy> it comes first"),
                 };
-                let Some((url, rest)) = arguments.split_first() else { return needs(findings, "a URL") };
-                let set = self.balancer(&set, location);
-                self.member(set, url, rest, location, true, findings);
+                let Some((url, rest)) = arguments.split_first() else { return missing(findings, "a URL") };
+                let balancer = self.balancer_index(&balancer, location);
+                self.add_member(balancer, url, rest, location, true, findings);
             }
             "proxyset" => {
                 let url = arguments.first().filter(|w| w.contains("://") && !w.contains('=')).cloned();
                 let rest = if url.is_some() { &arguments[1..] } else { &arguments[..] };
-                match (url.as_deref().map(|u| (u, balancer_url(u))), &inside) {
+                match (url.as_deref().map(|u| (u, parse_balancer_url(u))), &enclosing_balancer) {
                     (Some((_, Some((name, _)))), _) => {
-                        let set = self.balancer(&name, location);
-                        self.parameters(set, None, rest, location, findings);
+                        let balancer = self.balancer_index(&name, location);
+                        self.set_parameters(balancer, None, rest, location, findings);
                     }
                     (None, Some(name)) => {
-                        let set = self.balancer(name, location);
-                        self.parameters(set, None, rest, location, findings);
+                        let balancer = self.balancer_index(name, location);
+                        self.set_parameters(balancer, None, rest, location, findings);
                     }
                     (Some((url, None)), _) => {
                         let key = url.trim_end_matches('/').to_ascii_lowercase();
-                        let of = self.urls.get(&key).cloned().unwrap_or_default();
-                        if of.is_empty() {
+                        let balancers = self.balancers_by_url.get(&key).cloned().unwrap_or_default();
+                        if balancers.is_empty() {
                             findings.add(
                                 "B005",
                                 location,
                                 format!("ProxySet of {url}, which is no member of a balancer"),
                             );
                         }
-                        for set in of {
-                            self.member(set, url, rest, location, false, findings);
+                        for balancer in balancers {
+                            self.add_member(balancer, url, rest, location, false, findings);
                         }
                     }
                     (None, None) => findings.add("B005", location, "ProxySet outside of a balancer"),
                 }
             }
             "proxypass" | "proxypassmatch" => {
-                let has_path = arguments.len() > 1 && (arguments[1] == "!" || arguments[1].contains("://"));
-                let (path, arguments) = match (has_path, innermost_location_path(sections)) {
+                let path_given = arguments.len() > 1 && (arguments[1] == "!" || arguments[1].contains("://"));
+                let (path, arguments) = match (path_given, innermost_location_path(sections)) {
                     (true, _) => (arguments[0].clone(), &arguments[1..]),
                     (false, Some(path)) => (path, &arguments[..]),
-                    (false, None) => return needs(findings, "a path and a URL"),
+                    (false, None) => return missing(findings, "a path and a URL"),
                 };
-                let Some((url, rest)) = arguments.split_first() else { return needs(findings, "a URL") };
-                self.pass(&path, url, rest, within(sections), location, findings);
+                let Some((url, rest)) = arguments.split_first() else { return missing(findings, "a URL") };
+                self.add_mount(&path, url, rest, context(sections), location, findings);
             }
             "header" | "requestheader" if arguments.iter().any(|w| w.contains("BALANCER_")) => {
-                let cookie = arguments.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
-                let what = if cookie {
+                let sets_cookie = arguments.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
+                let what = if sets_cookie {
                     "sets the session's cookie from the route: the gateway sets none, the nodes must"
                 } else {
                     "uses what the balancer chose: the gateway sets no such field"
@@ -312,12 +314,12 @@
                 );
             }
             "jkworkersfile" | "jkmountfile" | "jkworkerproperty" => {
-                let Some(text) = arguments.first() else { return needs(findings, "an argument") };
+                let Some(text) = arguments.first() else { return missing(findings, "an argument") };
                 // A property may hold spaces that are not quoted.
                 let value = Value { text: arguments.join(" "), location: location.clone() };
                 match name.as_str() {
-                    "jkworkersfile" => self.jk.workers.push(Value { text: text.clone(), ..value }),
-                    "jkmountfile" => self.jk.maps.push(Value { text: text.clone(), ..value }),
+                    "jkworkersfile" => self.jk.worker_files.push(Value { text: text.clone(), ..value }),
+                    "jkmountfile" => self.jk.uri_map_files.push(Value { text: text.clone(), ..value }),
                     _ => self.jk.properties.push(value),
                 }
             }
@@ -325,10 +327,10 @@
                 let (path, target) = match (&arguments[..], innermost_location_path(sections)) {
                     ([path, target], _) => (path.clone(), target.clone()),
                     ([target], Some(path)) => (path, target.clone()),
-                    _ => return needs(findings, "a path and a worker"),
+                    _ => return missing(findings, "a path and a worker"),
                 };
                 let target = (name == "jkmount").then_some(target);
-                let mount = Mount { path, target, within: within(sections), location: location.clone() };
+                let mount = Mount { path, target, context: context(sections), location: location.clone() };
                 self.jk.mounts.push(mount);
             }
             _ => {
@@ -345,7 +347,7 @@
                     {
                         findings.add("B005", location, format!("{name}: not known here"));
                     }
-                    None => self.others += 1,
+                    None => self.other_directives += 1,
                 }
             }
         }
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -588,7 +588,7 @@
 
 fn mounts(model: &Model, balancer: &Balancer, hints: &mut Vec<String>, findings: &mut Findings) {
     let path =
-        |m: &Mount| format!("{}{}{}", m.within, if m.within.is_empty() { "" } else { " " }, short(&m.path));
+        |m: &Mount| format!("{}{}{}", m.context, if m.context.is_empty() { "" } else { " " }, short(&m.path));
     let known: HashSet<String> = model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
     let ours: Vec<&Mount> = model
         .mounts
@@ -697,13 +697,13 @@
 }
 
 /// Notes how many directives there were of other modules.
-pub(crate) fn others(read: &apache::Read, file: &str, findings: &mut Findings) {
-    if read.others > 0 {
+pub(crate) fn report_other_directives(config: &apache::HttpdConfig, file: &str, findings: &mut Findings) {
+    if config.other_directives > 0 {
         let location = SourceLocation { file: file.into(), line: 0 };
         findings.add(
             "B009",
             &location,
-            format!("{} directives of other modules: not looked at", read.others),
+            format!("{} directives of other modules: not looked at", config.other_directives),
         );
     }
 }
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -8,7 +8,7 @@
 pub use uris::{Rule, rules};
 
 use crate::Limits;
-use crate::apache::Jk;
+use crate::apache::JkDirectives;
 use crate::files::{FileError, Files, SourceLocation};
 use crate::finding::Findings;
 use crate::model::{Model, Mount};
@@ -37,10 +37,10 @@
 
 /// What httpd's files name and say.
 pub(crate) fn from_apache(
-    files: &dyn Files, jk: &Jk, limits: Limits, model: &mut Model, findings: &mut Findings,
+    files: &dyn Files, jk: &JkDirectives, limits: Limits, model: &mut Model, findings: &mut Findings,
 ) {
     let mut properties = Properties::new(limits);
-    for file in &jk.workers {
+    for file in &jk.worker_files {
         if !read_into(files, &file.text, &file.location, &mut properties, findings) {
             return;
         }
@@ -50,7 +50,7 @@
             return;
         }
     }
-    for file in &jk.maps {
+    for file in &jk.uri_map_files {
         if !map_into(files, &file.text, &file.location, limits, model, findings) {
             return;
         }
@@ -103,7 +103,7 @@
     let mount = |rule: Rule| Mount {
         path: rule.path,
         target: (!rule.excluded).then_some(rule.worker),
-        within: String::new(),
+        context: String::new(),
         location: rule.location,
     };
     model.mounts.extend(rules.into_iter().map(mount));
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -60,9 +60,13 @@
 pub fn import(files: &dyn Files, request: &ImportRequest) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
     let model = if request.worker_files.is_empty() {
-        let read = apache::import(files, &request.apache_files, &request.apache_options, &mut findings);
-        convert::others(&read, request.apache_files.first().map_or("", String::as_str), &mut findings);
-        read.model
+        let config = apache::import(files, &request.apache_files, &request.apache_options, &mut findings);
+        convert::report_other_directives(
+            &config,
+            request.apache_files.first().map_or("", String::as_str),
+            &mut findings,
+        );
+        config.model
     } else {
         jk::import(
             files,
--- a/crates/import/src/model.rs
+++ b/crates/import/src/model.rs
@@ -69,7 +69,7 @@
     /// The balancer or worker; none for an exclusion.
     pub target: Option<String>,
     /// The virtual host or location around it, or nothing.
-    pub within: String,
+    pub context: String,
     /// Where.
     pub location: SourceLocation,
 }
