--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -5,7 +5,7 @@
 mod workers;
 
 pub use properties::{Properties, Property};
-pub use uris::{Rule, rules};
+pub use uris::{UriRule, parse_rules};
 
 use crate::Limits;
 use crate::apache::JkDirectives;
@@ -15,23 +15,24 @@
 
 /// Reads workers.properties files, the later ones over the earlier ones, and uriworkermap files.
 pub fn import(
-    files: &dyn Files, workers: &[String], maps: &[String], limits: Limits, findings: &mut Findings,
+    files: &dyn Files, worker_files: &[String], uri_map_files: &[String], limits: Limits,
+    findings: &mut Findings,
 ) -> Model {
     let mut model = Model::default();
     let mut properties = Properties::new(limits);
-    for path in workers {
+    for path in worker_files {
         let location = SourceLocation { file: path.as_str().into(), line: 0 };
-        if !read_into(files, path, &location, &mut properties, findings) {
+        if !read_properties(files, path, &location, &mut properties, findings) {
             return model;
         }
     }
-    for path in maps {
+    for path in uri_map_files {
         let location = SourceLocation { file: path.as_str().into(), line: 0 };
-        if !map_into(files, path, &location, limits, &mut model, findings) {
+        if !read_uri_map(files, path, &location, limits, &mut model, findings) {
             return model;
         }
     }
-    workers::model(&properties, &mut model, findings);
+    workers::add_balancers(&properties, &mut model, findings);
     model
 }
 
@@ -41,36 +42,36 @@
 ) {
     let mut properties = Properties::new(limits);
     for file in &jk.worker_files {
-        if !read_into(files, &file.text, &file.location, &mut properties, findings) {
+        if !read_properties(files, &file.text, &file.location, &mut properties, findings) {
             return;
         }
     }
     for property in &jk.properties {
-        if !properties.line(&property.text, &property.location, findings) {
+        if !properties.parse(&property.text, &property.location, findings) {
             return;
         }
     }
     for file in &jk.uri_map_files {
-        if !map_into(files, &file.text, &file.location, limits, model, findings) {
+        if !read_uri_map(files, &file.text, &file.location, limits, model, findings) {
             return;
         }
     }
     model.mounts.extend(jk.mounts.iter().cloned());
-    workers::model(&properties, model, findings);
+    workers::add_balancers(&properties, model, findings);
 }
 
-fn bytes(
+fn read_text(
     files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, findings: &mut Findings,
 ) -> Option<String> {
     let location = SourceLocation { file: path.into(), line: 0 };
-    let why = match files.read(path) {
+    let reason = match files.read(path) {
         Ok(bytes) if bytes.len() > limits.file_bytes => {
             findings.add("A005", &location, format!("{path}: more bytes than are read"));
             return None;
         }
         Ok(bytes) => {
-            let (text, odd) = crate::apache::decode_text(&bytes);
-            if let Some(line) = odd {
+            let (text, first_invalid_line) = crate::apache::decode_text(&bytes);
+            if let Some(line) = first_invalid_line {
                 findings.add(
                     "A103",
                     &SourceLocation { line, ..location },
@@ -80,27 +81,27 @@
             return Some(text);
         }
         Err(FileError::Missing) => "there is no such file".to_owned(),
-        Err(FileError::Unreadable(why)) => why,
+        Err(FileError::Unreadable(reason)) => reason,
     };
-    findings.add("A001", from, format!("{path}: {why}"));
+    findings.add("A001", from, format!("{path}: {reason}"));
     None
 }
 
-fn read_into(
+fn read_properties(
     files: &dyn Files, path: &str, from: &SourceLocation, properties: &mut Properties,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = bytes(files, path, from, properties.limits, findings) else { return false };
+    let Some(text) = read_text(files, path, from, properties.limits, findings) else { return false };
     properties.read(path, &text, findings)
 }
 
-fn map_into(
+fn read_uri_map(
     files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, model: &mut Model,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = bytes(files, path, from, limits, findings) else { return false };
-    let Some(rules) = rules(path, &text, limits, findings) else { return false };
-    let mount = |rule: Rule| Mount {
+    let Some(text) = read_text(files, path, from, limits, findings) else { return false };
+    let Some(rules) = parse_rules(path, &text, limits, findings) else { return false };
+    let mount = |rule: UriRule| Mount {
         path: rule.path,
         target: (!rule.excluded).then_some(rule.worker),
         context: String::new(),
--- a/crates/import/src/jk/properties.rs
+++ b/crates/import/src/jk/properties.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 /// Attributes that gather their values.
-const LISTS: [&str; 5] = ["balance_workers", "balanced_workers", "mount", "list", "fail_on_status"];
+const LIST_ATTRIBUTES: [&str; 5] = ["balance_workers", "balanced_workers", "mount", "list", "fail_on_status"];
 
 /// One property.
 #[derive(Clone, Debug, PartialEq)]
@@ -18,14 +18,14 @@
     /// Where it was said last.
     pub location: SourceLocation,
     /// Where it was said first.
-    pub first: SourceLocation,
+    pub first_location: SourceLocation,
 }
 
 /// All properties, in the order in which they were named first.
 #[derive(Debug)]
 pub struct Properties {
-    at: HashMap<String, usize>,
-    all: Vec<(String, Property)>,
+    indices: HashMap<String, usize>,
+    entries: Vec<(String, Property)>,
     bytes: usize,
     pub(crate) limits: Limits,
 }
@@ -34,25 +34,25 @@
     /// None yet.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
-        Self { at: HashMap::new(), all: Vec::new(), bytes: 0, limits }
+        Self { indices: HashMap::new(), entries: Vec::new(), bytes: 0, limits }
     }
 
     /// A property by its whole name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Property> {
-        self.at.get(name).map(|at| &self.all[*at].1)
+        self.indices.get(name).map(|at| &self.entries[*at].1)
     }
 
     /// All of them.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Property)> {
-        self.all.iter().map(|(name, property)| (name.as_str(), property))
+        self.entries.iter().map(|(name, property)| (name.as_str(), property))
     }
 
     /// Reads a file's text; `false` after an error, which is told.
     pub fn read(&mut self, path: &str, text: &str, findings: &mut Findings) -> bool {
         let location = |line| SourceLocation { file: path.into(), line };
-        let all = match logical_lines(text, self.limits.line_bytes) {
-            Ok(all) => all,
+        let lines = match logical_lines(text, self.limits.line_bytes) {
+            Ok(lines) => lines,
             Err(line) => {
                 findings.add(
                     "A005",
@@ -63,75 +63,76 @@
             }
         };
         let file: std::sync::Arc<str> = path.into();
-        all.iter()
-            .all(|l| self.line(&l.text, &SourceLocation { file: file.clone(), line: l.number }, findings))
+        lines
+            .iter()
+            .all(|l| self.parse(&l.text, &SourceLocation { file: file.clone(), line: l.number }, findings))
     }
 
     /// Takes one line; `false` after an error, which is told.
-    pub fn line(&mut self, line: &str, location: &SourceLocation, findings: &mut Findings) -> bool {
+    pub fn parse(&mut self, line: &str, location: &SourceLocation, findings: &mut Findings) -> bool {
         // A comment may stand behind a value too.
         let line = line.split('#').next().unwrap_or("").trim();
         let Some((name, value)) = line.split_once('=') else {
             if !line.is_empty() {
-                findings.add("J005", location, format!("`{}` is no name=value", short(line)));
+                findings.add("J005", location, format!("`{}` is no name=value", clip(line)));
             }
             return true;
         };
-        let (name, value) = (name.trim().to_owned(), self.put_in(value.trim(), location, findings));
+        let (name, value) = (name.trim().to_owned(), self.expand_macros(value.trim(), location, findings));
         self.bytes += name.len() + value.len();
         if self.bytes > self.limits.all_bytes || value.len() > self.limits.line_bytes {
             findings.add("A005", location, "macros make more of these lines than is read");
             return false;
         }
-        let next = self.all.len();
-        let at = *self.at.entry(name.clone()).or_insert(next);
-        let new = Property { text: value, location: location.clone(), first: location.clone() };
-        if at == next {
-            self.all.push((name, new));
+        let new_index = self.entries.len();
+        let at = *self.indices.entry(name.clone()).or_insert(new_index);
+        let property = Property { text: value, location: location.clone(), first_location: location.clone() };
+        if at == new_index {
+            self.entries.push((name, property));
             return true;
         }
         let attribute = name.rsplit('.').next().unwrap_or("");
-        let known = &mut self.all[at].1;
-        if LISTS.contains(&attribute) {
-            known.text.push(',');
-            known.text.push_str(&new.text);
-            known.location = new.location;
+        let existing = &mut self.entries[at].1;
+        if LIST_ATTRIBUTES.contains(&attribute) {
+            existing.text.push(',');
+            existing.text.push_str(&property.text);
+            existing.location = property.location;
         } else {
-            if known.text != new.text {
+            if existing.text != property.text {
                 let text =
-                    format!("{name} was said at {}: what is said here goes before that", known.location);
+                    format!("{name} was said at {}: what is said here goes before that", existing.location);
                 findings.add("B006", location, text);
             }
-            (known.text, known.location) = (new.text, new.location);
+            (existing.text, existing.location) = (property.text, property.location);
         }
-        known_length(&self.all[at].1, self.limits, location, findings)
+        check_list_length(&self.entries[at].1, self.limits, location, findings)
     }
 
     /// `$(name)` stands for the property of that name as it is by now.
-    fn put_in(&self, value: &str, location: &SourceLocation, findings: &mut Findings) -> String {
-        let mut done = String::new();
+    fn expand_macros(&self, value: &str, location: &SourceLocation, findings: &mut Findings) -> String {
+        let mut expanded = String::new();
         let mut rest = value;
         while let Some(at) = rest.find("$(") {
             let Some(end) = rest[at..].find(')').map(|e| e + at) else { break };
-            done.push_str(&rest[..at]);
+            expanded.push_str(&rest[..at]);
             let name = &rest[at + 2..end];
             match self.get(name) {
-                Some(property) => done.push_str(&property.text),
+                Some(property) => expanded.push_str(&property.text),
                 None => {
                     findings.add("J007", location, format!("$({name}) is not defined: it stands for nothing"))
                 }
             }
             rest = &rest[end + 1..];
-            if done.len() > self.limits.line_bytes {
-                return done;
+            if expanded.len() > self.limits.line_bytes {
+                return expanded;
             }
         }
-        done.push_str(rest);
-        done
+        expanded.push_str(rest);
+        expanded
     }
 }
 
-fn known_length(
+fn check_list_length(
     property: &Property, limits: Limits, location: &SourceLocation, findings: &mut Findings,
 ) -> bool {
     if property.text.len() > limits.line_bytes {
@@ -141,7 +142,7 @@
     true
 }
 
-pub(super) fn short(text: &str) -> String {
+pub(super) fn clip(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).take(60).collect()
 }
 
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -1,7 +1,7 @@
 //! `uriworkermap.properties` (common/jk_uri_worker_map.c): `/path=worker`, exclusions by `!`, `/path|/*` for the path
 //! and all below it, extensions behind `;`.
 
-use super::properties::short;
+use super::properties::clip;
 use crate::Limits;
 use crate::apache::logical_lines;
 use crate::files::SourceLocation;
@@ -10,7 +10,7 @@
 
 /// One rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rule {
+pub struct UriRule {
     /// Path or pattern.
     pub path: String,
     /// The worker's name.
@@ -22,10 +22,10 @@
 }
 
 /// The rules of a file; `None` after an error, which is told.
-pub fn rules(path: &str, text: &str, limits: Limits, findings: &mut Findings) -> Option<Vec<Rule>> {
+pub fn parse_rules(path: &str, text: &str, limits: Limits, findings: &mut Findings) -> Option<Vec<UriRule>> {
     let file: std::sync::Arc<str> = path.into();
-    let all = match logical_lines(text, limits.line_bytes) {
-        Ok(all) => all,
+    let lines = match logical_lines(text, limits.line_bytes) {
+        Ok(lines) => lines,
         Err(line) => {
             let location = SourceLocation { file, line };
             findings.add("A005", &location, format!("a line of more than {} bytes", limits.line_bytes));
@@ -33,41 +33,42 @@
         }
     };
     let mut rules = Vec::new();
-    for line in all {
+    for line in lines {
         let location = SourceLocation { file: file.clone(), line: line.number };
-        let Some((left, right)) = line.text.split_once('=') else {
-            findings.add("J005", &location, format!("`{}` is no path=worker", short(&line.text)));
+        let Some((pattern, target)) = line.text.split_once('=') else {
+            findings.add("J005", &location, format!("`{}` is no path=worker", clip(&line.text)));
             continue;
         };
-        let mut right = right.split(';').map(str::trim);
-        let worker = right.next().unwrap_or("").to_owned();
-        for extension in right.filter(|e| !e.is_empty()) {
+        let mut target = target.split(';').map(str::trim);
+        let worker = target.next().unwrap_or("").to_owned();
+        for extension in target.filter(|e| !e.is_empty()) {
             let name = extension.split('=').next().unwrap_or("").trim().to_ascii_lowercase();
             match find_parameter(Source::ModJk, Scope::Rule, &name) {
                 Some(row) if row.conversion == Conversion::LeftOut => {
                     findings.add("B003", &location, format!("{name}: {}", row.note))
                 }
                 Some(row) => findings.add("B004", &location, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &location, format!("{}: no extension of a rule", short(&name))),
+                None => findings.add("B002", &location, format!("{}: no extension of a rule", clip(&name))),
             }
         }
-        let left = left.trim();
-        let (excluded, left) = left.strip_prefix('!').map_or((false, left), |l| (true, l.trim()));
+        let pattern = pattern.trim();
+        let (excluded, pattern) = pattern.strip_prefix('!').map_or((false, pattern), |l| (true, l.trim()));
         // A minus was once a rule switched off.
-        let (off, left) = left.strip_prefix('-').map_or((false, left), |l| (true, l.trim()));
-        if left.is_empty() || worker.is_empty() || !left.starts_with(['/', '*', '.']) || off {
-            let text = if off { "is switched off" } else { "is no rule: /path=worker is wanted" };
-            findings.add("J005", &location, format!("`{}` {text}", short(&line.text)));
+        let (disabled, pattern) = pattern.strip_prefix('-').map_or((false, pattern), |l| (true, l.trim()));
+        if pattern.is_empty() || worker.is_empty() || !pattern.starts_with(['/', '*', '.']) || disabled {
+            let text = if disabled { "is switched off" } else { "is no rule: /path=worker is wanted" };
+            findings.add("J005", &location, format!("`{}` {text}", clip(&line.text)));
             continue;
         }
-        let rule = |path: String| Rule { path, worker: worker.clone(), excluded, location: location.clone() };
-        match left.split_once('|') {
+        let rule =
+            |path: String| UriRule { path, worker: worker.clone(), excluded, location: location.clone() };
+        match pattern.split_once('|') {
             Some((path, below)) => {
                 rules.push(rule(path.to_owned()));
                 let below = if below.starts_with(path) { below.to_owned() } else { format!("{path}{below}") };
                 rules.push(rule(below));
             }
-            None => rules.push(rule(left.to_owned())),
+            None => rules.push(rule(pattern.to_owned())),
         }
     }
     Some(rules)
@@ -81,8 +82,8 @@
     fn rules_of_a_map() {
         let mut findings = Findings::default();
         let text = "/a=w\n/b|/*=w\n/c|/c/*=w\n!/a/*.gif = w\n-/off=w\nnothing\n/x=w;reply_timeout=5;nonsense=1\n*.jsp=*\n";
-        let all = rules("u", text, Limits::default(), &mut findings).unwrap();
-        let shown: Vec<(&str, bool)> = all.iter().map(|r| (r.path.as_str(), r.excluded)).collect();
+        let rules = parse_rules("u", text, Limits::default(), &mut findings).unwrap();
+        let shown: Vec<(&str, bool)> = rules.iter().map(|r| (r.path.as_str(), r.excluded)).collect();
         let wanted = [("/a", false), ("/b", false), ("/b/*", false), ("/c", false), ("/c/*", false)];
         assert_eq!(shown[..5], wanted);
         assert_eq!(shown[5..], [("/a/*.gif", true), ("/x", false), ("*.jsp", false)]);
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -1,6 +1,6 @@
 //! From properties to workers: references followed, balancers filled.
 
-use super::properties::{Properties, Property, short};
+use super::properties::{Properties, Property, clip};
 use crate::files::SourceLocation;
 use crate::finding::Findings;
 use crate::model::{Balancer, Member, Model, Protocol, Value};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Longer chains of references, and balancers within balancers, are taken for circles.
-const CHAIN: usize = 64;
+const MAX_REFERENCE_DEPTH: usize = 64;
 
 type Attributes<'a> = BTreeMap<&'a str, &'a Property>;
 
@@ -18,16 +18,16 @@
     /// In the order in which they were named first.
     order: Vec<&'a str>,
     /// Where that was.
-    begins: HashMap<&'a str, &'a SourceLocation>,
+    origins: HashMap<&'a str, &'a SourceLocation>,
 }
 
 /// Names in a list: commas and white space part them.
-fn names(text: &str) -> impl Iterator<Item = &str> {
+fn split_names(text: &str) -> impl Iterator<Item = &str> {
     text.split([',', ' ', '\t']).filter(|n| !n.is_empty())
 }
 
-pub(super) fn model(properties: &Properties, model: &mut Model, findings: &mut Findings) {
-    let mut workers = Workers { own: HashMap::new(), order: Vec::new(), begins: HashMap::new() };
+pub(super) fn add_balancers(properties: &Properties, model: &mut Model, findings: &mut Findings) {
+    let mut workers = Workers { own: HashMap::new(), order: Vec::new(), origins: HashMap::new() };
     for (name, property) in properties.iter() {
         let Some(rest) = name.strip_prefix("worker.") else {
             // Anything else is there for macros, or is told to nobody.
@@ -35,7 +35,7 @@
                 findings.add(
                     "J005",
                     &property.location,
-                    format!("{}: neither a worker's property nor a macro", short(name)),
+                    format!("{}: neither a worker's property nor a macro", clip(name)),
                 );
             }
             continue;
@@ -44,7 +44,7 @@
             Some((worker, attribute)) => {
                 let own = workers.own.entry(worker).or_insert_with(|| {
                     workers.order.push(worker);
-                    workers.begins.insert(worker, &property.first);
+                    workers.origins.insert(worker, &property.first_location);
                     BTreeMap::new()
                 });
                 own.insert(attribute, property);
@@ -52,41 +52,41 @@
             None if rest == "list" => {}
             None => match find_parameter(Source::ModJk, Scope::Directive, name) {
                 Some(row) => findings.add("B005", &property.location, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &property.location, format!("{}: not known here", short(name))),
+                None => findings.add("B002", &property.location, format!("{}: not known here", clip(name))),
             },
         }
     }
-    let listed = properties.get("worker.list");
-    let mut reached: HashSet<&str> = HashSet::new();
-    if let Some(listed) = listed {
-        for name in names(&listed.text) {
+    let worker_list = properties.get("worker.list");
+    let mut listed_names: HashSet<&str> = HashSet::new();
+    if let Some(worker_list) = worker_list {
+        for name in split_names(&worker_list.text) {
             if !workers.own.contains_key(name) && name != "status" {
                 findings.add(
                     "J001",
-                    &listed.location,
+                    &worker_list.location,
                     format!("worker.list names {name}, of which nothing is said"),
                 );
             }
-            reached.insert(name);
+            listed_names.insert(name);
         }
     }
     let mut attributes: HashMap<&str, Attributes> = HashMap::new();
     for name in &workers.order {
-        match workers.whole(name, findings) {
-            Some(whole) => drop(attributes.insert(name, whole)),
+        match workers.resolve_references(name, findings) {
+            Some(resolved) => drop(attributes.insert(name, resolved)),
             None => return,
         }
     }
     let worker_type =
         |name: &str| attributes.get(name).and_then(|a| a.get("type")).map_or("ajp13", |p| p.text.as_str());
-    let mut within: HashSet<&str> = HashSet::new();
+    let mut balanced: HashSet<&str> = HashSet::new();
     for name in &workers.order {
-        let whole = &attributes[name];
-        let location = workers.begins[name].clone();
+        let resolved = &attributes[name];
+        let location = workers.origins[name].clone();
         match worker_type(name).to_ascii_lowercase().as_str() {
             "lb" => {
                 let mut members = Vec::new();
-                let Some(lists) = workers.members(
+                let Some(lists) = workers.collect_members(
                     name,
                     &attributes,
                     &mut Vec::new(),
@@ -96,11 +96,11 @@
                 ) else {
                     return;
                 };
-                within.extend(&members);
+                balanced.extend(&members);
                 let mut parameters = BTreeMap::new();
-                for (attribute, property) in whole {
+                for (attribute, property) in resolved {
                     if find_parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
-                        let text = format!("{}: no parameter of a balancer", short(attribute));
+                        let text = format!("{}: no parameter of a balancer", clip(attribute));
                         findings.add("B002", &property.location, text);
                     } else if *attribute != "type" && *attribute != "reference" {
                         let value =
@@ -111,12 +111,12 @@
                 if lists == 0 {
                     findings.add("B008", &location, format!("balancer {name} has no members"));
                 }
-                if listed.is_some() && !reached.contains(name) {
+                if worker_list.is_some() && !listed_names.contains(name) {
                     findings.add("J004", &location, format!("worker.list does not name {name}"));
                 }
                 let members = members
                     .iter()
-                    .filter_map(|m| member(m, &attributes[m], workers.begins[m].clone(), findings))
+                    .filter_map(|m| build_member(m, &attributes[m], workers.origins[m].clone(), findings))
                     .collect();
                 let (name, source) = ((*name).to_owned(), Source::ModJk);
                 model.balancers.push(Balancer { name, members, parameters, location, source });
@@ -126,19 +126,18 @@
                 let text = format!("status worker {name}: `doorcourse ctl` shows and drains nodes");
                 findings.add("J003", &location, text);
             }
-            other => findings.add(
-                "J003",
-                &location,
-                format!("worker {name} is of type {}: left out", short(other)),
-            ),
+            other => {
+                findings.add("J003", &location, format!("worker {name} is of type {}: left out", clip(other)))
+            }
         }
     }
     // A worker that requests reach by itself is a balancer of one.
-    let alone = workers.order.iter().filter(|n| reached.contains(**n) && worker_type(n).starts_with("ajp"));
-    for name in alone.filter(|n| !within.contains(**n)) {
-        let whole = &attributes[name];
-        let location = workers.begins[name].clone();
-        let members = member(name, whole, location.clone(), findings).into_iter().collect();
+    let standalone =
+        workers.order.iter().filter(|n| listed_names.contains(**n) && worker_type(n).starts_with("ajp"));
+    for name in standalone.filter(|n| !balanced.contains(**n)) {
+        let resolved = &attributes[name];
+        let location = workers.origins[name].clone();
+        let members = build_member(name, resolved, location.clone(), findings).into_iter().collect();
         let (name, source, parameters) = ((*name).to_owned(), Source::ModJk, BTreeMap::new());
         model.balancers.push(Balancer { name, members, parameters, location, source });
     }
@@ -146,13 +145,13 @@
 
 impl<'a> Workers<'a> {
     /// What is said of a worker and of those that it refers to, its own word first.
-    fn whole(&self, name: &str, findings: &mut Findings) -> Option<Attributes<'a>> {
-        let mut whole = self.own.get(name)?.clone();
+    fn resolve_references(&self, name: &str, findings: &mut Findings) -> Option<Attributes<'a>> {
+        let mut resolved = self.own.get(name)?.clone();
         let mut seen = vec![name];
-        let mut next = whole.get("reference").copied();
+        let mut next = resolved.get("reference").copied();
         while let Some(reference) = next {
             let target = reference.text.strip_prefix("worker.").unwrap_or(&reference.text);
-            if seen.contains(&target) || seen.len() > CHAIN {
+            if seen.contains(&target) || seen.len() > MAX_REFERENCE_DEPTH {
                 let chain = seen.join(" -> ");
                 findings.add(
                     "J002",
@@ -162,42 +161,44 @@
                 return None;
             }
             let Some(of) = self.own.get(target) else {
-                let text = format!("reference to {}, of which nothing is said", short(target));
+                let text = format!("reference to {}, of which nothing is said", clip(target));
                 findings.add("J001", &reference.location, text);
                 return None;
             };
             seen.push(target);
             next = of.get("reference").copied();
             for (attribute, property) in of {
-                whole.entry(attribute).or_insert(property);
+                resolved.entry(attribute).or_insert(property);
             }
         }
-        Some(whole)
+        Some(resolved)
     }
 
     /// The members of a balancer, those of balancers within it taken in; gives how many lists it has.
-    fn members(
-        &self, name: &str, attributes: &HashMap<&'a str, Attributes<'a>>, open: &mut Vec<String>,
-        done: &mut HashSet<&'a str>, members: &mut Vec<&'a str>, findings: &mut Findings,
+    fn collect_members(
+        &self, name: &str, attributes: &HashMap<&'a str, Attributes<'a>>, open_balancers: &mut Vec<String>,
+        expanded: &mut HashSet<&'a str>, members: &mut Vec<&'a str>, findings: &mut Findings,
     ) -> Option<usize> {
-        let whole = &attributes[name];
+        let resolved = &attributes[name];
         let lists: Vec<&&Property> =
-            ["balance_workers", "balanced_workers"].iter().filter_map(|l| whole.get(l)).collect();
-        let mut had: HashSet<&str> = members.iter().copied().collect();
-        open.push(name.to_owned());
+            ["balance_workers", "balanced_workers"].iter().filter_map(|l| resolved.get(l)).collect();
+        let mut seen_members: HashSet<&str> = members.iter().copied().collect();
+        open_balancers.push(name.to_owned());
         for list in &lists {
-            if whole.get("balanced_workers").is_some_and(|l| l.location == list.location) {
+            if resolved.get("balanced_workers").is_some_and(|l| l.location == list.location) {
                 findings.add("J006", &list.location, "balanced_workers is balance_workers now");
             }
-            for member in names(&list.text) {
+            for member in split_names(&list.text) {
                 let Some((known, of)) = attributes.get_key_value(member) else {
-                    let text = format!("balancer {name} names {}, of which nothing is said", short(member));
+                    let text = format!("balancer {name} names {}, of which nothing is said", clip(member));
                     findings.add("J001", &list.location, text);
                     return None;
                 };
                 if of.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
-                    if open.iter().any(|o| o == member) || open.len() > CHAIN {
-                        let text = format!("balancers go round: {} -> {member}", open.join(" -> "));
+                    if open_balancers.iter().any(|o| o == member)
+                        || open_balancers.len() > MAX_REFERENCE_DEPTH
+                    {
+                        let text = format!("balancers go round: {} -> {member}", open_balancers.join(" -> "));
                         findings.add("J002", &list.location, text);
                         return None;
                     }
@@ -206,59 +207,62 @@
                     );
                     findings.add("J008", &list.location, text);
                     // Each once: balancers that hold each other twice would double at each step.
-                    if done.insert(known) {
-                        self.members(member, attributes, open, done, members, findings)?;
-                        had.extend(members.iter());
+                    if expanded.insert(known) {
+                        self.collect_members(
+                            member,
+                            attributes,
+                            open_balancers,
+                            expanded,
+                            members,
+                            findings,
+                        )?;
+                        seen_members.extend(members.iter());
                     }
-                } else if had.insert(known) {
+                } else if seen_members.insert(known) {
                     members.push(known);
                 } else {
                     findings.add("B006", &list.location, format!("balancer {name} names {member} twice"));
                 }
             }
         }
-        open.pop();
+        open_balancers.pop();
         Some(lists.len())
     }
 }
 
-fn member(
-    name: &str, whole: &Attributes, location: SourceLocation, findings: &mut Findings,
+fn build_member(
+    name: &str, resolved: &Attributes, location: SourceLocation, findings: &mut Findings,
 ) -> Option<Member> {
-    let of = |attribute: &str| whole.get(attribute).map(|p| p.text.as_str());
+    let of = |attribute: &str| resolved.get(attribute).map(|p| p.text.as_str());
     let worker_type = of("type").unwrap_or("ajp13").to_ascii_lowercase();
     if !worker_type.starts_with("ajp") {
-        findings.add(
-            "J003",
-            &location,
-            format!("member {name} is of type {}: left out", short(&worker_type)),
-        );
+        findings.add("J003", &location, format!("member {name} is of type {}: left out", clip(&worker_type)));
         return None;
     }
     let host = of("host").unwrap_or("localhost").to_ascii_lowercase();
-    let usual = if worker_type == "ajp14" { 8011 } else { 8009 };
+    let default_port = if worker_type == "ajp14" { 8011 } else { 8009 };
     let port = match of("port").map(str::parse::<u16>) {
-        None => usual,
+        None => default_port,
         Some(Ok(port)) if port > 0 => port,
         Some(_) => {
-            let at = &whole["port"].location;
+            let at = &resolved["port"].location;
             findings.add(
                 "C006",
                 at,
-                format!("worker {name}: `{}` is no port: left out", short(&whole["port"].text)),
+                format!("worker {name}: `{}` is no port: left out", clip(&resolved["port"].text)),
             );
             return None;
         }
     };
     let mut parameters = BTreeMap::new();
-    for (attribute, property) in whole {
+    for (attribute, property) in resolved {
         match find_parameter(Source::ModJk, Scope::Member, attribute) {
             Some(_) => {
                 let value = Value { text: property.text.clone(), location: property.location.clone() };
                 parameters.insert((*attribute).to_owned(), value);
             }
             None => {
-                let text = format!("{}: no parameter of a worker", short(attribute));
+                let text = format!("{}: no parameter of a worker", clip(attribute));
                 findings.add("B002", &property.location, text);
             }
         }
