--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -105,55 +105,59 @@
 pub fn convert(
     model: &Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<NodeList> {
-    let balancer = choose(model, main, options, findings)?;
+    let balancer = select_balancer(model, main, options, findings)?;
     let mut node_list = NodeList {
         balancer: balancer.name.clone(),
         location: balancer.location.clone(),
         nodes: Vec::new(),
-        routing: routing(balancer, findings),
+        routing: convert_routing(balancer, findings),
         hints: Vec::new(),
     };
     let sticky = !node_list.routing.cookie.is_empty() || !node_list.routing.parameter.is_empty();
     for member in &balancer.members {
         report_unconverted(balancer.source, Scope::Member, &member.parameters, findings);
-        node_list.nodes.extend(node(balancer, member, sticky, options, findings));
+        node_list.nodes.extend(convert_member(balancer, member, sticky, options, findings));
     }
     report_unconverted(balancer.source, Scope::Balancer, &balancer.parameters, findings);
-    twice(&mut node_list.nodes, findings);
-    names(&mut node_list.nodes);
-    redirects(balancer, &mut node_list.nodes, findings);
-    node_list.hints = hints(balancer, findings);
-    mounts(model, balancer, &mut node_list.hints, findings);
+    remove_duplicate_addresses(&mut node_list.nodes, findings);
+    assign_names(&mut node_list.nodes);
+    resolve_redirects(balancer, &mut node_list.nodes, findings);
+    node_list.hints = settings_hints(balancer, findings);
+    report_mounts(model, balancer, &mut node_list.hints, findings);
     let key = |n: &Node| (n.priority_level, n.role, n.name.clone());
     node_list.nodes.sort_by_cached_key(key);
     Some(node_list)
 }
 
-fn choose<'a>(
+fn select_balancer<'a>(
     model: &'a Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<&'a Balancer> {
     // Errors of the readers come first: what they left is not the whole of it.
     if findings.any(crate::Severity::Error) {
         return None;
     }
-    let whole = SourceLocation { file: main.into(), line: 0 };
+    let first_file = SourceLocation { file: main.into(), line: 0 };
     let known = || {
         let names: Vec<&str> = model.balancers.iter().map(|b| b.name.as_str()).take(20).collect();
         names.join(", ")
     };
-    let filled: Vec<&Balancer> = model.balancers.iter().filter(|b| !b.members.is_empty()).collect();
-    let chosen = match (&options.balancer, &filled[..]) {
+    let candidates: Vec<&Balancer> = model.balancers.iter().filter(|b| !b.members.is_empty()).collect();
+    let chosen = match (&options.balancer, &candidates[..]) {
         (Some(name), _) => {
             let name = name.to_ascii_lowercase();
             let name = name.strip_prefix("balancer://").unwrap_or(&name);
             let found = model.balancers.iter().find(|b| b.name.eq_ignore_ascii_case(name));
             if found.is_none() {
-                findings.add("C002", &whole, format!("there is no balancer {name}; there are: {}", known()));
+                findings.add(
+                    "C002",
+                    &first_file,
+                    format!("there is no balancer {name}; there are: {}", known()),
+                );
             }
             found?
         }
         (None, []) => {
-            let location = model.balancers.first().map_or(&whole, |b| &b.location);
+            let location = model.balancers.first().map_or(&first_file, |b| &b.location);
             findings.add("C002", location, "there is no balancer with members in these files");
             return None;
         }
@@ -182,7 +186,7 @@
 }
 
 /// What is read below for its value; all else is told by the table.
-const READ: [&str; 23] = [
+const HANDLED_PARAMETERS: [&str; 23] = [
     "loadfactor",
     "lbset",
     "route",
@@ -213,9 +217,9 @@
 ) {
     for (name, value) in parameters {
         let Some(row) = find_parameter(source, scope, name) else { continue };
-        let text = || format!("{name}={}: {}", short(&value.text), row.note);
+        let text = || format!("{name}={}: {}", clip(&value.text), row.note);
         match row.conversion {
-            _ if READ.contains(&name.as_str())
+            _ if HANDLED_PARAMETERS.contains(&name.as_str())
                 || ["type", "retries", "lb_retries"].contains(&name.as_str()) => {}
             Conversion::Carried => {}
             Conversion::Approximated => findings.add("B004", &value.location, text()),
@@ -224,20 +228,20 @@
     }
 }
 
-fn short(text: &str) -> String {
+fn clip(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).take(60).collect()
 }
 
 /// A figure within a range; one that cannot be read is told and left out.
-fn figure(
+fn parse_number(
     name: &str, value: Option<&Value>, range: std::ops::RangeInclusive<f64>, findings: &mut Findings,
 ) -> Option<f64> {
     let value = value?;
     match value.text.trim().parse::<f64>() {
-        Ok(figure) if range.contains(&figure) => Some(figure),
+        Ok(number) if range.contains(&number) => Some(number),
         _ => {
             let (low, high) = (range.start(), range.end());
-            let text = format!("{name}={}: a number from {low} to {high} is wanted", short(&value.text));
+            let text = format!("{name}={}: a number from {low} to {high} is wanted", clip(&value.text));
             findings.add("B001", &value.location, text);
             None
         }
@@ -245,14 +249,14 @@
 }
 
 /// A name that the settings take; one that they do not is told and left out.
-fn label(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<String> {
+fn parse_name(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<String> {
     let value = value?;
     let text = value.text.trim();
     if text.contains(|c: char| c.is_whitespace() || c.is_control()) {
         findings.add(
             "B001",
             &value.location,
-            format!("{name}=`{}`: a name without white space is wanted", short(text)),
+            format!("{name}=`{}`: a name without white space is wanted", clip(text)),
         );
         return None;
     }
@@ -260,7 +264,7 @@
 }
 
 /// On and off, as httpd (On, Off) and mod_jk (true, t, yes, y, on, 1 ...) have them.
-fn flag(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<bool> {
+fn parse_flag(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<bool> {
     let value = value?;
     match value.text.trim().to_ascii_lowercase().as_str() {
         "on" | "true" | "t" | "yes" | "y" | "1" => Some(true),
@@ -269,16 +273,16 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("{name}={}: on or off is wanted", short(&value.text)),
+                format!("{name}={}: on or off is wanted", clip(&value.text)),
             );
             None
         }
     }
 }
 
-fn routing(balancer: &Balancer, findings: &mut Findings) -> Routing {
+fn convert_routing(balancer: &Balancer, findings: &mut Findings) -> Routing {
     let of = |name: &str| balancer.parameters.get(name);
-    let mut about = |value: &Value, text: &str| findings.add("B004", &value.location, text);
+    let mut approximate = |value: &Value, text: &str| findings.add("B004", &value.location, text);
     let (method, known) = match balancer.source {
         Source::Apache => (of("lbmethod"), ["byrequests", "bybusyness", "bytraffic", "heartbeat"]),
         Source::ModJk => (of("method"), ["r", "b", "t", "s"]),
@@ -287,36 +291,35 @@
         None => "REQUESTS",
         Some((value, text)) => {
             // mod_jk tells methods by their first letter, httpd by the whole name.
-            let of_jk: String = text.chars().take(1).collect();
-            let text = if balancer.source == Source::ModJk { of_jk } else { text };
+            let initial: String = text.chars().take(1).collect();
+            let text = if balancer.source == Source::ModJk { initial } else { text };
             match known.iter().position(|k| *k == text) {
                 Some(0) => "REQUESTS",
                 Some(1) => "BUSYNESS",
                 Some(2) => {
-                    about(value, "by traffic: bytes are not counted, requests are spread by weight");
+                    approximate(value, "by traffic: bytes are not counted, requests are spread by weight");
                     "REQUESTS"
                 }
                 Some(3) if balancer.source == Source::Apache => {
-                    about(
+                    approximate(
                         value,
                         "by heartbeat: nodes are not heard, the one with the fewest requests out is taken",
                     );
                     "OUTSTANDING"
                 }
                 Some(3) => {
-                    about(value, "by sessions: they are not counted, requests are spread by weight");
+                    approximate(value, "by sessions: they are not counted, requests are spread by weight");
                     "REQUESTS"
                 }
                 _ if balancer.source == Source::ModJk && text == "n" => {
-                    about(
+                    approximate(
                         value,
                         "by sessions to the next: they are not counted, requests are spread by weight",
                     );
                     "REQUESTS"
                 }
                 _ => {
-                    let text =
-                        format!("`{}` is no method: requests are spread by weight", short(&value.text));
+                    let text = format!("`{}` is no method: requests are spread by weight", clip(&value.text));
                     findings.add("B001", &value.location, text);
                     "REQUESTS"
                 }
@@ -330,15 +333,16 @@
                 let (first, second) = value.text.split_once('|').unwrap_or((&value.text, &value.text));
                 (cookie, parameter) = (first.trim().to_owned(), second.trim().to_owned());
             }
-            flag("nofailover", of("nofailover"), findings)
+            parse_flag("nofailover", of("nofailover"), findings)
         }
         Source::ModJk => {
-            if flag("sticky_session", of("sticky_session"), findings).unwrap_or(true) {
-                let named = |name: &str, usual: &str| of(name).map_or(usual, |v| v.text.trim()).to_owned();
+            if parse_flag("sticky_session", of("sticky_session"), findings).unwrap_or(true) {
+                let named =
+                    |name: &str, default: &str| of(name).map_or(default, |v| v.text.trim()).to_owned();
                 cookie = named("session_cookie", "JSESSIONID");
                 parameter = named("session_path", ";jsessionid").trim_matches([';', '=']).to_owned();
             }
-            flag("sticky_session_force", of("sticky_session_force"), findings)
+            parse_flag("sticky_session_force", of("sticky_session_force"), findings)
         }
     };
     // The names must be such as the settings take.
@@ -346,7 +350,7 @@
     for (what, name) in [("cookie", &mut cookie), ("parameter", &mut parameter)] {
         if !name.chars().all(token) {
             let text =
-                format!("`{}` is no name of a {what}: sessions do not keep to nodes by it", short(name));
+                format!("`{}` is no name of a {what}: sessions do not keep to nodes by it", clip(name));
             findings.add("C012", &balancer.location, text);
             name.clear();
         }
@@ -354,56 +358,55 @@
     Routing { balance, cookie, parameter, strict: strict.unwrap_or(false) }
 }
 
-fn node(
+fn convert_member(
     balancer: &Balancer, member: &Member, sticky: bool, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<Node> {
     let (location, of) = (&member.location, |name: &str| member.parameters.get(name));
-    let shown = &member.name;
+    let name = &member.name;
     match &member.protocol {
         Protocol::Http => {}
         Protocol::Https => findings.add(
             "C004",
             location,
-            format!("{shown}: nodes are spoken to without TLS; give its HTTP port"),
+            format!("{name}: nodes are spoken to without TLS; give its HTTP port"),
         ),
         Protocol::Ajp => findings.add(
             "C003",
             location,
-            format!("{shown}: AJP is not spoken; give the port of its HTTP connector"),
+            format!("{name}: AJP is not spoken; give the port of its HTTP connector"),
         ),
         Protocol::Other(scheme) => {
             findings.add(
                 "C006",
                 location,
-                format!("{shown}: {} is no TCP address with HTTP: left out", short(scheme)),
+                format!("{name}: {} is no TCP address with HTTP: left out", clip(scheme)),
             );
             return None;
         }
     }
     if !member.path.trim_matches('/').is_empty() {
-        let text = format!(
-            "{shown}: the path {} is not kept; all nodes serve the gateway's own",
-            short(&member.path)
-        );
+        let text =
+            format!("{name}: the path {} is not kept; all nodes serve the gateway's own", clip(&member.path));
         findings.add("C007", location, text);
     }
     let jk = balancer.source == Source::ModJk;
     let weight = match jk {
-        true => figure("lbfactor", of("lbfactor"), 1.0..=1e5, findings),
-        false => figure("loadfactor", of("loadfactor"), 1.0..=100.0, findings),
+        true => parse_number("lbfactor", of("lbfactor"), 1.0..=1e5, findings),
+        false => parse_number("loadfactor", of("loadfactor"), 1.0..=100.0, findings),
     };
     let priority_level = match jk {
-        true => figure("distance", of("distance"), 0.0..=1000.0, findings),
-        false => figure("lbset", of("lbset"), 0.0..=99.0, findings),
+        true => parse_number("distance", of("distance"), 0.0..=1000.0, findings),
+        false => parse_number("lbset", of("lbset"), 0.0..=99.0, findings),
     };
-    let (role, draining) = if jk { activation(member, findings) } else { status(member, findings) };
-    let mut text = |name: &str| label(name, of(name), findings);
-    let (redirect, group) = (text("redirect").unwrap_or_default(), text("domain").unwrap_or_default());
+    let (role, draining) =
+        if jk { role_from_activation(member, findings) } else { role_from_status(member, findings) };
+    let mut parsed = |name: &str| parse_name(name, of(name), findings);
+    let (redirect, group) = (parsed("redirect").unwrap_or_default(), parsed("domain").unwrap_or_default());
     let own = || jk.then(|| member.name.clone());
     let route =
-        text("route").or_else(|| text("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
+        parsed("route").or_else(|| parsed("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
     if jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        findings.add("C006", location, format!("`{}` is no name of a node: left out", short(shown)));
+        findings.add("C006", location, format!("`{}` is no name of a node: left out", clip(name)));
         return None;
     }
     if !sticky && let Some(value) = of("route") {
@@ -417,7 +420,7 @@
     let address = match known {
         Some(ip) => std::net::SocketAddr::new(ip, port).to_string(),
         None => {
-            let text = format!("{shown}: the address of {} is needed: --host {0}=ADDRESS", short(host));
+            let text = format!("{name}: the address of {} is needed: --host {0}=ADDRESS", clip(host));
             findings.add("C005", location, text);
             format!("{host}:{port}")
         }
@@ -438,26 +441,26 @@
 }
 
 /// httpd's flags, the last word of each.
-fn status(member: &Member, findings: &mut Findings) -> (Role, bool) {
+fn role_from_status(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let mut set: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
     for (flag, on, location) in &member.flags {
         set.insert(*flag, (*on, location));
     }
     let on = |flag: char| set.get(&flag).is_some_and(|(on, _)| *on);
-    let mut tell = |flag: char, code, text: &str| {
+    let mut report = |flag: char, code, text: &str| {
         if let Some((true, location)) = set.get(&flag) {
             findings.add(code, location, format!("status {flag}: {text}"));
         }
     };
-    tell('I', "B003", "errors are never ignored: a node that fails is left alone for a while");
-    tell('E', "B004", "the node begins as usable and is left alone once it fails");
-    tell('C', "B004", "nodes are not probed: outcomes of requests tell");
-    tell(
+    report('I', "B003", "errors are never ignored: a node that fails is left alone for a while");
+    report('E', "B004", "the node begins as usable and is left alone once it fails");
+    report('C', "B004", "nodes are not probed: outcomes of requests tell");
+    report(
         'D',
         "C010",
         "httpd tries it again behind `retry`; here it is sent nothing until the list says otherwise",
     );
-    let spare = match flag("spare", member.parameters.get("spare"), findings) {
+    let spare = match parse_flag("spare", member.parameters.get("spare"), findings) {
         Some(spare) => spare,
         None => on('R'),
     };
@@ -479,7 +482,7 @@
 }
 
 /// mod_jk's activation, and the older `disabled` and `stopped`.
-fn activation(member: &Member, findings: &mut Findings) -> (Role, bool) {
+fn role_from_activation(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let of = |name: &str| member.parameters.get(name);
     let first = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
     let state = match first.as_ref().map(|(v, t)| (v, t.chars().next())) {
@@ -491,7 +494,7 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("activation={}: A, D or S is wanted", short(&value.text)),
+                format!("activation={}: A, D or S is wanted", clip(&value.text)),
             );
             None
         }
@@ -499,7 +502,7 @@
     let old = |name: &str, findings: &mut Findings| {
         let value = of(name)?;
         findings.add("J006", &value.location, format!("{name} is activation now"));
-        flag(name, Some(value), findings)
+        parse_flag(name, Some(value), findings)
     };
     let (stopped, disabled) =
         (old("stopped", findings) == Some(true), old("disabled", findings) == Some(true));
@@ -514,14 +517,14 @@
 }
 
 /// Names for httpd's members, which have none: the route where it is one of its own, else address and port.
-fn names(nodes: &mut [Node]) {
+fn assign_names(nodes: &mut [Node]) {
     let mut routes: HashMap<String, usize> = HashMap::new();
     nodes.iter().for_each(|n| *routes.entry(n.route.clone()).or_default() += 1);
-    let mut taken: HashSet<String> = nodes.iter().map(|n| n.name.clone()).collect();
+    let mut used_names: HashSet<String> = nodes.iter().map(|n| n.name.clone()).collect();
     for node in nodes.iter_mut().filter(|n| n.name.is_empty()) {
         let own = !node.route.is_empty() && routes[&node.route] == 1;
         let mut name = if own { node.route.clone() } else { node.address.clone() };
-        while !taken.insert(name.clone()) {
+        while !used_names.insert(name.clone()) {
             name.push('+');
         }
         node.name = name;
@@ -529,7 +532,7 @@
 }
 
 /// Successors by the route of the node that they name: httpd names routes, mod_jk names workers or routes.
-fn redirects(balancer: &Balancer, nodes: &mut [Node], findings: &mut Findings) {
+fn resolve_redirects(balancer: &Balancer, nodes: &mut [Node], findings: &mut Findings) {
     let by_name: HashMap<String, String> = nodes.iter().map(|n| (n.name.clone(), n.route.clone())).collect();
     let routes: BTreeSet<String> = nodes.iter().map(|n| n.route.clone()).collect();
     for node in nodes.iter_mut().filter(|n| !n.redirect.is_empty()) {
@@ -540,7 +543,7 @@
             let text = format!(
                 "{}: no node has the route {} that it is redirected to",
                 node.name,
-                short(&node.redirect)
+                clip(&node.redirect)
             );
             findings.add("C009", &node.location, text);
             node.redirect.clear();
@@ -549,7 +552,7 @@
 }
 
 /// One address given twice would be a node that is counted twice.
-fn twice(nodes: &mut Vec<Node>, findings: &mut Findings) {
+fn remove_duplicate_addresses(nodes: &mut Vec<Node>, findings: &mut Findings) {
     let mut seen: HashMap<String, SourceLocation> = HashMap::new();
     nodes.retain(|node| match seen.get(&node.address) {
         None => {
@@ -565,7 +568,7 @@
 }
 
 /// What belongs into the settings rather than into a node list.
-fn hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
+fn settings_hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
     let mut hints = Vec::new();
     let (name, more) = match balancer.source {
         // maxattempts counts attempts behind the first (failover attempts); mod_jk's retries count all.
@@ -574,23 +577,23 @@
         Source::ModJk => ("retries", 0.0),
     };
     let value = balancer.parameters.get(name);
-    if let (Some(tries), Some(value)) = (figure(name, value, 0.0..=99.0, findings), value) {
-        let most = (tries + more).max(1.0);
+    if let (Some(attempts), Some(value)) = (parse_number(name, value, 0.0..=99.0, findings), value) {
+        let most = (attempts + more).max(1.0);
         hints.push(format!("attempts {{ most: {most} }}"));
         findings.add(
             "B004",
             &value.location,
-            format!("{name}={}: set attempts {{ most: {most} }} in the settings", short(&value.text)),
+            format!("{name}={}: set attempts {{ most: {most} }} in the settings", clip(&value.text)),
         );
     }
     hints
 }
 
-fn mounts(model: &Model, balancer: &Balancer, hints: &mut Vec<String>, findings: &mut Findings) {
+fn report_mounts(model: &Model, balancer: &Balancer, hints: &mut Vec<String>, findings: &mut Findings) {
     let path =
-        |m: &Mount| format!("{}{}{}", m.context, if m.context.is_empty() { "" } else { " " }, short(&m.path));
+        |m: &Mount| format!("{}{}{}", m.context, if m.context.is_empty() { "" } else { " " }, clip(&m.path));
     let known: HashSet<String> = model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
-    let ours: Vec<&Mount> = model
+    let own_mounts: Vec<&Mount> = model
         .mounts
         .iter()
         .filter(|m| m.target.as_ref().is_some_and(|t| t.eq_ignore_ascii_case(&balancer.name)))
@@ -601,18 +604,22 @@
                 "{} is kept from the balancer: the gateway serves one endpoint and nothing else",
                 path(mount)
             ),
-            Some(target) if target.eq_ignore_ascii_case(&balancer.name) => match &ours[..] {
+            Some(target) if target.eq_ignore_ascii_case(&balancer.name) => match &own_mounts[..] {
                 [_] => format!("{}: the gateway serves one endpoint, `path` in the settings", path(mount)),
                 _ => {
-                    format!("{}: the gateway serves one endpoint, this is one of {}", path(mount), ours.len())
+                    format!(
+                        "{}: the gateway serves one endpoint, this is one of {}",
+                        path(mount),
+                        own_mounts.len()
+                    )
                 }
             },
             Some(target) if known.contains(&target.to_ascii_lowercase()) => continue,
-            Some(target) => format!("{} goes to {}: no balancer, left out", path(mount), short(target)),
+            Some(target) => format!("{} goes to {}: no balancer, left out", path(mount), clip(target)),
         };
         findings.add("C007", &mount.location, text);
     }
-    if let [mount] = &ours[..]
+    if let [mount] = &own_mounts[..]
         && mount.path.starts_with('/')
         && !mount.path.contains(['*', '?', ' ', '"', '(', '$', '^'])
         && mount.path != "/"
@@ -622,23 +629,23 @@
 }
 
 /// A string of protobuf's text format.
-fn quoted(text: &str) -> String {
-    let mut done = String::from("\"");
+fn quote(text: &str) -> String {
+    let mut escaped = String::from("\"");
     for c in text.chars() {
         match c {
             '"' | '\\' => {
-                done.push('\\');
-                done.push(c);
+                escaped.push('\\');
+                escaped.push(c);
             }
             c if c.is_control() => {
                 let mut bytes = [0; 4];
-                c.encode_utf8(&mut bytes).bytes().for_each(|b| done.push_str(&format!("\\{b:03o}")));
+                c.encode_utf8(&mut bytes).bytes().for_each(|b| escaped.push_str(&format!("\\{b:03o}")));
             }
-            c => done.push(c),
+            c => escaped.push(c),
         }
     }
-    done.push('"');
-    done
+    escaped.push('"');
+    escaped
 }
 
 impl NodeList {
@@ -663,7 +670,7 @@
             text.push_str("  sticky {");
             for (name, value) in [("cookie", cookie), ("parameter", parameter)] {
                 if !value.is_empty() {
-                    let _ = write!(text, " {name}: {}", quoted(value));
+                    let _ = write!(text, " {name}: {}", quote(value));
                 }
             }
             let _ = writeln!(text, "{} }}", if *strict { " strict: true" } else { "" });
@@ -676,8 +683,8 @@
                 text.push_str("# Its address is not known: set it and take the marks away.\n");
             }
             let _ = writeln!(text, "{mark}nodes {{");
-            let _ = writeln!(text, "{mark}  name: {}", quoted(&node.name));
-            let _ = writeln!(text, "{mark}  address: {}", quoted(&node.address));
+            let _ = writeln!(text, "{mark}  name: {}", quote(&node.name));
+            let _ = writeln!(text, "{mark}  address: {}", quote(&node.address));
             let mut field = |is: bool, name: &str, value: String| {
                 if is {
                     let _ = writeln!(text, "{mark}  {name}: {value}");
@@ -687,9 +694,9 @@
             field(node.priority_level != 0, "tier", node.priority_level.to_string());
             field(node.role != Role::Active, "role", node.role.name().into());
             field(node.draining, "state", "DRAINING".into());
-            field(!node.route.is_empty(), "route", quoted(&node.route));
-            field(!node.redirect.is_empty(), "redirect", quoted(&node.redirect));
-            field(!node.group.is_empty(), "group", quoted(&node.group));
+            field(!node.route.is_empty(), "route", quote(&node.route));
+            field(!node.redirect.is_empty(), "redirect", quote(&node.redirect));
+            field(!node.group.is_empty(), "group", quote(&node.group));
             let _ = writeln!(text, "{mark}}}");
         }
         text
