--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -174,8 +174,8 @@
     let disk = Disk { root: common.root.clone() };
     let (carried, findings) = doorcourse_import::import(&disk, &request);
     match common.format {
-        Format::Text => eprint!("{}", findings.text(&disk)),
-        Format::Json => eprintln!("{}", findings.json()),
+        Format::Text => eprint!("{}", findings.to_text(&disk)),
+        Format::Json => eprintln!("{}", findings.to_json()),
     }
     let count = |wanted| findings.all().iter().filter(|f: &&Finding| f.severity == wanted).count();
     let (about, left) = (count(Severity::Approximated), count(Severity::LeftOut));
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -133,7 +133,7 @@
     model: &'a Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<&'a Balancer> {
     // Errors of the readers come first: what they left is not the whole of it.
-    if findings.any(crate::Severity::Error) {
+    if findings.any_at_least(crate::Severity::Error) {
         return None;
     }
     let first_file = SourceLocation { file: main.into(), line: 0 };
--- a/crates/import/src/finding.rs
+++ b/crates/import/src/finding.rs
@@ -105,14 +105,14 @@
 }
 
 /// More findings than these are counted and not kept: nobody reads on, and a hostile file has millions.
-const KEPT: usize = 10_000;
+const MAX_FINDINGS: usize = 10_000;
 
 impl Findings {
     /// Adds one; its severity is the code's.
     pub fn add(&mut self, code: &'static str, location: &SourceLocation, message: impl Into<String>) {
         let severity = CODES.iter().find(|(c, _, _)| *c == code).map_or(Severity::Error, |(_, s, _)| *s);
         let message = message.into();
-        if self.all.len() < KEPT && self.seen.insert((code, location.clone(), message.clone())) {
+        if self.all.len() < MAX_FINDINGS && self.seen.insert((code, location.clone(), message.clone())) {
             self.all.push(Finding { code, severity, location: location.clone(), message });
         }
     }
@@ -125,13 +125,13 @@
 
     /// Whether there is one as bad as this.
     #[must_use]
-    pub fn any(&self, severity: Severity) -> bool {
+    pub fn any_at_least(&self, severity: Severity) -> bool {
         self.all.iter().any(|f| f.severity >= severity)
     }
 
     /// For people: each with its line shown.
     #[must_use]
-    pub fn text(&self, files: &dyn Files) -> String {
+    pub fn to_text(&self, files: &dyn Files) -> String {
         let mut sources = std::collections::HashMap::new();
         let mut text = String::new();
         for finding in &self.all {
@@ -143,8 +143,8 @@
             });
             let line = (location.line as usize).checked_sub(1).and_then(|at| lines.get(at));
             if let Some(line) = line.filter(|l| !l.trim().is_empty()) {
-                let short: String = line.trim().chars().filter(|c| !c.is_control()).take(110).collect();
-                text.push_str(&format!("    {short}\n"));
+                let excerpt: String = line.trim().chars().filter(|c| !c.is_control()).take(110).collect();
+                text.push_str(&format!("    {excerpt}\n"));
             }
         }
         text
@@ -152,7 +152,7 @@
 
     /// For programs: one JSON array.
     #[must_use]
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(&self.all).unwrap_or_default()
     }
 }
