--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -3,17 +3,17 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-struct Folder(PathBuf);
+struct TestDir(PathBuf);
 
-impl Folder {
+impl TestDir {
     fn new(name: &str, files: &[(&str, &str)]) -> Self {
-        let folder = std::env::temp_dir().join(format!("doorcourse-import-{}-{name}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!("doorcourse-import-{}-{name}", std::process::id()));
         for (file, text) in files {
-            let path = folder.join(file);
+            let path = dir.join(file);
             std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
             std::fs::write(path, text).expect("a file");
         }
-        Self(folder)
+        Self(dir)
     }
 
     fn run(&self, arguments: &[&str]) -> (i32, String, String) {
@@ -29,7 +29,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -41,27 +41,27 @@
 #[test]
 fn a_list_is_written_whole_or_not_at_all() {
     let files = [("httpd.conf", HTTPD), ("conf.d/a.conf", "BalancerMember balancer://app http://10.0.0.2\n")];
-    let folder = Folder::new("whole", &files);
+    let dir = TestDir::new("whole", &files);
     let common = ["import", "apache", "-D", "ONE=10.0.0.1", "httpd.conf", "--out", "nodes.txtpb"];
     let strict = |more: &[&'static str]| [&common[..], more].concat();
-    let (code, _, told) = folder.run(&strict(&["--strict"]));
-    assert_eq!((code, folder.text("nodes.txtpb")), (1, None), "{told}");
+    let (code, _, stderr) = dir.run(&strict(&["--strict"]));
+    assert_eq!((code, dir.text("nodes.txtpb")), (1, None), "{stderr}");
     assert!(
-        told.contains("httpd.conf:3: left out [B003]: ping=1") && told.contains("    BalancerMember"),
-        "{told}"
+        stderr.contains("httpd.conf:3: left out [B003]: ping=1") && stderr.contains("    BalancerMember"),
+        "{stderr}"
     );
-    assert_eq!(folder.run(&common).0, 0);
-    let first = folder.text("nodes.txtpb").expect("a list");
-    assert_eq!(folder.run(&common).0, 0);
-    assert_eq!(folder.text("nodes.txtpb"), Some(first.clone()), "the same bytes");
-    let (code, said, _) = folder.run(&["check", "nodes.txtpb"]);
-    assert!(code == 0 && said.contains("2 nodes"), "{said}");
+    assert_eq!(dir.run(&common).0, 0);
+    let first = dir.text("nodes.txtpb").expect("a list");
+    assert_eq!(dir.run(&common).0, 0);
+    assert_eq!(dir.text("nodes.txtpb"), Some(first.clone()), "the same bytes");
+    let (code, stdout, _) = dir.run(&["check", "nodes.txtpb"]);
+    assert!(code == 0 && stdout.contains("2 nodes"), "{stdout}");
     // A fault in the files leaves the list in service as it is.
-    std::fs::write(folder.0.join("httpd.conf"), "<Proxy balancer://app>\n").expect("a file");
-    let (code, _, told) = folder.run(&common);
-    assert!(code == 1 && told.contains("httpd.conf:1: error [A002]"), "{told}");
-    assert_eq!(folder.text("nodes.txtpb"), Some(first));
-    assert!(std::fs::read_dir(&folder.0).expect("a folder").count() == 3, "nothing is left beside it");
+    std::fs::write(dir.0.join("httpd.conf"), "<Proxy balancer://app>\n").expect("a file");
+    let (code, _, stderr) = dir.run(&common);
+    assert!(code == 1 && stderr.contains("httpd.conf:1: error [A002]"), "{stderr}");
+    assert_eq!(dir.text("nodes.txtpb"), Some(first));
+    assert!(std::fs::read_dir(&dir.0).expect("a folder").count() == 3, "nothing is left beside it");
 }
 
 #[test]
@@ -70,37 +70,37 @@
         ("copy/etc/httpd/httpd.conf", "ServerRoot /etc/httpd\nInclude conf.d/*.conf\n"),
         ("copy/etc/httpd/conf.d/a.conf", "BalancerMember balancer://app http://10.0.0.2\n"),
     ];
-    let folder = Folder::new("root", &files);
-    let (code, list, told) = folder.run(&["import", "apache", "--root", "copy", "copy/etc/httpd/httpd.conf"]);
-    assert!(code == 0 && list.contains("10.0.0.2:80"), "{told}");
-    let (code, _, told) = folder.run(&["import", "apache", "copy/etc/httpd/httpd.conf"]);
-    assert!(code == 1 && told.contains("A006"), "{told}");
+    let dir = TestDir::new("root", &files);
+    let (code, list, stderr) = dir.run(&["import", "apache", "--root", "copy", "copy/etc/httpd/httpd.conf"]);
+    assert!(code == 0 && list.contains("10.0.0.2:80"), "{stderr}");
+    let (code, _, stderr) = dir.run(&["import", "apache", "copy/etc/httpd/httpd.conf"]);
+    assert!(code == 1 && stderr.contains("A006"), "{stderr}");
 }
 
 #[test]
 fn findings_as_json_and_workers_with_maps() {
     let workers = "worker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=a\nworker.a.host=node-a\n";
-    let folder = Folder::new("json", &[("w", workers), ("u", "/app=lb\n")]);
-    let (code, list, told) =
-        folder.run(&["import", "mod-jk", "w", "--map", "u", "--format", "json", "--host", "NODE-A=10.0.0.9"]);
-    let json: serde_json::Value = serde_json::from_str(&told).expect("JSON and nothing else");
+    let dir = TestDir::new("json", &[("w", workers), ("u", "/app=lb\n")]);
+    let (code, list, stderr) =
+        dir.run(&["import", "mod-jk", "w", "--map", "u", "--format", "json", "--host", "NODE-A=10.0.0.9"]);
+    let json: serde_json::Value = serde_json::from_str(&stderr).expect("JSON and nothing else");
     let codes: Vec<&str> =
         json.as_array().expect("an array").iter().filter_map(|f| f["code"].as_str()).collect();
     assert_eq!((code, &codes[..]), (0, &["C003", "C007"][..]));
     assert_eq!((&json[1]["place"]["file"], &json[1]["severity"]), (&"u".into(), &"left-out".into()));
     assert!(list.contains("10.0.0.9:8009"), "{list}");
-    assert_eq!(folder.run(&["import", "mod-jk", "w", "--host", "x"]).0, 2);
-    assert_eq!(folder.run(&["import", "mod-jk"]).0, 2);
-    assert_eq!(folder.run(&["import", "mod-jk", "missing"]).0, 1);
+    assert_eq!(dir.run(&["import", "mod-jk", "w", "--host", "x"]).0, 2);
+    assert_eq!(dir.run(&["import", "mod-jk"]).0, 2);
+    assert_eq!(dir.run(&["import", "mod-jk", "missing"]).0, 1);
 }
 
 #[test]
 fn differences_between_lists() {
     let old = "routing { balance: REQUESTS }\nnodes { name: 'a' address: '127.0.0.1:1' }\nnodes { name: 'b' address: '127.0.0.1:2' }\n";
     let new = "nodes { name: 'a' address: '127.0.0.1:1' tier: 2 role: SPARE }\nnodes { name: 'c' address: '127.0.0.1:3' }\n";
-    let folder = Folder::new("diff", &[("old", old), ("new", new), ("bad", "nodes { name: 1 }")]);
-    assert_eq!(folder.run(&["import", "diff", "old", "old"]), (0, String::new(), String::new()));
-    let (code, said, _) = folder.run(&["import", "diff", "old", "new"]);
+    let dir = TestDir::new("diff", &[("old", old), ("new", new), ("bad", "nodes { name: 1 }")]);
+    assert_eq!(dir.run(&["import", "diff", "old", "old"]), (0, String::new(), String::new()));
+    let (code, stdout, _) = dir.run(&["import", "diff", "old", "new"]);
     assert_eq!(code, 1);
     for line in [
         "~ node a: tier 0 -> 2",
@@ -109,24 +109,24 @@
         "+ node c at",
         "~ routing:",
     ] {
-        assert!(said.contains(line), "{said} lacks {line}");
+        assert!(stdout.contains(line), "{stdout} lacks {line}");
     }
-    let (code, _, told) = folder.run(&["import", "diff", "old", "bad"]);
-    assert!(code == 2 && told.contains("bad:1:"), "{told}");
+    let (code, _, stderr) = dir.run(&["import", "diff", "old", "bad"]);
+    assert!(code == 2 && stderr.contains("bad:1:"), "{stderr}");
 }
 
 /// The table of the docs is the program's own.
 #[test]
 fn the_docs_hold_the_table_and_every_code() {
-    let folder = Folder::new("docs", &[("x", "")]);
+    let dir = TestDir::new("docs", &[("x", "")]);
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/import.md");
     let docs = std::fs::read_to_string(docs).expect("docs/import.md");
-    let (_, table, _) = folder.run(&["import", "table"]);
+    let (_, table, _) = dir.run(&["import", "table"]);
     assert!(
         table.lines().count() > 150 && docs.contains(&table),
         "put what `import table` prints into docs/import.md"
     );
-    let (_, codes, _) = folder.run(&["import", "codes"]);
+    let (_, codes, _) = dir.run(&["import", "codes"]);
     for line in codes.lines() {
         let (code, rest) = line.split_once("  ").expect("a code");
         let text = rest.trim_start().split_once("  ").expect("a severity").1.trim();
--- a/crates/import/src/diff.rs
+++ b/crates/import/src/diff.rs
@@ -39,24 +39,29 @@
         nodes.iter().map(|n| (n.name.clone(), n.clone())).collect()
     };
     let (old, new) = (by_name(old), by_name(new));
-    let mut all = Vec::new();
-    for (name, was) in &old {
-        let Some(is) = new.get(name) else {
-            let (node, old) = (name.clone(), Some(was.address.clone()));
-            all.push(Difference { node, field: "", old, new: None });
+    let mut differences = Vec::new();
+    for (name, old_node) in &old {
+        let Some(new_node) = new.get(name) else {
+            let (node, old) = (name.clone(), Some(old_node.address.clone()));
+            differences.push(Difference { node, field: "", old, new: None });
             continue;
         };
-        for ((field, was), (_, is)) in fields(was).into_iter().zip(fields(is)) {
-            if was != is {
-                all.push(Difference { node: name.clone(), field, old: Some(was), new: Some(is) });
+        for ((field, old_value), (_, new_value)) in fields(old_node).into_iter().zip(fields(new_node)) {
+            if old_value != new_value {
+                differences.push(Difference {
+                    node: name.clone(),
+                    field,
+                    old: Some(old_value),
+                    new: Some(new_value),
+                });
             }
         }
     }
-    for (name, is) in new.iter().filter(|(name, _)| !old.contains_key(*name)) {
-        let (node, new) = (name.clone(), Some(is.address.clone()));
-        all.push(Difference { node, field: "", old: None, new });
+    for (name, new_node) in new.iter().filter(|(name, _)| !old.contains_key(*name)) {
+        let (node, new) = (name.clone(), Some(new_node.address.clone()));
+        differences.push(Difference { node, field: "", old: None, new });
     }
-    all
+    differences
 }
 
 fn fields(node: &Node) -> [(&'static str, String); 8] {
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -13,8 +13,8 @@
     pub line: u32,
 }
 
-fn as_text<S: serde::Serializer>(file: &Arc<str>, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_str(file)
+fn as_text<S: serde::Serializer>(file: &Arc<str>, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_str(file)
 }
 
 impl std::fmt::Display for SourceLocation {
@@ -61,8 +61,8 @@
         let mut names = BTreeMap::new();
         for path in self.0.keys() {
             let Some(rest) = path.strip_prefix(&prefix) else { continue };
-            let (name, directory) = rest.split_once('/').map_or((rest, false), |(n, _)| (n, true));
-            names.insert(name.to_owned(), directory);
+            let (name, is_directory) = rest.split_once('/').map_or((rest, false), |(n, _)| (n, true));
+            names.insert(name.to_owned(), is_directory);
         }
         if names.is_empty() { None } else { Some(names.into_iter().collect()) }
     }
@@ -111,21 +111,21 @@
         '[' => {
             let end = pattern.iter().skip(2).position(|p| *p == ']').map(|at| at + 2);
             let Some(end) = end else { return (c == '[').then_some(1) };
-            let (negated, set) = match pattern[1] {
+            let (negated, class) = match pattern[1] {
                 '!' | '^' => (true, &pattern[2..end]),
                 _ => (false, &pattern[1..end]),
             };
-            let (mut at, mut found) = (0, false);
-            while at < set.len() {
-                if at + 2 < set.len() && set[at + 1] == '-' {
-                    found |= (set[at]..=set[at + 2]).contains(&c);
+            let (mut at, mut contained) = (0, false);
+            while at < class.len() {
+                if at + 2 < class.len() && class[at + 1] == '-' {
+                    contained |= (class[at]..=class[at + 2]).contains(&c);
                     at += 3;
                 } else {
-                    found |= set[at] == c;
+                    contained |= class[at] == c;
                     at += 1;
                 }
             }
-            (found != negated).then_some(end + 1)
+            (contained != negated).then_some(end + 1)
         }
         p => (*p == c).then_some(1),
     }
@@ -137,7 +137,7 @@
 
     #[test]
     fn patterns() {
-        for (pattern, name, is) in [
+        for (pattern, name, expected) in [
             ("*.conf", "a.conf", true),
             ("*.conf", "a.conf~", false),
             ("a*b*c", "axxbyyc", true),
@@ -149,7 +149,7 @@
             ("*", "", true),
             ("?", "", false),
         ] {
-            assert_eq!(fnmatch(pattern, name), is, "{pattern} {name}");
+            assert_eq!(fnmatch(pattern, name), expected, "{pattern} {name}");
         }
         assert!(!fnmatch(&"*a".repeat(40), &"b".repeat(4000)), "no exponential time");
     }
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -22,8 +22,8 @@
 }
 
 fn errors(findings: &Findings) -> Vec<&'static str> {
-    let bad = |f: &&doorcourse_import::Finding| f.severity == doorcourse_import::Severity::Error;
-    findings.all().iter().filter(bad).map(|f| f.code).collect()
+    let is_error = |f: &&doorcourse_import::Finding| f.severity == doorcourse_import::Severity::Error;
+    findings.all().iter().filter(is_error).map(|f| f.code).collect()
 }
 
 #[test]
@@ -90,7 +90,7 @@
         text
     };
     let sections = |n: usize| "<A>\n".repeat(n);
-    for (what, text, code) in [
+    for (case, text, code) in [
         ("macros that double", doubling(60), "A005"),
         ("arguments that grow", arguments(60), "A005"),
         ("variables that double", variables(60), "A005"),
@@ -101,8 +101,8 @@
         ("a line that goes on", "x\\\n".repeat(2 << 20), "A005"),
     ] {
         let (node_list, findings) = apache(text.as_bytes());
-        assert!(node_list.is_none(), "{what}");
-        assert_eq!(errors(&findings), [code], "{what}");
+        assert!(node_list.is_none(), "{case}");
+        assert_eq!(errors(&findings), [code], "{case}");
     }
 }
 
@@ -148,7 +148,7 @@
 }
 
 /// The same cases at every run.
-fn seeded() -> ProptestConfig {
+fn fixed_seed() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(12);
     ProptestConfig { cases: 300, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
 }
@@ -164,7 +164,7 @@
 }
 
 proptest! {
-    #![proptest_config(seeded())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
     fn printed_and_read_again_is_the_same(text in file()) {
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -8,11 +8,11 @@
 
 #[derive(Clone, Default)]
 struct Sample {
-    about: String,
+    title: String,
     request: ImportRequest,
     files: InMemory,
     /// What stands before the expectations, as written.
-    head: String,
+    input: String,
     list: String,
     findings: Vec<String>,
 }
@@ -40,12 +40,12 @@
 fn parse(text: &str) -> Sample {
     let mut sample = Sample::default();
     let mut parts = text.split("\n--- ");
-    let about = parts.next().unwrap();
-    sample.about = about.trim_start_matches('#').trim().to_owned();
-    sample.head = about.to_owned();
+    let title = parts.next().unwrap();
+    sample.title = title.trim_start_matches('#').trim().to_owned();
+    sample.input = title.to_owned();
     for part in parts {
-        let (title, body) = part.split_once('\n').unwrap_or((part, ""));
-        let mut words = title.split(' ');
+        let (heading, body) = part.split_once('\n').unwrap_or((part, ""));
+        let mut words = heading.split(' ');
         match words.next().unwrap() {
             "args" => arguments(body, &mut sample.request),
             "file" => {
@@ -64,8 +64,8 @@
             }
             other => panic!("no part of a sample: {other}"),
         }
-        sample.head.push_str("\n--- ");
-        sample.head.push_str(part);
+        sample.input.push_str("\n--- ");
+        sample.input.push_str(part);
     }
     sample
 }
@@ -95,27 +95,27 @@
 /// What comes out: the list, and each finding as "code place".
 fn run(sample: &Sample) -> (String, Vec<String>) {
     let (node_list, findings) = import(&sample.files, &sample.request);
-    let told = findings.all().iter().map(|f| format!("{} {}", f.code, f.location)).collect();
-    (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), told)
+    let reported = findings.all().iter().map(|f| format!("{} {}", f.code, f.location)).collect();
+    (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), reported)
 }
 
 /// All that differs from what is expected, in either direction.
 fn differences(sample: &Sample) -> Vec<String> {
-    let (list, told) = run(sample);
-    let mut all = Vec::new();
+    let (list, reported) = run(sample);
+    let mut differences = Vec::new();
     if list != sample.list {
-        all.push(format!("the list is\n{list}\nand not\n{}", sample.list));
+        differences.push(format!("the list is\n{list}\nand not\n{}", sample.list));
     }
     // Each as often as it is expected.
-    let mut wanted = sample.findings.clone();
-    for finding in told {
-        match wanted.iter().position(|w| *w == finding) {
-            Some(at) => drop(wanted.remove(at)),
-            None => all.push(format!("not expected: {finding}")),
+    let mut expected = sample.findings.clone();
+    for finding in reported {
+        match expected.iter().position(|w| *w == finding) {
+            Some(at) => drop(expected.remove(at)),
+            None => differences.push(format!("not expected: {finding}")),
         }
     }
-    all.extend(wanted.into_iter().map(|f| format!("missing: {f}")));
-    all
+    differences.extend(expected.into_iter().map(|f| format!("missing: {f}")));
+    differences
 }
 
 fn samples() -> Vec<(PathBuf, Sample)> {
@@ -135,10 +135,10 @@
     assert!(samples.len() >= 40, "{}", samples.len());
     let mut wrong = String::new();
     for (path, sample) in &samples {
-        assert!(!sample.about.is_empty(), "{}", path.display());
+        assert!(!sample.title.is_empty(), "{}", path.display());
         if std::env::var_os("BLESS").is_some() {
-            let (list, told) = run(sample);
-            let text = format!("{}\n--- list\n{list}\n--- findings\n{}\n", sample.head, told.join("\n"));
+            let (list, reported) = run(sample);
+            let text = format!("{}\n--- list\n{list}\n--- findings\n{}\n", sample.input, reported.join("\n"));
             std::fs::write(path, text).unwrap();
             continue;
         }
@@ -152,18 +152,18 @@
 #[test]
 fn the_check_fails_on_an_altered_sample() {
     for (path, sample) in samples() {
-        let spoiled = |spoil: &dyn Fn(&mut Sample)| {
+        let assert_fails_after = |alter: &dyn Fn(&mut Sample)| {
             let mut sample = sample.clone();
-            spoil(&mut sample);
+            alter(&mut sample);
             assert!(!differences(&sample).is_empty(), "{}", path.display());
         };
-        spoiled(&|s| s.findings.push("B003 nowhere:1".into()));
-        spoiled(&|s| s.list.push('x'));
+        assert_fails_after(&|s| s.findings.push("B003 nowhere:1".into()));
+        assert_fails_after(&|s| s.list.push('x'));
         if !sample.findings.is_empty() {
-            spoiled(&|s| drop(s.findings.remove(0)));
+            assert_fails_after(&|s| drop(s.findings.remove(0)));
         }
         if let Some(at) = sample.list.find("address: \"") {
-            spoiled(&|s| s.list.replace_range(at + 10..at + 11, "x"));
+            assert_fails_after(&|s| s.list.replace_range(at + 10..at + 11, "x"));
         }
     }
 }
