--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads Apache httpd balancer configuration and mod_jk worker files, and turns them into a node list.
+//! Reads Apache httpd balancer configuration and mod_jk worker files and converts them to a node list.
 //!
 //! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`convert`] -> [`NodeList`] -> [`to_text`](NodeList::to_text).
-//! Whatever a file says is carried over, approximated or left out, and each of the latter two leaves a [`Finding`]
-//! with a stable code and a place. It does no I/O: the caller lends it a [`Files`].
+//! Each setting is carried over, approximated or left out; the latter two add a [`Finding`] with a stable code and
+//! a source location. The crate does no I/O: the caller provides access to files through [`Files`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -23,39 +23,40 @@
 pub use model::{Balancer, Member, Model, Mount, Protocol, Value};
 pub use table::{Conversion, PARAMETERS, Parameter, Scope, Source, find_parameter};
 
-/// Bounds on what is read, so that no file can take all memory or all time.
+/// Limits on what is read, which bound the memory and time that a file can take.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of one file. 64 MiB.
+    /// Bytes of one file. Default: 64 MiB.
     pub file_bytes: usize,
-    /// Bytes of all files together, each counted as often as it is read. 256 MiB.
+    /// Bytes of all files together, counted at each read, and of the text that macros and variables expand to.
+    /// Default: 256 MiB.
     pub all_bytes: usize,
-    /// Directives read in all, with macros and includes spread. 2,000,000.
+    /// Directives in all, after expansion of macros and includes. Default: 2,000,000.
     pub directives: usize,
-    /// Bytes of one line after continuation and after its variables are put in. 1 MiB.
+    /// Bytes of one line after joining continuation lines and expanding variables. Default: 1 MiB.
     pub line_bytes: usize,
-    /// How deep includes and macros may nest. 128, as httpd has it.
+    /// Nesting depth of includes and macros. Default: 128, as in httpd.
     pub depth: usize,
-    /// How deep sections may nest. 200.
+    /// Nesting depth of sections. Default: 200.
     pub sections: usize,
 }
 
-/// What an import is told.
+/// The arguments of an import.
 #[derive(Clone, Debug, Default)]
 pub struct ImportRequest {
-    /// The files of httpd's configuration, in order.
+    /// httpd's configuration files, in reading order.
     pub apache_files: Vec<String>,
-    /// The workers.properties files, in order; instead of httpd's.
+    /// workers.properties files, in reading order. If there are any, httpd's files are not read.
     pub worker_files: Vec<String>,
-    /// The uriworkermap.properties files beside them.
+    /// uriworkermap.properties files, read together with workers.properties.
     pub uri_map_files: Vec<String>,
-    /// What httpd's files alone do not tell.
+    /// Settings that httpd's files do not contain.
     pub apache_options: apache::Options,
-    /// Which balancer, and addresses.
+    /// The balancer to convert, and addresses of host names.
     pub convert_options: ConvertOptions,
 }
 
-/// Reads what is asked for and turns it into a node list; `None` after an error, which is among the findings.
+/// Reads the given files and converts them to a node list; `None` after an error, which is among the findings.
 #[must_use]
 pub fn import(files: &dyn Files, request: &ImportRequest) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
