--- a/crates/import/src/model.rs
+++ b/crates/import/src/model.rs
@@ -1,14 +1,14 @@
-//! What both kinds of file come down to.
+//! The model that both the httpd reader and the mod_jk reader produce.
 
 use crate::files::SourceLocation;
 use std::collections::BTreeMap;
 
-/// A value as written, and where.
+/// A value as written and where it was set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Value {
-    /// As written, quotes and escapes taken off.
+    /// The text as written, without quotes and escapes.
     pub text: String,
-    /// Where.
+    /// Where it was set.
     pub location: SourceLocation,
 }
 
@@ -21,64 +21,64 @@
     Https,
     /// AJP/1.3 (and /1.4).
     Ajp,
-    /// Anything else, by its name.
+    /// Any other protocol, by name.
     Other(String),
 }
 
-/// One backend server of a balancer.
+/// A backend server of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name: mod_jk's worker, or the URL of a BalancerMember.
+    /// The name: the mod_jk worker, or the URL of the BalancerMember.
     pub name: String,
-    /// Its protocol.
+    /// The protocol of its address.
     pub protocol: Protocol,
-    /// Host name or address, without brackets; empty for what is no TCP address.
+    /// Host name or address, without brackets; empty if the member has no TCP address.
     pub host: String,
     /// TCP port.
     pub port: u16,
-    /// The path behind the address, where there is one.
+    /// The path that follows the address, if any.
     pub path: String,
-    /// Parameters by their name, the last word of each; names as in `PARAMETERS`.
+    /// The last value of each parameter by name; names as in `PARAMETERS`.
     pub parameters: BTreeMap<String, Value>,
-    /// Status flags in the order they were said: each letter, and whether it is set.
+    /// Status flags in the order in which they were set: the letter, and whether it is set or cleared.
     pub flags: Vec<(char, bool, SourceLocation)>,
-    /// Where it was defined first.
+    /// Where it was first defined.
     pub location: SourceLocation,
 }
 
-/// A set of members.
+/// A balancer and its members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Balancer {
-    /// Its name without the scheme.
+    /// The name without the scheme.
     pub name: String,
-    /// In the order of the files.
+    /// Members in file order.
     pub members: Vec<Member>,
     /// Parameters of the balancer itself.
     pub parameters: BTreeMap<String, Value>,
-    /// Where it was named first.
+    /// Where it was first named.
     pub location: SourceLocation,
-    /// Which of the two it comes from.
+    /// The module that defines it.
     pub source: crate::table::Source,
 }
 
-/// A path that is, or is not, sent to a balancer.
+/// A path that is sent to a balancer or excluded from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mount {
-    /// Path or pattern.
+    /// A path or pattern.
     pub path: String,
-    /// The balancer or worker; none for an exclusion.
+    /// The balancer or worker; `None` for an exclusion.
     pub target: Option<String>,
-    /// The virtual host or location around it, or nothing.
+    /// The enclosing virtual host and location sections; empty if there are none.
     pub context: String,
-    /// Where.
+    /// The line of the mount.
     pub location: SourceLocation,
 }
 
-/// All that the files say of balancers.
+/// The balancers and mounts of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// In the order they were named.
+    /// Balancers in the order in which they were first named.
     pub balancers: Vec<Balancer>,
-    /// In the order that decides.
+    /// Mounts in the order in which they are evaluated.
     pub mounts: Vec<Mount>,
 }
