--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -1,4 +1,4 @@
-//! What the readers need of a file system, and places in files.
+//! File access for the readers, and locations in files.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 /// A line of a file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 pub struct SourceLocation {
-    /// The file, as it was named or found.
+    /// The file name as given or as found by an include.
     #[serde(serialize_with = "as_text")]
     pub file: Arc<str>,
     /// The line from 1; 0 for the file as a whole.
@@ -23,23 +23,24 @@
     }
 }
 
-/// Why a file could not be had.
+/// Why a file could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileError {
-    /// There is none of this name.
+    /// There is no file of this name.
     Missing,
-    /// It is there and cannot be read.
+    /// The file exists but cannot be read.
     Unreadable(String),
 }
 
-/// The files that readers see. Paths are as in the configuration, "/" between their parts.
+/// The file system that the readers see. Paths are as in the configuration, with `/` as separator.
 pub trait Files {
-    /// A file's bytes.
+    /// Reads the bytes of a file.
     ///
     /// # Errors
-    /// When there is none or it cannot be read.
+    /// If the file does not exist or cannot be read.
     fn read(&self, path: &str) -> Result<Vec<u8>, FileError>;
-    /// The names in a folder, in any order, each with whether it is a folder; `None` where there is no such folder.
+    /// Lists a directory's entries in any order, each with whether it is a directory; `None` if there is no
+    /// such directory.
     fn list(&self, directory: &str) -> Option<Vec<(String, bool)>>;
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// A path beside another: absolute ones as they are.
+/// Resolves a path relative to a directory. Absolute paths are returned unchanged.
 #[must_use]
 pub fn resolve_path(directory: &str, path: &str) -> String {
     if path.starts_with('/') || directory.is_empty() || directory == "." {
@@ -77,8 +78,8 @@
     format!("{}/{path}", directory.trim_end_matches('/'))
 }
 
-/// Whether a name matches a pattern with `*`, `?`, `[a-z]`, `[!a]` and `\`, as fnmatch(3) has it. Linear in the name
-/// for each `*`, so that hostile patterns cost no more than name times pattern.
+/// Whether a name matches a pattern with `*`, `?`, `[a-z]`, `[!a]` and `\`, as in fnmatch(3). Backtracks only
+/// to the last `*`, so that a hostile pattern costs at most the length of the name times that of the pattern.
 #[must_use]
 pub fn fnmatch(pattern: &str, name: &str) -> bool {
     let (pattern, name): (Vec<char>, Vec<char>) = (pattern.chars().collect(), name.chars().collect());
@@ -103,7 +104,7 @@
     pattern[p..].iter().all(|c| *c == '*')
 }
 
-/// How many characters of the pattern match this one of the name.
+/// The number of pattern characters that match this character of the name; `None` if they do not match.
 fn match_one(pattern: &[char], c: char) -> Option<usize> {
     match pattern.first()? {
         '?' => Some(1),
