--- a/crates/import/src/finding.rs
+++ b/crates/import/src/finding.rs
@@ -1,4 +1,4 @@
-//! What an import has to say.
+//! Findings of an import, with stable codes.
 
 use crate::files::{Files, SourceLocation};
 use serde::Serialize;
@@ -8,18 +8,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// Nothing is lost; good to know.
+    /// Nothing is lost; for information.
     Note,
-    /// Carried over with a difference in some trouble.
+    /// Carried over with a difference in some situations.
     Approximated,
     /// Not carried over.
     LeftOut,
-    /// The file cannot be used as it is; there is no node list.
+    /// The file cannot be used as it is; no node list is produced.
     Error,
 }
 
 impl Severity {
-    /// The word for people.
+    /// The severity as printed for people.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -31,21 +31,21 @@
     }
 }
 
-/// One thing to say, with a stable code.
+/// Something an import reports, with a stable code.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The code; `CODES` has them all.
+    /// The code; `CODES` lists all of them.
     pub code: &'static str,
     /// How much it matters.
     pub severity: Severity,
-    /// Where.
+    /// The file and line that it refers to.
     #[serde(rename = "place")]
     pub location: SourceLocation,
-    /// A sentence: what, and what to do instead.
+    /// A sentence that says what was found and what to do instead.
     pub message: String,
 }
 
-/// Every code, its severity and what it means.
+/// Every code with its severity and meaning.
 pub const CODES: &[(&str, Severity, &str)] = &[
     ("A001", Severity::Error, "a file that cannot be read"),
     ("A002", Severity::Error, "a section that is not closed, or closed by another name"),
@@ -91,24 +91,24 @@
     ("J008", Severity::Approximated, "a balancer within a balancer: its members are taken in"),
 ];
 
-/// What a code means.
+/// The meaning of a code.
 #[must_use]
 pub fn explain(code: &str) -> Option<&'static str> {
     CODES.iter().find(|(c, _, _)| *c == code).map(|(_, _, text)| *text)
 }
 
-/// Findings in the order they were made, each said once.
+/// Findings in the order in which they were added, without duplicates.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     all: Vec<Finding>,
     seen: HashSet<(&'static str, SourceLocation, String)>,
 }
 
-/// More findings than these are counted and not kept: nobody reads on, and a hostile file has millions.
+/// Further findings are dropped: nobody reads that many, and a hostile file can cause millions.
 const MAX_FINDINGS: usize = 10_000;
 
 impl Findings {
-    /// Adds one; its severity is the code's.
+    /// Adds a finding with the severity of its code.
     pub fn add(&mut self, code: &'static str, location: &SourceLocation, message: impl Into<String>) {
         let severity = CODES.iter().find(|(c, _, _)| *c == code).map_or(Severity::Error, |(_, s, _)| *s);
         let message = message.into();
@@ -117,19 +117,19 @@
         }
     }
 
-    /// All of them.
+    /// All findings in order.
     #[must_use]
     pub fn all(&self) -> &[Finding] {
         &self.all
     }
 
-    /// Whether there is one as bad as this.
+    /// Whether there is a finding of at least this severity.
     #[must_use]
     pub fn any_at_least(&self, severity: Severity) -> bool {
         self.all.iter().any(|f| f.severity >= severity)
     }
 
-    /// For people: each with its line shown.
+    /// Formats the findings for people, each with the line that it refers to.
     #[must_use]
     pub fn to_text(&self, files: &dyn Files) -> String {
         let mut sources = std::collections::HashMap::new();
@@ -150,7 +150,7 @@
         text
     }
 
-    /// For programs: one JSON array.
+    /// Formats the findings as a JSON array.
     #[must_use]
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(&self.all).unwrap_or_default()
