--- a/crates/import/src/diff.rs
+++ b/crates/import/src/diff.rs
@@ -1,18 +1,18 @@
-//! What a new list would change in a running one.
+//! Compares a new node list with the one in service.
 
 use crate::convert::Node;
 use std::collections::BTreeMap;
 
-/// One difference.
+/// A difference between two node lists.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
     /// The node; empty for the routing.
     pub node: String,
-    /// The field; empty where the node is new or gone.
+    /// The field; empty for an added or removed node.
     pub field: &'static str,
-    /// What it was, and is to be; `None` where there is no node.
+    /// The old value; `None` for an added node.
     pub old: Option<String>,
-    /// See `old`.
+    /// The new value; `None` for a removed node.
     pub new: Option<String>,
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// Differences between two lists, by name. A node whose name alone changed is gone and new: its sessions and what was
-/// learnt of it end with the name.
+/// Compares two lists by node name. A renamed node counts as removed and added: its sessions and what the
+/// gateway has learnt about it are tied to the name.
 #[must_use]
 pub fn diff(old: &[Node], new: &[Node]) -> Vec<Difference> {
     let by_name = |nodes: &'_ [Node]| -> BTreeMap<String, Node> {
