--- a/crates/import/src/apache/lexer.rs
+++ b/crates/import/src/apache/lexer.rs
@@ -1,17 +1,17 @@
-//! From bytes to logical lines, and from a line to words, as httpd's own reader does it (server/config.c,
+//! Splits a file into logical lines and a line into arguments, as httpd's own reader does (server/config.c,
 //! `ap_cfg_getline` and `ap_getword_conf`).
 
-/// A logical line: continued lines joined, white space around it taken off.
+/// A logical line: continuation lines joined, surrounding white space removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogicalLine {
-    /// Its text; neither empty nor a comment.
+    /// The text; neither empty nor a comment.
     pub text: String,
-    /// The first line that it stands on, from 1.
+    /// The number of its first physical line, from 1.
     pub number: u32,
 }
 
-/// The text of a file's bytes, without a byte-order mark; bytes that are no UTF-8 make it all Latin-1, and the
-/// line of the first of them is told.
+/// Decodes a file without its byte-order mark. A file that is not valid UTF-8 is decoded as Latin-1 as a
+/// whole; the second value is then the line of the first invalid byte.
 #[must_use]
 pub fn decode_text(bytes: &[u8]) -> (String, Option<u32>) {
     let bytes = bytes.strip_prefix(b"\xef\xbb\xbf").unwrap_or(bytes);
@@ -24,11 +24,11 @@
     }
 }
 
-/// The logical lines of a text. A backslash right before the line's end joins the next line, in comments too.
-/// The error is the number of a line that grows beyond `most` bytes.
+/// Splits a text into logical lines. A backslash right before the line end joins the next line, in comments
+/// too.
 ///
 /// # Errors
-/// See above.
+/// The number of the line at which a logical line grows beyond `max_bytes`.
 pub fn logical_lines(text: &str, max_bytes: usize) -> Result<Vec<LogicalLine>, u32> {
     let (mut result, mut pending, mut first) = (Vec::new(), String::new(), 0);
     let mut push = |pending: &mut String, number: u32| {
@@ -57,7 +57,8 @@
     Ok(result)
 }
 
-/// The words of an argument string, and whether quotes were left open (the last word then goes to the end).
+/// Splits an argument string. The flag tells whether a quote is unterminated; the last argument then extends
+/// to the end of the text.
 #[must_use]
 pub fn split_arguments(text: &str) -> (Vec<String>, bool) {
     let (mut result, mut unterminated) = (Vec::new(), false);
@@ -69,7 +70,7 @@
         while let Some(c) = rest.next() {
             match (c, quote) {
                 ('\\', _) => match rest.peek() {
-                    // Only a backslash, and the quote inside quotes, are escaped.
+                    // Only a backslash, and inside quotes the quote character, can be escaped.
                     Some(&next) if next == '\\' || Some(next) == quote => {
                         word.push(next);
                         rest.next();
--- a/crates/import/src/apache/mod.rs
+++ b/crates/import/src/apache/mod.rs
@@ -1,4 +1,5 @@
-//! Apache httpd configuration: lines and words, conditions, includes and macros, and what balancers say in it.
+//! Reads Apache httpd configuration: lines and arguments, conditions, includes and macros, and the directives
+//! about balancers.
 
 mod lexer;
 mod proxy;
