--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -1,4 +1,4 @@
-//! What the directives of mod_proxy and mod_jk say of balancers.
+//! Collects balancers and mounts from the directives of mod_proxy and mod_jk.
 
 use super::read::{Directive, DirectiveHandler, Options, Section, read};
 use crate::files::{Files, SourceLocation};
@@ -8,29 +8,29 @@
 use crate::table::{Conversion, Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap};
 
-/// What an Apache configuration says of mod_jk: files to read, and properties and mounts of its own.
+/// What an httpd configuration contributes to mod_jk: files to read, and properties and mounts of its own.
 #[derive(Clone, Debug, Default)]
 pub struct JkDirectives {
-    /// JkWorkersFile.
+    /// Files named by JkWorkersFile.
     pub worker_files: Vec<Value>,
-    /// JkMountFile.
+    /// Files named by JkMountFile.
     pub uri_map_files: Vec<Value>,
-    /// JkWorkerProperty.
+    /// Lines given by JkWorkerProperty.
     pub properties: Vec<Value>,
-    /// JkMount and JkUnMount.
+    /// Mounts and exclusions from JkMount and JkUnMount.
     pub mounts: Vec<Mount>,
 }
 
-/// What was read of a configuration.
+/// The result of reading an httpd configuration.
 #[derive(Clone, Debug, Default)]
 pub struct HttpdConfig {
-    /// The balancers of both kinds.
+    /// The balancers of mod_proxy and mod_jk.
     pub model: Model,
-    /// How many directives of other modules there were.
+    /// The number of directives that belong to other modules.
     pub other_directives: usize,
 }
 
-/// Reads Apache files, with the mod_jk files that they name.
+/// Reads httpd configuration files and the mod_jk files that they name.
 pub fn import(files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings) -> HttpdConfig {
     let mut collector = BalancerCollector::default();
     read(files, main, options, findings, &mut collector);
@@ -47,21 +47,21 @@
     model: Model,
     jk: JkDirectives,
     other_directives: usize,
-    /// Places in the model by name: files of many lines must not take quadratic time.
+    /// Indices into the model by name, so that reading takes linear time in the number of lines.
     balancer_indices: HashMap<String, usize>,
     member_indices: HashMap<(usize, String), usize>,
-    /// The balancers that a member's URL is in.
+    /// For each member URL, the balancers that contain it.
     balancers_by_url: HashMap<String, Vec<usize>>,
 }
 
-/// `balancer://name/path` in parts.
+/// Splits `balancer://name/path` into name and path.
 fn parse_balancer_url(url: &str) -> Option<(String, &str)> {
     let rest = url.get(..11).filter(|s| s.eq_ignore_ascii_case("balancer://")).map(|_| &url[11..])?;
     let (name, path) = rest.split_once('/').map_or((rest, ""), |(n, p)| (n, p));
     Some((name.to_ascii_lowercase(), path))
 }
 
-/// A member's URL in parts; `None` where it is no URL.
+/// Parses a member's URL; `None` if it is not valid.
 fn parse_member_url(url: &str, location: &SourceLocation) -> Option<Member> {
     let (scheme, rest) = url.split_once("://").or_else(|| url.strip_prefix("unix:").map(|r| ("unix", r)))?;
     let scheme = scheme.to_ascii_lowercase();
@@ -113,7 +113,8 @@
         })
     }
 
-    /// `key=value` words of a member or balancer. Of the words without `=` ProxyPass knows some by themselves.
+    /// Applies `key=value` arguments to a member or balancer. ProxyPass also accepts some arguments without
+    /// `=`.
     fn set_parameters(
         &mut self, balancer: usize, at: Option<usize>, arguments: &[String], location: &SourceLocation,
         findings: &mut Findings,
@@ -146,7 +147,8 @@
                 None if known(Scope::Balancer).is_some() => {
                     target.parameters.insert(key, value);
                 }
-                // Parameters of members that stand on a balancer go for all of its members.
+                // httpd applies a member's parameter that is set on a balancer to all of its members; it is
+                // not carried over.
                 None if known(Scope::Member).is_some() => {
                     let note = known(Scope::Member).map_or("", |r| r.note);
                     findings.add("B003", location, format!("{key} on a balancer: {note}"));
@@ -183,7 +185,7 @@
         self.set_parameters(balancer, Some(at), arguments, location, findings);
     }
 
-    /// What a path is sent to.
+    /// Adds a mount of a path, or an exclusion if the URL is `!`.
     fn add_mount(
         &mut self, path: &str, url: &str, arguments: &[String], context: String, location: &SourceLocation,
         findings: &mut Findings,
@@ -198,14 +200,15 @@
                 self.set_parameters(at, None, arguments, &location, findings);
                 name
             }
-            // A worker of its own: no balancer, so nothing to spread.
+            // A URL that is not a balancer: a worker of its own, without members to choose from.
             None => url.to_owned(),
         };
         self.model.mounts.push(Mount { path, target: Some(target), context, location });
     }
 }
 
-/// Status flags: `D`, `+H-D`, `DS`; a sign goes for the letters behind it, as httpd has it for each.
+/// Parses status flags such as `D`, `+H-D` and `DS`. As in httpd, a sign applies to all letters that follow
+/// it.
 fn parse_status_flags(
     flags: &mut Vec<(char, bool, SourceLocation)>, text: &str, location: &SourceLocation,
     findings: &mut Findings,
@@ -230,7 +233,7 @@
     sections.iter().filter(is_context).map(one).collect::<Vec<_>>().join(" ")
 }
 
-/// The path of the innermost location, for directives that leave theirs out.
+/// The path of the innermost Location section, for directives that omit their own path.
 fn innermost_location_path(sections: &[Section]) -> Option<String> {
     let last = sections.iter().rev().find(|s| s.name.starts_with("location"))?;
     last.arguments.iter().rfind(|w| *w != "~").cloned()
@@ -315,7 +318,7 @@
             }
             "jkworkersfile" | "jkmountfile" | "jkworkerproperty" => {
                 let Some(text) = arguments.first() else { return missing(findings, "an argument") };
-                // A property may hold spaces that are not quoted.
+                // A property may contain unquoted spaces.
                 let value = Value { text: arguments.join(" "), location: location.clone() };
                 match name.as_str() {
                     "jkworkersfile" => self.jk.worker_files.push(Value { text: text.clone(), ..value }),
