--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -1,5 +1,5 @@
-//! Directives in the order in which httpd carries them out: includes followed, macros and variables put in,
-//! conditions decided as far as they can be from files alone.
+//! Reads directives in the order in which httpd executes them: follows includes, expands macros and
+//! variables, and evaluates conditions as far as the files alone allow.
 
 use super::lexer::{LogicalLine, decode_text, logical_lines, split_arguments};
 use crate::Limits;
@@ -8,42 +8,42 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A directive.
+/// A directive with its arguments.
 #[derive(Clone, Debug)]
 pub struct Directive {
-    /// Its name in lower case.
+    /// The name in lower case.
     pub name: String,
-    /// Its arguments.
+    /// The arguments.
     pub arguments: Vec<String>,
-    /// Where.
+    /// The line of the directive.
     pub location: SourceLocation,
 }
 
-/// A section around a directive.
+/// A section that encloses a directive.
 #[derive(Clone, Debug)]
 pub struct Section {
-    /// Its name in lower case.
+    /// The name in lower case.
     pub name: String,
-    /// Its arguments.
+    /// The arguments.
     pub arguments: Vec<String>,
-    /// Where it begins.
+    /// The line on which the section starts.
     pub location: SourceLocation,
 }
 
-/// What is done with each directive.
+/// Receives each directive that the reader does not execute itself.
 pub trait DirectiveHandler {
-    /// A directive inside these sections, the outermost first.
+    /// Handles a directive; `sections` are the enclosing sections, outermost first.
     fn handle(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings);
 }
 
-/// What the files alone do not tell.
+/// Settings that the files themselves do not contain.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Names defined on the command line (-D).
+    /// Names defined on httpd's command line (`-D`).
     pub defines: Vec<String>,
-    /// httpd's version, for IfVersion; without it that cannot be decided.
+    /// httpd's version, for IfVersion; without it such conditions cannot be evaluated.
     pub version: Option<String>,
-    /// Bounds.
+    /// Limits on what is read.
     pub limits: Limits,
 }
 
@@ -60,7 +60,7 @@
     handler: &'a mut dyn DirectiveHandler,
     defined: BTreeMap<String, Option<String>>,
     macros: HashMap<String, Macro>,
-    /// Files and macros being read, to find circles.
+    /// Files, directories and macros that are being read, to detect cycles.
     open_sources: Vec<String>,
     sections: Vec<Section>,
     server_root: Option<String>,
@@ -68,11 +68,11 @@
     directives_read: usize,
 }
 
-/// An error was told; reading ends.
+/// Reading has ended after an error, which is among the findings.
 struct Aborted;
 type ReadResult = Result<(), Aborted>;
 
-/// Reads a main file and all that it includes. Errors are told as findings.
+/// Reads the main files and everything that they include. Errors are added to the findings.
 pub fn read(
     files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings,
     handler: &mut dyn DirectiveHandler,
@@ -164,7 +164,7 @@
         result
     }
 
-    /// The lines of a file or macro. Sections must close where they opened.
+    /// Reads the lines of a file or macro. A section must be closed in the file or macro that opened it.
     fn read_lines(&mut self, file: &Arc<str>, body: &[LogicalLine]) -> ReadResult {
         let outer_depth = self.sections.len();
         let mut at = 0;
@@ -229,7 +229,7 @@
         arguments
     }
 
-    /// A section's first line; gives where to read on.
+    /// Opens a section at its first line and returns the index of the next line to read.
     fn open_section(
         &mut self, file: &Arc<str>, body: &[LogicalLine], at: usize, location: &SourceLocation,
     ) -> Result<usize, Aborted> {
@@ -261,7 +261,7 @@
         self.skip_section(body, at, &name, location)
     }
 
-    /// Past the end of a section that is not read.
+    /// Skips a section and returns the index of the line after its end.
     fn skip_section(
         &mut self, body: &[LogicalLine], mut at: usize, name: &str, location: &SourceLocation,
     ) -> Result<usize, Aborted> {
@@ -285,7 +285,7 @@
         Ok(at)
     }
 
-    /// Whether a conditional section is read; `None` for a section that is no condition.
+    /// Whether a conditional section is read; `None` if the section is not a condition.
     fn evaluate_condition(
         &mut self, name: &str, arguments: &[String], location: &SourceLocation,
     ) -> Option<bool> {
@@ -327,7 +327,7 @@
         resolve_path(self.server_root.as_deref().unwrap_or(""), path)
     }
 
-    /// Puts `${NAME}` in where it is defined.
+    /// Replaces each defined `${NAME}` by its value.
     fn expand_variables(&mut self, text: &str, location: &SourceLocation) -> Result<String, Aborted> {
         let mut expanded = String::with_capacity(text.len());
         let mut rest = text;
@@ -352,7 +352,7 @@
             self.check_line_length(expanded.len() + rest.len(), location)?;
         }
         if !expanded.is_empty() {
-            // What variables make counts as read: lines that double themselves end here.
+            // Expanded text counts towards the byte limit, which bounds variables that repeat one another.
             self.bytes_read += expanded.len();
             if self.bytes_read > self.options.limits.all_bytes {
                 self.abort("A005", location, "variables make more bytes than are read")?;
@@ -404,7 +404,8 @@
 
     // ---- Includes ----
 
-    /// A file, a folder (all that is in it, by name), or a pattern in any part of the path (matches by name).
+    /// Reads a file, a directory (all entries in order of their names), or the matches of a pattern, which
+    /// may stand in any component of the path (in order of their names).
     fn include(&mut self, pattern: &str, optional: bool, location: &SourceLocation) -> ReadResult {
         let path = self.resolve(pattern);
         if !path.contains(['*', '?', '[']) {
@@ -529,7 +530,8 @@
             let text = substitute(&line.text, &substitutions);
             let location = SourceLocation { file: file.clone(), line: line.number };
             self.check_line_length(text.len(), &location)?;
-            // What is spread counts before it is read: a macro of a million lines is not built for nothing.
+            // Counts the expanded text before it is read, so that a macro of a million lines is not expanded
+            // in vain.
             self.bytes_read += text.len();
             if self.bytes_read > self.options.limits.all_bytes {
                 return self.abort("A005", &location, "macros spread to more bytes than are read");
@@ -551,7 +553,7 @@
     }
 }
 
-/// Puts arguments in for parameters, at each place the longest that fits.
+/// Replaces parameters by their arguments; at each position the longest matching parameter applies.
 fn substitute(text: &str, substitutions: &[(&str, &str)]) -> String {
     if substitutions.is_empty() {
         return text.to_owned();
@@ -573,7 +575,7 @@
     expanded
 }
 
-/// httpd's comparison of versions: `2`, `2.4` and `2.4.7` stand for as many parts as they have.
+/// Compares versions as httpd does. `2`, `2.4` and `2.4.7` are all valid; missing components count as 0.
 fn compare_versions(version: &str, operator: &str, expected: &str) -> Option<bool> {
     let parts = |text: &str| text.split('.').map(|p| p.parse::<u32>().ok()).collect::<Option<Vec<u32>>>();
     let (mut version, mut expected) = (parts(version)?, parts(expected)?);
