--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -1,4 +1,4 @@
-//! mod_jk: `workers.properties`, `uriworkermap.properties`, and what httpd's own files add to them.
+//! Reads mod_jk's `workers.properties` and `uriworkermap.properties`, and what httpd's own files add to them.
 
 mod properties;
 mod uris;
@@ -13,7 +13,8 @@
 use crate::finding::Findings;
 use crate::model::{Model, Mount};
 
-/// Reads workers.properties files, the later ones over the earlier ones, and uriworkermap files.
+/// Reads workers.properties files, of which later ones override earlier ones, and uriworkermap.properties
+/// files.
 pub fn import(
     files: &dyn Files, worker_files: &[String], uri_map_files: &[String], limits: Limits,
     findings: &mut Findings,
@@ -36,7 +37,7 @@
     model
 }
 
-/// What httpd's files name and say.
+/// Reads the mod_jk files and properties that an httpd configuration names.
 pub(crate) fn from_apache(
     files: &dyn Files, jk: &JkDirectives, limits: Limits, model: &mut Model, findings: &mut Findings,
 ) {
