--- a/crates/import/src/jk/properties.rs
+++ b/crates/import/src/jk/properties.rs
@@ -1,5 +1,5 @@
-//! Properties files as mod_jk reads them (common/jk_map.c): `name=value`, `$(macros)` of what stands before, the last
-//! word counts but for lists, whose words are gathered.
+//! Parses properties files as mod_jk does (common/jk_map.c): `name=value`, and `$(name)` for a property
+//! defined earlier. The last value applies, except for list attributes, whose values are joined.
 
 use crate::Limits;
 use crate::apache::logical_lines;
@@ -7,21 +7,21 @@
 use crate::finding::Findings;
 use std::collections::HashMap;
 
-/// Attributes that gather their values.
+/// Attributes whose values are joined when they are set more than once.
 const LIST_ATTRIBUTES: [&str; 5] = ["balance_workers", "balanced_workers", "mount", "list", "fail_on_status"];
 
-/// One property.
+/// A property's value and where it was set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Property {
-    /// Its value, macros put in.
+    /// The value with macros expanded.
     pub text: String,
-    /// Where it was said last.
+    /// Where it was last set.
     pub location: SourceLocation,
-    /// Where it was said first.
+    /// Where it was first set.
     pub first_location: SourceLocation,
 }
 
-/// All properties, in the order in which they were named first.
+/// All properties in order of first occurrence.
 #[derive(Debug)]
 pub struct Properties {
     indices: HashMap<String, usize>,
@@ -31,24 +31,24 @@
 }
 
 impl Properties {
-    /// None yet.
+    /// Creates an empty set of properties.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self { indices: HashMap::new(), entries: Vec::new(), bytes: 0, limits }
     }
 
-    /// A property by its whole name.
+    /// Looks up a property by its full name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Property> {
         self.indices.get(name).map(|at| &self.entries[*at].1)
     }
 
-    /// All of them.
+    /// Iterates over all properties.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Property)> {
         self.entries.iter().map(|(name, property)| (name.as_str(), property))
     }
 
-    /// Reads a file's text; `false` after an error, which is told.
+    /// Parses a file's text; returns `false` after an error, which is added to the findings.
     pub fn read(&mut self, path: &str, text: &str, findings: &mut Findings) -> bool {
         let location = |line| SourceLocation { file: path.into(), line };
         let lines = match logical_lines(text, self.limits.line_bytes) {
@@ -68,9 +68,9 @@
             .all(|l| self.parse(&l.text, &SourceLocation { file: file.clone(), line: l.number }, findings))
     }
 
-    /// Takes one line; `false` after an error, which is told.
+    /// Parses one line; returns `false` after an error, which is added to the findings.
     pub fn parse(&mut self, line: &str, location: &SourceLocation, findings: &mut Findings) -> bool {
-        // A comment may stand behind a value too.
+        // A comment may also follow a value.
         let line = line.split('#').next().unwrap_or("").trim();
         let Some((name, value)) = line.split_once('=') else {
             if !line.is_empty() {
@@ -108,7 +108,7 @@
         check_list_length(&self.entries[at].1, self.limits, location, findings)
     }
 
-    /// `$(name)` stands for the property of that name as it is by now.
+    /// Replaces `$(name)` by the current value of the property of that name.
     fn expand_macros(&self, value: &str, location: &SourceLocation, findings: &mut Findings) -> String {
         let mut expanded = String::new();
         let mut rest = value;
