--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -1,5 +1,5 @@
-//! `uriworkermap.properties` (common/jk_uri_worker_map.c): `/path=worker`, exclusions by `!`, `/path|/*` for the path
-//! and all below it, extensions behind `;`.
+//! Parses `uriworkermap.properties` (common/jk_uri_worker_map.c): `/path=worker`, exclusions by `!`,
+//! `/path|/*` for the path and everything below it, extensions after `;`.
 
 use super::properties::clip;
 use crate::Limits;
@@ -8,20 +8,20 @@
 use crate::finding::Findings;
 use crate::table::{Conversion, Scope, Source, find_parameter};
 
-/// One rule.
+/// A line of uriworkermap.properties that maps a path to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UriRule {
-    /// Path or pattern.
+    /// A path or pattern.
     pub path: String,
     /// The worker's name.
     pub worker: String,
-    /// Whether the path is not sent to it.
+    /// Whether the path is excluded from the worker.
     pub excluded: bool,
-    /// Where.
+    /// The line of the rule.
     pub location: SourceLocation,
 }
 
-/// The rules of a file; `None` after an error, which is told.
+/// Parses the rules of a file; `None` after an error, which is added to the findings.
 pub fn parse_rules(path: &str, text: &str, limits: Limits, findings: &mut Findings) -> Option<Vec<UriRule>> {
     let file: std::sync::Arc<str> = path.into();
     let lines = match logical_lines(text, limits.line_bytes) {
@@ -53,7 +53,7 @@
         }
         let pattern = pattern.trim();
         let (excluded, pattern) = pattern.strip_prefix('!').map_or((false, pattern), |l| (true, l.trim()));
-        // A minus was once a rule switched off.
+        // A leading minus marks a disabled rule.
         let (disabled, pattern) = pattern.strip_prefix('-').map_or((false, pattern), |l| (true, l.trim()));
         if pattern.is_empty() || worker.is_empty() || !pattern.starts_with(['/', '*', '.']) || disabled {
             let text = if disabled { "is switched off" } else { "is no rule: /path=worker is wanted" };
