--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -1,4 +1,5 @@
-//! From properties to workers: references followed, balancers filled.
+//! Builds balancers from mod_jk's properties: resolves references and collects the members of load balancer
+//! workers.
 
 use super::properties::{Properties, Property, clip};
 use crate::files::SourceLocation;
@@ -7,21 +8,21 @@
 use crate::table::{Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Longer chains of references, and balancers within balancers, are taken for circles.
+/// Longer chains of references, and deeper nesting of balancers, are treated as cycles.
 const MAX_REFERENCE_DEPTH: usize = 64;
 
 type Attributes<'a> = BTreeMap<&'a str, &'a Property>;
 
 struct Workers<'a> {
-    /// What is said of each worker itself.
+    /// The attributes set on each worker itself.
     own: HashMap<&'a str, Attributes<'a>>,
-    /// In the order in which they were named first.
+    /// Worker names in order of first occurrence.
     order: Vec<&'a str>,
-    /// Where that was.
+    /// Where each worker was first named.
     origins: HashMap<&'a str, &'a SourceLocation>,
 }
 
-/// Names in a list: commas and white space part them.
+/// Splits a list at commas and white space.
 fn split_names(text: &str) -> impl Iterator<Item = &str> {
     text.split([',', ' ', '\t']).filter(|n| !n.is_empty())
 }
@@ -30,7 +31,7 @@
     let mut workers = Workers { own: HashMap::new(), order: Vec::new(), origins: HashMap::new() };
     for (name, property) in properties.iter() {
         let Some(rest) = name.strip_prefix("worker.") else {
-            // Anything else is there for macros, or is told to nobody.
+            // Names without a dot are macros; any other name is unknown.
             if name.contains('.') {
                 findings.add(
                     "J005",
@@ -131,7 +132,7 @@
             }
         }
     }
-    // A worker that requests reach by itself is a balancer of one.
+    // A worker that is in worker.list but in no balancer becomes a balancer with one member.
     let standalone =
         workers.order.iter().filter(|n| listed_names.contains(**n) && worker_type(n).starts_with("ajp"));
     for name in standalone.filter(|n| !balanced.contains(**n)) {
@@ -144,7 +145,8 @@
 }
 
 impl<'a> Workers<'a> {
-    /// What is said of a worker and of those that it refers to, its own word first.
+    /// A worker's attributes together with those of the workers it references; its own attributes take
+    /// precedence.
     fn resolve_references(&self, name: &str, findings: &mut Findings) -> Option<Attributes<'a>> {
         let mut resolved = self.own.get(name)?.clone();
         let mut seen = vec![name];
@@ -174,7 +176,8 @@
         Some(resolved)
     }
 
-    /// The members of a balancer, those of balancers within it taken in; gives how many lists it has.
+    /// Collects a balancer's members, with nested balancers flattened, and returns the number of its member
+    /// lists.
     fn collect_members(
         &self, name: &str, attributes: &HashMap<&'a str, Attributes<'a>>, open_balancers: &mut Vec<String>,
         expanded: &mut HashSet<&'a str>, members: &mut Vec<&'a str>, findings: &mut Findings,
@@ -206,7 +209,8 @@
                         "{member} is a balancer itself: its members are taken in with their own parameters"
                     );
                     findings.add("J008", &list.location, text);
-                    // Each once: balancers that hold each other twice would double at each step.
+                    // Expands each nested balancer once: balancers that list one another twice would grow
+                    // exponentially.
                     if expanded.insert(known) {
                         self.collect_members(
                             member,
