--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -1,5 +1,5 @@
-//! From the model to a node list, and what has to be said on the way. Every parameter of the balancer that is taken
-//! passes through `PARAMETERS`: none is dropped without a word.
+//! Converts the model to a node list and reports what cannot be converted. Every parameter of the chosen
+//! balancer is looked up in `PARAMETERS`, so that none is dropped silently.
 
 use crate::apache;
 use crate::files::SourceLocation;
@@ -10,31 +10,31 @@
 use std::fmt::Write;
 use std::net::IpAddr;
 
-/// What is wanted of the files.
+/// Options of the conversion.
 #[derive(Clone, Debug, Default)]
 pub struct ConvertOptions {
-    /// The balancer; needed where there are several.
+    /// The balancer to convert; required if there are several.
     pub balancer: Option<String>,
-    /// Addresses of host names.
+    /// Addresses by host name.
     pub hosts: BTreeMap<String, IpAddr>,
 }
 
-/// What a node is there for; as in the settings.
+/// The role of a node in balancing, as in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// It takes its part.
+    /// Takes its share of the requests.
     #[default]
     Active,
-    /// Stands in for one that is away.
+    /// Replaces a node that is unavailable.
     Spare,
-    /// Used when its tier has nothing else.
+    /// Used when no other node of its priority level is available.
     Standby,
-    /// Takes only its own sessions.
+    /// Takes only requests of its own sessions.
     StickyOnly,
 }
 
 impl Role {
-    /// Its name in the settings.
+    /// The name of the role in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -46,62 +46,64 @@
     }
 }
 
-/// A node of the list.
+/// A node of the node list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// "address:port"; a host name where no address is known, and then the node is printed as a comment.
+    /// `address:port`. If the address of a host name is not known, this holds the host name and the node is
+    /// written as a comment.
     pub address: String,
-    /// Whether the address is one.
+    /// Whether `address` holds an IP address.
     pub resolved: bool,
-    /// Its part of its tier.
+    /// Its share of the requests of its priority level.
     pub weight: f64,
-    /// Its tier.
+    /// Its priority level; `tier` in the node list.
     pub priority_level: u32,
-    /// What it is there for.
+    /// Its role in balancing.
     pub role: Role,
-    /// Whether it is sent nothing.
+    /// Whether it is sent no requests.
     pub draining: bool,
-    /// What its sessions name it by.
+    /// The route by which session ids name it.
     pub route: String,
-    /// The route that takes its sessions.
+    /// The route of the node that takes over its sessions.
     pub redirect: String,
-    /// Its group.
+    /// Its failover group.
     pub group: String,
-    /// Where it came from.
+    /// Where the member was defined.
     pub location: SourceLocation,
 }
 
-/// How nodes are chosen.
+/// How a node is chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routing {
-    /// OUTSTANDING, REQUESTS or BUSYNESS.
+    /// The load balancing method: OUTSTANDING, REQUESTS or BUSYNESS.
     pub balance: &'static str,
-    /// The cookie with a session's id.
+    /// The cookie that holds the session id.
     pub cookie: String,
-    /// The parameter with it.
+    /// The path or query parameter that holds the session id.
     pub parameter: String,
-    /// Whether bound requests are refused rather than served elsewhere.
+    /// Whether a request of a session is refused rather than sent to another node.
     pub strict: bool,
 }
 
-/// A node list, to be printed.
+/// A node list, ready to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeList {
-    /// The balancer that it was.
+    /// The name of the balancer that was converted.
     pub balancer: String,
-    /// Where that is defined.
+    /// Where the balancer was defined.
     pub location: SourceLocation,
-    /// Its nodes by tier, role and name.
+    /// The nodes, sorted by priority level, role and name.
     pub nodes: Vec<Node>,
-    /// How they are chosen.
+    /// How a node is chosen for a request.
     pub routing: Routing,
-    /// Lines for the settings that a node list cannot hold.
+    /// Lines for the settings, for what a node list cannot express.
     pub hints: Vec<String>,
 }
 
-/// Turns the balancer that is wanted, of the files that begin with `main`, into a node list; `None` after an error, which is told.
+/// Converts the chosen balancer to a node list; `None` after an error, which is added to the findings. `main`
+/// is the first file, to which findings without a line refer.
 pub fn convert(
     model: &Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<NodeList> {
@@ -132,7 +134,7 @@
 fn select_balancer<'a>(
     model: &'a Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<&'a Balancer> {
-    // Errors of the readers come first: what they left is not the whole of it.
+    // After an error of the readers the model is incomplete.
     if findings.any_at_least(crate::Severity::Error) {
         return None;
     }
@@ -185,7 +187,7 @@
     Some(chosen)
 }
 
-/// What is read below for its value; all else is told by the table.
+/// Parameters whose values the functions below read; all others are reported from the table.
 const HANDLED_PARAMETERS: [&str; 23] = [
     "loadfactor",
     "lbset",
@@ -232,7 +234,7 @@
     text.chars().filter(|c| !c.is_control()).take(60).collect()
 }
 
-/// A figure within a range; one that cannot be read is told and left out.
+/// Parses a number within a range; an invalid one is reported and left out.
 fn parse_number(
     name: &str, value: Option<&Value>, range: std::ops::RangeInclusive<f64>, findings: &mut Findings,
 ) -> Option<f64> {
@@ -248,7 +250,7 @@
     }
 }
 
-/// A name that the settings take; one that they do not is told and left out.
+/// Parses a name that the settings accept; an invalid one is reported and left out.
 fn parse_name(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<String> {
     let value = value?;
     let text = value.text.trim();
@@ -263,7 +265,7 @@
     Some(text.to_owned()).filter(|t| !t.is_empty())
 }
 
-/// On and off, as httpd (On, Off) and mod_jk (true, t, yes, y, on, 1 ...) have them.
+/// Parses a boolean in the spellings of httpd (On, Off) and mod_jk (true, t, yes, y, on, 1 ...).
 fn parse_flag(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<bool> {
     let value = value?;
     match value.text.trim().to_ascii_lowercase().as_str() {
@@ -290,7 +292,7 @@
     let balance = match method.map(|m| (m, m.text.trim().to_ascii_lowercase())) {
         None => "REQUESTS",
         Some((value, text)) => {
-            // mod_jk tells methods by their first letter, httpd by the whole name.
+            // mod_jk recognizes a method by its first letter, httpd by the whole name.
             let initial: String = text.chars().take(1).collect();
             let text = if balancer.source == Source::ModJk { initial } else { text };
             match known.iter().position(|k| *k == text) {
@@ -345,7 +347,7 @@
             parse_flag("sticky_session_force", of("sticky_session_force"), findings)
         }
     };
-    // The names must be such as the settings take.
+    // The settings accept only some characters in these names.
     let token = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (what, name) in [("cookie", &mut cookie), ("parameter", &mut parameter)] {
         if !name.chars().all(token) {
@@ -414,7 +416,7 @@
     }
     let (host, port) = (member.host.as_str(), member.port);
     let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
-        // The one name whose address is the same everywhere (RFC 6761 section 6.3).
+        // The only host name with the same address everywhere (RFC 6761 section 6.3).
         (host == "localhost").then_some(IpAddr::from([127, 0, 0, 1]))
     });
     let address = match known {
@@ -440,7 +442,7 @@
     })
 }
 
-/// httpd's flags, the last word of each.
+/// Derives role and state from httpd's status flags, of which the last setting applies.
 fn role_from_status(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let mut set: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
     for (flag, on, location) in &member.flags {
@@ -481,7 +483,7 @@
     (role, on('S') || on('D'))
 }
 
-/// mod_jk's activation, and the older `disabled` and `stopped`.
+/// Derives role and state from mod_jk's activation and the older `disabled` and `stopped`.
 fn role_from_activation(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let of = |name: &str| member.parameters.get(name);
     let first = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
@@ -516,7 +518,7 @@
     }
 }
 
-/// Names for httpd's members, which have none: the route where it is one of its own, else address and port.
+/// Names httpd's members, which have no names: by route if it is unique, else by address and port.
 fn assign_names(nodes: &mut [Node]) {
     let mut routes: HashMap<String, usize> = HashMap::new();
     nodes.iter().for_each(|n| *routes.entry(n.route.clone()).or_default() += 1);
@@ -531,7 +533,8 @@
     }
 }
 
-/// Successors by the route of the node that they name: httpd names routes, mod_jk names workers or routes.
+/// Replaces each redirect by the route of the node that it names: httpd names routes, mod_jk names workers or
+/// routes.
 fn resolve_redirects(balancer: &Balancer, nodes: &mut [Node], findings: &mut Findings) {
     let by_name: HashMap<String, String> = nodes.iter().map(|n| (n.name.clone(), n.route.clone())).collect();
     let routes: BTreeSet<String> = nodes.iter().map(|n| n.route.clone()).collect();
@@ -551,7 +554,7 @@
     }
 }
 
-/// One address given twice would be a node that is counted twice.
+/// Removes nodes with an address that is already listed: such a node would be counted twice.
 fn remove_duplicate_addresses(nodes: &mut Vec<Node>, findings: &mut Findings) {
     let mut seen: HashMap<String, SourceLocation> = HashMap::new();
     nodes.retain(|node| match seen.get(&node.address) {
@@ -567,11 +570,12 @@
     });
 }
 
-/// What belongs into the settings rather than into a node list.
+/// Lines for what belongs in the settings rather than in a node list.
 fn settings_hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
     let mut hints = Vec::new();
     let (name, more) = match balancer.source {
-        // maxattempts counts attempts behind the first (failover attempts); mod_jk's retries count all.
+        // maxattempts does not count the first attempt (it counts failover attempts); mod_jk's retries count
+        // all.
         Source::Apache => ("maxattempts", 1.0),
         Source::ModJk if balancer.parameters.contains_key("lb_retries") => ("lb_retries", 0.0),
         Source::ModJk => ("retries", 0.0),
@@ -628,7 +632,7 @@
     }
 }
 
-/// A string of protobuf's text format.
+/// Quotes a string for protobuf's text format.
 fn quote(text: &str) -> String {
     let mut escaped = String::from("\"");
     for c in text.chars() {
@@ -649,7 +653,7 @@
 }
 
 impl NodeList {
-    /// The node list in protobuf text format: the same model gives the same bytes.
+    /// Writes the node list in protobuf text format. The same model always gives the same bytes.
     #[must_use]
     pub fn to_text(&self) -> String {
         let comment = |text: &str| text.chars().filter(|c| !c.is_control()).collect::<String>();
@@ -703,7 +707,7 @@
     }
 }
 
-/// Notes how many directives there were of other modules.
+/// Reports the number of directives that belong to other modules.
 pub(crate) fn report_other_directives(config: &apache::HttpdConfig, file: &str, findings: &mut Findings) {
     if config.other_directives > 0 {
         let location = SourceLocation { file: file.into(), line: 0 };
