--- a/crates/import/src/table.rs
+++ b/crates/import/src/table.rs
@@ -1,8 +1,9 @@
-//! What becomes of every parameter and directive: the one place that says it, for the importer and for the docs.
+//! The table of all known parameters and directives and how they are converted, for the importer and for the
+//! documentation.
 
 use serde::Serialize;
 
-/// Where a parameter comes from.
+/// The module that a parameter belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum Source {
     /// Apache httpd's mod_proxy.
@@ -11,43 +12,43 @@
     ModJk,
 }
 
-/// What it belongs to.
+/// What a parameter applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum Scope {
     /// A member of a balancer.
     Member,
     /// A balancer.
     Balancer,
-    /// A directive of httpd's, or a property of mod_jk's that belongs to no worker.
+    /// A directive of httpd, or a property of mod_jk that belongs to no worker.
     Directive,
-    /// An extension of a line of uriworkermap.properties.
+    /// An extension of a rule in uriworkermap.properties.
     Rule,
 }
 
-/// What becomes of it.
+/// How a parameter is converted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Conversion {
-    /// It is carried over with the same meaning.
+    /// Carried over with the same meaning.
     Carried,
-    /// It is carried over with a difference.
+    /// Carried over with a difference in meaning.
     Approximated,
-    /// It is not carried over.
+    /// Not carried over.
     LeftOut,
 }
 
-/// One row.
+/// A row of the table.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Parameter {
-    /// Whose.
+    /// The module that it belongs to.
     pub source: Source,
-    /// Of what.
+    /// What it applies to.
     pub scope: Scope,
-    /// Its name in lower case.
+    /// The name in lower case.
     pub name: &'static str,
-    /// What becomes of it.
+    /// How it is converted.
     #[serde(rename = "fate")]
     pub conversion: Conversion,
-    /// How, or why not and what to do instead.
+    /// What it becomes, or why it is left out and what to do instead.
     pub note: &'static str,
 }
 
@@ -72,7 +73,7 @@
 const ADMIN_INTERFACE: &str = "`doorcourse ctl` shows and drains nodes";
 const OTHER_PROXYING: &str = "concerns proxying beside balancers";
 
-/// Every parameter and directive that is known.
+/// All known parameters and directives.
 pub const PARAMETERS: &[Parameter] = &[
     // ---- mod_proxy: members ----
     row(Apache, Member, "loadfactor", Carried, "weight"),
@@ -383,7 +384,7 @@
     row(ModJk, Balancer, "max_reply_timeouts", Approximated, FAILURE_HANDLING),
     row(ModJk, Balancer, "lb_retries", Approximated, "attempts.most in the settings"),
     row(ModJk, Balancer, "mount", Approximated, "the gateway serves one endpoint: see C007"),
-    // ---- mod_jk: properties that belong to no worker, and rules ----
+    // ---- mod_jk: properties that belong to no worker, and extensions of rules ----
     row(ModJk, Directive, "worker.list", Carried, "which balancers are reached from outside"),
     row(ModJk, Directive, "worker.maintain", LeftOut, "what is known of nodes is kept up as requests come"),
     row(ModJk, Rule, "reply_timeout", LeftOut, TIMEOUT),
@@ -406,7 +407,7 @@
     row(ModJk, Rule, "session_cookie_path", LeftOut, "the gateway sets no cookie: the nodes must"),
 ];
 
-/// The row of a parameter.
+/// Finds the row of a parameter.
 #[must_use]
 pub fn find_parameter(source: Source, scope: Scope, name: &str) -> Option<&'static Parameter> {
     PARAMETERS.iter().find(|p| p.source == source && p.scope == scope && p.name == name)
