--- a/crates/import/fuzz/fuzz_targets/mod_jk.rs
+++ b/crates/import/fuzz/fuzz_targets/mod_jk.rs
@@ -1,4 +1,4 @@
-//! Any bytes as workers.properties, the part behind a form feed as uriworkermap.properties.
+//! Arbitrary bytes as workers.properties; the part after a form feed is uriworkermap.properties.
 #![no_main]
 
 use doorcourse_import::{InMemory, Limits, ImportRequest, import};
