--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Files that are large, hostile or no configuration at all: bounded time and memory, one clear error, no panic.
+//! Large, hostile and invalid files must end in bounded time and memory with one clear error and no panic.
 
 use doorcourse_import::{Findings, ImportRequest, InMemory, NodeList, import};
 use proptest::prelude::*;
@@ -56,8 +56,8 @@
     assert_eq!(node_list.expect("a list").nodes.len(), 25_000);
 }
 
-/// Each of these would take hours or all memory if it were followed to its end; the bounds of `Limits` are counts, so
-/// what ends it is the same at every run.
+/// Followed to its end, each of these files would take hours or all memory. The `Limits` are counts rather
+/// than times, so each run ends with the same error.
 #[test]
 fn hostile_files_end_with_one_error() {
     let doubling = |n: usize| {
@@ -83,7 +83,7 @@
         }
         text
     };
-    // Lines just below the bound, over and over.
+    // Repeats a line just below the length limit.
     let repeated = |n: usize| {
         let mut text = variables(15);
         (0..n).for_each(|_| text.push_str("Define W ${V14}\n"));
@@ -126,7 +126,7 @@
     assert!(node_list.is_some());
 }
 
-/// A member that can be printed and read again.
+/// Generates a member that survives writing and reading.
 fn member() -> impl Strategy<Value = String> {
     let flags =
         prop::sample::select(vec!["", " status=+H", " status=R", " status=N", " status=D", " spare=on"]);
@@ -147,13 +147,13 @@
     )
 }
 
-/// The same cases at every run.
+/// Runs the same cases each time.
 fn fixed_seed() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(12);
     ProptestConfig { cases: 300, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
 }
 
-/// The name that a role has in a printed list.
+/// The name of a role in a written node list.
 fn role_name(role: doorcourse_config::BackendRole) -> &'static str {
     match role {
         doorcourse_config::BackendRole::Active => "ACTIVE",
@@ -183,7 +183,8 @@
         prop_assert_eq!((routing.cookie, routing.strict), (node_list.routing.cookie, node_list.routing.strict));
     }
 
-    /// Bytes cut out, put in and doubled anywhere: a list or findings, never a panic, and what is printed is taken.
+    /// Bytes removed, inserted and repeated at any position must give a node list or findings, never a panic,
+    /// and the settings must accept every list that is written.
     #[test]
     fn random_edits_never_panic(text in file(), edits in prop::collection::vec((any::<u16>(), 0usize..6, any::<u8>()), 1..30)) {
         let mut bytes = text.into_bytes();
