--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -1,5 +1,5 @@
-//! Sample files, each with the list and the findings that are expected of it. `BLESS=1 cargo test` writes what comes
-//! out into the samples: read the difference before it is committed.
+//! Sample files, each with its expected node list and findings. `BLESS=1 cargo test` writes the actual
+//! results into the samples; review the diff before committing it.
 
 use doorcourse_import::{ImportRequest, InMemory, import};
 use std::collections::BTreeSet;
@@ -11,13 +11,13 @@
     title: String,
     request: ImportRequest,
     files: InMemory,
-    /// What stands before the expectations, as written.
+    /// Everything before the expectations, as written.
     input: String,
     list: String,
     findings: Vec<String>,
 }
 
-/// `\r`, `\xNN` and `\\` in files whose bytes no editor keeps.
+/// Replaces `\r`, `\xNN` and `\\`, for bytes that an editor might not preserve.
 fn unescape(text: &str) -> Vec<u8> {
     let (mut bytes, mut rest) = (Vec::new(), text.bytes());
     while let Some(b) = rest.next() {
@@ -92,21 +92,21 @@
     }
 }
 
-/// What comes out: the list, and each finding as "code place".
+/// Imports a sample and returns the node list and each finding as "code location".
 fn run(sample: &Sample) -> (String, Vec<String>) {
     let (node_list, findings) = import(&sample.files, &sample.request);
     let reported = findings.all().iter().map(|f| format!("{} {}", f.code, f.location)).collect();
     (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), reported)
 }
 
-/// All that differs from what is expected, in either direction.
+/// Everything that differs from the expectations, in either direction.
 fn differences(sample: &Sample) -> Vec<String> {
     let (list, reported) = run(sample);
     let mut differences = Vec::new();
     if list != sample.list {
         differences.push(format!("the list is\n{list}\nand not\n{}", sample.list));
     }
-    // Each as often as it is expected.
+    // A finding must occur as often as it is expected.
     let mut expected = sample.findings.clone();
     for finding in reported {
         match expected.iter().position(|w| *w == finding) {
@@ -183,7 +183,7 @@
     assert!(lists >= 25, "{lists}");
 }
 
-/// Every code is caused by some sample, so that none is there on paper alone.
+/// Some sample must cause every code, so that no code is only documented.
 #[test]
 fn every_code_is_seen() {
     let seen: BTreeSet<String> =
