--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -1,4 +1,4 @@
-//! `doorcourse import` as a person types it: lists, findings, exit codes.
+//! Runs `doorcourse import` as on a command line and checks node lists, findings and exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -56,7 +56,7 @@
     assert_eq!(dir.text("nodes.txtpb"), Some(first.clone()), "the same bytes");
     let (code, stdout, _) = dir.run(&["check", "nodes.txtpb"]);
     assert!(code == 0 && stdout.contains("2 nodes"), "{stdout}");
-    // A fault in the files leaves the list in service as it is.
+    // After an error in the files the existing list stays unchanged.
     std::fs::write(dir.0.join("httpd.conf"), "<Proxy balancer://app>\n").expect("a file");
     let (code, _, stderr) = dir.run(&common);
     assert!(code == 1 && stderr.contains("httpd.conf:1: error [A002]"), "{stderr}");
@@ -115,7 +115,7 @@
     assert!(code == 2 && stderr.contains("bad:1:"), "{stderr}");
 }
 
-/// The table of the docs is the program's own.
+/// The table in the documentation must match the output of the program.
 #[test]
 fn the_docs_hold_the_table_and_every_code() {
     let dir = TestDir::new("docs", &[("x", "")]);
