--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -122,7 +122,7 @@
         for argument in arguments {
             let Some((key, text)) = argument.split_once('=') else {
                 if !["nocanon", "interpolate", "noquery"].contains(&argument.to_ascii_lowercase().as_str()) {
-                    findings.add("B001", location, format!("`{argument}` is no key=value"));
+                    findings.add("B001", location, format!("`{argument}` is not key=value"));
                 }
                 continue;
             };
@@ -133,11 +133,7 @@
             match at {
                 Some(at) => {
                     if known(Scope::Member).is_none() {
-                        findings.add(
-                            "B002",
-                            location,
-                            format!("{key}: no parameter of a member by this name"),
-                        );
+                        findings.add("B002", location, format!("{key}: not a known parameter of a member"));
                     } else if key == "status" {
                         parse_status_flags(&mut target.members[at].flags, text, location, findings);
                     } else {
@@ -154,7 +150,7 @@
                     findings.add("B003", location, format!("{key} on a balancer: {note}"));
                 }
                 None => {
-                    findings.add("B002", location, format!("{key}: no parameter of a balancer by this name"))
+                    findings.add("B002", location, format!("{key}: not a known parameter of the balancer"))
                 }
             }
         }
@@ -165,7 +161,7 @@
         is_definition: bool, findings: &mut Findings,
     ) {
         let Some(member) = parse_member_url(url, location) else {
-            return findings.add("C006", location, format!("`{url}` is no URL of a member: left out"));
+            return findings.add("C006", location, format!("`{url}` is not a valid member URL: left out"));
         };
         let target = &mut self.model.balancers[balancer];
         let url_key = url.trim_end_matches('/').to_ascii_lowercase();
@@ -179,7 +175,9 @@
             findings.add(
                 "B006",
                 location,
-                format!("{url} was defined at {first}: what is said here goes before that"),
+                format!(
+                    "{url} was already defined at {first}: parameters set here override the earlier ones"
+                ),
             );
         }
         self.set_parameters(balancer, Some(at), arguments, location, findings);
@@ -219,7 +217,7 @@
             '+' => set = true,
             '-' => set = false,
             c @ ('D' | 'S' | 'I' | 'H' | 'R' | 'E' | 'N' | 'C') => flags.push((c, set, location.clone())),
-            c => findings.add("B007", location, format!("status {c}: no flag by this letter")),
+            c => findings.add("B007", location, format!("status {c}: unknown flag")),
         }
     }
 }
@@ -255,7 +253,7 @@
                 let (balancer, arguments) = match (named_balancer, &enclosing_balancer) {
                     (Some(balancer), _) => (balancer, &arguments[1..]),
                     (None, Some(balancer)) => (balancer.clone(), &arguments[..]),
-                    (None, None) => return missing(findings, "a balancer: outside <Proxy> it comes first"),
+                    (None, None) => return missing(findings, "a balancer before the URL outside <Proxy>"),
                 };
                 let Some((url, rest)) = arguments.split_first() else { return missing(findings, "a URL") };
                 let balancer = self.balancer_index(&balancer, location);
@@ -280,14 +278,14 @@
                             findings.add(
                                 "B005",
                                 location,
-                                format!("ProxySet of {url}, which is no member of a balancer"),
+                                format!("ProxySet of {url}, which is not a member of a balancer"),
                             );
                         }
                         for balancer in balancers {
                             self.add_member(balancer, url, rest, location, false, findings);
                         }
                     }
-                    (None, None) => findings.add("B005", location, "ProxySet outside of a balancer"),
+                    (None, None) => findings.add("B005", location, "ProxySet outside a balancer"),
                 }
             }
             "proxypass" | "proxypassmatch" => {
@@ -303,9 +301,9 @@
             "header" | "requestheader" if arguments.iter().any(|w| w.contains("BALANCER_")) => {
                 let sets_cookie = arguments.iter().any(|w| w.eq_ignore_ascii_case("set-cookie"));
                 let what = if sets_cookie {
-                    "sets the session's cookie from the route: the gateway sets none, the nodes must"
+                    "sets the session cookie from the route: the gateway sets none, the nodes must"
                 } else {
-                    "uses what the balancer chose: the gateway sets no such field"
+                    "uses the balancer's choice: the gateway sets no such header field"
                 };
                 findings.add("B005", location, format!("{name} {what}"));
             }
@@ -313,7 +311,7 @@
                 findings.add(
                     "B005",
                     location,
-                    "RewriteRule to a balancer: what depends on each request is not carried over",
+                    "RewriteRule to a balancer: rules that depend on the request are not carried over",
                 );
             }
             "jkworkersfile" | "jkmountfile" | "jkworkerproperty" => {
@@ -348,7 +346,7 @@
                         || name.starts_with("balancer")
                         || name.starts_with("jk") =>
                     {
-                        findings.add("B005", location, format!("{name}: not known here"));
+                        findings.add("B005", location, format!("{name}: unknown directive"));
                     }
                     None => self.other_directives += 1,
                 }
--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -118,33 +118,33 @@
         let limits = self.options.limits;
         if self.open_sources.iter().any(|o| o == path) {
             let chain = self.open_sources.join(" -> ");
-            return self.abort("A004", from, format!("{path} is being read already: {chain} -> {path}"));
+            return self.abort("A004", from, format!("{path} is already being read: {chain} -> {path}"));
         }
         if self.open_sources.len() >= limits.depth {
             return self.abort(
                 "A004",
                 from,
-                format!("more than {} files and macros within each other", limits.depth),
+                format!("files and macros nest more than {} levels deep", limits.depth),
             );
         }
         let bytes = match self.files.read(path) {
             Ok(bytes) => bytes,
             Err(FileError::Missing) => {
-                return self.abort("A001", from, format!("{path}: there is no such file"));
+                return self.abort("A001", from, format!("{path}: the file does not exist"));
             }
             Err(FileError::Unreadable(why)) => return self.abort("A001", from, format!("{path}: {why}")),
         };
         self.bytes_read += bytes.len();
         let location = SourceLocation { file: path.into(), line: 0 };
         if bytes.len() > limits.file_bytes || self.bytes_read > limits.all_bytes {
-            return self.abort("A005", &location, format!("{path}: more bytes than are read"));
+            return self.abort("A005", &location, format!("{path}: the limit on bytes read is exceeded"));
         }
         let (text, first_invalid_line) = decode_text(&bytes);
         if let Some(line) = first_invalid_line {
             self.findings.add(
                 "A103",
                 &SourceLocation { line, ..location.clone() },
-                "bytes that are no UTF-8: taken as Latin-1",
+                "invalid UTF-8: the file is read as Latin-1",
             );
         }
         let body = match logical_lines(&text, limits.line_bytes) {
@@ -154,7 +154,7 @@
                 return self.abort(
                     "A005",
                     &SourceLocation { line, ..location },
-                    format!("a line of more than {limit} bytes"),
+                    format!("the line has more than {limit} bytes"),
                 );
             }
         };
@@ -178,7 +178,7 @@
                 return self.abort(
                     "A005",
                     &location,
-                    format!("more than {limit} directives, includes and macros spread"),
+                    format!("more than {limit} directives after expansion of includes and macros"),
                 );
             }
             if let Some(name) = line.text.strip_prefix("</") {
@@ -188,14 +188,14 @@
                         self.sections.pop();
                     }
                     Some(last) if self.sections.len() > outer_depth => {
-                        let text = format!("</{name}> closes <{}> of {}", last.name, last.location);
+                        let text = format!("</{name}> cannot close <{}> of {}", last.name, last.location);
                         return self.abort("A002", &location, text);
                     }
                     _ => {
                         return self.abort(
                             "A002",
                             &location,
-                            format!("</{name}> closes nothing that began here"),
+                            format!("</{name}> has no matching section start here"),
                         );
                     }
                 }
@@ -223,7 +223,7 @@
             self.findings.add(
                 "A003",
                 location,
-                "quotes that do not end: taken up to the end of the line, as httpd does",
+                "unterminated quote: the argument extends to the end of the line, as in httpd",
             );
         }
         arguments
@@ -235,7 +235,7 @@
     ) -> Result<usize, Aborted> {
         let text = &body[at - 1].text;
         let Some(header) = text[1..].rfind('>').map(|end| &text[1..=end]) else {
-            self.abort("A002", location, "a section without >")?;
+            self.abort("A002", location, "the section start has no closing `>`")?;
             return Ok(at);
         };
         let (name, rest) = header.split_once(char::is_whitespace).unwrap_or((header, ""));
@@ -249,7 +249,7 @@
             Some(read) => read,
             None if self.sections.len() >= self.options.limits.sections => {
                 let limit = self.options.limits.sections;
-                self.abort("A005", location, format!("more than {limit} sections within each other"))?;
+                self.abort("A005", location, format!("sections nest more than {limit} levels deep"))?;
                 return Ok(at);
             }
             None => true,
@@ -292,13 +292,13 @@
         let first = arguments.first().map_or("", String::as_str);
         let (negated, operand) = first.strip_prefix('!').map_or((false, first), |b| (true, b));
         let undecidable = |reader: &mut Self, what: &str| {
-            reader.findings.add("A101", location, format!("<{name}> {what}: what is inside is not read"));
+            reader.findings.add("A101", location, format!("<{name}> {what}: its content is not read"));
             false
         };
         Some(match name {
             "ifdefine" => self.defined.contains_key(operand) != negated,
             "ifmodule" => {
-                let text = format!("{operand} is taken as loaded");
+                let text = format!("{operand} is assumed to be loaded");
                 self.findings.add("A105", location, text);
                 !negated
             }
@@ -307,7 +307,7 @@
                     let operator = if arguments.len() > 1 { arguments[0].as_str() } else { "=" };
                     match compare_versions(version, operator, expected) {
                         Some(is) => is,
-                        None => undecidable(self, "has a comparison that is not understood"),
+                        None => undecidable(self, "has an invalid comparison"),
                     }
                 }
                 _ => undecidable(self, "needs httpd's version (--httpd-version)"),
@@ -343,7 +343,7 @@
                         self.findings.add(
                             "A102",
                             location,
-                            format!("${{{name}}} is not defined (-D {name}=VALUE does)"),
+                            format!("${{{name}}} is not defined (use -D {name}=VALUE)"),
                         );
                     }
                 }
@@ -355,7 +355,7 @@
             // Expanded text counts towards the byte limit, which bounds variables that repeat one another.
             self.bytes_read += expanded.len();
             if self.bytes_read > self.options.limits.all_bytes {
-                self.abort("A005", location, "variables make more bytes than are read")?;
+                self.abort("A005", location, "variables expand to more bytes than the limit")?;
             }
         }
         expanded.push_str(rest);
@@ -368,7 +368,7 @@
         if bytes <= limit {
             Ok(())
         } else {
-            self.abort("A005", location, format!("a line of more than {limit} bytes"))
+            self.abort("A005", location, format!("the line has more than {limit} bytes"))
         }
     }
 
@@ -391,7 +391,7 @@
                 return self.abort(
                     "A008",
                     location,
-                    format!("{name} cannot have {} arguments", arguments.len()),
+                    format!("{name} does not accept {} arguments", arguments.len()),
                 );
             }
             ("undefmacro", 1) => {
@@ -439,7 +439,7 @@
             self.files.list(path).is_some() || self.files.read(path) != Err(FileError::Missing)
         });
         if candidates.is_empty() && !optional {
-            return self.abort("A006", location, format!("{pattern} matches nothing"));
+            return self.abort("A006", location, format!("no file matches {pattern}"));
         }
         for path in candidates {
             match self.files.list(&path) {
@@ -454,7 +454,7 @@
         &mut self, path: &str, mut names: Vec<(String, bool)>, location: &SourceLocation,
     ) -> ReadResult {
         if self.open_sources.len() >= self.options.limits.depth {
-            return self.abort("A004", location, format!("{path}: folders nest too deep"));
+            return self.abort("A004", location, format!("{path}: directories nest too deeply"));
         }
         names.sort();
         self.open_sources.push(path.to_owned());
@@ -477,14 +477,14 @@
     ) -> Result<usize, Aborted> {
         let mut arguments = self.split_arguments(rest, location).into_iter();
         let Some(name) = arguments.next().map(|n| n.to_ascii_lowercase()) else {
-            self.abort("A008", location, "a macro without a name")?;
+            self.abort("A008", location, "the macro has no name")?;
             return Ok(at);
         };
         let parameters: Vec<String> = arguments.collect();
         if parameters.iter().any(String::is_empty)
             || parameters.iter().collect::<HashSet<_>>().len() < parameters.len()
         {
-            self.abort("A008", location, "a macro with an empty or repeated parameter")?;
+            self.abort("A008", location, "the macro has an empty or repeated parameter")?;
         }
         let end = self.skip_section(body, at, "macro", location)?;
         let body = Arc::new(body[at..end - 1].to_vec());
@@ -492,7 +492,7 @@
             self.findings.add(
                 "A104",
                 location,
-                format!("macro {name} is defined again: the last one counts"),
+                format!("macro {name} is defined again: the last definition applies"),
             );
         }
         Ok(end)
@@ -509,16 +509,16 @@
             return self.abort(
                 "A004",
                 location,
-                format!("more than {limit} files and macros within each other"),
+                format!("files and macros nest more than {limit} levels deep"),
             );
         }
         let Some(definition) = self.macros.get(&key) else {
-            return self.abort("A007", location, format!("there is no macro {key}"));
+            return self.abort("A007", location, format!("macro {key} is not defined"));
         };
         let (expected, file, lines) =
             (definition.parameters.len(), definition.file.clone(), Arc::clone(&definition.body));
         if expected != values.len() {
-            let text = format!("macro {key} takes {expected} arguments, {} are given", values.len());
+            let text = format!("macro {key} takes {expected} arguments, but {} are given", values.len());
             return self.abort("A007", location, text);
         }
         let parameters = definition.parameters.clone();
@@ -534,7 +534,7 @@
             // in vain.
             self.bytes_read += text.len();
             if self.bytes_read > self.options.limits.all_bytes {
-                return self.abort("A005", &location, "macros spread to more bytes than are read");
+                return self.abort("A005", &location, "macros expand to more bytes than the limit");
             }
             body.push(LogicalLine { text, number: line.number });
         }
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -153,7 +153,7 @@
                 findings.add(
                     "C002",
                     &first_file,
-                    format!("there is no balancer {name}; there are: {}", known()),
+                    format!("no balancer is named {name}; the balancers are: {}", known()),
                 );
             }
             found?
@@ -165,7 +165,7 @@
         }
         (None, [one]) => one,
         (None, [first, ..]) => {
-            let text = format!("there are several balancers, name one by --balancer: {}", known());
+            let text = format!("there are several balancers; choose one with --balancer: {}", known());
             findings.add("C001", &first.location, text);
             return None;
         }
@@ -176,7 +176,7 @@
             n => findings.add(
                 "C008",
                 &other.location,
-                format!("balancer {} with {n} members was not asked for", other.name),
+                format!("balancer {} with {n} members was not chosen", other.name),
             ),
         }
     }
@@ -243,7 +243,7 @@
         Ok(number) if range.contains(&number) => Some(number),
         _ => {
             let (low, high) = (range.start(), range.end());
-            let text = format!("{name}={}: a number from {low} to {high} is wanted", clip(&value.text));
+            let text = format!("{name}={}: expected a number from {low} to {high}", clip(&value.text));
             findings.add("B001", &value.location, text);
             None
         }
@@ -258,7 +258,7 @@
         findings.add(
             "B001",
             &value.location,
-            format!("{name}=`{}`: a name without white space is wanted", clip(text)),
+            format!("{name}=`{}`: expected a name without white space", clip(text)),
         );
         return None;
     }
@@ -275,7 +275,7 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("{name}={}: on or off is wanted", clip(&value.text)),
+                format!("{name}={}: expected on or off", clip(&value.text)),
             );
             None
         }
@@ -299,29 +299,38 @@
                 Some(0) => "REQUESTS",
                 Some(1) => "BUSYNESS",
                 Some(2) => {
-                    approximate(value, "by traffic: bytes are not counted, requests are spread by weight");
+                    approximate(
+                        value,
+                        "by traffic: bytes are not counted; requests are distributed by weight",
+                    );
                     "REQUESTS"
                 }
                 Some(3) if balancer.source == Source::Apache => {
                     approximate(
                         value,
-                        "by heartbeat: nodes are not heard, the one with the fewest requests out is taken",
+                        "heartbeat: none received; the node with the fewest outstanding requests is chosen",
                     );
                     "OUTSTANDING"
                 }
                 Some(3) => {
-                    approximate(value, "by sessions: they are not counted, requests are spread by weight");
+                    approximate(
+                        value,
+                        "by sessions: sessions are not counted; requests are distributed by weight",
+                    );
                     "REQUESTS"
                 }
                 _ if balancer.source == Source::ModJk && text == "n" => {
                     approximate(
                         value,
-                        "by sessions to the next: they are not counted, requests are spread by weight",
+                        "by next (by sessions): sessions are not counted; requests are distributed by weight",
                     );
                     "REQUESTS"
                 }
                 _ => {
-                    let text = format!("`{}` is no method: requests are spread by weight", clip(&value.text));
+                    let text = format!(
+                        "`{}` is not a known method: requests are distributed by weight",
+                        clip(&value.text)
+                    );
                     findings.add("B001", &value.location, text);
                     "REQUESTS"
                 }
@@ -352,7 +361,7 @@
     for (what, name) in [("cookie", &mut cookie), ("parameter", &mut parameter)] {
         if !name.chars().all(token) {
             let text =
-                format!("`{}` is no name of a {what}: sessions do not keep to nodes by it", clip(name));
+                format!("`{}` is not a valid {what} name: it is not used for sticky sessions", clip(name));
             findings.add("C012", &balancer.location, text);
             name.clear();
         }
@@ -370,25 +379,27 @@
         Protocol::Https => findings.add(
             "C004",
             location,
-            format!("{name}: nodes are spoken to without TLS; give its HTTP port"),
+            format!("{name}: TLS to nodes is not supported; set its HTTP port"),
         ),
         Protocol::Ajp => findings.add(
             "C003",
             location,
-            format!("{name}: AJP is not spoken; give the port of its HTTP connector"),
+            format!("{name}: AJP is not supported; set the port of its HTTP connector"),
         ),
         Protocol::Other(scheme) => {
             findings.add(
                 "C006",
                 location,
-                format!("{name}: {} is no TCP address with HTTP: left out", clip(scheme)),
+                format!("{name}: {} is not HTTP over TCP: left out", clip(scheme)),
             );
             return None;
         }
     }
     if !member.path.trim_matches('/').is_empty() {
-        let text =
-            format!("{name}: the path {} is not kept; all nodes serve the gateway's own", clip(&member.path));
+        let text = format!(
+            "{name}: the path {} is not carried over; all nodes serve the gateway's own path",
+            clip(&member.path)
+        );
         findings.add("C007", location, text);
     }
     let jk = balancer.source == Source::ModJk;
@@ -408,11 +419,11 @@
     let route =
         parsed("route").or_else(|| parsed("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
     if jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        findings.add("C006", location, format!("`{}` is no name of a node: left out", clip(name)));
+        findings.add("C006", location, format!("`{}` is not a valid node name: left out", clip(name)));
         return None;
     }
     if !sticky && let Some(value) = of("route") {
-        findings.add("C012", &value.location, "route without sticky sessions: nothing is bound by it");
+        findings.add("C012", &value.location, "route without sticky sessions: it has no effect");
     }
     let (host, port) = (member.host.as_str(), member.port);
     let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
@@ -422,7 +433,8 @@
     let address = match known {
         Some(ip) => std::net::SocketAddr::new(ip, port).to_string(),
         None => {
-            let text = format!("{name}: the address of {} is needed: --host {0}=ADDRESS", clip(host));
+            let text =
+                format!("{name}: the address of {} is not known: set it with --host {0}=ADDRESS", clip(host));
             findings.add("C005", location, text);
             format!("{host}:{port}")
         }
@@ -454,13 +466,13 @@
             findings.add(code, location, format!("status {flag}: {text}"));
         }
     };
-    report('I', "B003", "errors are never ignored: a node that fails is left alone for a while");
-    report('E', "B004", "the node begins as usable and is left alone once it fails");
-    report('C', "B004", "nodes are not probed: outcomes of requests tell");
+    report('I', "B003", "errors are never ignored: a node that fails is not used for a while");
+    report('E', "B004", "the node starts as usable and is not used once it fails");
+    report('C', "B004", "there are no health checks: the outcomes of requests decide");
     report(
         'D',
         "C010",
-        "httpd tries it again behind `retry`; here it is sent nothing until the list says otherwise",
+        "httpd tries it again after `retry`; the gateway sends it nothing until the node list changes",
     );
     let spare = match parse_flag("spare", member.parameters.get("spare"), findings) {
         Some(spare) => spare,
@@ -468,7 +480,7 @@
     };
     if on('H') && spare {
         let location = set.get(&'H').map_or(&member.location, |(_, p)| p);
-        findings.add("C010", location, "both hot standby and hot spare: taken as hot standby");
+        findings.add("C010", location, "both hot standby and hot spare: treated as hot standby");
     }
     let role = match () {
         () if on('N') => Role::StickyOnly,
@@ -478,7 +490,11 @@
     };
     if on('N') && (on('H') || spare) {
         let location = set.get(&'N').map_or(&member.location, |(_, p)| p);
-        findings.add("C010", location, "draining, and standby or spare: it takes only its own sessions");
+        findings.add(
+            "C010",
+            location,
+            "draining and also standby or spare: it takes only requests of its own sessions",
+        );
     }
     (role, on('S') || on('D'))
 }
@@ -496,14 +512,14 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("activation={}: A, D or S is wanted", clip(&value.text)),
+                format!("activation={}: expected A, D or S", clip(&value.text)),
             );
             None
         }
     };
     let old = |name: &str, findings: &mut Findings| {
         let value = of(name)?;
-        findings.add("J006", &value.location, format!("{name} is activation now"));
+        findings.add("J006", &value.location, format!("{name} is replaced by activation"));
         parse_flag(name, Some(value), findings)
     };
     let (stopped, disabled) =
@@ -543,11 +559,8 @@
         if let Some(route) = by_name.get(&node.redirect).filter(|r| jk && !r.is_empty()) {
             node.redirect.clone_from(route);
         } else if !routes.contains(&node.redirect) || node.redirect.is_empty() {
-            let text = format!(
-                "{}: no node has the route {} that it is redirected to",
-                node.name,
-                clip(&node.redirect)
-            );
+            let text =
+                format!("{}: it redirects to route {}, which no node has", node.name, clip(&node.redirect));
             findings.add("C009", &node.location, text);
             node.redirect.clear();
         }
@@ -563,7 +576,7 @@
             true
         }
         Some(first) => {
-            let text = format!("{} is the address of the node of {first} already: left out", node.address);
+            let text = format!("{} is already the address of the node of {first}: left out", node.address);
             findings.add("C011", &node.location, text);
             false
         }
@@ -605,21 +618,21 @@
     for mount in &model.mounts {
         let text = match &mount.target {
             None => format!(
-                "{} is kept from the balancer: the gateway serves one endpoint and nothing else",
+                "{} is excluded from the balancer: the gateway serves one endpoint and nothing else",
                 path(mount)
             ),
             Some(target) if target.eq_ignore_ascii_case(&balancer.name) => match &own_mounts[..] {
-                [_] => format!("{}: the gateway serves one endpoint, `path` in the settings", path(mount)),
+                [_] => format!("{}: the gateway serves one endpoint (`path` in the settings)", path(mount)),
                 _ => {
                     format!(
-                        "{}: the gateway serves one endpoint, this is one of {}",
+                        "{}: the gateway serves one endpoint; this is one of {} mounts",
                         path(mount),
                         own_mounts.len()
                     )
                 }
             },
             Some(target) if known.contains(&target.to_ascii_lowercase()) => continue,
-            Some(target) => format!("{} goes to {}: no balancer, left out", path(mount), clip(target)),
+            Some(target) => format!("{} is sent to {}: not a balancer, left out", path(mount), clip(target)),
         };
         findings.add("C007", &mount.location, text);
     }
@@ -714,7 +727,7 @@
         findings.add(
             "B009",
             &location,
-            format!("{} directives of other modules: not looked at", config.other_directives),
+            format!("{} directives of other modules were not examined", config.other_directives),
         );
     }
 }
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -67,7 +67,7 @@
     let location = SourceLocation { file: path.into(), line: 0 };
     let reason = match files.read(path) {
         Ok(bytes) if bytes.len() > limits.file_bytes => {
-            findings.add("A005", &location, format!("{path}: more bytes than are read"));
+            findings.add("A005", &location, format!("{path}: the limit on bytes read is exceeded"));
             return None;
         }
         Ok(bytes) => {
@@ -76,12 +76,12 @@
                 findings.add(
                     "A103",
                     &SourceLocation { line, ..location },
-                    "bytes that are no UTF-8: taken as Latin-1",
+                    "invalid UTF-8: the file is read as Latin-1",
                 );
             }
             return Some(text);
         }
-        Err(FileError::Missing) => "there is no such file".to_owned(),
+        Err(FileError::Missing) => "the file does not exist".to_owned(),
         Err(FileError::Unreadable(reason)) => reason,
     };
     findings.add("A001", from, format!("{path}: {reason}"));
--- a/crates/import/src/jk/properties.rs
+++ b/crates/import/src/jk/properties.rs
@@ -57,7 +57,7 @@
                 findings.add(
                     "A005",
                     &location(line),
-                    format!("a line of more than {} bytes", self.limits.line_bytes),
+                    format!("the line has more than {} bytes", self.limits.line_bytes),
                 );
                 return false;
             }
@@ -74,14 +74,14 @@
         let line = line.split('#').next().unwrap_or("").trim();
         let Some((name, value)) = line.split_once('=') else {
             if !line.is_empty() {
-                findings.add("J005", location, format!("`{}` is no name=value", clip(line)));
+                findings.add("J005", location, format!("`{}` is not name=value", clip(line)));
             }
             return true;
         };
         let (name, value) = (name.trim().to_owned(), self.expand_macros(value.trim(), location, findings));
         self.bytes += name.len() + value.len();
         if self.bytes > self.limits.all_bytes || value.len() > self.limits.line_bytes {
-            findings.add("A005", location, "macros make more of these lines than is read");
+            findings.add("A005", location, "macros expand to more bytes than the limit");
             return false;
         }
         let new_index = self.entries.len();
@@ -99,8 +99,10 @@
             existing.location = property.location;
         } else {
             if existing.text != property.text {
-                let text =
-                    format!("{name} was said at {}: what is said here goes before that", existing.location);
+                let text = format!(
+                    "{name} was already set at {}: the value set here overrides it",
+                    existing.location
+                );
                 findings.add("B006", location, text);
             }
             (existing.text, existing.location) = (property.text, property.location);
@@ -119,7 +121,7 @@
             match self.get(name) {
                 Some(property) => expanded.push_str(&property.text),
                 None => {
-                    findings.add("J007", location, format!("$({name}) is not defined: it stands for nothing"))
+                    findings.add("J007", location, format!("$({name}) is not defined: it expands to nothing"))
                 }
             }
             rest = &rest[end + 1..];
@@ -136,7 +138,7 @@
     property: &Property, limits: Limits, location: &SourceLocation, findings: &mut Findings,
 ) -> bool {
     if property.text.len() > limits.line_bytes {
-        findings.add("A005", location, format!("a list of more than {} bytes", limits.line_bytes));
+        findings.add("A005", location, format!("the list has more than {} bytes", limits.line_bytes));
         return false;
     }
     true
--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -28,7 +28,7 @@
         Ok(lines) => lines,
         Err(line) => {
             let location = SourceLocation { file, line };
-            findings.add("A005", &location, format!("a line of more than {} bytes", limits.line_bytes));
+            findings.add("A005", &location, format!("the line has more than {} bytes", limits.line_bytes));
             return None;
         }
     };
@@ -36,7 +36,7 @@
     for line in lines {
         let location = SourceLocation { file: file.clone(), line: line.number };
         let Some((pattern, target)) = line.text.split_once('=') else {
-            findings.add("J005", &location, format!("`{}` is no path=worker", clip(&line.text)));
+            findings.add("J005", &location, format!("`{}` is not path=worker", clip(&line.text)));
             continue;
         };
         let mut target = target.split(';').map(str::trim);
@@ -48,7 +48,11 @@
                     findings.add("B003", &location, format!("{name}: {}", row.note))
                 }
                 Some(row) => findings.add("B004", &location, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &location, format!("{}: no extension of a rule", clip(&name))),
+                None => findings.add(
+                    "B002",
+                    &location,
+                    format!("{}: not a known extension of a rule", clip(&name)),
+                ),
             }
         }
         let pattern = pattern.trim();
@@ -56,7 +60,7 @@
         // A leading minus marks a disabled rule.
         let (disabled, pattern) = pattern.strip_prefix('-').map_or((false, pattern), |l| (true, l.trim()));
         if pattern.is_empty() || worker.is_empty() || !pattern.starts_with(['/', '*', '.']) || disabled {
-            let text = if disabled { "is switched off" } else { "is no rule: /path=worker is wanted" };
+            let text = if disabled { "is disabled" } else { "is not a rule: expected /path=worker" };
             findings.add("J005", &location, format!("`{}` {text}", clip(&line.text)));
             continue;
         }
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -53,7 +53,7 @@
             None if rest == "list" => {}
             None => match find_parameter(Source::ModJk, Scope::Directive, name) {
                 Some(row) => findings.add("B005", &property.location, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &property.location, format!("{}: not known here", clip(name))),
+                None => findings.add("B002", &property.location, format!("{}: unknown property", clip(name))),
             },
         }
     }
@@ -65,7 +65,7 @@
                 findings.add(
                     "J001",
                     &worker_list.location,
-                    format!("worker.list names {name}, of which nothing is said"),
+                    format!("worker.list names {name}, which is not defined"),
                 );
             }
             listed_names.insert(name);
@@ -101,7 +101,7 @@
                 let mut parameters = BTreeMap::new();
                 for (attribute, property) in resolved {
                     if find_parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
-                        let text = format!("{}: no parameter of a balancer", clip(attribute));
+                        let text = format!("{}: not a known parameter of a balancer", clip(attribute));
                         findings.add("B002", &property.location, text);
                     } else if *attribute != "type" && *attribute != "reference" {
                         let value =
@@ -158,12 +158,12 @@
                 findings.add(
                     "J002",
                     &reference.location,
-                    format!("references go round: {chain} -> {target}"),
+                    format!("references are cyclic or too deep: {chain} -> {target}"),
                 );
                 return None;
             }
             let Some(of) = self.own.get(target) else {
-                let text = format!("reference to {}, of which nothing is said", clip(target));
+                let text = format!("reference to {}, which is not defined", clip(target));
                 findings.add("J001", &reference.location, text);
                 return None;
             };
@@ -189,11 +189,11 @@
         open_balancers.push(name.to_owned());
         for list in &lists {
             if resolved.get("balanced_workers").is_some_and(|l| l.location == list.location) {
-                findings.add("J006", &list.location, "balanced_workers is balance_workers now");
+                findings.add("J006", &list.location, "balanced_workers is the old name of balance_workers");
             }
             for member in split_names(&list.text) {
                 let Some((known, of)) = attributes.get_key_value(member) else {
-                    let text = format!("balancer {name} names {}, of which nothing is said", clip(member));
+                    let text = format!("balancer {name} names {}, which is not defined", clip(member));
                     findings.add("J001", &list.location, text);
                     return None;
                 };
@@ -201,12 +201,15 @@
                     if open_balancers.iter().any(|o| o == member)
                         || open_balancers.len() > MAX_REFERENCE_DEPTH
                     {
-                        let text = format!("balancers go round: {} -> {member}", open_balancers.join(" -> "));
+                        let text = format!(
+                            "balancers are cyclic or nest too deeply: {} -> {member}",
+                            open_balancers.join(" -> ")
+                        );
                         findings.add("J002", &list.location, text);
                         return None;
                     }
                     let text = format!(
-                        "{member} is a balancer itself: its members are taken in with their own parameters"
+                        "{member} is itself a balancer: its members are included with their own parameters"
                     );
                     findings.add("J008", &list.location, text);
                     // Expands each nested balancer once: balancers that list one another twice would grow
@@ -253,7 +256,7 @@
             findings.add(
                 "C006",
                 at,
-                format!("worker {name}: `{}` is no port: left out", clip(&resolved["port"].text)),
+                format!("worker {name}: `{}` is not a valid port: left out", clip(&resolved["port"].text)),
             );
             return None;
         }
@@ -266,7 +269,7 @@
                 parameters.insert((*attribute).to_owned(), value);
             }
             None => {
-                let text = format!("{}: no parameter of a worker", clip(attribute));
+                let text = format!("{}: not a known parameter of a worker", clip(attribute));
                 findings.add("B002", &property.location, text);
             }
         }
