--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads Apache httpd balancer configuration and mod_jk worker files and converts them to a node list.
 //!
 //! `Files` -> reader (`apache`, `jk`) -> [`Model`] -> [`convert`] -> [`NodeList`] -> [`to_text`](NodeList::to_text).
-//! Each setting is carried over, approximated or left out; the latter two add a [`Finding`] with a stable code and
-//! a source location. The crate does no I/O: the caller provides access to files through [`Files`].
+//! Each setting is carried over, approximated or left out; the latter two add a [`Finding`] with a stable code
+//! and a source location. The crate does no I/O: the caller provides access to files through [`Files`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -28,8 +28,8 @@
 pub struct Limits {
     /// Bytes of one file. Default: 64 MiB.
     pub file_bytes: usize,
-    /// Bytes of all files together, counted at each read, and of the text that macros and variables expand to.
-    /// Default: 256 MiB.
+    /// Bytes of all files together, counted at each read, and of the text that macros and variables expand
+    /// to. Default: 256 MiB.
     pub all_bytes: usize,
     /// Directives in all, after expansion of macros and includes. Default: 2,000,000.
     pub directives: usize,
@@ -56,7 +56,8 @@
     pub convert_options: ConvertOptions,
 }
 
-/// Reads the given files and converts them to a node list; `None` after an error, which is among the findings.
+/// Reads the given files and converts them to a node list; `None` after an error, which is among the
+/// findings.
 #[must_use]
 pub fn import(files: &dyn Files, request: &ImportRequest) -> (Option<NodeList>, Findings) {
     let mut findings = Findings::default();
