--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -10,7 +10,7 @@
         let dir = std::env::temp_dir().join(format!("doorcourse-import-{}-{name}", std::process::id()));
         for (file, text) in files {
             let path = dir.join(file);
-            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::create_dir_all(path.parent().expect("a directory")).expect("a directory");
             std::fs::write(path, text).expect("a file");
         }
         Self(dir)
@@ -19,8 +19,8 @@
     fn run(&self, arguments: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_doorcourse"));
         let Output { status, stdout, stderr } =
-            command.current_dir(&self.0).args(arguments).output().expect("the command");
-        let text = |bytes| String::from_utf8(bytes).expect("a text");
+            command.current_dir(&self.0).args(arguments).output().expect("the command runs");
+        let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
         (status.code().expect("a code"), text(stdout), text(stderr))
     }
 
@@ -51,7 +51,7 @@
         "{stderr}"
     );
     assert_eq!(dir.run(&common).0, 0);
-    let first = dir.text("nodes.txtpb").expect("a list");
+    let first = dir.text("nodes.txtpb").expect("a node list");
     assert_eq!(dir.run(&common).0, 0);
     assert_eq!(dir.text("nodes.txtpb"), Some(first.clone()), "the same bytes");
     let (code, stdout, _) = dir.run(&["check", "nodes.txtpb"]);
@@ -61,7 +61,7 @@
     let (code, _, stderr) = dir.run(&common);
     assert!(code == 1 && stderr.contains("httpd.conf:1: error [A002]"), "{stderr}");
     assert_eq!(dir.text("nodes.txtpb"), Some(first));
-    assert!(std::fs::read_dir(&dir.0).expect("a folder").count() == 3, "nothing is left beside it");
+    assert!(std::fs::read_dir(&dir.0).expect("a directory").count() == 3, "nothing is left beside it");
 }
 
 #[test]
--- a/crates/import/tests/hostile.rs
+++ b/crates/import/tests/hostile.rs
@@ -40,7 +40,7 @@
     }
     text.push_str("ProxySet stickysession=SID\n</Proxy>\n");
     let (node_list, findings) = apache(text.as_bytes());
-    assert_eq!(node_list.expect("a list").nodes.len(), 50_000);
+    assert_eq!(node_list.expect("a node list").nodes.len(), 50_000);
     assert!(findings.all().is_empty());
 
     let mut text = String::from("worker.list=lb\nworker.lb.type=lb\n");
@@ -53,7 +53,7 @@
         );
     }
     let (node_list, _) = mod_jk(text.as_bytes(), b"");
-    assert_eq!(node_list.expect("a list").nodes.len(), 25_000);
+    assert_eq!(node_list.expect("a node list").nodes.len(), 25_000);
 }
 
 /// Followed to its end, each of these files would take hours or all memory. The `Limits` are counts rather
@@ -94,11 +94,11 @@
         ("macros that double", doubling(60), "A005"),
         ("arguments that grow", arguments(60), "A005"),
         ("variables that double", variables(60), "A005"),
-        ("long variables often", repeated(60_000), "A005"),
+        ("long variables repeated", repeated(60_000), "A005"),
         ("sections", sections(100_000), "A005"),
         ("macros within macros", "<Macro A>\n".repeat(50_000), "A002"),
         ("one long line", "x".repeat(3 << 20), "A005"),
-        ("a line that goes on", "x\\\n".repeat(2 << 20), "A005"),
+        ("a line that continues", "x\\\n".repeat(2 << 20), "A005"),
     ] {
         let (node_list, findings) = apache(text.as_bytes());
         assert!(node_list.is_none(), "{case}");
@@ -114,13 +114,13 @@
     }
     nested.push_str("worker.l40.host=10.0.0.1\n");
     let (node_list, _) = mod_jk(nested.as_bytes(), b"");
-    assert!(node_list.is_none(), "several balancers, and none is named");
+    assert!(node_list.is_none(), "several balancers, and none is chosen");
     let macros: String = (1..80).map(|n| format!("m{n}=$(m{0})$(m{0})\n", n - 1)).collect();
     let (_, findings) = mod_jk(format!("m0=abcdefgh\n{macros}").as_bytes(), b"");
     assert_eq!(errors(&findings), ["A005"]);
     let chain: String = (0..3000).map(|n| format!("worker.w{n}.reference=worker.w{}\n", n + 1)).collect();
     let (_, findings) = mod_jk(chain.as_bytes(), b"");
-    assert_eq!(errors(&findings), ["J002"], "longer than any honest chain");
+    assert_eq!(errors(&findings), ["J002"], "longer than the limit on chains");
     let rules = "/a|/*=w\n".repeat(50_000);
     let (node_list, _) = mod_jk(b"worker.list=w\nworker.w.host=10.0.0.1\n", rules.as_bytes());
     assert!(node_list.is_some());
@@ -168,8 +168,8 @@
 
     #[test]
     fn printed_and_read_again_is_the_same(text in file()) {
-        let node_list = apache(text.as_bytes()).0.expect("a list");
-        let read = doorcourse_config::read_nodes("list", &node_list.to_text()).expect("a list that is taken");
+        let node_list = apache(text.as_bytes()).0.expect("a node list");
+        let read = doorcourse_config::read_nodes("list", &node_list.to_text()).expect("a list that the settings accept");
         prop_assert_eq!(read.nodes.len(), node_list.nodes.len());
         for (read, written) in read.nodes.iter().zip(&node_list.nodes) {
             let place = &read.entry.placement;
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -29,7 +29,7 @@
                     bytes.push(u8::from_str_radix(std::str::from_utf8(&digits).unwrap(), 16).unwrap());
                 }
                 Some(b'\\') => bytes.push(b'\\'),
-                other => panic!("no escape: {other:?}"),
+                other => panic!("unknown escape: {other:?}"),
             },
             (b, _) => bytes.push(b),
         }
@@ -62,7 +62,7 @@
                 sample.findings = body.lines().filter(|l| !l.is_empty()).map(str::to_owned).collect();
                 continue;
             }
-            other => panic!("no part of a sample: {other}"),
+            other => panic!("unknown part of a sample: {other}"),
         }
         sample.input.push_str("\n--- ");
         sample.input.push_str(part);
@@ -87,7 +87,7 @@
                 let (name, address) = value.split_once('=').unwrap();
                 request.convert_options.hosts.insert(name.to_owned(), address.parse().unwrap());
             }
-            other => panic!("no argument: {other}"),
+            other => panic!("unknown argument: {other}"),
         }
     }
 }
@@ -104,7 +104,7 @@
     let (list, reported) = run(sample);
     let mut differences = Vec::new();
     if list != sample.list {
-        differences.push(format!("the list is\n{list}\nand not\n{}", sample.list));
+        differences.push(format!("the list is\n{list}\nbut expected\n{}", sample.list));
     }
     // A finding must occur as often as it is expected.
     let mut expected = sample.findings.clone();
