--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -114,25 +114,25 @@
         Err(Aborted)
     }
 
-    fn read_file(&mut self, path: &str, from: &SourceLocation) -> ReadResult {
+    fn read_file(&mut self, path: &str, referrer: &SourceLocation) -> ReadResult {
         let limits = self.options.limits;
         if self.open_sources.iter().any(|o| o == path) {
             let chain = self.open_sources.join(" -> ");
-            return self.abort("A004", from, format!("{path} is already being read: {chain} -> {path}"));
+            return self.abort("A004", referrer, format!("{path} is already being read: {chain} -> {path}"));
         }
         if self.open_sources.len() >= limits.depth {
             return self.abort(
                 "A004",
-                from,
+                referrer,
                 format!("files and macros nest more than {} levels deep", limits.depth),
             );
         }
         let bytes = match self.files.read(path) {
             Ok(bytes) => bytes,
             Err(FileError::Missing) => {
-                return self.abort("A001", from, format!("{path}: the file does not exist"));
+                return self.abort("A001", referrer, format!("{path}: the file does not exist"));
             }
-            Err(FileError::Unreadable(why)) => return self.abort("A001", from, format!("{path}: {why}")),
+            Err(FileError::Unreadable(why)) => return self.abort("A001", referrer, format!("{path}: {why}")),
         };
         self.bytes_read += bytes.len();
         let location = SourceLocation { file: path.into(), line: 0 };
@@ -269,12 +269,12 @@
         while at < body.len() {
             let lower = body[at].text.to_ascii_lowercase();
             at += 1;
-            let is = |text: &str| {
+            let matches_name = |text: &str| {
                 text.strip_prefix(name).is_some_and(|r| r.is_empty() || r.starts_with([' ', '\t', '>']))
             };
             match lower.strip_prefix("</") {
-                Some(end) if is(end.trim_start()) => depth -= 1,
-                None if lower.strip_prefix('<').is_some_and(is) => depth += 1,
+                Some(end) if matches_name(end.trim_start()) => depth -= 1,
+                None if lower.strip_prefix('<').is_some_and(matches_name) => depth += 1,
                 _ => {}
             }
             if depth == 0 {
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -139,7 +139,7 @@
         return None;
     }
     let first_file = SourceLocation { file: main.into(), line: 0 };
-    let known = || {
+    let known_names = || {
         let names: Vec<&str> = model.balancers.iter().map(|b| b.name.as_str()).take(20).collect();
         names.join(", ")
     };
@@ -153,7 +153,7 @@
                 findings.add(
                     "C002",
                     &first_file,
-                    format!("no balancer is named {name}; the balancers are: {}", known()),
+                    format!("no balancer is named {name}; the balancers are: {}", known_names()),
                 );
             }
             found?
@@ -165,7 +165,7 @@
         }
         (None, [one]) => one,
         (None, [first, ..]) => {
-            let text = format!("there are several balancers; choose one with --balancer: {}", known());
+            let text = format!("there are several balancers; choose one with --balancer: {}", known_names());
             findings.add("C001", &first.location, text);
             return None;
         }
@@ -402,23 +402,26 @@
         );
         findings.add("C007", location, text);
     }
-    let jk = balancer.source == Source::ModJk;
-    let weight = match jk {
+    let is_jk = balancer.source == Source::ModJk;
+    let weight = match is_jk {
         true => parse_number("lbfactor", of("lbfactor"), 1.0..=1e5, findings),
         false => parse_number("loadfactor", of("loadfactor"), 1.0..=100.0, findings),
     };
-    let priority_level = match jk {
+    let priority_level = match is_jk {
         true => parse_number("distance", of("distance"), 0.0..=1000.0, findings),
         false => parse_number("lbset", of("lbset"), 0.0..=99.0, findings),
     };
     let (role, draining) =
-        if jk { role_from_activation(member, findings) } else { role_from_status(member, findings) };
+        if is_jk { role_from_activation(member, findings) } else { role_from_status(member, findings) };
     let mut parsed = |name: &str| parse_name(name, of(name), findings);
     let (redirect, group) = (parsed("redirect").unwrap_or_default(), parsed("domain").unwrap_or_default());
-    let own = || jk.then(|| member.name.clone());
-    let route =
-        parsed("route").or_else(|| parsed("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
-    if jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
+    let worker_name = || is_jk.then(|| member.name.clone());
+    let route = parsed("route")
+        .or_else(|| parsed("jvm_route"))
+        .or_else(worker_name)
+        .filter(|_| sticky)
+        .unwrap_or_default();
+    if is_jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
         findings.add("C006", location, format!("`{}` is not a valid node name: left out", clip(name)));
         return None;
     }
@@ -426,11 +429,11 @@
         findings.add("C012", &value.location, "route without sticky sessions: it has no effect");
     }
     let (host, port) = (member.host.as_str(), member.port);
-    let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
+    let ip = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
         // The only host name with the same address everywhere (RFC 6761 section 6.3).
         (host == "localhost").then_some(IpAddr::from([127, 0, 0, 1]))
     });
-    let address = match known {
+    let address = match ip {
         Some(ip) => std::net::SocketAddr::new(ip, port).to_string(),
         None => {
             let text =
@@ -440,9 +443,9 @@
         }
     };
     Some(Node {
-        name: if jk { member.name.clone() } else { String::new() },
+        name: if is_jk { member.name.clone() } else { String::new() },
         address,
-        resolved: known.is_some(),
+        resolved: ip.is_some(),
         weight: weight.unwrap_or(1.0),
         priority_level: priority_level.unwrap_or(0.0) as u32,
         role,
@@ -456,13 +459,13 @@
 
 /// Derives role and state from httpd's status flags, of which the last setting applies.
 fn role_from_status(member: &Member, findings: &mut Findings) -> (Role, bool) {
-    let mut set: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
+    let mut last_settings: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
     for (flag, on, location) in &member.flags {
-        set.insert(*flag, (*on, location));
+        last_settings.insert(*flag, (*on, location));
     }
-    let on = |flag: char| set.get(&flag).is_some_and(|(on, _)| *on);
+    let is_set = |flag: char| last_settings.get(&flag).is_some_and(|(on, _)| *on);
     let mut report = |flag: char, code, text: &str| {
-        if let Some((true, location)) = set.get(&flag) {
+        if let Some((true, location)) = last_settings.get(&flag) {
             findings.add(code, location, format!("status {flag}: {text}"));
         }
     };
@@ -476,34 +479,34 @@
     );
     let spare = match parse_flag("spare", member.parameters.get("spare"), findings) {
         Some(spare) => spare,
-        None => on('R'),
+        None => is_set('R'),
     };
-    if on('H') && spare {
-        let location = set.get(&'H').map_or(&member.location, |(_, p)| p);
+    if is_set('H') && spare {
+        let location = last_settings.get(&'H').map_or(&member.location, |(_, p)| p);
         findings.add("C010", location, "both hot standby and hot spare: treated as hot standby");
     }
     let role = match () {
-        () if on('N') => Role::StickyOnly,
-        () if on('H') => Role::Standby,
+        () if is_set('N') => Role::StickyOnly,
+        () if is_set('H') => Role::Standby,
         () if spare => Role::Spare,
         () => Role::Active,
     };
-    if on('N') && (on('H') || spare) {
-        let location = set.get(&'N').map_or(&member.location, |(_, p)| p);
+    if is_set('N') && (is_set('H') || spare) {
+        let location = last_settings.get(&'N').map_or(&member.location, |(_, p)| p);
         findings.add(
             "C010",
             location,
             "draining and also standby or spare: it takes only requests of its own sessions",
         );
     }
-    (role, on('S') || on('D'))
+    (role, is_set('S') || is_set('D'))
 }
 
 /// Derives role and state from mod_jk's activation and the older `disabled` and `stopped`.
 fn role_from_activation(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let of = |name: &str| member.parameters.get(name);
-    let first = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
-    let state = match first.as_ref().map(|(v, t)| (v, t.chars().next())) {
+    let activation = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
+    let state = match activation.as_ref().map(|(v, t)| (v, t.chars().next())) {
         None => None,
         Some((_, Some('a'))) => Some('a'),
         Some((_, Some('d'))) => Some('d'),
@@ -517,13 +520,13 @@
             None
         }
     };
-    let old = |name: &str, findings: &mut Findings| {
+    let deprecated = |name: &str, findings: &mut Findings| {
         let value = of(name)?;
         findings.add("J006", &value.location, format!("{name} is replaced by activation"));
         parse_flag(name, Some(value), findings)
     };
     let (stopped, disabled) =
-        (old("stopped", findings) == Some(true), old("disabled", findings) == Some(true));
+        (deprecated("stopped", findings) == Some(true), deprecated("disabled", findings) == Some(true));
     match state {
         Some('s') => (Role::Active, true),
         Some('d') => (Role::StickyOnly, false),
@@ -540,8 +543,8 @@
     nodes.iter().for_each(|n| *routes.entry(n.route.clone()).or_default() += 1);
     let mut used_names: HashSet<String> = nodes.iter().map(|n| n.name.clone()).collect();
     for node in nodes.iter_mut().filter(|n| n.name.is_empty()) {
-        let own = !node.route.is_empty() && routes[&node.route] == 1;
-        let mut name = if own { node.route.clone() } else { node.address.clone() };
+        let has_unique_route = !node.route.is_empty() && routes[&node.route] == 1;
+        let mut name = if has_unique_route { node.route.clone() } else { node.address.clone() };
         while !used_names.insert(name.clone()) {
             name.push('+');
         }
@@ -555,8 +558,8 @@
     let by_name: HashMap<String, String> = nodes.iter().map(|n| (n.name.clone(), n.route.clone())).collect();
     let routes: BTreeSet<String> = nodes.iter().map(|n| n.route.clone()).collect();
     for node in nodes.iter_mut().filter(|n| !n.redirect.is_empty()) {
-        let jk = balancer.source == Source::ModJk;
-        if let Some(route) = by_name.get(&node.redirect).filter(|r| jk && !r.is_empty()) {
+        let is_jk = balancer.source == Source::ModJk;
+        if let Some(route) = by_name.get(&node.redirect).filter(|r| is_jk && !r.is_empty()) {
             node.redirect.clone_from(route);
         } else if !routes.contains(&node.redirect) || node.redirect.is_empty() {
             let text =
@@ -586,7 +589,7 @@
 /// Lines for what belongs in the settings rather than in a node list.
 fn settings_hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
     let mut hints = Vec::new();
-    let (name, more) = match balancer.source {
+    let (name, first_attempt) = match balancer.source {
         // maxattempts does not count the first attempt (it counts failover attempts); mod_jk's retries count
         // all.
         Source::Apache => ("maxattempts", 1.0),
@@ -595,12 +598,12 @@
     };
     let value = balancer.parameters.get(name);
     if let (Some(attempts), Some(value)) = (parse_number(name, value, 0.0..=99.0, findings), value) {
-        let most = (attempts + more).max(1.0);
-        hints.push(format!("attempts {{ most: {most} }}"));
+        let max_attempts = (attempts + first_attempt).max(1.0);
+        hints.push(format!("attempts {{ most: {max_attempts} }}"));
         findings.add(
             "B004",
             &value.location,
-            format!("{name}={}: set attempts {{ most: {most} }} in the settings", clip(&value.text)),
+            format!("{name}={}: set attempts {{ most: {max_attempts} }} in the settings", clip(&value.text)),
         );
     }
     hints
@@ -609,7 +612,8 @@
 fn report_mounts(model: &Model, balancer: &Balancer, hints: &mut Vec<String>, findings: &mut Findings) {
     let path =
         |m: &Mount| format!("{}{}{}", m.context, if m.context.is_empty() { "" } else { " " }, clip(&m.path));
-    let known: HashSet<String> = model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
+    let balancer_names: HashSet<String> =
+        model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
     let own_mounts: Vec<&Mount> = model
         .mounts
         .iter()
@@ -631,7 +635,7 @@
                     )
                 }
             },
-            Some(target) if known.contains(&target.to_ascii_lowercase()) => continue,
+            Some(target) if balancer_names.contains(&target.to_ascii_lowercase()) => continue,
             Some(target) => format!("{} is sent to {}: not a balancer, left out", path(mount), clip(target)),
         };
         findings.add("C007", &mount.location, text);
@@ -695,16 +699,16 @@
         text.push_str("}\n");
         for node in &self.nodes {
             let _ = write!(text, "\n# {}\n", comment(&node.location.to_string()));
-            let mark = if node.resolved { "" } else { "# " };
+            let comment_mark = if node.resolved { "" } else { "# " };
             if !node.resolved {
                 text.push_str("# Its address is not known: set it and take the marks away.\n");
             }
-            let _ = writeln!(text, "{mark}nodes {{");
-            let _ = writeln!(text, "{mark}  name: {}", quote(&node.name));
-            let _ = writeln!(text, "{mark}  address: {}", quote(&node.address));
-            let mut field = |is: bool, name: &str, value: String| {
-                if is {
-                    let _ = writeln!(text, "{mark}  {name}: {value}");
+            let _ = writeln!(text, "{comment_mark}nodes {{");
+            let _ = writeln!(text, "{comment_mark}  name: {}", quote(&node.name));
+            let _ = writeln!(text, "{comment_mark}  address: {}", quote(&node.address));
+            let mut field = |present: bool, name: &str, value: String| {
+                if present {
+                    let _ = writeln!(text, "{comment_mark}  {name}: {value}");
                 }
             };
             field(node.weight != 1.0, "weight", node.weight.to_string());
@@ -714,7 +718,7 @@
             field(!node.route.is_empty(), "route", quote(&node.route));
             field(!node.redirect.is_empty(), "redirect", quote(&node.redirect));
             field(!node.group.is_empty(), "group", quote(&node.group));
-            let _ = writeln!(text, "{mark}}}");
+            let _ = writeln!(text, "{comment_mark}}}");
         }
         text
     }
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -62,7 +62,7 @@
 }
 
 fn read_text(
-    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, findings: &mut Findings,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, limits: Limits, findings: &mut Findings,
 ) -> Option<String> {
     let location = SourceLocation { file: path.into(), line: 0 };
     let reason = match files.read(path) {
@@ -84,23 +84,23 @@
         Err(FileError::Missing) => "the file does not exist".to_owned(),
         Err(FileError::Unreadable(reason)) => reason,
     };
-    findings.add("A001", from, format!("{path}: {reason}"));
+    findings.add("A001", referrer, format!("{path}: {reason}"));
     None
 }
 
 fn read_properties(
-    files: &dyn Files, path: &str, from: &SourceLocation, properties: &mut Properties,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, properties: &mut Properties,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = read_text(files, path, from, properties.limits, findings) else { return false };
+    let Some(text) = read_text(files, path, referrer, properties.limits, findings) else { return false };
     properties.read(path, &text, findings)
 }
 
 fn read_uri_map(
-    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, model: &mut Model,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, limits: Limits, model: &mut Model,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = read_text(files, path, from, limits, findings) else { return false };
+    let Some(text) = read_text(files, path, referrer, limits, findings) else { return false };
     let Some(rules) = parse_rules(path, &text, limits, findings) else { return false };
     let mount = |rule: UriRule| Mount {
         path: rule.path,
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -162,14 +162,14 @@
                 );
                 return None;
             }
-            let Some(of) = self.own.get(target) else {
+            let Some(inherited) = self.own.get(target) else {
                 let text = format!("reference to {}, which is not defined", clip(target));
                 findings.add("J001", &reference.location, text);
                 return None;
             };
             seen.push(target);
-            next = of.get("reference").copied();
-            for (attribute, property) in of {
+            next = inherited.get("reference").copied();
+            for (attribute, property) in inherited {
                 resolved.entry(attribute).or_insert(property);
             }
         }
@@ -192,12 +192,12 @@
                 findings.add("J006", &list.location, "balanced_workers is the old name of balance_workers");
             }
             for member in split_names(&list.text) {
-                let Some((known, of)) = attributes.get_key_value(member) else {
+                let Some((known, member_attributes)) = attributes.get_key_value(member) else {
                     let text = format!("balancer {name} names {}, which is not defined", clip(member));
                     findings.add("J001", &list.location, text);
                     return None;
                 };
-                if of.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
+                if member_attributes.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
                     if open_balancers.iter().any(|o| o == member)
                         || open_balancers.len() > MAX_REFERENCE_DEPTH
                     {
