--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -187,7 +187,7 @@
     Some(chosen)
 }
 
-/// Parameters whose values the functions below read; all others are reported from the table.
+/// Parameters whose values the readers or the conversion use; all others are reported from the table.
 const HANDLED_PARAMETERS: [&str; 23] = [
     "loadfactor",
     "lbset",
@@ -552,8 +552,7 @@
     }
 }
 
-/// Replaces each redirect by the route of the node that it names: httpd names routes, mod_jk names workers or
-/// routes.
+/// Replaces each redirect by the route of the node that it names. httpd names routes, mod_jk workers or routes.
 fn resolve_redirects(balancer: &Balancer, nodes: &mut [Node], findings: &mut Findings) {
     let by_name: HashMap<String, String> = nodes.iter().map(|n| (n.name.clone(), n.route.clone())).collect();
     let routes: BTreeSet<String> = nodes.iter().map(|n| n.route.clone()).collect();
@@ -590,8 +589,7 @@
 fn settings_hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
     let mut hints = Vec::new();
     let (name, first_attempt) = match balancer.source {
-        // maxattempts does not count the first attempt (it counts failover attempts); mod_jk's retries count
-        // all.
+        // httpd's maxattempts counts failover attempts, without the first; mod_jk's retries count all attempts.
         Source::Apache => ("maxattempts", 1.0),
         Source::ModJk if balancer.parameters.contains_key("lb_retries") => ("lb_retries", 0.0),
         Source::ModJk => ("retries", 0.0),
