--- a/crates/import/fuzz/fuzz_targets/apache.rs
+++ b/crates/import/fuzz/fuzz_targets/apache.rs
@@ -1,7 +1,7 @@
 //! Arbitrary bytes as httpd's main file; the part after a form feed is a file that it may include.
 #![no_main]
 
-use doorcourse_import::{InMemory, Limits, ImportRequest, import};
+use doorcourse_import::{ImportRequest, InMemory, Limits, import};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
--- a/crates/import/fuzz/fuzz_targets/mod_jk.rs
+++ b/crates/import/fuzz/fuzz_targets/mod_jk.rs
@@ -1,7 +1,7 @@
 //! Arbitrary bytes as workers.properties; the part after a form feed is uriworkermap.properties.
 #![no_main]
 
-use doorcourse_import::{InMemory, Limits, ImportRequest, import};
+use doorcourse_import::{ImportRequest, InMemory, Limits, import};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
