--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -1,4 +1,4 @@
-//! `doorcourse import` as a person types it: lists, findings, exit codes.
+//! Runs `doorcourse import` as on a command line and checks node lists, findings and exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,7 +10,7 @@
         let dir = std::env::temp_dir().join(format!("doorcourse-import-{}-{name}", std::process::id()));
         for (file, text) in files {
             let path = dir.join(file);
-            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::create_dir_all(path.parent().expect("a directory")).expect("a directory");
             std::fs::write(path, text).expect("a file");
         }
         Self(dir)
@@ -19,8 +19,8 @@
     fn run(&self, arguments: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_doorcourse"));
         let Output { status, stdout, stderr } =
-            command.current_dir(&self.0).args(arguments).output().expect("the command");
-        let text = |bytes| String::from_utf8(bytes).expect("a text");
+            command.current_dir(&self.0).args(arguments).output().expect("the command runs");
+        let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
         (status.code().expect("a code"), text(stdout), text(stderr))
     }
 
@@ -51,17 +51,17 @@
         "{stderr}"
     );
     assert_eq!(dir.run(&common).0, 0);
-    let first = dir.text("nodes.txtpb").expect("a list");
+    let first = dir.text("nodes.txtpb").expect("a node list");
     assert_eq!(dir.run(&common).0, 0);
     assert_eq!(dir.text("nodes.txtpb"), Some(first.clone()), "the same bytes");
     let (code, stdout, _) = dir.run(&["check", "nodes.txtpb"]);
     assert!(code == 0 && stdout.contains("2 nodes"), "{stdout}");
-    // A fault in the files leaves the list in service as it is.
+    // After an error in the files the existing list stays unchanged.
     std::fs::write(dir.0.join("httpd.conf"), "<Proxy balancer://app>\n").expect("a file");
     let (code, _, stderr) = dir.run(&common);
     assert!(code == 1 && stderr.contains("httpd.conf:1: error [A002]"), "{stderr}");
     assert_eq!(dir.text("nodes.txtpb"), Some(first));
-    assert!(std::fs::read_dir(&dir.0).expect("a folder").count() == 3, "nothing is left beside it");
+    assert!(std::fs::read_dir(&dir.0).expect("a directory").count() == 3, "nothing is left beside it");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     assert!(code == 2 && stderr.contains("bad:1:"), "{stderr}");
 }
 
-/// The table of the docs is the program's own.
+/// The table in the documentation must match the output of the program.
 #[test]
 fn the_docs_hold_the_table_and_every_code() {
     let dir = TestDir::new("docs", &[("x", "")]);
--- a/crates/import/src/apache/read.rs
+++ b/crates/import/src/apache/read.rs
@@ -1,5 +1,5 @@
-//! Directives in the order in which httpd carries them out: includes followed, macros and variables put in,
-//! conditions decided as far as they can be from files alone.
+//! Reads directives in the order in which httpd executes them: follows includes, expands macros and
+//! variables, and evaluates conditions as far as the files alone allow.
 
 use super::lexer::{LogicalLine, decode_text, logical_lines, split_arguments};
 use crate::Limits;
@@ -8,42 +8,42 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A directive.
+/// A directive with its arguments.
 #[derive(Clone, Debug)]
 pub struct Directive {
-    /// Its name in lower case.
+    /// The name in lower case.
     pub name: String,
-    /// Its arguments.
+    /// The arguments.
     pub arguments: Vec<String>,
-    /// Where.
+    /// The line of the directive.
     pub location: SourceLocation,
 }
 
-/// A section around a directive.
+/// A section that encloses a directive.
 #[derive(Clone, Debug)]
 pub struct Section {
-    /// Its name in lower case.
+    /// The name in lower case.
     pub name: String,
-    /// Its arguments.
+    /// The arguments.
     pub arguments: Vec<String>,
-    /// Where it begins.
+    /// The line on which the section starts.
     pub location: SourceLocation,
 }
 
-/// What is done with each directive.
+/// Receives each directive that the reader does not execute itself.
 pub trait DirectiveHandler {
-    /// A directive inside these sections, the outermost first.
+    /// Handles a directive; `sections` are the enclosing sections, outermost first.
     fn handle(&mut self, sections: &[Section], directive: &Directive, findings: &mut Findings);
 }
 
-/// What the files alone do not tell.
+/// Settings that the files themselves do not contain.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Names defined on the command line (-D).
+    /// Names defined on httpd's command line (`-D`).
     pub defines: Vec<String>,
-    /// httpd's version, for IfVersion; without it that cannot be decided.
+    /// httpd's version, for IfVersion; without it such conditions cannot be evaluated.
     pub version: Option<String>,
-    /// Bounds.
+    /// Limits on what is read.
     pub limits: Limits,
 }
 
@@ -60,7 +60,7 @@
     handler: &'a mut dyn DirectiveHandler,
     defined: BTreeMap<String, Option<String>>,
     macros: HashMap<String, Macro>,
-    /// Files and macros being read, to find circles.
+    /// Files, directories and macros that are being read, to detect cycles.
     open_sources: Vec<String>,
     sections: Vec<Section>,
     server_root: Option<String>,
@@ -68,11 +68,11 @@
     directives_read: usize,
 }
 
-/// An error was told; reading ends.
+/// Reading has ended after an error, which is among the findings.
 struct Aborted;
 type ReadResult = Result<(), Aborted>;
 
-/// Reads a main file and all that it includes. Errors are told as findings.
+/// Reads the main files and everything that they include. Errors are added to the findings.
 pub fn read(
     files: &dyn Files, main: &[String], options: &Options, findings: &mut Findings,
     handler: &mut dyn DirectiveHandler,
@@ -114,37 +114,37 @@
         Err(Aborted)
     }
 
-    fn read_file(&mut self, path: &str, from: &SourceLocation) -> ReadResult {
+    fn read_file(&mut self, path: &str, referrer: &SourceLocation) -> ReadResult {
         let limits = self.options.limits;
         if self.open_sources.iter().any(|o| o == path) {
             let chain = self.open_sources.join(" -> ");
-            return self.abort("A004", from, format!("{path} is being read already: {chain} -> {path}"));
+            return self.abort("A004", referrer, format!("{path} is already being read: {chain} -> {path}"));
         }
         if self.open_sources.len() >= limits.depth {
             return self.abort(
                 "A004",
-                from,
-                format!("more than {} files and macros within each other", limits.depth),
+                referrer,
+                format!("files and macros nest more than {} levels deep", limits.depth),
             );
         }
         let bytes = match self.files.read(path) {
             Ok(bytes) => bytes,
             Err(FileError::Missing) => {
-                return self.abort("A001", from, format!("{path}: there is no such file"));
+                return self.abort("A001", referrer, format!("{path}: the file does not exist"));
             }
-            Err(FileError::Unreadable(why)) => return self.abort("A001", from, format!("{path}: {why}")),
+            Err(FileError::Unreadable(why)) => return self.abort("A001", referrer, format!("{path}: {why}")),
         };
         self.bytes_read += bytes.len();
         let location = SourceLocation { file: path.into(), line: 0 };
         if bytes.len() > limits.file_bytes || self.bytes_read > limits.all_bytes {
-            return self.abort("A005", &location, format!("{path}: more bytes than are read"));
+            return self.abort("A005", &location, format!("{path}: the limit on bytes read is exceeded"));
         }
         let (text, first_invalid_line) = decode_text(&bytes);
         if let Some(line) = first_invalid_line {
             self.findings.add(
                 "A103",
                 &SourceLocation { line, ..location.clone() },
-                "bytes that are no UTF-8: taken as Latin-1",
+                "invalid UTF-8: the file is read as Latin-1",
             );
         }
         let body = match logical_lines(&text, limits.line_bytes) {
@@ -154,7 +154,7 @@
                 return self.abort(
                     "A005",
                     &SourceLocation { line, ..location },
-                    format!("a line of more than {limit} bytes"),
+                    format!("the line has more than {limit} bytes"),
                 );
             }
         };
@@ -164,7 +164,7 @@
         result
     }
 
-    /// The lines of a file or macro. Sections must close where they opened.
+    /// Reads the lines of a file or macro. A section must be closed in the file or macro that opened it.
     fn read_lines(&mut self, file: &Arc<str>, body: &[LogicalLine]) -> ReadResult {
         let outer_depth = self.sections.len();
         let mut at = 0;
@@ -178,7 +178,7 @@
                 return self.abort(
                     "A005",
                     &location,
-                    format!("more than {limit} directives, includes and macros spread"),
+                    format!("more than {limit} directives after expansion of includes and macros"),
                 );
             }
             if let Some(name) = line.text.strip_prefix("</") {
@@ -188,14 +188,14 @@
                         self.sections.pop();
                     }
                     Some(last) if self.sections.len() > outer_depth => {
-                        let text = format!("</{name}> closes <{}> of {}", last.name, last.location);
+                        let text = format!("</{name}> cannot close <{}> of {}", last.name, last.location);
                         return self.abort("A002", &location, text);
                     }
                     _ => {
                         return self.abort(
                             "A002",
                             &location,
-                            format!("</{name}> closes nothing that began here"),
+                            format!("</{name}> has no matching section start here"),
                         );
                     }
                 }
@@ -223,19 +223,19 @@
             self.findings.add(
                 "A003",
                 location,
-                "quotes that do not end: taken up to the end of the line, as httpd does",
+                "unterminated quote: the argument extends to the end of the line, as in httpd",
             );
         }
         arguments
     }
 
-    /// A section's first line; gives where to read on.
+    /// Opens a section at its first line and returns the index of the next line to read.
     fn open_section(
         &mut self, file: &Arc<str>, body: &[LogicalLine], at: usize, location: &SourceLocation,
     ) -> Result<usize, Aborted> {
         let text = &body[at - 1].text;
         let Some(header) = text[1..].rfind('>').map(|end| &text[1..=end]) else {
-            self.abort("A002", location, "a section without >")?;
+            self.abort("A002", location, "the section start has no closing `>`")?;
             return Ok(at);
         };
         let (name, rest) = header.split_once(char::is_whitespace).unwrap_or((header, ""));
@@ -249,7 +249,7 @@
             Some(read) => read,
             None if self.sections.len() >= self.options.limits.sections => {
                 let limit = self.options.limits.sections;
-                self.abort("A005", location, format!("more than {limit} sections within each other"))?;
+                self.abort("A005", location, format!("sections nest more than {limit} levels deep"))?;
                 return Ok(at);
             }
             None => true,
@@ -261,7 +261,7 @@
         self.skip_section(body, at, &name, location)
     }
 
-    /// Past the end of a section that is not read.
+    /// Skips a section and returns the index of the line after its end.
     fn skip_section(
         &mut self, body: &[LogicalLine], mut at: usize, name: &str, location: &SourceLocation,
     ) -> Result<usize, Aborted> {
@@ -269,12 +269,12 @@
         while at < body.len() {
             let lower = body[at].text.to_ascii_lowercase();
             at += 1;
-            let is = |text: &str| {
+            let matches_name = |text: &str| {
                 text.strip_prefix(name).is_some_and(|r| r.is_empty() || r.starts_with([' ', '\t', '>']))
             };
             match lower.strip_prefix("</") {
-                Some(end) if is(end.trim_start()) => depth -= 1,
-                None if lower.strip_prefix('<').is_some_and(is) => depth += 1,
+                Some(end) if matches_name(end.trim_start()) => depth -= 1,
+                None if lower.strip_prefix('<').is_some_and(matches_name) => depth += 1,
                 _ => {}
             }
             if depth == 0 {
@@ -285,20 +285,20 @@
         Ok(at)
     }
 
-    /// Whether a conditional section is read; `None` for a section that is no condition.
+    /// Whether a conditional section is read; `None` if the section is not a condition.
     fn evaluate_condition(
         &mut self, name: &str, arguments: &[String], location: &SourceLocation,
     ) -> Option<bool> {
         let first = arguments.first().map_or("", String::as_str);
         let (negated, operand) = first.strip_prefix('!').map_or((false, first), |b| (true, b));
         let undecidable = |reader: &mut Self, what: &str| {
-            reader.findings.add("A101", location, format!("<{name}> {what}: what is inside is not read"));
+            reader.findings.add("A101", location, format!("<{name}> {what}: its content is not read"));
             false
         };
         Some(match name {
             "ifdefine" => self.defined.contains_key(operand) != negated,
             "ifmodule" => {
-                let text = format!("{operand} is taken as loaded");
+                let text = format!("{operand} is assumed to be loaded");
                 self.findings.add("A105", location, text);
                 !negated
             }
@@ -307,7 +307,7 @@
                     let operator = if arguments.len() > 1 { arguments[0].as_str() } else { "=" };
                     match compare_versions(version, operator, expected) {
                         Some(is) => is,
-                        None => undecidable(self, "has a comparison that is not understood"),
+                        None => undecidable(self, "has an invalid comparison"),
                     }
                 }
                 _ => undecidable(self, "needs httpd's version (--httpd-version)"),
@@ -327,7 +327,7 @@
         resolve_path(self.server_root.as_deref().unwrap_or(""), path)
     }
 
-    /// Puts `${NAME}` in where it is defined.
+    /// Replaces each defined `${NAME}` by its value.
     fn expand_variables(&mut self, text: &str, location: &SourceLocation) -> Result<String, Aborted> {
         let mut expanded = String::with_capacity(text.len());
         let mut rest = text;
@@ -343,7 +343,7 @@
                         self.findings.add(
                             "A102",
                             location,
-                            format!("${{{name}}} is not defined (-D {name}=VALUE does)"),
+                            format!("${{{name}}} is not defined (use -D {name}=VALUE)"),
                         );
                     }
                 }
@@ -352,10 +352,10 @@
             self.check_line_length(expanded.len() + rest.len(), location)?;
         }
         if !expanded.is_empty() {
-            // What variables make counts as read: lines that double themselves end here.
+            // Expanded text counts towards the byte limit, which bounds variables that repeat one another.
             self.bytes_read += expanded.len();
             if self.bytes_read > self.options.limits.all_bytes {
-                self.abort("A005", location, "variables make more bytes than are read")?;
+                self.abort("A005", location, "variables expand to more bytes than the limit")?;
             }
         }
         expanded.push_str(rest);
@@ -368,7 +368,7 @@
         if bytes <= limit {
             Ok(())
         } else {
-            self.abort("A005", location, format!("a line of more than {limit} bytes"))
+            self.abort("A005", location, format!("the line has more than {limit} bytes"))
         }
     }
 
@@ -391,7 +391,7 @@
                 return self.abort(
                     "A008",
                     location,
-                    format!("{name} cannot have {} arguments", arguments.len()),
+                    format!("{name} does not accept {} arguments", arguments.len()),
                 );
             }
             ("undefmacro", 1) => {
@@ -404,7 +404,8 @@
 
     // ---- Includes ----
 
-    /// A file, a folder (all that is in it, by name), or a pattern in any part of the path (matches by name).
+    /// Reads a file, a directory (all entries in order of their names), or the matches of a pattern, which
+    /// may stand in any component of the path (in order of their names).
     fn include(&mut self, pattern: &str, optional: bool, location: &SourceLocation) -> ReadResult {
         let path = self.resolve(pattern);
         if !path.contains(['*', '?', '[']) {
@@ -438,7 +439,7 @@
             self.files.list(path).is_some() || self.files.read(path) != Err(FileError::Missing)
         });
         if candidates.is_empty() && !optional {
-            return self.abort("A006", location, format!("{pattern} matches nothing"));
+            return self.abort("A006", location, format!("no file matches {pattern}"));
         }
         for path in candidates {
             match self.files.list(&path) {
@@ -453,7 +454,7 @@
         &mut self, path: &str, mut names: Vec<(String, bool)>, location: &SourceLocation,
     ) -> ReadResult {
         if self.open_sources.len() >= self.options.limits.depth {
-            return self.abort("A004", location, format!("{path}: folders nest too deep"));
+            return self.abort("A004", location, format!("{path}: directories nest too deeply"));
         }
         names.sort();
         self.open_sources.push(path.to_owned());
@@ -476,14 +477,14 @@
     ) -> Result<usize, Aborted> {
         let mut arguments = self.split_arguments(rest, location).into_iter();
         let Some(name) = arguments.next().map(|n| n.to_ascii_lowercase()) else {
-            self.abort("A008", location, "a macro without a name")?;
+            self.abort("A008", location, "the macro has no name")?;
             return Ok(at);
         };
         let parameters: Vec<String> = arguments.collect();
         if parameters.iter().any(String::is_empty)
             || parameters.iter().collect::<HashSet<_>>().len() < parameters.len()
         {
-            self.abort("A008", location, "a macro with an empty or repeated parameter")?;
+            self.abort("A008", location, "the macro has an empty or repeated parameter")?;
         }
         let end = self.skip_section(body, at, "macro", location)?;
         let body = Arc::new(body[at..end - 1].to_vec());
@@ -491,7 +492,7 @@
             self.findings.add(
                 "A104",
                 location,
-                format!("macro {name} is defined again: the last one counts"),
+                format!("macro {name} is defined again: the last definition applies"),
             );
         }
         Ok(end)
@@ -508,16 +509,16 @@
             return self.abort(
                 "A004",
                 location,
-                format!("more than {limit} files and macros within each other"),
+                format!("files and macros nest more than {limit} levels deep"),
             );
         }
         let Some(definition) = self.macros.get(&key) else {
-            return self.abort("A007", location, format!("there is no macro {key}"));
+            return self.abort("A007", location, format!("macro {key} is not defined"));
         };
         let (expected, file, lines) =
             (definition.parameters.len(), definition.file.clone(), Arc::clone(&definition.body));
         if expected != values.len() {
-            let text = format!("macro {key} takes {expected} arguments, {} are given", values.len());
+            let text = format!("macro {key} takes {expected} arguments, but {} are given", values.len());
             return self.abort("A007", location, text);
         }
         let parameters = definition.parameters.clone();
@@ -529,10 +530,11 @@
             let text = substitute(&line.text, &substitutions);
             let location = SourceLocation { file: file.clone(), line: line.number };
             self.check_line_length(text.len(), &location)?;
-            // What is spread counts before it is read: a macro of a million lines is not built for nothing.
+            // Counts the expanded text before it is read, so that a macro of a million lines is not expanded
+            // in vain.
             self.bytes_read += text.len();
             if self.bytes_read > self.options.limits.all_bytes {
-                return self.abort("A005", &location, "macros spread to more bytes than are read");
+                return self.abort("A005", &location, "macros expand to more bytes than the limit");
             }
             body.push(LogicalLine { text, number: line.number });
         }
@@ -551,7 +553,7 @@
     }
 }
 
-/// Puts arguments in for parameters, at each place the longest that fits.
+/// Replaces parameters by their arguments; at each position the longest matching parameter applies.
 fn substitute(text: &str, substitutions: &[(&str, &str)]) -> String {
     if substitutions.is_empty() {
         return text.to_owned();
@@ -573,7 +575,7 @@
     expanded
 }
 
-/// httpd's comparison of versions: `2`, `2.4` and `2.4.7` stand for as many parts as they have.
+/// Compares versions as httpd does. `2`, `2.4` and `2.4.7` are all valid; missing components count as 0.
 fn compare_versions(version: &str, operator: &str, expected: &str) -> Option<bool> {
     let parts = |text: &str| text.split('.').map(|p| p.parse::<u32>().ok()).collect::<Option<Vec<u32>>>();
     let (mut version, mut expected) = (parts(version)?, parts(expected)?);
--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -1,5 +1,5 @@
-//! From the model to a node list, and what has to be said on the way. Every parameter of the balancer that is taken
-//! passes through `PARAMETERS`: none is dropped without a word.
+//! Converts the model to a node list and reports what cannot be converted. Every parameter of the chosen
+//! balancer is looked up in `PARAMETERS`, so that none is dropped silently.
 
 use crate::apache;
 use crate::files::SourceLocation;
@@ -10,31 +10,31 @@
 use std::fmt::Write;
 use std::net::IpAddr;
 
-/// What is wanted of the files.
+/// Options of the conversion.
 #[derive(Clone, Debug, Default)]
 pub struct ConvertOptions {
-    /// The balancer; needed where there are several.
+    /// The balancer to convert; required if there are several.
     pub balancer: Option<String>,
-    /// Addresses of host names.
+    /// Addresses by host name.
     pub hosts: BTreeMap<String, IpAddr>,
 }
 
-/// What a node is there for; as in the settings.
+/// The role of a node in balancing, as in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// It takes its part.
+    /// Takes its share of the requests.
     #[default]
     Active,
-    /// Stands in for one that is away.
+    /// Replaces a node that is unavailable.
     Spare,
-    /// Used when its tier has nothing else.
+    /// Used when no other node of its priority level is available.
     Standby,
-    /// Takes only its own sessions.
+    /// Takes only requests of its own sessions.
     StickyOnly,
 }
 
 impl Role {
-    /// Its name in the settings.
+    /// The name of the role in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -46,62 +46,64 @@
     }
 }
 
-/// A node of the list.
+/// A node of the node list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// "address:port"; a host name where no address is known, and then the node is printed as a comment.
+    /// `address:port`. If the address of a host name is not known, this holds the host name and the node is
+    /// written as a comment.
     pub address: String,
-    /// Whether the address is one.
+    /// Whether `address` holds an IP address.
     pub resolved: bool,
-    /// Its part of its tier.
+    /// Its share of the requests of its priority level.
     pub weight: f64,
-    /// Its tier.
+    /// Its priority level; `tier` in the node list.
     pub priority_level: u32,
-    /// What it is there for.
+    /// Its role in balancing.
     pub role: Role,
-    /// Whether it is sent nothing.
+    /// Whether it is sent no requests.
     pub draining: bool,
-    /// What its sessions name it by.
+    /// The route by which session ids name it.
     pub route: String,
-    /// The route that takes its sessions.
+    /// The route of the node that takes over its sessions.
     pub redirect: String,
-    /// Its group.
+    /// Its failover group.
     pub group: String,
-    /// Where it came from.
+    /// Where the member was defined.
     pub location: SourceLocation,
 }
 
-/// How nodes are chosen.
+/// How a node is chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routing {
-    /// OUTSTANDING, REQUESTS or BUSYNESS.
+    /// The load balancing method: OUTSTANDING, REQUESTS or BUSYNESS.
     pub balance: &'static str,
-    /// The cookie with a session's id.
+    /// The cookie that holds the session id.
     pub cookie: String,
-    /// The parameter with it.
+    /// The path or query parameter that holds the session id.
     pub parameter: String,
-    /// Whether bound requests are refused rather than served elsewhere.
+    /// Whether a request of a session is refused rather than sent to another node.
     pub strict: bool,
 }
 
-/// A node list, to be printed.
+/// A node list, ready to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeList {
-    /// The balancer that it was.
+    /// The name of the balancer that was converted.
     pub balancer: String,
-    /// Where that is defined.
+    /// Where the balancer was defined.
     pub location: SourceLocation,
-    /// Its nodes by tier, role and name.
+    /// The nodes, sorted by priority level, role and name.
     pub nodes: Vec<Node>,
-    /// How they are chosen.
+    /// How a node is chosen for a request.
     pub routing: Routing,
-    /// Lines for the settings that a node list cannot hold.
+    /// Lines for the settings, for what a node list cannot express.
     pub hints: Vec<String>,
 }
 
-/// Turns the balancer that is wanted, of the files that begin with `main`, into a node list; `None` after an error, which is told.
+/// Converts the chosen balancer to a node list; `None` after an error, which is added to the findings. `main`
+/// is the first file, to which findings without a line refer.
 pub fn convert(
     model: &Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<NodeList> {
@@ -132,12 +134,12 @@
 fn select_balancer<'a>(
     model: &'a Model, main: &str, options: &ConvertOptions, findings: &mut Findings,
 ) -> Option<&'a Balancer> {
-    // Errors of the readers come first: what they left is not the whole of it.
+    // After an error of the readers the model is incomplete.
     if findings.any_at_least(crate::Severity::Error) {
         return None;
     }
     let first_file = SourceLocation { file: main.into(), line: 0 };
-    let known = || {
+    let known_names = || {
         let names: Vec<&str> = model.balancers.iter().map(|b| b.name.as_str()).take(20).collect();
         names.join(", ")
     };
@@ -151,7 +153,7 @@
                 findings.add(
                     "C002",
                     &first_file,
-                    format!("there is no balancer {name}; there are: {}", known()),
+                    format!("no balancer is named {name}; the balancers are: {}", known_names()),
                 );
             }
             found?
@@ -163,7 +165,7 @@
         }
         (None, [one]) => one,
         (None, [first, ..]) => {
-            let text = format!("there are several balancers, name one by --balancer: {}", known());
+            let text = format!("there are several balancers; choose one with --balancer: {}", known_names());
             findings.add("C001", &first.location, text);
             return None;
         }
@@ -174,7 +176,7 @@
             n => findings.add(
                 "C008",
                 &other.location,
-                format!("balancer {} with {n} members was not asked for", other.name),
+                format!("balancer {} with {n} members was not chosen", other.name),
             ),
         }
     }
@@ -185,7 +187,7 @@
     Some(chosen)
 }
 
-/// What is read below for its value; all else is told by the table.
+/// Parameters whose values the readers or the conversion use; all others are reported from the table.
 const HANDLED_PARAMETERS: [&str; 23] = [
     "loadfactor",
     "lbset",
@@ -232,7 +234,7 @@
     text.chars().filter(|c| !c.is_control()).take(60).collect()
 }
 
-/// A figure within a range; one that cannot be read is told and left out.
+/// Parses a number within a range; an invalid one is reported and left out.
 fn parse_number(
     name: &str, value: Option<&Value>, range: std::ops::RangeInclusive<f64>, findings: &mut Findings,
 ) -> Option<f64> {
@@ -241,14 +243,14 @@
         Ok(number) if range.contains(&number) => Some(number),
         _ => {
             let (low, high) = (range.start(), range.end());
-            let text = format!("{name}={}: a number from {low} to {high} is wanted", clip(&value.text));
+            let text = format!("{name}={}: expected a number from {low} to {high}", clip(&value.text));
             findings.add("B001", &value.location, text);
             None
         }
     }
 }
 
-/// A name that the settings take; one that they do not is told and left out.
+/// Parses a name that the settings accept; an invalid one is reported and left out.
 fn parse_name(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<String> {
     let value = value?;
     let text = value.text.trim();
@@ -256,14 +258,14 @@
         findings.add(
             "B001",
             &value.location,
-            format!("{name}=`{}`: a name without white space is wanted", clip(text)),
+            format!("{name}=`{}`: expected a name without white space", clip(text)),
         );
         return None;
     }
     Some(text.to_owned()).filter(|t| !t.is_empty())
 }
 
-/// On and off, as httpd (On, Off) and mod_jk (true, t, yes, y, on, 1 ...) have them.
+/// Parses a boolean in the spellings of httpd (On, Off) and mod_jk (true, t, yes, y, on, 1 ...).
 fn parse_flag(name: &str, value: Option<&Value>, findings: &mut Findings) -> Option<bool> {
     let value = value?;
     match value.text.trim().to_ascii_lowercase().as_str() {
@@ -273,7 +275,7 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("{name}={}: on or off is wanted", clip(&value.text)),
+                format!("{name}={}: expected on or off", clip(&value.text)),
             );
             None
         }
@@ -290,36 +292,45 @@
     let balance = match method.map(|m| (m, m.text.trim().to_ascii_lowercase())) {
         None => "REQUESTS",
         Some((value, text)) => {
-            // mod_jk tells methods by their first letter, httpd by the whole name.
+            // mod_jk recognizes a method by its first letter, httpd by the whole name.
             let initial: String = text.chars().take(1).collect();
             let text = if balancer.source == Source::ModJk { initial } else { text };
             match known.iter().position(|k| *k == text) {
                 Some(0) => "REQUESTS",
                 Some(1) => "BUSYNESS",
                 Some(2) => {
-                    approximate(value, "by traffic: bytes are not counted, requests are spread by weight");
+                    approximate(
+                        value,
+                        "by traffic: bytes are not counted; requests are distributed by weight",
+                    );
                     "REQUESTS"
                 }
                 Some(3) if balancer.source == Source::Apache => {
                     approximate(
                         value,
-                        "by heartbeat: nodes are not heard, the one with the fewest requests out is taken",
+                        "heartbeat: none received; the node with the fewest outstanding requests is chosen",
                     );
                     "OUTSTANDING"
                 }
                 Some(3) => {
-                    approximate(value, "by sessions: they are not counted, requests are spread by weight");
+                    approximate(
+                        value,
+                        "by sessions: sessions are not counted; requests are distributed by weight",
+                    );
                     "REQUESTS"
                 }
                 _ if balancer.source == Source::ModJk && text == "n" => {
                     approximate(
                         value,
-                        "by sessions to the next: they are not counted, requests are spread by weight",
+                        "by next (by sessions): sessions are not counted; requests are distributed by weight",
                     );
                     "REQUESTS"
                 }
                 _ => {
-                    let text = format!("`{}` is no method: requests are spread by weight", clip(&value.text));
+                    let text = format!(
+                        "`{}` is not a known method: requests are distributed by weight",
+                        clip(&value.text)
+                    );
                     findings.add("B001", &value.location, text);
                     "REQUESTS"
                 }
@@ -345,12 +356,12 @@
             parse_flag("sticky_session_force", of("sticky_session_force"), findings)
         }
     };
-    // The names must be such as the settings take.
+    // The settings accept only some characters in these names.
     let token = |c: char| c.is_ascii_graphic() && !"()<>@,;:\\\"/[]?={}&%+".contains(c);
     for (what, name) in [("cookie", &mut cookie), ("parameter", &mut parameter)] {
         if !name.chars().all(token) {
             let text =
-                format!("`{}` is no name of a {what}: sessions do not keep to nodes by it", clip(name));
+                format!("`{}` is not a valid {what} name: it is not used for sticky sessions", clip(name));
             findings.add("C012", &balancer.location, text);
             name.clear();
         }
@@ -368,67 +379,73 @@
         Protocol::Https => findings.add(
             "C004",
             location,
-            format!("{name}: nodes are spoken to without TLS; give its HTTP port"),
+            format!("{name}: TLS to nodes is not supported; set its HTTP port"),
         ),
         Protocol::Ajp => findings.add(
             "C003",
             location,
-            format!("{name}: AJP is not spoken; give the port of its HTTP connector"),
+            format!("{name}: AJP is not supported; set the port of its HTTP connector"),
         ),
         Protocol::Other(scheme) => {
             findings.add(
                 "C006",
                 location,
-                format!("{name}: {} is no TCP address with HTTP: left out", clip(scheme)),
+                format!("{name}: {} is not HTTP over TCP: left out", clip(scheme)),
             );
             return None;
         }
     }
     if !member.path.trim_matches('/').is_empty() {
-        let text =
-            format!("{name}: the path {} is not kept; all nodes serve the gateway's own", clip(&member.path));
+        let text = format!(
+            "{name}: the path {} is not carried over; all nodes serve the gateway's own path",
+            clip(&member.path)
+        );
         findings.add("C007", location, text);
     }
-    let jk = balancer.source == Source::ModJk;
-    let weight = match jk {
+    let is_jk = balancer.source == Source::ModJk;
+    let weight = match is_jk {
         true => parse_number("lbfactor", of("lbfactor"), 1.0..=1e5, findings),
         false => parse_number("loadfactor", of("loadfactor"), 1.0..=100.0, findings),
     };
-    let priority_level = match jk {
+    let priority_level = match is_jk {
         true => parse_number("distance", of("distance"), 0.0..=1000.0, findings),
         false => parse_number("lbset", of("lbset"), 0.0..=99.0, findings),
     };
     let (role, draining) =
-        if jk { role_from_activation(member, findings) } else { role_from_status(member, findings) };
+        if is_jk { role_from_activation(member, findings) } else { role_from_status(member, findings) };
     let mut parsed = |name: &str| parse_name(name, of(name), findings);
     let (redirect, group) = (parsed("redirect").unwrap_or_default(), parsed("domain").unwrap_or_default());
-    let own = || jk.then(|| member.name.clone());
-    let route =
-        parsed("route").or_else(|| parsed("jvm_route")).or_else(own).filter(|_| sticky).unwrap_or_default();
-    if jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        findings.add("C006", location, format!("`{}` is no name of a node: left out", clip(name)));
+    let worker_name = || is_jk.then(|| member.name.clone());
+    let route = parsed("route")
+        .or_else(|| parsed("jvm_route"))
+        .or_else(worker_name)
+        .filter(|_| sticky)
+        .unwrap_or_default();
+    if is_jk && member.name.contains(|c: char| c.is_whitespace() || c.is_control()) {
+        findings.add("C006", location, format!("`{}` is not a valid node name: left out", clip(name)));
         return None;
     }
     if !sticky && let Some(value) = of("route") {
-        findings.add("C012", &value.location, "route without sticky sessions: nothing is bound by it");
+        findings.add("C012", &value.location, "route without sticky sessions: it has no effect");
     }
     let (host, port) = (member.host.as_str(), member.port);
-    let known = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
-        // The one name whose address is the same everywhere (RFC 6761 section 6.3).
+    let ip = host.parse::<IpAddr>().ok().or_else(|| options.hosts.get(host).copied()).or_else(|| {
+        // The only host name with the same address everywhere (RFC 6761 section 6.3).
         (host == "localhost").then_some(IpAddr::from([127, 0, 0, 1]))
     });
-    let address = match known {
+    let address = match ip {
         Some(ip) => std::net::SocketAddr::new(ip, port).to_string(),
         None => {
-            let text = format!("{name}: the address of {} is needed: --host {0}=ADDRESS", clip(host));
+            let text =
+                format!("{name}: the address of {} is not known: set it with --host {0}=ADDRESS", clip(host));
             findings.add("C005", location, text);
             format!("{host}:{port}")
         }
     };
     Some(Node {
-        name: if jk { member.name.clone() } else { String::new() },
+        name: if is_jk { member.name.clone() } else { String::new() },
         address,
-        resolved: known.is_some(),
+        resolved: ip.is_some(),
         weight: weight.unwrap_or(1.0),
         priority_level: priority_level.unwrap_or(0.0) as u32,
         role,
@@ -440,52 +457,56 @@
     })
 }
 
-/// httpd's flags, the last word of each.
+/// Derives role and state from httpd's status flags, of which the last setting applies.
 fn role_from_status(member: &Member, findings: &mut Findings) -> (Role, bool) {
-    let mut set: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
+    let mut last_settings: BTreeMap<char, (bool, &SourceLocation)> = BTreeMap::new();
     for (flag, on, location) in &member.flags {
-        set.insert(*flag, (*on, location));
+        last_settings.insert(*flag, (*on, location));
     }
-    let on = |flag: char| set.get(&flag).is_some_and(|(on, _)| *on);
+    let is_set = |flag: char| last_settings.get(&flag).is_some_and(|(on, _)| *on);
     let mut report = |flag: char, code, text: &str| {
-        if let Some((true, location)) = set.get(&flag) {
+        if let Some((true, location)) = last_settings.get(&flag) {
             findings.add(code, location, format!("status {flag}: {text}"));
         }
     };
-    report('I', "B003", "errors are never ignored: a node that fails is left alone for a while");
-    report('E', "B004", "the node begins as usable and is left alone once it fails");
-    report('C', "B004", "nodes are not probed: outcomes of requests tell");
+    report('I', "B003", "errors are never ignored: a node that fails is not used for a while");
+    report('E', "B004", "the node starts as usable and is not used once it fails");
+    report('C', "B004", "there are no health checks: the outcomes of requests decide");
     report(
         'D',
         "C010",
-        "httpd tries it again behind `retry`; here it is sent nothing until the list says otherwise",
+        "httpd tries it again after `retry`; the gateway sends it nothing until the node list changes",
     );
     let spare = match parse_flag("spare", member.parameters.get("spare"), findings) {
         Some(spare) => spare,
-        None => on('R'),
+        None => is_set('R'),
     };
-    if on('H') && spare {
-        let location = set.get(&'H').map_or(&member.location, |(_, p)| p);
-        findings.add("C010", location, "both hot standby and hot spare: taken as hot standby");
+    if is_set('H') && spare {
+        let location = last_settings.get(&'H').map_or(&member.location, |(_, p)| p);
+        findings.add("C010", location, "both hot standby and hot spare: treated as hot standby");
     }
     let role = match () {
-        () if on('N') => Role::StickyOnly,
-        () if on('H') => Role::Standby,
+        () if is_set('N') => Role::StickyOnly,
+        () if is_set('H') => Role::Standby,
         () if spare => Role::Spare,
         () => Role::Active,
     };
-    if on('N') && (on('H') || spare) {
-        let location = set.get(&'N').map_or(&member.location, |(_, p)| p);
-        findings.add("C010", location, "draining, and standby or spare: it takes only its own sessions");
+    if is_set('N') && (is_set('H') || spare) {
+        let location = last_settings.get(&'N').map_or(&member.location, |(_, p)| p);
+        findings.add(
+            "C010",
+            location,
+            "draining and also standby or spare: it takes only requests of its own sessions",
+        );
     }
-    (role, on('S') || on('D'))
+    (role, is_set('S') || is_set('D'))
 }
 
-/// mod_jk's activation, and the older `disabled` and `stopped`.
+/// Derives role and state from mod_jk's activation and the older `disabled` and `stopped`.
 fn role_from_activation(member: &Member, findings: &mut Findings) -> (Role, bool) {
     let of = |name: &str| member.parameters.get(name);
-    let first = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
-    let state = match first.as_ref().map(|(v, t)| (v, t.chars().next())) {
+    let activation = of("activation").map(|v| (v, v.text.trim().to_ascii_lowercase()));
+    let state = match activation.as_ref().map(|(v, t)| (v, t.chars().next())) {
         None => None,
         Some((_, Some('a'))) => Some('a'),
         Some((_, Some('d'))) => Some('d'),
@@ -494,18 +515,18 @@
             findings.add(
                 "B001",
                 &value.location,
-                format!("activation={}: A, D or S is wanted", clip(&value.text)),
+                format!("activation={}: expected A, D or S", clip(&value.text)),
             );
             None
         }
     };
-    let old = |name: &str, findings: &mut Findings| {
+    let deprecated = |name: &str, findings: &mut Findings| {
         let value = of(name)?;
-        findings.add("J006", &value.location, format!("{name} is activation now"));
+        findings.add("J006", &value.location, format!("{name} is replaced by activation"));
         parse_flag(name, Some(value), findings)
     };
     let (stopped, disabled) =
-        (old("stopped", findings) == Some(true), old("disabled", findings) == Some(true));
+        (deprecated("stopped", findings) == Some(true), deprecated("disabled", findings) == Some(true));
     match state {
         Some('s') => (Role::Active, true),
         Some('d') => (Role::StickyOnly, false),
@@ -516,14 +537,14 @@
     }
 }
 
-/// Names for httpd's members, which have none: the route where it is one of its own, else address and port.
+/// Names httpd's members, which have no names: by route if it is unique, else by address and port.
 fn assign_names(nodes: &mut [Node]) {
     let mut routes: HashMap<String, usize> = HashMap::new();
     nodes.iter().for_each(|n| *routes.entry(n.route.clone()).or_default() += 1);
     let mut used_names: HashSet<String> = nodes.iter().map(|n| n.name.clone()).collect();
     for node in nodes.iter_mut().filter(|n| n.name.is_empty()) {
-        let own = !node.route.is_empty() && routes[&node.route] == 1;
-        let mut name = if own { node.route.clone() } else { node.address.clone() };
+        let has_unique_route = !node.route.is_empty() && routes[&node.route] == 1;
+        let mut name = if has_unique_route { node.route.clone() } else { node.address.clone() };
         while !used_names.insert(name.clone()) {
             name.push('+');
         }
@@ -531,27 +552,24 @@
     }
 }
 
-/// Successors by the route of the node that they name: httpd names routes, mod_jk names workers or routes.
+/// Replaces each redirect by the route of the node that it names. httpd names routes, mod_jk workers or routes.
 fn resolve_redirects(balancer: &Balancer, nodes: &mut [Node], findings: &mut Findings) {
     let by_name: HashMap<String, String> = nodes.iter().map(|n| (n.name.clone(), n.route.clone())).collect();
     let routes: BTreeSet<String> = nodes.iter().map(|n| n.route.clone()).collect();
     for node in nodes.iter_mut().filter(|n| !n.redirect.is_empty()) {
-        let jk = balancer.source == Source::ModJk;
-        if let Some(route) = by_name.get(&node.redirect).filter(|r| jk && !r.is_empty()) {
+        let is_jk = balancer.source == Source::ModJk;
+        if let Some(route) = by_name.get(&node.redirect).filter(|r| is_jk && !r.is_empty()) {
             node.redirect.clone_from(route);
         } else if !routes.contains(&node.redirect) || node.redirect.is_empty() {
-            let text = format!(
-                "{}: no node has the route {} that it is redirected to",
-                node.name,
-                clip(&node.redirect)
-            );
+            let text =
+                format!("{}: it redirects to route {}, which no node has", node.name, clip(&node.redirect));
             findings.add("C009", &node.location, text);
             node.redirect.clear();
         }
     }
 }
 
-/// One address given twice would be a node that is counted twice.
+/// Removes nodes with an address that is already listed: such a node would be counted twice.
 fn remove_duplicate_addresses(nodes: &mut Vec<Node>, findings: &mut Findings) {
     let mut seen: HashMap<String, SourceLocation> = HashMap::new();
     nodes.retain(|node| match seen.get(&node.address) {
@@ -560,30 +578,30 @@
             true
         }
         Some(first) => {
-            let text = format!("{} is the address of the node of {first} already: left out", node.address);
+            let text = format!("{} is already the address of the node of {first}: left out", node.address);
             findings.add("C011", &node.location, text);
             false
         }
     });
 }
 
-/// What belongs into the settings rather than into a node list.
+/// Lines for what belongs in the settings rather than in a node list.
 fn settings_hints(balancer: &Balancer, findings: &mut Findings) -> Vec<String> {
     let mut hints = Vec::new();
-    let (name, more) = match balancer.source {
-        // maxattempts counts attempts behind the first (failover attempts); mod_jk's retries count all.
+    let (name, first_attempt) = match balancer.source {
+        // httpd's maxattempts counts failover attempts, without the first; mod_jk's retries count all attempts.
         Source::Apache => ("maxattempts", 1.0),
         Source::ModJk if balancer.parameters.contains_key("lb_retries") => ("lb_retries", 0.0),
         Source::ModJk => ("retries", 0.0),
     };
     let value = balancer.parameters.get(name);
     if let (Some(attempts), Some(value)) = (parse_number(name, value, 0.0..=99.0, findings), value) {
-        let most = (attempts + more).max(1.0);
-        hints.push(format!("attempts {{ most: {most} }}"));
+        let max_attempts = (attempts + first_attempt).max(1.0);
+        hints.push(format!("attempts {{ most: {max_attempts} }}"));
         findings.add(
             "B004",
             &value.location,
-            format!("{name}={}: set attempts {{ most: {most} }} in the settings", clip(&value.text)),
+            format!("{name}={}: set attempts {{ most: {max_attempts} }} in the settings", clip(&value.text)),
         );
     }
     hints
@@ -592,7 +610,8 @@
 fn report_mounts(model: &Model, balancer: &Balancer, hints: &mut Vec<String>, findings: &mut Findings) {
     let path =
         |m: &Mount| format!("{}{}{}", m.context, if m.context.is_empty() { "" } else { " " }, clip(&m.path));
-    let known: HashSet<String> = model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
+    let balancer_names: HashSet<String> =
+        model.balancers.iter().map(|b| b.name.to_ascii_lowercase()).collect();
     let own_mounts: Vec<&Mount> = model
         .mounts
         .iter()
@@ -601,21 +620,21 @@
     for mount in &model.mounts {
         let text = match &mount.target {
             None => format!(
-                "{} is kept from the balancer: the gateway serves one endpoint and nothing else",
+                "{} is excluded from the balancer: the gateway serves one endpoint and nothing else",
                 path(mount)
             ),
             Some(target) if target.eq_ignore_ascii_case(&balancer.name) => match &own_mounts[..] {
-                [_] => format!("{}: the gateway serves one endpoint, `path` in the settings", path(mount)),
+                [_] => format!("{}: the gateway serves one endpoint (`path` in the settings)", path(mount)),
                 _ => {
                     format!(
-                        "{}: the gateway serves one endpoint, this is one of {}",
+                        "{}: the gateway serves one endpoint; this is one of {} mounts",
                         path(mount),
                         own_mounts.len()
                     )
                 }
             },
-            Some(target) if known.contains(&target.to_ascii_lowercase()) => continue,
-            Some(target) => format!("{} goes to {}: no balancer, left out", path(mount), clip(target)),
+            Some(target) if balancer_names.contains(&target.to_ascii_lowercase()) => continue,
+            Some(target) => format!("{} is sent to {}: not a balancer, left out", path(mount), clip(target)),
         };
         findings.add("C007", &mount.location, text);
     }
@@ -628,7 +647,7 @@
     }
 }
 
-/// A string of protobuf's text format.
+/// Quotes a string for protobuf's text format.
 fn quote(text: &str) -> String {
     let mut escaped = String::from("\"");
     for c in text.chars() {
@@ -649,7 +668,7 @@
 }
 
 impl NodeList {
-    /// The node list in protobuf text format: the same model gives the same bytes.
+    /// Writes the node list in protobuf text format. The same model always gives the same bytes.
     #[must_use]
     pub fn to_text(&self) -> String {
         let comment = |text: &str| text.chars().filter(|c| !c.is_control()).collect::<String>();
@@ -678,16 +697,16 @@
         text.push_str("}\n");
         for node in &self.nodes {
             let _ = write!(text, "\n# {}\n", comment(&node.location.to_string()));
-            let mark = if node.resolved { "" } else { "# " };
+            let comment_mark = if node.resolved { "" } else { "# " };
             if !node.resolved {
                 text.push_str("# Its address is not known: set it and take the marks away.\n");
             }
-            let _ = writeln!(text, "{mark}nodes {{");
-            let _ = writeln!(text, "{mark}  name: {}", quote(&node.name));
-            let _ = writeln!(text, "{mark}  address: {}", quote(&node.address));
-            let mut field = |is: bool, name: &str, value: String| {
-                if is {
-                    let _ = writeln!(text, "{mark}  {name}: {value}");
+            let _ = writeln!(text, "{comment_mark}nodes {{");
+            let _ = writeln!(text, "{comment_mark}  name: {}", quote(&node.name));
+            let _ = writeln!(text, "{comment_mark}  address: {}", quote(&node.address));
+            let mut field = |present: bool, name: &str, value: String| {
+                if present {
+                    let _ = writeln!(text, "{comment_mark}  {name}: {value}");
                 }
             };
             field(node.weight != 1.0, "weight", node.weight.to_string());
@@ -697,20 +716,20 @@
             field(!node.route.is_empty(), "route", quote(&node.route));
             field(!node.redirect.is_empty(), "redirect", quote(&node.redirect));
             field(!node.group.is_empty(), "group", quote(&node.group));
-            let _ = writeln!(text, "{mark}}}");
+            let _ = writeln!(text, "{comment_mark}}}");
         }
         text
     }
 }
 
-/// Notes how many directives there were of other modules.
+/// Reports the number of directives that belong to other modules.
 pub(crate) fn report_other_directives(config: &apache::HttpdConfig, file: &str, findings: &mut Findings) {
     if config.other_directives > 0 {
         let location = SourceLocation { file: file.into(), line: 0 };
         findings.add(
             "B009",
             &location,
-            format!("{} directives of other modules: not looked at", config.other_directives),
+            format!("{} directives of other modules were not examined", config.other_directives),
         );
     }
 }
--- a/crates/import/src/jk/mod.rs
+++ b/crates/import/src/jk/mod.rs
@@ -1,4 +1,4 @@
-//! mod_jk: `workers.properties`, `uriworkermap.properties`, and what httpd's own files add to them.
+//! Reads mod_jk's `workers.properties` and `uriworkermap.properties`, and what httpd's own files add to them.
 
 mod properties;
 mod uris;
@@ -13,7 +13,8 @@
 use crate::finding::Findings;
 use crate::model::{Model, Mount};
 
-/// Reads workers.properties files, the later ones over the earlier ones, and uriworkermap files.
+/// Reads workers.properties files, of which later ones override earlier ones, and uriworkermap.properties
+/// files.
 pub fn import(
     files: &dyn Files, worker_files: &[String], uri_map_files: &[String], limits: Limits,
     findings: &mut Findings,
@@ -36,7 +37,7 @@
     model
 }
 
-/// What httpd's files name and say.
+/// Reads the mod_jk files and properties that an httpd configuration names.
 pub(crate) fn from_apache(
     files: &dyn Files, jk: &JkDirectives, limits: Limits, model: &mut Model, findings: &mut Findings,
 ) {
@@ -61,12 +62,12 @@
 }
 
 fn read_text(
-    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, findings: &mut Findings,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, limits: Limits, findings: &mut Findings,
 ) -> Option<String> {
     let location = SourceLocation { file: path.into(), line: 0 };
     let reason = match files.read(path) {
         Ok(bytes) if bytes.len() > limits.file_bytes => {
-            findings.add("A005", &location, format!("{path}: more bytes than are read"));
+            findings.add("A005", &location, format!("{path}: the limit on bytes read is exceeded"));
             return None;
         }
         Ok(bytes) => {
@@ -75,31 +76,31 @@
                 findings.add(
                     "A103",
                     &SourceLocation { line, ..location },
-                    "bytes that are no UTF-8: taken as Latin-1",
+                    "invalid UTF-8: the file is read as Latin-1",
                 );
             }
             return Some(text);
         }
-        Err(FileError::Missing) => "there is no such file".to_owned(),
+        Err(FileError::Missing) => "the file does not exist".to_owned(),
         Err(FileError::Unreadable(reason)) => reason,
     };
-    findings.add("A001", from, format!("{path}: {reason}"));
+    findings.add("A001", referrer, format!("{path}: {reason}"));
     None
 }
 
 fn read_properties(
-    files: &dyn Files, path: &str, from: &SourceLocation, properties: &mut Properties,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, properties: &mut Properties,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = read_text(files, path, from, properties.limits, findings) else { return false };
+    let Some(text) = read_text(files, path, referrer, properties.limits, findings) else { return false };
     properties.read(path, &text, findings)
 }
 
 fn read_uri_map(
-    files: &dyn Files, path: &str, from: &SourceLocation, limits: Limits, model: &mut Model,
+    files: &dyn Files, path: &str, referrer: &SourceLocation, limits: Limits, model: &mut Model,
     findings: &mut Findings,
 ) -> bool {
-    let Some(text) = read_text(files, path, from, limits, findings) else { return false };
+    let Some(text) = read_text(files, path, referrer, limits, findings) else { return false };
     let Some(rules) = parse_rules(path, &text, limits, findings) else { return false };
     let mount = |rule: UriRule| Mount {
         path: rule.path,
--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -1,4 +1,5 @@
-//! From properties to workers: references followed, balancers filled.
+//! Builds balancers from mod_jk's properties: resolves references and collects the members of load balancer
+//! workers.
 
 use super::properties::{Properties, Property, clip};
 use crate::files::SourceLocation;
@@ -7,21 +8,21 @@
 use crate::table::{Scope, Source, find_parameter};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Longer chains of references, and balancers within balancers, are taken for circles.
+/// Longer chains of references, and deeper nesting of balancers, are treated as cycles.
 const MAX_REFERENCE_DEPTH: usize = 64;
 
 type Attributes<'a> = BTreeMap<&'a str, &'a Property>;
 
 struct Workers<'a> {
-    /// What is said of each worker itself.
+    /// The attributes set on each worker itself.
     own: HashMap<&'a str, Attributes<'a>>,
-    /// In the order in which they were named first.
+    /// Worker names in order of first occurrence.
     order: Vec<&'a str>,
-    /// Where that was.
+    /// Where each worker was first named.
     origins: HashMap<&'a str, &'a SourceLocation>,
 }
 
-/// Names in a list: commas and white space part them.
+/// Splits a list at commas and white space.
 fn split_names(text: &str) -> impl Iterator<Item = &str> {
     text.split([',', ' ', '\t']).filter(|n| !n.is_empty())
 }
@@ -30,7 +31,7 @@
     let mut workers = Workers { own: HashMap::new(), order: Vec::new(), origins: HashMap::new() };
     for (name, property) in properties.iter() {
         let Some(rest) = name.strip_prefix("worker.") else {
-            // Anything else is there for macros, or is told to nobody.
+            // Names without a dot are macros; any other name is unknown.
             if name.contains('.') {
                 findings.add(
                     "J005",
@@ -52,7 +53,7 @@
             None if rest == "list" => {}
             None => match find_parameter(Source::ModJk, Scope::Directive, name) {
                 Some(row) => findings.add("B005", &property.location, format!("{name}: {}", row.note)),
-                None => findings.add("B002", &property.location, format!("{}: not known here", clip(name))),
+                None => findings.add("B002", &property.location, format!("{}: unknown property", clip(name))),
             },
         }
     }
@@ -64,7 +65,7 @@
                 findings.add(
                     "J001",
                     &worker_list.location,
-                    format!("worker.list names {name}, of which nothing is said"),
+                    format!("worker.list names {name}, which is not defined"),
                 );
             }
             listed_names.insert(name);
@@ -100,7 +101,7 @@
                 let mut parameters = BTreeMap::new();
                 for (attribute, property) in resolved {
                     if find_parameter(Source::ModJk, Scope::Balancer, attribute).is_none() {
-                        let text = format!("{}: no parameter of a balancer", clip(attribute));
+                        let text = format!("{}: not a known parameter of a balancer", clip(attribute));
                         findings.add("B002", &property.location, text);
                     } else if *attribute != "type" && *attribute != "reference" {
                         let value =
@@ -131,7 +132,7 @@
             }
         }
     }
-    // A worker that requests reach by itself is a balancer of one.
+    // A worker that is in worker.list but in no balancer becomes a balancer with one member.
     let standalone =
         workers.order.iter().filter(|n| listed_names.contains(**n) && worker_type(n).starts_with("ajp"));
     for name in standalone.filter(|n| !balanced.contains(**n)) {
@@ -144,7 +145,8 @@
 }
 
 impl<'a> Workers<'a> {
-    /// What is said of a worker and of those that it refers to, its own word first.
+    /// A worker's attributes together with those of the workers it references; its own attributes take
+    /// precedence.
     fn resolve_references(&self, name: &str, findings: &mut Findings) -> Option<Attributes<'a>> {
         let mut resolved = self.own.get(name)?.clone();
         let mut seen = vec![name];
@@ -156,25 +158,26 @@
                 findings.add(
                     "J002",
                     &reference.location,
-                    format!("references go round: {chain} -> {target}"),
+                    format!("references are cyclic or too deep: {chain} -> {target}"),
                 );
                 return None;
             }
-            let Some(of) = self.own.get(target) else {
-                let text = format!("reference to {}, of which nothing is said", clip(target));
+            let Some(inherited) = self.own.get(target) else {
+                let text = format!("reference to {}, which is not defined", clip(target));
                 findings.add("J001", &reference.location, text);
                 return None;
             };
             seen.push(target);
-            next = of.get("reference").copied();
-            for (attribute, property) in of {
+            next = inherited.get("reference").copied();
+            for (attribute, property) in inherited {
                 resolved.entry(attribute).or_insert(property);
             }
         }
         Some(resolved)
     }
 
-    /// The members of a balancer, those of balancers within it taken in; gives how many lists it has.
+    /// Collects a balancer's members, with nested balancers flattened, and returns the number of its member
+    /// lists.
     fn collect_members(
         &self, name: &str, attributes: &HashMap<&'a str, Attributes<'a>>, open_balancers: &mut Vec<String>,
         expanded: &mut HashSet<&'a str>, members: &mut Vec<&'a str>, findings: &mut Findings,
@@ -186,27 +189,31 @@
         open_balancers.push(name.to_owned());
         for list in &lists {
             if resolved.get("balanced_workers").is_some_and(|l| l.location == list.location) {
-                findings.add("J006", &list.location, "balanced_workers is balance_workers now");
+                findings.add("J006", &list.location, "balanced_workers is the old name of balance_workers");
             }
             for member in split_names(&list.text) {
-                let Some((known, of)) = attributes.get_key_value(member) else {
-                    let text = format!("balancer {name} names {}, of which nothing is said", clip(member));
+                let Some((known, member_attributes)) = attributes.get_key_value(member) else {
+                    let text = format!("balancer {name} names {}, which is not defined", clip(member));
                     findings.add("J001", &list.location, text);
                     return None;
                 };
-                if of.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
+                if member_attributes.get("type").is_some_and(|t| t.text.eq_ignore_ascii_case("lb")) {
                     if open_balancers.iter().any(|o| o == member)
                         || open_balancers.len() > MAX_REFERENCE_DEPTH
                     {
-                        let text = format!("balancers go round: {} -> {member}", open_balancers.join(" -> "));
+                        let text = format!(
+                            "balancers are cyclic or nest too deeply: {} -> {member}",
+                            open_balancers.join(" -> ")
+                        );
                         findings.add("J002", &list.location, text);
                         return None;
                     }
                     let text = format!(
-                        "{member} is a balancer itself: its members are taken in with their own parameters"
+                        "{member} is itself a balancer: its members are included with their own parameters"
                     );
                     findings.add("J008", &list.location, text);
-                    // Each once: balancers that hold each other twice would double at each step.
+                    // Expands each nested balancer once: balancers that list one another twice would grow
+                    // exponentially.
                     if expanded.insert(known) {
                         self.collect_members(
                             member,
@@ -249,7 +256,7 @@
             findings.add(
                 "C006",
                 at,
-                format!("worker {name}: `{}` is no port: left out", clip(&resolved["port"].text)),
+                format!("worker {name}: `{}` is not a valid port: left out", clip(&resolved["port"].text)),
             );
             return None;
         }
@@ -262,7 +269,7 @@
                 parameters.insert((*attribute).to_owned(), value);
             }
             None => {
-                let text = format!("{}: no parameter of a worker", clip(attribute));
+                let text = format!("{}: not a known parameter of a worker", clip(attribute));
                 findings.add("B002", &property.location, text);
             }
         }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -1,5 +1,5 @@
-//! Sample files, each with the list and the findings that are expected of it. `BLESS=1 cargo test` writes what comes
-//! out into the samples: read the difference before it is committed.
+//! Sample files, each with its expected node list and findings. `BLESS=1 cargo test` writes the actual
+//! results into the samples; review the diff before committing it.
 
 use doorcourse_import::{ImportRequest, InMemory, import};
 use std::collections::BTreeSet;
@@ -11,13 +11,13 @@
     title: String,
     request: ImportRequest,
     files: InMemory,
-    /// What stands before the expectations, as written.
+    /// Everything before the expectations, as written.
     input: String,
     list: String,
     findings: Vec<String>,
 }
 
-/// `\r`, `\xNN` and `\\` in files whose bytes no editor keeps.
+/// Replaces `\r`, `\xNN` and `\\`, for bytes that an editor might not preserve.
 fn unescape(text: &str) -> Vec<u8> {
     let (mut bytes, mut rest) = (Vec::new(), text.bytes());
     while let Some(b) = rest.next() {
@@ -29,7 +29,7 @@
                     bytes.push(u8::from_str_radix(std::str::from_utf8(&digits).unwrap(), 16).unwrap());
                 }
                 Some(b'\\') => bytes.push(b'\\'),
-                other => panic!("no escape: {other:?}"),
+                other => panic!("unknown escape: {other:?}"),
             },
             (b, _) => bytes.push(b),
         }
@@ -62,7 +62,7 @@
                 sample.findings = body.lines().filter(|l| !l.is_empty()).map(str::to_owned).collect();
                 continue;
             }
-            other => panic!("no part of a sample: {other}"),
+            other => panic!("unknown part of a sample: {other}"),
         }
         sample.input.push_str("\n--- ");
         sample.input.push_str(part);
@@ -87,26 +87,26 @@
                 let (name, address) = value.split_once('=').unwrap();
                 request.convert_options.hosts.insert(name.to_owned(), address.parse().unwrap());
             }
-            other => panic!("no argument: {other}"),
+            other => panic!("unknown argument: {other}"),
         }
     }
 }
 
-/// What comes out: the list, and each finding as "code place".
+/// Imports a sample and returns the node list and each finding as "code location".
 fn run(sample: &Sample) -> (String, Vec<String>) {
     let (node_list, findings) = import(&sample.files, &sample.request);
     let reported = findings.all().iter().map(|f| format!("{} {}", f.code, f.location)).collect();
     (node_list.map(|c| c.to_text().trim_end().to_owned()).unwrap_or_default(), reported)
 }
 
-/// All that differs from what is expected, in either direction.
+/// Everything that differs from the expectations, in either direction.
 fn differences(sample: &Sample) -> Vec<String> {
     let (list, reported) = run(sample);
     let mut differences = Vec::new();
     if list != sample.list {
-        differences.push(format!("the list is\n{list}\nand not\n{}", sample.list));
+        differences.push(format!("the list is\n{list}\nbut expected\n{}", sample.list));
     }
-    // Each as often as it is expected.
+    // A finding must occur as often as it is expected.
     let mut expected = sample.findings.clone();
     for finding in reported {
         match expected.iter().position(|w| *w == finding) {
@@ -183,7 +183,7 @@
     assert!(lists >= 25, "{lists}");
 }
 
-/// Every code is caused by some sample, so that none is there on paper alone.
+/// Some sample must cause every code, so that no code is only documented.
 #[test]
 fn every_code_is_seen() {
     let seen: BTreeSet<String> =
