--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -54,7 +54,7 @@
     max_connections: usize,
     connect_timeout: Millis,
     /// How long backends keep idle connections, in ms.
-    keepalive: Millis,
+    backend_idle_timeout: Millis,
     /// Connections that the next flush handles.
     to_flush: Vec<usize>,
     timeouts_checked_at: Millis,
@@ -66,13 +66,13 @@
 }
 
 impl Backends {
-    pub(crate) fn new(max_connections: usize, connect_timeout: Millis, keepalive: Millis) -> Self {
-        Self { max_connections, connect_timeout, keepalive, ..Self::default() }
+    pub(crate) fn new(max_connections: usize, connect_timeout: Millis, backend_idle_timeout: Millis) -> Self {
+        Self { max_connections, connect_timeout, backend_idle_timeout, ..Self::default() }
     }
 
-    pub(crate) fn configure(&mut self, connect_timeout: Millis, keepalive: Millis) {
+    pub(crate) fn configure(&mut self, connect_timeout: Millis, backend_idle_timeout: Millis) {
         self.connect_timeout = connect_timeout;
-        self.keepalive = keepalive;
+        self.backend_idle_timeout = backend_idle_timeout;
     }
 
     /// Applies an endpoint list, which the decisions have received already. Attempts that their backend must not receive
@@ -197,7 +197,7 @@
         };
         let attempt = Attempt { backend: name.clone(), payload, deadline, connection: None };
         self.attempts.insert(request, attempt);
-        let idle_timeout = idle_limit(self.keepalive);
+        let idle_timeout = idle_limit(self.backend_idle_timeout);
         let mut expired = Vec::new();
         loop {
             let idle = backend.pool.take_idle(reactor.now, idle_timeout, &mut expired);
--- a/crates/resp-gateway/src/backends/io.rs
+++ b/crates/resp-gateway/src/backends/io.rs
@@ -171,7 +171,7 @@
             return;
         }
         self.timeouts_checked_at = now;
-        let idle_timeout = idle_limit(self.keepalive);
+        let idle_timeout = idle_limit(self.backend_idle_timeout);
         for index in 0..self.connections.capacity() {
             let Some(connection) = self.connections.get(index) else { continue };
             let is_expired = match connection.state {
