--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -86,7 +86,7 @@
         }
         for name in self.mark_removed() {
             self.withdraw_attempts(&name, updates);
-            self.forget_if_unused(&name);
+            self.remove_if_unused(&name);
         }
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Removes a backend that is neither listed nor in use.
-    fn forget_if_unused(&mut self, name: &Name) {
+    fn remove_if_unused(&mut self, name: &Name) {
         if self.backends.get(name).is_some_and(|backend| !backend.is_listed && backend.pool.is_empty()) {
             self.backends.remove(name);
         }
@@ -261,7 +261,7 @@
                 ConnectionState::Busy { .. } => pool.request_ended(),
             }
         }
-        self.forget_if_unused(&connection.backend);
+        self.remove_if_unused(&connection.backend);
     }
 
     /// Ends an attempt whose response is not waited for any more; its connection is closed.
