--- a/crates/resp-gateway/tests/discovery.rs
+++ b/crates/resp-gateway/tests/discovery.rs
@@ -15,11 +15,11 @@
     /// The list, complete or as the first line of a watch.
     Good,
     /// A head, and nothing more.
-    HeadAlone,
+    HeadOnly,
     /// A head, and lines for ever of a list that is never complete.
-    Drips,
+    EndlessList,
     /// A head, and an orderly end.
-    Ends,
+    EmptyBody,
     Status(u16),
     /// A list without a length that ends by an orderly close.
     NoLength,
@@ -83,15 +83,15 @@
             Behavior::Good => {
                 write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()).ok()?;
             }
-            Behavior::HeadAlone => stream.write_all(chunked.as_bytes()).ok()?,
-            Behavior::Drips => {
+            Behavior::HeadOnly => stream.write_all(chunked.as_bytes()).ok()?,
+            Behavior::EndlessList => {
                 stream.write_all(format!("{chunked}{}", chunk("{\n")).as_bytes()).ok()?;
                 loop {
                     std::thread::sleep(Duration::from_millis(100));
                     stream.write_all(chunk(" \n").as_bytes()).ok()?;
                 }
             }
-            Behavior::Ends => {
+            Behavior::EmptyBody => {
                 stream.write_all(format!("{chunked}0\r\n\r\n").as_bytes()).ok()?;
                 return None;
             }
@@ -116,21 +116,21 @@
 
 #[test]
 fn change_is_followed_whatever_fails_at_discovery() {
-    use Behavior::{Drips, Ends, Good, HeadAlone, NoLength, NoResponse, Reset, Status};
+    use Behavior::{EmptyBody, EndlessList, Good, HeadOnly, NoLength, NoResponse, Reset, Status};
     let scripts: Vec<Script> = vec![
         (vec![Good], vec![Good]),
         // A line, and a complete list, that drip in for ever.
-        (vec![Good], vec![Drips, Good]),
-        (vec![Drips, Good], vec![Ends, Good]),
+        (vec![Good], vec![EndlessList, Good]),
+        (vec![EndlessList, Good], vec![EmptyBody, Good]),
         // Watches that end at once or are not answered, while complete lists still come.
-        (vec![Good], vec![Ends]),
-        (vec![Good], vec![HeadAlone]),
+        (vec![Good], vec![EmptyBody]),
+        (vec![Good], vec![HeadOnly]),
         (vec![Good], vec![NoResponse]),
         (vec![Good], vec![Status(503)]),
-        (vec![Status(503), Status(404), NoResponse, Good], vec![NoResponse, Drips, Ends, Good]),
+        (vec![Status(503), Status(404), NoResponse, Good], vec![NoResponse, EndlessList, EmptyBody, Good]),
         // Without a length an orderly close completes the list, a reset does not.
-        (vec![NoLength], vec![Ends]),
-        (vec![Reset, Reset, NoLength], vec![Ends]),
+        (vec![NoLength], vec![EmptyBody]),
+        (vec![Reset, Reset, NoLength], vec![EmptyBody]),
     ];
     let runs = scripts.into_iter().map(|script| {
         std::thread::spawn(move || {
