--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -4,7 +4,9 @@
 mod rig;
 mod running;
 
-use rig::{Backend, Client, Counter, Discovery, LateBackend, Reply, endpoint, is_failed, is_served, value};
+use rig::{
+    Backend, Client, Counter, Discovery, Reply, StalledBackend, endpoint, is_failed, is_served, value,
+};
 use running::{command, config, start};
 use rustix::process::Signal;
 use serde_json::{Value as Json, json};
@@ -216,7 +218,7 @@
 /// once: the client comes first, so that no attempt is started for it and no pooled connection spent on it.
 #[test]
 fn disconnected_client_is_processed_before_due_timers() {
-    let late = LateBackend::start(|_| Reply::Bytes(value("late")));
+    let late = StalledBackend::start(|_| Reply::Bytes(value("late")));
     let good = Backend::start(|_| Reply::Bytes(value("good")));
     let hosts = vec![endpoint("b0", late.address(), "active"), endpoint("b1", good.address, "active")];
     let discovery = Discovery::start(hosts);
--- a/crates/resp-gateway/tests/gone.rs
+++ b/crates/resp-gateway/tests/gone.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use doorcourse_resp::Value;
-use rig::{Backend, Client, LateBackend, Reply, TestGateway, WAIT_LIMIT, endpoint, is_served, value};
+use rig::{Backend, Client, Reply, StalledBackend, TestGateway, WAIT_LIMIT, endpoint, is_served, value};
 use std::io::Read;
 use std::net::Shutdown;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -81,9 +81,9 @@
 
 #[test]
 fn attempt_connected_after_its_client_disconnected_is_never_written() {
-    let late = LateBackend::start(|_| Reply::Bytes(value("good")));
+    let stalled = StalledBackend::start(|_| Reply::Bytes(value("good")));
     let rig =
-        TestGateway::new(vec![endpoint("b0", late.address(), "active")], settings_without_counter(), 1024);
+        TestGateway::new(vec![endpoint("b0", stalled.address(), "active")], settings_without_counter(), 1024);
     for class in ["lookup", "save", "order"] {
         let mut client = rig.client();
         client.send_request(class, 15_000);
@@ -94,18 +94,18 @@
     let id = other.send_request("order", 15_000);
     // Refused as those before it: the system retries all in the order in which they were started.
     wait_until_input_is_read(&rig);
-    let late = late.open();
+    let stalled = stalled.start_accepting();
     assert!(is_served(&other.read_response().unwrap(), "good"));
-    let ids = late.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>());
+    let ids = stalled.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>());
     assert_eq!(ids, [id]);
 }
 
 /// A burst of clients that disconnect in all ways, while their requests wait for connections.
 #[test]
 fn burst_of_disconnecting_clients_leaves_no_attempt() {
-    let late = LateBackend::start(|_| Reply::Bytes(value("good")));
+    let stalled = StalledBackend::start(|_| Reply::Bytes(value("good")));
     let rig =
-        TestGateway::new(vec![endpoint("b0", late.address(), "active")], settings_without_counter(), 1024);
+        TestGateway::new(vec![endpoint("b0", stalled.address(), "active")], settings_without_counter(), 1024);
     let clients: Vec<_> = (0..60)
         .map(|n| {
             let mut client = rig.client();
@@ -135,8 +135,11 @@
     let id = other.send_request("order", 15_000);
     // Refused as those before it: the system retries all in the order in which they were started.
     wait_until_input_is_read(&rig);
-    let late = late.open();
+    let stalled = stalled.start_accepting();
     let response = other.read_response().unwrap();
     assert!(is_served(&response, "good"), "{response:?}");
-    assert_eq!(late.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>()), [id]);
+    assert_eq!(
+        stalled.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>()),
+        [id]
+    );
 }
--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use rig::{Backend, LateBackend, Reply, Shared, TestGateway, endpoint, is_served, settings, value};
+use rig::{Backend, Reply, Shared, StalledBackend, TestGateway, endpoint, is_served, settings, value};
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 /// Requests to the new address must not wait for a connection that is still being made to the old one.
 #[test]
 fn request_to_a_moved_backend_does_not_wait_for_the_connection_to_its_old_address() {
-    let old = LateBackend::start(|_| Reply::Bytes(value("old")));
+    let old = StalledBackend::start(|_| Reply::Bytes(value("old")));
     let new = Backend::start(|_| Reply::Bytes(value("new")));
     let rig = TestGateway::new(vec![backend_started_at(old.address(), 0)], long_connect_timeout(), 1024);
     let mut client = rig.client();
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use rig::{
-    Backend, CounterFault, LateBackend, Reply, TestGateway, endpoint, is_failed, is_rejected, is_served,
+    Backend, CounterFault, Reply, StalledBackend, TestGateway, endpoint, is_failed, is_rejected, is_served,
     value,
 };
 use std::net::TcpListener;
@@ -201,25 +201,28 @@
 #[test]
 fn retry_with_a_key_connected_after_its_window_is_not_written() {
     let first = Backend::start(|_| Reply::Reset);
-    let late = LateBackend::start(|_| Reply::Bytes(value("again")));
-    let hosts = vec![endpoint("b0", first.address, "active"), endpoint("b1", late.address(), "leaving")];
+    let stalled = StalledBackend::start(|_| Reply::Bytes(value("again")));
+    let hosts = vec![endpoint("b0", first.address, "active"), endpoint("b1", stalled.address(), "leaving")];
     let rig = TestGateway::new(hosts, short_window(400.0), 1024);
     let mut client = rig.client();
     client.send_request("save", 9000);
     let sent = wait_for_first_attempt(&first);
-    // From here on only the late backend is ready: it is chosen, and its connection is not made.
+    // From here on only the stalled backend is ready: it is chosen, and its connection is not made.
     rig.discovery.publish_changes(vec![
         endpoint("b0", first.address, "leaving"),
-        endpoint("b1", late.address(), "active"),
+        endpoint("b1", stalled.address(), "active"),
     ]);
     // The window is over; the connection is made after it, with the next retry of the system.
     sleep_until_after(sent, Duration::from_millis(410));
-    let late = late.open();
+    let stalled = stalled.start_accepting();
     let response = client.read_response().unwrap();
     assert!(is_failed(&response), "{response:?}");
     // The first request that it carries is this one.
     let mut other = rig.client();
     let id = other.send_request("save", 9000);
     assert!(is_served(&other.read_response().unwrap(), "again"));
-    assert_eq!(late.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>()), [id]);
+    assert_eq!(
+        stalled.commands.update(|c| c.iter().map(|c| c.arguments[2].clone()).collect::<Vec<_>>()),
+        [id]
+    );
 }
--- a/crates/resp-gateway/tests/rig/backend.rs
+++ b/crates/resp-gateway/tests/rig/backend.rs
@@ -75,14 +75,15 @@
     }
 }
 
-/// A backend whose connections are not made until it is opened: its accept queue is full, as on an overloaded machine.
-pub(crate) struct LateBackend {
+/// A backend to which no connection can be made before [`start_accepting`](Self::start_accepting): its accept queue is
+/// full, as on an overloaded machine.
+pub(crate) struct StalledBackend {
     listener: TcpListener,
     queued: Vec<TcpStream>,
     script: Box<Script>,
 }
 
-impl LateBackend {
+impl StalledBackend {
     pub(crate) fn start(script: impl Fn(&Command) -> Reply + Send + Sync + 'static) -> Self {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let fd = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
@@ -90,7 +91,7 @@
         listen(&fd, 0).unwrap();
         let listener = TcpListener::from(fd);
         let address = listener.local_addr().unwrap();
-        // The queue is full once a connection is not made any more.
+        // A connect that times out shows that the queue is full.
         let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
             queued.push(stream);
@@ -102,8 +103,9 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Accepts connections. Those refused so far are made when the system retries, within a second or so.
-    pub(crate) fn open(self) -> Backend {
+    /// Starts accepting connections. Connects that are pending complete when the kernel retransmits their SYN, within
+    /// about a second.
+    pub(crate) fn start_accepting(self) -> Backend {
         let Self { listener, queued, script } = self;
         let backend = Backend::on(listener, script);
         drop(queued);
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -11,7 +11,7 @@
 mod gateway;
 mod http;
 
-pub(crate) use backend::{Backend, Command, LateBackend, Reply, Script, value};
+pub(crate) use backend::{Backend, Command, Reply, Script, StalledBackend, value};
 pub(crate) use client::{Client, is_failed, is_invalid, is_rejected, is_served, new_id};
 pub(crate) use counter::{Counter, CounterFault};
 pub(crate) use discovery::{Discovery, endpoint};
