--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -232,12 +232,12 @@
     let large = "x".repeat(60 << 10);
     let backend = Backend::start(move |_| Reply::Bytes(value(&large)));
     let rig = TestGateway::with_backends(&[backend.address]);
-    let mut unread_client = rig.client();
+    let mut non_reading_client = rig.client();
     for _ in 0..400 {
         let list = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
         let mut bytes = Vec::new();
         doorcourse_resp::command(&mut bytes, &["Q.ASK", "00000000b4d65521", &new_id(), list]);
-        unread_client.stream.write_all(&bytes).unwrap();
+        non_reading_client.stream.write_all(&bytes).unwrap();
     }
     // Others are served beside it, for longer than it may leave its responses unread.
     let began = Instant::now();
@@ -248,7 +248,7 @@
     assert!(served > 0);
     // Complete responses from the system's buffers, then the close. A client that was not closed would receive all 400.
     let mut received = 0;
-    while received < 400 && unread_client.read_response().is_some() {
+    while received < 400 && non_reading_client.read_response().is_some() {
         received += 1;
     }
     assert!(received < 400, "the connection was not closed");
--- a/crates/resp-gateway/tests/rig/counter.rs
+++ b/crates/resp-gateway/tests/rig/counter.rs
@@ -1,7 +1,7 @@
 //! Scripted shared counter.
 
 use super::Shared;
-use super::http::each_target;
+use super::http::for_each_target;
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,7 @@
     }
 
     fn serve(stream: TcpStream, totals: &Shared<HashMap<String, f64>>, fault: &Shared<CounterFault>) {
-        each_target(stream, |target, stream| {
+        for_each_target(stream, |target, stream| {
             let rest = target.strip_prefix("/v1/count/").expect("the path of the counter protocol");
             let (name, query) = rest.split_once('?').expect("an amount and a time to live");
             let amount = query.split('&').find_map(|p| p.strip_prefix("add=")).expect("an amount");
--- a/crates/resp-gateway/tests/rig/discovery.rs
+++ b/crates/resp-gateway/tests/rig/discovery.rs
@@ -1,7 +1,7 @@
 //! Scripted discovery.
 
 use super::Shared;
-use super::http::each_target;
+use super::http::for_each_target;
 use serde_json::{Value as Json, json};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -48,7 +48,7 @@
     }
 
     fn serve(stream: TcpStream, state: &Shared<DiscoveryState>) {
-        each_target(stream, |target, stream| {
+        for_each_target(stream, |target, stream| {
             state.update(|s| {
                 s.request_count += 1;
                 if s.is_silent {
--- a/crates/resp-gateway/tests/rig/http.rs
+++ b/crates/resp-gateway/tests/rig/http.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 /// Passes each HTTP request's target to `respond`, until the connection closes or a response cannot be written.
-pub(super) fn each_target(
+pub(super) fn for_each_target(
     mut stream: TcpStream, mut respond: impl FnMut(&str, &mut TcpStream) -> std::io::Result<()>,
 ) {
     let mut decoder = Decoder::new(Role::Requests, Limits::default());
