--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -1,8 +1,8 @@
-//! The backends' connections: a pool for each backend, with one attempt at a time on a connection.
+//! The connections to backends: a pool for each backend, with at most one attempt at a time on each connection.
 //!
-//! The table owns the backends' addresses, their connections and the attempts that are out. Between the decision to send
-//! an attempt and its first byte lies the connect: an attempt that waits for a connection is withdrawn when its backend
-//! must not receive it any more. [`io`] does the I/O.
+//! The table owns the addresses of the backends, their connections and the attempts in flight. An attempt may have to
+//! wait for a connection before its first byte is written. It is withdrawn when its backend drains, is removed or has a
+//! new incarnation in the meantime. [`io`] does the I/O.
 
 mod attempt;
 mod connection;
@@ -27,11 +27,11 @@
 /// One backend of the endpoint list.
 struct Backend {
     address: SocketAddr,
-    /// When it was started, where that is known.
+    /// When the backend was started, if known.
     started: Option<Millis>,
     /// Whether attempts may be sent to it.
     is_ready: bool,
-    /// Whether the endpoint list holds it.
+    /// Whether the endpoint list contains it.
     is_listed: bool,
     pool: ConnectionPool,
 }
@@ -45,7 +45,7 @@
     pub connecting: usize,
 }
 
-/// The backends, their connections and the attempts that are out.
+/// The backends, their connections and the attempts in flight.
 #[derive(Default)]
 pub(crate) struct Backends {
     backends: HashMap<Name, Backend>,
@@ -53,7 +53,7 @@
     attempts: HashMap<RequestId, Attempt>,
     max_connections: usize,
     connect_timeout: Millis,
-    /// How long backends keep idle connections, in ms.
+    /// How long backends keep idle connections open, in ms; 0 if unknown.
     backend_idle_timeout: Millis,
     /// Connections that the next flush handles.
     to_flush: Vec<usize>,
@@ -61,7 +61,8 @@
     /// Connections opened since the start, for the log.
     pub connections_opened: u64,
     health_checks_started: u64,
-    /// The number of the last incarnation of any backend: each start and each address of a backend is one.
+    /// Number of the latest incarnation of any backend. A backend has a new incarnation when it is restarted or gets
+    /// another address.
     last_incarnation: u64,
 }
 
@@ -75,8 +76,9 @@
         self.backend_idle_timeout = backend_idle_timeout;
     }
 
-    /// Applies an endpoint list, which the decisions have received already. Attempts that their backend must not receive
-    /// any more are reported as withdrawn.
+    /// Applies an endpoint list. Attempts that their backend must no longer receive are appended to `updates` as
+    /// withdrawn. The caller reports them after the decision library has processed the list, so that their retries do
+    /// not go to a backend that the list drains.
     pub(crate) fn apply_endpoints(&mut self, list: &EndpointList, updates: &mut Vec<AttemptUpdate>) {
         if list.complete {
             self.backends.values_mut().for_each(|backend| backend.is_listed = false);
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Marks the backends that the list lacks as not ready, and returns their names.
+    /// Marks the backends that are not listed as not ready, and returns their names.
     fn mark_removed(&mut self) -> Vec<Name> {
         let mut removed = Vec::new();
         for (name, backend) in self.backends.iter_mut().filter(|(_, backend)| !backend.is_listed) {
@@ -129,7 +131,7 @@
         removed
     }
 
-    /// Withdraws the attempts that wait for a connection or are not written, and closes idle connections.
+    /// Withdraws the attempts that wait for a connection or are not completely written, and closes idle connections.
     fn withdraw_attempts(&mut self, name: &Name, updates: &mut Vec<AttemptUpdate>) {
         let Some(backend) = self.backends.get_mut(name) else { return };
         let (waiting, idle) = backend.pool.withdraw_all();
@@ -143,8 +145,8 @@
         updates.extend(of_backend.filter_map(BackendConnection::unwritten_attempt).map(withdrawn));
     }
 
-    /// The backend was started again or has another address: it gets a pool of its own. Connections of the incarnation
-    /// before that are not made yet are closed; attempts under way on others end there.
+    /// Gives a backend that is new, was restarted or has another address a new pool. Connections of the previous
+    /// incarnation that are still being made are closed; attempts in flight on the others complete there.
     fn begin_incarnation(&mut self, name: &Name) {
         let Some(backend) = self.backends.get_mut(name) else { return };
         if rule_disabled("pool-per-incarnation") {
@@ -157,7 +159,7 @@
         });
     }
 
-    /// The pool that a connection belongs to, unless its backend has another incarnation by now.
+    /// Returns the pool that a connection belongs to, or `None` if its backend has had a new incarnation since.
     fn pool_of(&mut self, backend: &Name, incarnation: u64) -> Option<&mut ConnectionPool> {
         let pool = self.backends.get_mut(backend).map(|backend| &mut backend.pool);
         pool.filter(|pool| pool.incarnation() == incarnation)
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Starts an attempt, on an idle connection or once one is made.
+    /// Starts an attempt on an idle connection, or queues it until a connection is available.
     pub(crate) fn start_attempt(
         &mut self, reactor: &mut Reactor, request: RequestId, backend: &Name, command: Arc<ForwardedCommand>,
         deadline: Millis, updates: &mut Vec<AttemptUpdate>,
@@ -178,7 +180,7 @@
         self.start(reactor, request, backend, Payload::Request(command), deadline, updates);
     }
 
-    /// Starts a health check. Its updates come as those of an attempt, under the id that is returned.
+    /// Starts a health check and returns its id. Its updates are reported like those of an attempt, under this id.
     pub(crate) fn start_health_check(
         &mut self, reactor: &mut Reactor, backend: &Name, updates: &mut Vec<AttemptUpdate>,
     ) -> RequestId {
@@ -205,7 +207,8 @@
                 self.connections.remove(index);
             }
             let Some(index) = idle else { break };
-            // Unexpected bytes, or the backend's close, show here: they must not become the next response.
+            // Detects that the backend has closed the connection or sent unexpected bytes, which must not be read as
+            // the next response.
             if self.connections[index].registered.socket.read() == (0, Flow::Open) {
                 return self.write_attempt(reactor, index, request, updates);
             }
@@ -216,7 +219,7 @@
         self.open_connections(reactor, name, updates);
     }
 
-    /// Gives an attempt the connection that is free for it; its bytes are written in the flush.
+    /// Assigns a free connection to an attempt and encodes the attempt; the next flush writes it.
     fn write_attempt(
         &mut self, reactor: &Reactor, index: usize, request: RequestId, updates: &mut Vec<AttemptUpdate>,
     ) {
@@ -231,7 +234,8 @@
         }
     }
 
-    /// Gives a free connection to the attempt that has waited longest, or keeps it idle.
+    /// Assigns a free connection to the attempt that has waited longest, or keeps it idle. Closes it if its backend is
+    /// not ready or has a new incarnation.
     fn release(&mut self, reactor: &Reactor, index: usize, updates: &mut Vec<AttemptUpdate>) {
         let Some(connection) = self.connections.get_mut(index) else { return };
         let backend = self.backends.get_mut(&connection.backend);
@@ -264,7 +268,7 @@
         self.remove_if_unused(&connection.backend);
     }
 
-    /// Ends an attempt whose response is not waited for any more; its connection is closed.
+    /// Ends an attempt whose response is no longer needed: closes its connection, or cancels its wait for one.
     pub(crate) fn abandon(&mut self, request: RequestId) {
         let Some(attempt) = self.attempts.remove(&request) else { return };
         match attempt.connection {
@@ -277,12 +281,12 @@
         }
     }
 
-    /// Whether an attempt is out and has no connection yet.
+    /// Whether an attempt is in flight and has no connection yet.
     pub(crate) fn awaits_connection(&self, request: RequestId) -> bool {
         self.attempts.get(&request).is_some_and(|attempt| attempt.connection.is_none())
     }
 
-    /// How many connections and waiting attempts a backend has.
+    /// Returns how many connections and waiting attempts a backend has.
     pub(crate) fn pool_counts(&self, name: &Name) -> PoolCounts {
         let Some(backend) = self.backends.get(name) else { return PoolCounts::default() };
         let (waiting, connecting, busy, idle) = backend.pool.counts();
