--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -1,4 +1,4 @@
-//! What is sent to a backend, and what is reported of it.
+//! The attempts and health checks that are sent to backends, and the events that report their progress.
 
 use crate::request::ForwardedCommand;
 use doorcourse::{LoadReport, Millis, Name, RequestId};
@@ -8,7 +8,7 @@
 
 /// The command of a health check.
 const HEALTH_CHECK_COMMAND: &[u8] = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
-/// Marks the ids of health checks, which share the table of attempts with requests.
+/// Set in the ids of health checks, which share the table of attempts with requests.
 const HEALTH_CHECK_BIT: RequestId = 1 << 63;
 
 /// Whether an id is that of a health check.
@@ -16,12 +16,12 @@
     id & HEALTH_CHECK_BIT != 0
 }
 
-/// The id of the health check with this number.
+/// Returns the id of the health check with this number.
 pub(super) fn health_check_id(number: u64) -> RequestId {
     HEALTH_CHECK_BIT | number
 }
 
-/// What happened to the attempt of a request, or to a health check.
+/// An event of the attempt of a request, or of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AttemptUpdate {
     pub request: RequestId,
@@ -37,11 +37,11 @@
     Written,
     /// A complete response was received.
     Responded(BackendResponse),
-    /// The response cannot be read.
+    /// The response is malformed, or of a kind that does not match what was sent.
     InvalidResponse,
-    /// The connection broke, or could not be made.
+    /// The connection was lost or could not be made.
     ConnectionLost,
-    /// The backend must not receive it any more, and its last byte was not written.
+    /// It must not or cannot be sent, and its last byte was not written.
     Withdrawn,
 }
 
@@ -50,14 +50,14 @@
 pub(crate) struct BackendResponse {
     pub reply: BackendReply,
     pub value: Vec<u8>,
-    /// The units that the request used, where the response states them.
+    /// The units that the request used, if the response states them.
     pub units: Option<f64>,
     pub load_report: Option<LoadReport>,
 }
 
 impl BackendResponse {
-    /// The response in these input bytes; `None` where it does not belong to what was sent. Unreadable units or an
-    /// unreadable load report leave the rest of the response valid.
+    /// Converts a reply whose ranges refer to `input`. Returns `None` if its kind does not match what was sent. Units
+    /// or a load report that cannot be parsed are ignored; the rest of the response is still valid.
     pub(super) fn from_reply(reply: Reply, input: &[u8], is_health_check: bool) -> Option<Self> {
         match reply {
             Reply::Served { value, units, report } if !is_health_check => Some(Self {
@@ -93,11 +93,11 @@
     HealthCheck,
 }
 
-/// An attempt, or a health check, whose response is due.
+/// An attempt or a health check in flight.
 pub(super) struct Attempt {
     pub backend: Name,
     pub payload: Payload,
-    /// When the response has to be there.
+    /// When the response is due; infinite for a health check.
     pub deadline: Millis,
     /// Index of its connection; `None` while it waits for one.
     pub connection: Option<usize>,
