--- a/crates/resp-gateway/src/backends/connection.rs
+++ b/crates/resp-gateway/src/backends/connection.rs
@@ -13,7 +13,7 @@
     Idle {
         since: Millis,
     },
-    /// An attempt is out; `written` once its last byte is written.
+    /// An attempt is in flight; `written` is set once its last byte is written.
     Busy {
         request: RequestId,
         written: bool,
@@ -23,7 +23,7 @@
 pub(super) struct BackendConnection {
     pub registered: RegisteredSocket,
     pub backend: Name,
-    /// The incarnation of its backend that it was made for.
+    /// The incarnation of the backend for which the connection was opened.
     pub incarnation: u64,
     pub state: ConnectionState,
     replies: ReplyReader,
@@ -35,11 +35,11 @@
 /// How a connection was used, for the log.
 #[derive(Default)]
 struct Usage {
-    /// How long it was idle before the attempt at hand, in ms.
+    /// How long it was idle before the current attempt, in ms.
     idle_before: Millis,
-    /// Attempts so far.
+    /// Attempts so far, including the current one.
     attempts: u32,
-    /// When the attempt at hand started.
+    /// When the current attempt started.
     attempt_started_at: Millis,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The attempt on this connection, unless its last byte was written.
+    /// Returns the attempt on this connection unless its last byte was written.
     pub(super) fn unwritten_attempt(&self) -> Option<RequestId> {
         match self.state {
             ConnectionState::Busy { request, written: false } => Some(request),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes that an attempt starts; its bytes go to the output.
+    /// Records that an attempt starts on this connection. The caller appends its bytes to the output.
     pub(super) fn start_attempt(&mut self, request: RequestId, now: Millis) {
         self.usage.idle_before = match self.state {
             ConnectionState::Idle { since } => now - since,
@@ -77,7 +77,7 @@
         self.state = ConnectionState::Busy { request, written: false };
     }
 
-    /// Reads once: the response to the attempt at hand, or how it failed; `None` while neither is there.
+    /// Reads once, and returns the response to the current attempt or how it failed; `None` while more input is needed.
     pub(super) fn read_response(&mut self, request: RequestId) -> Option<ReadResponse> {
         let (_, flow) = self.registered.socket.read();
         let input = &self.registered.socket.input;
@@ -110,11 +110,11 @@
     }
 }
 
-/// The end of an attempt as its connection shows it.
+/// The end of an attempt: its response, or how it failed.
 pub(super) struct ReadResponse {
     /// The response, or the event that reports its failure.
     pub result: Result<BackendResponse, AttemptEvent>,
-    /// Whether another attempt may use the connection: the response ended exactly and came after the attempt's last
-    /// byte was written.
+    /// Whether another attempt may use the connection: it is open, no input follows the response, and the response came
+    /// after the last byte of the attempt was written.
     pub is_reusable: bool,
 }
