--- a/crates/resp-gateway/src/backends/io.rs
+++ b/crates/resp-gateway/src/backends/io.rs
@@ -12,7 +12,8 @@
 const TIMEOUT_CHECK_INTERVAL_MS: Millis = 200.0;
 
 impl Backends {
-    /// Opens as many connections as attempts wait for, within the bounds. An attempt that cannot have one ends.
+    /// Opens connections for the attempts that wait, within the limits of the pool and of the gateway. If no connection
+    /// can be opened, the attempt that has waited longest ends.
     pub(super) fn open_connections(
         &mut self, reactor: &mut Reactor, name: &Name, updates: &mut Vec<AttemptUpdate>,
     ) {
@@ -43,7 +44,7 @@
                 Err(error) => {
                     let Some(request) = backend.pool.pop_waiting() else { return };
                     self.attempts.remove(&request);
-                    // A shortage of this machine is not a failure of the backend.
+                    // Exhausted descriptors or another local error is not a failure of the backend.
                     let is_refused = error.is_some_and(|e| e.kind() == std::io::ErrorKind::ConnectionRefused);
                     let event =
                         if is_refused { AttemptEvent::ConnectionLost } else { AttemptEvent::Withdrawn };
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, of whichever backend.
+    /// Closes the connection that has been idle longest, over all backends.
     fn close_longest_idle(&mut self) {
         let idle = self.backends.values().filter_map(|backend| backend.pool.longest_idle());
         if let Some((index, _)) = idle.min_by(|a, b| a.1.total_cmp(&b.1)) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles the readiness of a connection.
     pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, updates: &mut Vec<AttemptUpdate>,
     ) {
@@ -76,7 +77,7 @@
                     self.finish_connect(reactor, index, updates);
                 }
             }
-            // Nothing is due: the backend closed it, or sent what belongs to no request.
+            // No response is due: the backend closed the connection or sent bytes that belong to no request.
             ConnectionState::Idle { since } => {
                 let idle_ms = (reactor.now - since).round();
                 tracing::trace!(target: "doorcourse::sockets", idle_ms, "idle backend connection closed");
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Writes the attempts of the iteration.
+    /// Writes the attempts of this event-loop iteration, and what remains of earlier ones on writable connections.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, updates: &mut Vec<AttemptUpdate>) {
         for index in std::mem::take(&mut self.to_flush) {
             let connection = self.connections.get_mut(index);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Closes connections that were not made in time, and those idle for too long.
+    /// Closes connections that were not made within the connect timeout, and those that have been idle for too long.
     pub(crate) fn handle_timeout(&mut self, reactor: &Reactor) {
         let now = reactor.now;
         if now < self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL_MS {
