--- a/crates/resp-gateway/src/backends/tests.rs
+++ b/crates/resp-gateway/src/backends/tests.rs
@@ -47,7 +47,7 @@
         let withdrawn = AttemptUpdate { request: 1, event: AttemptEvent::Withdrawn };
         assert_eq!(updates, [withdrawn], "{health}");
         backends.abandon(1);
-        // The connection is made nevertheless: nothing is written on it.
+        // The connect still completes; nothing may be written on the connection.
         let mut ready = Vec::new();
         reactor.poller.wait(Some(std::time::Duration::from_secs(5)), &mut ready).unwrap();
         for ready in ready {
