--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -1,7 +1,7 @@
 //! The table of client connections: reads commands, and writes responses in the order of the commands.
 //!
-//! The table owns every client connection and the listener. When a connection expires, and which one is evicted, is
-//! decided by `doorcourse_connection_limits`; when one may close after SIGTERM by `doorcourse_graceful_shutdown`.
+//! The table owns every client connection and the listener. `doorcourse_connection_limits` decides when a connection
+//! expires and which one is evicted; `doorcourse_graceful_shutdown` decides when one may close after SIGTERM.
 
 mod accept;
 mod connection;
@@ -23,13 +23,13 @@
 use slab::Slab;
 use std::net::TcpListener;
 
-/// Timeouts of connections, in ms. A faulty client is to have its error or its close within 3 s.
+/// Timeouts of connections, in ms. A faulty client must receive an error or the close of its connection within 3 s.
 const CONNECTION_TIMEOUTS: ConnectionTimeouts =
     ConnectionTimeouts { silent_timeout: 2000.0, idle_timeout: 5000.0, unread_timeout: 2500.0 };
 /// How often connection timeouts are checked, in ms.
 const TIMEOUT_CHECK_INTERVAL_MS: Millis = 100.0;
 
-/// What clients did.
+/// An event of a client connection.
 pub(crate) enum ClientEvent {
     PingReceived {
         command: CommandId,
@@ -47,7 +47,7 @@
 /// The client connections and their listener.
 pub(crate) struct ClientTable {
     listener: Option<TcpListener>,
-    /// Whether the poller reports the listener; false while there is no descriptor for a connection.
+    /// Whether the poller reports the listener; false while no descriptor is left for a connection.
     listening: bool,
     connections: Slab<ClientConnection>,
     max_connections: usize,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles the readiness of a connection.
     pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, token: Token, ready: Ready,
         events: &mut Vec<ClientEvent>,
@@ -81,7 +81,7 @@
             return;
         };
         if ready.peer_closed {
-            // The protocol counts a client that closes its side as disconnected, whatever it left unread.
+            // By the protocol, a client that closes its side has disconnected, even if commands of it are unread.
             return self.remove(token.index, events);
         }
         if ready.write {
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Closes a connection unless a last read finds a command on it: what was written to an open connection is processed.
-    /// Bytes that come later are discarded: the client sees the end of the connection and sends its request elsewhere.
-    /// Returns false where the connection stays, because `may_close` does not hold after the last read.
+    /// Reads once more, and closes the connection if `may_close` holds after that: a command that was written before
+    /// the close is still processed. Bytes that arrive later are discarded; the client sees the end of the connection
+    /// and sends its request to another gateway. Returns false if the connection stays open.
     fn close_after_last_read(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, index: usize,
         may_close: impl Fn(&ConnectionActivity) -> bool, events: &mut Vec<ClientEvent>,
@@ -142,19 +142,19 @@
         true
     }
 
-    /// Whether the response to a command is due and its client connected.
+    /// Whether the client of a command is connected and the response is still due.
     pub(crate) fn is_connected(&mut self, command: CommandId) -> bool {
         self.slot_mut(command).is_some()
     }
 
-    /// Notes the request that a command became.
+    /// Records the request that was started for a command.
     pub(crate) fn request_started(&mut self, command: CommandId, request: RequestId) {
         if let Some(slot) = self.slot_mut(command) {
             *slot = ResponseSlot::Pending(Some(request));
         }
     }
 
-    /// Sends the response to a command; it is dropped where the client has disconnected.
+    /// Sends the response to a command; drops it if the client has disconnected.
     pub(crate) fn respond(&mut self, now: Millis, command: CommandId, response: Response) {
         let is_invalid = matches!(response, Response::InvalidRequest(_));
         let Some(slot) = self.slot_mut(command) else { return };
@@ -181,16 +181,16 @@
         events.extend(requests.map(|request| ClientEvent::Disconnected { request }));
     }
 
-    /// Writes the responses of the iteration. Commands that waited for buffers are processed then, and while the gateway
-    /// drains, connections on which nothing is open end.
+    /// Writes the responses of this event-loop iteration. Then processes commands that had to wait until responses were
+    /// written, and closes connections that may close because of the graceful shutdown.
     pub(crate) fn flush(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, shutdown: &GracefulShutdown,
         events: &mut Vec<ClientEvent>,
     ) {
         let now = reactor.now;
         let may_close = |activity: &ConnectionActivity| shutdown.may_close(now, activity);
-        // Commands that are processed here may have their response at once: the loop ends because each round consumes
-        // input.
+        // A command that is processed here may be answered at once, which schedules its connection again. The loop ends
+        // because each round consumes input.
         while let Some(index) = self.to_flush.pop() {
             let connection = self.connections.get_mut(index);
             let Some(connection) = connection.filter(|connection| connection.flush_scheduled) else {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Closes connections that have expired, and reads again from those whose backoff is over.
+    /// Closes connections that have expired, and resumes processing on those whose backoff is over.
     pub(crate) fn handle_timeout(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) {
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Has the next flush examine every connection.
+    /// Schedules every connection for the next flush.
     pub(crate) fn schedule_flush_of_all(&mut self) {
         for (_, connection) in &mut self.connections {
             schedule_flush(&mut self.to_flush, connection);
