--- a/crates/resp-gateway/src/clients/accept.rs
+++ b/crates/resp-gateway/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and evicts old ones where the table or the descriptors are exhausted.
+//! Accepts client connections, and evicts others when the table is full or no descriptor is left.
 
 use super::connection::{ClientConnection, reject_connection};
 use super::{ClientEvent, ClientTable};
@@ -8,20 +8,20 @@
 use doorcourse_event_loop::{Interest, Socket, is_out_of_descriptors};
 use doorcourse_fail_points::rule_disabled;
 
-/// Connections accepted in one iteration, so that a burst of new ones does not delay those that are open.
+/// Connections accepted in one event-loop iteration, so that a burst of new ones does not delay those that are open.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// The length of the system's accept queue.
+/// The length of the accept queue in the kernel.
 const ACCEPT_QUEUE_LENGTH: usize = 1024;
 
 pub(super) const LISTENER_TOKEN: Token = Token { kind: TokenKind::Listener, serial: 0, index: 0 };
 
-/// What a new connection is registered for. The client's close is reported apart from reading, so that it is processed
-/// while reading is held back and ahead of unread bytes.
+/// The interest with which a new connection is registered. The client's close is reported separately from input, so
+/// that it is processed before unread bytes, also while the gateway does not read from the connection.
 fn client_interest() -> Interest {
     if rule_disabled("poll-peer-close") { Interest::READ } else { Interest::READ.with_peer_close() }
 }
 
-/// Whether the accept queue may hold more.
+/// Whether the accept queue may contain more connections.
 #[derive(PartialEq)]
 enum AcceptQueue {
     Drained,
@@ -29,16 +29,16 @@
 }
 
 impl ClientTable {
-    /// Accepts connections from the listener. One that exceeds the table is rejected and closed at once: left in the
-    /// accept queue it would wake the loop for ever.
+    /// Accepts connections from the listener. If the table is full and no connection can be evicted, the new one is
+    /// rejected and closed: left in the accept queue, it would wake the event loop again and again.
     pub(crate) fn accept(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) {
         self.accept_up_to(MAX_ACCEPTS_PER_ITERATION, reactor, deployment, events);
     }
 
-    /// Begins to drain: accepts what is in the accept queue, closes the listener and has the next flush examine each
-    /// connection, which ends the idle ones.
+    /// Begins draining: accepts the connections in the accept queue, closes the listener and schedules every connection
+    /// for the next flush, which closes the idle ones.
     pub(crate) fn stop_accepting(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) {
@@ -74,18 +74,18 @@
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return AcceptQueue::Drained,
-                // The system reports this before it looks at the queue, which may be empty: evicting for it could hit a
+                // The kernel reports this before it looks at the queue, which may be empty: an eviction could close a
                 // connection that was just accepted. A queue that is not empty is reported again.
                 Err(error) if is_out_of_descriptors(&error) && accepted > 0 => return AcceptQueue::Drained,
                 Err(error) if is_out_of_descriptors(&error) => {
                     if !self.evict_connection(reactor, deployment, events) {
-                        // The queue stays as it is and would wake the loop for ever.
+                        // The queue does not shrink and would wake the event loop again and again.
                         self.set_listening(reactor, false);
                         return AcceptQueue::Drained;
                     }
                     continue;
                 }
-                // The client has closed already.
+                // The client has already closed the connection.
                 Err(_) => continue,
             };
             let Ok(socket) = Socket::new(stream) else { continue };
@@ -108,16 +108,16 @@
         let token = Token { kind: TokenKind::Client, serial: reactor.next_serial(), index };
         let Ok(registered) = RegisteredSocket::new(reactor, socket, token, client_interest()) else { return };
         let index = self.connections.insert(ClientConnection::new(registered, reactor.now));
-        // The first command mostly follows its connection closely; so does the close of a client that gave up while it
-        // was in the accept queue, which the second read shows.
+        // The first command usually arrives right after the connection. The second read detects a client that closed
+        // the connection while it was in the accept queue.
         self.read(reactor, deployment, index, events);
         if self.connections.get(index).is_some_and(ClientConnection::accepts_commands) {
             self.read(reactor, deployment, index, events);
         }
     }
 
-    /// Closes the connection with the lowest eviction rank; false where none may be evicted. One on which a last read
-    /// finds a command stays, and another is evicted.
+    /// Closes the connection with the lowest eviction rank; returns false if none may be evicted. A connection stays
+    /// open if a last read finds a command on it, and the next one is tried.
     pub(super) fn evict_connection(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) -> bool {
@@ -129,7 +129,8 @@
             let lowest = ranked.min_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
             let Some((_, index)) = lowest else { return false };
             if self.close_after_last_read(reactor, deployment, index, may_evict, events) {
-                // Its descriptor is needed now; the client has received its last response long ago.
+                // Removed without waiting for the lingering close, since its descriptor is needed now. A connection
+                // with an unwritten response has no eviction rank unless its unread timeout has passed.
                 self.remove(index, events);
                 return true;
             }
