--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: its commands, and its responses in the order of the commands.
+//! A client connection: its commands, and its responses in the order of the commands.
 
 use super::ClientEvent;
 use super::response::Response;
@@ -12,20 +12,20 @@
 use doorcourse_resp::{CommandLimits, CommandReader};
 use std::collections::VecDeque;
 
-/// A value is 64 KiB at most; the other arguments are short.
+/// A value has at most 64 KiB; the other arguments are short.
 pub(super) const COMMAND_LIMITS: CommandLimits =
     CommandLimits { arguments: 8, argument_bytes: 64 << 10, bytes: 66 << 10 };
-/// Commands of one connection whose responses are due; reading stops there.
+/// Maximum number of commands of one connection whose responses are due; at this number, reading pauses.
 const MAX_PIPELINED_COMMANDS: usize = 64;
-/// Bytes of responses that one connection may leave unread; reading stops beyond.
+/// Maximum bytes of responses of one connection that are not written yet; above this, reading pauses.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
-/// How long a connection stays open after its last response, in ms. The client has to read that response, and a close
-/// over unread bytes resets the connection and discards it (RFC 9112 section 9.6 says the same of HTTP).
+/// How long a connection stays open after its last response, in ms. A close while received bytes are unread resets the
+/// connection, and the client may lose the response (RFC 9112 section 9.6 describes this for HTTP).
 const LINGER_MS: Millis = 250.0;
-/// Bytes discarded during the lingering close; a client that sends more is not read any further.
+/// Maximum bytes that are read and discarded during the lingering close; beyond this, nothing more is read.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// Identifies a command of a connection, to match its response.
+/// Identifies a command of a connection, so that its response can be assigned to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CommandId {
     /// Index of the connection in the client table.
@@ -38,7 +38,7 @@
 
 /// The response to one command, in the order of the commands.
 pub(super) enum ResponseSlot {
-    /// It is due; the request that the command became, once it is open.
+    /// It is due. Holds the request that was started for the command, if any.
     Pending(Option<RequestId>),
     Ready(Response),
 }
@@ -51,13 +51,13 @@
     /// Sequence number of the first slot.
     first_sequence: u64,
     pub activity: ConnectionActivity,
-    /// Commands so far that could not be accepted.
+    /// Commands so far that were invalid.
     invalid_commands: u32,
-    /// Nothing is read before then.
+    /// When reading resumes after an invalid command.
     read_resumes_at: Millis,
-    /// No command follows: the framing is lost, or this side is closed.
+    /// No further command is read: the framing was invalid, or the gateway has closed its side.
     input_closed: bool,
-    /// Bytes discarded during the lingering close.
+    /// Bytes that were discarded during the lingering close.
     discarded_bytes: usize,
     /// Whether the table's next flush handles this connection.
     pub flush_scheduled: bool,
@@ -83,7 +83,7 @@
         self.registered.token.index
     }
 
-    /// Whether bytes of the client are read now.
+    /// Whether input is currently read from the client.
     pub(super) fn reads_input(&self, now: Millis) -> bool {
         if self.activity.lingering_close_until.is_some() {
             return self.discarded_bytes < MAX_DISCARDED_BYTES;
@@ -93,17 +93,17 @@
         has_capacity && !self.input_closed && now >= self.read_resumes_at
     }
 
-    /// Whether commands may still come.
+    /// Whether further commands are read from the client.
     pub(super) fn accepts_commands(&self) -> bool {
         !self.input_closed
     }
 
-    /// Whether the client has sent commands that could not be accepted, so that reading may be backed off.
+    /// Whether the client has sent invalid commands, after which reading backs off.
     pub(super) fn has_invalid_commands(&self) -> bool {
         self.invalid_commands > 0
     }
 
-    /// Reads once. Bytes that come during the lingering close are discarded.
+    /// Reads once. Bytes that arrive during the lingering close are discarded.
     pub(super) fn read(&mut self) -> Flow {
         let (count, flow) = self.registered.socket.read();
         if self.activity.lingering_close_until.is_some() {
@@ -113,7 +113,7 @@
         flow
     }
 
-    /// Processes the commands that have been received completely; whether bytes were consumed.
+    /// Processes the commands that have been received completely; returns whether bytes were consumed.
     pub(super) fn process_commands(
         &mut self, now: Millis, deployment: &Deployment, events: &mut Vec<ClientEvent>,
     ) -> bool {
@@ -129,7 +129,7 @@
                     self.process_command(now, request::parse(deployment, rest, &arguments), events);
                 }
                 Err(error) => {
-                    // The error is written behind the responses that are still due, and nothing follows it.
+                    // The error is written after the responses that are still due, and is the last response.
                     self.input_closed = true;
                     self.push_slot(ResponseSlot::Ready(Response::InvalidFraming(error)));
                     consumed = input.len();
@@ -181,20 +181,20 @@
         }
     }
 
-    /// The slot of a command whose response is not encoded yet.
+    /// Returns the slot of a command whose response is not encoded yet.
     pub(super) fn slot_mut(&mut self, sequence: u64) -> Option<&mut ResponseSlot> {
         let offset = sequence.checked_sub(self.first_sequence)?;
         self.slots.get_mut(usize::try_from(offset).ok()?)
     }
 
-    /// Backs off from reading after a command that could not be accepted.
+    /// Backs off from reading after an invalid command.
     pub(super) fn record_invalid_command(&mut self, now: Millis) {
         self.invalid_commands += 1;
         self.read_resumes_at = now + fault_backoff(self.invalid_commands);
     }
 
-    /// Moves the responses that are next in order to the output. From here on they are unread, also while they are not
-    /// written yet: nothing that looks at the connection before the iteration's flush may take it for idle.
+    /// Moves the responses that are next in order to the output. From then on they count as unread, even before they
+    /// are written, so that a timeout or eviction before the next flush does not treat the connection as idle.
     pub(super) fn encode_ready_responses(&mut self, now: Millis) {
         while let Some(ResponseSlot::Ready(response)) = self.slots.front() {
             response.encode(self.registered.socket.output());
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Writes as much as the client takes, and ends this side behind the error of a lost framing.
+    /// Writes as much as the socket accepts. After the error about invalid framing, begins the lingering close.
     pub(super) fn flush(&mut self, now: Millis) -> Flow {
         let pending_before = self.registered.socket.pending();
         if self.registered.socket.flush() == Flow::Broken {
@@ -229,8 +229,8 @@
         Flow::Open
     }
 
-    /// Ends this side after the last response. Bytes that still come are discarded, so that nothing is unread when the
-    /// connection closes.
+    /// Closes the gateway's side after the last response. Bytes that still arrive are read and discarded, so that none
+    /// are unread when the connection closes.
     pub(super) fn begin_lingering_close(&mut self, now: Millis) {
         self.registered.socket.shutdown_write();
         self.registered.socket.input = Vec::new();
@@ -238,14 +238,14 @@
         self.activity.lingering_close_until = Some(now + LINGER_MS);
     }
 
-    /// Registers for the readiness that is of use now.
+    /// Registers for the readiness that the connection currently needs.
     pub(super) fn update_interest(&mut self, reactor: &Reactor) {
         let read = self.reads_input(reactor.now);
         let write = self.registered.socket.pending() > 0;
         self.registered.set_interest(reactor, read, write);
     }
 
-    /// The requests whose responses are due.
+    /// Returns the requests whose responses are due.
     pub(super) fn into_open_requests(self) -> impl Iterator<Item = RequestId> {
         self.slots.into_iter().filter_map(|slot| match slot {
             ResponseSlot::Pending(request) => request,
@@ -254,8 +254,8 @@
     }
 }
 
-/// Rejects the commands on a connection that exceeds the table and closes it: a rejection is safe to retry elsewhere,
-/// while after a close over unread bytes the client does not know whether they were processed.
+/// Rejects the commands on a connection for which the table has no room, and closes it. The client can retry a rejected
+/// command at another gateway; after a close without a response it would not know whether the command was executed.
 pub(super) fn reject_connection(mut socket: Socket) {
     socket.read();
     let input = std::mem::take(&mut socket.input);
@@ -265,7 +265,7 @@
         consumed += length;
         Response::Rejected { retry_after_ms: None }.encode(socket.output());
     }
-    // What is read at once makes few responses: they fit into the system's buffer of a new connection.
+    // The responses to the commands of one read are few enough to fit into the send buffer of a new connection.
     socket.flush();
     socket.shutdown_write();
 }
