--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -4,21 +4,21 @@
 use doorcourse_resp::CommandError;
 use std::io::Write;
 
-/// Why a request failed. The text promises the client nothing about execution.
+/// Why a request failed. The text does not tell the client whether the request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestFailure {
-    /// Its deadline is so close that no response could arrive in time.
+    /// Its deadline is too close for a response to arrive in time.
     DeadlineTooShort,
-    /// No response came before its deadline.
+    /// No response arrived before its deadline.
     DeadlineExpired,
-    /// A backend broke off or responded with an error.
+    /// A backend closed the connection during the attempt, or responded with an error.
     BackendFailed,
     /// No backend accepted it.
     NoBackendReached,
 }
 
 impl RequestFailure {
-    /// The text behind `-ERR failed: `; clients may match on it.
+    /// The text after `-ERR failed: `; clients may match on it.
     fn message(self) -> &'static str {
         match self {
             Self::DeadlineTooShort => "no time is left",
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Response {
     Value(Vec<u8>),
-    /// Rejected: a retry is harmless.
+    /// Rejected and not executed: a retry is safe.
     Rejected {
-        /// When to retry, in ms, where clients receive advice.
+        /// After how many ms to retry, if clients are told.
         retry_after_ms: Option<u64>,
     },
     Failed(RequestFailure),
-    /// The command cannot be accepted; the connection stays open.
+    /// The command is invalid; the connection stays open.
     InvalidRequest(RequestError),
-    /// The framing is lost; the connection ends.
+    /// The framing is invalid; the connection is closed.
     InvalidFraming(CommandError),
     Pong,
     /// The gateway is not ready to serve yet.
