--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -5,7 +5,7 @@
 const SETTINGS: &str =
     r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
 
-/// A table with one client that has sent a request, and the id of its command.
+/// Returns a table with one client that has sent a request, and the id of its command.
 fn table_with_request(max_connections: usize) -> (Reactor, Deployment, ClientTable, CommandId, TcpStream) {
     let mut reactor = Reactor::new().unwrap();
     let deployment = doorcourse_deployment::parse(SETTINGS).unwrap();
@@ -84,7 +84,7 @@
         clients.flush(&mut reactor, &deployment, &shutdown, &mut events);
         let mut text = String::new();
         if cause == "shutdown" {
-            // The connection lingers: this side is closed, and bytes that still come are discarded.
+            // The connection is in its lingering close: the gateway's side is closed, and input is discarded.
             client.read_to_string(&mut text).unwrap();
             assert!(
                 clients
