--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,5 +1,6 @@
-//! The connections to the counter service: a few, with calls pipelined on each. A counter (one customer's number in one
-//! window) has one call in flight at a time, so any connection may carry its next call; the one with the fewest does.
+//! A small pool of connections to the counter service, with calls pipelined on each. A counter (the total of one
+//! customer in one window) has at most one call in flight, so its next call may use any connection; it uses the one with
+//! the fewest calls in flight.
 
 use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
 use doorcourse::{CounterOutcome, Event, Millis};
@@ -8,16 +9,17 @@
 use slab::Slab;
 use std::net::SocketAddr;
 
-/// Connections to one address: a late reply delays the few calls behind it, not all.
+/// Connections to one address. With several, a late reply delays only the calls behind it on the same connection.
 const CONNECTIONS_PER_ADDRESS: usize = 4;
-/// How long connections to a former address stay, in ms; the server ends them after 1.5 s.
+/// How long connections to a former address stay open, in ms; the server closes them after 1.5 s.
 const RETIREMENT_MS: Millis = 1000.0;
-/// An idle connection is replaced after this, in ms; the server closes it after 10 s or less.
+/// How long a connection may be idle before it is replaced, in ms; the server closes it after 10 s or less.
 const IDLE_TIMEOUT_MS: Millis = 4000.0;
 /// A connection with calls in flight and no reply for this many call timeouts is replaced.
 const UNRESPONSIVE_TIMEOUTS: f64 = 10.0;
 const INITIAL_BACKOFF_MS: Millis = 50.0;
-/// Short: while the gateway backs off from a counter that is back, customers stay on their fallback budgets.
+/// Short, because customers stay on their fallback budgets until the gateway connects to a counter that is available
+/// again.
 const MAX_BACKOFF_MS: Millis = 300.0;
 
 enum Connection {
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Marks the connection as made.
+    /// Marks a connection that was being made as open.
     fn opened(&mut self) {
         if let Self::Connecting(registered) = std::mem::replace(self, Self::Closed) {
             *self = Self::Open(registered);
@@ -42,16 +44,16 @@
     }
 }
 
-/// A link with its connection.
+/// A link to the counter and its connection.
 struct PooledLink {
     address: SocketAddr,
     link: CounterLink<HttpCodec>,
     connection: Connection,
-    /// When it ends, because the counter has another address by now.
+    /// When the link ends because the counter has another address; `None` for a link to the current address.
     retires_at: Option<Millis>,
-    /// When [`CounterPool::handle_timeout`] is due for it.
+    /// When [`CounterPool::handle_timeout`] is due for this link.
     next_timeout: Millis,
-    /// Whether the next flush handles it.
+    /// Whether the next flush handles this link.
     flush_scheduled: bool,
 }
 
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Applies the configuration. Connections to another address take over as soon as they are made; calls in flight on
-    /// the former ones end there.
+    /// Applies the configuration. If the address changed, connections to the new one are used as soon as they are open;
+    /// calls in flight on connections to the former address complete there until those retire.
     pub(crate) fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
         self.call_timeout = call_timeout;
         let is_current = |pooled: &PooledLink| pooled.retires_at.is_none() && Some(pooled.address) == address;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Makes a call. Without a connection it ends as not added.
+    /// Makes a call. If no connection is ready, it ends with [`CounterOutcome::NotAdded`].
     pub(crate) fn call(&mut self, reactor: &mut Reactor, call: CounterCall, events: &mut Vec<Event>) {
         let ready = self.links.iter().filter(|(_, pooled)| pooled.link.is_ready());
         let preferred =
@@ -133,7 +135,7 @@
         self.links.iter().map(|(_, pooled)| pooled.next_timeout).fold(f64::INFINITY, f64::min)
     }
 
-    /// Times out calls, replaces connections and ends those to a former address.
+    /// Times out calls, replaces connections and closes those to a former address.
     pub(crate) fn handle_timeout(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         let now = reactor.now;
         for index in 0..self.links.capacity() {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles the readiness of a connection.
     pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, events: &mut Vec<Event>,
     ) {
@@ -213,7 +215,7 @@
         self.execute_actions(reactor, index, actions, events);
     }
 
-    /// Writes the calls of the iteration.
+    /// Writes the calls of this event-loop iteration, and what remains of earlier ones on writable connections.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, events: &mut Vec<Event>) {
         for index in 0..self.links.capacity() {
             let Some(pooled) = self.links.get_mut(index).filter(|pooled| pooled.flush_scheduled) else {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// How many connections there are, for the log.
+    /// Returns how many connections are open or being made, for the log.
     pub(crate) fn connection_count(&self) -> usize {
         let connections = self.links.iter().map(|(_, pooled)| &pooled.connection);
         connections.filter(|connection| !matches!(connection, Connection::Closed)).count()
@@ -234,7 +236,7 @@
 }
 
 impl PooledLink {
-    /// Finishes the connect and reads. The error is the reason why the connection is lost.
+    /// Finishes the connect and reads. The error is the reason why the connection was lost.
     fn receive(
         &mut self, reactor: &Reactor, ready: Ready, actions: &mut Vec<LinkAction>,
     ) -> Result<(), String> {
@@ -261,7 +263,7 @@
         Ok(())
     }
 
-    /// Writes what the link has to write, on an open connection.
+    /// Writes the output of the link if the connection is open.
     fn flush(&mut self, reactor: &Reactor) -> Flow {
         let Connection::Open(registered) = &mut self.connection else { return Flow::Open };
         registered.socket.output().extend_from_slice(&self.link.take_output());
