--- a/crates/resp-gateway/src/clients/response.rs
+++ b/crates/resp-gateway/src/clients/response.rs
@@ -11,9 +11,9 @@
     DeadlineTooShort,
     /// No response arrived before its deadline.
     DeadlineExpired,
-    /// A backend closed the connection during the attempt, or responded with an error.
+    /// The connection to a backend was lost, or the backend responded with an error.
     BackendFailed,
-    /// No backend accepted it.
+    /// The last attempt reached no backend, or was rejected by it.
     NoBackendReached,
 }
 
