--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -1,6 +1,6 @@
 //! A small pool of connections to the counter service, with calls pipelined on each. A counter (the total of one
-//! customer in one window) has at most one call in flight, so its next call may use any connection; it uses the one with
-//! the fewest calls in flight.
+//! customer in one window) has at most one call in flight, so its next call may use any connection; it uses the one
+//! with the fewest calls in flight.
 
 use crate::reactor::{Reactor, RegisteredSocket, Token, TokenKind};
 use doorcourse::{CounterOutcome, Event, Millis};
