--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,8 +1,8 @@
-//! The connection to the discovery service: watches the endpoint list.
+//! The connection to the discovery service, which watches the endpoint list.
 //!
-//! When to connect, request, back off and give up is decided by `doorcourse_discovery::DiscoveryWatch`; this client does
-//! its I/O and passes the lists on. What cannot be followed (a line that cannot be read, a version that steps back) makes
-//! it request the complete list.
+//! `doorcourse_discovery::DiscoveryWatch` decides when to connect, send a request, back off and give up; this client
+//! does the I/O and passes the lists on. After a list that cannot be read or applied, such as one with an older version,
+//! it requests the complete list.
 
 mod body;
 
@@ -16,7 +16,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Why what was received cannot be followed.
+/// Why a response cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum DiscoveryError {
     #[error("{0}")]
@@ -47,18 +47,19 @@
 pub(crate) struct DiscoveryClient {
     address: SocketAddr,
     connection: Connection,
-    /// A request that was not answered in time, and may be yet; another one is out beside it.
+    /// A request that was not answered in time, so that another one is in flight beside it. Its response may still
+    /// arrive.
     superseded: Option<Exchange>,
     watch: DiscoveryWatch,
-    /// The part of a line or of a complete list that has been received.
+    /// The part of a list that has been received and not parsed.
     body: Vec<u8>,
-    /// Whether the request that is out is a watch; otherwise it is for the complete list.
+    /// Whether the current request is a watch; otherwise it is for the complete list.
     is_watching: bool,
 }
 
 impl DiscoveryClient {
-    /// `version` is that of the list in hand. `drain_grace` is how long, in ms, requests may still be sent to a backend
-    /// that drains.
+    /// `version` is that of the known list, if any. `drain_grace` is how long, in ms, requests may still be sent to a
+    /// backend that drains.
     pub(crate) fn new(address: SocketAddr, version: Option<u64>, drain_grace: Millis) -> Self {
         Self {
             address,
@@ -74,7 +75,7 @@
         self.watch.set_drain_grace(drain_grace);
     }
 
-    /// Another address takes over at once.
+    /// Sets the address. Connections to the previous one are closed at once.
     pub(crate) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connection = Connection::Closed;
@@ -120,7 +121,7 @@
         self.connection = Connection::Closed;
     }
 
-    /// Sends a request on an open connection: for the watch from the version in hand, or for the complete list.
+    /// Sends a request on an open connection: for a watch from the current version, or for the complete list.
     fn send_request(&mut self, reactor: &Reactor, mut registered: RegisteredSocket) {
         let from_version = self.watch.request_sent(reactor.now);
         let output = registered.socket.output();
@@ -134,7 +135,8 @@
         let _ = write!(output, "host: {}\r\n\r\n", self.address);
         self.is_watching = from_version.is_some();
         self.body.clear();
-        // A watch has no end: only its lines are bounded.
+        // The body of a watch does not end, so the decoder does not limit it. `MAX_LIST_BYTES` limits how much of a list
+        // is buffered, in a watch and in a complete list.
         let limits = Limits { line: 512, head: 8 << 10, fields: 64, body: u64::MAX };
         let decoder = Decoder::new(Role::Responses, limits);
         if registered.socket.flush() == Flow::Broken {
@@ -145,7 +147,7 @@
         self.connection = Connection::Open(Exchange { registered, decoder });
     }
 
-    /// Handles what the poller reports of a connection; the lists that were received are appended.
+    /// Handles the readiness of a connection. The lists that were received are appended to `lists`.
     pub(crate) fn handle_readiness(
         &mut self, reactor: &mut Reactor, token: Token, ready: Ready, lists: &mut Vec<EndpointList>,
     ) {
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Reads on the superseded request. Where its response comes, that request takes the place of the one that is out.
+    /// Reads the response to the superseded request. Once its complete head has arrived, that request replaces the
+    /// current one.
     fn read_superseded(&mut self, reactor: &Reactor, ready: Ready) {
         let Some(mut exchange) = self.superseded.take() else { return };
         if ready.write {
@@ -177,8 +180,8 @@
             return;
         }
         let (_, flow) = exchange.registered.socket.read();
-        // The head is only looked at here; it is decoded once the request is the one that is out. Half a head shows
-        // nothing.
+        // A copy of the decoder only checks whether the head is complete: an incomplete head must not replace the
+        // current request. The head is decoded again once its request is the current one.
         match exchange.decoder.clone().decode(&exchange.registered.socket.input) {
             Ok((_, Some(Part::Head(_)))) => {
                 self.is_watching = self.watch.superseded_response_started();
@@ -206,14 +209,14 @@
         let has_rest = decoded.consumed < input.len();
         exchange.registered.socket.input = input;
         exchange.registered.socket.consume(decoded.consumed);
-        // A list without a length ends with its connection, if that ends in order.
+        // A body without a length ends with its connection, but only if that is closed without a reset.
         decoded.is_ended |= flow == Flow::Ended
             && decoded.result.is_ok()
             && exchange.decoder.closed(has_rest).unwrap_or(false);
         if decoded.result.is_ok() && decoded.is_ended && !self.is_watching {
             decoded.result = self.apply_complete_list(lists);
             if decoded.result.is_ok() && flow == Flow::Open {
-                // The watch continues from this list, on the same connection.
+                // The watch starts from the version of this list, on the same connection.
                 return self.send_request(reactor, exchange.registered);
             }
         }
@@ -230,7 +233,7 @@
 
 impl Exchange {
     fn flush(&mut self, reactor: &Reactor) {
-        // A broken connection shows when it is read.
+        // A broken connection is detected by the next read.
         let _ = self.registered.socket.flush();
         let is_pending = self.registered.socket.pending() > 0;
         self.registered.set_interest(reactor, true, is_pending);
