--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -206,13 +206,13 @@
         let (_, flow) = exchange.registered.socket.read();
         let input = std::mem::take(&mut exchange.registered.socket.input);
         let mut decoded = self.decode(reactor.now, &mut exchange.decoder, &input, lists);
-        let has_rest = decoded.consumed < input.len();
+        let has_unconsumed_input = decoded.consumed < input.len();
         exchange.registered.socket.input = input;
         exchange.registered.socket.consume(decoded.consumed);
         // A body without a length ends with its connection, but only if that is closed without a reset.
         decoded.is_ended |= flow == Flow::Ended
             && decoded.result.is_ok()
-            && exchange.decoder.closed(has_rest).unwrap_or(false);
+            && exchange.decoder.closed(has_unconsumed_input).unwrap_or(false);
         if decoded.result.is_ok() && decoded.is_ended && !self.is_watching {
             decoded.result = self.apply_complete_list(lists);
             if decoded.result.is_ok() && flow == Flow::Open {
