--- a/crates/resp-gateway/src/discovery/body.rs
+++ b/crates/resp-gateway/src/discovery/body.rs
@@ -5,20 +5,20 @@
 use doorcourse::Millis;
 use doorcourse_http::{Decoder, Part};
 
-/// The longest line or list in bytes; thousands of backends fit.
+/// Maximum bytes that are buffered of a list, of a watch or complete; enough for thousands of backends.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// How far a response was decoded.
+/// The result of decoding the input received of a response.
 pub(super) struct DecodedResponse {
     /// Bytes of the input that were consumed.
     pub consumed: usize,
-    /// Whether the response is at its end.
+    /// Whether the response has ended.
     pub is_ended: bool,
     pub result: Result<(), DiscoveryError>,
 }
 
 impl DiscoveryClient {
-    /// Decodes what has been received of a response. The lists of a watch are appended as they come.
+    /// Decodes the input received of a response. Complete lists of a watch are appended to `lists`.
     pub(super) fn decode(
         &mut self, now: Millis, decoder: &mut Decoder, input: &[u8], lists: &mut Vec<EndpointList>,
     ) -> DecodedResponse {
@@ -54,11 +54,12 @@
         let has_line_end = bytes.contains(&b'\n');
         self.body.extend_from_slice(bytes);
         let mut result = Ok(());
-        // Each list of a watch ends with a line: a part of one is not parsed again and again.
+        // Each list of a watch ends at a line end. Parsing only then avoids parsing the same incomplete list again for
+        // every part of a line.
         if self.is_watching && has_line_end {
             let lists_before = lists.len();
             result = self.apply_watched_lists(lists);
-            // Lines of a list that is not complete show nothing: they may drip in for ever.
+            // Lines of an incomplete list do not extend the timeout: they might arrive for ever without completing it.
             if lists.len() > lists_before || self.body.is_empty() {
                 self.watch.message_received(now);
             }
@@ -69,7 +70,7 @@
         result
     }
 
-    /// Applies the lists of the watch that have been received completely.
+    /// Applies the lists of a watch that have been received completely, and keeps the rest of the body.
     fn apply_watched_lists(&mut self, lists: &mut Vec<EndpointList>) -> Result<(), DiscoveryError> {
         let body = std::mem::take(&mut self.body);
         let mut consumed = 0;
@@ -90,7 +91,7 @@
         result
     }
 
-    /// Applies a complete list that was requested.
+    /// Applies the complete list that was requested.
     pub(super) fn apply_complete_list(
         &mut self, lists: &mut Vec<EndpointList>,
     ) -> Result<(), DiscoveryError> {
