--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -1,5 +1,5 @@
-//! Logs once a second what the decisions assume beside what the sockets show, at the level `debug` of
-//! `doorcourse::watch`. It counts; nothing is decided by it.
+//! Logs once a second the state of the decision library next to that of the sockets, at level `debug` of the target
+//! `doorcourse::watch`. It only counts; no decision depends on it.
 
 use crate::backends::Backends;
 use crate::clients::ClientTable;
@@ -16,7 +16,7 @@
 /// How often the counts are logged, in ms.
 const INTERVAL_MS: Millis = 1000.0;
 
-/// How the attempts at one backend ended in an interval.
+/// How the attempts at a backend ended in an interval.
 #[derive(Default)]
 struct AttemptCounts {
     served: u32,
@@ -55,11 +55,11 @@
     pub requests: &'a RequestTable,
 }
 
-/// Counts events and actions of the decisions, and logs them.
+/// Counts the events and actions of the decision library, and logs the counts.
 pub(crate) struct Diagnostics {
     logged_at: Millis,
     is_enabled: bool,
-    /// Whether each rejection is logged with the state of its customer.
+    /// Whether the first attempt of each request is logged, and each rejection with the state of its customer.
     logs_each_request: bool,
     attempts: BTreeMap<Name, AttemptCounts>,
     counter_calls: CounterCallCounts,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Counts an event that the decisions receive.
+    /// Counts an event that the decision library receives.
     pub(crate) fn record_event(&mut self, now: Millis, event: &Event) {
         if !self.is_enabled {
             return;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Counts an action of the decisions.
+    /// Counts an action of the decision library.
     pub(crate) fn record_action(&mut self, now: Millis, action: &Action, gateway: &Gateway) {
         if !self.is_enabled {
             return;
@@ -144,7 +144,7 @@
         *self.rejections.entry((reason, open.plan)).or_default() += 1;
     }
 
-    /// Logs the counts when the interval is over.
+    /// Logs the counts if the interval is over.
     pub(crate) fn handle_timeout(&mut self, reactor: &Reactor, components: &Components<'_>) {
         if !self.is_enabled || reactor.now < self.logged_at + INTERVAL_MS {
             return;
@@ -222,7 +222,7 @@
     );
 }
 
-/// Logs a backend unless it is out of use.
+/// Logs the state of a backend, unless it is not ready and has no attempts or open connections.
 fn log_backend(now: Millis, status: &BackendStatus, backends: &Backends, counts: &AttemptCounts) {
     let pool = backends.pool_counts(&status.name);
     if !status.ready && pool.busy + pool.idle + pool.waiting == 0 && status.in_flight == 0 {
