--- a/crates/resp-gateway/src/endpoints.rs
+++ b/crates/resp-gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Reads the endpoint lists of the discovery service, complete lists and changes, from JSON.
+//! Parses the endpoint lists of the discovery service, complete lists and changes, from JSON.
 
 use doorcourse::{BackendEntry, BackendState, Millis, Name, Placement};
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 /// One backend of a list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the decisions receive.
+    /// The entry that the decision library receives.
     pub entry: BackendEntry,
     /// The address to connect to; a removed backend may have none.
     pub address: Option<SocketAddr>,
@@ -18,7 +18,7 @@
 pub struct EndpointList {
     /// The version of the list.
     pub version: u64,
-    /// Whether backends that it lacks are removed; otherwise it holds changes.
+    /// Whether backends that are not in the list are removed; otherwise the list contains only changes.
     pub complete: bool,
     /// The backends.
     pub endpoints: Vec<Endpoint>,
@@ -57,12 +57,12 @@
         Self::try_from(serde_json::from_slice::<WireList>(bytes)?)
     }
 
-    /// Reads the first of the lists that a watch sends one after another, with the number of its bytes; `None` where it
-    /// has not been received completely. A list may run over several lines, none of them empty: an empty line within a
-    /// list shows that its rest will not be sent.
+    /// Reads the first of the lists that a watch sends one after another. Returns the list and its length in bytes, or
+    /// `None` if it has not been received completely. A list may extend over several lines, none of them empty: an empty
+    /// line inside a list means that it was truncated.
     ///
     /// # Errors
-    /// When the bytes cannot become a list that can be used.
+    /// When the bytes are not the start of a list that can be used.
     pub fn read_first(bytes: &[u8]) -> Result<Option<(Self, usize)>, EndpointListError> {
         let mut lists = serde_json::Deserializer::from_slice(bytes).into_iter::<WireList>();
         match lists.next() {
@@ -86,7 +86,7 @@
     bytes.windows(2).any(|pair| pair == b"\n\n")
 }
 
-/// A list as discovery writes it.
+/// A list in the JSON format of discovery.
 #[derive(Deserialize)]
 struct WireList {
     seq: u64,
@@ -94,7 +94,7 @@
     hosts: Vec<WireHost>,
 }
 
-/// A backend as discovery writes it.
+/// A backend in the JSON format of discovery.
 #[derive(Deserialize)]
 struct WireHost {
     host: String,
@@ -104,7 +104,7 @@
     #[serde(default)]
     block: u64,
     health: String,
-    /// Start of the backend in ms since the Unix epoch; 0 where it is unknown.
+    /// When the backend was started, in ms since the Unix epoch; 0 if unknown.
     #[serde(default)]
     born_ms: Millis,
 }
