--- a/crates/resp-gateway/src/endpoints/tests.rs
+++ b/crates/resp-gateway/src/endpoints/tests.rs
@@ -19,7 +19,7 @@
     assert!(EndpointList::read(b"{\"seq\":4").is_err());
 }
 
-/// The text of a list with this many endpoints, in one line or indented.
+/// Returns the JSON text of a list with this many endpoints, on one line or indented.
 fn list_text(hosts: usize, indented: bool) -> String {
     let host = |n: usize| {
         serde_json::json!({"host": format!("s-{n:08x}-of-a-long-name"), "dial": format!("10.1.{}.{}:6379", n / 250, n % 250),
@@ -38,7 +38,7 @@
         assert!(text.len() < 1 << 20, "{} bytes: within the limit of a line of the watch", text.len());
         let list = EndpointList::read(text.as_bytes()).unwrap();
         assert_eq!(list.endpoints.len(), 1024);
-        // A part of a list is neither a list nor an error.
+        // An incomplete list is neither a list nor an error.
         for part in [1, 2, text.len() / 3, text.len() - 1] {
             assert!(EndpointList::read_first(&text.as_bytes()[..part]).unwrap().is_none(), "{part}");
         }
@@ -47,7 +47,7 @@
         assert_eq!((first.endpoints.len(), length), (1024, text.len()));
         let (second, _) = EndpointList::read_first(&both.as_bytes()[length..]).unwrap().unwrap();
         assert_eq!(second.endpoints.len(), 3);
-        // Cut short, and followed by the watch's empty line or by another list.
+        // A truncated list that is followed by the empty line of a watch, or by another list.
         assert!(EndpointList::read_first(format!("{}\n\n", &text[..text.len() / 2]).as_bytes()).is_err());
         assert!(EndpointList::read_first(format!("{}\n{text}", &text[..text.len() / 2]).as_bytes()).is_err());
     }
