--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The connection to the discovery service, which watches the endpoint list.
 //!
 //! `doorcourse_discovery::DiscoveryWatch` decides when to connect, send a request, back off and give up; this client
-//! does the I/O and passes the lists on. After a list that cannot be read or applied, such as one with an older version,
-//! it requests the complete list.
+//! does the I/O and passes the lists on. After a list that cannot be read or applied, such as one with an older
+//! version, it requests the complete list.
 
 mod body;
 
@@ -135,8 +135,8 @@
         let _ = write!(output, "host: {}\r\n\r\n", self.address);
         self.is_watching = from_version.is_some();
         self.body.clear();
-        // The body of a watch does not end, so the decoder does not limit it. `MAX_LIST_BYTES` limits how much of a list
-        // is buffered, in a watch and in a complete list.
+        // The body of a watch does not end, so the decoder does not limit it. `MAX_LIST_BYTES` limits how much of a
+        // list is buffered, in a watch and in a complete list.
         let limits = Limits { line: 512, head: 8 << 10, fields: 64, body: u64::MAX };
         let decoder = Decoder::new(Role::Responses, limits);
         if registered.socket.flush() == Flow::Broken {
--- a/crates/resp-gateway/src/endpoints.rs
+++ b/crates/resp-gateway/src/endpoints.rs
@@ -58,8 +58,8 @@
     }
 
     /// Reads the first of the lists that a watch sends one after another. Returns the list and its length in bytes, or
-    /// `None` if it has not been received completely. A list may extend over several lines, none of them empty: an empty
-    /// line inside a list means that it was truncated.
+    /// `None` if it has not been received completely. A list may extend over several lines, none of them empty: an
+    /// empty line inside a list means that it was truncated.
     ///
     /// # Errors
     /// When the bytes are not the start of a list that can be used.
