--- a/crates/resp/src/commands.rs
+++ b/crates/resp/src/commands.rs
@@ -1,7 +1,8 @@
-//! Reads the commands that clients send: each an array of bulk strings, the arguments.
+//! Reads the commands that clients send. A command is an array of bulk strings, its arguments.
 //!
-//! The reader is incremental: it keeps its position, so a byte is examined once however the input is split. Every
-//! size is checked when its header line is read, before the caller has to buffer the bytes it announces.
+//! The reader is incremental: it keeps its position, so that complete elements are not parsed again when more input
+//! arrives. Every length is checked when its header line is read, before the caller has to buffer the bytes that it
+//! announces.
 
 use crate::line::{LINE_END_BYTES, LengthError, LineError, first_line, parse_length};
 use std::ops::Range;
@@ -9,15 +10,15 @@
 /// Limits on one command.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandLimits {
-    /// Arguments, the command's name included.
+    /// Maximum number of arguments, including the name of the command.
     pub arguments: usize,
-    /// Bytes of one argument.
+    /// Maximum bytes of one argument.
     pub argument_bytes: usize,
-    /// Bytes of all arguments together, without their headers and line ends.
+    /// Maximum bytes of all arguments together, without their headers and line ends.
     pub bytes: usize,
 }
 
-/// Why a command cannot be read. The start of the next command is unknown then, so the connection must be closed.
+/// Why a command cannot be read. The start of the next command is then unknown, so the connection must be closed.
 ///
 /// The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,7 +35,7 @@
     /// A header line or an argument does not end in CRLF.
     #[error("Protocol error: a line or a word does not end where it must")]
     MissingLineEnd,
-    /// A count or length passes [`CommandLimits`].
+    /// A count or length exceeds [`CommandLimits`].
     #[error("Protocol error: too large")]
     TooLarge,
 }
@@ -45,19 +46,19 @@
 /// A complete command: the ranges of its arguments in the input, and how many bytes it consumed.
 pub(crate) type ParsedCommand = (Vec<Range<usize>>, usize);
 
-/// What is read next.
+/// The element that is read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The array header, which holds the argument count.
+    /// The array header, which contains the argument count.
     ArrayHeader,
-    /// The header of a bulk string, which holds its length.
+    /// The header of a bulk string, which contains its length.
     BulkHeader {
-        /// Arguments still to come, this one included.
+        /// Arguments that are not complete yet, including this one.
         remaining: usize,
     },
     /// The bytes of a bulk string and their CRLF.
     BulkData {
-        /// Arguments still to come, this one included.
+        /// Arguments that are not complete yet, including this one.
         remaining: usize,
         /// The length of this argument in bytes.
         length: usize,
@@ -69,16 +70,16 @@
 pub struct CommandReader {
     limits: CommandLimits,
     state: State,
-    /// Bytes of the input that are parsed.
+    /// Number of bytes of the input that have been parsed.
     position: usize,
-    /// Sum of the lengths that the argument headers of the command have announced.
+    /// Sum of the lengths in the argument headers that have been read of the current command.
     announced_bytes: usize,
-    /// Where the complete arguments are in the input.
+    /// Ranges of the complete arguments in the input.
     arguments: Vec<Range<usize>>,
 }
 
 impl CommandReader {
-    /// A reader at the start of a connection.
+    /// Creates a reader for a new connection.
     #[must_use]
     pub fn new(limits: CommandLimits) -> Self {
         Self { limits, state: State::ArrayHeader, position: 0, announced_bytes: 0, arguments: Vec::new() }
@@ -90,12 +91,13 @@
         self.state != State::ArrayHeader
     }
 
-    /// Reads on in the unconsumed input: the next command, or `None` until more input arrives.
+    /// Continues reading in the unconsumed input. Returns the next command and the number of bytes that it consumed, or
+    /// `None` until more input arrives.
     ///
-    /// Bytes that were not consumed must be passed again, in front of those that follow.
+    /// Bytes that were not consumed must be passed again, before those that follow.
     ///
     /// # Errors
-    /// When the bytes are not a command or pass a limit; the reader must not be used again.
+    /// When the bytes are not a command or exceed a limit; the reader must not be used again.
     pub fn read(&mut self, input: &[u8]) -> Result<Option<ParsedCommand>, CommandError> {
         while let Some(state) = self.read_element(input)? {
             self.state = state;
@@ -154,7 +156,7 @@
         Ok(Some(if is_last { State::ArrayHeader } else { State::BulkHeader { remaining: remaining - 1 } }))
     }
 
-    /// The number on the header line at the current position, behind its type byte.
+    /// Reads the number after the type byte on the header line at the current position.
     fn read_header(
         &mut self, input: &[u8], type_byte: u8, wrong_type: CommandError,
     ) -> Result<Option<usize>, CommandError> {
@@ -170,7 +172,7 @@
         Ok(Some(length))
     }
 
-    /// Hands out the complete command and prepares for the next one.
+    /// Returns the complete command and resets the reader for the next one.
     fn take_command(&mut self) -> ParsedCommand {
         self.announced_bytes = 0;
         let arguments = std::mem::take(&mut self.arguments);
