--- a/crates/resp/src/line.rs
+++ b/crates/resp/src/line.rs
@@ -3,7 +3,7 @@
 /// Bytes of the CRLF that ends a header line and the data of a bulk string.
 pub(crate) const LINE_END_BYTES: usize = 2;
 
-/// Why no line can be read.
+/// Why a line cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LineError {
     /// No line feed within the limit.
@@ -15,15 +15,15 @@
 /// Why a length cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LengthError {
-    /// Not one or more decimal digits; a sign is none.
+    /// Not one or more decimal digits; a sign is not allowed.
     NotDecimal,
-    /// More than a `usize` holds.
+    /// More than the maximum of `usize`.
     Overflow,
 }
 
-/// The line at the start of `input`, without its CRLF, or `None` while its end has not arrived.
+/// Returns the line at the start of `input` without its CRLF, or `None` if its end has not arrived.
 ///
-/// `max_bytes` bounds the line with its CRLF; no byte past it is looked at.
+/// `max_bytes` is the maximum length of the line including its CRLF; bytes beyond it are not examined.
 ///
 /// # Errors
 /// When the line is too long or ends in a bare line feed.
@@ -38,7 +38,7 @@
 /// Parses an unsigned decimal length.
 ///
 /// # Errors
-/// When `digits` is empty, holds another byte than a digit, or is out of range.
+/// When `digits` is empty, contains a byte that is not a digit, or is out of range.
 pub(crate) fn parse_length(digits: &[u8]) -> Result<usize, LengthError> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(LengthError::NotDecimal);
