--- a/crates/resp/src/replies.rs
+++ b/crates/resp/src/replies.rs
@@ -1,33 +1,33 @@
 //! Reads the replies of the platform's backends.
 //!
-//! A served request is answered by an array of three: the value, the units that it used and the load report. The value
-//! counts only when both elements behind it are complete and well framed: a wrong bulk length shows only in what
-//! follows the value. After bytes that are malformed anywhere the connection must be closed.
+//! The reply to a served request is an array of three elements: the value, the units that it used and the load report.
+//! The value is returned only once the two elements after it are complete and valid, since a wrong length of the value
+//! can be detected only in the bytes that follow it. After malformed bytes, the connection must be closed.
 
 use crate::line::{LINE_END_BYTES, LengthError, LineError, first_line, parse_length};
 use crate::value::{Value, decode};
 use std::ops::Range;
 
-/// One complete reply; ranges are positions in the input.
+/// A complete reply; its ranges refer to the input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The request was served.
     Served {
-        /// The value.
+        /// The range of the value.
         value: Range<usize>,
-        /// The units that the request used, if present and text.
+        /// The units that the request used, if present as a valid string or number.
         units: Option<String>,
-        /// The load report, if present and text.
+        /// The load report, if present as a valid string or number.
         report: Option<String>,
     },
     /// The request failed, possibly after execution.
     Failed {
-        /// The load report behind `-ERR failed`, if present and text.
+        /// The load report after `-ERR failed`, if present and valid UTF-8.
         report: Option<String>,
     },
     /// The request was rejected and not executed.
     Busy {
-        /// The load report behind `-BUSY`, if present and text.
+        /// The load report after `-BUSY`, if present and valid UTF-8.
         report: Option<String>,
     },
     /// The reply to `PING`.
@@ -36,37 +36,38 @@
     Bulk(Range<usize>),
 }
 
-/// Bytes that are no reply, or that pass a limit.
+/// The bytes are not a reply or exceed a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed reply")]
 pub struct MalformedReply;
 
-/// The longest value in bytes.
+/// Maximum bytes of a value.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The longest reply of a single line, in bytes, with its CRLF.
+/// Maximum bytes of a reply of a single line, including its CRLF.
 const MAX_LINE_BYTES: usize = 4 << 10;
-/// The longest element behind a value, in bytes, with its framing.
+/// Maximum bytes of an element after the value, including its framing.
 const MAX_TRAILING_ELEMENT_BYTES: usize = 4 << 10;
-/// The longest length on a header line, in bytes, with its CRLF and without its type byte.
+/// Maximum bytes of a length on a header line, including its CRLF and excluding its type byte.
 const MAX_LENGTH_BYTES: usize = 16;
-/// Elements of the array that replies a served request.
+/// Elements of the array that is the reply to a served request.
 const SERVED_ELEMENTS: usize = 3;
-/// Bytes of the type byte that begins a header line.
+/// Length of the type byte at the start of a header line.
 const TYPE_BYTES: usize = 1;
 
 /// Reads the replies of one connection.
 #[derive(Debug, Default)]
 pub struct ReplyReader {
-    /// Where the value of a served request is, once its length is known: no byte before its end is read again.
+    /// The range of the value of a served request, once its length is known. The headers before it are then not parsed
+    /// again.
     value: Option<Range<usize>>,
 }
 
 impl ReplyReader {
-    /// Reads on in the unconsumed input: the next reply and how many bytes it consumed, or `None` until more input
-    /// arrives.
+    /// Continues reading in the unconsumed input. Returns the next reply and the number of bytes that it consumed, or
+    /// `None` until more input arrives.
     ///
     /// # Errors
-    /// When the bytes are no reply or pass a limit; the reader must not be used again.
+    /// When the bytes are not a reply or exceed a limit; the reader must not be used again.
     pub fn read(&mut self, input: &[u8]) -> Result<Option<(Reply, usize)>, MalformedReply> {
         if let Some(value) = self.value.clone() {
             return self.read_served(input, value);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Reads the end of the value and the two elements behind it.
+    /// Reads the end of the value and the two elements after it.
     fn read_served(
         &mut self, input: &[u8], value: Range<usize>,
     ) -> Result<Option<(Reply, usize)>, MalformedReply> {
@@ -99,8 +100,8 @@
     }
 }
 
-/// Reads the headers of a served request's array and of its value: the range of the value, of which no byte need
-/// have arrived.
+/// Reads the headers of the array and of its value. Returns the range of the value, whose bytes may not have arrived
+/// yet.
 fn read_value_range(input: &[u8]) -> Result<Option<Range<usize>>, MalformedReply> {
     let Some((count, value_header)) = read_length(input, 0)? else { return Ok(None) };
     if count != SERVED_ELEMENTS {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Reads the header of the bulk string at `position`: the range of its bytes.
+/// Reads the header of the bulk string at `position`, and returns the range of its bytes.
 fn read_bulk_range(input: &[u8], position: usize) -> Result<Option<Range<usize>>, MalformedReply> {
     let Some((length, start)) = read_length(input, position)? else { return Ok(None) };
     Ok(Some(start..start + length))
@@ -128,7 +129,7 @@
     Ok(Some((Reply::Bulk(range), consumed)))
 }
 
-/// The number on the header line at `position`, behind its type byte, and the position behind the line.
+/// Returns the number after the type byte on the header line at `position`, and the position after the line.
 fn read_length(input: &[u8], position: usize) -> Result<Option<(usize, usize)>, MalformedReply> {
     let rest = &input[position + TYPE_BYTES..];
     let Some(digits) = first_line(rest, MAX_LENGTH_BYTES)? else { return Ok(None) };
@@ -139,7 +140,7 @@
     Ok(Some((length, position + TYPE_BYTES + digits.len() + LINE_END_BYTES)))
 }
 
-/// Whether CRLF is at `position`; false until it has arrived.
+/// Whether CRLF is at `position`; false if it has not arrived.
 fn has_line_end(input: &[u8], position: usize) -> Result<bool, MalformedReply> {
     match input.get(position..position + LINE_END_BYTES) {
         Some(b"\r\n") => Ok(true),
@@ -151,8 +152,8 @@
     }
 }
 
-/// Reads an element behind the value and advances `position` past it: the outer `None` until it has arrived, the inner
-/// one if it is null, an aggregate or not text.
+/// Reads an element after the value and advances `position` past it. The outer `None` means that it has not arrived
+/// completely, the inner `None` that it is not a valid string or number.
 fn read_trailing_element(
     input: &[u8], position: &mut usize,
 ) -> Result<Option<Option<String>>, MalformedReply> {
@@ -165,7 +166,7 @@
     Ok(Some(scalar_text(value)))
 }
 
-/// The text of a string or a number.
+/// Returns the text of a string or a number; `None` for other types and for invalid UTF-8.
 fn scalar_text(value: Value) -> Option<String> {
     match value {
         Value::Bulk(bytes) => String::from_utf8(bytes).ok(),
@@ -186,7 +187,7 @@
     } else if let Some(rest) = strip_error_code(line, b"-ERR failed") {
         Reply::Failed { report: report_text(rest) }
     } else if line.starts_with(b"-") {
-        // Any other error may come after execution.
+        // After any other error, the request may have been executed.
         Reply::Failed { report: None }
     } else {
         return Err(MalformedReply);
@@ -194,12 +195,13 @@
     Ok(Some((reply, line.len() + LINE_END_BYTES)))
 }
 
-/// What follows an error code on its line: nothing, or a space and more. A longer code that begins alike is another.
+/// Returns what follows an error code on its line, which is empty or starts with a space; `None` if the line starts
+/// with another code, such as a longer one with this prefix.
 fn strip_error_code<'a>(line: &'a [u8], code: &[u8]) -> Option<&'a [u8]> {
     line.strip_prefix(code).filter(|rest| rest.is_empty() || rest.starts_with(b" "))
 }
 
-/// The load report behind an error code and a space.
+/// Returns the load report after an error code and a space.
 fn report_text(rest: &[u8]) -> Option<String> {
     let report = rest.strip_prefix(b" ")?;
     std::str::from_utf8(report).ok().map(str::to_owned)
