--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -3,7 +3,7 @@
 use crate::line::LINE_END_BYTES;
 use std::io::Write;
 
-/// One value.
+/// A RESP value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A simple string, `+OK`.
@@ -27,7 +27,7 @@
 }
 
 impl Value {
-    /// The value as a finite number, if it is a number or a string that holds one.
+    /// Returns the value as a finite number, if it is a number or a string that contains one.
     #[must_use]
     pub fn number(&self) -> Option<f64> {
         match self {
@@ -47,27 +47,27 @@
     /// An unknown type byte, an invalid number or a missing line end.
     #[error("malformed RESP")]
     Malformed,
-    /// A value passes `MAX_STRING_BYTES`, `MAX_ELEMENTS` or `MAX_DEPTH`.
+    /// A value exceeds `MAX_STRING_BYTES`, `MAX_ELEMENTS` or `MAX_DEPTH`.
     #[error("a RESP value is too large")]
     TooLarge,
 }
 
-/// The longest string in bytes, and the bytes that may arrive without a line end where one is due.
+/// Maximum bytes of a string, and of input without a line end where a header line is expected.
 pub(crate) const MAX_STRING_BYTES: usize = 1 << 20;
-/// The most elements of one aggregate; an entry of a map counts as two.
+/// Maximum elements of one aggregate; an entry of a map counts as two.
 pub(crate) const MAX_ELEMENTS: usize = 1 << 20;
-/// How deep aggregates may nest.
+/// Maximum nesting depth of aggregates.
 pub(crate) const MAX_DEPTH: usize = 8;
 /// The length of a null bulk string and the count of a null array.
 const NULL_LENGTH: i64 = -1;
-/// Bytes of the format and the colon that begin a verbatim string, as in `txt:`.
+/// Length of the format and the colon at the start of a verbatim string, as in `txt:`.
 const VERBATIM_PREFIX_BYTES: usize = 4;
 
-/// Decodes the value at the start of the input: the value and how many bytes it consumed, or `None` while it is not
-/// complete. The caller then passes the same bytes again with more behind them.
+/// Decodes the value at the start of the input. Returns the value and the number of bytes that it consumed, or `None` if
+/// it is not complete; the caller then passes the same bytes again, followed by more.
 ///
 /// # Errors
-/// When the bytes are not RESP or pass a limit.
+/// When the bytes are not RESP or exceed a limit.
 pub fn decode(input: &[u8]) -> Result<Option<(Value, usize)>, Error> {
     let mut parser = Parser { input, position: 0 };
     let value = parser.value(MAX_DEPTH)?;
@@ -77,12 +77,12 @@
 /// Parses one value. `None` from any method means that more input is needed.
 struct Parser<'a> {
     input: &'a [u8],
-    /// Bytes of the input that are parsed.
+    /// Number of bytes of the input that have been parsed.
     position: usize,
 }
 
 impl<'a> Parser<'a> {
-    /// The value at the position; aggregates may nest `depth` deep.
+    /// Parses the value at the current position; aggregates may nest up to `depth` levels.
     fn value(&mut self, depth: usize) -> Result<Option<Value>, Error> {
         let Some((type_byte, line)) = self.header_line()? else { return Ok(None) };
         match type_byte {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The type byte and the rest of its line, without the CRLF.
+    /// Parses a header line: its type byte and the rest of the line, without the CRLF.
     fn header_line(&mut self) -> Result<Option<(u8, &'a str)>, Error> {
         let Some((type_byte, rest)) = self.input[self.position..].split_first() else { return Ok(None) };
         let Some(line_feed) = rest.iter().position(|byte| *byte == b'\n') else {
@@ -104,7 +104,7 @@
         Ok(Some((*type_byte, text)))
     }
 
-    /// A string whose length is on its header line.
+    /// Parses a string whose length is on its header line.
     fn string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, Error> {
         let length = parse_integer(header)?;
         if length == NULL_LENGTH && type_byte == b'$' {
@@ -125,7 +125,7 @@
         }))
     }
 
-    /// An aggregate whose count of elements is on its header line.
+    /// Parses an aggregate whose number of elements is on its header line.
     fn aggregate(&mut self, type_byte: u8, header: &str, depth: usize) -> Result<Option<Value>, Error> {
         let count = parse_integer(header)?;
         if count == NULL_LENGTH && type_byte == b'*' {
@@ -136,7 +136,7 @@
         if elements > MAX_ELEMENTS || depth == 0 {
             return Err(Error::TooLarge);
         }
-        // Not reserved ahead: the count alone must not make the decoder allocate.
+        // No capacity is reserved: a large count alone must not cause an allocation.
         let mut values = Vec::new();
         for _ in 0..elements {
             let Some(value) = self.value(depth - 1)? else { return Ok(None) };
@@ -146,7 +146,7 @@
     }
 }
 
-/// A value that its header line holds entirely.
+/// Parses a value that consists only of its header line.
 fn line_value(type_byte: u8, line: &str) -> Result<Value, Error> {
     match type_byte {
         b'+' => Ok(Value::Simple(line.into())),
@@ -173,7 +173,7 @@
     }
 }
 
-/// Appends a value, in its RESP2 form if it has one.
+/// Appends the encoding of a value, in the RESP2 form if there is one.
 pub fn encode(out: &mut Vec<u8>, value: &Value) {
     let _ = match value {
         Value::Simple(text) => write!(out, "+{text}\r\n"),
