--- a/crates/resp/src/commands/tests.rs
+++ b/crates/resp/src/commands/tests.rs
@@ -1,4 +1,4 @@
-//! Commands: accepted bytes, rejected bytes, and any split of the input.
+//! Tests of the command reader: valid commands, malformed and oversized ones, and input that is split at any byte.
 
 use super::*;
 
--- a/crates/resp/src/replies/tests.rs
+++ b/crates/resp/src/replies/tests.rs
@@ -1,4 +1,4 @@
-//! Replies: each form, malformed bytes, limits, and any split of the input.
+//! Tests of the reply reader: each form of a reply, malformed bytes, limits, and input that is split at any byte.
 
 use super::*;
 
@@ -57,8 +57,8 @@
     let endless = [b"-ERR ".to_vec(), vec![b'x'; MAX_LINE_BYTES]].concat();
     assert_eq!(read_first(&endless), Err(MalformedReply), "a line that never ends");
     let endless = [&b"*3\r\n$1\r\nv\r\n+"[..], &vec![b'x'; MAX_TRAILING_ELEMENT_BYTES]].concat();
-    assert_eq!(read_first(&endless), Err(MalformedReply), "an element behind the value that never ends");
-    // A bulk length that is too long takes in the elements behind the value.
+    assert_eq!(read_first(&endless), Err(MalformedReply), "an element after the value that never ends");
+    // The length of the value is too large, so that it covers the elements after the value.
     assert_eq!(read_first(b"*3\r\n$12\r\nhello\r\n$-1\r\n$-1\r\n"), Err(MalformedReply));
 }
 
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -1,5 +1,5 @@
-//! The readers of commands and replies under any input and any split: no panic, the same result however the bytes are
-//! split, and no more input buffered than the limits allow.
+//! Property tests of the command and reply readers with arbitrary input that is split at arbitrary bytes: they do not
+//! panic, return the same result for every split, and need no more input to be buffered than the limits allow.
 
 use doorcourse_resp::{
     CommandError, CommandLimits, CommandReader, MalformedReply, Reply, ReplyReader, command,
@@ -9,7 +9,7 @@
 
 const LIMITS: CommandLimits = CommandLimits { arguments: 6, argument_bytes: 512, bytes: 1024 };
 
-/// All commands in the bytes, read piece by piece as from a connection.
+/// Reads all commands in `bytes`, which arrive in pieces as from a connection.
 fn read_commands(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<Vec<u8>>>, Option<CommandError>) {
     let mut reader = CommandReader::new(LIMITS);
     let mut unconsumed = Vec::new();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Bytes that look like RESP for a while.
+/// Bytes that consist mostly of valid RESP elements.
 fn resp_like() -> impl Strategy<Value = Vec<u8>> {
     let piece = prop_oneof![
         Just(b"*3\r\n".to_vec()),
