--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -63,8 +63,8 @@
 /// Length of the format and the colon at the start of a verbatim string, as in `txt:`.
 const VERBATIM_PREFIX_BYTES: usize = 4;
 
-/// Decodes the value at the start of the input. Returns the value and the number of bytes that it consumed, or `None` if
-/// it is not complete; the caller then passes the same bytes again, followed by more.
+/// Decodes the value at the start of the input. Returns the value and the number of bytes that it consumed, or `None`
+/// if it is not complete; the caller then passes the same bytes again, followed by more.
 ///
 /// # Errors
 /// When the bytes are not RESP or exceed a limit.
