--- a/crates/resp-gateway/tests/rig/backend.rs
+++ b/crates/resp-gateway/tests/rig/backend.rs
@@ -19,10 +19,11 @@
     pub connection: usize,
 }
 
-/// What a scripted backend does about a command.
+/// How a scripted backend reacts to a command.
 pub(crate) enum Reply {
+    /// Writes these bytes.
     Bytes(Vec<u8>),
-    /// Writes this and closes the connection in order.
+    /// Writes these bytes and closes the connection without a reset.
     BytesAndClose(Vec<u8>),
     /// Resets the connection.
     Reset,
@@ -30,7 +31,7 @@
     Withheld,
 }
 
-/// A successful reply with this value.
+/// Encodes the reply to a served request with this value.
 pub(crate) fn value(text: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes()
 }
@@ -38,7 +39,7 @@
 pub(crate) struct Backend {
     pub address: SocketAddr,
     pub commands: Arc<Shared<Vec<Command>>>,
-    /// The numbers of connections that have closed.
+    /// The numbers of the connections that have closed.
     pub closed_connections: Arc<Shared<Vec<usize>>>,
 }
 
