--- a/crates/resp-gateway/tests/rig/client.rs
+++ b/crates/resp-gateway/tests/rig/client.rs
@@ -1,4 +1,4 @@
-//! RESP clients, and what their responses mean.
+//! RESP clients, and predicates for the responses that they receive.
 
 use super::WAIT_LIMIT;
 use doorcourse_resp::{Value, decode};
@@ -13,7 +13,7 @@
 
 static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
 
-/// A request id that no other request has.
+/// Returns a request id that no other request of this process has.
 pub(crate) fn new_id() -> String {
     format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst))
 }
@@ -39,18 +39,18 @@
         self.read_response().expect("a response")
     }
 
-    /// Sends a request of a class with a deadline in ms and a new id; returns its response.
+    /// Sends a request of a class with a deadline in ms and a new id, and returns its response.
     pub(crate) fn request(&mut self, class: &str, deadline_ms: u32) -> Value {
         self.send_request(class, deadline_ms);
         self.read_response().expect("a response")
     }
 
-    /// The same on a connection that may close: `None` where it did.
+    /// Like [`request`](Self::request), on a connection that the gateway may close; returns `None` if it did.
     pub(crate) fn try_request(&mut self, class: &str, deadline_ms: u32) -> Option<Value> {
         if self.begin_request(class, deadline_ms).1 { self.read_response() } else { None }
     }
 
-    /// Sends a request without waiting: its id, and whether the connection took it.
+    /// Sends a request without waiting for its response. Returns its id, and whether it could be written.
     pub(crate) fn begin_request(&mut self, class: &str, deadline_ms: u32) -> (String, bool) {
         let mut bytes = Vec::new();
         let id = self.append_request(class, deadline_ms, &mut bytes);
@@ -63,7 +63,7 @@
         id
     }
 
-    /// The bytes of a request with a new id.
+    /// Encodes a request with a new id.
     pub(crate) fn encode_request(&mut self, class: &str, deadline_ms: u32) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.append_request(class, deadline_ms, &mut bytes);
@@ -80,7 +80,7 @@
         id
     }
 
-    /// Waits until the gateway has closed its side; what it wrote before is still to be read here.
+    /// Waits until the gateway has closed its side, without reading what it wrote before.
     pub(crate) fn wait_for_close(&self) {
         use rustix::event::{PollFd, PollFlags, Timespec, poll};
         let mut fds = [PollFd::new(&self.stream, PollFlags::RDHUP)];
@@ -88,14 +88,14 @@
         assert_eq!(poll(&mut fds, Some(&limit)).unwrap(), 1, "the connection is not closed");
     }
 
-    /// Reads until the close, which must not be a reset.
+    /// Reads until the gateway closes the connection, which must not be a reset.
     pub(crate) fn read_to_end(&mut self) -> String {
         let mut text = String::from_utf8(std::mem::take(&mut self.input)).unwrap();
         self.stream.read_to_string(&mut text).expect("an orderly close, not a reset");
         text
     }
 
-    /// The next response; `None` at the close of the connection.
+    /// Reads the next response; returns `None` if the connection was closed or reset.
     pub(crate) fn read_response(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
@@ -117,7 +117,7 @@
     *value == Value::Bulk(text.as_bytes().to_vec())
 }
 
-/// Failed; it may have been executed.
+/// Whether the request failed; it may have been executed.
 pub(crate) fn is_failed(value: &Value) -> bool {
     matches!(value, Value::Error(text) if text.starts_with("ERR failed"))
 }
@@ -126,7 +126,7 @@
     matches!(value, Value::Error(text) if text == "BUSY" || text.starts_with("BUSY "))
 }
 
-/// An error about the command itself.
+/// Whether the response is an error about the command itself.
 pub(crate) fn is_invalid(value: &Value) -> bool {
     matches!(value, Value::Error(text) if text.starts_with("ERR ") && !text.starts_with("ERR failed"))
 }
