--- a/crates/resp-gateway/tests/rig/counter.rs
+++ b/crates/resp-gateway/tests/rig/counter.rs
@@ -1,4 +1,4 @@
-//! Scripted shared counter.
+//! A scripted shared counter.
 
 use super::Shared;
 use super::http::for_each_target;
@@ -7,24 +7,24 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// The counter: totals by name.
+/// A shared counter with its totals by name.
 pub(crate) struct Counter {
     pub address: SocketAddr,
     pub totals: Arc<Shared<HashMap<String, f64>>>,
     pub fault: Arc<Shared<CounterFault>>,
 }
 
-/// How the counter misbehaves.
+/// The fault of a scripted counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CounterFault {
     None,
     /// Rejects each call with status 503.
     Rejects,
-    /// Adds, and responds without a number.
+    /// Adds the amount and responds without a number.
     NoNumber,
-    /// Adds, and does not respond.
+    /// Adds the amount and does not respond.
     NoResponse,
-    /// Sends an interim response first.
+    /// Sends an interim response (status 103) before the final one.
     InterimResponse,
 }
 
--- a/crates/resp-gateway/tests/rig/discovery.rs
+++ b/crates/resp-gateway/tests/rig/discovery.rs
@@ -1,4 +1,4 @@
-//! Scripted discovery.
+//! A scripted discovery service.
 
 use super::Shared;
 use super::http::for_each_target;
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Discovery: an endpoint list, and changes that are pushed to all watches.
+/// A discovery service with an endpoint list and changes that are sent to all watches.
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     state: Arc<Shared<DiscoveryState>>,
@@ -19,7 +19,7 @@
     endpoints: Vec<Json>,
     watches: Vec<TcpStream>,
     request_count: usize,
-    /// Requests are read and never answered.
+    /// Whether requests are read but not answered.
     is_silent: bool,
 }
 
@@ -80,13 +80,14 @@
         self.state.update(|s| s.watches.retain_mut(|w| w.write_all(&chunk(line)).is_ok()));
     }
 
-    /// Goes down: all watches are closed, and requests are never answered, also those that are open at the return.
+    /// Closes all watches and stops answering requests. Requests received until
+    /// [`resume_with`](Self::resume_with) are never answered.
     pub(crate) fn stop_responding(&self) {
         self.state.update(|s| s.is_silent = true);
         self.close_watches();
     }
 
-    /// Returns with this list.
+    /// Answers requests again, with this list.
     pub(crate) fn resume_with(&self, endpoints: Vec<Json>) {
         self.state.update(|s| {
             s.is_silent = false;
--- a/crates/resp-gateway/tests/rig/gateway.rs
+++ b/crates/resp-gateway/tests/rig/gateway.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread::JoinHandle;
 
-/// Settings of a small deployment: a class of each kind of idempotency, and a plan.
+/// Settings of a small deployment: one class of each kind of idempotency, and one plan.
 pub(crate) fn settings() -> Json {
     json!({
         "fleet-size": 1, "my-number": 0, "locality": "a", "period-ms": 4.0,
@@ -32,7 +32,7 @@
     })
 }
 
-/// A gateway in a thread of this process, with discovery and the counter.
+/// A gateway that runs in a thread of this process, with its discovery service and counter.
 pub(crate) struct TestGateway {
     pub address: SocketAddr,
     pub discovery: Discovery,
@@ -46,7 +46,7 @@
 static GATEWAY_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 impl TestGateway {
-    /// A gateway with these backends, named b0, b1 and so on.
+    /// Starts a gateway with these backends, named b0, b1 and so on.
     pub(crate) fn with_backends(backends: &[SocketAddr]) -> Self {
         let endpoints =
             backends.iter().enumerate().map(|(n, address)| endpoint(&format!("b{n}"), *address, "active"));
@@ -78,7 +78,7 @@
         rig
     }
 
-    /// Writes `file` to the configuration file.
+    /// Writes the configuration in `file` to `path`.
     pub(crate) fn write_config(&self) {
         std::fs::write(&self.path, self.file.to_string()).unwrap();
     }
--- a/crates/resp-gateway/tests/rig/http.rs
+++ b/crates/resp-gateway/tests/rig/http.rs
@@ -1,4 +1,4 @@
-//! Reads the requests of scripted HTTP servers.
+//! Reads the HTTP requests that the scripted servers receive.
 
 use doorcourse_http::{Decoder, Limits, Part, Role};
 use std::io::Read;
--- a/crates/resp-gateway/tests/rig/mod.rs
+++ b/crates/resp-gateway/tests/rig/mod.rs
@@ -1,6 +1,7 @@
-//! Runs a RESP gateway between scripted peers on loopback: backends, discovery, the counter and clients.
+//! Runs a RESP gateway with scripted peers on loopback: backends, discovery, the counter and clients.
 //!
-//! Each test scripts what its peers do. Tests wait for events, with one generous limit, and not for a time.
+//! Each test scripts what its peers do. Where possible, tests wait for events, all with the same generous limit, and
+//! not for a fixed time.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
@@ -20,10 +21,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// The limit of every wait: far beyond what any of them takes.
+/// The limit of every wait, much longer than any of them takes.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// State that tests and peers share, and wait for.
+/// State that a test shares with its scripted peers, and on whose changes either can wait.
 pub(crate) struct Shared<T>(Mutex<T>, Condvar);
 
 impl<T> Shared<T> {
@@ -37,7 +38,7 @@
         result
     }
 
-    /// Waits until the condition holds; `what` names it in the failure.
+    /// Waits until the condition holds; `what` describes it in the panic message after a timeout.
     pub(crate) fn wait(&self, what: &str, condition: impl Fn(&T) -> bool) {
         let guard = self.0.lock().unwrap();
         let waited = self.1.wait_timeout_while(guard, WAIT_LIMIT, |value| !condition(value));
