--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -1,5 +1,5 @@
-//! Every outcome of an attempt that the protocol lists, and invalid responses: what each means for requests that may and
-//! may not be retried, as the client and the backends see it.
+//! Every outcome of an attempt in the protocol, and invalid replies: what the client receives and how many attempts the
+//! backends receive, for requests that may be retried and for those that may not.
 
 mod rig;
 
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A backend that replies to the first command in this way and serves all others.
+/// Starts a backend that replies to the first command with `first` and serves all others.
 fn backend_with_first_reply(first: impl Fn() -> Reply + Send + Sync + 'static) -> Backend {
     let count = AtomicUsize::new(0);
     Backend::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
@@ -45,7 +45,7 @@
         let backend = backend_with_first_reply(|| Reply::Bytes(b"-BUSY\r\n".to_vec()));
         let other = Backend::start(|_| Reply::Bytes(value("good")));
         let rig = TestGateway::with_backends(&[backend.address, other.address]);
-        // Whichever of the two is chosen first, a rejected attempt is served by one of them.
+        // Whichever backend is chosen first, a request whose attempt is rejected is served by a retry.
         let mut client = rig.client();
         for _ in 0..4 {
             assert!(is_served(&client.request(class, 1000), "good"), "{class}");
@@ -88,8 +88,9 @@
                 assert!(is_failed(&response), "{what}");
                 assert_eq!(backend.command_count(), 1, "{what}");
             } else {
-                // The only backend is ejected for a while after a failure: a request that waits for it may be given up,
-                // but one with a key that may have been executed is never rejected as safe to retry elsewhere.
+                // The only backend is ejected for a while after a failure, so the request may end without a retry. One
+                // with a key that was possibly executed must not be rejected, since a rejection tells the client that
+                // it was not executed.
                 let is_allowed = is_served(&response, "good")
                     || is_failed(&response)
                     || class == "lookup" && is_rejected(&response);
@@ -156,7 +157,7 @@
     }
 }
 
-/// Settings with a short deduplication window for the class with keys, and deadlines beyond it.
+/// Settings with a short deduplication window for the class with keys, and with deadlines that are longer.
 fn short_window(window_ms: f64) -> serde_json::Value {
     let mut settings = rig::settings();
     let save = &mut settings["classes"][1];
@@ -167,13 +168,13 @@
     settings
 }
 
-/// Waits for a backend's first attempt; returns a time after it was sent, when its window began.
+/// Waits for a backend's first attempt. Returns a time after the attempt was sent, which is when its window began.
 fn wait_for_first_attempt(backend: &Backend) -> Instant {
     backend.commands.wait("the first attempt", |c| !c.is_empty());
     Instant::now()
 }
 
-/// Sleeps until this long after `since`.
+/// Sleeps until `time` has passed since `since`.
 fn sleep_until_after(since: Instant, time: Duration) {
     std::thread::sleep(time.saturating_sub(since.elapsed()));
 }
@@ -186,14 +187,14 @@
     let mut client = rig.client();
     client.send_request("save", 9000);
     let first = wait_for_first_attempt(&backend);
-    // Reset twice, the backend is ejected, and the request waits for another: there is one when the window is over.
+    // After two resets the backend is ejected, and the request waits for another backend. One is added after the window.
     backend.commands.wait("both attempts", |c| c.len() == 2);
     sleep_until_after(first, Duration::from_millis(510));
     rig.discovery.publish_changes(vec![endpoint("b1", later.address, "active")]);
     let response = client.read_response().unwrap();
     assert!(is_failed(&response), "{response:?}");
     assert_eq!((backend.command_count(), later.command_count()), (2, 0));
-    // Nor is anything sent later.
+    // The retry is not sent later either: the only command that this backend receives is the next request.
     assert!(is_served(&client.request("order", 9000), "again"));
     assert_eq!(later.command_count(), 1);
 }
@@ -207,17 +208,17 @@
     let mut client = rig.client();
     client.send_request("save", 9000);
     let sent = wait_for_first_attempt(&first);
-    // From here on only the stalled backend is ready: it is chosen, and its connection is not made.
+    // From here on only the stalled backend is ready: the retry goes to it and waits for the connection.
     rig.discovery.publish_changes(vec![
         endpoint("b0", first.address, "leaving"),
         endpoint("b1", stalled.address(), "active"),
     ]);
-    // The window is over; the connection is made after it, with the next retry of the system.
+    // After the window, the connection is made when the kernel retransmits the SYN.
     sleep_until_after(sent, Duration::from_millis(410));
     let stalled = stalled.start_accepting();
     let response = client.read_response().unwrap();
     assert!(is_failed(&response), "{response:?}");
-    // The first request that it carries is this one.
+    // The only request that reaches this backend is the next one.
     let mut other = rig.client();
     let id = other.send_request("save", 9000);
     assert!(is_served(&other.read_response().unwrap(), "again"));
