--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Faulty clients beside a valid one: each gets an error or a close in time, and the valid one is served meanwhile.
+//! Faulty clients next to a valid one: each faulty client receives an error or a close in time, and the valid one is
+//! served meanwhile.
 
 mod rig;
 
@@ -10,7 +11,7 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// A faulty client gets its error or its close within this time.
+/// A faulty client must receive an error or the close of its connection within this time.
 const FAULT_LIMIT: Duration = Duration::from_secs(3);
 
 fn rig() -> (Backend, TestGateway) {
@@ -19,11 +20,11 @@
     (backend, rig)
 }
 
-/// Sends bytes; returns the first response, or `None` at the close.
+/// Sends bytes on a new connection. Returns the first response, or `None` if the connection was closed without one.
 fn response_to(rig: &TestGateway, bytes: &[u8]) -> Option<Value> {
     let began = Instant::now();
     let mut client = rig.client();
-    // The gateway may reset the connection: then the rest cannot be written.
+    // The write fails if the gateway has reset the connection meanwhile.
     let _ = client.stream.write_all(bytes);
     let response = client.read_response();
     assert!(
@@ -167,7 +168,7 @@
 #[test]
 fn responses_keep_the_order_of_the_commands() {
     let backend = Backend::start(|command| {
-        // The first response comes last.
+        // Delays the reply to the first request, so that it is the last one that the gateway receives.
         if command.arguments[3].contains("d=9") || command.connection == 1 {
             std::thread::sleep(Duration::from_millis(150));
         }
@@ -219,7 +220,7 @@
     let id = client.send_request("order", 900);
     backend.commands.wait("the attempt", |c| c.len() == 1);
     drop(client);
-    // The attempt runs until its deadline: then its connection closes, and the id is free again.
+    // The attempt runs until its deadline. Then its connection closes, and the id can be used again.
     backend.closed_connections.wait("the end of the attempt", |e| e.contains(&1));
     let mut other = rig.client();
     let list = "c=order,t=team,d=300,units=1,spread=1,first=0";
@@ -239,14 +240,15 @@
         doorcourse_resp::command(&mut bytes, &["Q.ASK", "00000000b4d65521", &new_id(), list]);
         non_reading_client.stream.write_all(&bytes).unwrap();
     }
-    // Others are served beside it, for longer than it may leave its responses unread.
+    // Other clients are served meanwhile, for longer than a client may leave its responses unread.
     let began = Instant::now();
     let mut served = 0;
     while began.elapsed() < Duration::from_millis(3500) {
         served += usize::from(matches!(rig.client().request("lookup", 2000), Value::Bulk(_)));
     }
     assert!(served > 0);
-    // Complete responses from the system's buffers, then the close. A client that was not closed would receive all 400.
+    // The client reads what the kernel has buffered, and then the close. If its connection had not been closed, it would
+    // receive all 400 responses.
     let mut received = 0;
     while received < 400 && non_reading_client.read_response().is_some() {
         received += 1;
@@ -262,7 +264,7 @@
         client.stream.write_all(b"*-1\r\n").unwrap();
         client.wait_for_close();
         client.stream.write_all(&vec![b'x'; trailing]).unwrap();
-        // Also once the lingering close is over on the other side.
+        // Long enough for the lingering close in the gateway to end.
         std::thread::sleep(Duration::from_millis(600));
         assert!(client.stream.take_error().unwrap().is_none(), "closed over unread bytes: a reset");
         assert!(client.read_to_end().starts_with("-ERR "));
