--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -1,4 +1,4 @@
-//! Endpoint changes, reloaded configurations and graceful shutdown, all under load.
+//! Endpoint changes, configuration reloads and graceful shutdown while requests are served.
 
 mod rig;
 
@@ -16,7 +16,7 @@
     Backend::start(|_| Reply::Bytes(value("good")))
 }
 
-/// Sends requests until a condition holds; each of them is served.
+/// Sends requests until a condition holds, and asserts that each of them is served.
 fn serve_until(rig: &TestGateway, what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
     let mut client = rig.client();
@@ -33,7 +33,7 @@
     let rig = TestGateway::with_backends(&[first.address, second.address]);
     serve_until(&rig, "both to serve", || first.command_count() > 0 && second.command_count() > 0);
     rig.discovery.publish_changes(vec![endpoint("b0", first.address, "leaving")]);
-    // Its idle connections close when the change is applied.
+    // The gateway closes the idle connections when it applies the change.
     first.closed_connections.wait("its connections to end", |e| !e.is_empty());
     let before = first.command_count();
     let mut client = rig.client();
@@ -177,7 +177,8 @@
     assert!(began.elapsed() < Duration::from_millis(1200));
 }
 
-/// Clients go on sending on every open connection: some connection always has an open request when another falls idle.
+/// Guards against a shutdown that does not end while clients keep sending: whenever one connection becomes idle, another
+/// one has an open request.
 #[test]
 fn shutdown_completes_while_clients_send_on_open_connections() {
     let backend = Backend::start(|command| {
@@ -192,7 +193,8 @@
             let stopped_at = stopped_at.clone();
             std::thread::spawn(move || {
                 let mut answered = 0;
-                // A client that sees the close of its connection goes elsewhere; a request that crosses the close is sent again.
+                // `None` means that the connection was closed. A real client would then connect to another gateway and
+                // send a request that crossed the close again.
                 while let Some(response) = client.try_request("lookup", 2400) {
                     assert!(is_served(&response, "good") || rig::is_rejected(&response), "{response:?}");
                     answered += usize::from(is_served(&response, "good"));
@@ -209,14 +211,15 @@
     rig.handle.stop();
     rig.join();
     let answered: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
-    // Every forwarded request was answered, also at the end.
+    // Every forwarded request was answered, also during the shutdown.
     assert_eq!(backend.command_count(), answered);
 }
 
-/// Far beyond the shutdown: a connection that still serves then is never closed.
+/// Much longer than the shutdown takes: a connection that is still served after this was not closed by it.
 const CLOSE_LIMIT: Duration = Duration::from_secs(6);
 
-/// A request received before the listener closes is answered, wherever it waits: in a socket or in the accept queue.
+/// Guards against requests that are lost when the listener closes, whether they wait in a socket or on a connection in
+/// the accept queue.
 #[test]
 fn requests_at_any_moment_of_the_shutdown_get_a_response_or_an_orderly_close() {
     let backend = serving_backend();
@@ -240,11 +243,12 @@
         .collect();
     rig.join();
     let answered = clients.into_iter().map(|c| c.join().unwrap()).filter(|a| *a).count();
-    // The listener is open for 0.7 s, at one client in 5 ms, less what a busy machine delays.
+    // The listener stays open for 0.7 s, in which 140 clients connect. A busy machine may delay some of them.
     assert!(answered >= 100, "{answered} answered");
 }
 
-/// Pipelined commands, a partial command, and responses that are read late: each when draining begins.
+/// Pipelined commands, a partial command and responses that are read late, each in progress when draining begins, are
+/// finished before their connections close.
 #[test]
 fn commands_in_progress_when_draining_begins_are_finished() {
     let long = "v".repeat(60_000);
@@ -263,7 +267,7 @@
     std::thread::sleep(Duration::from_millis(600));
     (0..10).for_each(|_| drop(pipelined.send_request("lookup", 2000)));
     (0..20).for_each(|_| drop(slow.send_request("lookup", 2000)));
-    // The listener is closed by now; the rest of the command comes on a connection that is still open.
+    // The listener is closed; the rest of the command is sent on a connection that is still open.
     std::thread::sleep(Duration::from_millis(500));
     partial.stream.write_all(&encoded[encoded.len() / 2..]).unwrap();
     let assert_finished = |response: Option<doorcourse_resp::Value>| {
@@ -279,7 +283,7 @@
     rig.join();
 }
 
-/// Two signals during a reload, and no peer replies: every client has its response before SIGKILL.
+/// Repeated stops and reloads while no peer replies: every client receives its response before SIGKILL would follow.
 #[test]
 fn shutdown_without_any_replying_peer_answers_all_before_the_kill() {
     let silent: Vec<_> = (0..3).map(|_| Backend::start(|_| Reply::Withheld)).collect();
@@ -289,7 +293,7 @@
         client.send_request(["lookup", "save", "order"][index % 3], 2400);
     }
     silent[0].commands.wait("an attempt", |c| !c.is_empty());
-    // Its new counter and discovery do not respond.
+    // The new addresses of the counter and of discovery do not respond.
     let silent_peer = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     rig.file["counter"] = json!(silent_peer.local_addr().unwrap().to_string());
     rig.file["discovery"] = rig.file["counter"].clone();
@@ -305,8 +309,8 @@
     rig.join();
 }
 
-/// A request that is written after the gateway closed its side, before the earlier response is read: it is not started,
-/// and the response is not lost to a reset.
+/// A request that is written after the gateway has closed its side, before the client reads the previous response, is not
+/// started, and it must not cause a reset that discards that response.
 #[test]
 fn request_that_crosses_the_close_does_not_discard_the_earlier_response() {
     let open = Shared::new(false);
@@ -327,7 +331,7 @@
     client.wait_for_close();
     for client in [&mut client, &mut idle] {
         client.send_request("order", 1000);
-        // And again, once the other side's system has received the first.
+        // And again, after the kernel of the gateway's side has received the first.
         client.send_request("order", 1000);
     }
     assert_eq!(client.read_to_end(), "$4\r\ngood\r\n");
