--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -247,8 +247,8 @@
         served += usize::from(matches!(rig.client().request("lookup", 2000), Value::Bulk(_)));
     }
     assert!(served > 0);
-    // The client reads what the kernel has buffered, and then the close. If its connection had not been closed, it would
-    // receive all 400 responses.
+    // The client reads what the kernel has buffered, and then the close. If its connection had not been closed, it
+    // would receive all 400 responses.
     let mut received = 0;
     while received < 400 && non_reading_client.read_response().is_some() {
         received += 1;
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -177,8 +177,8 @@
     assert!(began.elapsed() < Duration::from_millis(1200));
 }
 
-/// Guards against a shutdown that does not end while clients keep sending: whenever one connection becomes idle, another
-/// one has an open request.
+/// Guards against a shutdown that does not end while clients keep sending: whenever one connection becomes idle,
+/// another one has an open request.
 #[test]
 fn shutdown_completes_while_clients_send_on_open_connections() {
     let backend = Backend::start(|command| {
@@ -309,8 +309,8 @@
     rig.join();
 }
 
-/// A request that is written after the gateway has closed its side, before the client reads the previous response, is not
-/// started, and it must not cause a reset that discards that response.
+/// A request that is written after the gateway has closed its side, before the client reads the previous response, is
+/// not started, and it must not cause a reset that discards that response.
 #[test]
 fn request_that_crosses_the_close_does_not_discard_the_earlier_response() {
     let open = Shared::new(false);
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -187,7 +187,7 @@
     let mut client = rig.client();
     client.send_request("save", 9000);
     let first = wait_for_first_attempt(&backend);
-    // After two resets the backend is ejected, and the request waits for another backend. One is added after the window.
+    // After two resets the backend is ejected, and the request waits for another one, which is added after the window.
     backend.commands.wait("both attempts", |c| c.len() == 2);
     sleep_until_after(first, Duration::from_millis(510));
     rig.discovery.publish_changes(vec![endpoint("b1", later.address, "active")]);
