--- a/crates/resp-gateway/tests/discovery.rs
+++ b/crates/resp-gateway/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails requests in every way: a change is followed nevertheless, and a truncated list is not applied.
+//! Faults of the discovery service: endpoint changes are applied in spite of them, and truncated lists are not.
 
 mod rig;
 
@@ -9,26 +9,26 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// What discovery does about one request.
+/// How the discovery service responds to a request.
 #[derive(Clone, Debug)]
 enum Behavior {
-    /// The list, complete or as the first line of a watch.
+    /// Sends the list, as a complete response or as the first line of a watch.
     Good,
-    /// A head, and nothing more.
+    /// Sends a head and no body.
     HeadOnly,
-    /// A head, and lines for ever of a list that is never complete.
+    /// Sends a head and, without end, lines of a list that is never complete.
     EndlessList,
-    /// A head, and an orderly end.
+    /// Sends a head and the end of an empty body.
     EmptyBody,
     Status(u16),
-    /// A list without a length that ends by an orderly close.
+    /// Sends the list without a length and ends it by closing the connection.
     NoLength,
-    /// Another complete list without a length, whose connection is reset: a reset does not complete a list.
+    /// Sends another list without a length and resets the connection, which does not complete the list.
     Reset,
     NoResponse,
 }
 
-/// What is done about requests for the complete list and for watches, in order; the last one repeatedly.
+/// The responses to requests for the complete list and to watches, each in order. The last one is repeated.
 type Script = (Vec<Behavior>, Vec<Behavior>);
 
 fn discovery(script: Script, list: Json, wrong: Json) -> SocketAddr {
@@ -104,7 +104,7 @@
             }
             Behavior::Reset => {
                 write!(stream, "HTTP/1.1 200 OK\r\n\r\n{wrong}").ok()?;
-                // Reset once it was read: unread bytes would be lost with it.
+                // Resets the connection after the gateway has read the list: a reset discards unread bytes.
                 std::thread::sleep(Duration::from_millis(100));
                 rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
                 return None;
@@ -119,16 +119,16 @@
     use Behavior::{EmptyBody, EndlessList, Good, HeadOnly, NoLength, NoResponse, Reset, Status};
     let scripts: Vec<Script> = vec![
         (vec![Good], vec![Good]),
-        // A line, and a complete list, that drip in for ever.
+        // A line of a watch, and a complete list, that never end.
         (vec![Good], vec![EndlessList, Good]),
         (vec![EndlessList, Good], vec![EmptyBody, Good]),
-        // Watches that end at once or are not answered, while complete lists still come.
+        // Watches that end at once or are not answered, while requests for the complete list are.
         (vec![Good], vec![EmptyBody]),
         (vec![Good], vec![HeadOnly]),
         (vec![Good], vec![NoResponse]),
         (vec![Good], vec![Status(503)]),
         (vec![Status(503), Status(404), NoResponse, Good], vec![NoResponse, EndlessList, EmptyBody, Good]),
-        // Without a length an orderly close completes the list, a reset does not.
+        // Without a length, a close without a reset completes the list; a reset does not.
         (vec![NoLength], vec![EmptyBody]),
         (vec![Reset, Reset, NoLength], vec![EmptyBody]),
     ];
@@ -151,7 +151,7 @@
             let began = Instant::now();
             let mut client = rig.client();
             while !is_served(&client.request("lookup", 500), "new") {
-                assert!(began.elapsed() < WAIT_LIMIT, "{script:?}: never followed");
+                assert!(began.elapsed() < WAIT_LIMIT, "{script:?}: the change was not applied");
             }
             assert_eq!(wrong.command_count(), 0, "{script:?}: a truncated list was applied");
         })
@@ -161,7 +161,7 @@
     assert_eq!(failed, 0);
 }
 
-/// A request that the test answers when it chooses.
+/// A request that the test answers at a time of its choice.
 struct HeldRequest {
     stream: TcpStream,
     is_watch: bool,
@@ -180,7 +180,7 @@
     }
 }
 
-/// Discovery that passes each request to the test.
+/// Starts a discovery service that passes each request to the test.
 fn held_discovery() -> (SocketAddr, mpsc::Receiver<HeldRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -204,7 +204,8 @@
     (address, requests)
 }
 
-/// A gateway with a backend that does not reply, which follows discovery at an address that answers nothing yet.
+/// Starts a gateway with a backend that does not reply, and reloads it with the address of a discovery service whose
+/// requests the test answers.
 fn gateway_with_held_discovery(drain_grace_ms: f64) -> (TestGateway, Backend, mpsc::Receiver<HeldRequest>) {
     let old = Backend::start(|_| Reply::Withheld);
     let mut settings = settings();
@@ -217,9 +218,9 @@
     (rig, old, requests)
 }
 
-/// What discovery has at its return counts as received at once, so the request after an unanswered one has to come within
-/// the drain grace. Both clocks are the gateway's own: an order that fails after 1 s, sent in the instant of the last
-/// request before the return, must still be open when the next request comes.
+/// When discovery is available again, its changes count as received at that time, so the request after an unanswered
+/// one must be sent within the drain grace. The test measures this with the gateway's own clock: an order with a
+/// deadline of 1 s, sent right after the last unanswered request, must still be open when the next request arrives.
 #[test]
 fn return_of_discovery_is_noticed_within_the_drain_grace() {
     let (rig, old, requests) = gateway_with_held_discovery(600.0);
@@ -236,14 +237,15 @@
         endpoint("b0", old.address, "leaving"), endpoint("b1", new.address, "active")]}));
     let began = Instant::now();
     while !is_served(&rig.client().request("lookup", 500), "new") {
-        assert!(began.elapsed() < WAIT_LIMIT, "never followed");
+        assert!(began.elapsed() < WAIT_LIMIT, "the change was not applied");
     }
     let reached = old.command_count();
     assert!((0..5).all(|_| is_served(&rig.client().request("lookup", 500), "new")));
     assert_eq!(old.command_count(), reached, "the draining backend gets nothing more");
 }
 
-/// An agent that answers each request only once the next one is made is slower than the gateway waits, and is followed.
+/// A discovery service that answers each request only after the next one is slower than the timeout of the gateway. Its
+/// list is applied nevertheless.
 #[test]
 fn discovery_that_responds_after_the_next_request_is_followed() {
     let (rig, old, requests) = gateway_with_held_discovery(200.0);
@@ -262,11 +264,11 @@
     });
     let began = Instant::now();
     while !is_served(&rig.client().request("lookup", 500), "new") {
-        assert!(began.elapsed() < WAIT_LIMIT, "never followed");
+        assert!(began.elapsed() < WAIT_LIMIT, "the change was not applied");
     }
 }
 
-/// Half a head of a superseded request shows nothing: it must not replace the request that is answered.
+/// An incomplete response head for a superseded request must not make it replace the next request, which is answered.
 #[test]
 fn half_a_head_of_a_superseded_request_does_not_replace_the_next_one() {
     let (rig, old, requests) = gateway_with_held_discovery(600.0);
@@ -274,14 +276,14 @@
     let mut first = requests.recv_timeout(WAIT_LIMIT).expect("a request");
     let mut next = requests.recv_timeout(WAIT_LIMIT).expect("a request beside the unanswered one");
     first.stream.write_all(b"HTTP/1.1 200 O").unwrap();
-    // Discovery is read before clients: the bytes have been read when this is answered.
+    // Discovery is read before clients, so the bytes have been read when this command is answered.
     rig.client().call(&["PING"]);
     let list = json!({"seq": 2, "whole": true, "hosts": [
         endpoint("b0", old.address, "leaving"), endpoint("b1", new.address, "active")]});
     next.respond(&list);
-    // So is each later request, where the machine was slower than the gateway waits.
+    // Later requests are answered too: on a slow machine, the timeout of the gateway may expire before the response.
     std::thread::spawn(move || requests.into_iter().map(|mut request| request.respond(&list)).for_each(drop));
-    // Less than the gateway would wait for the rest of the head.
+    // The deadline is shorter than the time that the gateway would wait for the rest of the head.
     let response = rig.client().request("order", 1000);
     assert!(is_served(&response, "new"), "{response:?}");
 }
