--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -1,5 +1,5 @@
-//! A backend that is restarted or moves to another address under the same id: connections to the former incarnation do
-//! not carry requests for the present one.
+//! A backend that is restarted or moves to another address under the same name: connections to its previous incarnation
+//! must not be used for requests to the new one.
 
 mod rig;
 
@@ -7,7 +7,7 @@
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
 
-/// Settings in which a connect may take longer than any client here waits.
+/// Settings with a connect timeout of 8 s, at least as long as any client in these tests waits.
 fn long_connect_timeout() -> Json {
     let mut settings = settings();
     settings["extra"]["has-counter"] = json!(false);
@@ -19,14 +19,14 @@
     settings
 }
 
-/// The backend `b0`, started at that time.
+/// The entry of the backend `b0`, started at this time.
 fn backend_started_at(address: SocketAddr, started_ms: u64) -> Json {
     let mut entry = endpoint("b0", address, "active");
     entry["born_ms"] = json!(started_ms);
     entry
 }
 
-/// Requests to the new address must not wait for a connection that is still being made to the old one.
+/// A request must not wait for a connection to the old address that is still being made after the backend has moved.
 #[test]
 fn request_to_a_moved_backend_does_not_wait_for_the_connection_to_its_old_address() {
     let old = StalledBackend::start(|_| Reply::Bytes(value("old")));
@@ -34,20 +34,21 @@
     let rig = TestGateway::new(vec![backend_started_at(old.address(), 0)], long_connect_timeout(), 1024);
     let mut client = rig.client();
     client.send_request("order", 4000);
-    // The request is read and forwarded: its connection is being made.
+    // Once this is answered, the request has been read and forwarded: its connection is being made.
     rig.client().call(&["PING"]);
     rig.discovery.publish_changes(vec![backend_started_at(new.address, 1)]);
     let response = client.read_response().unwrap();
     assert!(is_served(&response, "new"), "{response:?}");
 }
 
-/// A response of the former incarnation that comes after the list is forwarded, and its connection is not reused.
+/// A response of the previous incarnation that arrives after the new list reaches its client, but the connection is not
+/// reused.
 #[test]
 fn connection_to_a_former_incarnation_is_not_reused() {
     for moves in [true, false] {
         let released = Shared::new(0);
         let gate = released.clone();
-        // Connections are answered in their order, each when it is released.
+        // Commands are answered once their connection is released; connections are released in order.
         let old = Backend::start(move |command| {
             gate.wait("the release", |released| *released >= command.connection);
             Reply::Bytes(value(&command.connection.to_string()))
@@ -62,7 +63,7 @@
         let [first, second] = &mut clients;
         released.update(|released| *released = 1);
         assert!(is_served(&first.read_response().unwrap(), "1"));
-        // The idle connection closes when the list is applied; the other responds after that.
+        // The gateway closes the idle connection when it applies the list; only then is the other reply released.
         rig.discovery
             .publish_changes(vec![backend_started_at(if moves { new.address } else { old.address }, 1)]);
         old.closed_connections.wait("the idle connection to close", |e| e.contains(&1));
