--- a/crates/resp-gateway/tests/gone.rs
+++ b/crates/resp-gateway/tests/gone.rs
@@ -1,4 +1,5 @@
-//! A disconnected client: no attempt is started for it any more, wherever its request waits and whatever it left unread.
+//! Disconnected clients: no attempt is sent for a request after its client has disconnected, wherever the request waits
+//! and even if commands of the client are unread.
 
 mod rig;
 
@@ -9,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Settings without a counter: a request is forwarded in the iteration in which it is read.
+/// Settings without a counter: a request is forwarded in the event-loop iteration in which it is read.
 fn settings_without_counter() -> serde_json::Value {
     let mut settings = rig::settings();
     settings["extra"]["has-counter"] = false.into();
@@ -21,22 +22,23 @@
     settings
 }
 
-/// Returns once the gateway has read what was written before on any connection.
+/// Returns once the gateway has read what was written earlier on any connection.
 fn wait_until_input_is_read(rig: &TestGateway) {
     assert_eq!(rig.client().call(&["PING"]), Value::Simple("PONG".into()));
 }
 
-/// Ends a client's side and waits until the gateway has noticed: it closes its own.
+/// Closes a client's side and waits until the gateway has detected this and closed the connection.
 fn disconnect(mut client: Client) {
     client.stream.shutdown(Shutdown::Write).unwrap();
-    // Well before any request's deadline, whose response would let reading go on.
+    // Shorter than the deadline of any request: the response at a deadline would let the gateway read again, and so
+    // detect the close.
     client.stream.set_read_timeout(Some(WAIT_LIMIT / 4)).unwrap();
     let mut buffer = [0; 4096];
     loop {
         match client.stream.read(&mut buffer) {
             Ok(0) => return,
             Ok(_) => {}
-            // Closed over unread bytes.
+            // The gateway closed the connection with unread bytes, which resets it.
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return,
             Err(e) => panic!("the gateway has not noticed that its client disconnected: {e}"),
         }
@@ -60,14 +62,14 @@
     let rig =
         TestGateway::new(vec![endpoint("b0", backend.address, "active")], settings_without_counter(), 1024);
     let mut client = rig.client();
-    // Far more commands than are read while none is answered: what follows them is not read.
+    // More commands than the gateway reads while none is answered, so that it does not read up to the close.
     for _ in 0..400 {
         client.send_request("lookup", 15_000);
     }
-    // The initial concurrency limit of one backend.
+    // 4 is the initial concurrency limit of a backend.
     backend.commands.wait("attempts", |c| c.len() == 4);
     disconnect(client);
-    // Only now do the attempts end: each would be retried for the disconnected client.
+    // The attempts end only now. Each would be retried if its client were still connected.
     is_serving.store(true, Ordering::SeqCst);
     drop(held_replies);
     backend.closed_connections.wait("the end of the attempts", |e| e.len() == 4);
@@ -75,7 +77,7 @@
     let mut other = rig.client();
     let request = || other.request("order", 15_000);
     let requests = std::iter::repeat_with(request).take(200).take_while(|a| !is_served(a, "good")).count();
-    assert!(requests < 200, "nothing is served any more");
+    assert!(requests < 200, "no request is served after the failures");
     assert_eq!(backend.command_count(), 4 + 1, "attempts after their client had disconnected");
 }
 
@@ -92,7 +94,8 @@
     }
     let mut other = rig.client();
     let id = other.send_request("order", 15_000);
-    // Refused as those before it: the system retries all in the order in which they were started.
+    // Its connect is pending like the earlier ones. The kernel retransmits their SYNs in the order of the connects, so
+    // an attempt of a disconnected client would be received first.
     wait_until_input_is_read(&rig);
     let stalled = stalled.start_accepting();
     assert!(is_served(&other.read_response().unwrap(), "good"));
@@ -100,7 +103,8 @@
     assert_eq!(ids, [id]);
 }
 
-/// A burst of clients that disconnect in all ways, while their requests wait for connections.
+/// A burst of clients that disconnect while their requests wait for connections: with a close, with a reset, or with a
+/// close after a partial command.
 #[test]
 fn burst_of_disconnecting_clients_leaves_no_attempt() {
     let stalled = StalledBackend::start(|_| Reply::Bytes(value("good")));
@@ -128,12 +132,14 @@
         })
         .collect();
     clients.into_iter().for_each(|c| c.join().unwrap());
-    // Twice: a connection that was accepted last is read in the first iteration.
+    // Twice: the close of a connection that is accepted in the iteration of the first call may be detected only in the
+    // next iteration.
     wait_until_input_is_read(&rig);
     wait_until_input_is_read(&rig);
     let mut other = rig.client();
     let id = other.send_request("order", 15_000);
-    // Refused as those before it: the system retries all in the order in which they were started.
+    // Its connect is pending like the earlier ones. The kernel retransmits their SYNs in the order of the connects, so
+    // an attempt of a disconnected client would be received first.
     wait_until_input_is_read(&rig);
     let stalled = stalled.start_accepting();
     let response = other.read_response().unwrap();
