--- a/crates/resp-gateway/src/backends/attempt.rs
+++ b/crates/resp-gateway/src/backends/attempt.rs
@@ -60,16 +60,16 @@
     /// or a load report that cannot be parsed are ignored; the rest of the response is still valid.
     pub(super) fn from_reply(reply: Reply, input: &[u8], is_health_check: bool) -> Option<Self> {
         match reply {
-            Reply::Served { value, units, report } if !is_health_check => Some(Self {
+            Reply::Served { value, units, load_report } if !is_health_check => Some(Self {
                 reply: BackendReply::Value,
                 value: input[value].to_vec(),
                 units: units
                     .and_then(|text| text.parse().ok())
                     .filter(|units: &f64| units.is_finite() && *units > 0.0),
-                load_report: parse_load_report(report),
+                load_report: parse_load_report(load_report),
             }),
-            Reply::Failed { report } => Some(Self::without_value(BackendReply::Failed, report)),
-            Reply::Busy { report } => Some(Self::without_value(BackendReply::Rejected, report)),
+            Reply::Failed { load_report } => Some(Self::without_value(BackendReply::Failed, load_report)),
+            Reply::Busy { load_report } => Some(Self::without_value(BackendReply::Rejected, load_report)),
             Reply::Bulk(text) if is_health_check => {
                 let text = std::str::from_utf8(&input[text]).ok().map(str::to_owned);
                 Some(Self::without_value(BackendReply::Value, text))
--- a/crates/resp/src/replies.rs
+++ b/crates/resp/src/replies.rs
@@ -18,17 +18,17 @@
         /// The units that the request used, if present as a valid string or number.
         units: Option<String>,
         /// The load report, if present as a valid string or number.
-        report: Option<String>,
+        load_report: Option<String>,
     },
     /// The request failed, possibly after execution.
     Failed {
         /// The load report after `-ERR failed`, if present and valid UTF-8.
-        report: Option<String>,
+        load_report: Option<String>,
     },
     /// The request was rejected and not executed.
     Busy {
         /// The load report after `-BUSY`, if present and valid UTF-8.
-        report: Option<String>,
+        load_report: Option<String>,
     },
     /// The reply to `PING`.
     Pong,
@@ -94,9 +94,9 @@
         }
         let mut position = value.end + LINE_END_BYTES;
         let Some(units) = read_trailing_element(input, &mut position)? else { return Ok(None) };
-        let Some(report) = read_trailing_element(input, &mut position)? else { return Ok(None) };
+        let Some(load_report) = read_trailing_element(input, &mut position)? else { return Ok(None) };
         self.value = None;
-        Ok(Some((Reply::Served { value, units, report }, position)))
+        Ok(Some((Reply::Served { value, units, load_report }, position)))
     }
 }
 
@@ -183,12 +183,12 @@
     let reply = if line == b"+PONG" {
         Reply::Pong
     } else if let Some(rest) = strip_error_code(line, b"-BUSY") {
-        Reply::Busy { report: report_text(rest) }
+        Reply::Busy { load_report: load_report_text(rest) }
     } else if let Some(rest) = strip_error_code(line, b"-ERR failed") {
-        Reply::Failed { report: report_text(rest) }
+        Reply::Failed { load_report: load_report_text(rest) }
     } else if line.starts_with(b"-") {
         // After any other error, the request may have been executed.
-        Reply::Failed { report: None }
+        Reply::Failed { load_report: None }
     } else {
         return Err(MalformedReply);
     };
@@ -202,9 +202,9 @@
 }
 
 /// Returns the load report after an error code and a space.
-fn report_text(rest: &[u8]) -> Option<String> {
-    let report = rest.strip_prefix(b" ")?;
-    std::str::from_utf8(report).ok().map(str::to_owned)
+fn load_report_text(rest: &[u8]) -> Option<String> {
+    let load_report = rest.strip_prefix(b" ")?;
+    std::str::from_utf8(load_report).ok().map(str::to_owned)
 }
 
 impl From<LineError> for MalformedReply {
--- a/crates/resp/src/replies/tests.rs
+++ b/crates/resp/src/replies/tests.rs
@@ -9,20 +9,20 @@
 const SERVED: &[u8] = b"*3\r\n$5\r\nhello\r\n$1\r\n3\r\n$18\r\ninflight=7,queue=2\r\n";
 
 fn served_reply() -> Reply {
-    Reply::Served { value: 8..13, units: Some("3".into()), report: Some("inflight=7,queue=2".into()) }
+    Reply::Served { value: 8..13, units: Some("3".into()), load_report: Some("inflight=7,queue=2".into()) }
 }
 
 #[test]
 fn each_form_of_an_answer_is_read() {
     assert_eq!(read_first(SERVED), Ok(Some((served_reply(), SERVED.len()))));
     let bare = b"*3\r\n$0\r\n\r\n$-1\r\n*-1\r\n";
-    let served = Reply::Served { value: 8..8, units: None, report: None };
+    let served = Reply::Served { value: 8..8, units: None, load_report: None };
     assert_eq!(read_first(bare), Ok(Some((served, bare.len()))));
-    assert_eq!(read_first(b"-ERR failed\r\n"), Ok(Some((Reply::Failed { report: None }, 13))));
-    let report = Some("queue=2".into());
-    assert_eq!(read_first(b"-ERR failed queue=2\r\n"), Ok(Some((Reply::Failed { report }, 21))));
-    assert_eq!(read_first(b"-BUSY\r\n"), Ok(Some((Reply::Busy { report: None }, 7))));
-    assert_eq!(read_first(b"-BUSYBODY\r\n"), Ok(Some((Reply::Failed { report: None }, 11))));
+    assert_eq!(read_first(b"-ERR failed\r\n"), Ok(Some((Reply::Failed { load_report: None }, 13))));
+    let load_report = Some("queue=2".into());
+    assert_eq!(read_first(b"-ERR failed queue=2\r\n"), Ok(Some((Reply::Failed { load_report }, 21))));
+    assert_eq!(read_first(b"-BUSY\r\n"), Ok(Some((Reply::Busy { load_report: None }, 7))));
+    assert_eq!(read_first(b"-BUSYBODY\r\n"), Ok(Some((Reply::Failed { load_report: None }, 11))));
     assert_eq!(read_first(b"+PONG\r\n"), Ok(Some((Reply::Pong, 7))));
     assert_eq!(read_first(b"$3\r\na=1\r\n"), Ok(Some((Reply::Bulk(4..7), 9))));
 }
@@ -30,7 +30,7 @@
 #[test]
 fn units_that_are_not_text_are_ignored() {
     let bytes = b"*3\r\n$1\r\nv\r\n$4\r\n\xff\xfe\x00\x01\r\n$3\r\n???\r\n";
-    let served = Reply::Served { value: 8..9, units: None, report: Some("???".into()) };
+    let served = Reply::Served { value: 8..9, units: None, load_report: Some("???".into()) };
     assert_eq!(read_first(bytes), Ok(Some((served, bytes.len()))));
 }
 
