--- a/crates/counter/src/resp.rs
+++ b/crates/counter/src/resp.rs
@@ -3,7 +3,7 @@
 
 use crate::call::{CallOutcome, CounterCall, CounterReply};
 use crate::codec::{CodecError, CounterCodec};
-use doorcourse_resp::{Value, command, decode};
+use doorcourse_resp::{Value, decode, encode_command};
 
 /// Replies to one call: MULTI, QUEUED twice, EXEC.
 const REPLIES_PER_CALL: u32 = 4;
@@ -31,7 +31,7 @@
         self.replies_read = 0;
         self.awaits_auth_reply = self.password.is_some();
         if let Some(password) = &self.password {
-            command(output, &["AUTH", password]);
+            encode_command(output, &["AUTH", password]);
         }
     }
 
@@ -39,12 +39,12 @@
         let key = format!("doorcourse:{:x}", call.counter);
         let amount = call.amount.to_string();
         let time_to_live_ms = (call.time_to_live.ceil().max(1.0) as u64).to_string();
-        command(output, &["MULTI"]);
-        command(output, &["INCRBYFLOAT", &key, &amount]);
+        encode_command(output, &["MULTI"]);
+        encode_command(output, &["INCRBYFLOAT", &key, &amount]);
         // NX sets the expiry only where there is none, so that further calls do not extend the time to live of a
         // window's counter.
-        command(output, &["PEXPIRE", &key, &time_to_live_ms, "NX"]);
-        command(output, &["EXEC"]);
+        encode_command(output, &["PEXPIRE", &key, &time_to_live_ms, "NX"]);
+        encode_command(output, &["EXEC"]);
     }
 
     fn awaits_greeting(&self) -> bool {
--- a/crates/resp-gateway/src/clients/tests.rs
+++ b/crates/resp-gateway/src/clients/tests.rs
@@ -14,7 +14,7 @@
     let arguments =
         ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
     let mut bytes = Vec::new();
-    doorcourse_resp::command(&mut bytes, &arguments);
+    doorcourse_resp::encode_command(&mut bytes, &arguments);
     client.write_all(&bytes).unwrap();
     let mut clients = ClientTable::new(&mut reactor, listener, max_connections).unwrap();
     let mut events = Vec::new();
--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -143,7 +143,7 @@
     let (backend, rig) = rig();
     let mut bytes = Vec::new();
     let list = "c=order,t=team,d=480,units=1,spread=1,first=0";
-    doorcourse_resp::command(&mut bytes, &["Q.DO", "00000000b4d65521", &new_id(), list, "BODY"]);
+    doorcourse_resp::encode_command(&mut bytes, &["Q.DO", "00000000b4d65521", &new_id(), list, "BODY"]);
     for cut in 1..bytes.len() {
         let mut client = rig.client();
         client.stream.write_all(&bytes[..cut]).unwrap();
@@ -190,7 +190,7 @@
     let mut client = rig.client();
     let mut bytes = Vec::new();
     for _ in 0..500 {
-        doorcourse_resp::command(&mut bytes, &["PING"]);
+        doorcourse_resp::encode_command(&mut bytes, &["PING"]);
     }
     client.stream.write_all(&bytes).unwrap();
     for _ in 0..500 {
@@ -237,7 +237,7 @@
     for _ in 0..400 {
         let list = "c=lookup,t=team,d=2400,units=1,spread=1,first=0";
         let mut bytes = Vec::new();
-        doorcourse_resp::command(&mut bytes, &["Q.ASK", "00000000b4d65521", &new_id(), list]);
+        doorcourse_resp::encode_command(&mut bytes, &["Q.ASK", "00000000b4d65521", &new_id(), list]);
         non_reading_client.stream.write_all(&bytes).unwrap();
     }
     // Other clients are served meanwhile, for longer than a client may leave its responses unread.
--- a/crates/resp-gateway/tests/rig/client.rs
+++ b/crates/resp-gateway/tests/rig/client.rs
@@ -30,7 +30,7 @@
 
     pub(crate) fn send(&mut self, arguments: &[&str]) {
         let mut bytes = Vec::new();
-        doorcourse_resp::command(&mut bytes, arguments);
+        doorcourse_resp::encode_command(&mut bytes, arguments);
         self.stream.write_all(&bytes).unwrap();
     }
 
@@ -76,7 +76,7 @@
         let list = format!("c={class},t=team,d={deadline_ms}{key},units=1,spread=1,first=0");
         let command = if class == "lookup" { "Q.ASK" } else { "Q.DO" };
         let arguments = [command, "00000000b4d65521", &id, &list, "BODY"];
-        doorcourse_resp::command(bytes, &arguments[..if class == "lookup" { 4 } else { 5 }]);
+        doorcourse_resp::encode_command(bytes, &arguments[..if class == "lookup" { 4 } else { 5 }]);
         id
     }
 
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -165,7 +165,7 @@
 }
 
 /// Appends a command: an array of bulk strings.
-pub fn command(out: &mut Vec<u8>, arguments: &[&str]) {
+pub fn encode_command(out: &mut Vec<u8>, arguments: &[&str]) {
     // Writing to a Vec cannot fail, here and below.
     let _ = write!(out, "*{}\r\n", arguments.len());
     for argument in arguments {
--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -2,7 +2,7 @@
 //! panic, return the same result for every split, and need no more input to be buffered than the limits allow.
 
 use doorcourse_resp::{
-    CommandError, CommandLimits, CommandReader, MalformedReply, Reply, ReplyReader, command,
+    CommandError, CommandLimits, CommandReader, MalformedReply, Reply, ReplyReader, encode_command,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -96,7 +96,7 @@
     fn encoded_command_is_read_back(arguments in vec("[a-z0-9=,.]{0,40}", 1..6)) {
         let refs: Vec<&str> = arguments.iter().map(String::as_str).collect();
         let mut bytes = Vec::new();
-        command(&mut bytes, &refs);
+        encode_command(&mut bytes, &refs);
         let expected: Vec<Vec<u8>> = arguments.iter().map(|argument| argument.clone().into_bytes()).collect();
         prop_assert_eq!(read_commands(&bytes, &[]), (vec![expected], None));
     }
