--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use commands::{CommandError, CommandLimits, CommandReader};
 pub use replies::{MalformedReply, Reply, ReplyReader};
-pub use value::{Error, Value, decode, encode, encode_command};
+pub use value::{DecodeError, Value, decode, encode, encode_command};
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -43,7 +43,7 @@
 
 /// Why bytes cannot be decoded. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Error {
+pub enum DecodeError {
     /// An unknown type byte, an invalid number or a missing line end.
     #[error("malformed RESP")]
     Malformed,
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// When the bytes are not RESP or exceed a limit.
-pub fn decode(input: &[u8]) -> Result<Option<(Value, usize)>, Error> {
+pub fn decode(input: &[u8]) -> Result<Option<(Value, usize)>, DecodeError> {
     let mut parser = Parser { input, position: 0 };
     let value = parser.value(MAX_DEPTH)?;
     Ok(value.map(|value| (value, parser.position)))
@@ -83,7 +83,7 @@
 
 impl<'a> Parser<'a> {
     /// Parses the value at the current position; aggregates may nest up to `depth` levels.
-    fn value(&mut self, depth: usize) -> Result<Option<Value>, Error> {
+    fn value(&mut self, depth: usize) -> Result<Option<Value>, DecodeError> {
         let Some((type_byte, line)) = self.header_line()? else { return Ok(None) };
         match type_byte {
             b'$' | b'!' | b'=' => self.string(type_byte, line),
@@ -93,48 +93,48 @@
     }
 
     /// Parses a header line: its type byte and the rest of the line, without the CRLF.
-    fn header_line(&mut self) -> Result<Option<(u8, &'a str)>, Error> {
+    fn header_line(&mut self) -> Result<Option<(u8, &'a str)>, DecodeError> {
         let Some((type_byte, rest)) = self.input[self.position..].split_first() else { return Ok(None) };
         let Some(line_feed) = rest.iter().position(|byte| *byte == b'\n') else {
-            return if rest.len() > MAX_STRING_BYTES { Err(Error::TooLarge) } else { Ok(None) };
+            return if rest.len() > MAX_STRING_BYTES { Err(DecodeError::TooLarge) } else { Ok(None) };
         };
-        let line = rest[..line_feed].strip_suffix(b"\r").ok_or(Error::Malformed)?;
-        let text = std::str::from_utf8(line).map_err(|_| Error::Malformed)?;
+        let line = rest[..line_feed].strip_suffix(b"\r").ok_or(DecodeError::Malformed)?;
+        let text = std::str::from_utf8(line).map_err(|_| DecodeError::Malformed)?;
         self.position += 1 + line_feed + 1;
         Ok(Some((*type_byte, text)))
     }
 
     /// Parses a string whose length is on its header line.
-    fn string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, Error> {
+    fn string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, DecodeError> {
         let length = parse_integer(header)?;
         if length == NULL_LENGTH && type_byte == b'$' {
             return Ok(Some(Value::Null));
         }
-        let length = usize::try_from(length).map_err(|_| Error::Malformed)?;
+        let length = usize::try_from(length).map_err(|_| DecodeError::Malformed)?;
         if length > MAX_STRING_BYTES {
-            return Err(Error::TooLarge);
+            return Err(DecodeError::TooLarge);
         }
         let end = self.position + length + LINE_END_BYTES;
         let Some(bytes) = self.input.get(self.position..end) else { return Ok(None) };
-        let bytes = bytes.strip_suffix(b"\r\n").ok_or(Error::Malformed)?;
+        let bytes = bytes.strip_suffix(b"\r\n").ok_or(DecodeError::Malformed)?;
         self.position = end;
         Ok(Some(match type_byte {
             b'!' => Value::Error(String::from_utf8_lossy(bytes).into_owned()),
-            b'=' => Value::Bulk(bytes.get(VERBATIM_PREFIX_BYTES..).ok_or(Error::Malformed)?.to_vec()),
+            b'=' => Value::Bulk(bytes.get(VERBATIM_PREFIX_BYTES..).ok_or(DecodeError::Malformed)?.to_vec()),
             _ => Value::Bulk(bytes.to_vec()),
         }))
     }
 
     /// Parses an aggregate whose number of elements is on its header line.
-    fn aggregate(&mut self, type_byte: u8, header: &str, depth: usize) -> Result<Option<Value>, Error> {
+    fn aggregate(&mut self, type_byte: u8, header: &str, depth: usize) -> Result<Option<Value>, DecodeError> {
         let count = parse_integer(header)?;
         if count == NULL_LENGTH && type_byte == b'*' {
             return Ok(Some(Value::Null));
         }
-        let count = usize::try_from(count).map_err(|_| Error::Malformed)?;
+        let count = usize::try_from(count).map_err(|_| DecodeError::Malformed)?;
         let elements = if type_byte == b'%' { count.saturating_mul(2) } else { count };
         if elements > MAX_ELEMENTS || depth == 0 {
-            return Err(Error::TooLarge);
+            return Err(DecodeError::TooLarge);
         }
         // No capacity is reserved: a large count alone must not cause an allocation.
         let mut values = Vec::new();
@@ -147,21 +147,21 @@
 }
 
 /// Parses a value that consists only of its header line.
-fn line_value(type_byte: u8, line: &str) -> Result<Value, Error> {
+fn line_value(type_byte: u8, line: &str) -> Result<Value, DecodeError> {
     match type_byte {
         b'+' => Ok(Value::Simple(line.into())),
         b'-' => Ok(Value::Error(line.into())),
         b':' => parse_integer(line).map(Value::Integer),
-        b',' => line.parse().map(Value::Double).map_err(|_| Error::Malformed),
+        b',' => line.parse().map(Value::Double).map_err(|_| DecodeError::Malformed),
         b'#' if line == "t" => Ok(Value::Boolean(true)),
         b'#' if line == "f" => Ok(Value::Boolean(false)),
         b'_' if line.is_empty() => Ok(Value::Null),
-        _ => Err(Error::Malformed),
+        _ => Err(DecodeError::Malformed),
     }
 }
 
-fn parse_integer(text: &str) -> Result<i64, Error> {
-    text.parse().map_err(|_| Error::Malformed)
+fn parse_integer(text: &str) -> Result<i64, DecodeError> {
+    text.parse().map_err(|_| DecodeError::Malformed)
 }
 
 /// Appends a command: an array of bulk strings.
