--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -70,7 +70,7 @@
 /// When the bytes are not RESP or exceed a limit.
 pub fn decode(input: &[u8]) -> Result<Option<(Value, usize)>, DecodeError> {
     let mut parser = Parser { input, position: 0 };
-    let value = parser.value(MAX_DEPTH)?;
+    let value = parser.parse_value(MAX_DEPTH)?;
     Ok(value.map(|value| (value, parser.position)))
 }
 
@@ -83,17 +83,17 @@
 
 impl<'a> Parser<'a> {
     /// Parses the value at the current position; aggregates may nest up to `depth` levels.
-    fn value(&mut self, depth: usize) -> Result<Option<Value>, DecodeError> {
-        let Some((type_byte, line)) = self.header_line()? else { return Ok(None) };
+    fn parse_value(&mut self, depth: usize) -> Result<Option<Value>, DecodeError> {
+        let Some((type_byte, line)) = self.parse_header_line()? else { return Ok(None) };
         match type_byte {
-            b'$' | b'!' | b'=' => self.string(type_byte, line),
-            b'*' | b'~' | b'>' | b'%' => self.aggregate(type_byte, line, depth),
-            _ => line_value(type_byte, line).map(Some),
+            b'$' | b'!' | b'=' => self.parse_string(type_byte, line),
+            b'*' | b'~' | b'>' | b'%' => self.parse_aggregate(type_byte, line, depth),
+            _ => parse_line_value(type_byte, line).map(Some),
         }
     }
 
     /// Parses a header line: its type byte and the rest of the line, without the CRLF.
-    fn header_line(&mut self) -> Result<Option<(u8, &'a str)>, DecodeError> {
+    fn parse_header_line(&mut self) -> Result<Option<(u8, &'a str)>, DecodeError> {
         let Some((type_byte, rest)) = self.input[self.position..].split_first() else { return Ok(None) };
         let Some(line_feed) = rest.iter().position(|byte| *byte == b'\n') else {
             return if rest.len() > MAX_STRING_BYTES { Err(DecodeError::TooLarge) } else { Ok(None) };
@@ -105,7 +105,7 @@
     }
 
     /// Parses a string whose length is on its header line.
-    fn string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, DecodeError> {
+    fn parse_string(&mut self, type_byte: u8, header: &str) -> Result<Option<Value>, DecodeError> {
         let length = parse_integer(header)?;
         if length == NULL_LENGTH && type_byte == b'$' {
             return Ok(Some(Value::Null));
@@ -126,7 +126,9 @@
     }
 
     /// Parses an aggregate whose number of elements is on its header line.
-    fn aggregate(&mut self, type_byte: u8, header: &str, depth: usize) -> Result<Option<Value>, DecodeError> {
+    fn parse_aggregate(
+        &mut self, type_byte: u8, header: &str, depth: usize,
+    ) -> Result<Option<Value>, DecodeError> {
         let count = parse_integer(header)?;
         if count == NULL_LENGTH && type_byte == b'*' {
             return Ok(Some(Value::Null));
@@ -139,7 +141,7 @@
         // No capacity is reserved: a large count alone must not cause an allocation.
         let mut values = Vec::new();
         for _ in 0..elements {
-            let Some(value) = self.value(depth - 1)? else { return Ok(None) };
+            let Some(value) = self.parse_value(depth - 1)? else { return Ok(None) };
             values.push(value);
         }
         Ok(Some(Value::Array(values)))
@@ -147,7 +149,7 @@
 }
 
 /// Parses a value that consists only of its header line.
-fn line_value(type_byte: u8, line: &str) -> Result<Value, DecodeError> {
+fn parse_line_value(type_byte: u8, line: &str) -> Result<Value, DecodeError> {
     match type_byte {
         b'+' => Ok(Value::Simple(line.into())),
         b'-' => Ok(Value::Error(line.into())),
@@ -165,36 +167,36 @@
 }
 
 /// Appends a command: an array of bulk strings.
-pub fn encode_command(out: &mut Vec<u8>, arguments: &[&str]) {
+pub fn encode_command(output: &mut Vec<u8>, arguments: &[&str]) {
     // Writing to a Vec cannot fail, here and below.
-    let _ = write!(out, "*{}\r\n", arguments.len());
+    let _ = write!(output, "*{}\r\n", arguments.len());
     for argument in arguments {
-        let _ = write!(out, "${}\r\n{argument}\r\n", argument.len());
+        let _ = write!(output, "${}\r\n{argument}\r\n", argument.len());
     }
 }
 
 /// Appends the encoding of a value, in the RESP2 form if there is one.
-pub fn encode(out: &mut Vec<u8>, value: &Value) {
+pub fn encode(output: &mut Vec<u8>, value: &Value) {
     let _ = match value {
-        Value::Simple(text) => write!(out, "+{text}\r\n"),
-        Value::Error(text) => write!(out, "-{text}\r\n"),
-        Value::Integer(number) => write!(out, ":{number}\r\n"),
-        Value::Double(number) => write!(out, ",{number}\r\n"),
-        Value::Boolean(boolean) => write!(out, "#{}\r\n", if *boolean { 't' } else { 'f' }),
-        Value::Null => write!(out, "$-1\r\n"),
+        Value::Simple(text) => write!(output, "+{text}\r\n"),
+        Value::Error(text) => write!(output, "-{text}\r\n"),
+        Value::Integer(number) => write!(output, ":{number}\r\n"),
+        Value::Double(number) => write!(output, ",{number}\r\n"),
+        Value::Boolean(boolean) => write!(output, "#{}\r\n", if *boolean { 't' } else { 'f' }),
+        Value::Null => write!(output, "$-1\r\n"),
         Value::Bulk(bytes) => {
-            let _ = write!(out, "${}\r\n", bytes.len());
-            out.extend_from_slice(bytes);
-            write!(out, "\r\n")
+            let _ = write!(output, "${}\r\n", bytes.len());
+            output.extend_from_slice(bytes);
+            write!(output, "\r\n")
         }
         Value::Map(values) => {
-            let header = write!(out, "%{}\r\n", values.len() / 2);
-            values.iter().for_each(|value| encode(out, value));
+            let header = write!(output, "%{}\r\n", values.len() / 2);
+            values.iter().for_each(|value| encode(output, value));
             header
         }
         Value::Array(values) => {
-            let header = write!(out, "*{}\r\n", values.len());
-            values.iter().for_each(|value| encode(out, value));
+            let header = write!(output, "*{}\r\n", values.len());
+            values.iter().for_each(|value| encode(output, value));
             header
         }
     };
