--- a/crates/resp-gateway/src/clients/connection.rs
+++ b/crates/resp-gateway/src/clients/connection.rs
@@ -18,7 +18,7 @@
 /// Maximum number of commands of one connection whose responses are due; at this number, reading pauses.
 const MAX_PIPELINED_COMMANDS: usize = 64;
 /// Maximum bytes of responses of one connection that are not written yet; above this, reading pauses.
-const MAX_UNREAD_BYTES: usize = 128 << 10;
+const MAX_UNWRITTEN_BYTES: usize = 128 << 10;
 /// How long a connection stays open after its last response, in ms. A close while received bytes are unread resets the
 /// connection, and the client may lose the response (RFC 9112 section 9.6 describes this for HTTP).
 const LINGER_MS: Millis = 250.0;
@@ -88,8 +88,8 @@
         if self.activity.lingering_close_until.is_some() {
             return self.discarded_bytes < MAX_DISCARDED_BYTES;
         }
-        let has_capacity =
-            self.slots.len() < MAX_PIPELINED_COMMANDS && self.registered.socket.pending() <= MAX_UNREAD_BYTES;
+        let has_capacity = self.slots.len() < MAX_PIPELINED_COMMANDS
+            && self.registered.socket.pending() <= MAX_UNWRITTEN_BYTES;
         has_capacity && !self.input_closed && now >= self.read_resumes_at
     }
 
