--- a/crates/resp-gateway/src/backends/tests.rs
+++ b/crates/resp-gateway/src/backends/tests.rs
@@ -15,12 +15,12 @@
     let settings =
         r#"{"fleet-size":1,"classes":[{"name":"r","effect":"idempotent"}],"plans":[{"name":"p"}]}"#;
     let deployment = doorcourse_deployment::parse(settings).unwrap();
-    let words = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
+    let command = ["Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=r,t=p,d=480,units=1,spread=1,first=0"];
     let mut input = Vec::new();
     let mut arguments = Vec::new();
-    for word in words {
-        arguments.push(input.len()..input.len() + word.len());
-        input.extend_from_slice(word.as_bytes());
+    for argument in command {
+        arguments.push(input.len()..input.len() + argument.len());
+        input.extend_from_slice(argument.as_bytes());
     }
     let Ok(ClientCommand::Request(request)) = request::parse(&deployment, &input, &arguments) else {
         panic!("a valid request")
--- a/crates/resp-gateway/src/endpoints/tests.rs
+++ b/crates/resp-gateway/src/endpoints/tests.rs
@@ -20,14 +20,14 @@
 }
 
 /// Returns the JSON text of a list with this many endpoints, on one line or indented.
-fn list_text(hosts: usize, indented: bool) -> String {
+fn list_text(count: usize, indented: bool) -> String {
     let host = |n: usize| {
         serde_json::json!({"host": format!("s-{n:08x}-of-a-long-name"), "dial": format!("10.1.{}.{}:6379", n / 250, n % 250),
             "site": "south-building", "class": "m2", "block": n, "health": "active", "share": 1.0,
             "born_ms": 1_790_000_000_000_u64})
     };
     let list =
-        serde_json::json!({"seq": 7, "whole": true, "hosts": (0..hosts).map(host).collect::<Vec<_>>()});
+        serde_json::json!({"seq": 7, "whole": true, "hosts": (0..count).map(host).collect::<Vec<_>>()});
     if indented { format!("{list:#}") } else { list.to_string() }
 }
 
--- a/crates/resp-gateway/tests/life.rs
+++ b/crates/resp-gateway/tests/life.rs
@@ -129,11 +129,11 @@
 
 #[test]
 fn shutdown_serves_open_and_later_requests() {
-    let open = Shared::new(false);
-    let gate: Arc<Shared<bool>> = open.clone();
+    let released = Shared::new(false);
+    let backend_released: Arc<Shared<bool>> = released.clone();
     let backend = Backend::start(move |command| {
         if command.connection == 1 {
-            gate.wait("the test to release the reply", |open| *open);
+            backend_released.wait("the test to release the reply", |released| *released);
         }
         Reply::Bytes(value("good"))
     });
@@ -148,7 +148,7 @@
     assert!(is_served(&rig.client().request("lookup", 1000), "good"));
     assert!(is_served(&idle.request("lookup", 1000), "good"));
     assert_eq!(idle.read_response(), None, "an idle connection is closed when draining begins");
-    open.update(|open| *open = true);
+    released.update(|released| *released = true);
     assert!(is_served(&first.read_response().unwrap(), "good"));
     assert_eq!(first.read_response(), None);
     rig.join();
@@ -313,10 +313,10 @@
 /// not started, and it must not cause a reset that discards that response.
 #[test]
 fn request_that_crosses_the_close_does_not_discard_the_earlier_response() {
-    let open = Shared::new(false);
-    let gate: Arc<Shared<bool>> = open.clone();
+    let released = Shared::new(false);
+    let backend_released: Arc<Shared<bool>> = released.clone();
     let backend = Backend::start(move |_| {
-        gate.wait("the test to release the reply", |open| *open);
+        backend_released.wait("the test to release the reply", |released| *released);
         Reply::Bytes(value("good"))
     });
     let mut rig = TestGateway::with_backends(&[backend.address]);
@@ -327,7 +327,7 @@
     rig.handle.stop();
     idle.call(&["PING"]);
     idle.wait_for_close();
-    open.update(|open| *open = true);
+    released.update(|released| *released = true);
     client.wait_for_close();
     for client in [&mut client, &mut idle] {
         client.send_request("order", 1000);
--- a/crates/resp-gateway/tests/moved.rs
+++ b/crates/resp-gateway/tests/moved.rs
@@ -47,10 +47,10 @@
 fn connection_to_a_former_incarnation_is_not_reused() {
     for moves in [true, false] {
         let released = Shared::new(0);
-        let gate = released.clone();
+        let backend_released = released.clone();
         // Commands are answered once their connection is released; connections are released in order.
         let old = Backend::start(move |command| {
-            gate.wait("the release", |released| *released >= command.connection);
+            backend_released.wait("the release", |released| *released >= command.connection);
             Reply::Bytes(value(&command.connection.to_string()))
         });
         let new = Backend::start(|_| Reply::Bytes(value("new")));
--- a/crates/resp-gateway/tests/outcomes.rs
+++ b/crates/resp-gateway/tests/outcomes.rs
@@ -203,8 +203,9 @@
 fn retry_with_a_key_connected_after_its_window_is_not_written() {
     let first = Backend::start(|_| Reply::Reset);
     let stalled = StalledBackend::start(|_| Reply::Bytes(value("again")));
-    let hosts = vec![endpoint("b0", first.address, "active"), endpoint("b1", stalled.address(), "leaving")];
-    let rig = TestGateway::new(hosts, short_window(400.0), 1024);
+    let endpoints =
+        vec![endpoint("b0", first.address, "active"), endpoint("b1", stalled.address(), "leaving")];
+    let rig = TestGateway::new(endpoints, short_window(400.0), 1024);
     let mut client = rig.client();
     client.send_request("save", 9000);
     let sent = wait_for_first_attempt(&first);
