--- a/crates/emulators/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -94,13 +94,13 @@
         }]
     }
 
-    fn request_ended(&mut self, now: f64, shot: &ScheduledRequest, end: &RequestOutcome) {
+    fn request_ended(&mut self, now: f64, scheduled: &ScheduledRequest, end: &RequestOutcome) {
         self.report.last_ended_ms = now;
         match end {
             RequestOutcome::Response { kind: Kind::Served, .. } => {
                 self.report
                     .served_latency_us
-                    .saturating_record(((now - shot.due_at) * 1000.0).max(1.0) as u64);
+                    .saturating_record(((now - scheduled.due_at) * 1000.0).max(1.0) as u64);
             }
             RequestOutcome::Response { kind: Kind::Refused, .. } => self.report.unserved[0] += 1,
             RequestOutcome::Response { kind: Kind::Failed, .. } => self.report.unserved[1] += 1,
