--- a/crates/conformance/src/acts.rs
+++ b/crates/conformance/src/acts.rs
@@ -33,7 +33,7 @@
     let mut violations = Vec::new();
     for (task, mut acts) in tasks {
         acts.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-        let (mut previous, mut longest) = (None::<&Act>, None::<&Act>);
+        let (mut previous, mut latest_ending) = (None::<&Act>, None::<&Act>);
         for act in acts {
             if let Some(earlier) = previous.filter(|p| p.token > act.token) {
                 violations.push(format!(
@@ -42,7 +42,7 @@
                 ));
             }
             // The act with the latest end so far must have ended, unless it has the same token.
-            if let Some(other) = longest.filter(|u| u.token != act.token && u.end > act.begin) {
+            if let Some(other) = latest_ending.filter(|u| u.token != act.token && u.end > act.begin) {
                 violations.push(format!(
                     "{task}: gateway {} acts from {:.1} ms while gateway {} acts until {:.1} ms",
                     act.gateway, act.begin, other.gateway, other.end
@@ -54,7 +54,7 @@
                     .push(format!("{task}: gateway {gateway} acts until {late:.1} ms behind its deadline"));
             }
             previous = Some(act);
-            longest = longest.filter(|u| u.end >= act.end).or(Some(act));
+            latest_ending = latest_ending.filter(|u| u.end >= act.end).or(Some(act));
         }
     }
     violations
