--- a/crates/emulators/src/load.rs
+++ b/crates/emulators/src/load.rs
@@ -16,6 +16,7 @@
     next_due_ms: f64,
     remaining: u64,
     sent: u64,
+    /// Number of gateways that the requests are sent to in turn.
     targets: usize,
     report: LoadReport,
 }
