--- a/crates/emulators/src/client.rs
+++ b/crates/emulators/src/client.rs
@@ -69,7 +69,9 @@
 
 struct InFlight {
     scheduled: ScheduledRequest,
+    /// When the client stops to read: at its early disconnect, or when the late window after its timeout has passed.
     deadline: f64,
+    /// Whether the client disconnects early at the deadline.
     cancels: bool,
 }
 
