--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -113,6 +113,7 @@
     }
 }
 
+/// What a connection belongs to, with the state of its protocol.
 enum Owner {
     Node { node: usize, incarnation: u32, decoder: Box<Decoder>, head: Option<Head>, body: Vec<u8> },
     Counter { session: Session, pending_replies: Vec<u8> },
@@ -123,12 +124,15 @@
     kind: Owner,
     /// Attempts that were received on the connection and are not answered yet.
     attempts: Vec<u64>,
+    /// Whether the connection waits until its output can be written.
     writing: bool,
     /// Close the connection once the output is flushed.
     closing: bool,
     keep_alive: bool,
 }
 
+/// An attempt that a node has read and not finished. It stays if its connection ends, because the node finishes it all the
+/// same.
 struct PendingRequest {
     connection: usize,
     node: usize,
@@ -137,7 +141,9 @@
 }
 
 enum TimerEvent {
+    /// A node finishes the processing of this attempt.
     Finished(u64),
+    /// The counter sends these delayed replies on this connection.
     Counter(usize, Vec<u8>),
 }
 
