--- a/crates/emulators/src/counter.rs
+++ b/crates/emulators/src/counter.rs
@@ -15,7 +15,7 @@
     Restart,
 }
 
-/// The counts, each with its expiry time.
+/// The counts, each with its value and its expiry time, if it has one.
 #[derive(Debug, Default)]
 pub struct Counter {
     counts: HashMap<String, (f64, Option<f64>)>,
@@ -27,6 +27,7 @@
 /// State of one connection.
 #[derive(Debug, Default)]
 pub struct Session {
+    /// Commands queued since MULTI; `None` outside a transaction.
     queued: Option<Vec<Vec<String>>>,
     authenticated: bool,
     /// Whether the client selected RESP3.
