--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -28,9 +28,14 @@
     pub const NONE: Self = Self { cut: false, loss: 0.0, duplication: 0.0, max_delay_ms: 0.0 };
 }
 
+/// The state that the relay's thread shares with its owner.
 struct Links {
+    /// Number of gateways.
     gateways: usize,
+    /// Address at which each gateway receives datagrams.
     destinations: Vec<Option<SocketAddr>>,
+    /// Faults of each link. The link from gateway `from` to gateway `to` has the index `from * gateways + to`, and so
+    /// has its socket.
     links: Vec<LinkFaults>,
 }
 
