--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -49,7 +49,8 @@
     Malformed(f64),
     /// Factor between the cost that a response reports and the actual cost of its data.
     MisreportCost(f64),
-    /// Number of bytes appended to each text of a response, at least 64; 0 appends 64 to waveforms only.
+    /// Number of bytes that are appended to each text of a response; a number from 1 to 63 counts as 64. 0 ends the
+    /// fault: then 64 bytes are appended to the field `waveform` only.
     Oversize(usize),
 }
 
@@ -108,6 +109,7 @@
     malformed_share: f64,
     pub cost_factor: f64,
     pub extra_text_bytes: usize,
+    /// Arrival time and work, in ms, of each request in the last `fall_window_ms`, if the node was started cold.
     recent_work: VecDeque<(f64, f64)>,
 }
 
