--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -228,6 +228,7 @@
         let plan = |name: &str| PLANS.iter().find(|p| p.name == name);
         let customers: Vec<_> =
             customers().into_iter().filter_map(|(n, p, k)| Some((n, plan(p)?, k))).collect();
+        // The first request of each customer is due within 300 ms.
         let first = |at| Reverse(((start * 1000.0 + rng.random::<f64>() * 3e5) as u64, at));
         let due_requests = (0..customers.len()).map(first).collect();
         let (due_retries, retries, pending) = Default::default();
@@ -260,6 +261,7 @@
     fn pick_operation(&mut self, behavior: &ClientBehavior) -> usize {
         let index_of =
             |name: &str| self.operations.iter().position(|o| o.operation.name == name).unwrap_or(0);
+        // The two operations whose actual cost is not their price: `similar` costs five times as much, `shelf` a fifth.
         let (similar, shelf) = (index_of("similar"), index_of("shelf"));
         let chance: f64 = self.rng.random();
         if chance < behavior.mispriced_share {
@@ -287,6 +289,7 @@
     fn pick_gateway(&mut self, customer: usize) -> usize {
         let accepting = self.accepting.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
         let (count, chance) = (accepting.len(), self.rng.random::<f64>());
+        // The further digits of `chance` choose among the other gateways.
         let other = 1 + (chance * 1000.0) as usize % (count - 1).max(1);
         let first = if chance < 0.6 || count == 1 { customer % count } else { (customer + other) % count };
         (0..count).map(|n| (first + n) % count).find(|g| accepting[*g]).unwrap_or(first)
@@ -364,7 +367,7 @@
             let Some(Reverse((at, customer))) = self.due_requests.pop() else { break };
             let operation = self.pick_operation(&behavior);
             let rate = self.customers[customer].1.rate * self.load * behavior.rate_factor.max(1e-3);
-            // The rate is in units, so more expensive operations are sent less often.
+            // The rate is in units, so more expensive operations are sent less often. The wait is at most 20 s.
             let wait = self.exponential(self.operations[operation].units / rate * 1e6);
             self.due_requests.push(Reverse((at + wait.min(20e6) as u64, customer)));
             requests.extend(self.schedule_request(now, customer, operation, None, &behavior));
