--- a/crates/drill/src/lease_drill.rs
+++ b/crates/drill/src/lease_drill.rs
@@ -405,6 +405,7 @@
                 }
                 std::thread::sleep(Duration::from_millis(5));
                 polls += 1;
+                // A build with the feature `pause-before-write` may have stopped itself.
                 if polls % 100 == 0 {
                     let _ = self.resume_all();
                 }
