--- a/crates/conformance/src/record.rs
+++ b/crates/conformance/src/record.rs
@@ -9,7 +9,7 @@
 pub enum Kind {
     /// Complete data.
     Served,
-    /// Status 429 or 503 with a code that says that a retry is safe.
+    /// A response with an error code that says that a retry is safe.
     Refused,
     /// Any other response; it says nothing about whether a retry is safe.
     Failed,
@@ -95,9 +95,9 @@
         /// Name of the phase.
         name: String,
     },
-    /// A fault was injected.
+    /// A step of the drill with acts begins; the acts may also end faults or change the fleet.
     Fault {
-        /// Description of the fault.
+        /// Name of the phase of the step.
         what: String,
     },
     /// The counter received a call.
@@ -218,7 +218,7 @@
         attempt: u64,
         /// Status code.
         status: u16,
-        /// Units that the data of the response is worth.
+        /// Cost of the data of the response, in units.
         units: f64,
     },
     /// The connection of a running attempt ended.
