--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -33,10 +33,10 @@
     pub latency_ms: (f64, f64),
 }
 
-/// Usage of one account.
+/// Usage of one customer (an account in reports).
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct AccountUsage {
-    /// Plan of the account.
+    /// Plan of the customer.
     pub plan: String,
     /// Units of all requests, by their price.
     #[serde(rename = "asked")]
@@ -44,7 +44,7 @@
     /// Units of the requests that gateways forwarded, by their price.
     #[serde(rename = "sent")]
     pub forwarded_units: f64,
-    /// Units that the nodes' responses were worth.
+    /// Cost of the data of the nodes' responses, in units.
     pub true_units: f64,
     /// Units that the quota allows over the run: the burst plus the rate times the duration.
     #[serde(rename = "quota")]
@@ -67,7 +67,7 @@
     /// Number of responses by error code.
     #[serde(rename = "codes")]
     pub responses_by_code: BTreeMap<String, u64>,
-    /// Usage by account.
+    /// Usage by customer.
     pub accounts: BTreeMap<String, AccountUsage>,
     /// Number of attempts at nodes, and how many of them were retries.
     pub attempts: (u64, u64),
