--- a/crates/conformance/src/recovery.rs
+++ b/crates/conformance/src/recovery.rs
@@ -156,6 +156,7 @@
         Recovery {
             fault: (*what).clone(),
             at_ms: *at,
+            // The first window starts at the next multiple of `BUCKET_MS`.
             measured: at + WINDOW_MS + BUCKET_MS <= until,
             full_service_ms: all,
             gateways: baseline.gateways.iter().map(|(g, q)| (*g, ms(run.gateways.get(g), q))).collect(),
