--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -18,7 +18,8 @@
 /// How much later an event may be recorded than an event that it caused at another emulator: emulators share a clock, but
 /// each reads its sockets in turn.
 const EVENT_ORDER_SLACK_MS: f64 = 30.0;
-/// How long after the outage of a gateway its clients may still notice that a request was lost.
+/// How long after the outage of a gateway a client may still notice the loss of a request that it sent when the outage
+/// had just ended.
 const OUTAGE_NOTICE_MS: f64 = 1500.0;
 /// Allowance for a cold node, in requests of the largest size: gateways budget for an even share of the requests, but the
 /// actual distribution is random.
@@ -123,6 +124,9 @@
             _ => {}
         }
     }
+    // Whether a request that was open between two times may have been lost in an outage. One that was sent before the
+    // outage ended may have been, however late its client notices; one sent up to the order slack after the end only if
+    // its client notices within `OUTAGE_NOTICE_MS`.
     let unavailable = |gateway: usize, from: f64, to: f64| {
         let spans = down.get(&gateway).into_iter().flatten();
         spans.clone().any(|(start, end)| {
