--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -24,7 +24,7 @@
 /// The largest difference in rate between the clocks of two gateways, in parts per million.
 const CLOCK_DRIFT_PPM_DEFAULT: u32 = 10_000;
 const CLOCK_DRIFT_PPM_RANGE: RangeInclusive<u64> = 0..=499_999;
-/// The interval between two probes of the whole fleet, in ms.
+/// The shortest time between two probes in the whole fleet, in ms.
 const PROBE_INTERVAL_MS: Setting = Setting { default: 200.0, range: 10.0..=6e4 };
 /// The range of the timeout of a probe, and the upper limit of its default, in ms.
 const MIN_PROBE_TIMEOUT_MS: f64 = 10.0;
@@ -90,7 +90,7 @@
 /// The settings of the outlier gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierGossipConfig {
-    /// The interval between two probes of the whole fleet.
+    /// The shortest time between two probes in the whole fleet.
     pub probe_interval_ms: u64,
     /// A node that has not answered a probe after this time has failed it.
     pub probe_timeout_ms: u64,
@@ -248,6 +248,8 @@
     raw: &raw::Suspects, lease_duration_ms: u64, checker: &mut Checker<'_>,
 ) -> OutlierGossipConfig {
     let path = |field: &str| format!("leases.suspects.{field}");
+    // At least the minimum: otherwise a lease duration below its range, which is a fault of its own, would make the
+    // default timeout a second fault.
     let half_lease = (lease_duration_ms / 2).max(10) as f64;
     let timeout = Setting {
         default: (half_lease / 2.0).clamp(MIN_PROBE_TIMEOUT_MS, MAX_DEFAULT_PROBE_TIMEOUT_MS),
@@ -302,6 +304,8 @@
             format!("`{request_path}` must begin with / and contain no space or line break"),
         );
     }
+    // At least the minimum: otherwise a lease duration below its range, which is a fault of its own, would make the
+    // default duration a second fault.
     let half_lease = (lease_duration_ms / 2).max(1) as f64;
     // A duration in the settings that is below the minimum is raised to it and not rejected.
     let duration = raw.needs_ms.unwrap_or(half_lease / 2.0).max(MIN_CALL_DURATION_MS);
