--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -28,7 +28,7 @@
     pub fn find(&self, path: &str) -> Option<Position> {
         let mut path = path;
         loop {
-            // A field that is not repeated is recorded with the index 0 as well.
+            // Each value is recorded with an index; that of a field that is not repeated is 0.
             let found = self.positions.get(path).or_else(|| self.positions.get(&format!("{path}[0]")));
             if found.is_some() {
                 return found.copied();
