--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -267,6 +267,7 @@
     let slow_start = raw.cold_nodes.unwrap_or_default();
     let routing = raw.routing.as_ref().map(|r| routing(r, checker)).unwrap_or_default();
     let attempts = raw.attempts.unwrap_or_default();
+    // The decisions do not use this: the gateway compares the cost of a request with its plan.
     let max_request_units = plans.iter().map(|p| p.burst).fold(1.0, f64::max);
     let decisions = doorcourse::Settings {
         gateway_count: gateways,
@@ -275,6 +276,7 @@
         tick: 1.0,
         classes,
         plans,
+        // Without a shared counter, the process counts in itself.
         has_counter: true,
         counter_timeout: counter.as_ref().map_or(50.0, |c| c.call_timeout),
         responses_report_units: true,
