--- a/crates/deployment/src/load.rs
+++ b/crates/deployment/src/load.rs
@@ -1,4 +1,5 @@
-//! Load reports of backends, in the forms of the simulator's and of the platform's wire.
+//! Load reports of backends, in the formats that the simulator and the platform send. The two use different separators
+//! and names.
 
 use doorcourse::LoadReport;
 
