--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object. A missing key has the zero value of its type, an unknown key is ignored, and a value of
-//! the wrong type is an error that names the key.
+//! Reads the settings object of a deployment document. A missing key has the zero value of its type, an unknown key is
+//! ignored, and a value of the wrong type is an error that names the key.
 
 use doorcourse::{
     DeduplicationScope, Idempotency, LoadReportSource, Millis, Name, Plan, RequestClass, Routing, Settings,
