--- a/crates/graphql/src/merge.rs
+++ b/crates/graphql/src/merge.rs
@@ -81,6 +81,7 @@
                 fields.iter().partition(is_object);
             let mut groups: BTreeMap<TypeId, Vec<FieldOnType<'a>>> = BTreeMap::new();
             on_objects.iter().for_each(|f| groups.entry(f.1).or_default().push(**f));
+            // Without fields on object types, the fields on abstract types form one group; its key is not used.
             if groups.is_empty() {
                 groups.insert(0, Vec::new());
             }
@@ -99,6 +100,7 @@
         let selections = &self.document.selection_sets[selection_set];
         let name =
             |s: &'a Selection| if let Selection::Field(f) = s { Some(f.response_name()) } else { None };
+        // A short list is searched without the cost of a set; for a long one that would take quadratic time.
         if selections.len() > 16 {
             let mut names = HashSet::with_capacity(selections.len());
             return selections.iter().all(|s| name(s).is_some_and(|n| names.insert(n)));
