--- a/crates/graphql/src/plan.rs
+++ b/crates/graphql/src/plan.rs
@@ -22,7 +22,7 @@
     pub field_cost: f64,
     /// Weights of the types of the returned objects and leaf values.
     pub type_cost: f64,
-    /// Sum of both: the units that an account is charged.
+    /// Sum of both: the units that the customer is charged.
     pub units: f64,
 }
 
@@ -270,6 +270,8 @@
         Cost { field_cost, type_cost, units: field_cost + type_cost }
     }
 
+    /// Field cost and type cost of a node. `sized_fields` is that of the field whose value the node is
+    /// ([`Entry::sized_fields`]): it gives the size of lists in the node.
     fn price_node(
         &mut self, node: NodeId, sized_fields: Option<&(f64, Vec<String>)>,
         priced: &mut HashMap<NodeId, (f64, f64)>,
