--- a/crates/graphql/src/schema.rs
+++ b/crates/graphql/src/schema.rs
@@ -81,6 +81,7 @@
 
 /// Definitions in every schema: the built-in scalars (section 3.5) and directives (section 3.13), the directives of the
 /// IBM cost directive specification, and the introspection types (section 4.2), whose type cost is 0.
+/// The parser ignores the locations of a directive, so each has only one here.
 const BUILT_IN: &str = r#"
 scalar Int scalar Float scalar String scalar Boolean scalar ID
 directive @skip(if: Boolean!) on FIELD
@@ -339,6 +340,7 @@
             }
             let output_field = OutputField {
                 ty: field.ty.clone(),
+                // Set by `resolve_types`.
                 named_type: 0,
                 arguments,
                 weight,
