--- a/crates/graphql/src/stub.rs
+++ b/crates/graphql/src/stub.rs
@@ -20,6 +20,7 @@
     }
 }
 
+/// Appends an object. `sized_fields` is that of the field whose value the object is (`Entry::sized_fields`).
 fn write_object(
     plan: &mut Plan, node: NodeId, sized_fields: Option<&(f64, Vec<String>)>, stub_data: &mut dyn StubData,
     out: &mut String,
