--- a/crates/http-gateway/src/gateway.rs
+++ b/crates/http-gateway/src/gateway.rs
@@ -6,7 +6,8 @@
 //! # Order of an iteration ([`Gateway::run`])
 //!
 //! 1. Process pending messages.
-//! 2. Fire the timers that are due. Before each timer, a stalled iteration polls again for disconnected clients.
+//! 2. Fire the timers that are due. Before each timer, poll again for disconnected clients if the iteration has
+//!    stalled, that is, if its last poll was too long ago (`needs_repoll`).
 //! 3. Drive the counter link, then the link to the other gateways.
 //! 4. Exchange outlier reports with the other gateways; process pending messages.
 //! 5. Report the pending work to the process's life cycle; process pending messages. Exit if it requests that.
@@ -80,6 +81,7 @@
     state: Option<StatePersistence>,
     /// Whether the process's life cycle has requested the exit.
     exit_requested: bool,
+    /// When the poller was last asked for readiness. An iteration that is still busy long after this has stalled.
     last_poll_at: Millis,
     /// The connection to the process from which this one takes over, until this one serves.
     predecessor: Option<UnixStream>,
@@ -162,6 +164,7 @@
         let lifecycle_due = self.lifecycle.next_timeout(self.io.now());
         let due =
             self.io.timers.next_deadline().unwrap_or(Millis::INFINITY).min(counter_due).min(lifecycle_due);
+        // A time span, because the fleet's deadlines are on another clock (`boot_time_ms`).
         let fleet_due_in = self.fleet.as_ref().map_or(Millis::INFINITY, Fleet::next_timeout_in);
         let wait = if due.is_finite() { self.io.clock.until(due) } else { duration(MAX_WAIT) };
         let wait = wait.min(duration(fleet_due_in.min(MAX_WAIT)));
