--- a/crates/http-gateway/src/gateway/process.rs
+++ b/crates/http-gateway/src/gateway/process.rs
@@ -36,6 +36,7 @@
                     admin.disconnect(peer);
                 }
             }
+            // These are the quota leases; those of tasks are released by `announce_close`.
             ProcessAction::ReleaseLeases => self.io.events.push_back(Event::ShutdownStarted),
             ProcessAction::FinishRequests => self.finish_requests(),
             ProcessAction::Exit => self.exit_requested = true,
@@ -48,6 +49,8 @@
         }
     }
 
+    /// Announces to clients that their connections will close, and ends this gateway's part in the fleet: other
+    /// gateways can then hold its tasks, and a process that takes over can bind the address of the link.
     fn announce_close(&mut self) {
         self.clients.announce_close = true;
         if let Some(fleet) = &mut self.fleet {
