--- a/crates/http-gateway/src/requests.rs
+++ b/crates/http-gateway/src/requests.rs
@@ -15,7 +15,7 @@
 use in_flight::{Attempt, BufferedResponse, InFlightRequest};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// The largest difference between the cost that a backend claims and the counted cost that is not logged, in units.
+/// A cost that a backend claims is logged if it differs from the counted cost by more than this, in units.
 const CLAIM_TOLERANCE: f64 = 1e-6;
 
 /// All requests in flight.
@@ -74,7 +74,7 @@
         AdmittedRequest { incoming, body_bytes }
     }
 
-    /// Records that the decisions start an attempt at a backend. Returns the number of the attempt.
+    /// Records that the decisions start an attempt at a backend. Returns the number of the attempt, from 1.
     pub(crate) fn attempt_started(&mut self, now: Millis, id: RequestId, backend: Name) -> u32 {
         let Some(request) = self.requests.get_mut(&id) else { return 0 };
         request.attempt.backend = backend;
@@ -84,14 +84,16 @@
         request.lifecycle.attempts()
     }
 
-    /// Handles the retry deadline of an attempt: the attempt is withdrawn unless bytes of it are written.
+    /// Handles the retry deadline of an attempt: the attempt is withdrawn, which its life cycle ignores if bytes of it
+    /// are written.
     pub(crate) fn handle_retry_deadline(&mut self, now: Millis, id: RequestId, attempt: u32) {
         if self.requests.get(&id).is_some_and(|request| request.has_attempt(attempt)) {
             self.handle_event(now, id, LifecycleEvent::Withdrawn);
         }
     }
 
-    /// Withdraws the unwritten attempts at all backends except these.
+    /// Withdraws the attempts at all backends except these. The life cycle of a request ignores this if bytes of the
+    /// attempt are written.
     pub(crate) fn withdraw_unwritten_except(&mut self, now: Millis, backends: &HashSet<Name>) {
         let elsewhere = |request: &InFlightRequest| {
             request.lifecycle.has_attempt() && !backends.contains(&request.attempt.backend)
