--- a/crates/http-gateway/src/requests/in_flight.rs
+++ b/crates/http-gateway/src/requests/in_flight.rs
@@ -47,6 +47,7 @@
     ) -> AttemptEnd {
         AttemptEnd {
             id,
+            // From 0 here; elsewhere in the request table attempts count from 1.
             attempt: self.lifecycle.attempts() - 1,
             backend: self.attempt.backend.clone(),
             outcome,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether an attempt with this number is in flight.
+    /// Whether the attempt with this number, from 1, is in flight.
     pub(super) fn has_attempt(&self, number: u32) -> bool {
         self.lifecycle.has_attempt() && self.lifecycle.attempts() == number
     }
