--- a/crates/http-gateway/src/clients/output.rs
+++ b/crates/http-gateway/src/clients/output.rs
@@ -132,6 +132,7 @@
         let unread = client.socket.pending();
         let between_requests = matches!(client.phase, ConnectionPhase::ReadingHead);
         let held_back = between_requests && !self.budget.may_start_request(unread);
+        // While input is only buffered and not decoded, reading stops at a limit.
         let buffers_input = client.has_request() || client.closing || held_back;
         let read = client.is_lingering() || !buffers_input || client.socket.input.len() < MAX_PIPELINED_BYTES;
         let interest = Interest::of(read, unread > 0).with_peer_close();
