--- a/crates/http-gateway/src/fleet.rs
+++ b/crates/http-gateway/src/fleet.rs
@@ -2,7 +2,8 @@
 //!
 //! This module translates between sockets and three state machines: `doorcourse_peers` decides which datagrams are
 //! accepted, `doorcourse_lease` who holds a task and whether a call may be written, `doorcourse_outlier_gossip` which
-//! nodes are probed and which are outliers.
+//! nodes are probed and which are outliers. Their times are in ms since the boot of the machine ([`boot_time_ms`]),
+//! unlike those of the event loop.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -67,6 +68,7 @@
         let Some(link_config) = config.link.clone() else { return Ok(None) };
         let now = boot_time_ms();
         let gateway = config.decisions.gateway_index;
+        // Not 0: peers drop datagrams of incarnation 0.
         let incarnation = seed | 1;
         let mut fleet = Self {
             gateway,
