--- a/crates/http-gateway/src/fleet/probes.rs
+++ b/crates/http-gateway/src/fleet/probes.rs
@@ -52,6 +52,7 @@
     pub(crate) fn observe_nodes(&mut self, io: &mut Io, statuses: Vec<NodeStatus>, nodes: &[Node]) {
         let now = boot_time_ms();
         let Some(monitor) = &mut self.outliers else { return };
+        // Probes start at observations, so one that is due starts at most half a probe interval late.
         let interval = (monitor.config.probe_interval_ms / 2).max(MIN_OBSERVATION_INTERVAL_MS);
         self.next_observation_at = now + interval;
         let probe_timeout = monitor.config.probe_timeout_ms;
