--- a/crates/http-gateway/src/fleet/leases.rs
+++ b/crates/http-gateway/src/fleet/leases.rs
@@ -12,6 +12,7 @@
     pub(super) fn handle_lease_input(&mut self, io: &mut Io, now: Millis, input: Input) {
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
+        // The second time is the wall clock.
         leases.handle(now, io.now() as u64, input, &mut outputs);
         for output in outputs {
             self.handle_lease_output(io, now, output);
