--- a/crates/http-gateway/src/fleet/connections.rs
+++ b/crates/http-gateway/src/fleet/connections.rs
@@ -88,7 +88,8 @@
         self.socket.output().extend_from_slice(request.as_bytes());
     }
 
-    /// Writes the request completely, or fails; then registers for the response.
+    /// Writes the request completely, or fails, because the rest could be written after the lease has expired. Then
+    /// registers for the response.
     pub(super) fn flush_request(&mut self, io: &Io, slot: usize) -> Result<(), CallFailure> {
         if self.socket.flush() != Flow::Open || self.socket.pending() > 0 {
             return Err(CallFailure::RequestNotWritten);
