--- a/crates/http-gateway/src/settings_reload.rs
+++ b/crates/http-gateway/src/settings_reload.rs
@@ -16,13 +16,13 @@
 /// Settings that were read, and how they differ from those in force.
 type ReadResult = Result<(Config, SettingsDiff), String>;
 
-/// The byte that the reading thread writes to the pipe; signals and [`crate::Stopper`] write other bytes.
+/// The byte that the reading thread writes to the pipe; SIGHUP and [`crate::Stopper`] write other bytes.
 const READ_FINISHED: u8 = 0xff;
 
 /// The events that the pipe reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReloadEvents {
-    /// Whether a signal or another thread requests a reload.
+    /// Whether SIGHUP or [`crate::Stopper`] requests a reload.
     pub requested: bool,
     /// Whether settings are read and wait for the life cycle's decision.
     pub settings_read: bool,
@@ -50,7 +50,7 @@
 }
 
 impl SettingsReload {
-    /// Opens and registers the pipe of signals and of the reading thread.
+    /// Opens and registers the pipe to which SIGHUP, [`crate::Stopper`] and the reading thread write.
     pub(crate) fn new(io: &Io, read_settings: Option<ReadSettings>) -> anyhow::Result<Self> {
         let (sender, receiver) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -69,7 +69,7 @@
         })
     }
 
-    /// The sending end of the pipe, for signals and other threads.
+    /// The sending end of the pipe, for the handler of SIGHUP and for [`crate::Stopper`].
     pub(crate) fn sender(&self) -> std::io::Result<UnixStream> {
         self.sender.try_clone()
     }
