--- a/crates/http-gateway/src/graphql_front.rs
+++ b/crates/http-gateway/src/graphql_front.rs
@@ -1,9 +1,9 @@
 //! GraphQL over HTTP: translates HTTP requests to requests for the decisions, and final responses to HTTP.
 //!
-//! Only this module depends on the clients' protocol; it holds no state and does no I/O. A request is processed in
-//! three steps: its head, before its body is read ([`check_head`]); its parameters; and its operation
-//! ([`prepare_request`]), which is validated against the schema and determines cost, class and timeout. Each step may
-//! reject it with a [`Response`].
+//! Only this module interprets GraphQL over HTTP; `clients` decodes and encodes HTTP itself. This module holds no state
+//! and does no I/O. A request is processed in three steps: its head, before its body is read ([`check_head`]); its
+//! parameters; and its operation ([`prepare_request`]), which is validated against the schema and determines cost, class
+//! and timeout. Each step may reject it with a [`Response`].
 
 mod head;
 mod operation;
