--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -81,9 +81,9 @@
 fn admit_probability(prior_within_quota: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
     let admits_unknown =
         prior_within_quota > (1.0 - prior_within_quota) * (plan.over_quota_cost - plan.over_quota_value);
-    let prior = f64::from(admits_unknown);
+    let default_probability = f64::from(admits_unknown);
     let age_periods = (now - last.estimated_at) / refill_period(plan);
-    prior + (-age_periods / ADMIT_FADE_PERIODS).exp() * (last.probability - prior)
+    default_probability + (-age_periods / ADMIT_FADE_PERIODS).exp() * (last.probability - default_probability)
 }
 
 /// The probability of admitting requests of one customer, from a total received here or by another gateway.
