--- a/src/quota/sampled.rs
+++ b/src/quota/sampled.rs
@@ -18,17 +18,19 @@
 const MIN_LEASABLE_UNITS: f64 = 0.5;
 /// A window grants this share of the burst at once; the rest is refilled at the rate.
 const WINDOW_INITIAL_SHARE: f64 = 0.75;
-/// Requests over quota are admitted in the proportion that the rate and this share of the burst sustain.
+/// Once a total is over quota, the admit probability is the part of the requested units that this share of the burst
+/// and the units refilled since the window began cover.
 const ADMIT_BURST_SHARE: f64 = 0.25;
-/// An admit probability fades to the plan's prior over this many refill periods.
+/// An admit probability decays exponentially to the plan's default, with a time constant of this many refill periods.
 const ADMIT_FADE_PERIODS: f64 = 4.0;
-/// An admit probability below this is gossiped, and again when it falls below this share of the last one.
+/// Only an admit probability below this is gossiped: when it is below this share of the last one recorded, or when that
+/// one is older than a refill period.
 const GOSSIP_THRESHOLD: f64 = 0.7;
-/// A first total is within quota if other requests asked for less than this share of the granted units. Equal to the
-/// share at which units of a leased quota become scarce.
+/// A customer's first total at this gateway counts as within quota if the requests before those of its call asked for
+/// less than this share of the granted units. Equal to the share at which units of a leased quota become scarce.
 const PRIOR_WITHIN_QUOTA_SHARE: f64 = SCARCE_SHARE;
-/// The least sampling probability: a plan or class of little weight lowers the least call rate by at most the same
-/// factor again, so that some requests of each customer are counted even while calls are scarce.
+/// The least sampling probability. Where a plan or class has little weight, the least call rate is lowered by at most
+/// the same factor once more, so that some requests of each customer are counted even while calls are scarce.
 const MIN_SAMPLING_PROBABILITY: f64 = MIN_CALL_RATE * MIN_CALL_RATE;
 /// Weight of the newest first total in a plan's prior.
 const PRIOR_WEIGHT: f64 = 0.1;
@@ -60,7 +62,8 @@
     (call_rate * relative_loss * relative_priority).clamp(MIN_SAMPLING_PROBABILITY, MAX_CALL_RATE)
 }
 
-/// Whether a request is in the sample, by `draw` in 0..1. For a client's retry the probability is what exceeds 1.
+/// Whether a request is in the sample, by `draw` in 0..1. A client's retry is in it with the part of the sampling
+/// probability that exceeds 1, hence never where that is 1 or less.
 fn is_in_sample(draw: f64, sampling_probability: f64, client_retry: bool) -> bool {
     let retry_offset = if client_retry { 1.0 } else { 0.0 };
     draw < sampling_probability - retry_offset
@@ -75,9 +78,9 @@
 
 /// The probability of admitting a request without a total of its own.
 ///
-/// The customer's last probability fades to the prior of its plan, which is 0 or 1: `prior_within_quota` is the share
-/// of first totals within quota, and the prior is 1 where admitting all gains more than the wrongly admitted requests
-/// cost.
+/// The customer's last probability decays to the default of its plan. The default is 1 where admitting all customers
+/// without a total gains more than the wrongly admitted requests cost, else 0; `prior_within_quota`, the share of first
+/// totals within quota, is the probability that such a customer is within quota.
 fn admit_probability(prior_within_quota: f64, plan: &Plan, last: AdmitEstimate, now: Millis) -> f64 {
     let admits_unknown =
         prior_within_quota > (1.0 - prior_within_quota) * (plan.over_quota_cost - plan.over_quota_value);
@@ -108,14 +111,15 @@
         self.0.retain(|_, estimate| now - estimate.estimated_at < retention);
     }
 
-    /// The last estimate; for an unknown customer, probability 0 at time 0. That has faded unless the clock is within a
-    /// few refill periods of 0.
+    /// The last estimate; for an unknown customer, probability 0 at time 0. That has decayed to the plan's default once
+    /// the clock is a few refill periods past 0.
     fn get(&self, name_hash: u64) -> AdmitEstimate {
         self.0.get(&name_hash).copied().unwrap_or_default()
     }
 }
 
-/// The share of first totals of a plan's customers that were within quota, for first requests and for clients' retries.
+/// The smoothed share of first totals of a plan's customers that were within quota: of totals that only first requests
+/// waited for, and of totals that a client's retry waited for. The plan's default admit probability follows from it.
 #[derive(Clone, Copy)]
 pub(crate) struct PlanPrior {
     first_request_within_quota: f64,
@@ -154,8 +158,9 @@
 }
 
 impl SampledWindow {
-    /// Inputs: `elapsed` since the window began, `requested_units` by other requests, `call_units` by those of the last
-    /// call, whose weights exceed their own units by `excess_units`.
+    /// Inputs: `elapsed`, in ms, since the window began; `requested_units`, the total without the last call;
+    /// `call_units`, the weighted units of the last call's requests; `excess_units`, by how much these exceed the units
+    /// of the requests themselves.
     ///
     /// The weight of a sampled request above its own units represents requests that were admitted by draw, without a
     /// total: this excess is granted.
@@ -234,8 +239,7 @@
         self.decide_sampled(waiting, requested_units, window.granted_units, units_per_second, out);
     }
 
-    /// Records an admit probability. Gossips it if it is below the threshold and either has fallen below that share of
-    /// the last one or the last one is older than a refill period.
+    /// Records an admit probability, and gossips it where [`GOSSIP_THRESHOLD`] requires it.
     fn record_admit_probability(
         &mut self, name_hash: u64, probability: f64, refill_period: Millis, out: &mut Vec<Action>,
     ) {
