--- a/crates/lease/src/leases/voting.rs
+++ b/crates/lease/src/leases/voting.rs
@@ -68,8 +68,8 @@
             return Err(Refusal::NotVoting);
         }
         let own = self.voters_version();
-        let is_neighbour = voters_version == own || voters_version == own + 1;
-        if !is_neighbour && !self.is_disabled(DisabledRule::VoterVersions) {
+        let is_compatible = voters_version == own || voters_version == own + 1;
+        if !is_compatible && !self.is_disabled(DisabledRule::VoterVersions) {
             return Err(Refusal::VersionMismatch);
         }
         self.highest_token = self.highest_token.max(request.token);
