--- a/src/balancer/select.rs
+++ b/src/balancer/select.rs
@@ -6,9 +6,9 @@
 use crate::health::slow_start::{exceeds_slow_start_budget, is_warm, slow_start_budget};
 use crate::{DeduplicationScope, Gateway, Millis, Name, RequestId, Settings};
 
-/// A backend in another zone counts as this much slower for each point of the cross-zone price. The factor is large
-/// because prices are small.
-const CROSS_ZONE_PENALTY_PER_POINT: f64 = 5.0;
+/// A backend in another zone counts as slower by the factor 1 plus this times [`Settings::cross_zone_price`]. It is
+/// large because prices are small.
+const CROSS_ZONE_PRICE_FACTOR: f64 = 5.0;
 /// In a large fleet a backend outside the gateway's subset counts as this much slower.
 const OUT_OF_SUBSET_PENALTY: f64 = 100.0;
 /// In a small fleet, draws change the score of a backend by up to this share: they decide among equals.
@@ -242,7 +242,7 @@
             deduplication_scope: class.deduplication_scope,
             executed_on: keyed.and_then(|execution| self.backends.get(&execution.backend)),
             slow_start_budget: slow_start_budget(self.load_shedder.admit_fraction()),
-            cross_zone_penalty: 1.0 + self.settings.cross_zone_price * CROSS_ZONE_PENALTY_PER_POINT,
+            cross_zone_penalty: 1.0 + self.settings.cross_zone_price * CROSS_ZONE_PRICE_FACTOR,
             is_large_fleet: is_large_fleet(self.settings.gateway_count),
         };
         for backend in self.backends.values() {
