--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -36,9 +36,10 @@
     pub inverse_weight_share: f64,
     /// Its weight relative to the mean of its level.
     pub relative_weight: f64,
-    /// Its weight in a random draw of a large fleet, relative to the mean of its level.
+    /// Its weight in a random draw of a large fleet, relative to the mean of its level. Where weights differ, a backend
+    /// of this gateway's subset has only the part that the subset covers.
     pub subset_weight: f64,
-    /// Its pass in stride scheduling, on the clock of its level; `None` until it enters a level.
+    /// Its pass in stride scheduling, comparable to the passes of its level; `None` until it enters a level.
     pub pass: Option<f64>,
     /// Its state with regard to the request being forwarded.
     pub candidate: Candidate,
