--- a/src/balancer/priority_levels.rs
+++ b/src/balancer/priority_levels.rs
@@ -29,7 +29,7 @@
 /// The backends of a level that may serve now, spares in use included.
 struct LevelMembers<'a> {
     slots: Vec<(usize, &'a Slot)>,
-    /// Whether a ready backend of the level is unavailable or warms up.
+    /// Whether a backend of the level that the endpoint list states as ready is ejected or in slow start.
     is_degraded: bool,
 }
 
@@ -58,7 +58,8 @@
     }
 
     /// Whether a spare replaces this backend: it is out of service or still in slow start. If the spare were withdrawn
-    /// at the first response of a backend in slow start, that backend would be overloaded.
+    /// at the first response of a backend in slow start, that backend would be overloaded. A sticky-only backend always
+    /// needs a spare for the requests that it does not take.
     fn needs_spare(&self) -> bool {
         match self.placement.role {
             BackendRole::Active => !self.is_available() || !self.candidate.is_warm,
