--- a/src/event.rs
+++ b/src/event.rs
@@ -23,7 +23,8 @@
     Active,
     /// It is used when no other backend of its priority level can serve.
     Standby,
-    /// It replaces one active backend of its level that is out of service, until that one has warmed up again.
+    /// It replaces one active backend of its level that is out of service, until that one has warmed up again, or one
+    /// that takes only requests with its sticky route.
     Spare,
     /// It takes only requests with its sticky route.
     StickyOnly,
