--- a/src/settings.rs
+++ b/src/settings.rs
@@ -113,9 +113,9 @@
     pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
-    /// The shortest time between two calls of `handle` at different times, in ms: a simulator's time between batches
-    /// (`period-ms` of the deployment document, which the RESP gateway reads as well), 1 ms in the HTTP gateway, the
-    /// resolution of its timers.
+    /// The resolution of the host's time, in ms: the shortest time by which two calls of `handle` differ if their times
+    /// are not equal. In a simulator it is the time between batches (`period-ms` of the deployment document, which the
+    /// RESP gateway reads as well); in the HTTP gateway it is 1 ms, the resolution of its timers.
     pub tick: Millis,
     /// The request classes; at least one.
     pub classes: Vec<RequestClass>,
@@ -154,9 +154,8 @@
     pub overload_multiple: f64,
     /// The time over which that multiple is measured, in ms. Not used yet, only checked.
     pub overload_window: Millis,
-    /// The price of crossing zones, in points of the score, which is the share of the value that was served (0 to 1).
-    /// The score falls by this much if the first attempt of every request goes to a backend in another zone, and by a
-    /// proportional part if only some do.
+    /// The price of crossing zones, as a share of the value of all requests (0 to 1). It is paid in full if the first
+    /// attempt of every request goes to a backend in another zone, and in proportion if only some do.
     pub cross_zone_price: f64,
     /// How backends with a stated placement are chosen.
     pub routing: Routing,
