--- a/src/status.rs
+++ b/src/status.rs
@@ -15,7 +15,7 @@
     pub available_units: f64,
     /// Units used and not yet added to the counter; negative where units are to be returned.
     pub unreported_units: f64,
-    /// Requests that wait for a lease.
+    /// Requests that wait for the counter.
     pub waiting: usize,
     /// Requests in flight.
     pub in_flight: u32,
