--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -16,8 +16,9 @@
 }
 
 impl Gateway {
-    /// Forwards a request or puts it into the queue. Rejects it early if it is shed, or if the queue already holds as
-    /// many requests as can be in flight: it would not be served in time.
+    /// Forwards a request or puts it into the queue. A request without an attempt so far gets its final response at
+    /// once if it is shed, or if the queue already holds as many requests as can be in flight, since it would not be
+    /// served in time. So does any request whose time in the queue is already over.
     pub(crate) fn forward_or_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = RequestStage::Queued;
