--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -90,7 +90,7 @@
 }
 
 /// The most overflow, in units, that may be credited against what other gateways used while the counter was unavailable
-/// for `unavailable_ms`.
+/// for `unavailable_ms`. `is_recent` says whether that ended less than a refill period ago.
 ///
 /// After the outage all gateways report what they used during it at once, but a full bucket could not store the units
 /// refilled in that time. The other gateways' even share of these units is credited against their reports. Not under a
