--- a/src/quota/customer.rs
+++ b/src/quota/customer.rs
@@ -36,7 +36,7 @@
     pub pending_call: Option<CounterCall>,
     /// Requests that wait for the counter, in order of arrival.
     pub waiting: VecDeque<RequestId>,
-    /// Set from the first request admitted without the counter until the counter's next response.
+    /// Set from the first request that is decided without the counter until the customer's next total.
     pub fallback_budget: Option<FallbackBudget>,
     /// Requests in flight at backends.
     pub in_flight: u32,
