--- a/src/quota/fallback.rs
+++ b/src/quota/fallback.rs
@@ -35,8 +35,8 @@
 }
 
 impl Customer {
-    /// Spends from the fallback budget, which is created by the first request after the counter's last response. Spent
-    /// units are reported once the counter is available again.
+    /// Spends from the fallback budget, which is created by the first request after the customer's last total that is
+    /// decided without the counter. Spent units are reported once the counter is available again.
     fn try_spend_fallback(&mut self, units: f64, now: Millis, plan: &Plan) -> bool {
         let available_units = self.bucket.available_units;
         let customer_gateways = self.customer_gateways;
