--- a/src/quota/settlement.rs
+++ b/src/quota/settlement.rs
@@ -7,8 +7,8 @@
     /// Accounts for the difference between the units that a response reports and those that were admitted.
     ///
     /// Under a ceiling no units are returned, since they would be spent above the ceiling. What the bucket cannot cover
-    /// is taken from the lease, which is already in the counter's total: no lease is spent while the bucket is
-    /// overdrawn.
+    /// is taken from the lease first, so that no lease is left to spend while the bucket is overdrawn. This part is not
+    /// reported, since the lease is already in the counter's total.
     pub(crate) fn settle(&mut self, true_units: f64, admitted_units: f64, plan: &Plan) {
         let min_difference = if plan.ceiling_rate > 0.0 { 0.0 } else { f64::NEG_INFINITY };
         let difference = (true_units - admitted_units).max(min_difference);
