--- a/src/counter/results.rs
+++ b/src/counter/results.rs
@@ -111,9 +111,11 @@
         }
     }
 
-    /// Handles the result of a call that had timed out. A total of the current window is handled as any other;
-    /// otherwise the lease is returned. Without this, leases that a slow counter added late would stay in its total
-    /// although no gateway holds them.
+    /// Handles the result of a call that had timed out. If it was not added, its units to return still have to be
+    /// returned. If it was added, its units to report are not reported again; a total of the current window that is not
+    /// below the last one is then handled as any other, and otherwise the lease is returned. Without this, leases that
+    /// a slow counter added late would stay in its total although no gateway holds them. Nothing is done for a call of
+    /// a sampled quota that was added.
     fn late_result_received(&mut self, counter: u64, added: bool, total: Option<f64>, out: &mut Vec<Action>) {
         let Some(TimedOutCall { customer: name, call, .. }) = self.timed_out_calls.take(counter) else {
             return;
