--- a/src/counter/availability.rs
+++ b/src/counter/availability.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Unavailability {
     pub started_at: Millis,
-    /// Minus infinity while the period lasts.
+    /// Minus infinity while the period lasts, so that no time counts as shortly after its end.
     pub ended_at: Millis,
 }
 
