--- a/src/health/outlier.rs
+++ b/src/health/outlier.rs
@@ -41,9 +41,10 @@
         was_confirmed
     }
 
-    /// Records an error response. Returns whether it counts as a failure: errors of two classes without a served
-    /// request between them do, else a backend that fails at once would attract ever more requests. Errors of one
-    /// class do not, since that class may fail at all backends alike.
+    /// Records an error response. Returns whether it counts as a failure: only after an error of another class with no
+    /// served request in between. Errors of one class alone do not count, since that class may fail at all backends
+    /// alike. Errors of several classes do: otherwise a backend that responds to every request with an immediate error
+    /// would attract ever more requests.
     pub(crate) fn record_error(&mut self, class_index: usize) -> bool {
         let last = self.error_class.replace(class_index);
         last.is_some_and(|last| last != class_index)
