--- a/src/health/slow_start.rs
+++ b/src/health/slow_start.rs
@@ -42,8 +42,8 @@
 /// Whether a backend in slow start is passed over for a request. A random draw limits it to its budget, which requires
 /// neither coordination among gateways nor a warm backend.
 ///
-/// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, `inverse_weight_share` as one in how many
-/// requests of its priority level the backend gets.
+/// Inputs: `slow_start_weight` and `budget` in 0..=1, `draw` in 0..1, and `inverse_weight_share`, which is n where the
+/// backend's share of its priority level's requests is 1/n.
 pub(crate) fn exceeds_slow_start_budget(
     slow_start_weight: f64, budget: f64, draw: f64, inverse_weight_share: f64,
 ) -> bool {
