--- a/src/health/concurrency_limit.rs
+++ b/src/health/concurrency_limit.rs
@@ -17,7 +17,8 @@
 const LIMIT_STEP: f64 = 0.12;
 
 /// Whether there are so many gateways that even parts of the initial limit would be below the minimum. Each gateway
-/// then sees too little of a backend: choice goes by random draw, and load is shed by all responses together.
+/// then sees too little of a backend: backends are chosen by random draw, and load is shed by the share of late
+/// responses of all backends together.
 pub(crate) fn is_large_fleet(gateway_count: u32) -> bool {
     INITIAL_FLEET_LIMIT < MIN_LIMIT * f64::from(gateway_count)
 }
