--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -79,7 +79,7 @@
     ExpectedBatch(String),
     /// The line is inside an endpoint list and is no entry of it.
     ExpectedEntry(String),
-    /// No gateway of this number is running.
+    /// No gateway of this number is running: it was not started, or it has been stopped.
     UnknownGateway(u64),
     /// The settings object or a load report cannot be read; the text names the field.
     Deployment(String),
