--- a/crates/graceful-shutdown/src/shutdown.rs
+++ b/crates/graceful-shutdown/src/shutdown.rs
@@ -16,8 +16,8 @@
 //! | `Draining` | connections in the accept queue are accepted, then it is closed | each is closed once nothing is open on it and one last read finds nothing | as before |
 //! | `FinalResponses` | closed | as before | rejected; every open request gets its final response now |
 //!
-//! This includes connections that had an open request when the listener closed: clients go on sending requests on every
-//! connection that stays open until the kill, so each connection is closed as soon as it is idle.
+//! While the gateway drains, connections that had an open request when the listener closed are also closed once they
+//! are idle: clients would otherwise go on sending requests on them until the kill.
 
 use doorcourse::Millis;
 use doorcourse_connection_limits::ConnectionActivity;
