--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -14,7 +14,7 @@
 }
 
 impl RefusalReason {
-    /// The reason why a process in `state` refuses a reload or a takeover.
+    /// The reason why a process in `state` refuses a reload or a takeover. In `Serving` it refuses neither.
     pub(crate) fn for_state(state: ProcessState) -> Self {
         match state {
             ProcessState::Starting => Self::Starting,
