--- a/crates/connection-limits/src/activity.rs
+++ b/crates/connection-limits/src/activity.rs
@@ -4,10 +4,10 @@
 
 use doorcourse::Millis;
 
-/// How much older a connection without a valid request counts than it is when connections are evicted, in ms.
+/// Added to the idle time of a connection without a valid request when the connection to evict is chosen, in ms.
 ///
-/// The penalty is small because of a table full of connections that sent one request and were kept open: there the
-/// connections without a request are those that were just accepted and are about to send one.
+/// It is small because the table may be full of connections that sent one request and were kept open. Those without a
+/// request are then the newest ones, which are about to send theirs.
 const SILENT_CONNECTION_PENALTY: Millis = 500.0;
 
 /// Eviction rank of a connection that is being closed: evicted first.
