--- a/crates/counter/src/link.rs
+++ b/crates/counter/src/link.rs
@@ -66,7 +66,7 @@
 struct InFlightCall {
     call: CounterCall,
     started_at: Millis,
-    /// How many bytes are written on the connection once the last byte of this call is.
+    /// The position after the last byte of this call, counted in bytes from the first one written on the connection.
     end_offset: u64,
     /// Whether the call has already ended as unknown, so that its reply is reported as late.
     timed_out: bool,
