--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -143,9 +143,10 @@
     /// The longest time from the moment at which the source becomes reachable until the gateway holds the source's list
     /// of that moment, whatever happened to earlier calls.
     ///
-    /// The longest case is a watch that was requested just before that moment and gets no message until its timeout;
-    /// two backoffs then pass before the full list arrives. The property tests check this bound for every order of
-    /// faults. It does not include the delay of the host's event loop. The platform allows 6 s, and 4 s after SIGHUP.
+    /// The longest case is a watch whose last message arrived just before that moment. After its timeout and a backoff,
+    /// the next watch gets changes that cannot be applied, and the full list arrives after a second backoff. The
+    /// property tests check this bound for every order of faults. It does not include the delay of the host's event
+    /// loop. The platform allows 6 s, and 4 s after SIGHUP.
     pub const MAX_DELAY: Millis = WATCH_MESSAGE_TIMEOUT + 2.0 * MAX_BACKOFF;
 
     /// A watch whose first connect is due at once.
