--- a/crates/outlier-gossip/src/events.rs
+++ b/crates/outlier-gossip/src/events.rs
@@ -35,7 +35,7 @@
     Tick {
         /// All nodes, with their present state in the decision library.
         nodes: Vec<NodeStatus>,
-        /// The fencing token of the lease `suspects`, while this gateway holds it for longer than a probe takes.
+        /// The fencing token of the lease `suspects`, where this gateway holds it and it outlasts a probe.
         lease_token: Option<u64>,
     },
     /// A message was received from another gateway.
