--- a/crates/lease/src/leases/reconfiguration.rs
+++ b/crates/lease/src/leases/reconfiguration.rs
@@ -36,7 +36,8 @@
         !matches!(self, Self::Unconfirmed { .. })
     }
 
-    /// Sets the configuration that follows the current one; `majority_since` is kept.
+    /// Sets the configuration that follows the current one. `majority_since` is kept, since it does not depend on the
+    /// configuration that follows.
     fn set_next(&mut self, voters: VoterConfiguration) {
         match self {
             Self::InForce => *self = Self::Changing { next: voters, majority_since: None },
