--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,4 +1,6 @@
 //! The link of one gateway: receives and sends datagrams, and reports events of peers.
+//!
+//! A hello is a datagram without a payload. It tells its receiver the incarnation of its sender.
 
 use crate::envelope::{Datagram, Envelope, HELLO_CHANNEL, is_authentic, seal};
 use crate::peer::Peer;
