--- a/crates/request-lifecycle/src/action.rs
+++ b/crates/request-lifecycle/src/action.rs
@@ -60,6 +60,6 @@
     DeadlineExpired,
     /// The connection to a backend was lost, or the backend responded with an error.
     BackendFailed,
-    /// The last attempt reached no backend, or was rejected by it.
+    /// The last attempt reached no backend, or its backend rejected it.
     NoBackendReached,
 }
