--- a/crates/lease/src/leases/voting.rs
+++ b/crates/lease/src/leases/voting.rs
@@ -60,7 +60,9 @@
         }
     }
 
-    /// Votes on a request from a gateway whose voter configuration has the version `voters_version`.
+    /// Votes on a request from a gateway whose voter configuration has the version `voters_version`. Versions older
+    /// than this gateway's are refused: once a majority of the voters does so, no majority of an older version can
+    /// grant anything.
     pub(super) fn vote(
         &mut self, now: Millis, voters_version: u64, requester: HolderId, request: &LeaseRequest,
     ) -> Result<(), Refusal> {
@@ -68,8 +70,8 @@
             return Err(Refusal::NotVoting);
         }
         let own = self.voters_version();
-        let is_neighbour = voters_version == own || voters_version == own + 1;
-        if !is_neighbour && !self.is_disabled(DisabledRule::VoterVersions) {
+        let is_compatible = voters_version == own || voters_version == own + 1;
+        if !is_compatible && !self.is_disabled(DisabledRule::VoterVersions) {
             return Err(Refusal::VersionMismatch);
         }
         self.highest_token = self.highest_token.max(request.token);
