--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -27,7 +27,7 @@
     ExitCode::FAILURE
 }
 
-/// Checks settings or an endpoint list: prints a summary, or each fault.
+/// Checks settings or a node list: prints a summary, or each fault.
 ///
 /// # Errors
 /// Fails when the file cannot be read.
@@ -35,7 +35,7 @@
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let path = file.display().to_string();
     if doorcourse_config::is_node_list(&path, &text) {
-        return Ok(check_endpoint_list(&path, &text));
+        return Ok(check_node_list(&path, &text));
     }
     let config = match read_settings(file)? {
         Ok(config) => config,
@@ -48,7 +48,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn check_endpoint_list(path: &str, text: &str) -> ExitCode {
+fn check_node_list(path: &str, text: &str) -> ExitCode {
     match doorcourse_config::read_nodes(path, text) {
         Err(faults) => report_faults(&faults),
         Ok(list) => {
