--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -53,7 +53,7 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Run the gateway until it is stopped by a signal or a drain.
+    /// Run the HTTP gateway, for GraphQL, until it is stopped by a signal or a drain.
     Serve {
         /// The settings file, in protobuf text format.
         #[arg(long)]
@@ -61,7 +61,7 @@
         /// The seed of random decisions; a random one by default. No two gateways may share a seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// Take over the listening sockets from the running process, through the admin socket in the settings.
+        /// Take over the listening sockets of the process that serves the admin socket named in the settings.
         #[arg(long)]
         take_over: bool,
     },
