--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Run as a gateway of the platform, with RESP on both sides, until SIGTERM. SIGHUP reloads the file.
+/// Run the RESP gateway, for the users' platform, until SIGTERM or SIGINT. SIGHUP reloads the file.
 #[derive(Args, Debug)]
 pub struct Platform {
     /// The platform's configuration file, in JSON: name, addresses, limits, known backends and settings.
