--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -51,7 +51,7 @@
     HandOver {
         /// The task's name.
         task: String,
-        /// The number of the gateway that receives the task.
+        /// The number of the gateway that receives the task: fleet.number in its settings.
         to: u32,
     },
     /// Drain the gateway: it completes its open requests, releases its quota leases and exits.
