--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -47,8 +47,8 @@
     /// `lease-holder-lost`: the number of gateways, 3 to 9.
     #[arg(long, default_value_t = 5)]
     gateways: usize,
-    /// `lease-holder-lost`: measure what leases of 3 s cost 5 and 9 gateways with 2, 100 and 1,000 tasks, and how soon another
-    /// gateway acts after the holder was killed.
+    /// `lease-holder-lost`: run no drill but measure, with 5 and 9 gateways, what leases of 3 s cost for 2, 100 and
+    /// 1,000 tasks, and how soon another gateway acts after the holder was killed.
     #[arg(long)]
     cost: bool,
 }
@@ -123,6 +123,7 @@
     for gateways in [5, 9] {
         for tasks in [2, 100, 1000] {
             let folder = folder.join(format!("{gateways}-{tasks}"));
+            // The fleet of the lease drill has two tasks of its own.
             let (binary, additional_tasks) = (binary.to_owned(), tasks - 2);
             let options = LeaseDrillOptions {
                 binary,
