--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -65,7 +65,8 @@
 
 #[derive(Args, Debug)]
 pub struct Common {
-    /// The folder that holds the root file system ("/") of the machine that the files come from.
+    /// A folder with a copy of the root file system of the machine that the files come from: absolute paths are looked
+    /// up below it.
     #[arg(long, value_name = "FOLDER")]
     root: Option<PathBuf>,
     /// The balancer to convert, if there are several.
@@ -87,13 +88,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// One line each; a finding is followed by the line of the file.
+    /// One line for each finding or difference; a finding is followed by the line of the file.
     Text,
     /// A JSON array.
     Json,
 }
 
-/// Files on disk; absolute paths are resolved below the root, if one is given.
+/// Files on disk; absolute paths are resolved below the root, if one is given and they do not begin with it already.
 struct DiskFiles {
     root: Option<PathBuf>,
 }
@@ -231,6 +232,7 @@
     let routing_text = |file: &doorcourse_config::NodeList| file.routing.as_ref().map(ToString::to_string);
     let (old_routing, new_routing) = (routing_text(&old), routing_text(&new));
     if old_routing != new_routing {
+        // Empty instead of `None`: `None` means that a node was added or removed.
         differences.push(Difference {
             node: String::new(),
             field: "routing",
