--- a/crates/import/src/apache/proxy.rs
+++ b/crates/import/src/apache/proxy.rs
@@ -66,6 +66,7 @@
     let (scheme, rest) = url.split_once("://").or_else(|| url.strip_prefix("unix:").map(|r| ("unix", r)))?;
     let scheme = scheme.to_ascii_lowercase();
     let (protocol, default_port) = match scheme.as_str() {
+        // `unix:/socket|http://host/`: everything before `://`, with the path of the socket.
         _ if scheme.starts_with("unix:") => (Protocol::Other("unix".into()), 0),
         "http" | "h2c" | "ws" => (Protocol::Http, 80),
         "https" | "h2" | "wss" => (Protocol::Https, 443),
@@ -113,8 +114,8 @@
         })
     }
 
-    /// Applies `key=value` arguments to a member or balancer. ProxyPass also accepts some arguments without
-    /// `=`.
+    /// Applies `key=value` arguments to the member with index `at`, or to the balancer itself if that is `None`.
+    /// ProxyPass also accepts some arguments without `=`.
     fn set_parameters(
         &mut self, balancer: usize, at: Option<usize>, arguments: &[String], location: &SourceLocation,
         findings: &mut Findings,
@@ -156,6 +157,8 @@
         }
     }
 
+    /// Adds a member to a balancer, or sets parameters of the member with this URL. `is_definition` is false for
+    /// ProxySet, which may set parameters again without a finding.
     fn add_member(
         &mut self, balancer: usize, url: &str, arguments: &[String], location: &SourceLocation,
         is_definition: bool, findings: &mut Findings,
