--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -187,7 +187,9 @@
     Some(chosen)
 }
 
-/// Parameters whose values the readers or the conversion use; all others are reported from the table.
+/// Parameters whose values the readers or the conversion use. All others are reported from the table, unless it says
+/// that they are carried over; `type`, `retries` and `lb_retries` are never reported from it. [`settings_hints`] reports
+/// a balancer's `lb_retries` or else its `retries`; a worker's `retries` is not converted and has no finding.
 const HANDLED_PARAMETERS: [&str; 23] = [
     "loadfactor",
     "lbset",
