--- a/crates/import/src/jk/uris.rs
+++ b/crates/import/src/jk/uris.rs
@@ -68,6 +68,7 @@
             |path: String| UriRule { path, worker: worker.clone(), excluded, location: location.clone() };
         match pattern.split_once('|') {
             Some((path, below)) => {
+                // What follows the `|` may repeat the path: `/path|/*` and `/path|/path/*` are the same.
                 rules.push(rule(path.to_owned()));
                 let below = if below.starts_with(path) { below.to_owned() } else { format!("{path}{below}") };
                 rules.push(rule(below));
