--- a/crates/import/src/jk/workers.rs
+++ b/crates/import/src/jk/workers.rs
@@ -188,6 +188,7 @@
         let mut seen_members: HashSet<&str> = members.iter().copied().collect();
         open_balancers.push(name.to_owned());
         for list in &lists {
+            // Locations are compared to recognize the list that is set by the old name.
             if resolved.get("balanced_workers").is_some_and(|l| l.location == list.location) {
                 findings.add("J006", &list.location, "balanced_workers is the old name of balance_workers");
             }
