--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -37,7 +37,7 @@
     pub line_bytes: usize,
     /// Nesting depth of includes and macros. Default: 128, as in httpd.
     pub depth: usize,
-    /// Nesting depth of sections. Default: 200.
+    /// Nesting depth of sections, checked at each section that is not a condition. Default: 200.
     pub sections: usize,
 }
 
