--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -204,6 +204,7 @@
         loop {
             let idle = backend.pool.take_idle(reactor.now, idle_timeout, &mut expired);
             for index in expired.drain(..) {
+                // Not `close`: the pool has removed it already.
                 self.connections.remove(index);
             }
             let Some(index) = idle else { break };
@@ -212,6 +213,7 @@
             if self.connections[index].registered.socket.read() == (0, Flow::Open) {
                 return self.write_attempt(reactor, index, request, updates);
             }
+            // Not `close`: the connection's state is still idle, but the pool counts it as busy.
             self.connections.remove(index);
             backend.pool.request_ended();
         }
