--- a/crates/resp-gateway/src/backends/io.rs
+++ b/crates/resp-gateway/src/backends/io.rs
@@ -166,6 +166,7 @@
     }
 
     /// Closes connections that were not made within the connect timeout, and those that have been idle for too long.
+    /// The attempts that wait for a connection end by timers of their own.
     pub(crate) fn handle_timeout(&mut self, reactor: &Reactor) {
         let now = reactor.now;
         if now < self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL_MS {
