--- a/crates/resp-gateway/src/clients.rs
+++ b/crates/resp-gateway/src/clients.rs
@@ -119,7 +119,8 @@
 
     /// Reads once more, and closes the connection if `may_close` holds after that: a command that was written before
     /// the close is still processed. Bytes that arrive later are discarded; the client sees the end of the connection
-    /// and sends its request to another gateway. Returns false if the connection stays open.
+    /// and sends its request to another gateway. Returns false if the connection stays in use, and true if it was removed
+    /// or lingers.
     fn close_after_last_read(
         &mut self, reactor: &mut Reactor, deployment: &Deployment, index: usize,
         may_close: impl Fn(&ConnectionActivity) -> bool, events: &mut Vec<ClientEvent>,
@@ -133,6 +134,7 @@
         }
         tracing::trace!(target: "doorcourse::requests", connection = index, "client connection closed");
         let activity = &connection.activity;
+        // Lingering lets the client receive the last response: not needed once it is over, or without any response.
         if activity.lingering_close_until.is_some() || activity.last_response_at.is_none() {
             self.remove(index, events);
         } else {
@@ -234,6 +236,7 @@
             return;
         }
         self.timeouts_checked_at = reactor.now;
+        // A descriptor may be available again: see `listening`.
         self.set_listening(reactor, true);
         let now = reactor.now;
         let timeouts = CONNECTION_TIMEOUTS.for_occupancy(self.connections.len(), self.max_connections);
