--- a/crates/resp-gateway/src/clients/accept.rs
+++ b/crates/resp-gateway/src/clients/accept.rs
@@ -9,6 +9,7 @@
 use doorcourse_fail_points::rule_disabled;
 
 /// Connections accepted in one event-loop iteration, so that a burst of new ones does not delay those that are open.
+/// When draining begins, the whole accept queue is accepted in one iteration.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 /// The length of the accept queue in the kernel.
 const ACCEPT_QUEUE_LENGTH: usize = 1024;
