--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -51,7 +51,7 @@
     connection: Connection,
     /// When the link ends because the counter has another address; `None` for a link to the current address.
     retires_at: Option<Millis>,
-    /// When [`CounterPool::handle_timeout`] is due for this link.
+    /// When [`CounterPool::handle_timeout`] is due for this link; negative infinity for the next event-loop iteration.
     next_timeout: Millis,
     /// Whether the next flush handles this link.
     flush_scheduled: bool,
@@ -94,7 +94,8 @@
     }
 
     /// Applies the configuration. If the address changed, connections to the new one are used as soon as they are open;
-    /// calls in flight on connections to the former address complete there until those retire.
+    /// calls in flight on connections to the former address complete there until those retire. Links that exist already
+    /// keep the call timeout with which they were added.
     pub(crate) fn configure(&mut self, now: Millis, address: Option<SocketAddr>, call_timeout: Millis) {
         self.call_timeout = call_timeout;
         let is_current = |pooled: &PooledLink| pooled.retires_at.is_none() && Some(pooled.address) == address;
