--- a/crates/resp-gateway/src/diagnostics.rs
+++ b/crates/resp-gateway/src/diagnostics.rs
@@ -1,5 +1,6 @@
-//! Logs once a second the state of the decision library next to that of the sockets, at level `debug` of the target
-//! `doorcourse::watch`. It only counts; no decision depends on it.
+//! Logs the state of the decision library next to that of the sockets, at most once a second, at level `debug` of the
+//! target `doorcourse::watch`; at level `trace`, also the first attempt and the rejection of each request. No decision
+//! depends on it, and it does not wake the event loop: an idle gateway logs less often.
 
 use crate::backends::Backends;
 use crate::clients::ClientTable;
@@ -48,6 +49,7 @@
 
 /// The components whose state is logged.
 pub(crate) struct Components<'a> {
+    /// The decision library.
     pub gateway: &'a Gateway,
     pub backends: &'a Backends,
     pub clients: &'a ClientTable,
@@ -138,6 +140,7 @@
         };
         if self.logs_each_request {
             let customer = gateway.customers().find(|status| status.name == open.customer);
+            // Infinite for a request that was rejected after an attempt: its time in the queue was logged before.
             let queued_ms = if open.is_sent { f64::INFINITY } else { (now - open.received_at).round() };
             tracing::trace!(target: LOG_TARGET, reason, queued_ms, ?customer, "request rejected");
         }
