--- a/crates/resp-gateway/src/discovery/body.rs
+++ b/crates/resp-gateway/src/discovery/body.rs
@@ -38,6 +38,7 @@
                     decoded.result = Err(DiscoveryError::Status(head.status));
                 }
                 Some(Part::Head(_)) => {
+                    // The current request is answered: the response to the superseded one is not needed any more.
                     self.watch.response_started();
                     self.superseded = None;
                 }
