--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -63,6 +63,7 @@
     discovery: DiscoveryClient,
     health_checks: HealthChecks,
     diagnostics: Diagnostics,
+    /// Whether `PING` is answered with `PONG`; not the readiness of sockets.
     readiness: Readiness,
     shutdown: GracefulShutdown,
     /// Whether the listener was closed because draining began.
@@ -139,6 +140,7 @@
         };
         gateway.log_started(&config.name, budget, known_backends);
         if let Some(mut list) = known {
+            // No other list is in use yet, so this one is complete whatever the file states.
             list.complete = true;
             gateway.apply_endpoints(list);
             gateway.process_pending_events();
@@ -324,7 +326,8 @@
     }
 
     /// Responds to every open request: the deadlines of the attempts in flight expire, and the decision library chooses
-    /// the final response. Retries that it starts here reach no socket, since nothing is written before the last round.
+    /// the final response. Retries that it starts here reach no socket: a later round ends them, and nothing is written
+    /// before all rounds are over.
     fn respond_to_all(&mut self) {
         let mut rounds = FinalRounds::new(self.deployment.settings.max_attempts);
         loop {
