--- a/crates/resp-gateway/src/request/fields.rs
+++ b/crates/resp-gateway/src/request/fields.rs
@@ -3,6 +3,10 @@
 use super::RequestError;
 
 /// The fields of a request. Each occurs at most once, except `r=0`, which may be repeated.
+///
+/// Their names in the protocol are `c` (class), `t` (plan), `d` (deadline: how long the client waits, in ms), `k`
+/// (idempotency key), `units`, `spread` (number of gateways that serve the customer), `first` (index of the first of
+/// them) and `r` (1 for a retry by the client).
 #[derive(Default)]
 pub(super) struct RequestFields<'a> {
     pub class: Option<&'a str>,
