--- a/crates/resp-gateway/src/request/forwarded.rs
+++ b/crates/resp-gateway/src/request/forwarded.rs
@@ -9,7 +9,8 @@
 const MAX_TIMEOUT_MS: f64 = 1e9;
 const TIMEOUT_DIGITS: usize = 12;
 
-/// A request as it is sent to a backend: unchanged except for its timeout, which becomes the time that remains.
+/// A request as it is sent to a backend: unchanged except for its timeout (the field `d`, the deadline in the list of
+/// fields), which becomes the time that remains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedCommand {
     /// Command, customer and request id, encoded.
@@ -40,6 +41,7 @@
     /// Appends the command with the time that remains for its response, in ms.
     pub fn encode(&self, remaining: Millis, output: &mut Vec<u8>) {
         let mut digits = [0; TIMEOUT_DIGITS];
+        // Writing to a slice advances it, so that `unused` is then the part after the digits.
         let mut unused = &mut digits[..];
         let _ = write!(unused, "{}", remaining.clamp(1.0, MAX_TIMEOUT_MS) as u64);
         let unused = unused.len();
