--- a/crates/resp-gateway/src/requests.rs
+++ b/crates/resp-gateway/src/requests.rs
@@ -90,6 +90,7 @@
         let max_timeout =
             deployment.host.client_timeouts.get(request.class).copied().filter(|timeout| *timeout > 0.0);
         let max_timeout = max_timeout.unwrap_or(f64::INFINITY);
+        // The first argument is for requests that state no timeout; by this protocol, every request states one.
         let timeout = request_timeout(max_timeout, Some(request.timeout), max_timeout, RESPONSE_TRANSIT_MS);
         let Some(timeout) = timeout else {
             tracing::trace!(target: LOG_TARGET, id = format_args!("{:016x}", request.id), "request deadline too short");
@@ -217,6 +218,7 @@
         now: Millis, deadline: Millis, command: CommandId, client_id: u64, forwarded: Arc<ForwardedCommand>,
     ) -> Self {
         Self {
+            // Every response is buffered until it is complete; `doorcourse_resp` limits its size.
             lifecycle: RequestLifecycle::new(usize::MAX),
             client_id,
             command,
