--- a/crates/resp/tests/readers.rs
+++ b/crates/resp/tests/readers.rs
@@ -31,6 +31,7 @@
                 Err(error) => return (commands, Some(error)),
             }
         }
+        // Beside the arguments: their headers and line ends, the piece that has just arrived, and the array header.
         assert!(unconsumed.len() <= LIMITS.bytes + 6 * 30 + (end - from) + 64 || end == bytes.len());
     }
     (commands, None)
