--- a/crates/cli/tests/rolling.rs
+++ b/crates/cli/tests/rolling.rs
@@ -38,6 +38,8 @@
 }
 
 /// Runs a client, which sends one request after another and keeps a connection to each gateway that it has used.
+/// `addresses` stands for the platform's front end, which assigns new connections to gateways: `None` for one to which it
+/// assigns none.
 fn client(
     mut random: ChaCha8Rng, addresses: &Shared<Vec<Option<SocketAddr>>>, finished: &AtomicBool,
 ) -> Vec<RequestRecord> {
