--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -341,7 +341,7 @@
 /// The order of events is that of the gateway's own clock: a response that is due later is still to come.
 #[test]
 fn shutdown_closes_idle_connections_and_admits_no_request_past_the_kill() {
-    // The longest timeout counts as 3 s; the platform kills 0.7 s later.
+    // The platform counts at most 3 s of the longest timeout, and kills 0.7 s after that.
     const KILL_AFTER: Duration = Duration::from_millis(3700);
     // It serves the first command, so that it is not ejected, and none after: two connections may be read in either order.
     let count = AtomicUsize::new(0);
@@ -376,7 +376,7 @@
         "it stayed open until the other's response came"
     );
     busy.stream.set_nonblocking(false).unwrap();
-    // Behind the open one, on a connection in use: it cannot have its own deadline.
+    // Behind the open one, on a connection in use: its own deadline is past the kill, so that its response comes earlier.
     busy.send_request("order", MAX_TIMEOUT_MS);
     assert!(busy.read_response().is_some() && busy.read_response().is_some(), "both have their responses");
     assert!(gateway.child.wait().unwrap().success());
