--- a/crates/resp-gateway/tests/rig/discovery.rs
+++ b/crates/resp-gateway/tests/rig/discovery.rs
@@ -23,11 +23,13 @@
     is_silent: bool,
 }
 
+/// An endpoint of a list, also with fields that the gateway does not read.
 pub(crate) fn endpoint(name: &str, address: SocketAddr, health: &str) -> Json {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 1,
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
+/// Encodes a line, to which it adds the line end, as a chunk of a chunked body.
 fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1).into_bytes()
 }
