--- a/crates/emulators/src/server.rs
+++ b/crates/emulators/src/server.rs
@@ -121,7 +121,7 @@
 
 struct Connection {
     socket: Socket,
-    kind: Owner,
+    owner: Owner,
     /// Attempts that were received on the connection and are not answered yet.
     attempts: Vec<u64>,
     /// Whether the connection waits until its output can be written.
@@ -305,7 +305,7 @@
         self.listeners[index] = None;
         let node = self.nodes[index].spec.name.clone();
         self.recorder.record(Event::NodeDown { node });
-        let belongs = |c: &Connection| matches!(c.kind, Owner::Node { node, .. } if node == index);
+        let belongs = |c: &Connection| matches!(c.owner, Owner::Node { node, .. } if node == index);
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             let connection = self.connections.remove(slot);
@@ -329,7 +329,7 @@
             if let Some(node) = node {
                 self.recorder.record(Event::Connected { node: self.nodes[node].spec.name.clone() });
             }
-            let kind = match node {
+            let owner = match node {
                 Some(node) => {
                     let limits = HttpLimits { body: 64 << 20, ..HttpLimits::default() };
                     let decoder = Box::new(Decoder::new(Role::Requests, limits));
@@ -348,7 +348,7 @@
                 let attempts = Vec::new();
                 entry.insert(Connection {
                     socket,
-                    kind,
+                    owner,
                     attempts,
                     writing: false,
                     closing: false,
@@ -364,7 +364,7 @@
         }
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let (_, flow) = connection.socket.read();
-        match connection.kind {
+        match connection.owner {
             Owner::Node { .. } => self.node_input(slot),
             Owner::Counter { .. } => self.counter_input(slot),
         }
@@ -401,7 +401,9 @@
     fn node_input(&mut self, slot: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return };
-            let Owner::Node { node, incarnation, decoder, head, body } = &mut connection.kind else { return };
+            let Owner::Node { node, incarnation, decoder, head, body } = &mut connection.owner else {
+                return;
+            };
             let (node, incarnation) = (*node, *incarnation);
             let Ok((used, part)) = decoder.decode(&connection.socket.input) else { return self.close(slot) };
             match part {
@@ -557,7 +559,7 @@
 
     fn apply_counter_fault(&mut self, fault: CounterFault) {
         self.counter.apply_fault(fault);
-        let belongs = |c: &Connection| matches!(c.kind, Owner::Counter { .. });
+        let belongs = |c: &Connection| matches!(c.owner, Owner::Counter { .. });
         let slots: Vec<usize> = self.connections.iter().filter(|(_, c)| belongs(c)).map(|(s, _)| s).collect();
         for slot in slots {
             // Input that was read while the counter was silent is processed now; a restart closes the connections.
@@ -571,7 +573,7 @@
         }
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let Owner::Counter { session, pending_replies } = &mut connection.kind else { return };
+        let Owner::Counter { session, pending_replies } = &mut connection.owner else { return };
         let input = std::mem::take(&mut connection.socket.input);
         let mut consumed = 0;
         loop {
