--- a/crates/import/src/convert.rs
+++ b/crates/import/src/convert.rs
@@ -1,5 +1,5 @@
 //! Converts the model to a node list and reports what cannot be converted. Every parameter of the chosen
-//! balancer is looked up in `PARAMETERS`, so that none is dropped silently.
+//! balancer is either in `HANDLED_PARAMETERS`, which names the exceptions, or reported from `PARAMETERS`.
 
 use crate::apache;
 use crate::files::SourceLocation;
